--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -1,7 +1,6 @@
 package logic_test
 
 import (
-	"bufio"
 	"container/heap"
 	"flag"
 	"fmt"
@@ -16,11 +15,20 @@
 	"junctionwharf/logic"
 )
 
-// record has the decisions written anew: only where a change of them is meant, and the commit says so.
-var record = flag.Bool("record", false, "record the decisions of this version")
-
+// decisionSeeds is how many streams are always played.
 const decisionSeeds = 10
 
+// record has the decisions written anew: only where a change of them is meant, and the commit says so. A change that is meant to
+// leave decisions alone is compared over 80 seeds besides, recorded by the version before it into a folder of their own.
+var (
+	record     = flag.Bool("record", false, "record the decisions of this version")
+	moreSeeds  = flag.Int("seeds", decisionSeeds, "streams to play; no fewer than the usual")
+	recordings = flag.String("recordings", "testdata", "folder in which the recorded decisions lie")
+)
+
+// seeds is how many streams are played: -seeds only raises it.
+func seeds() uint64 { return uint64(max(decisionSeeds, *moreSeeds)) }
+
 // decisionsOf plays a seeded stream against a gateway and returns a hash of all its actions. The stream reacts to the
 // actions as a deployment would: nodes of drawn speeds with pauses, full rooms and cuts; surges of some volumes; drains, replaced
 // nodes, new settings, peers' messages, clients that leave, and restarts.
@@ -70,7 +78,7 @@
 	attempts := map[uint64]int{}
 	step := func(events ...logic.Event) {
 		for _, action := range g.Step(now, events) {
-			fmt.Fprintf(sum, "%d %T %+v\n", now, action, action)
+			fmt.Fprintf(sum, "%d %s\n", now, actionText(t, action))
 			switch a := action.(type) {
 			case logic.SetTimer:
 				later(a.After, logic.Timer{Token: a.Token})
@@ -181,13 +189,13 @@
 // of the version before it.
 func TestDecisions(t *testing.T) {
 	for name, off := range map[string]bool{"decisions.txt": true, "decisions-spread.txt": false} {
-		path := filepath.Join("testdata", name)
+		path := filepath.Join(*recordings, name)
 		var lines []string
-		seeds := uint64(decisionSeeds)
+		count := seeds()
 		if !off {
-			seeds /= 2
+			count /= 2
 		}
-		for seed := range seeds {
+		for seed := range count {
 			hash, sends, refusals := decisionsOf(t, seed, off, false)
 			if sends < 100 {
 				t.Errorf("seed %d: %d sends", seed, sends)
@@ -195,7 +203,7 @@
 			lines = append(lines, fmt.Sprintf("%d %016x %d %d", seed, hash, sends, refusals))
 		}
 		if *record {
-			if err := os.MkdirAll("testdata", 0o755); err != nil {
+			if err := os.MkdirAll(*recordings, 0o755); err != nil {
 				t.Fatal(err)
 			}
 			if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
@@ -203,15 +211,17 @@
 			}
 			continue
 		}
-		file, err := os.Open(path)
+		recorded, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer file.Close()
-		scan := bufio.NewScanner(file)
-		for i := 0; scan.Scan(); i++ {
-			if scan.Text() != lines[i] {
-				t.Errorf("%s: seed, hash, sends, refusals: %s, recorded %s", name, lines[i], scan.Text())
+		want := strings.Split(strings.TrimSuffix(string(recorded), "\n"), "\n")
+		if len(want) != len(lines) {
+			t.Fatalf("%s: %d streams played, %d recorded", path, len(lines), len(want))
+		}
+		for i, line := range lines {
+			if line != want[i] {
+				t.Errorf("%s: seed, hash, sends, refusals: %s, recorded %s", name, line, want[i])
 			}
 		}
 	}
@@ -219,7 +229,7 @@
 
 // Where each shard has one node, as on the platform, spreading changes no decision.
 func TestOneNodeIsAsBefore(t *testing.T) {
-	for seed := range uint64(decisionSeeds / 3) {
+	for seed := range seeds() / 3 {
 		before, sends, _ := decisionsOf(t, seed, true, true)
 		if now, _, _ := decisionsOf(t, seed, false, true); now != before || sends < 100 {
 			t.Errorf("seed %d: %016x, %016x without spreading, %d sends", seed, now, before, sends)
