--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -24,9 +24,50 @@
 	writeEvery   = 2 * time.Second
 )
 
+// savedNode is a node as the snapshot holds it. The tags are the names in files of earlier releases.
 type savedNode struct {
-	membership.Entry
-	BornMS int64 // Unix time; 0 for long ago
+	Name     string  `json:"Name"`
+	Address  string  `json:"Address"`
+	Zone     string  `json:"Zone"`
+	Kind     string  `json:"Kind"`
+	Shard    int     `json:"Shard"`
+	State    int     `json:"State"`
+	Share    float64 `json:"Share"`
+	Part     float64 `json:"Part"`
+	Priority int     `json:"Priority"`
+	Born     int64   `json:"Born"`   // on the clock of the process that wrote it: BornMS counts
+	BornMS   int64   `json:"BornMS"` // Unix time; 0 for long ago
+}
+
+func savedOf(e membership.Entry, startedMS int64) savedNode {
+	return savedNode{
+		Name:     e.Name,
+		Address:  e.Address,
+		Zone:     e.Zone,
+		Kind:     e.Kind,
+		Shard:    e.Shard,
+		State:    int(e.State),
+		Share:    e.Share,
+		Part:     e.Part,
+		Priority: e.Priority,
+		Born:     e.Born,
+		BornMS:   startedMS,
+	}
+}
+
+func (n savedNode) entry(started broker.Micros) membership.Entry {
+	return membership.Entry{
+		Name:     n.Name,
+		Address:  n.Address,
+		Zone:     n.Zone,
+		Kind:     n.Kind,
+		Shard:    n.Shard,
+		State:    membership.Health(n.State),
+		Share:    n.Share,
+		Part:     n.Part,
+		Priority: n.Priority,
+		Born:     int64(started),
+	}
 }
 
 type snapshot struct {
@@ -133,8 +174,7 @@
 	}
 	var entries []membership.Entry
 	for _, n := range nodes {
-		n.Entry.Born = int64(m.clock.At(n.BornMS))
-		entries = append(entries, n.Entry)
+		entries = append(entries, n.entry(m.clock.At(n.BornMS)))
 	}
 	m.tell(m.state.Restore(now, kept, entries))
 	m.log.Info("snapshot read", "nodes", len(entries))
@@ -147,11 +187,11 @@
 	nodes, _ := m.state.List()
 	saved := make([]savedNode, 0, len(nodes))
 	for _, n := range nodes {
-		s := savedNode{Entry: n.Entry}
+		bornMS := int64(0)
 		if n.Born > 0 {
-			s.BornMS = time.Now().Add(-(m.clock.Now() - broker.Micros(n.Born)).Duration()).UnixMilli()
+			bornMS = time.Now().Add(-(m.clock.Now() - broker.Micros(n.Born)).Duration()).UnixMilli()
 		}
-		saved = append(saved, s)
+		saved = append(saved, savedOf(n.Entry, bornMS))
 	}
 	return json.Marshal(saved)
 }
