--- a/agree/document.go
+++ b/agree/document.go
@@ -131,32 +131,32 @@
 
 // Change sets a key, or takes it away with an empty value.
 type Change struct {
-	Key   string `json:"key"`
-	Value string `json:"value"`
+	Key   string `msgpack:"Key" json:"key"`
+	Value string `msgpack:"Value" json:"value"`
 }
 
 // Proposal is a change of a whole document, taken whole or not at all.
 type Proposal struct {
-	Expected uint64   `json:"expected"` // the version on which it builds
-	Author   string   `json:"author"`
-	Reason   string   `json:"reason"`
-	Changes  []Change `json:"changes"`
+	Expected uint64   `msgpack:"Expected" json:"expected"` // the version on which it builds
+	Author   string   `msgpack:"Author" json:"author"`
+	Reason   string   `msgpack:"Reason" json:"reason"`
+	Changes  []Change `msgpack:"Changes" json:"changes"`
 }
 
 // Entry is a version as the trail keeps it: it names all before it by their hash.
 type Entry struct {
-	Version  uint64   `json:"version"`
-	Proposal Proposal `json:"proposal"`
-	Before   string   `json:"before"` // hash of the entry before
-	Hash     string   `json:"hash"`
+	Version  uint64   `msgpack:"Version" json:"version"`
+	Proposal Proposal `msgpack:"Proposal" json:"proposal"`
+	Before   string   `msgpack:"Before" json:"before"` // hash of the entry before
+	Hash     string   `msgpack:"Hash" json:"hash"`
 }
 
 // Document is the agreed values of one version. Values are shared between versions: a change costs by its size.
 type Document struct {
-	Epoch   uint64 // of the consensus that keeps it: drawn when it was formed, 0 for none
-	Version uint64
-	Values  map[string]string
-	Last    Entry
+	Epoch   uint64            `msgpack:"Epoch" json:"Epoch"` // of the consensus that keeps it: drawn when it was formed, 0 for none
+	Version uint64            `msgpack:"Version" json:"Version"`
+	Values  map[string]string `msgpack:"Values" json:"Values"`
+	Last    Entry             `msgpack:"Last" json:"Last"`
 }
 
 // ErrExpected is of a proposal that builds on another version than the one in force.
--- a/agree/holder.go
+++ b/agree/holder.go
@@ -19,12 +19,12 @@
 
 // Renewal asks for a lease.
 type Renewal struct {
-	Holder  string
-	Number  uint64 // counts the holder's renewals
-	Life    uint64 // drawn at each start: a holder that restarted is another
-	Epoch   uint64 // of the document
-	Version uint64 // acted on
-	Ready   uint64 // the version prepared, 0 for none
+	Holder  string `msgpack:"Holder"`
+	Number  uint64 `msgpack:"Number"`  // counts the holder's renewals
+	Life    uint64 `msgpack:"Life"`    // drawn at each start: a holder that restarted is another
+	Epoch   uint64 `msgpack:"Epoch"`   // of the document
+	Version uint64 `msgpack:"Version"` // acted on
+	Ready   uint64 `msgpack:"Ready"`   // the version prepared, 0 for none
 }
 
 // Grant answers a renewal. What the holder lacks comes with it: entries, or the whole document where there are too many.
--- a/agree/record.go
+++ b/agree/record.go
@@ -9,23 +9,23 @@
 
 // Command is what the log of the consensus holds. One of the fields is set.
 type Command struct {
-	Begin    *Entry    // a version is under way
-	Activate uint64    // it is in force
-	Adopt    *Document // a document of an earlier epoch is taken over, as long as there is none
+	Begin    *Entry    `msgpack:"Begin"`    // a version is under way
+	Activate uint64    `msgpack:"Activate"` // it is in force
+	Adopt    *Document `msgpack:"Adopt"`    // a document of an earlier epoch is taken over, as long as there is none
 }
 
 // Member is a voter's identity: a number drawn for one life, or kept on a disk that lasts.
 type Member struct {
-	Name string
-	ID   uint64
+	Name string `msgpack:"Name"`
+	ID   uint64 `msgpack:"ID"`
 }
 
 // Record is what all voters hold alike: they apply the same commands in the same order. Commands that do not fit are refused alike.
 type Record struct {
-	Doc     *Document
-	Pending *Entry
-	Trail   []Entry           // the latest, up to Doc.Version
-	Members map[string]uint64 // identities by name
+	Doc     *Document         `msgpack:"Doc"`
+	Pending *Entry            `msgpack:"Pending"`
+	Trail   []Entry           `msgpack:"Trail"`   // the latest, up to Doc.Version
+	Members map[string]uint64 `msgpack:"Members"` // identities by name
 }
 
 // MostTrail bounds the trail: what is older is known by the hash that the oldest kept entry names.
--- a/node/agreement/calls.go
+++ b/node/agreement/calls.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"reflect"
 	"slices"
 	"strconv"
 	"strings"
@@ -62,6 +64,9 @@
 	case "propose":
 		a.Proposal = &agree.Proposal{}
 		err = json.Unmarshal([]byte(rest), a.Proposal)
+		if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) {
+			return failure("invalid", typeNames.Replace(err.Error()))
+		}
 	case "rollback":
 		parts := strings.SplitN(rest, " ", 3)
 		if len(parts) < 3 {
@@ -94,6 +99,15 @@
 	return failure("none", "no leader answers")
 }
 
+// typeNames keeps the names by which the console has always told the types of a faulty proposal, whatever they are called here.
+var typeNames = strings.NewReplacer(
+	"type "+reflect.TypeFor[[]agree.Change]().String(), "type []agree.Change",
+	"type "+reflect.TypeFor[agree.Change]().String(), "type agree.Change",
+	"type "+reflect.TypeFor[agree.Proposal]().String(), "type agree.Proposal",
+	"field "+reflect.TypeFor[agree.Change]().Name()+".", "field Change.",
+	"field "+reflect.TypeFor[agree.Proposal]().Name()+".", "field Proposal.",
+)
+
 func failure(kind, text string) []byte {
 	line, _ := json.Marshal(map[string]string{"error": text, "kind": kind})
 	return append(line, '\n')
--- a/node/agreement/golden_test.go
+++ b/node/agreement/golden_test.go
@@ -268,3 +268,46 @@
 		t.Errorf("%q, want %q", s.terms, want)
 	}
 }
+
+// Somebody renames a field of a frame, and brokers of two builds no longer understand each other; or of an answer, and an operator's script
+// no longer finds it. Each exported field therefore carries its outer name as a tag.
+func TestFieldsOnTheWireAreTagged(t *testing.T) {
+	if missing := untagged(reflect.TypeFor[frame](), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
+		t.Errorf("no tag: %v", missing)
+	}
+	for _, value := range []any{agree.Document{}, agree.Entry{}, agree.Proposal{}, Status{}, Change{}} {
+		if missing := untagged(reflect.TypeOf(value), map[reflect.Type]bool{}, "json"); len(missing) > 0 {
+			t.Errorf("no tag: %v", missing)
+		}
+	}
+}
+
+// untagged names the exported fields of a struct, and of all structs in it, that lack one of the tags.
+func untagged(of reflect.Type, seen map[reflect.Type]bool, tags ...string) []string {
+	var missing []string
+	switch of.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array:
+		return untagged(of.Elem(), seen, tags...)
+	case reflect.Map:
+		return append(untagged(of.Key(), seen, tags...), untagged(of.Elem(), seen, tags...)...)
+	case reflect.Struct:
+	default:
+		return nil
+	}
+	if seen[of] {
+		return nil
+	}
+	seen[of] = true
+	for field := range of.Fields() {
+		if !field.IsExported() {
+			continue
+		}
+		for _, tag := range tags {
+			if name, _, _ := strings.Cut(field.Tag.Get(tag), ","); name == "" {
+				missing = append(missing, of.String()+"."+field.Name+": "+tag)
+			}
+		}
+		missing = append(missing, untagged(field.Type, seen, tags...)...)
+	}
+	return missing
+}
--- a/node/agreement/wire.go
+++ b/node/agreement/wire.go
@@ -28,87 +28,87 @@
 
 // hello begins a connection.
 type hello struct {
-	Cluster string
-	Terms   string // what all must have set alike
-	Name    string
-	Listen  string // where others may attach, empty for nowhere
-	Voter   bool
-	ID      uint64 // of a voter
-	Fresh   bool   // it holds no state: nobody formed a consensus with it
+	Cluster string `msgpack:"Cluster"`
+	Terms   string `msgpack:"Terms"` // what all must have set alike
+	Name    string `msgpack:"Name"`
+	Listen  string `msgpack:"Listen"` // where others may attach, empty for nowhere
+	Voter   bool   `msgpack:"Voter"`
+	ID      uint64 `msgpack:"ID"`    // of a voter
+	Fresh   bool   `msgpack:"Fresh"` // it holds no state: nobody formed a consensus with it
 }
 
 // welcome answers it. One that turns down says why, and where else to ask.
 type welcome struct {
-	Reason string
-	Others []string
-	Path   []string // the names from a voter to this broker, itself included
-	Name   string
-	ID     uint64
-	Fresh  bool
+	Reason string   `msgpack:"Reason"`
+	Others []string `msgpack:"Others"`
+	Path   []string `msgpack:"Path"` // the names from a voter to this broker, itself included
+	Name   string   `msgpack:"Name"`
+	ID     uint64   `msgpack:"ID"`
+	Fresh  bool     `msgpack:"Fresh"`
 }
 
 // up goes towards the leader.
 type up struct {
-	Renewals []agree.Renewal
-	Asks     []ask
-	Offers   []*agree.Document
+	Renewals []agree.Renewal   `msgpack:"Renewals"`
+	Asks     []ask             `msgpack:"Asks"`
+	Offers   []*agree.Document `msgpack:"Offers"`
 }
 
 // ask is an operator's call, for the leader to answer.
 type ask struct {
-	Holder   string // whose broker was asked
-	Number   uint64
-	Call     string
-	Proposal *agree.Proposal
-	Version  uint64
+	Holder   string          `msgpack:"Holder"` // whose broker was asked
+	Number   uint64          `msgpack:"Number"`
+	Call     string          `msgpack:"Call"`
+	Proposal *agree.Proposal `msgpack:"Proposal"`
+	Version  uint64          `msgpack:"Version"`
 }
 
 // reply answers it.
 type reply struct {
-	Holder string
-	Number uint64
-	Error  string
-	Kind   string // of the error: "expected", "unknown", "invalid", "none"
-	Text   []byte
+	Holder string `msgpack:"Holder"`
+	Number uint64 `msgpack:"Number"`
+	Error  string `msgpack:"Error"`
+	Kind   string `msgpack:"Kind"` // of the error: "expected", "unknown", "invalid", "none"
+	Text   []byte `msgpack:"Text"`
 }
 
 // down goes from the leader. Grants share what they carry.
 type down struct {
-	Epoch   uint64
-	Term    uint64
-	Grants  []granted
-	Entries []agree.Entry
-	Whole   *agree.Document
-	Prepare *agree.Entry
-	Poke    bool // there is news: renew now
-	Lend    []string
-	Replies []reply
+	Epoch   uint64          `msgpack:"Epoch"`
+	Term    uint64          `msgpack:"Term"`
+	Grants  []granted       `msgpack:"Grants"`
+	Entries []agree.Entry   `msgpack:"Entries"`
+	Whole   *agree.Document `msgpack:"Whole"`
+	Prepare *agree.Entry    `msgpack:"Prepare"`
+	Poke    bool            `msgpack:"Poke"` // there is news: renew now
+	Lend    []string        `msgpack:"Lend"`
+	Replies []reply         `msgpack:"Replies"`
 }
 
 type granted struct {
-	Holder  string
-	Number  uint64
-	Life    uint64
-	Seq     uint64
-	After   uint64 // entries behind this version
-	Whole   bool
-	Prepare bool
+	Holder  string `msgpack:"Holder"`
+	Number  uint64 `msgpack:"Number"`
+	Life    uint64 `msgpack:"Life"`
+	Seq     uint64 `msgpack:"Seq"`
+	After   uint64 `msgpack:"After"` // entries behind this version
+	Whole   bool   `msgpack:"Whole"`
+	Prepare bool   `msgpack:"Prepare"`
 }
 
 // form has voters without state begin alike.
 type form struct {
-	Epoch   uint64
-	Members map[string]uint64
+	Epoch   uint64            `msgpack:"Epoch"`
+	Members map[string]uint64 `msgpack:"Members"`
 }
 
 // frame is what goes over a connection; one of its fields is set, or none to show that the peer is there.
 type frame struct {
-	Hello   *hello   `msgpack:",omitempty"`
-	Welcome *welcome `msgpack:",omitempty"`
-	Raft    []byte   `msgpack:",omitempty"`
-	Up      *up      `msgpack:",omitempty"`
-	Down    *down    `msgpack:",omitempty"`
-	Form    *form    `msgpack:",omitempty"`
+	Hello   *hello   `msgpack:"Hello,omitempty"`
+	Welcome *welcome `msgpack:"Welcome,omitempty"`
+	Raft    []byte   `msgpack:"Raft,omitempty"`
+	Up      *up      `msgpack:"Up,omitempty"`
+	Down    *down    `msgpack:"Down,omitempty"`
+	Form    *form    `msgpack:"Form,omitempty"`
 }
 
 // pack shares out what grants of one leader carry.
--- a/node/consensus/golden_test.go
+++ b/node/consensus/golden_test.go
@@ -320,3 +320,43 @@
 		t.Errorf("term %d", term)
 	}
 }
+
+// Somebody renames a field of a type that is kept on disk, and the next build no longer finds what the one before wrote. Each exported
+// field therefore carries its name on disk as a tag.
+func TestFieldsOnDiskAreTagged(t *testing.T) {
+	for _, value := range []any{agree.Command{}, agree.Record{}, agree.Member{}} {
+		if missing := untagged(reflect.TypeOf(value), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
+			t.Errorf("no tag: %v", missing)
+		}
+	}
+}
+
+// untagged names the exported fields of a struct, and of all structs in it, that lack one of the tags.
+func untagged(of reflect.Type, seen map[reflect.Type]bool, tags ...string) []string {
+	var missing []string
+	switch of.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array:
+		return untagged(of.Elem(), seen, tags...)
+	case reflect.Map:
+		return append(untagged(of.Key(), seen, tags...), untagged(of.Elem(), seen, tags...)...)
+	case reflect.Struct:
+	default:
+		return nil
+	}
+	if seen[of] {
+		return nil
+	}
+	seen[of] = true
+	for field := range of.Fields() {
+		if !field.IsExported() {
+			continue
+		}
+		for _, tag := range tags {
+			if name, _, _ := strings.Cut(field.Tag.Get(tag), ","); name == "" {
+				missing = append(missing, of.String()+"."+field.Name+": "+tag)
+			}
+		}
+		missing = append(missing, untagged(field.Type, seen, tags...)...)
+	}
+	return missing
+}
