--- a/agree/document.go
+++ b/agree/document.go
@@ -153,10 +153,10 @@
 
 // Document is the agreed values of one version. Values are shared between versions: a change costs by its size.
 type Document struct {
-	Epoch   uint64 // of the consensus that keeps it: drawn when it was formed, 0 for none
-	Version uint64
-	Values  map[string]string
-	Last    Entry
+	Epoch   uint64            `json:"Epoch"` // of the consensus that keeps it: drawn when it was formed, 0 for none
+	Version uint64            `json:"Version"`
+	Values  map[string]string `json:"Values"`
+	Last    Entry             `json:"Last"`
 }
 
 // ErrExpected is of a proposal that builds on another version than the one in force.
--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -60,7 +60,10 @@
 	if !whole {
 		return nil, fmt.Errorf("console: %s", strings.TrimSpace(string(text)))
 	}
-	var refusal struct{ Error, Kind string }
+	var refusal struct {
+		Error string `json:"error"`
+		Kind  string `json:"kind"`
+	}
 	if json.Unmarshal(text, &refusal) == nil && refusal.Error != "" {
 		if cmd.Bool("json") {
 			os.Stdout.Write(text)
@@ -94,12 +97,16 @@
 	switch call {
 	case "history":
 		var entries []struct {
-			Version  uint64
-			Hash     string
+			Version  uint64 `json:"version"`
+			Hash     string `json:"hash"`
 			Proposal struct {
-				Author, Reason string
-				Changes        []struct{ Key, Value string }
-			}
+				Author  string `json:"author"`
+				Reason  string `json:"reason"`
+				Changes []struct {
+					Key   string `json:"key"`
+					Value string `json:"value"`
+				} `json:"changes"`
+			} `json:"proposal"`
 		}
 		if err := json.Unmarshal(text, &entries); err != nil {
 			return err
@@ -215,7 +222,9 @@
 		_, err := os.Stdout.Write(text)
 		return err
 	}
-	var entry struct{ Version uint64 }
+	var entry struct {
+		Version uint64 `json:"version"`
+	}
 	if err := json.Unmarshal(text, &entry); err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,96 @@
+package config
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+)
+
+var record = flag.Bool("record", false, "write the golden files anew")
+
+// checkGolden compares a text with a golden file.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := "testdata/" + name
+	if *record {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// settingsKeys are all keys of the settings, with the JSON of a value.
+const settingsKeys = `bounds.cancel true;bounds.peers true;bounds.probes true;bounds.retryAfter true;bounds.secondCopies true;bounds.maxAttempts 4;
+bounds.maxRetryAfter 1001;bounds.connIdle 1002;bounds.connectTimeout 1003;classes.name "read";classes.effect "keyed";classes.keyScope "zone";
+classes.aim 1004;classes.deadline 1005;classes.window 1006;classes.aimStretch 1.5;classes.importance 2.5;classes.lateWorth 3.5;
+classes.byArrival true;classes.stream true;discovery "subscribe";invariants.answerSlack 1007;invariants.cold 1008;invariants.drainGrace 1009;
+invariants.fall 1010;invariants.mustAskIn 1011;invariants.keyQuiet 1012;invariants.ratioSpan 1013;invariants.coldShare 0.25;
+invariants.fallMultiple 4.5;invariants.extraFloor 5.5;invariants.resendRatio 0.125;nInstances 3;ordinal 2;serviceLevels.name "gold";
+serviceLevels.capDepth 6.5;serviceLevels.ceilingRate 7.5;serviceLevels.floorRate 8.5;serviceLevels.nominal 9.5;serviceLevels.parts 10.5;
+serviceLevels.price 11.5;serviceLevels.tolerance 12.5;specifics.idleWorth 13.5;specifics.maxUnits 14.5;specifics.usualUnits 15.5;
+specifics.withinShare 16.5;specifics.youngLimit 17.5;specifics.usePeriod 1014;specifics.nShards 18;zone "z1"`
+
+// settingsOf builds the settings' JSON; wrong, if not empty, is the key whose value is of another type.
+func settingsOf(t *testing.T, wrong string) []byte {
+	t.Helper()
+	all := map[string]any{}
+	for _, item := range strings.Split(strings.ReplaceAll(settingsKeys, "\n", ""), ";") {
+		path, value, _ := strings.Cut(item, " ")
+		if path == wrong {
+			value = `[[]]`
+		}
+		section, key, nested := strings.Cut(path, ".")
+		if !nested {
+			all[section] = json.RawMessage(value)
+			continue
+		}
+		if section == "classes" || section == "serviceLevels" {
+			if all[section] == nil {
+				all[section] = []map[string]json.RawMessage{{}}
+			}
+			all[section].([]map[string]json.RawMessage)[0][key] = json.RawMessage(value)
+			continue
+		}
+		if all[section] == nil {
+			all[section] = map[string]json.RawMessage{}
+		}
+		all[section].(map[string]json.RawMessage)[key] = json.RawMessage(value)
+	}
+	text, err := json.Marshal(all)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// The keys of the settings are those of the protocol: each is read, whatever its case, and an error names it.
+func TestSettingsKeys(t *testing.T) {
+	text := settingsOf(t, "")
+	settings, err := ParseSettings(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "settings.txt", fmt.Sprintf("%v\n", *settings))
+	upper := strings.NewReplacer(`"maxAttempts"`, `"MAXATTEMPTS"`, `"nInstances"`, `"NInstances"`).Replace(string(text))
+	if settings, err = ParseSettings([]byte(upper)); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "settings.txt", fmt.Sprintf("%v\n", *settings))
+	var faults strings.Builder
+	for _, item := range strings.Split(strings.ReplaceAll(settingsKeys, "\n", ""), ";") {
+		path, _, _ := strings.Cut(item, " ")
+		_, err := ParseSettings(settingsOf(t, path))
+		fmt.Fprintf(&faults, "%s: %v\n", path, err)
+	}
+	checkGolden(t, "settings-faults.txt", faults.String())
+}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -48,32 +48,65 @@
 func ParseSettings(text []byte) (*Settings, error) {
 	var raw struct {
 		Bounds struct {
-			Cancel, Peers, Probes, RetryAfter, SecondCopies bool
-			MaxAttempts                                     int
-			MaxRetryAfter, ConnIdle, ConnectTimeout         micros
-		}
+			Cancel         bool   `json:"cancel"`
+			Peers          bool   `json:"peers"`
+			Probes         bool   `json:"probes"`
+			RetryAfter     bool   `json:"retryAfter"`
+			SecondCopies   bool   `json:"secondCopies"`
+			MaxAttempts    int    `json:"maxAttempts"`
+			MaxRetryAfter  micros `json:"maxRetryAfter"`
+			ConnIdle       micros `json:"connIdle"`
+			ConnectTimeout micros `json:"connectTimeout"`
+		} `json:"bounds"`
 		Classes []struct {
-			Name, Effect, KeyScope            string
-			Aim, Deadline, Window             micros
-			AimStretch, Importance, LateWorth float64
-			ByArrival, Stream                 bool
-		}
-		Discovery  string
+			Name       string  `json:"name"`
+			Effect     string  `json:"effect"`
+			KeyScope   string  `json:"keyScope"`
+			Aim        micros  `json:"aim"`
+			Deadline   micros  `json:"deadline"`
+			Window     micros  `json:"window"`
+			AimStretch float64 `json:"aimStretch"`
+			Importance float64 `json:"importance"`
+			LateWorth  float64 `json:"lateWorth"`
+			ByArrival  bool    `json:"byArrival"`
+			Stream     bool    `json:"stream"`
+		} `json:"classes"`
+		Discovery  string `json:"discovery"`
 		Invariants struct {
-			AnswerSlack, Cold, DrainGrace, Fall, MustAskIn, KeyQuiet, RatioSpan micros
-			ColdShare, FallMultiple, ExtraFloor, ResendRatio                    float64
-		}
-		NInstances, Ordinal int
-		ServiceLevels       []struct {
-			Name                                                               string
-			CapDepth, CeilingRate, FloorRate, Nominal, Parts, Price, Tolerance float64
-		}
+			AnswerSlack  micros  `json:"answerSlack"`
+			Cold         micros  `json:"cold"`
+			DrainGrace   micros  `json:"drainGrace"`
+			Fall         micros  `json:"fall"`
+			MustAskIn    micros  `json:"mustAskIn"`
+			KeyQuiet     micros  `json:"keyQuiet"`
+			RatioSpan    micros  `json:"ratioSpan"`
+			ColdShare    float64 `json:"coldShare"`
+			FallMultiple float64 `json:"fallMultiple"`
+			ExtraFloor   float64 `json:"extraFloor"`
+			ResendRatio  float64 `json:"resendRatio"`
+		} `json:"invariants"`
+		NInstances    int `json:"nInstances"`
+		Ordinal       int `json:"ordinal"`
+		ServiceLevels []struct {
+			Name        string  `json:"name"`
+			CapDepth    float64 `json:"capDepth"`
+			CeilingRate float64 `json:"ceilingRate"`
+			FloorRate   float64 `json:"floorRate"`
+			Nominal     float64 `json:"nominal"`
+			Parts       float64 `json:"parts"`
+			Price       float64 `json:"price"`
+			Tolerance   float64 `json:"tolerance"`
+		} `json:"serviceLevels"`
 		Specifics struct {
-			IdleWorth, MaxUnits, UsualUnits, WithinShare, YoungLimit float64
-			UsePeriod                                                micros
-			NShards                                                  int
-		}
-		Zone string
+			IdleWorth   float64 `json:"idleWorth"`
+			MaxUnits    float64 `json:"maxUnits"`
+			UsualUnits  float64 `json:"usualUnits"`
+			WithinShare float64 `json:"withinShare"`
+			YoungLimit  float64 `json:"youngLimit"`
+			UsePeriod   micros  `json:"usePeriod"`
+			NShards     int     `json:"nShards"`
+		} `json:"specifics"`
+		Zone string `json:"zone"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, typeFault(err)
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -16,10 +16,10 @@
 
 // Demand is what a hollow broker's clients and nodes are drawn to do.
 type Demand struct {
-	Rate    float64       // requests a second, each of its own time; 0 for none
-	Volumes int           // drawn from evenly, the same ones at all brokers; at least 1
-	Answer  time.Duration // a node's time for a request, in the mean; exponential
-	Seed    uint64
+	Rate    float64       `json:"Rate"`    // requests a second, each of its own time; 0 for none
+	Volumes int           `json:"Volumes"` // drawn from evenly, the same ones at all brokers; at least 1
+	Answer  time.Duration `json:"Answer"`  // a node's time for a request, in the mean; exponential
+	Seed    uint64        `json:"Seed"`
 }
 
 // Hollow runs the side of a broker that carries no requests, as Serve builds it, until ctx ends: the watch of discovery, the agreed
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,21 +20,25 @@
 	"junctionwharf/logic"
 )
 
-// List is what discovery answers: the whole list, or changed entries.
+// List is what discovery answers: the whole list, or changed entries. The tags are its keys in a handover's message, between two
+// versions of the program; discovery's own keys are ParseList's.
 type List struct {
-	Seq   uint64
-	Whole bool
-	Hosts []Host
+	Seq   uint64 `json:"Seq"`
+	Whole bool   `json:"Whole"`
+	Hosts []Host `json:"Hosts"`
 }
 
 // Host is an entry of a List.
 type Host struct {
-	Host, Dial, Site, Class string
+	Host  string `json:"Host"`
+	Dial  string `json:"Dial"`
+	Site  string `json:"Site"`
+	Class string `json:"Class"`
 
-	Block  int
-	State  logic.NodeState
-	Share  float64
-	BornMS int64
+	Block  int             `json:"Block"`
+	State  logic.NodeState `json:"State"`
+	Share  float64         `json:"Share"`
+	BornMS int64           `json:"BornMS"`
 }
 
 var states = map[string]logic.NodeState{
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -24,11 +24,11 @@
 
 // News is what one process tells the other. Each field that is set counts.
 type News struct {
-	List   *discovery.List `json:",omitempty"` // the whole list that the old process holds
-	Opened []string        `json:",omitempty"` // ids of requests that were taken
-	Ended  []string        `json:",omitempty"` // ids of requests that are over
-	From   int             `json:",omitempty"` // the peer that said Heard
-	Heard  []byte          `json:",omitempty"`
+	List   *discovery.List `json:"List,omitempty"`   // the whole list that the old process holds
+	Opened []string        `json:"Opened,omitempty"` // ids of requests that were taken
+	Ended  []string        `json:"Ended,omitempty"`  // ids of requests that are over
+	From   int             `json:"From,omitempty"`   // the peer that said Heard
+	Heard  []byte          `json:"Heard,omitempty"`
 }
 
 // Side is what a process does about the other one. Its methods are called by one goroutine at a time.
--- /dev/null
+++ b/node/agreement/console_golden_test.go
@@ -0,0 +1,67 @@
+package agreement
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"testing"
+
+	"junctionwharf/agree"
+)
+
+var recordAnswers = flag.Bool("record-answers", false, "write the golden files anew")
+
+// checkAnswer encodes a value as the console does, compares it with a golden file, and reads that file into to and back.
+func checkAnswer(t *testing.T, name string, value, to any) {
+	t.Helper()
+	path := "testdata/" + name
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	encoded = append(encoded, '\n')
+	if *recordAnswers {
+		if err := os.WriteFile(path, encoded, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, golden) {
+		t.Errorf("%s: encoded:\n%s\nwant:\n%s", name, encoded, golden)
+	}
+	if err := json.Unmarshal(golden, to); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(to)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again = append(again, '\n'); !bytes.Equal(again, golden) {
+		t.Errorf("%s: encoded again:\n%s", name, again)
+	}
+}
+
+// Operators' programs read the answers of the console's agree calls as JSON: their bytes stay the same.
+func TestConsoleAnswerBytes(t *testing.T) {
+	status := Status{Name: "n1", Role: "leader", Epoch: 5, Version: 9, Preparing: 10, Restricted: true, RestrictedMS: 1500, LeaseLeftMS: -3,
+		Parent: "n0", Path: []string{"n1", "n0"}, Children: []string{"n2", "n3"}, Voters: map[string]string{"n0": "connected", "n1": "self"},
+		Leader: "n1", Term: 4, Fault: "disk full", Waits: []string{"n4"}, Behind: map[string]uint64{"n5": 8}}
+	entry := agree.Entry{Version: 2, Proposal: agree.Proposal{Expected: 1, Author: "a", Reason: "r",
+		Changes: []agree.Change{{Key: "plan.gold.limit", Value: "120"}}}, Before: "00ff", Hash: "ff00"}
+	document := &agree.Document{Epoch: 5, Version: 2, Values: map[string]string{"plan.gold.limit": "120"}, Last: entry}
+	checkAnswer(t, "status.json", status, &Status{})
+	checkAnswer(t, "status-least.json", Status{}, &Status{})
+	checkAnswer(t, "history.json", []agree.Entry{entry}, &[]agree.Entry{})
+	checkAnswer(t, "diff.json", []Change{{Key: "plan.gold.limit", Then: "100", Now: "120"}}, &[]Change{})
+	checkAnswer(t, "change.json", entry, &agree.Entry{}) // of propose and rollback
+	checkAnswer(t, "export.json", document.Clone(), &agree.Document{})
+	var refused map[string]string
+	if err := json.Unmarshal(failure("expected", "expected: another version is in force: 3, not 2"), &refused); err != nil {
+		t.Fatal(err)
+	}
+	checkAnswer(t, "failure.json", refused, &map[string]string{})
+}
