--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -4,59 +4,62 @@
 	"bufio"
 	"context"
 	"errors"
+	"io"
 	"net"
-	"os"
 	"runtime"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"junctionwharf/broker"
 )
 
-// late has some connections, counted from 1, come up when the test says, and the others at once.
-func late(opt *Options, first, last int32) (up chan struct{}) {
-	up = make(chan struct{})
-	var count atomic.Int32
-	opt.Greet = func(conn net.Conn, _ *bufio.Reader) error {
-		if n := count.Add(1); n < first || n > last {
-			return nil
+// greetByNode makes a new connection come up only when the node sends a byte on it (see welcome). So the test decides
+// which of several connections comes up, whatever the order in which the pool's goroutines run.
+func greetByNode(opt *Options) {
+	opt.Greet = func(_ net.Conn, in *bufio.Reader) error {
+		_, err := in.ReadByte()
+		return err
+	}
+}
+
+// welcome lets a connection come up that was made with greetByNode.
+func (p *peer) welcome(conn net.Conn) {
+	p.Helper()
+	if _, err := conn.Write([]byte{0}); err != nil {
+		p.Fatal(err)
+	}
+}
+
+// awaitIdle waits until so many connections to an address are idle.
+func awaitIdle(t *testing.T, p *Pool, address string, want int) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
+		p.mu.Lock()
+		idle := len(p.idle[address])
+		p.mu.Unlock()
+		if idle == want {
+			return
 		}
-		go func() {
-			<-up
-			conn.SetReadDeadline(time.Now())
-		}()
-		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			return err // it was closed
+		if time.Now().After(end) {
+			t.Fatalf("%d connections are idle, want %d", idle, want)
 		}
-		return conn.SetReadDeadline(time.Time{})
 	}
-	return up
 }
 
 // A connection comes up late: the second try serves the attempt, and what comes up then is kept and serves the next.
 func TestSecondTry(t *testing.T) {
 	opt := options()
-	up := late(&opt, 1, 1)
+	greetByNode(&opt)
 	node, p := newPeer(t), New(opt)
 	_, results := start(p, node.address, echo)
 	first, second := node.next(), node.next()
+	node.welcome(second)
 	node.serve(second)
 	if r := <-results; r.Err != nil || r.Value != "answer\n" {
 		t.Fatalf("%+v", r)
 	}
-	close(up)
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		p.mu.Lock()
-		kept := len(p.idle[node.address])
-		p.mu.Unlock()
-		if kept == 2 {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatalf("%d connections are kept", kept)
-		}
-	}
+	node.welcome(first)
+	awaitIdle(t, p, node.address, 2)
 	_, results = start(p, node.address, echo)
 	node.serve(first) // the latest used
 	if r := <-results; r.Err != nil {
@@ -71,25 +74,31 @@
 func TestGivenBackServes(t *testing.T) {
 	opt := options()
 	opt.Sockets = 3
-	up := late(&opt, 2, 3)
+	greetByNode(&opt)
 	node, p := newPeer(t), New(opt)
+	p.usual.tries = 0 // on a busy machine the user's own second try would come first and be taken for the other's
 	_, user := start(p, node.address, echo)
 	conn := node.next()
+	node.welcome(conn)
+	node.expectLine(conn) // the user has its connection and makes no further try
+	p.mu.Lock()
+	p.usual.tries = secondMost
+	p.mu.Unlock()
 	_, waits := start(p, node.address, echo)
-	node.next()
-	node.next()
-	node.serve(conn)
+	late := []net.Conn{node.next(), node.next()}
+	io.WriteString(conn, "answer\n")
 	node.serve(conn) // the one that waits has it now
 	for _, results := range []chan broker.Result{user, waits} {
-		if r := <-results; r.Err != nil {
-			t.Error(r.Err)
+		if r := <-results; r.Err != nil || r.Value != "answer\n" {
+			t.Errorf("%+v", r)
 		}
 	}
-	close(up)
-	for end := time.Now().Add(5 * time.Second); p.slots.Held() != 3 || !p.Rests(node.address); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%d places are taken", p.slots.Held())
-		}
+	for _, conn := range late {
+		node.welcome(conn)
+	}
+	awaitIdle(t, p, node.address, 3)
+	if p.slots.Held() != 3 {
+		t.Errorf("%d places are taken", p.slots.Held())
 	}
 }
 
@@ -97,8 +106,7 @@
 func TestSecondTriesAreBounded(t *testing.T) {
 	opt := options()
 	opt.ConnectTimeout, opt.Sockets = 30*time.Millisecond, 100
-	up := late(&opt, 1, 1000)
-	defer close(up)
+	greetByNode(&opt)
 	node, p := newPeer(t), New(opt)
 	p.usual.tries = 0
 	const attempts = 20
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -70,11 +70,17 @@
 }
 
 func (p *peer) serve(conn net.Conn) {
+	p.Helper()
+	p.expectLine(conn)
+	io.WriteString(conn, "answer\n")
+}
+
+// expectLine reads the line that echo sends.
+func (p *peer) expectLine(conn net.Conn) {
 	p.Helper()
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "line\n" {
 		p.Fatalf("%q, %v", line, err)
 	}
-	io.WriteString(conn, "answer\n")
 }
 
 func TestReuse(t *testing.T) {
