--- a/admission/admission.go
+++ b/admission/admission.go
@@ -14,7 +14,7 @@
 	"cmp"
 	"slices"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Micros is a time or span in whole microseconds, as in package broker.
@@ -81,7 +81,7 @@
 type Controller struct {
 	set     Settings
 	ranks   map[string]int // of a class, the worthiest first
-	plans   map[string]logic.Plan
+	plans   map[string]scheduler.Plan
 	largest float64 // units of a request
 	aim     Micros  // the least of a class
 	latest  Micros  // to come back at the most, 0 for not told
@@ -118,7 +118,7 @@
 }
 
 // New returns a controller that lets everybody in.
-func New(set Settings, l logic.Settings) *Controller {
+func New(set Settings, l scheduler.Settings) *Controller {
 	ctl := &Controller{set: set, volumes: map[string]*reserve{}, excess: 1}
 	ctl.set.Window, ctl.set.Volumes = cmp.Or(set.Window, DefaultWindow), cmp.Or(set.Volumes, DefaultVolumes)
 	ctl.Retune(l)
@@ -126,10 +126,10 @@
 }
 
 // Retune goes over to other classes and plans. Classes that vanished count least from now on.
-func (ctl *Controller) Retune(l logic.Settings) {
+func (ctl *Controller) Retune(l scheduler.Settings) {
 	classes := slices.Clone(l.Classes)
-	slices.SortStableFunc(classes, func(a, b logic.Class) int { return cmp.Compare(b.Worth, a.Worth) })
-	ctl.ranks, ctl.plans, ctl.largest = map[string]int{}, map[string]logic.Plan{}, max(1, l.MaxUnits)
+	slices.SortStableFunc(classes, func(a, b scheduler.Class) int { return cmp.Compare(b.Worth, a.Worth) })
+	ctl.ranks, ctl.plans, ctl.largest = map[string]int{}, map[string]scheduler.Plan{}, max(1, l.MaxUnits)
 	ctl.aim, ctl.latest = 0, 0
 	rank := -1
 	for i, c := range classes {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
-func settings() logic.Settings {
-	return logic.Settings{MaxUnits: 8, Bounds: logic.Bounds{RetryAfter: true, MaxRetryAfter: time.Second},
-		Classes: []logic.Class{{Name: "bulk", Worth: 1, Aim: 750 * time.Millisecond}, {Name: "read", Worth: 3, Aim: 150 * time.Millisecond}},
-		Plans:   []logic.Plan{{Name: "reserved", Reserve: 100}, {Name: "spare"}}}
+func settings() scheduler.Settings {
+	return scheduler.Settings{MaxUnits: 8, Bounds: scheduler.Bounds{RetryAfter: true, MaxRetryAfter: time.Second},
+		Classes: []scheduler.Class{{Name: "bulk", Worth: 1, Aim: 750 * time.Millisecond}, {Name: "read", Worth: 3, Aim: 150 * time.Millisecond}},
+		Plans:   []scheduler.Plan{{Name: "reserved", Reserve: 100}, {Name: "spare"}}}
 }
 
 // server is a stand-in for a broker that serves so many a second, in order, and whose loop lags by its queue.
@@ -179,7 +179,7 @@
 
 // What waits beyond Crowd is refused only while the broker itself is the bound: held for slow nodes it may wait.
 func TestCrowd(t *testing.T) {
-	d := New(Settings{Crowd: 10}, logic.Settings{})
+	d := New(Settings{Crowd: 10}, scheduler.Settings{})
 	ask := func(now Micros, open int) Reason {
 		why, _ := d.Ask(now, open, &Request{Wait: 1_000_000})
 		return why
--- a/broker/bench_test.go
+++ b/broker/bench_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // benchState returns a new state with a class of such an aim, a plan that pays for all, and further ones.
-func benchState(b *testing.B, aim time.Duration, plans ...logic.Plan) *State {
+func benchState(b *testing.B, aim time.Duration, plans ...scheduler.Plan) *State {
 	b.Helper()
-	s, err := NewState(logic.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, Classes: []logic.Class{{Name: "read", Aim: aim, Deadline: 2 * aim, Worth: 1}},
-		Plans: append(plans, logic.Plan{Name: "plan", Rate: 1e6, Reserve: 1e6, Weight: 1, Price: 1}), Bounds: logic.Bounds{MaxAttempts: 3}}, 1)
+	s, err := NewState(scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read", Aim: aim, Deadline: 2 * aim, Worth: 1}},
+		Plans: append(plans, scheduler.Plan{Name: "plan", Rate: 1e6, Reserve: 1e6, Weight: 1, Price: 1}), Bounds: scheduler.Bounds{MaxAttempts: 3}}, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -26,9 +26,9 @@
 	s := benchState(b, time.Minute)
 	var list []Node
 	for i := range nodes {
-		list = append(list, Node{NodeInfo: logic.NodeInfo{Node: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+		list = append(list, Node{NodeInfo: scheduler.NodeInfo{Node: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 	}
-	s.Reduce(Second, []Event{Listed{Kind: logic.ListFull, Version: 1, Nodes: list}})
+	s.Reduce(Second, []Event{Listed{Kind: scheduler.ListFull, Version: 1, Nodes: list}})
 	var arrivals []Event
 	for i := range held + 40*min(held, nodes) { // some go out
 		arrivals = append(arrivals, Arrived{ID: uint64(1<<50 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i%max(1, volumes)),
@@ -52,7 +52,7 @@
 				req := &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Hosts: 1, Wait: 60 * Second}
 				for _, e := range s.Reduce(now, []Event{Arrived{ID: id, Request: req}}) {
 					if start, is := e.(Start); is {
-						s.Reduce(now, []Event{Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: logic.NoLoad}}})
+						s.Reduce(now, []Event{Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoad}}})
 					}
 				}
 			}
@@ -70,7 +70,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 10
 				list[nodes/2].Weight = float64(i)
-				s.Reduce(now, []Event{Listed{Kind: logic.ListFull, Version: uint64(i), Nodes: list}})
+				s.Reduce(now, []Event{Listed{Kind: scheduler.ListFull, Version: uint64(i), Nodes: list}})
 			}
 		})
 	}
@@ -102,12 +102,12 @@
 	for _, held := range []int{10, 1000, 10_000, 100_000} {
 		for _, volumes := range []int{10, 1000, 100_000} {
 			b.Run(fmt.Sprintf("held=%d/volumes=%d", held, volumes), func(b *testing.B) {
-				s := benchState(b, 10*time.Minute, logic.Plan{Name: "poor", Rate: 0.001, Weight: 1, Price: 1})
+				s := benchState(b, 10*time.Minute, scheduler.Plan{Name: "poor", Rate: 0.001, Weight: 1, Price: 1})
 				var list []Node
 				for i := range 10 {
-					list = append(list, Node{NodeInfo: logic.NodeInfo{Node: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+					list = append(list, Node{NodeInfo: scheduler.NodeInfo{Node: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 				}
-				s.Reduce(Second, []Event{Listed{Kind: logic.ListFull, Version: 1, Nodes: list}})
+				s.Reduce(Second, []Event{Listed{Kind: scheduler.ListFull, Version: 1, Nodes: list}})
 				var arrivals []Event
 				for i := range volumes { // each volume goes into its debt, so that what follows waits
 					arrivals = append(arrivals, Arrived{ID: uint64(1<<41 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", i), Units: 8, Shard: i % 10, Hosts: 1, Wait: 600 * Second}})
@@ -125,7 +125,7 @@
 						events = nil
 						for _, e := range effects {
 							if start, is := e.(Start); is {
-								events = append(events, Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: logic.NoLoad}})
+								events = append(events, Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoad}})
 							}
 						}
 					}
@@ -151,7 +151,7 @@
 	const nodes = 10_000
 	all := func(prefix string) (list []Node) {
 		for i := range nodes {
-			list = append(list, Node{NodeInfo: logic.NodeInfo{Node: fmt.Sprint(prefix, i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+			list = append(list, Node{NodeInfo: scheduler.NodeInfo{Node: fmt.Sprint(prefix, i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 		}
 		return list
 	}
@@ -161,26 +161,26 @@
 			b.StopTimer()
 			s := benchState(b, time.Minute)
 			b.StartTimer()
-			s.Reduce(2*Second, []Event{Listed{Kind: logic.ListFull, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 2, Nodes: old}})
 		}
 	})
 	b.Run("replaced", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
 			s, _ := settled(b, 1, 0, 1)
-			s.Reduce(2*Second, []Event{Listed{Kind: logic.ListFull, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 2, Nodes: old}})
 			b.StartTimer()
-			s.Reduce(3*Second, []Event{Listed{Kind: logic.ListFull, Version: 3, Nodes: other}})
+			s.Reduce(3*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 3, Nodes: other}})
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		s, _ := settled(b, 1, 0, 1)
-		s.Reduce(2*Second, []Event{Listed{Kind: logic.ListFull, Version: 2, Nodes: old}})
+		s.Reduce(2*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 2, Nodes: old}})
 		now := 3 * Second
 		for i := 0; b.Loop(); i++ {
 			now += 10
 			old[7].Weight = float64(i)
-			s.Reduce(now, []Event{Listed{Kind: logic.ListChanges, Version: uint64(i + 3), Nodes: old[7:8]}})
+			s.Reduce(now, []Event{Listed{Kind: scheduler.ListChanges, Version: uint64(i + 3), Nodes: old[7:8]}})
 		}
 	})
 }
@@ -202,7 +202,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 100
-				s.news = append(s.news, logic.Timer{Token: 1})
+				s.news = append(s.news, scheduler.Timer{Token: 1})
 				s.Reduce(now, nil)
 			}
 		})
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -1,5 +1,5 @@
 // Package broker is the core of junctionwharf: it takes requests, sends attempts to storage nodes
-// as package logic decides, and gives each request one final answer. It knows no wire: fronts bring
+// as package scheduler decides, and gives each request one final answer. It knows no wire: fronts bring
 // requests in through a Loop, and a Transport carries attempts out.
 package broker
 
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Micros is a point on the monotonic clock, or a span of it, in whole microseconds.
@@ -102,7 +102,7 @@
 	Value     any
 	Used      int
 	Elsewhere float64
-	Load      logic.Load
+	Load      scheduler.Load
 }
 
 // Attempt is one sending of a request to one storage node.
@@ -133,13 +133,13 @@
 	Abandon()
 }
 
-// outcome is what package logic is told; it follows from the result alone.
-func (r Result) outcome() logic.Outcome {
+// outcome is what package scheduler is told; it follows from the result alone.
+func (r Result) outcome() scheduler.Outcome {
 	if r.Err != nil {
 		if r.Err.Progress == WrittenWhole {
-			return logic.Broken
+			return scheduler.Broken
 		}
-		return logic.Unreachable
+		return scheduler.Unreachable
 	}
-	return [...]logic.Outcome{Done: logic.Success, Errored: logic.Failure, TurnedAway: logic.Overloaded}[r.Reply]
+	return [...]scheduler.Outcome{Done: scheduler.Success, Errored: scheduler.Failure, TurnedAway: scheduler.Overloaded}[r.Reply]
 }
--- a/broker/figures.go
+++ b/broker/figures.go
@@ -5,7 +5,7 @@
 	"sync"
 	"sync/atomic"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Figure is one of a broker's figures at one moment. A counter only grows.
@@ -35,7 +35,7 @@
 }
 
 // list has classes counted from now on. Those that vanished from the settings stay: a counter does not go back.
-func (f *Figures) list(classes []logic.Class) {
+func (f *Figures) list(classes []scheduler.Class) {
 	for _, c := range classes {
 		f.class(c.Name)
 	}
--- a/broker/figures_test.go
+++ b/broker/figures_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Classes are counted without a lock, and those that vanish stay.
 func TestFiguresOfClasses(t *testing.T) {
 	var f Figures
-	f.list([]logic.Class{{Name: "read"}})
-	f.list([]logic.Class{{Name: "write"}})
+	f.list([]scheduler.Class{{Name: "read"}})
+	f.list([]scheduler.Class{{Name: "write"}})
 	f.ended("read", Served)
 	f.ended("new", Refused)
 	counts := map[string]uint64{}
@@ -25,7 +25,7 @@
 // BenchmarkFigures is what counting a final answer costs beside a reader; package telemetry's BenchmarkObserve is what its rows add.
 func BenchmarkFigures(b *testing.B) {
 	var f Figures
-	f.list([]logic.Class{{Name: "lesson-read"}, {Name: "record-write"}, {Name: "bulk-export"}})
+	f.list([]scheduler.Class{{Name: "lesson-read"}, {Name: "record-write"}, {Name: "bulk-export"}})
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
--- a/broker/keyed_test.go
+++ b/broker/keyed_test.go
@@ -5,18 +5,18 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // keyedKinds are settings of deployments whose nodes drop repeats of a keyed request, each in its own way.
 var keyedKinds = []struct {
 	name  string
-	class logic.Class
+	class scheduler.Class
 }{
-	{"by cell, for as long as clients wait", logic.Class{Aim: 600 * time.Millisecond, Deadline: 4 * time.Second, Effect: logic.Keyed, Scope: logic.ScopeShard, Window: 4 * time.Second}},
-	{"by cell, not for long", logic.Class{Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: logic.Keyed, Scope: logic.ScopeShard, Window: 300 * time.Millisecond}},
-	{"by zone, not for long", logic.Class{Aim: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Effect: logic.Keyed, Scope: logic.ScopeZone, Window: 150 * time.Millisecond}},
-	{"by all, not for long", logic.Class{Aim: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Effect: logic.Keyed, Scope: logic.ScopeAll, Window: 150 * time.Millisecond}},
+	{"by cell, for as long as clients wait", scheduler.Class{Aim: 600 * time.Millisecond, Deadline: 4 * time.Second, Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 4 * time.Second}},
+	{"by cell, not for long", scheduler.Class{Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 300 * time.Millisecond}},
+	{"by zone, not for long", scheduler.Class{Aim: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Effect: scheduler.Keyed, Scope: scheduler.ScopeZone, Window: 150 * time.Millisecond}},
+	{"by all, not for long", scheduler.Class{Aim: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Effect: scheduler.Keyed, Scope: scheduler.ScopeAll, Window: 150 * time.Millisecond}},
 }
 
 // A keyed request that may have run is repeated inside its window and its group or not at all: when it is decided, when its connection
@@ -27,7 +27,7 @@
 			name    string
 			firstAt float64 // part of the window at which the first attempt breaks
 			second  float64 // and at which the second has come up and is answered; 0: never
-			between func(r *rig, set logic.Settings)
+			between func(r *rig, set scheduler.Settings)
 			repeats int // at the most
 			served  bool
 		}{
@@ -36,10 +36,10 @@
 			{"broken just inside", 0.97, 0, nil, 1, false},
 			{"broken at its end", 1.0001, 0, nil, 0, false},
 			{"broken past it", 1.4, 0, nil, 0, false},
-			{"its node leaves", 0.2, 0, func(r *rig, _ logic.Settings) {
-				r.turn(Listed{Kind: logic.ListFull, Version: 2, Nodes: []Node{node("n1", 0, logic.Draining), node("n2", 1, logic.Ready)}})
+			{"its node leaves", 0.2, 0, func(r *rig, _ scheduler.Settings) {
+				r.turn(Listed{Kind: scheduler.ListFull, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n2", 1, scheduler.Ready)}})
 			}, 0, false},
-			{"settings are told again", 0.2, 0, func(r *rig, set logic.Settings) { r.turn(Retuned{Settings: set}) }, 1, false},
+			{"settings are told again", 0.2, 0, func(r *rig, set scheduler.Settings) { r.turn(Retuned{Settings: set}) }, 1, false},
 		} {
 			t.Run(fmt.Sprint(kind.name, ", ", c.name), func(t *testing.T) {
 				set := testSettings()
@@ -51,9 +51,9 @@
 					t.Fatal(err)
 				}
 				r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Final{}}
-				n1, n2 := node("n1", 0, logic.Ready), node("n2", 1, logic.Ready)
+				n1, n2 := node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)
 				n1.Zone, n2.Zone = "a", "b"
-				r.turn(Listed{Kind: logic.ListFull, Version: 1, Nodes: []Node{n1, n2}})
+				r.turn(Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []Node{n1, n2}})
 				began := r.now
 				r.turn(Arrived{ID: 1, Request: &Request{Class: "put", Plan: "plan", Key: "k", Volume: "v", Units: 2, Shard: 0, Hosts: 1, Wait: MicrosOf(class.Deadline), Write: true}})
 				if len(r.starts) != 1 {
@@ -73,7 +73,7 @@
 				}
 				r.pass(Micros(c.second * float64(part)))
 				if len(r.starts) > 1 && c.second > 0 {
-					r.turn(Ended{1, 1, Result{Value: "v", Load: logic.NoLoad}})
+					r.turn(Ended{1, 1, Result{Value: "v", Load: scheduler.NoLoad}})
 				}
 				// from here on nodes drop its repeats no longer: nothing that is not written whole by now may be
 				r.pass(max(0, began+window+1-r.now))
@@ -99,7 +99,7 @@
 				switch {
 				case c.served:
 					want = Served
-				case class.Scope == logic.ScopeAll && len(r.finals[1]) == 1 && r.finals[1][0].Verdict == Refused:
+				case class.Scope == scheduler.ScopeAll && len(r.finals[1]) == 1 && r.finals[1][0].Verdict == Refused:
 					want = Refused // harmless, as nodes of any group drop it
 				}
 				r.final(1, want)
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"junctionwharf/admission"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 	"junctionwharf/telemetry"
 )
 
@@ -75,7 +75,7 @@
 	slow       atomic.Bool // the lag is above that of a crowd
 	crowd      int64       // admission.Settings.Crowd, 0 for none
 	crowded    atomic.Bool // requests were turned away by TurnCrowd since the last Lagged
-	parts      atomic.Pointer[[]logic.Part]
+	parts      atomic.Pointer[[]scheduler.Part]
 	partsAt    Micros // when parts is to be taken again
 
 	early map[uint64]struct{} // requests whose clients left while the request itself stands in inbox still
@@ -145,7 +145,7 @@
 }
 
 // Parts tells how requests were spread over the nodes of shards that have several, up to a second ago.
-func (l *Loop) Parts() []logic.Part {
+func (l *Loop) Parts() []scheduler.Part {
 	if parts := l.parts.Load(); parts != nil {
 		return *parts
 	}
--- a/broker/reducer.go
+++ b/broker/reducer.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 	"junctionwharf/telemetry"
 	"junctionwharf/wheel"
 )
@@ -45,7 +45,7 @@
 	}
 	// Listed is news of the list of storage nodes.
 	Listed struct {
-		Kind    logic.ListKind
+		Kind    scheduler.ListKind
 		Version uint64
 		Nodes   []Node
 	}
@@ -55,7 +55,7 @@
 		Data []byte
 	}
 	// Retuned brings new settings, which were checked. Requests under way keep their class.
-	Retuned struct{ Settings logic.Settings }
+	Retuned struct{ Settings scheduler.Settings }
 	// Shared tells that so many processes are this broker together, as while one replaces another, and how many more may be
 	// without its being known.
 	Shared struct{ Processes, Unseen int }
@@ -75,7 +75,7 @@
 
 // Node is an entry of the list with the address at which this broker reaches it.
 type Node struct {
-	logic.NodeInfo
+	scheduler.NodeInfo
 	Address string
 	Born    Micros // its last start on the loop's clock, 0 for long ago
 }
@@ -163,7 +163,7 @@
 	attempts int
 	node     string // where an attempt is out
 	out      bool
-	stopping logic.Outcome // why the attempt out was stopped, if stopped
+	stopping scheduler.Outcome // why the attempt out was stopped, if stopped
 	stopped  bool
 	answered bool
 	overdue  wheel.Handle // alarms that wait for it
@@ -181,15 +181,15 @@
 
 // State is all that the broker knows. It does no I/O and reads no clock.
 type State struct {
-	gateway *logic.Gateway
+	gateway *scheduler.Gateway
 	entries map[uint64]*entry
 	free    []*entry            // that are over, for requests to come
 	nodes   map[string]*listing // by name
 	lists   uint64              // how many were taken
 	alarms  wheel.Wheel[alarm]
 	now     Micros
-	news    []logic.Event // what the gateway is told next
-	spare   []logic.Event // memory for it
+	news    []scheduler.Event // what the gateway is told next
+	spare   []scheduler.Event // memory for it
 	effects []Effect
 	facts   []telemetry.Fact
 	ending  bool                      // the process ends
@@ -198,8 +198,8 @@
 }
 
 // NewState returns the state of a broker that has taken nothing yet.
-func NewState(set logic.Settings, seed uint64) (*State, error) {
-	gateway, err := logic.New(set, seed)
+func NewState(set scheduler.Settings, seed uint64) (*State, error) {
+	gateway, err := scheduler.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -262,8 +262,8 @@
 	return open
 }
 
-func (s *State) do(e Effect)        { s.effects = append(s.effects, e) }
-func (s *State) tell(e logic.Event) { s.news = append(s.news, e) }
+func (s *State) do(e Effect)            { s.effects = append(s.effects, e) }
+func (s *State) tell(e scheduler.Event) { s.news = append(s.news, e) }
 
 // wake sets an alarm.
 func (s *State) wake(at Micros, a alarm) wheel.Handle { return s.alarms.Set(int64(at), a) }
@@ -278,7 +278,7 @@
 		if r := s.entries[e.ID]; r != nil && !r.answered {
 			r.answered = true
 			s.facts = append(s.facts, s.ended(r, telemetry.Left))
-			s.tell(logic.ClientGone{ID: e.ID})
+			s.tell(scheduler.ClientGone{ID: e.ID})
 			if r.out && !r.stopped { // its connection may come up later: what nobody waits for is not sent on
 				s.do(Abandon{ID: e.ID, Number: r.attempts - 1})
 			}
@@ -292,9 +292,9 @@
 		if r := s.entries[e.ID]; r != nil && r.out && r.attempts-1 == e.Attempt && !r.stopped {
 			outcome := e.Result.outcome()
 			if r.answered && e.Result.Err != nil { // abandoned: that it broke says nothing of the node
-				outcome = logic.Void
+				outcome = scheduler.Void
 				if e.Result.Err.Progress == WrittenWhole {
-					outcome = logic.Withdrawn
+					outcome = scheduler.Withdrawn
 				}
 			}
 			s.end(e.ID, r, outcome, e.Result)
@@ -305,20 +305,20 @@
 		if r := s.entries[e.ID]; r != nil && r.out && r.attempts-1 == e.Attempt {
 			outcome := r.stopping
 			if e.Progress != WrittenWhole {
-				outcome = logic.Unreachable // proved never to have run
+				outcome = scheduler.Unreachable // proved never to have run
 			}
-			s.end(e.ID, r, outcome, Result{Load: logic.NoLoad})
+			s.end(e.ID, r, outcome, Result{Load: scheduler.NoLoad})
 		}
 	case Probed:
-		s.tell(logic.ProbeResult{Node: e.Node, Took: e.Took.Duration(), Outcome: e.Result.outcome(), Load: e.Result.Load})
+		s.tell(scheduler.ProbeResult{Node: e.Node, Took: e.Took.Duration(), Outcome: e.Result.outcome(), Load: e.Result.Load})
 	case Listed:
 		s.list(e)
 	case Heard:
-		s.tell(logic.PeerMessage{From: e.From, Data: e.Data})
+		s.tell(scheduler.PeerMessage{From: e.From, Data: e.Data})
 	case Retuned:
-		s.tell(logic.Retuned{Settings: e.Settings})
+		s.tell(scheduler.Retuned{Settings: e.Settings})
 	case Shared:
-		s.tell(logic.Shared{Processes: e.Processes, Unseen: e.Unseen})
+		s.tell(scheduler.Shared{Processes: e.Processes, Unseen: e.Unseen})
 	case Lagged:
 		if s.lag += (e.Waited - s.lag) / 4; e.Unknown {
 			s.lag = 0
@@ -352,7 +352,7 @@
 // overrule gives a final answer in the gateway's stead, which forgets the request.
 func (s *State) overrule(id uint64, r *entry, verdict Verdict) {
 	s.answer(id, r, Final{Verdict: verdict})
-	s.tell(logic.ClientGone{ID: id})
+	s.tell(scheduler.ClientGone{ID: id})
 	s.forget(id, r)
 }
 
@@ -374,13 +374,13 @@
 		return
 	}
 	r.overdue = s.wake(r.deadline, alarm{kind: overdue, id: id})
-	s.tell(logic.Request{ID: id, Class: req.Class, Plan: req.Plan, Key: req.Key, Remaining: (r.deadline - s.now).Duration(),
+	s.tell(scheduler.Request{ID: id, Class: req.Class, Plan: req.Plan, Key: req.Key, Remaining: (r.deadline - s.now).Duration(),
 		Volume: req.Volume, Units: req.Units, Shard: req.Shard, Hosts: req.Hosts, Retry: req.Retry, Write: req.Write})
 }
 
 func (s *State) list(e Listed) {
 	s.lists++
-	infos := make([]logic.NodeInfo, 0, len(e.Nodes))
+	infos := make([]scheduler.NodeInfo, 0, len(e.Nodes))
 	var leaving map[string]bool
 	leave := func(name string, node *listing, now bool) {
 		if now && !node.leaving {
@@ -405,15 +405,15 @@
 			node.address = n.Address
 		}
 		node.shard, node.listed = n.Shard, s.lists
-		leave(n.Node, node, n.State != logic.Ready)
-		if n.State == logic.Gone {
+		leave(n.Node, node, n.State != scheduler.Ready)
+		if n.State == scheduler.Gone {
 			s.lose(n.Node, node)
 		}
 		info := n.NodeInfo
 		info.UpSince = n.Born.Duration()
 		infos = append(infos, info)
 	}
-	if e.Kind != logic.ListChanges {
+	if e.Kind != scheduler.ListChanges {
 		for name, node := range s.nodes {
 			if node.listed != s.lists {
 				leave(name, node, true)
@@ -422,7 +422,7 @@
 		}
 	}
 	s.halt(leaving)
-	s.tell(logic.NodeList{Kind: e.Kind, Version: e.Version, Nodes: infos})
+	s.tell(scheduler.NodeList{Kind: e.Kind, Version: e.Version, Nodes: infos})
 }
 
 // lose forgets a node that is gone: each that replaces one comes under a new name, and the process may run for
@@ -460,19 +460,19 @@
 }
 
 // end tells the gateway of an attempt's one outcome and passes a served answer on.
-func (s *State) end(id uint64, r *entry, outcome logic.Outcome, result Result) {
+func (s *State) end(id uint64, r *entry, outcome scheduler.Outcome, result Result) {
 	r.out, r.stopped = false, false
 	if !r.ran && outcome.MayHaveRun() {
 		r.ran, r.ranAt = true, r.sentAt
 	}
 	s.facts = append(s.facts, telemetry.Fact{Kind: telemetry.AttemptEnded, Outcome: outcomes[outcome], Class: r.req.Class, Plan: r.req.Plan,
 		Volume: r.req.Volume, Node: r.node, Units: r.req.Units, AtNode: int64(s.now - r.sentAt)})
-	if outcome == logic.Success && !r.answered {
+	if outcome == scheduler.Success && !r.answered {
 		s.answer(id, r, Final{Verdict: Served, Value: result.Value})
 	} else {
 		s.drop(result.Value)
 	}
-	s.tell(logic.AttemptEnded{ID: id, Attempt: r.attempts - 1, Node: r.node, Outcome: outcome,
+	s.tell(scheduler.AttemptEnded{ID: id, Attempt: r.attempts - 1, Node: r.node, Outcome: outcome,
 		Took: s.atNode(s.now - r.sentAt).Duration(), Finished: r.answered, Used: result.Used, Elsewhere: result.Elsewhere,
 		Load: result.Load})
 	s.forget(id, r)
@@ -517,8 +517,8 @@
 }
 
 // outcomes words an attempt's outcome for telemetry. Void is one that was abandoned before it was sent.
-var outcomes = [...]telemetry.Outcome{logic.Success: telemetry.Success, logic.Failure: telemetry.Failure, logic.Overloaded: telemetry.Overloaded,
-	logic.TimedOut: telemetry.TimedOut, logic.Unreachable: telemetry.Unreachable, logic.Broken: telemetry.Broken, logic.Withdrawn: telemetry.Withdrawn, logic.Void: telemetry.Withdrawn}
+var outcomes = [...]telemetry.Outcome{scheduler.Success: telemetry.Success, scheduler.Failure: telemetry.Failure, scheduler.Overloaded: telemetry.Overloaded,
+	scheduler.TimedOut: telemetry.TimedOut, scheduler.Unreachable: telemetry.Unreachable, scheduler.Broken: telemetry.Broken, scheduler.Withdrawn: telemetry.Withdrawn, scheduler.Void: telemetry.Withdrawn}
 
 // ended is what telemetry hears of a request that ends now.
 func (s *State) ended(r *entry, end telemetry.End) telemetry.Fact {
@@ -547,7 +547,7 @@
 const mostFree = 1 << 12
 
 // stop ends the attempt that is out.
-func (s *State) stop(id uint64, r *entry, why logic.Outcome) {
+func (s *State) stop(id uint64, r *entry, why scheduler.Outcome) {
 	if r.out && !r.stopped {
 		r.stopped, r.stopping = true, why
 		s.do(Stop{ID: id, Number: r.attempts - 1})
@@ -559,18 +559,18 @@
 	r := s.entries[a.id]
 	switch {
 	case a.kind == timer:
-		s.tell(logic.Timer{Token: a.id})
+		s.tell(scheduler.Timer{Token: a.id})
 	case r == nil:
 	case a.kind == timeout:
 		if r.attempts-1 == a.attempt {
-			s.stop(a.id, r, logic.TimedOut)
+			s.stop(a.id, r, scheduler.TimedOut)
 		}
 	case a.kind == window: // what is not written whole by now would run twice
 		if r.out && !r.stopped && r.attempts-1 == a.attempt {
 			s.do(Abandon{ID: a.id, Number: a.attempt})
 		}
 	case r.out:
-		s.stop(a.id, r, logic.TimedOut)
+		s.stop(a.id, r, scheduler.TimedOut)
 		r.overdue = s.wake(s.now+grace, alarm{kind: overdue, id: a.id})
 	case !r.answered:
 		// Guards against a gateway that holds a request past its client's patience.
@@ -581,29 +581,29 @@
 // grace is how long past a deadline the gateway may take to answer by itself.
 const grace Micros = 5000
 
-func (s *State) act(action logic.Action) {
+func (s *State) act(action scheduler.Action) {
 	switch a := action.(type) {
-	case logic.Send:
+	case scheduler.Send:
 		s.send(a)
-	case logic.Refuse:
+	case scheduler.Refuse:
 		s.conclude(a.ID, Final{Verdict: Refused, After: MicrosOf(a.After)})
-	case logic.Fail:
+	case scheduler.Fail:
 		s.conclude(a.ID, Final{Verdict: Failed})
-	case logic.Cancel:
+	case scheduler.Cancel:
 		if r := s.entries[a.ID]; r != nil && r.attempts-1 == a.Attempt {
-			s.stop(a.ID, r, logic.Withdrawn)
+			s.stop(a.ID, r, scheduler.Withdrawn)
 		}
-	case logic.Probe:
+	case scheduler.Probe:
 		s.do(Probe{Node: a.Node, Address: s.address(a.Node)})
-	case logic.Tell:
+	case scheduler.Tell:
 		s.do(Tell{Peer: a.Peer, Data: a.Data})
-	case logic.SetTimer:
+	case scheduler.SetTimer:
 		s.wake(s.now+MicrosOf(a.After), alarm{kind: timer, id: a.Token})
-	case logic.CloseIdle:
+	case scheduler.CloseIdle:
 		s.do(CloseIdle{Address: s.address(a.Node)})
-	case logic.Log:
+	case scheduler.Log:
 		s.do(Log{a.Text})
-	case logic.Watch, logic.FetchList: // discovery is always watched
+	case scheduler.Watch, scheduler.FetchList: // discovery is always watched
 	default:
 		s.log("unknown action %T", action)
 	}
@@ -619,7 +619,7 @@
 
 // send starts an attempt, or tells at once that it is void: an id that is over, time that is up, a
 // second copy, an unknown node, or the wrong shard.
-func (s *State) send(a logic.Send) {
+func (s *State) send(a scheduler.Send) {
 	r := s.entries[a.ID]
 	if r == nil {
 		return
@@ -631,8 +631,8 @@
 	}
 	if r.out || r.answered || s.now >= r.deadline || a.Timeout < 0 || address == "" ||
 		r.req.Shard >= 0 && node.shard != r.req.Shard {
-		s.tell(logic.AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Node: a.Node, Outcome: logic.Void,
-			Finished: r.answered, Load: logic.NoLoad})
+		s.tell(scheduler.AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Node: a.Node, Outcome: scheduler.Void,
+			Finished: r.answered, Load: scheduler.NoLoad})
 		return
 	}
 	wait := r.deadline - s.now
@@ -662,7 +662,7 @@
 	}
 	for _, class := range s.gateway.Classes() {
 		if class.Name == r.req.Class {
-			return r.ranAt + MicrosOf(class.Window), class.Effect == logic.Keyed
+			return r.ranAt + MicrosOf(class.Window), class.Effect == scheduler.Keyed
 		}
 	}
 	return 0, false
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost lets gateways of package logic decide on the users' bench: it reads batches of
+// Command simhost lets gateways of package scheduler decide on the users' bench: it reads batches of
 // events from standard input and writes one reply a batch to standard output.
 package main
 
@@ -9,7 +9,7 @@
 	"os"
 
 	"junctionwharf/internal/wire"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 func main() {
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
-	gateways := map[string]*logic.Gateway{}
+	gateways := map[string]*scheduler.Gateway{}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -37,13 +37,13 @@
 }
 
 // answer routes a batch: the events of an instance since its last start go to it in one call.
-func answer(batch *wire.Batch, gateways map[string]*logic.Gateway, writer *wire.Writer) error {
+func answer(batch *wire.Batch, gateways map[string]*scheduler.Gateway, writer *wire.Writer) error {
 	var order []string
-	events := map[string][]logic.Event{}
+	events := map[string][]scheduler.Event{}
 	for _, item := range batch.Items {
 		switch {
 		case item.Start != nil:
-			gateway, err := logic.New(item.Start.Settings, item.Start.Seed)
+			gateway, err := scheduler.New(item.Start.Settings, item.Start.Seed)
 			if err != nil {
 				return fmt.Errorf("line %d: start %s: %w", item.Line, item.Who, err)
 			}
@@ -75,7 +75,7 @@
 }
 
 // decide calls one gateway; a panic in it becomes FATAL with its text.
-func decide(who string, gateway *logic.Gateway, now logic.Time, events []logic.Event, writer *wire.Writer) error {
+func decide(who string, gateway *scheduler.Gateway, now scheduler.Time, events []scheduler.Event, writer *wire.Writer) error {
 	actions, failure := step(gateway, now, events)
 	if failure != "" {
 		return writer.Fatal(who, failure)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func step(gateway *logic.Gateway, now logic.Time, events []logic.Event) (actions []logic.Action, failure string) {
+func step(gateway *scheduler.Gateway, now scheduler.Time, events []scheduler.Event) (actions []scheduler.Action, failure string) {
 	defer func() {
 		if r := recover(); r != nil {
 			failure = fmt.Sprint("panic: ", r)
--- a/cmd/wharflab/dns.go
+++ b/cmd/wharflab/dns.go
@@ -21,7 +21,7 @@
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/members"
 	"junctionwharf/internal/standin"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 func dnsCommand() *cli.Command {
@@ -159,7 +159,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, n := range e.(broker.Listed).Nodes {
-			if at, waits := removed[n.Node]; waits && n.State == logic.Gone {
+			if at, waits := removed[n.Node]; waits && n.State == scheduler.Gone {
 				took = append(took, time.Since(at))
 				delete(removed, n.Node)
 			}
--- a/cmd/wharflab/load.go
+++ b/cmd/wharflab/load.go
@@ -17,7 +17,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/load"
 	"junctionwharf/internal/logs"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 func loadCommand() *cli.Command {
@@ -44,7 +44,7 @@
 }
 
 // kindsOf makes the classes of settings into a mix: all alike, or by shares as in "a=1,b=2".
-func kindsOf(classes []logic.Class, mix string) ([]load.Kind, error) {
+func kindsOf(classes []scheduler.Class, mix string) ([]load.Kind, error) {
 	shares := map[string]float64{}
 	if mix != "" {
 		for part := range strings.SplitSeq(mix, ",") {
@@ -58,7 +58,7 @@
 	}
 	var kinds []load.Kind
 	for _, c := range classes {
-		k := load.Kind{Class: c.Name, Share: 1, Write: c.Effect != logic.Safe, Deadline: c.Deadline}
+		k := load.Kind{Class: c.Name, Share: 1, Write: c.Effect != scheduler.Safe, Deadline: c.Deadline}
 		if mix != "" {
 			k.Share = shares[c.Name]
 			delete(shares, c.Name)
--- a/cmd/wharflab/main_test.go
+++ b/cmd/wharflab/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"junctionwharf/internal/load"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // The dashboard is JSON that Graphite's web application takes: a name, and graphs of three parts each.
@@ -35,7 +35,7 @@
 }
 
 func TestMix(t *testing.T) {
-	classes := []logic.Class{{Name: "read", Effect: logic.Safe}, {Name: "write", Effect: logic.Unsafe}}
+	classes := []scheduler.Class{{Name: "read", Effect: scheduler.Safe}, {Name: "write", Effect: scheduler.Unsafe}}
 	kinds, err := kindsOf(classes, "write=2,read=1")
 	if err != nil || kinds[0].Share != 1 || kinds[1].Share != 2 || !kinds[1].Write || kinds[0].Write {
 		t.Errorf("%+v, %v", kinds, err)
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -6,7 +6,7 @@
 	"os"
 
 	"junctionwharf/agree"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const (
@@ -44,7 +44,7 @@
 	return agree.Timing{Lease: int64(a.BoundMS * 1000 / 2), Drift: agree.DefaultTiming.Drift}
 }
 
-func (a *Agreement) complete(set logic.Settings) error {
+func (a *Agreement) complete(set scheduler.Settings) error {
 	if !a.On() {
 		if a.Listen != "" || len(a.Members) > 0 || a.Dir != "" || len(a.Limits) > 0 || a.BoundMS != 0 || a.Feeds != 0 {
 			return errors.New("cluster: missing, though other keys are there")
@@ -83,7 +83,7 @@
 			return fmt.Errorf("dir: %q is no directory", a.Dir)
 		}
 	}
-	plans := map[string]logic.Plan{}
+	plans := map[string]scheduler.Plan{}
 	for _, p := range set.Plans {
 		plans[p.Name] = p
 	}
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Settings of deployments that have little in common pass the same reading: nothing is fitted to one of them. What a page calls optional
@@ -20,7 +20,7 @@
 			"classes":[{"name":"a","aim":1000,"deadline":2000,"effect":"unsafe"}],"serviceLevels":[{"name":"p"}]}`,
 			func(s *Settings) bool {
 				c, r := s.Logic.Classes[0], s.Logic.Rules
-				return c.Effect == logic.Unsafe && c.AimStretch == 0 && !c.Ordered && r.BudgetSpan == 0 && r.KeyQuiet == 0 && s.Logic.Plans[0].Limit == 0 && !s.Logic.Subscribe
+				return c.Effect == scheduler.Unsafe && c.AimStretch == 0 && !c.Ordered && r.BudgetSpan == 0 && r.KeyQuiet == 0 && s.Logic.Plans[0].Limit == 0 && !s.Logic.Subscribe
 			}},
 		{"keyed by zone and cell, in order, with a budget and a limit", `{"nInstances":300,"ordinal":299,"zone":"z4","bounds":{"maxAttempts":5,"secondCopies":true},"discovery":"subscribe",
 			"classes":[{"name":"put","aim":90000,"deadline":250000,"effect":"keyed","keyScope":"zone","window":800000,"byArrival":true},
@@ -28,12 +28,14 @@
 			"serviceLevels":[{"name":"x","ceilingRate":5,"capDepth":40,"tolerance":4}],"invariants":{"drainGrace":300000,"ratioSpan":1000000,"extraFloor":2,"resendRatio":0.1,"keyQuiet":50000}}`,
 			func(s *Settings) bool {
 				c := s.Logic.Classes
-				return c[0].Scope == logic.ScopeZone && c[0].Ordered && c[1].Scope == logic.ScopeShard && c[2].Scope == logic.ScopeAll && s.Logic.Subscribe &&
+				return c[0].Scope == scheduler.ScopeZone && c[0].Ordered && c[1].Scope == scheduler.ScopeShard && c[2].Scope == scheduler.ScopeAll && s.Logic.Subscribe &&
 					s.Logic.Plans[0].LimitBurst == 40 && s.Logic.Rules.DrainGrace == 300*time.Millisecond && s.Logic.Rules.BudgetRatio == 0.1
 			}},
 		{"a write that may repeat, and keys of a later age", `{"nInstances":2,"ordinal":1,"bounds":{"maxAttempts":2,"novelty":[1]},"novelty":{"deep":true},"zones":["only"],
 			"classes":[{"name":"w","aim":5,"deadline":5,"effect":"safe","novelty":"x"}],"serviceLevels":[{"name":"p"},{"name":"q","price":9}]}`,
-			func(s *Settings) bool { return s.Logic.Classes[0].Effect == logic.Safe && s.Logic.Plans[1].Price == 9 }},
+			func(s *Settings) bool {
+				return s.Logic.Classes[0].Effect == scheduler.Safe && s.Logic.Plans[1].Price == 9
+			}},
 	} {
 		s, err := ParseSettings([]byte(d.text))
 		if err == nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,21 +8,21 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Settings is the object that an instance gets in the simulator's first message.
 type Settings struct {
-	Logic          logic.Settings
+	Logic          scheduler.Settings
 	Shards         int           // they run from 0 to this less 1; 0 for unknown
 	ConnIdle       broker.Micros // idle connections to nodes end after this
 	ConnectTimeout broker.Micros
 }
 
 var (
-	effects = map[string]logic.Effect{"safe": logic.Safe, "keyed": logic.Keyed, "unsafe": logic.Unsafe}
-	scopes  = map[string]logic.Scope{
-		"": logic.ScopeAll, "all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeShard,
+	effects = map[string]scheduler.Effect{"safe": scheduler.Safe, "keyed": scheduler.Keyed, "unsafe": scheduler.Unsafe}
+	scopes  = map[string]scheduler.Scope{
+		"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeShard,
 	}
 )
 
@@ -112,14 +112,14 @@
 		return nil, typeFault(err)
 	}
 	b, v, x := raw.Bounds, raw.Invariants, raw.Specifics
-	s := logic.Settings{
+	s := scheduler.Settings{
 		Hosts: raw.NInstances, Ordinal: raw.Ordinal, Zone: raw.Zone, Subscribe: raw.Discovery == "subscribe",
 		MeanUnits: x.UsualUnits, MaxUnits: x.MaxUnits, ColdUnits: x.YoungLimit,
 		MeterPeriod: x.UsePeriod.span(), ShareWorth: x.WithinShare, SpareWorth: x.IdleWorth,
-		Bounds: logic.Bounds{MaxAttempts: b.MaxAttempts, MaxRetryAfter: b.MaxRetryAfter.span(),
+		Bounds: scheduler.Bounds{MaxAttempts: b.MaxAttempts, MaxRetryAfter: b.MaxRetryAfter.span(),
 			RetryAfter: b.RetryAfter, Cancel: b.Cancel, Peers: b.Peers, Probes: b.Probes,
 			SecondCopies: b.SecondCopies},
-		Rules: logic.Rules{AnswerSlack: v.AnswerSlack.span(), DrainGrace: v.DrainGrace.span(),
+		Rules: scheduler.Rules{AnswerSlack: v.AnswerSlack.span(), DrainGrace: v.DrainGrace.span(),
 			ColdTime: v.Cold.span(), ColdShare: v.ColdShare, FallTime: v.Fall.span(),
 			FallMultiple: v.FallMultiple, MustAskIn: v.MustAskIn.span(), KeyQuiet: v.KeyQuiet.span(),
 			BudgetFloor: v.ExtraFloor, BudgetRatio: v.ResendRatio, BudgetSpan: v.RatioSpan.span()},
@@ -133,12 +133,12 @@
 		if !known {
 			return nil, fmt.Errorf("classes[%d].keyScope: %q is neither all, zone nor cell", i, c.KeyScope)
 		}
-		s.Classes = append(s.Classes, logic.Class{Name: c.Name, Aim: c.Aim.span(), AimStretch: c.AimStretch,
+		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, Aim: c.Aim.span(), AimStretch: c.AimStretch,
 			Deadline: c.Deadline.span(), Worth: c.Importance, LateWorth: c.LateWorth, Effect: effect, Scope: scope,
 			Window: c.Window.span(), Ordered: c.ByArrival, Stream: c.Stream})
 	}
 	for _, p := range raw.ServiceLevels {
-		s.Plans = append(s.Plans, logic.Plan{Name: p.Name, Rate: p.Nominal, Reserve: p.FloorRate,
+		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.Nominal, Reserve: p.FloorRate,
 			Limit: p.CeilingRate, LimitBurst: p.CapDepth, LimitSlack: p.Tolerance, Weight: p.Parts, Price: p.Price})
 	}
 	return &Settings{Logic: s, Shards: x.NShards, ConnIdle: broker.MicrosOf(b.ConnIdle.span()),
--- a/internal/config/sinks.go
+++ b/internal/config/sinks.go
@@ -8,7 +8,7 @@
 
 	"junctionwharf/internal/collectd"
 	"junctionwharf/internal/graphite"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 	"junctionwharf/telemetry"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // Options are those of a registry for a broker with such settings.
-func (t Telemetry) Options(set logic.Settings) telemetry.Options {
+func (t Telemetry) Options(set scheduler.Settings) telemetry.Options {
 	o := telemetry.Options{MaxSeries: t.MaxSeries, MaxBytes: t.MaxBytes, Idle: t.IdleIntervals, Fixed: fixedSeries + 3*len(set.Classes)}
 	for _, c := range set.Classes {
 		o.Classes = append(o.Classes, c.Name)
@@ -42,7 +42,7 @@
 	return o
 }
 
-func (t Telemetry) check(set logic.Settings) error {
+func (t Telemetry) check(set scheduler.Settings) error {
 	if t.IdleIntervals < 0 {
 		return fmt.Errorf("idle_intervals: %d is below 0", t.IdleIntervals)
 	}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -7,7 +7,7 @@
 
 	"junctionwharf/admission"
 	"junctionwharf/internal/sftp"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 	"junctionwharf/spread"
 )
 
@@ -77,7 +77,7 @@
 }
 
 // Controller returns what decides on admission. crowd is admission.Settings.Crowd, 0 for none.
-func (a Admission) Controller(set logic.Settings, crowd int) *admission.Controller {
+func (a Admission) Controller(set scheduler.Settings, crowd int) *admission.Controller {
 	return admission.New(admission.Settings{Target: int64(a.LagMS * 1000), MostOpen: a.MostOpen, Crowd: crowd}, set)
 }
 
@@ -102,7 +102,7 @@
 func (s *SFTP) Plan() *sftp.Plan { return &s.plan }
 
 // LoadSite reads a site file and checks it against the settings.
-func LoadSite(path string, set logic.Settings) (Site, error) {
+func LoadSite(path string, set scheduler.Settings) (Site, error) {
 	var s Site
 	meta, err := toml.DecodeFile(path, &s)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return s, nil
 }
 
-func (s *SFTP) complete(set logic.Settings) error {
+func (s *SFTP) complete(set scheduler.Settings) error {
 	if s.Listen == "" {
 		return nil
 	}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -16,8 +16,8 @@
 	"junctionwharf/internal/metrics"
 	"junctionwharf/internal/peer"
 	"junctionwharf/internal/report"
-	"junctionwharf/logic"
 	"junctionwharf/node/agreement"
+	"junctionwharf/scheduler"
 )
 
 // control is what a broker does beside carrying requests: the core with its decisions, the watch of discovery and of other sources,
@@ -110,10 +110,10 @@
 		}
 		listed = k.members.Discovery
 		if known != nil {
-			k.members.Known(known.Event(logic.ListCached, k.clock))
+			k.members.Known(known.Event(scheduler.ListCached, k.clock))
 		}
 	} else if known != nil {
-		k.post(known.Event(logic.ListCached, k.clock))
+		k.post(known.Event(scheduler.ListCached, k.clock))
 	}
 	go k.loop.Run(ctx)
 	if k.agreement != nil {
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -15,7 +15,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/console"
 	"junctionwharf/internal/logs"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 var record = flag.Bool("record", false, "write the golden files anew")
@@ -121,7 +121,7 @@
 
 // The same for what the console tells of spreading.
 func TestSpreadAnswers(t *testing.T) {
-	parts := []logic.Part{{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Part: 0.75, Why: ""}, {Node: "b", Shard: 1, Weight: 2, Factor: 0.25, Part: 0.25, Why: "slow"}}
+	parts := []scheduler.Part{{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Part: 0.75, Why: ""}, {Node: "b", Shard: 1, Weight: 2, Factor: 0.25, Part: 0.25, Why: "slow"}}
 	checkGolden(t, "nodes-spread.txt", spreadText(parts))
 	checkGolden(t, "vars-spread.txt", fmt.Appendf(nil, "%v\n", spreadFigures(parts)))
 }
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -11,7 +11,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/pool"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Demand is what a hollow broker's clients and nodes are drawn to do.
@@ -82,7 +82,7 @@
 
 // Probe implements broker.Transport.
 func (nowhere) Probe(_ string, done func(broker.Result)) {
-	go done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: errors.New("a process for control sends nothing")}, Load: logic.NoLoad})
+	go done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: errors.New("a process for control sends nothing")}, Load: scheduler.NoLoad})
 }
 
 // CloseIdle implements broker.Transport.
@@ -102,7 +102,7 @@
 		}
 		class, volume := set.Classes[random.IntN(len(set.Classes))], random.IntN(max(1, d.Volumes))
 		k.loop.Submit(&broker.Request{Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprintf("%016x", volume), Units: 1,
-			Shard: random.IntN(max(1, k.config.Settings.Shards)), Hosts: set.Hosts, Wait: broker.MicrosOf(class.Deadline), Write: class.Effect != logic.Safe}, func(broker.Final) {})
+			Shard: random.IntN(max(1, k.config.Settings.Shards)), Hosts: set.Hosts, Wait: broker.MicrosOf(class.Deadline), Write: class.Effect != scheduler.Safe}, func(broker.Final) {})
 	}
 }
 
@@ -116,12 +116,12 @@
 func (d *drawn) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
 	a.Written()
 	took := time.Duration(d.random.ExpFloat64() * float64(d.answer))
-	return (*pending)(time.AfterFunc(took, func() { done(broker.Result{Load: logic.NoLoad}) }))
+	return (*pending)(time.AfterFunc(took, func() { done(broker.Result{Load: scheduler.NoLoad}) }))
 }
 
 // Probe implements broker.Transport.
 func (d *drawn) Probe(_ string, done func(broker.Result)) {
-	go done(broker.Result{Load: logic.NoLoad})
+	go done(broker.Result{Load: scheduler.NoLoad})
 }
 
 // CloseIdle implements broker.Transport.
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -25,7 +25,7 @@
 	"junctionwharf/internal/report"
 	"junctionwharf/internal/resp"
 	"junctionwharf/internal/sftp"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const (
@@ -221,8 +221,8 @@
 	beside  bool             // another process may serve beside this one, and would not be met
 	handed  *discovery.List  // the list that the old process handed over
 	taking  atomic.Bool
-	classes atomic.Pointer[[]logic.Class] // as they are now
-	limited atomic.Bool                   // a plan has a limit
+	classes atomic.Pointer[[]scheduler.Class] // as they are now
+	limited atomic.Bool                       // a plan has a limit
 }
 
 // renew loads the configuration and goes over to its discovery and settings; all else counts from the next start. It
@@ -279,9 +279,9 @@
 }
 
 // took notes what the life of the process depends on in the settings that are in force.
-func (s *service) took(set logic.Settings) {
+func (s *service) took(set scheduler.Settings) {
 	s.classes.Store(&set.Classes)
-	s.limited.Store(slices.ContainsFunc(set.Plans, func(p logic.Plan) bool { return p.Limit > 0 }))
+	s.limited.Store(slices.ContainsFunc(set.Plans, func(p scheduler.Plan) bool { return p.Limit > 0 }))
 }
 
 // reportOf is what a configuration says of sinks of figures.
@@ -293,7 +293,7 @@
 type timetable struct{ drain, shut, answer, end time.Duration }
 
 // timesOf guards the clients of a planned restart: each is served for as long as its answer can still come.
-func timesOf(classes []logic.Class) timetable {
+func timesOf(classes []scheduler.Class) timetable {
 	kill := time.Duration(0)
 	for _, class := range classes {
 		kill = max(kill, class.Deadline)
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -24,7 +24,7 @@
 	"junctionwharf/internal/report"
 	"junctionwharf/internal/resp"
 	"junctionwharf/internal/standin"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const settingsText = `{"bounds":{"maxAttempts":3},"nInstances":1,"ordinal":0,"specifics":{"usualUnits":2,"maxUnits":8},
@@ -418,7 +418,7 @@
 		9 * time.Second:         {3300 * time.Millisecond, 3400 * time.Millisecond, 3450 * time.Millisecond, 3600 * time.Millisecond},
 		100 * time.Millisecond:  {450 * time.Millisecond, 550 * time.Millisecond, 550 * time.Millisecond, 700 * time.Millisecond},
 	} {
-		if got := timesOf([]logic.Class{{Deadline: time.Millisecond}, {Deadline: longest}}); got != want {
+		if got := timesOf([]scheduler.Class{{Deadline: time.Millisecond}, {Deadline: longest}}); got != want {
 			t.Errorf("%v: %v, want %v", longest, got, want)
 		}
 	}
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // mostFigures bounds the nodes of which vars tells.
@@ -15,7 +15,7 @@
 
 // spreadText is what the console's nodes tells of spreading: of each node of a shard that has several, its size, what judging leaves
 // of it, the part of this broker's requests that is meant for it, and why.
-func spreadText(parts []logic.Part) []byte {
+func spreadText(parts []scheduler.Part) []byte {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -30,7 +30,7 @@
 }
 
 // spreadFigures is the same in thousandths, and how many nodes are less than sound.
-func spreadFigures(parts []logic.Part) []broker.Figure {
+func spreadFigures(parts []scheduler.Part) []broker.Figure {
 	if len(parts) == 0 {
 		return nil
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // List is what discovery answers: the whole list, or changed entries. The tags are its keys in a handover's message, between two
@@ -35,14 +35,14 @@
 	Site  string `json:"Site"`
 	Class string `json:"Class"`
 
-	Block  int             `json:"Block"`
-	State  logic.NodeState `json:"State"`
-	Share  float64         `json:"Share"`
-	BornMS int64           `json:"BornMS"`
+	Block  int                 `json:"Block"`
+	State  scheduler.NodeState `json:"State"`
+	Share  float64             `json:"Share"`
+	BornMS int64               `json:"BornMS"`
 }
 
-var states = map[string]logic.NodeState{
-	"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone,
+var states = map[string]scheduler.NodeState{
+	"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining, "DELETED": scheduler.Gone,
 }
 
 // ParseList reads a list's JSON.
@@ -77,11 +77,11 @@
 }
 
 // Event turns a list into the core's event.
-func (l *List) Event(kind logic.ListKind, clock *broker.Clock) broker.Listed {
+func (l *List) Event(kind scheduler.ListKind, clock *broker.Clock) broker.Listed {
 	event := broker.Listed{Kind: kind, Version: l.Seq}
 	for _, h := range l.Hosts {
 		event.Nodes = append(event.Nodes, broker.Node{
-			NodeInfo: logic.NodeInfo{Node: h.Host, Zone: h.Site, Kind: h.Class, Shard: h.Block, State: h.State, Weight: h.Share},
+			NodeInfo: scheduler.NodeInfo{Node: h.Host, Zone: h.Site, Kind: h.Class, Shard: h.Block, State: h.State, Weight: h.Share},
 			Address:  h.Dial, Born: clock.At(h.BornMS)})
 	}
 	return event
@@ -204,7 +204,7 @@
 	w.whole.Seq = news.Seq
 	for _, h := range news.Hosts {
 		w.whole.Hosts = slices.DeleteFunc(w.whole.Hosts, func(old Host) bool { return old.Host == h.Host })
-		if h.State != logic.Gone {
+		if h.State != scheduler.Gone {
 			w.whole.Hosts = append(w.whole.Hosts, h)
 		}
 	}
@@ -259,9 +259,9 @@
 	news := &List{Seq: w.whole.Seq}
 	for _, h := range list.Hosts {
 		at := slices.IndexFunc(w.whole.Hosts, func(held Host) bool { return held.Host == h.Host })
-		if h.State != logic.Ready && at >= 0 && w.whole.Hosts[at].State == logic.Ready {
+		if h.State != scheduler.Ready && at >= 0 && w.whole.Hosts[at].State == scheduler.Ready {
 			leaver := w.whole.Hosts[at]
-			leaver.State = logic.Draining
+			leaver.State = scheduler.Draining
 			news.Hosts = append(news.Hosts, leaver)
 		}
 	}
@@ -308,9 +308,9 @@
 func (w *Watcher) take(list *List, clock *broker.Clock, post func(broker.Event)) {
 	w.add(list)
 	if list.Whole {
-		post(list.Event(logic.ListFull, clock))
+		post(list.Event(scheduler.ListFull, clock))
 	} else if len(list.Hosts) > 0 {
-		post(list.Event(logic.ListChanges, clock))
+		post(list.Event(scheduler.ListChanges, clock))
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/logs"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const (
@@ -24,9 +24,9 @@
 	if err != nil || l.Seq != 41 || !l.Whole || len(l.Hosts) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	e := l.Event(logic.ListFull, broker.NewClock())
+	e := l.Event(scheduler.ListFull, broker.NewClock())
 	n := e.Nodes[0]
-	if n.Node != "a" || n.Address != "10.1.0.18:6379" || n.Zone != "a" || n.Kind != "m2" || n.Shard != 3 || n.State != logic.Ready || n.Weight != 1.5 || n.Born != 0 {
+	if n.Node != "a" || n.Address != "10.1.0.18:6379" || n.Zone != "a" || n.Kind != "m2" || n.Shard != 3 || n.State != scheduler.Ready || n.Weight != 1.5 || n.Born != 0 {
 		t.Errorf("%+v", n)
 	}
 	for _, text := range []string{`{`, `{"hosts":[{"host":"a","health":"UP"}]}`, `{"hosts":[{"health":"SERVING"}]}`} {
@@ -62,10 +62,10 @@
 	go NewWatcher(server.Listener.Addr().String(), Options{Brokers: 1, Log: logs.Func(func(line string) { t.Log(line) })}).Run(ctx, broker.NewClock(), func(e broker.Event) { events <- e })
 	for i, step := range []struct {
 		index, answer string
-		kind          logic.ListKind
+		kind          scheduler.ListKind
 		news          bool
-	}{{"", wholeText, logic.ListFull, true}, {"41", changeText, logic.ListChanges, true}, {"43", quietText, 0, false},
-		{"43", "", 0, false}, {"43", quietText, 0, false}, {"43", "cut", 0, false}, {"43", "cut", 0, false}, {"", strings.Replace(wholeText, "41", "44", 1), logic.ListFull, true}, {"44", changeText, logic.ListChanges, true}} {
+	}{{"", wholeText, scheduler.ListFull, true}, {"41", changeText, scheduler.ListChanges, true}, {"43", quietText, 0, false},
+		{"43", "", 0, false}, {"43", quietText, 0, false}, {"43", "cut", 0, false}, {"43", "cut", 0, false}, {"", strings.Replace(wholeText, "41", "44", 1), scheduler.ListFull, true}, {"44", changeText, scheduler.ListChanges, true}} {
 		select {
 		case index := <-queries:
 			if index != step.index {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -13,7 +13,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/logs"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // pipes is a listener in memory, so that an agent's silence passes on a virtual clock.
@@ -90,7 +90,7 @@
 	go func() {
 		defer close(ended)
 		w.Run(ctx, broker.NewClock(), func(e broker.Event) {
-			if l := e.(broker.Listed); len(l.Nodes) == 1 && l.Nodes[0].State == logic.Draining {
+			if l := e.(broker.Listed); len(l.Nodes) == 1 && l.Nodes[0].State == scheduler.Draining {
 				select {
 				case known <- time.Now():
 				default:
@@ -224,7 +224,7 @@
 	}
 	older := w.leavers(list(`{"seq":7,"whole":true,"hosts":[{"host":"a","block":3,"health":"DRAINING"},{"host":"b","block":1,"health":"SERVING"},{"host":"c","health":"DELETED"}]}`))
 	w.take(older, clock, post)
-	if len(posted) != 2 || posted[1].Kind != logic.ListChanges || len(posted[1].Nodes) != 1 || posted[1].Nodes[0].Node != "a" || posted[1].Nodes[0].State != logic.Draining {
+	if len(posted) != 2 || posted[1].Kind != scheduler.ListChanges || len(posted[1].Nodes) != 1 || posted[1].Nodes[0].Node != "a" || posted[1].Nodes[0].State != scheduler.Draining {
 		t.Errorf("%+v", posted)
 	}
 	if held := w.Held(); held.Seq != 41 || len(held.Hosts) != 1 {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"junctionwharf/internal/discovery"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 var record = flag.Bool("record", false, "write the golden files anew")
@@ -17,9 +17,9 @@
 // fullMessage has every field set.
 var fullMessage = News{
 	List: &discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Host{
-		{Host: "a", Dial: "127.0.0.1:7001", Site: "z1", Class: "ssd", Block: 3, State: logic.Ready, Share: 0.5, BornMS: 1700000000123},
-		{Host: "b", Dial: "127.0.0.1:7002", State: logic.Draining, Share: 1},
-		{Host: "c", State: logic.Gone},
+		{Host: "a", Dial: "127.0.0.1:7001", Site: "z1", Class: "ssd", Block: 3, State: scheduler.Ready, Share: 0.5, BornMS: 1700000000123},
+		{Host: "b", Dial: "127.0.0.1:7002", State: scheduler.Draining, Share: 1},
+		{Host: "c", State: scheduler.Gone},
 	}},
 	Opened: []string{"id-1", "id-2"},
 	Ended:  []string{"id-0"},
--- a/internal/loopback/leavers_test.go
+++ b/internal/loopback/leavers_test.go
@@ -14,7 +14,7 @@
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/pool"
 	"junctionwharf/internal/resp"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // leaverWorld is a broker whose connections to its one node come up when the test says, and a node that counts the bytes it is sent.
@@ -58,7 +58,7 @@
 			close(w.up)
 		}
 	})
-	w.loop.Post(broker.Listed{Kind: logic.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: logic.NodeInfo{Node: "n", Weight: 1}, Address: node.Addr().String()}}})
+	w.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Weight: 1}, Address: node.Addr().String()}}})
 	ln := listen(t)
 	w.address = ln.Addr().String()
 	f := resp.NewFront(w.loop, resp.NewTerms(settings(), 0), 64, 64, budget, logs.Discard())
--- a/internal/loopback/resp_test.go
+++ b/internal/loopback/resp_test.go
@@ -15,7 +15,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/pool"
 	"junctionwharf/internal/resp"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 type respProtocol struct{}
@@ -30,7 +30,7 @@
 	return resp.NewFront(loop, resp.NewTerms(settings(), 0), 64, 64, 1<<20, log)
 }
 
-func (respProtocol) retune(f front, c client, set logic.Settings, class string) {
+func (respProtocol) retune(f front, c client, set scheduler.Settings, class string) {
 	f.(*resp.Front).Retune(resp.NewTerms(set, 0))
 	c.(*respClient).reads = class
 }
--- a/internal/loopback/sftp_test.go
+++ b/internal/loopback/sftp_test.go
@@ -17,7 +17,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/pool"
 	"junctionwharf/internal/sftp"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 type sftpProtocol struct{ files *files }
@@ -33,12 +33,12 @@
 	return sftp.NewFront(loop, via, plan(settings(), "read"), 64, log)
 }
 
-func (sftpProtocol) retune(f front, _ client, set logic.Settings, class string) {
+func (sftpProtocol) retune(f front, _ client, set scheduler.Settings, class string) {
 	f.(*sftp.Front).Retune(plan(set, class))
 }
 
 // plan maps what reads to a class.
-func plan(set logic.Settings, class string) *sftp.Plan {
+func plan(set scheduler.Settings, class string) *sftp.Plan {
 	terms := map[sftp.Command]sftp.Terms{}
 	for _, c := range sftp.Commands {
 		terms[c] = sftp.Terms{Class: class}
--- a/internal/loopback/suite_test.go
+++ b/internal/loopback/suite_test.go
@@ -15,7 +15,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/pool"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const (
@@ -34,15 +34,15 @@
 
 var waits = map[kind]time.Duration{read: 900 * time.Millisecond, write: time.Second, listing: 1500 * time.Millisecond}
 
-func settings() logic.Settings {
-	class := func(name string, k kind, effect logic.Effect) logic.Class {
-		return logic.Class{Name: name, Aim: waits[k] - 100*time.Millisecond, Deadline: waits[k], Worth: 1, Effect: effect}
+func settings() scheduler.Settings {
+	class := func(name string, k kind, effect scheduler.Effect) scheduler.Class {
+		return scheduler.Class{Name: name, Aim: waits[k] - 100*time.Millisecond, Deadline: waits[k], Worth: 1, Effect: effect}
 	}
-	return logic.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, ColdUnits: coldUnits,
-		Classes: []logic.Class{class("read", read, logic.Safe), class("write", write, logic.Unsafe), class("list", listing, logic.Safe)},
-		Plans:   []logic.Plan{{Name: "plan", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
-		Bounds:  logic.Bounds{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules: logic.Rules{AnswerSlack: 50 * time.Millisecond, DrainGrace: drainGrace, ColdTime: 10 * time.Second,
+	return scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, ColdUnits: coldUnits,
+		Classes: []scheduler.Class{class("read", read, scheduler.Safe), class("write", write, scheduler.Unsafe), class("list", listing, scheduler.Safe)},
+		Plans:   []scheduler.Plan{{Name: "plan", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
+		Bounds:  scheduler.Bounds{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: scheduler.Rules{AnswerSlack: 50 * time.Millisecond, DrainGrace: drainGrace, ColdTime: 10 * time.Second,
 			ColdShare: 0.2, FallTime: 3 * time.Second, FallMultiple: 4}}
 }
 
@@ -73,7 +73,7 @@
 	name() string
 	transport(pool.Options) broker.Transport
 	front(*broker.Loop, broker.Transport, *slog.Logger) front
-	retune(f front, c client, set logic.Settings, class string) // has both follow settings; reads are of that class
+	retune(f front, c client, set scheduler.Settings, class string) // has both follow settings; reads are of that class
 	node(net.Conn, string, *world)
 	client(*testing.T, string) client
 	nuisances() map[string]string // texts that are no command, by what is wrong with them
@@ -107,7 +107,7 @@
 	for _, name := range []string{"n1", "n2"} {
 		ln := listen(t)
 		go accept(ln, func(conn net.Conn) { p.node(conn, name, b.world) })
-		b.nodes = append(b.nodes, broker.Node{NodeInfo: logic.NodeInfo{Node: name, Weight: 1}, Address: ln.Addr().String()})
+		b.nodes = append(b.nodes, broker.Node{NodeInfo: scheduler.NodeInfo{Node: name, Weight: 1}, Address: ln.Addr().String()})
 	}
 	ln := listen(t)
 	b.address = ln.Addr().String()
@@ -139,7 +139,7 @@
 }
 
 func (b *bench) list(nodes ...broker.Node) {
-	b.loop.Post(broker.Listed{Kind: logic.ListFull, Version: 1, Nodes: nodes})
+	b.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: nodes})
 }
 
 // drain tells the broker that one node drains.
@@ -147,7 +147,7 @@
 	nodes := append([]broker.Node(nil), b.nodes...)
 	for i := range nodes {
 		if nodes[i].Node == name {
-			nodes[i].State = logic.Draining
+			nodes[i].State = scheduler.Draining
 		}
 	}
 	b.world.mu.Lock()
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -16,8 +16,8 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/srv"
-	"junctionwharf/logic"
 	"junctionwharf/membership"
+	"junctionwharf/scheduler"
 )
 
 // Members merges sources and posts what changes.
@@ -202,7 +202,7 @@
 	if name == "" {
 		return
 	}
-	m.answer(context.Background(), name, membership.Answered{Asked: int64(m.clock.Now()), Whole: l.Kind != logic.ListChanges, Entries: entriesOf(l)})
+	m.answer(context.Background(), name, membership.Answered{Asked: int64(m.clock.Now()), Whole: l.Kind != scheduler.ListChanges, Entries: entriesOf(l)})
 }
 
 func (m *Members) answer(ctx context.Context, name string, a membership.Answered) {
@@ -237,12 +237,12 @@
 		return
 	}
 	m.version++
-	e := broker.Listed{Kind: logic.ListChanges, Version: m.version}
+	e := broker.Listed{Kind: scheduler.ListChanges, Version: m.version}
 	if m.version == 1 {
-		e.Kind = logic.ListFull
+		e.Kind = scheduler.ListFull
 	}
 	for _, n := range change.Nodes {
-		e.Nodes = append(e.Nodes, broker.Node{NodeInfo: logic.NodeInfo{Node: n.Name, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, State: logic.NodeState(n.State),
+		e.Nodes = append(e.Nodes, broker.Node{NodeInfo: scheduler.NodeInfo{Node: n.Name, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, State: scheduler.NodeState(n.State),
 			Weight: n.Share, Part: n.Part, Priority: n.Priority}, Address: n.Address, Born: broker.Micros(n.Born)})
 	}
 	m.post(e)
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -15,7 +15,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/standin"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const service = "_resp._tcp.storage.example.org"
@@ -41,11 +41,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := e.(broker.Listed)
-	if l.Kind == logic.ListFull {
+	if l.Kind == scheduler.ListFull {
 		clear(c.nodes)
 	}
 	for _, n := range l.Nodes {
-		if n.State == logic.Gone {
+		if n.State == scheduler.Gone {
 			delete(c.nodes, n.Node)
 		} else {
 			c.nodes[n.Node] = n
@@ -147,7 +147,7 @@
 	d.Play(standin.Honest)
 	d.Set(service, 1, zone("a", "b")...)
 	c.await("a b")
-	c.m.Discovery(broker.Listed{Kind: logic.ListFull, Nodes: []broker.Node{{NodeInfo: logic.NodeInfo{Node: "s-1"}, Address: "10.0.0.97:6379"}, {NodeInfo: logic.NodeInfo{Node: "s-9"}, Address: "10.0.0.9:1"}}})
+	c.m.Discovery(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "s-1"}, Address: "10.0.0.97:6379"}, {NodeInfo: scheduler.NodeInfo{Node: "s-9"}, Address: "10.0.0.9:1"}}})
 	c.await("a b s-9") // one address is one node
 	d.Set(service, 1, zone("b")...)
 	c.await("b s-9")
--- a/internal/members/snapshot_golden_test.go
+++ b/internal/members/snapshot_golden_test.go
@@ -10,7 +10,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/logs"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // goldenSnapshot holds one node with every field set and one without any. It was written by the program before the names of the
@@ -62,7 +62,7 @@
 	if err := m.Follow(config.Membership{Sources: []config.MemberSource{{Name: "list", Kind: "discovery"}}}); err != nil {
 		t.Fatal(err)
 	}
-	m.Discovery(broker.Listed{Kind: logic.ListFull, Nodes: []broker.Node{{NodeInfo: logic.NodeInfo{Node: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
+	m.Discovery(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
 	lines := strings.Split(string(m.Text()), "\n")
 	for i, want := range map[int]string{
 		0: "node address shard zone state priority part up s held by why",
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -9,7 +9,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/handover"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // maxDatagram is the most that a message may hold; a longer one is dropped, never sent.
@@ -47,7 +47,7 @@
 	return l, nil
 }
 
-// Tell sends data to one peer or, with logic.AllPeers, to all others. What can't be sent is lost, as
+// Tell sends data to one peer or, with scheduler.AllPeers, to all others. What can't be sent is lost, as
 // a datagram may be.
 func (l *Link) Tell(peer int, data []byte) {
 	if len(data) > maxDatagram {
@@ -56,7 +56,7 @@
 	switch {
 	case peer >= 0 && peer < len(l.peers) && peer != l.own:
 		l.conn.WriteToUDPAddrPort(data, l.peers[peer])
-	case peer == logic.AllPeers && l.all.IsValid():
+	case peer == scheduler.AllPeers && l.all.IsValid():
 		l.conn.WriteToUDPAddrPort(data, l.all)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Only peers are heard, by the number of their address, and no datagram exceeds 256 bytes.
@@ -40,7 +40,7 @@
 	link.Tell(0, make([]byte, maxDatagram+1))
 	link.Tell(1, []byte("self"))
 	link.Tell(0, []byte("one"))
-	link.Tell(logic.AllPeers, []byte("all"))
+	link.Tell(scheduler.AllPeers, []byte("all"))
 	if got := read(other) + read(all); got != "oneall" {
 		t.Errorf("%q", got)
 	}
--- a/internal/resp/admission_test.go
+++ b/internal/resp/admission_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/admission"
 	"junctionwharf/broker"
 	"junctionwharf/internal/logs"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // oneWindow has admission control stay in its first window however slow the machine is: the time to come back grows from window to window
@@ -21,8 +21,8 @@
 // admissionServer serves a front with room for so many connections, whose admission control lets so many requests wait, and whose loop is never turned.
 func admissionServer(t *testing.T, room, most int) (*Front, net.Conn) {
 	t.Helper()
-	set := logic.Settings{Hosts: 1, Classes: []logic.Class{{Name: "read", Aim: 150 * time.Millisecond}},
-		Bounds: logic.Bounds{RetryAfter: true, MaxRetryAfter: time.Second}}
+	set := scheduler.Settings{Hosts: 1, Classes: []scheduler.Class{{Name: "read", Aim: 150 * time.Millisecond}},
+		Bounds: scheduler.Bounds{RetryAfter: true, MaxRetryAfter: time.Second}}
 	state, err := broker.NewState(set, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const (
@@ -47,10 +47,10 @@
 }
 
 // NewTerms takes the terms from the settings.
-func NewTerms(set logic.Settings, shards int) Terms {
+func NewTerms(set scheduler.Settings, shards int) Terms {
 	t := Terms{Classes: map[string]bool{}, Plans: map[string]bool{}, MaxUnits: set.MaxUnits, Shards: shards, Hosts: set.Hosts, MaxWait: time.Minute}
 	if set.Bounds.RetryAfter && len(set.Classes) > 0 {
-		aim := slices.MinFunc(set.Classes, func(a, b logic.Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
+		aim := slices.MinFunc(set.Classes, func(a, b scheduler.Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
 		t.After = broker.MicrosOf(min(aim, set.Bounds.MaxRetryAfter))
 	}
 	for _, c := range set.Classes {
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -16,7 +16,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/pool"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // ending is a front over loopback sockets whose requests are answered, or not, as the test says.
@@ -62,14 +62,14 @@
 }
 
 func (a *attempt) serve(value string) {
-	a.done(broker.Result{Value: []byte(value), Load: logic.NoLoad})
+	a.done(broker.Result{Value: []byte(value), Load: scheduler.NoLoad})
 }
 
 func newEnding(t *testing.T) *ending {
-	set := logic.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8,
-		Classes: []logic.Class{{Name: "read", Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 1}},
-		Plans:   []logic.Plan{{Name: "plan", Rate: 1e6, Reserve: 1e6, Weight: 1, Price: 1}},
-		Bounds:  logic.Bounds{MaxAttempts: 3}}
+	set := scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8,
+		Classes: []scheduler.Class{{Name: "read", Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 1}},
+		Plans:   []scheduler.Plan{{Name: "plan", Rate: 1e6, Reserve: 1e6, Weight: 1, Price: 1}},
+		Bounds:  scheduler.Bounds{MaxAttempts: 3}}
 	state, err := broker.NewState(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go e.loop.Run(ctx)
-	e.loop.Post(broker.Listed{Kind: logic.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: logic.NodeInfo{Node: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
+	e.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
 	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logs.Func(func(line string) { t.Log(line) }))
 	if e.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/internal/resp/nodes.go
+++ b/internal/resp/nodes.go
@@ -9,7 +9,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/pool"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Nodes carries attempts to storage nodes, each alone on its connection.
@@ -79,7 +79,7 @@
 		result, _, err := readReply(r)
 		return result, err
 	}
-	result := broker.Result{Load: logic.NoLoad}
+	result := broker.Result{Load: scheduler.NoLoad}
 	text, err := readBulk(r, maxLine)
 	readFigures(text, &result)
 	return result, err
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const (
@@ -81,7 +81,7 @@
 // readReply reads a node's answer to a command up to its value, or up to the head of a long one, and tells what
 // stands behind that. An error means that the connection is of no more use.
 func readReply(r *bufio.Reader) (result broker.Result, left rest, err error) {
-	result = broker.Result{Load: logic.NoLoad}
+	result = broker.Result{Load: scheduler.NoLoad}
 	line, err := readLine(r)
 	if err != nil {
 		return result, left, err
--- a/internal/sftp/plan.go
+++ b/internal/sftp/plan.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Command names a file command as the plan knows it.
@@ -56,7 +56,7 @@
 }
 
 // Check completes the plan from the settings and names the faulty key.
-func (p *Plan) Check(set logic.Settings) error {
+func (p *Plan) Check(set scheduler.Settings) error {
 	if p.UnitBytes < 1 {
 		return fmt.Errorf("unit_bytes: %d is below 1", p.UnitBytes)
 	}
@@ -66,11 +66,11 @@
 		if !told {
 			return fmt.Errorf("command.%s: missing", name)
 		}
-		class := find(set.Classes, func(c logic.Class) bool { return c.Name == terms.Class })
+		class := find(set.Classes, func(c scheduler.Class) bool { return c.Name == terms.Class })
 		switch {
 		case class == nil:
 			return fmt.Errorf("command.%s.class: no class %q in the settings", name, terms.Class)
-		case changes[name] && class.Effect != logic.Unsafe:
+		case changes[name] && class.Effect != scheduler.Unsafe:
 			return fmt.Errorf("command.%s.class: %q may run twice, the command may not", name, terms.Class)
 		case terms.WaitMS < 0 || terms.WaitMS > math.MaxInt32:
 			return fmt.Errorf("command.%s.wait_ms: %d is out of range", name, terms.WaitMS)
@@ -90,7 +90,7 @@
 			return fmt.Errorf("volume[%d].prefix: %q is no clean absolute path", i, v.Prefix)
 		case v.Volume == "":
 			return fmt.Errorf("volume[%d].volume: missing", i)
-		case find(set.Plans, func(q logic.Plan) bool { return q.Name == v.Plan }) == nil:
+		case find(set.Plans, func(q scheduler.Plan) bool { return q.Name == v.Plan }) == nil:
 			return fmt.Errorf("volume[%d].plan: no plan %q in the settings", i, v.Plan)
 		case v.Shard < 0:
 			return fmt.Errorf("volume[%d].shard: %d is below 0", i, v.Shard)
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Writer writes replies.
@@ -18,7 +18,7 @@
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 64<<10)} }
 
 // Act writes one action of an instance.
-func (w *Writer) Act(who string, action logic.Action) error {
+func (w *Writer) Act(who string, action scheduler.Action) error {
 	_, err := fmt.Fprintln(w.out, actionText(who, action))
 	if err != nil {
 		return fmt.Errorf("write action: %w", err)
@@ -46,21 +46,21 @@
 	return nil
 }
 
-func actionText(who string, action logic.Action) string {
+func actionText(who string, action scheduler.Action) string {
 	switch a := action.(type) {
-	case logic.Send:
+	case scheduler.Send:
 		return fmt.Sprintf("SUBMIT_TO %s %d %s %s", who, a.ID, a.Node, spanText(a.Timeout))
-	case logic.Refuse:
+	case scheduler.Refuse:
 		return fmt.Sprintf("TURN_AWAY %s %d %s", who, a.ID, spanText(a.After))
-	case logic.Fail:
+	case scheduler.Fail:
 		return fmt.Sprintf("REPORT_FAILURE %s %d", who, a.ID)
-	case logic.Cancel:
+	case scheduler.Cancel:
 		return fmt.Sprintf("UNDO_SEND %s %d %d", who, a.ID, a.Attempt)
-	case logic.Probe:
+	case scheduler.Probe:
 		return fmt.Sprintf("TOUCH %s %s", who, a.Node)
-	case logic.Tell:
+	case scheduler.Tell:
 		peer := "all"
-		if a.Peer != logic.AllPeers {
+		if a.Peer != scheduler.AllPeers {
 			peer = fmt.Sprint(a.Peer)
 		}
 		data := "-"
@@ -68,19 +68,19 @@
 			data = hex.EncodeToString(a.Data)
 		}
 		return fmt.Sprintf("ANNOUNCE %s %s %s", who, peer, data)
-	case logic.SetTimer:
+	case scheduler.SetTimer:
 		return fmt.Sprintf("NOTIFY_ME %s %d %d", who, a.Token, a.After.Microseconds())
-	case logic.Watch:
+	case scheduler.Watch:
 		on := 0
 		if a.On {
 			on = 1
 		}
 		return fmt.Sprintf("LISTEN %s %d", who, on)
-	case logic.FetchList:
+	case scheduler.FetchList:
 		return fmt.Sprintf("LIST_ALL %s", who)
-	case logic.CloseIdle:
+	case scheduler.CloseIdle:
 		return fmt.Sprintf("FREE_LINKS %s %s", who, a.Node)
-	case logic.Log:
+	case scheduler.Log:
 		return fmt.Sprintf("NOTE_DOWN %s %s", who, oneLine(a.Text))
 	default:
 		return fmt.Sprintf("FATAL %s unknown action %T", who, action)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire turns the text of the users' bench into the types of package logic and back. It
+// Package wire turns the text of the users' bench into the types of package scheduler and back. It
 // decides nothing.
 package wire
 
@@ -14,13 +14,13 @@
 	"time"
 
 	"junctionwharf/internal/config"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // Start tells that an instance begins with nothing but its settings.
 type Start struct {
 	Seed     uint64
-	Settings logic.Settings
+	Settings scheduler.Settings
 }
 
 // Halt tells that an instance was killed.
@@ -32,12 +32,12 @@
 	Who   string
 	Start *Start
 	Halt  *Halt
-	Event logic.Event
+	Event scheduler.Event
 }
 
 // Batch is all that happened at one point of the clock.
 type Batch struct {
-	Now    logic.Time
+	Now    scheduler.Time
 	Number uint64
 	Items  []Item
 }
@@ -49,14 +49,14 @@
 type Reader struct {
 	scan  *bufio.Scanner
 	line  int
-	lists map[int][]logic.NodeInfo
+	lists map[int][]scheduler.NodeInfo
 }
 
 // NewReader reads batches from r.
 func NewReader(r io.Reader) *Reader {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(make([]byte, 64<<10), maxLine)
-	return &Reader{scan: scan, lists: map[int][]logic.NodeInfo{}}
+	return &Reader{scan: scan, lists: map[int][]scheduler.NodeInfo{}}
 }
 
 // Next returns the next batch, or io.EOF at the end of the input between batches.
@@ -153,40 +153,40 @@
 	"SAMPLED": 6, "WHISPER": 4, "ENDED": 11, "HEADERS": 6,
 }
 
-func (f *fields) event(kind string) logic.Event {
+func (f *fields) event(kind string) scheduler.Event {
 	switch kind {
 	case "KNOCK":
-		return logic.Request{ID: f.whole(1 << 52), Class: f.word(), Plan: f.word(), Key: f.word(),
+		return scheduler.Request{ID: f.whole(1 << 52), Class: f.word(), Plan: f.word(), Key: f.word(),
 			Remaining: f.span(), Volume: f.word(), Units: f.number(), Shard: f.signed(), Hosts: f.signed(),
 			Retry: f.flag(), Write: f.flag()}
 	case "ALARM":
-		return logic.Timer{Token: f.whole(1 << 63)}
+		return scheduler.Timer{Token: f.whole(1 << 63)}
 	case "TIMED_OUT_CLIENT":
-		return logic.ClientGone{ID: f.whole(1 << 52)}
+		return scheduler.ClientGone{ID: f.whole(1 << 52)}
 	case "SAMPLED":
-		return logic.ProbeResult{Took: f.span(), Node: f.word(), Outcome: choose(f, outcomes), Load: f.load()}
+		return scheduler.ProbeResult{Took: f.span(), Node: f.word(), Outcome: choose(f, outcomes), Load: f.load()}
 	case "WHISPER":
-		return logic.PeerMessage{From: f.signed(), Data: f.bytes()}
+		return scheduler.PeerMessage{From: f.signed(), Data: f.bytes()}
 	case "ENDED":
-		return logic.AttemptEnded{ID: f.whole(1 << 52), Attempt: f.signed(), Node: f.word(),
+		return scheduler.AttemptEnded{ID: f.whole(1 << 52), Attempt: f.signed(), Node: f.word(),
 			Outcome: choose(f, outcomes), Took: f.span(), Finished: f.flag(), Used: f.signed(),
 			Elsewhere: f.number(), Load: f.load()}
 	default: // HEADERS, the last of fieldCounts
-		return logic.AnswerStarted{ID: f.whole(1 << 52), Node: f.word(), Took: f.span(), Attempt: f.signed()}
+		return scheduler.AnswerStarted{ID: f.whole(1 << 52), Node: f.word(), Took: f.span(), Attempt: f.signed()}
 	}
 }
 
 var (
-	outcomes = map[string]logic.Outcome{
-		"success": logic.Success, "failure": logic.Failure, "overloaded": logic.Overloaded,
-		"timed_out": logic.TimedOut, "unreachable": logic.Unreachable, "broken": logic.Broken,
-		"withdrawn": logic.Withdrawn, "void": logic.Void,
+	outcomes = map[string]scheduler.Outcome{
+		"success": scheduler.Success, "failure": scheduler.Failure, "overloaded": scheduler.Overloaded,
+		"timed_out": scheduler.TimedOut, "unreachable": scheduler.Unreachable, "broken": scheduler.Broken,
+		"withdrawn": scheduler.Withdrawn, "void": scheduler.Void,
 	}
-	listKinds = map[string]logic.ListKind{
-		"delta": logic.ListChanges, "full": logic.ListFull, "cached": logic.ListCached, "failed": logic.ListFailed,
+	listKinds = map[string]scheduler.ListKind{
+		"delta": scheduler.ListChanges, "full": scheduler.ListFull, "cached": scheduler.ListCached, "failed": scheduler.ListFailed,
 	}
-	nodeStates = map[string]logic.NodeState{
-		"in_service": logic.Ready, "terminating": logic.Draining, "terminated": logic.Gone,
+	nodeStates = map[string]scheduler.NodeState{
+		"in_service": scheduler.Ready, "terminating": scheduler.Draining, "terminated": scheduler.Gone,
 	}
 )
 
@@ -197,7 +197,7 @@
 	if f.err != nil {
 		return fmt.Errorf("LIST: %w", f.err)
 	}
-	var nodes []logic.NodeInfo
+	var nodes []scheduler.NodeInfo
 	for range rows {
 		text, err := r.read()
 		if err != nil {
@@ -207,7 +207,7 @@
 		if f.word() != "M" {
 			return fmt.Errorf("LIST: want %d rows, have %.40q after %d", rows, text, len(nodes))
 		}
-		nodes = append(nodes, logic.NodeInfo{Node: f.word(), Zone: f.word(), Kind: f.word(),
+		nodes = append(nodes, scheduler.NodeInfo{Node: f.word(), Zone: f.word(), Kind: f.word(),
 			Shard: f.signed(), State: choose(f, nodeStates), Weight: f.number(), UpSince: f.span()})
 		if f.err != nil {
 			return fmt.Errorf("LIST row: %w", f.err)
@@ -217,10 +217,10 @@
 	return nil
 }
 
-func (r *Reader) membership(f *fields) logic.Event {
-	list := logic.NodeList{Kind: choose(f, listKinds), Version: f.whole(math.MaxUint64)}
+func (r *Reader) membership(f *fields) scheduler.Event {
+	list := scheduler.NodeList{Kind: choose(f, listKinds), Version: f.whole(math.MaxUint64)}
 	sheet := f.word()
-	if list.Kind == logic.ListFailed || f.err != nil {
+	if list.Kind == scheduler.ListFailed || f.err != nil {
 		return list
 	}
 	number, err := strconv.Atoi(sheet)
@@ -322,8 +322,8 @@
 	return data
 }
 
-func (f *fields) load() logic.Load {
-	load := logic.NoLoad
+func (f *fields) load() scheduler.Load {
+	load := scheduler.NoLoad
 	text := f.word()
 	if text == "" {
 		return load
@@ -363,7 +363,7 @@
 }
 
 // settings reads the JSON of a START line.
-func (f *fields) settings(s *logic.Settings) {
+func (f *fields) settings(s *scheduler.Settings) {
 	if f.err != nil {
 		return
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const settings = `{"bounds":{"cancel":true,"maxAttempts":3,"maxRetryAfter":1000000,"peers":true,"novelty":4},` +
@@ -46,34 +46,34 @@
 		t.Fatalf("batch at %v, number %d, %d items", batch.Now, batch.Number, len(batch.Items))
 	}
 	start := batch.Items[0].Start
-	want := logic.Settings{Hosts: 3, Ordinal: 1, Zone: "a", Subscribe: true, MeanUnits: 2, MaxUnits: 8, ColdUnits: 70,
+	want := scheduler.Settings{Hosts: 3, Ordinal: 1, Zone: "a", Subscribe: true, MeanUnits: 2, MaxUnits: 8, ColdUnits: 70,
 		ShareWorth: 0.3, SpareWorth: 0.1,
-		Classes: []logic.Class{{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3,
-			Effect: logic.Keyed, Scope: logic.ScopeShard, Window: 3 * time.Second, Ordered: true}},
-		Plans:  []logic.Plan{{Name: "low", Rate: 5, Reserve: 2.5, Limit: 37, LimitBurst: 60, LimitSlack: 8, Weight: 1, Price: 0.9}},
-		Bounds: logic.Bounds{MaxAttempts: 3, MaxRetryAfter: time.Second, Cancel: true, Peers: true},
-		Rules:  logic.Rules{ColdShare: 0.2, FallTime: 2 * time.Second, BudgetFloor: 3, BudgetRatio: 0.15, BudgetSpan: 5 * time.Second}}
+		Classes: []scheduler.Class{{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3,
+			Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 3 * time.Second, Ordered: true}},
+		Plans:  []scheduler.Plan{{Name: "low", Rate: 5, Reserve: 2.5, Limit: 37, LimitBurst: 60, LimitSlack: 8, Weight: 1, Price: 0.9}},
+		Bounds: scheduler.Bounds{MaxAttempts: 3, MaxRetryAfter: time.Second, Cancel: true, Peers: true},
+		Rules:  scheduler.Rules{ColdShare: 0.2, FallTime: 2 * time.Second, BudgetFloor: 3, BudgetRatio: 0.15, BudgetSpan: 5 * time.Second}}
 	if start.Seed != 77 || !reflect.DeepEqual(start.Settings, want) {
 		t.Errorf("settings are %+v", start.Settings)
 	}
-	load := logic.NoLoad
+	load := scheduler.NoLoad
 	load.Service = 14500 * time.Microsecond
-	busy := logic.NoLoad
+	busy := scheduler.NoLoad
 	busy.Busy, busy.InFlight = 0.5, 7
-	events := []logic.Event{
-		logic.NodeList{Kind: logic.ListCached, Version: 9, Nodes: []logic.NodeInfo{
+	events := []scheduler.Event{
+		scheduler.NodeList{Kind: scheduler.ListCached, Version: 9, Nodes: []scheduler.NodeInfo{
 			{Node: "10.0.0.1:80", Zone: "a", Kind: "std", Shard: 4, Weight: 1.5},
-			{Node: "10.0.0.2:80", Zone: "b", Kind: "std", Shard: 5, State: logic.Draining, Weight: 1, UpSince: 4 * time.Millisecond}}},
-		logic.NodeList{Kind: logic.ListFailed, Version: 9},
-		logic.Request{ID: 12, Class: "put", Plan: "low", Key: "91f03b7c55d20a64", Remaining: 240 * time.Millisecond,
+			{Node: "10.0.0.2:80", Zone: "b", Kind: "std", Shard: 5, State: scheduler.Draining, Weight: 1, UpSince: 4 * time.Millisecond}}},
+		scheduler.NodeList{Kind: scheduler.ListFailed, Version: 9},
+		scheduler.Request{ID: 12, Class: "put", Plan: "low", Key: "91f03b7c55d20a64", Remaining: 240 * time.Millisecond,
 			Volume: "vol", Units: 2.5, Shard: -1, Hosts: 3, Retry: true, Write: true},
-		logic.Timer{Token: 1},
-		logic.ClientGone{ID: 12},
-		logic.ProbeResult{Node: "10.0.0.1:80", Took: 1400 * time.Microsecond, Load: load},
-		logic.PeerMessage{From: 2, Data: []byte("hi 7")},
-		logic.AttemptEnded{ID: 12, Node: "10.0.0.1:80", Outcome: logic.Overloaded, Took: 900 * time.Microsecond,
+		scheduler.Timer{Token: 1},
+		scheduler.ClientGone{ID: 12},
+		scheduler.ProbeResult{Node: "10.0.0.1:80", Took: 1400 * time.Microsecond, Load: load},
+		scheduler.PeerMessage{From: 2, Data: []byte("hi 7")},
+		scheduler.AttemptEnded{ID: 12, Node: "10.0.0.1:80", Outcome: scheduler.Overloaded, Took: 900 * time.Microsecond,
 			Used: 86, Elsewhere: 3.5, Load: busy},
-		logic.AnswerStarted{ID: 12, Node: "10.0.0.1:80", Took: 9250 * time.Microsecond},
+		scheduler.AnswerStarted{ID: 12, Node: "10.0.0.1:80", Took: 9250 * time.Microsecond},
 	}
 	for i, event := range events {
 		if got := batch.Items[i+1].Event; !reflect.DeepEqual(got, event) {
@@ -116,12 +116,12 @@
 func TestWriterWritesEachAction(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	for _, action := range []logic.Action{
-		logic.Send{ID: 1, Node: "a:1", Timeout: 80 * time.Millisecond}, logic.Send{ID: 1, Node: "a:1"},
-		logic.Refuse{ID: 2, After: time.Second}, logic.Refuse{ID: 2}, logic.Fail{ID: 3}, logic.Cancel{ID: 4, Attempt: 2},
-		logic.Probe{Node: "a:1"}, logic.Tell{Peer: logic.AllPeers, Data: []byte("hi 7")}, logic.Tell{Peer: 2},
-		logic.SetTimer{Token: 7, After: time.Millisecond}, logic.Watch{On: true}, logic.Watch{}, logic.FetchList{},
-		logic.CloseIdle{Node: "a:1"}, logic.Log{Text: "one\nline"},
+	for _, action := range []scheduler.Action{
+		scheduler.Send{ID: 1, Node: "a:1", Timeout: 80 * time.Millisecond}, scheduler.Send{ID: 1, Node: "a:1"},
+		scheduler.Refuse{ID: 2, After: time.Second}, scheduler.Refuse{ID: 2}, scheduler.Fail{ID: 3}, scheduler.Cancel{ID: 4, Attempt: 2},
+		scheduler.Probe{Node: "a:1"}, scheduler.Tell{Peer: scheduler.AllPeers, Data: []byte("hi 7")}, scheduler.Tell{Peer: 2},
+		scheduler.SetTimer{Token: 7, After: time.Millisecond}, scheduler.Watch{On: true}, scheduler.Watch{}, scheduler.FetchList{},
+		scheduler.CloseIdle{Node: "a:1"}, scheduler.Log{Text: "one\nline"},
 	} {
 		if err := w.Act("g", action); err != nil {
 			t.Fatal(err)
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -14,24 +14,24 @@
 	"github.com/go-chi/chi/v5"
 
 	"junctionwharf/broker"
-	"junctionwharf/logic"
 	"junctionwharf/middleware"
+	"junctionwharf/scheduler"
 )
 
 func newLoop(ctx context.Context) *broker.Loop {
-	class := func(name string, e logic.Effect) logic.Class {
-		return logic.Class{Name: name, Aim: 400 * time.Millisecond, Deadline: 500 * time.Millisecond, Worth: 1, Effect: e}
+	class := func(name string, e scheduler.Effect) scheduler.Class {
+		return scheduler.Class{Name: name, Aim: 400 * time.Millisecond, Deadline: 500 * time.Millisecond, Worth: 1, Effect: e}
 	}
-	state, err := broker.NewState(logic.Settings{Hosts: 1, MeanUnits: 1, MaxUnits: 8,
-		Classes: []logic.Class{class("read", logic.Safe), class("write", logic.Unsafe)},
-		Plans:   []logic.Plan{{Name: "plan", Rate: 100, Reserve: 100, Weight: 1, Price: 1}},
-		Bounds:  logic.Bounds{MaxAttempts: 3, MaxRetryAfter: 5 * time.Second, RetryAfter: true, Cancel: true}}, 1)
+	state, err := broker.NewState(scheduler.Settings{Hosts: 1, MeanUnits: 1, MaxUnits: 8,
+		Classes: []scheduler.Class{class("read", scheduler.Safe), class("write", scheduler.Unsafe)},
+		Plans:   []scheduler.Plan{{Name: "plan", Rate: 100, Reserve: 100, Weight: 1, Price: 1}},
+		Bounds:  scheduler.Bounds{MaxAttempts: 3, MaxRetryAfter: 5 * time.Second, RetryAfter: true, Cancel: true}}, 1)
 	if err != nil {
 		panic(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{})
-	loop.Post(broker.Listed{Kind: logic.ListFull, Nodes: []broker.Node{
-		{NodeInfo: logic.NodeInfo{Node: "n1"}, Address: "192.0.2.1:80"}}})
+	loop.Post(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{
+		{NodeInfo: scheduler.NodeInfo{Node: "n1"}, Address: "192.0.2.1:80"}}})
 	go loop.Run(ctx)
 	return loop
 }
--- a/node/agreement/agreement_test.go
+++ b/node/agreement/agreement_test.go
@@ -12,7 +12,7 @@
 
 	"junctionwharf/agree"
 	"junctionwharf/broker"
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 var limits = map[string]float64{"gold": 100}
@@ -85,24 +85,24 @@
 // The core acts on its settings and on what is agreed, whichever is less; without a lease on the floors; and a class that the document
 // does not know may not be repeated.
 func TestEffective(t *testing.T) {
-	set := logic.Settings{Classes: []logic.Class{{Name: "read"}, {Name: "write", Effect: logic.Unsafe}, {Name: "new"}},
-		Plans: []logic.Plan{{Name: "gold", Limit: 900}, {Name: "free", Limit: 70}, {Name: "all"}}}
+	set := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Effect: scheduler.Unsafe}, {Name: "new"}},
+		Plans: []scheduler.Plan{{Name: "gold", Limit: 900}, {Name: "free", Limit: 70}, {Name: "all"}}}
 	timing := agree.Timing{Lease: 1000, Drift: 500}
 	h := agree.NewHolder("h", 1, timing, rulesOf(limits))
 	r := h.Renew(10)
-	doc := document(t, changesTo(&agree.Document{}, valuesOf(logic.Settings{Classes: set.Classes[:2], Plans: set.Plans}, limits))...)
+	doc := document(t, changesTo(&agree.Document{}, valuesOf(scheduler.Settings{Classes: set.Classes[:2], Plans: set.Plans}, limits))...)
 	if !h.Granted(20, agree.Grant{Holder: "h", Number: r.Number, Life: 1, Epoch: 5, Term: 1, Whole: doc}) {
 		t.Fatal("not granted")
 	}
 	got := effective(set, limits, h.View(30))
-	if got.Classes[0].Effect != logic.Safe || got.Classes[1].Effect != logic.Unsafe || got.Classes[2].Effect != logic.Unsafe || got.Plans[0].Limit != 900 || got.Plans[1].Limit != 70 {
+	if got.Classes[0].Effect != scheduler.Safe || got.Classes[1].Effect != scheduler.Unsafe || got.Classes[2].Effect != scheduler.Unsafe || got.Plans[0].Limit != 900 || got.Plans[1].Limit != 70 {
 		t.Errorf("%+v", got)
 	}
 	got = effective(set, limits, h.View(1010))
-	if got.Classes[0].Effect != logic.Unsafe || got.Plans[0].Limit != 100 || got.Plans[1].Limit != 70 || got.Plans[2].Limit != 0 {
+	if got.Classes[0].Effect != scheduler.Unsafe || got.Plans[0].Limit != 100 || got.Plans[1].Limit != 70 || got.Plans[2].Limit != 0 {
 		t.Errorf("without a lease: %+v", got)
 	}
-	if set.Classes[0].Effect != logic.Safe || set.Plans[0].Limit != 900 {
+	if set.Classes[0].Effect != scheduler.Safe || set.Plans[0].Limit != 900 {
 		t.Error("the broker's own settings were changed")
 	}
 }
@@ -110,27 +110,27 @@
 // What discovery says to leave leaves at once; what is agreed to leave leaves though discovery says that it serves, and comes back as
 // discovery has it.
 func TestList(t *testing.T) {
-	node := func(host string, state logic.NodeState) broker.Node {
-		return broker.Node{NodeInfo: logic.NodeInfo{Node: host, State: state}}
+	node := func(host string, state scheduler.NodeState) broker.Node {
+		return broker.Node{NodeInfo: scheduler.NodeInfo{Node: host, State: state}}
 	}
 	l := newList()
-	l.news(broker.Listed{Kind: logic.ListFull, Nodes: []broker.Node{node("a", logic.Ready), node("b", logic.Ready)}})
-	if changed := l.agree(map[string]bool{"a": true, "x": true}); len(changed) != 1 || changed[0].State != logic.Draining || changed[0].Node != "a" {
+	l.news(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Ready)}})
+	if changed := l.agree(map[string]bool{"a": true, "x": true}); len(changed) != 1 || changed[0].State != scheduler.Draining || changed[0].Node != "a" {
 		t.Errorf("%+v", changed)
 	}
-	shown, leave, stay := l.news(broker.Listed{Kind: logic.ListChanges, Nodes: []broker.Node{node("a", logic.Ready), node("b", logic.Draining)}})
-	if shown.Nodes[0].State != logic.Draining || shown.Nodes[1].State != logic.Draining || !slices.Equal(leave, []string{"b"}) || len(stay) > 0 {
+	shown, leave, stay := l.news(broker.Listed{Kind: scheduler.ListChanges, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Draining)}})
+	if shown.Nodes[0].State != scheduler.Draining || shown.Nodes[1].State != scheduler.Draining || !slices.Equal(leave, []string{"b"}) || len(stay) > 0 {
 		t.Errorf("%+v, %v, %v", shown, leave, stay)
 	}
-	if changed := l.agree(nil); len(changed) != 1 || changed[0].State != logic.Ready {
+	if changed := l.agree(nil); len(changed) != 1 || changed[0].State != scheduler.Ready {
 		t.Errorf("%+v", changed)
 	}
-	shown, leave, stay = l.news(broker.Listed{Kind: logic.ListChanges, Nodes: []broker.Node{node("b", logic.Ready), node("a", logic.Gone)}})
-	if shown.Nodes[1].State != logic.Gone || len(leave) > 0 || !slices.Equal(stay, []string{"b", "a"}) {
+	shown, leave, stay = l.news(broker.Listed{Kind: scheduler.ListChanges, Nodes: []broker.Node{node("b", scheduler.Ready), node("a", scheduler.Gone)}})
+	if shown.Nodes[1].State != scheduler.Gone || len(leave) > 0 || !slices.Equal(stay, []string{"b", "a"}) {
 		t.Errorf("%+v, %v, %v", shown, leave, stay)
 	}
 	l.agree(map[string]bool{"b": true})
-	l.news(broker.Listed{Kind: logic.ListFull, Nodes: []broker.Node{node("c", logic.Ready)}})
+	l.news(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{node("c", scheduler.Ready)}})
 	if changed := l.agree(map[string]bool{"b": true}); len(changed) > 0 || !reflect.DeepEqual(l.shown, map[string]bool{}) {
 		t.Errorf("%+v, %v", changed, l.shown)
 	}
--- a/node/agreement/golden_test.go
+++ b/node/agreement/golden_test.go
@@ -16,8 +16,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"junctionwharf/agree"
-	"junctionwharf/logic"
 	"junctionwharf/node/consensus"
+	"junctionwharf/scheduler"
 )
 
 // recordGolden writes the golden files again. Do so only for a change of the format that is meant, with a way to talk to older brokers.
@@ -259,7 +259,7 @@
 // Two brokers agree only if they have set lease, limits and members alike; each says what it has set as one text, which both compare.
 func TestGoldenTerms(t *testing.T) {
 	s, err := New(Options{Name: "n", Timing: agree.DefaultTiming, Limits: map[string]float64{"gold": 100, "free": 2.5},
-		Members: []Member{{"v0", "127.0.0.1:1"}, {"v1", "127.0.0.1:2"}}}, logic.Settings{}, nil, nil)
+		Members: []Member{{"v0", "127.0.0.1:1"}, {"v1", "127.0.0.1:2"}}}, scheduler.Settings{}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/agreement/service.go
+++ b/node/agreement/service.go
@@ -27,8 +27,8 @@
 
 	"junctionwharf/agree"
 	"junctionwharf/broker"
-	"junctionwharf/logic"
 	"junctionwharf/node/consensus"
+	"junctionwharf/scheduler"
 )
 
 // Member is a broker that votes.
@@ -92,7 +92,7 @@
 
 	mu     sync.Mutex // of what the core's turn looks at
 	holder *agree.Holder
-	set    logic.Settings
+	set    scheduler.Settings
 	list   *list
 	acts   sign
 	turned agree.Micros // when it turned last
@@ -140,7 +140,7 @@
 }
 
 // New returns a service that listens, and takes part once it runs.
-func New(o Options, set logic.Settings, post func(broker.Event), wake func()) (*Service, error) {
+func New(o Options, set scheduler.Settings, post func(broker.Event), wake func()) (*Service, error) {
 	s := &Service{o: o, rules: rulesOf(o.Limits), votes: o.member(o.Name), calls: make(chan func(), mostCalls),
 		done: make(chan struct{}), wake: wake, post: post, set: set, list: newList(), random: rand.New(rand.NewPCG(o.Seed, uint64(time.Now().UnixNano()))),
 		ids: map[uint64]string{}, dialed: map[string]*link{}, voters: map[string]*link{}, children: map[string]*link{}, routes: map[string]route{},
@@ -208,7 +208,7 @@
 	s.o.Log.Info("acts", "epoch", is.epoch, "version", is.version, "preparing", is.preparing, "restricted", is.restricted, "before_us", now-last)
 	events := []broker.Event{broker.Retuned{Settings: effective(s.set, s.o.Limits, view)}}
 	if nodes := s.drains(view); len(nodes) > 0 {
-		events = append(events, broker.Listed{Kind: logic.ListChanges, Nodes: nodes})
+		events = append(events, broker.Listed{Kind: scheduler.ListChanges, Nodes: nodes})
 	}
 	return events
 }
@@ -229,7 +229,7 @@
 }
 
 // Settings goes over to a settings file that was read again. What it says of agreed keys becomes a proposal; all else counts at once.
-func (s *Service) Settings(set logic.Settings) {
+func (s *Service) Settings(set scheduler.Settings) {
 	s.mu.Lock()
 	s.set, s.since = set, 0 // the next turn brings it
 	s.mu.Unlock()
--- a/node/agreement/settings.go
+++ b/node/agreement/settings.go
@@ -9,8 +9,8 @@
 
 	"junctionwharf/agree"
 	"junctionwharf/broker"
-	"junctionwharf/logic"
 	"junctionwharf/node/consensus"
+	"junctionwharf/scheduler"
 )
 
 // The keys of the document:
@@ -51,11 +51,11 @@
 }
 
 // valuesOf is what settings say of keys of the document.
-func valuesOf(set logic.Settings, limits map[string]float64) map[string]string {
+func valuesOf(set scheduler.Settings, limits map[string]float64) map[string]string {
 	values := map[string]string{}
 	for _, c := range set.Classes {
 		values[classKey+c.Name+repeatKey] = "yes"
-		if c.Effect == logic.Unsafe {
+		if c.Effect == scheduler.Unsafe {
 			values[classKey+c.Name+repeatKey] = "no"
 		}
 	}
@@ -79,11 +79,11 @@
 }
 
 // effective is what a broker acts on: its settings, and of what is agreed the view. Limits of a plan that nothing is agreed on stand.
-func effective(set logic.Settings, limits map[string]float64, view agree.View) logic.Settings {
+func effective(set scheduler.Settings, limits map[string]float64, view agree.View) scheduler.Settings {
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	for i := range set.Classes {
 		if c := &set.Classes[i]; view.Value(classKey+c.Name+repeatKey) != "yes" {
-			c.Effect = logic.Unsafe
+			c.Effect = scheduler.Unsafe
 		}
 	}
 	for i := range set.Plans {
@@ -124,10 +124,10 @@
 
 // news lays what is agreed over what discovery says, and tells which hosts discovery now says to leave, or no longer says so.
 func (l *list) news(e broker.Listed) (shown broker.Listed, leave, stay []string) {
-	if e.Kind == logic.ListFailed {
+	if e.Kind == scheduler.ListFailed {
 		return e, nil, nil
 	}
-	if e.Kind != logic.ListChanges {
+	if e.Kind != scheduler.ListChanges {
 		for host := range l.nodes {
 			if !slices.ContainsFunc(e.Nodes, func(n broker.Node) bool { return n.Node == host }) {
 				delete(l.nodes, host)
@@ -140,19 +140,19 @@
 	for i, n := range e.Nodes {
 		old, known := l.nodes[n.Node]
 		switch {
-		case n.State == logic.Gone:
+		case n.State == scheduler.Gone:
 			delete(l.nodes, n.Node)
 			delete(l.shown, n.Node)
 			stay = append(stay, n.Node) // nothing is to be said of it any more
 			continue
-		case n.State == logic.Draining && (!known || old.State != n.State):
+		case n.State == scheduler.Draining && (!known || old.State != n.State):
 			leave = append(leave, n.Node)
-		case n.State == logic.Ready && known && old.State == logic.Draining:
+		case n.State == scheduler.Ready && known && old.State == scheduler.Draining:
 			stay = append(stay, n.Node)
 		}
 		l.nodes[n.Node] = n
-		if l.agreed[n.Node] && n.State == logic.Ready {
-			shown.Nodes[i].State = logic.Draining
+		if l.agreed[n.Node] && n.State == scheduler.Ready {
+			shown.Nodes[i].State = scheduler.Draining
 			l.shown[n.Node] = true
 		} else {
 			delete(l.shown, n.Node)
@@ -167,13 +167,13 @@
 		l.agreed[host] = true
 	}
 	n, known := l.nodes[host]
-	want := known && leaves && n.State == logic.Ready
+	want := known && leaves && n.State == scheduler.Ready
 	if !known || want == l.shown[host] {
 		return nil
 	}
 	if delete(l.shown, host); want {
 		l.shown[host] = true
-		n.State = logic.Draining
+		n.State = scheduler.Draining
 	}
 	return []broker.Node{n}
 }
--- a/logic/checker_test.go
+++ b/scheduler/checker_test.go
@@ -1,33 +1,33 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
 	"math"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // checker watches the events and actions of one gateway and records each broken rule. What counts
 // over all gateways (limit, cold node) is checked against this gateway's even part of the figure.
 type checker struct {
-	set      logic.Settings
-	now      logic.Time
+	set      scheduler.Settings
+	now      scheduler.Time
 	broken   []string
 	requests map[uint64]*watched
 	order    []*watched
 	keys     map[string][]*watched // requests of ordered classes, by key
 	nodes    map[string]*listed
-	takenAt  []logic.Time
-	extraAt  []logic.Time
+	takenAt  []scheduler.Time
+	extraAt  []scheduler.Time
 	limits   map[string]*part
-	quiet    map[string]logic.Time
+	quiet    map[string]scheduler.Time
 }
 
 type watched struct {
-	logic.Request
-	class    logic.Class
-	deadline logic.Time
+	scheduler.Request
+	class    scheduler.Class
+	deadline scheduler.Time
 	answers  int
 	over     bool
 	attempts []*tried
@@ -36,68 +36,68 @@
 
 type tried struct {
 	node    string
-	at      logic.Time
+	at      scheduler.Time
 	ended   bool
-	outcome logic.Outcome
+	outcome scheduler.Outcome
 }
 
 func (t *tried) mayHaveRun() bool {
 	if !t.ended {
 		return true
 	}
-	return t.outcome != logic.Overloaded && t.outcome != logic.Unreachable && t.outcome != logic.Void
+	return t.outcome != scheduler.Overloaded && t.outcome != scheduler.Unreachable && t.outcome != scheduler.Void
 }
 
 type listed struct {
-	logic.NodeInfo
-	leftAt logic.Time // when the gateway was told that it leaves, -1 if it was not
-	bornAt logic.Time // when it started as far as told, -1 for long ago
-	sends  []load     // units above zero were sent, below zero served
+	scheduler.NodeInfo
+	leftAt scheduler.Time // when the gateway was told that it leaves, -1 if it was not
+	bornAt scheduler.Time // when it started as far as told, -1 for long ago
+	sends  []load         // units above zero were sent, below zero served
 }
 
 type load struct {
-	at    logic.Time
+	at    scheduler.Time
 	units float64
 }
 
 type part struct {
 	left float64
-	at   logic.Time
+	at   scheduler.Time
 }
 
-func newChecker(set logic.Settings) *checker {
+func newChecker(set scheduler.Settings) *checker {
 	return &checker{set: set, requests: map[uint64]*watched{}, keys: map[string][]*watched{}, nodes: map[string]*listed{},
-		limits: map[string]*part{}, quiet: map[string]logic.Time{}}
+		limits: map[string]*part{}, quiet: map[string]scheduler.Time{}}
 }
 
 func (c *checker) breaks(rule, format string, args ...any) {
 	c.broken = append(c.broken, rule+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) class(name string) logic.Class {
+func (c *checker) class(name string) scheduler.Class {
 	for _, class := range c.set.Classes {
 		if class.Name == name {
 			return class
 		}
 	}
-	return logic.Class{}
+	return scheduler.Class{}
 }
 
-func (c *checker) plan(name string) logic.Plan {
+func (c *checker) plan(name string) scheduler.Plan {
 	for _, plan := range c.set.Plans {
 		if plan.Name == name {
 			return plan
 		}
 	}
-	return logic.Plan{}
+	return scheduler.Plan{}
 }
 
 // see takes the events of a batch before the gateway acts.
-func (c *checker) see(now logic.Time, events []logic.Event) {
+func (c *checker) see(now scheduler.Time, events []scheduler.Event) {
 	c.now = now
 	for _, event := range events {
 		switch e := event.(type) {
-		case logic.Request:
+		case scheduler.Request:
 			r := &watched{Request: e, class: c.class(e.Class), deadline: now + e.Remaining}
 			c.requests[e.ID] = r
 			c.order = append(c.order, r)
@@ -105,19 +105,19 @@
 				c.keys[e.Key] = append(c.keys[e.Key], r)
 			}
 			c.takenAt = append(c.takenAt, now)
-		case logic.ClientGone:
+		case scheduler.ClientGone:
 			if r := c.requests[e.ID]; r != nil && !r.over {
 				r.over = true
 			}
-		case logic.AttemptEnded:
+		case scheduler.AttemptEnded:
 			c.seeEnd(e)
-		case logic.NodeList:
+		case scheduler.NodeList:
 			c.seeList(e)
 		}
 	}
 }
 
-func (c *checker) seeEnd(e logic.AttemptEnded) {
+func (c *checker) seeEnd(e scheduler.AttemptEnded) {
 	r := c.requests[e.ID]
 	if r == nil || e.Attempt >= len(r.attempts) {
 		return
@@ -130,16 +130,16 @@
 	}
 	if !r.class.Ordered {
 		// its key is in no order
-	} else if e.Outcome == logic.TimedOut || e.Outcome == logic.Broken || e.Outcome == logic.Withdrawn {
+	} else if e.Outcome == scheduler.TimedOut || e.Outcome == scheduler.Broken || e.Outcome == scheduler.Withdrawn {
 		c.quiet[r.Key] = max(c.quiet[r.Key], c.now+c.set.Rules.KeyQuiet)
 	}
-	if n := c.nodes[t.node]; n != nil && e.Outcome == logic.Success && t.at >= n.bornAt {
+	if n := c.nodes[t.node]; n != nil && e.Outcome == scheduler.Success && t.at >= n.bornAt {
 		n.sends = append(n.sends, load{c.now, -r.Units})
 	}
 }
 
-func (c *checker) seeList(e logic.NodeList) {
-	if e.Kind == logic.ListFailed {
+func (c *checker) seeList(e scheduler.NodeList) {
+	if e.Kind == scheduler.ListFailed {
 		return
 	}
 	named := map[string]bool{}
@@ -154,28 +154,28 @@
 		if info.UpSince > 0 {
 			n.bornAt = info.UpSince
 		}
-		if info.State == logic.Ready {
+		if info.State == scheduler.Ready {
 			n.leftAt = -1
 		} else if n.leftAt < 0 {
 			n.leftAt = c.now
 		}
 	}
 	for id, n := range c.nodes {
-		if e.Kind != logic.ListChanges && !named[id] && n.leftAt < 0 {
+		if e.Kind != scheduler.ListChanges && !named[id] && n.leftAt < 0 {
 			n.leftAt = c.now
 		}
 	}
 }
 
 // act checks the actions of a batch.
-func (c *checker) act(actions []logic.Action) {
+func (c *checker) act(actions []scheduler.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Send:
+		case scheduler.Send:
 			c.send(a)
-		case logic.Refuse:
+		case scheduler.Refuse:
 			c.answer(a.ID, true)
-		case logic.Fail:
+		case scheduler.Fail:
 			c.answer(a.ID, false)
 		}
 	}
@@ -201,7 +201,7 @@
 	}
 	r.over = true
 	r.answers++
-	if refusal && r.class.Effect != logic.Safe && !(r.class.Effect == logic.Keyed && r.class.Scope == logic.ScopeAll) {
+	if refusal && r.class.Effect != scheduler.Safe && !(r.class.Effect == scheduler.Keyed && r.class.Scope == scheduler.ScopeAll) {
 		for _, t := range r.attempts {
 			if t.mayHaveRun() {
 				c.breaks("twice", "request %d is refused though it may have run", id)
@@ -211,7 +211,7 @@
 	}
 }
 
-func (c *checker) send(a logic.Send) {
+func (c *checker) send(a scheduler.Send) {
 	r, n := c.requests[a.ID], c.nodes[a.Node]
 	switch {
 	case r == nil || r.over:
@@ -247,12 +247,12 @@
 		}
 		first := c.nodes[t.node]
 		switch {
-		case r.class.Effect == logic.Unsafe:
+		case r.class.Effect == scheduler.Unsafe:
 			c.breaks("twice", "unsafe request %d is sent again", r.ID)
-		case r.class.Effect != logic.Keyed:
+		case r.class.Effect != scheduler.Keyed:
 		case c.now > t.at+r.class.Window:
 			c.breaks("twice", "keyed request %d is sent after its window", r.ID)
-		case r.class.Scope == logic.ScopeZone && first.Zone != n.Zone, r.class.Scope == logic.ScopeShard && first.Shard != n.Shard:
+		case r.class.Scope == scheduler.ScopeZone && first.Zone != n.Zone, r.class.Scope == scheduler.ScopeShard && first.Shard != n.Shard:
 			c.breaks("twice", "keyed request %d leaves its group", r.ID)
 		}
 		return
@@ -286,7 +286,7 @@
 		return
 	}
 	c.extraAt = append(c.extraAt, c.now)
-	within := func(times []logic.Time) (n float64) {
+	within := func(times []scheduler.Time) (n float64) {
 		for _, at := range times {
 			if c.now-at < span {
 				n++
@@ -339,7 +339,7 @@
 }
 
 // finish asks that nothing is owed any more.
-func (c *checker) finish(at logic.Time) {
+func (c *checker) finish(at scheduler.Time) {
 	c.now = at
 	c.act(nil)
 	for _, r := range c.requests {
@@ -349,4 +349,4 @@
 	}
 }
 
-const second = logic.Time(time.Second)
+const second = scheduler.Time(time.Second)
--- a/logic/decision_text_test.go
+++ b/scheduler/decision_text_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -7,35 +7,35 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // actionText writes an action in words that do not depend on the names of Go types and fields, so that a renamed type is
 // no other decision. Each kind has a fixed word, and each field a fixed key; times are whole nanoseconds, bytes are hexadecimal.
-func actionText(t testing.TB, action logic.Action) string {
+func actionText(t testing.TB, action scheduler.Action) string {
 	t.Helper()
 	switch a := action.(type) {
-	case logic.Send:
+	case scheduler.Send:
 		return fmt.Sprintf("send id=%d node=%q timeout=%d", a.ID, a.Node, int64(a.Timeout))
-	case logic.Refuse:
+	case scheduler.Refuse:
 		return fmt.Sprintf("reject id=%d after=%d", a.ID, int64(a.After))
-	case logic.Fail:
+	case scheduler.Fail:
 		return fmt.Sprintf("fail id=%d", a.ID)
-	case logic.Cancel:
+	case scheduler.Cancel:
 		return fmt.Sprintf("cancel id=%d attempt=%d", a.ID, a.Attempt)
-	case logic.Probe:
+	case scheduler.Probe:
 		return fmt.Sprintf("probe node=%q", a.Node)
-	case logic.Tell:
+	case scheduler.Tell:
 		return fmt.Sprintf("tell peer=%d data=%x", a.Peer, a.Data)
-	case logic.SetTimer:
+	case scheduler.SetTimer:
 		return fmt.Sprintf("timer token=%d after=%d", a.Token, int64(a.After))
-	case logic.Watch:
+	case scheduler.Watch:
 		return fmt.Sprintf("watch on=%t", a.On)
-	case logic.FetchList:
+	case scheduler.FetchList:
 		return "fetch"
-	case logic.CloseIdle:
+	case scheduler.CloseIdle:
 		return fmt.Sprintf("close-idle node=%q", a.Node)
-	case logic.Log:
+	case scheduler.Log:
 		return fmt.Sprintf("log text=%q", a.Text)
 	}
 	t.Fatalf("an action without a text: %T", action)
@@ -45,8 +45,8 @@
 // A field that the text leaves out could change without a red test. So each field of each kind of action has a key, and
 // another value of it another text.
 func TestDecisionsTextCoversFields(t *testing.T) {
-	kinds := []logic.Action{logic.Send{}, logic.Refuse{}, logic.Fail{}, logic.Cancel{}, logic.Probe{}, logic.Tell{}, logic.SetTimer{},
-		logic.Watch{}, logic.FetchList{}, logic.CloseIdle{}, logic.Log{}}
+	kinds := []scheduler.Action{scheduler.Send{}, scheduler.Refuse{}, scheduler.Fail{}, scheduler.Cancel{}, scheduler.Probe{}, scheduler.Tell{}, scheduler.SetTimer{},
+		scheduler.Watch{}, scheduler.FetchList{}, scheduler.CloseIdle{}, scheduler.Log{}}
 	words := map[string]bool{}
 	for _, kind := range kinds {
 		zero := actionText(t, kind)
@@ -62,7 +62,7 @@
 		for i := range fields {
 			changed := reflect.New(reflect.TypeOf(kind)).Elem()
 			setOther(t, changed.Field(i))
-			if text := actionText(t, changed.Interface().(logic.Action)); text == zero {
+			if text := actionText(t, changed.Interface().(scheduler.Action)); text == zero {
 				t.Errorf("%T: field %d does not show in %s", kind, i, text)
 			}
 		}
--- a/logic/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // decisionSeeds is how many streams are always played.
@@ -42,80 +42,80 @@
 	set.Hosts, set.Bounds.Peers, set.Bounds.RetryAfter, set.Bounds.Cancel = 1+rng.IntN(4), true, rng.IntN(2) == 0, true
 	sum := fnv.New64a()
 	var q fleetQueue
-	var now logic.Time = 100 * second
+	var now scheduler.Time = 100 * second
 	count, id := 0, uint64(0)
-	later := func(after time.Duration, e logic.Event) {
+	later := func(after time.Duration, e scheduler.Event) {
 		count++
 		heap.Push(&q, fleetEvent{now + after, count, 0, e})
 	}
 	shards := 1 + rng.IntN(30)
-	nodes := make([]logic.NodeInfo, min(60, shards+rng.IntN(shards+1)))
+	nodes := make([]scheduler.NodeInfo, min(60, shards+rng.IntN(shards+1)))
 	if single {
 		nodes = nodes[:shards]
 	}
-	speed, freeAt := map[string]time.Duration{}, map[string]logic.Time{}
+	speed, freeAt := map[string]time.Duration{}, map[string]scheduler.Time{}
 	name := 0
-	fresh := func(shard int) logic.NodeInfo {
+	fresh := func(shard int) scheduler.NodeInfo {
 		name++
-		n := logic.NodeInfo{Node: fmt.Sprint("n", name), Shard: shard, Zone: string(rune('a' + rng.IntN(2)))}
+		n := scheduler.NodeInfo{Node: fmt.Sprint("n", name), Shard: shard, Zone: string(rune('a' + rng.IntN(2)))}
 		speed[n.Node] = time.Duration(1+rng.IntN(20)) * ms
 		return n
 	}
 	for i := range nodes {
 		nodes[i] = fresh(i % shards)
 	}
-	var g *logic.Gateway
+	var g *scheduler.Gateway
 	begin := func() {
 		var err error
-		if g, err = logic.New(set, seed); err != nil {
+		if g, err = scheduler.New(set, seed); err != nil {
 			t.Fatal(err)
 		}
 		q = nil
-		later(0, logic.NodeList{Kind: logic.ListFull, Version: 1, Nodes: append([]logic.NodeInfo(nil), nodes...)})
+		later(0, scheduler.NodeList{Kind: scheduler.ListFull, Version: 1, Nodes: append([]scheduler.NodeInfo(nil), nodes...)})
 	}
 	begin()
 	open := map[uint64]time.Duration{}
 	attempts := map[uint64]int{}
-	step := func(events ...logic.Event) {
+	step := func(events ...scheduler.Event) {
 		for _, action := range g.Step(now, events) {
 			fmt.Fprintf(sum, "%d %s\n", now, actionText(t, action))
 			switch a := action.(type) {
-			case logic.SetTimer:
-				later(a.After, logic.Timer{Token: a.Token})
-			case logic.Refuse:
+			case scheduler.SetTimer:
+				later(a.After, scheduler.Timer{Token: a.Token})
+			case scheduler.Refuse:
 				refusals++
 				delete(open, a.ID)
-			case logic.Fail:
+			case scheduler.Fail:
 				delete(open, a.ID)
-			case logic.Send:
+			case scheduler.Send:
 				sends++
 				freeAt[a.Node] = max(freeAt[a.Node], now) + time.Duration(float64(speed[a.Node])*(0.5+rng.Float64()))
 				if rng.IntN(200) == 0 {
 					freeAt[a.Node] += 200 * ms
 				}
-				outcome := logic.Success
+				outcome := scheduler.Success
 				switch rng.IntN(60) {
 				case 0:
-					outcome = logic.Overloaded
+					outcome = scheduler.Overloaded
 				case 1:
-					outcome = logic.Unreachable
+					outcome = scheduler.Unreachable
 				case 2:
-					outcome = logic.Broken
+					outcome = scheduler.Broken
 				}
 				took := freeAt[a.Node] - now
 				if a.Timeout > 0 && took > a.Timeout {
-					took, outcome = a.Timeout, logic.TimedOut
+					took, outcome = a.Timeout, scheduler.TimedOut
 				}
 				_, waits := open[a.ID]
-				if outcome == logic.Success {
+				if outcome == scheduler.Success {
 					delete(open, a.ID)
 				}
-				later(took, logic.AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Node: a.Node, Outcome: outcome, Took: took,
-					Finished: outcome == logic.Success || !waits, Used: rng.IntN(200), Load: logic.NoLoad})
+				later(took, scheduler.AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Node: a.Node, Outcome: outcome, Took: took,
+					Finished: outcome == scheduler.Success || !waits, Used: rng.IntN(200), Load: scheduler.NoLoad})
 				attempts[a.ID]++
-			case logic.Tell:
+			case scheduler.Tell:
 				if rng.IntN(2) == 0 {
-					later(time.Duration(rng.IntN(20))*ms, logic.PeerMessage{From: (set.Ordinal + 1) % set.Hosts, Data: a.Data})
+					later(time.Duration(rng.IntN(20))*ms, scheduler.PeerMessage{From: (set.Ordinal + 1) % set.Hosts, Data: a.Data})
 				}
 			}
 		}
@@ -126,7 +126,7 @@
 	for end := now + 6*second; now < end; {
 		if len(q) > 0 && q[0].at <= next {
 			now = q[0].at
-			var events []logic.Event
+			var events []scheduler.Event
 			for len(q) > 0 && q[0].at <= now {
 				events = append(events, heap.Pop(&q).(fleetEvent).event)
 			}
@@ -146,18 +146,18 @@
 		case k == 0: // a node drains, and another takes its place
 			i := rng.IntN(len(nodes))
 			old := nodes[i]
-			old.State = logic.Draining
+			old.State = scheduler.Draining
 			nodes[i] = fresh(old.Shard)
 			nodes[i].UpSince = now
 			gone := old
-			gone.State = logic.Gone
-			later(time.Duration(rng.IntN(2000))*ms, logic.NodeList{Kind: logic.ListChanges, Nodes: []logic.NodeInfo{gone}})
-			step(logic.NodeList{Kind: logic.ListChanges, Nodes: []logic.NodeInfo{old, nodes[i]}})
+			gone.State = scheduler.Gone
+			later(time.Duration(rng.IntN(2000))*ms, scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{gone}})
+			step(scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{old, nodes[i]}})
 		case k == 1:
-			step(logic.NodeList{Kind: logic.ListFull, Nodes: append([]logic.NodeInfo(nil), nodes...)})
+			step(scheduler.NodeList{Kind: scheduler.ListFull, Nodes: append([]scheduler.NodeInfo(nil), nodes...)})
 		case k == 2:
 			set.Plans[0].Reserve = 1 + float64(rng.IntN(30))
-			step(logic.Retuned{Settings: set})
+			step(scheduler.Retuned{Settings: set})
 		case k == 3 && seed%5 == 0:
 			begin()
 			clear(open)
@@ -167,7 +167,7 @@
 					one = min(one, other)
 				}
 				delete(open, one)
-				step(logic.ClientGone{ID: one})
+				step(scheduler.ClientGone{ID: one})
 				break
 			}
 		default:
@@ -178,7 +178,7 @@
 			}
 			class := set.Classes[rng.IntN(len(set.Classes))]
 			open[id] = class.Deadline
-			step(logic.Request{ID: id, Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", rng.IntN(500)),
+			step(scheduler.Request{ID: id, Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", rng.IntN(500)),
 				Units: float64(1 + rng.IntN(8)), Shard: rng.IntN(shards), Hosts: 1 + volume%set.Hosts, Remaining: class.Deadline, Retry: rng.IntN(20) == 0})
 		}
 	}
--- /dev/null
+++ b/scheduler/example_test.go
@@ -0,0 +1,46 @@
+package scheduler_test
+
+import (
+	"fmt"
+	"time"
+
+	"junctionwharf/scheduler"
+)
+
+// A gateway takes a request, sends it and is told that it was served.
+func Example() {
+	settings := scheduler.Settings{
+		Hosts: 1, MeanUnits: 2, MaxUnits: 8,
+		Classes: []scheduler.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
+		Plans:   []scheduler.Plan{{Name: "basic", Rate: 10, Reserve: 10, Weight: 1, Price: 1}},
+	}
+	gateway, err := scheduler.New(settings, 42)
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	show := func(actions []scheduler.Action) {
+		for _, action := range actions {
+			switch a := action.(type) {
+			case scheduler.SetTimer:
+			case scheduler.Send:
+				fmt.Printf("send request %d to %s, timeout %s\n", a.ID, a.Node, a.Timeout)
+			default:
+				fmt.Printf("%T %+v\n", a, a)
+			}
+		}
+	}
+	show(gateway.Step(0, []scheduler.Event{
+		scheduler.NodeList{Kind: scheduler.ListFull, Version: 1, Nodes: []scheduler.NodeInfo{{Node: "10.0.0.1:8000", Shard: 0}}},
+		scheduler.Request{ID: 7, Class: "read", Plan: "basic", Volume: "photos", Units: 2, Hosts: 1,
+			Remaining: 2 * time.Second},
+	}))
+	show(gateway.Step(40*time.Millisecond, []scheduler.Event{
+		scheduler.AttemptEnded{ID: 7, Node: "10.0.0.1:8000", Outcome: scheduler.Success, Took: 40 * time.Millisecond,
+			Finished: true, Load: scheduler.NoLoad},
+	}))
+	fmt.Println("done")
+	// Output:
+	// send request 7 to 10.0.0.1:8000, timeout 0s
+	// done
+}
--- a/logic/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"container/heap"
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // fleet drives many gateways before one node, which serves one unit after another at a fixed rate.
 type fleet struct {
-	gateways []*logic.Gateway
+	gateways []*scheduler.Gateway
 	rng      *rand.Rand
-	now      logic.Time
+	now      scheduler.Time
 	pending  fleetQueue
 	count    int
-	freeAt   logic.Time // when the node is done with what it took
+	freeAt   scheduler.Time // when the node is done with what it took
 	perUnit  time.Duration
 	sends    []load
 	served   int
@@ -35,10 +35,10 @@
 }
 
 type fleetEvent struct {
-	at    logic.Time
+	at    scheduler.Time
 	order int
 	who   int
-	event logic.Event
+	event scheduler.Event
 }
 
 type fleetQueue []fleetEvent
@@ -55,43 +55,43 @@
 	return last
 }
 
-func newFleet(t *testing.T, set logic.Settings, perUnit time.Duration) *fleet {
+func newFleet(t *testing.T, set scheduler.Settings, perUnit time.Duration) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(3, 4)), now: 100 * second, perUnit: perUnit, plan: "high", volumes: map[uint64]string{},
 		units: map[uint64]float64{}, attempts: map[uint64]int{}, over: map[uint64]bool{}}
 	for i := range set.Hosts {
 		set.Ordinal = i
-		g, err := logic.New(set, uint64(i))
+		g, err := scheduler.New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.gateways = append(f.gateways, g)
-		f.later(0, i, logic.NodeList{Kind: logic.ListFull, Nodes: []logic.NodeInfo{{Node: "n:1"}}})
+		f.later(0, i, scheduler.NodeList{Kind: scheduler.ListFull, Nodes: []scheduler.NodeInfo{{Node: "n:1"}}})
 	}
 	return f
 }
 
-func (f *fleet) later(after time.Duration, who int, event logic.Event) {
+func (f *fleet) later(after time.Duration, who int, event scheduler.Event) {
 	f.count++
 	heap.Push(&f.pending, fleetEvent{f.now + after, f.count, who, event})
 }
 
-func (f *fleet) act(who int, actions []logic.Action) {
+func (f *fleet) act(who int, actions []scheduler.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.SetTimer:
-			f.later(a.After, who, logic.Timer{Token: a.Token})
-		case logic.Tell:
-			f.later(5*ms, a.Peer, logic.PeerMessage{From: who, Data: a.Data})
-		case logic.Refuse:
+		case scheduler.SetTimer:
+			f.later(a.After, who, scheduler.Timer{Token: a.Token})
+		case scheduler.Tell:
+			f.later(5*ms, a.Peer, scheduler.PeerMessage{From: who, Data: a.Data})
+		case scheduler.Refuse:
 			f.over[a.ID] = true
-		case logic.Send:
+		case scheduler.Send:
 			f.sends = append(f.sends, load{f.now, f.units[a.ID]})
 			if f.attempts[a.ID] == 0 {
 				f.first = append(f.first, firstSend{load{f.now, f.units[a.ID]}, f.volumes[a.ID]})
 			}
 			f.freeAt = max(f.freeAt, f.now) + time.Duration(f.units[a.ID]*float64(f.perUnit))
-			f.later(f.freeAt-f.now, who, logic.AttemptEnded{ID: a.ID, Attempt: f.attempts[a.ID], Node: a.Node,
-				Took: f.freeAt - f.now, Finished: true, Load: logic.NoLoad})
+			f.later(f.freeAt-f.now, who, scheduler.AttemptEnded{ID: a.ID, Attempt: f.attempts[a.ID], Node: a.Node,
+				Took: f.freeAt - f.now, Finished: true, Load: scheduler.NoLoad})
 			f.attempts[a.ID]++
 		}
 	}
@@ -104,16 +104,16 @@
 		if len(f.pending) > 0 && f.pending[0].at <= next {
 			e := heap.Pop(&f.pending).(fleetEvent)
 			f.now = e.at
-			if ended, ok := e.event.(logic.AttemptEnded); ok && !f.over[ended.ID] {
+			if ended, ok := e.event.(scheduler.AttemptEnded); ok && !f.over[ended.ID] {
 				f.served++
 			}
-			f.act(e.who, f.gateways[e.who].Step(f.now, []logic.Event{e.event}))
+			f.act(e.who, f.gateways[e.who].Step(f.now, []scheduler.Event{e.event}))
 			continue
 		}
 		f.now = next
 		who, id := f.rng.IntN(len(f.gateways)), uint64(len(f.units)+1)
 		f.units[id], f.volumes[id] = float64(1+f.rng.IntN(3)), fmt.Sprint("v", who%10)
-		f.act(who, f.gateways[who].Step(f.now, []logic.Event{logic.Request{ID: id, Class: "read", Plan: f.plan,
+		f.act(who, f.gateways[who].Step(f.now, []scheduler.Event{scheduler.Request{ID: id, Class: "read", Plan: f.plan,
 			Volume: f.volumes[id], Units: f.units[id], Hosts: len(f.gateways) / 10, Remaining: 2000 * ms}}))
 		next = f.now + time.Duration(f.rng.ExpFloat64()/perSecond*float64(second))
 	}
@@ -134,7 +134,7 @@
 		f.perUnit = cold
 		f.sends, f.served = nil, 0
 		for i := range f.gateways {
-			f.later(time.Duration(i)*2*ms, i, logic.NodeList{Kind: logic.ListFull, Nodes: []logic.NodeInfo{{Node: "n:2", UpSince: f.now}}})
+			f.later(time.Duration(i)*2*ms, i, scheduler.NodeList{Kind: scheduler.ListFull, Nodes: []scheduler.NodeInfo{{Node: "n:2", UpSince: f.now}}})
 		}
 		f.run(6*second, 35)
 		most, sum, first := 0.0, 0.0, 0
@@ -159,11 +159,11 @@
 func TestManyHostsKeepALimitTogether(t *testing.T) {
 	set := plain()
 	set.Hosts, set.Bounds.Peers = 120, true
-	set.Plans[0] = logic.Plan{Name: "low", Rate: 5, Weight: 1, Price: 1, Limit: 12, LimitBurst: 192, LimitSlack: 19}
+	set.Plans[0] = scheduler.Plan{Name: "low", Rate: 5, Weight: 1, Price: 1, Limit: 12, LimitBurst: 192, LimitSlack: 19}
 	f := newFleet(t, set, ms)
 	f.plan = "low"
 	f.run(40*second, 150) // each volume asks for 30 units a second
-	left, at, sent := map[string]float64{}, map[string]logic.Time{}, 0.0
+	left, at, sent := map[string]float64{}, map[string]scheduler.Time{}, 0.0
 	for _, s := range f.first {
 		if at[s.volume] == 0 {
 			left[s.volume], at[s.volume] = set.Plans[0].LimitBurst, s.at
--- a/logic/hostile_test.go
+++ b/scheduler/hostile_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -9,30 +9,30 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // decider is what the hostile sequences drive: a Gateway, or a stub that breaks a rule.
 type decider interface {
-	Step(now logic.Time, events []logic.Event) []logic.Action
+	Step(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
-func hostileSettings(rng *rand.Rand) logic.Settings {
+func hostileSettings(rng *rand.Rand) scheduler.Settings {
 	ms := time.Millisecond
-	set := logic.Settings{Hosts: 1 + rng.IntN(4), Zone: "a", Subscribe: rng.IntN(2) == 0,
+	set := scheduler.Settings{Hosts: 1 + rng.IntN(4), Zone: "a", Subscribe: rng.IntN(2) == 0,
 		MeanUnits: 2, MaxUnits: 8, ColdUnits: 60, ShareWorth: 0.3, SpareWorth: 0.1,
-		Classes: []logic.Class{
+		Classes: []scheduler.Class{
 			{Name: "safe", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 2, LateWorth: 0.2},
-			{Name: "unsafe", Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: logic.Unsafe},
+			{Name: "unsafe", Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Unsafe},
 			{Name: "ordered", Aim: 500 * ms, Deadline: 3000 * ms, Worth: 1, Ordered: true},
-			{Name: "all", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1, Effect: logic.Keyed, Window: 900 * ms},
-			{Name: "zone", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1, Effect: logic.Keyed, Scope: logic.ScopeZone, Window: 900 * ms},
-			{Name: "shard", Aim: 900 * ms, Deadline: 2000 * ms, Worth: 1, Effect: logic.Keyed, Scope: logic.ScopeShard, Window: 900 * ms},
+			{Name: "all", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Keyed, Window: 900 * ms},
+			{Name: "zone", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Keyed, Scope: scheduler.ScopeZone, Window: 900 * ms},
+			{Name: "shard", Aim: 900 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 900 * ms},
 		},
-		Plans: []logic.Plan{{Name: "low", Rate: 5, Reserve: 2, Limit: 40, LimitBurst: 60, LimitSlack: 8, Weight: 1, Price: 1},
+		Plans: []scheduler.Plan{{Name: "low", Rate: 5, Reserve: 2, Limit: 40, LimitBurst: 60, LimitSlack: 8, Weight: 1, Price: 1},
 			{Name: "high", Rate: 12, Reserve: 14, Weight: 3, Price: 2}, {Name: "none"}},
-		Bounds: logic.Bounds{MaxAttempts: 4, MaxRetryAfter: time.Second, RetryAfter: rng.IntN(2) == 0, Cancel: rng.IntN(2) == 0, Peers: true},
-		Rules: logic.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms, ColdTime: 10 * time.Second, ColdShare: 0.2,
+		Bounds: scheduler.Bounds{MaxAttempts: 4, MaxRetryAfter: time.Second, RetryAfter: rng.IntN(2) == 0, Cancel: rng.IntN(2) == 0, Peers: true},
+		Rules: scheduler.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms, ColdTime: 10 * time.Second, ColdShare: 0.2,
 			FallTime: 2 * time.Second, FallMultiple: float64(2 + rng.IntN(3)), MustAskIn: 10 * time.Second, KeyQuiet: 300 * ms},
 	}
 	set.Ordinal = rng.IntN(set.Hosts)
@@ -44,48 +44,48 @@
 
 // due is an event that will be delivered at a time.
 type due struct {
-	at    logic.Time
+	at    scheduler.Time
 	order int
-	event logic.Event
+	event scheduler.Event
 }
 
 // world feeds a decider with events drawn from a seed. It models no server: each attempt ends at a
 // drawn time in a drawn way.
 type world struct {
 	rng     *rand.Rand
-	set     logic.Settings
-	now     logic.Time
+	set     scheduler.Settings
+	now     scheduler.Time
 	pending []due
 	count   int
 	nextID  uint64
 	sends   map[uint64]int
-	ends    map[uint64]logic.Time
+	ends    map[uint64]scheduler.Time
 	over    map[uint64]bool
-	nodes   []logic.NodeInfo
+	nodes   []scheduler.NodeInfo
 	sick    int // how often attempts go wrong, in percent
 	trace   []string
 }
 
 func newWorld(seed uint64) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), now: 1000 * second, sends: map[uint64]int{},
-		ends: map[uint64]logic.Time{}, over: map[uint64]bool{}}
+		ends: map[uint64]scheduler.Time{}, over: map[uint64]bool{}}
 	w.set = hostileSettings(w.rng)
 	w.sick = []int{2, 20, 60}[w.rng.IntN(3)]
 	for i := range 6 {
-		w.nodes = append(w.nodes, logic.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Zone: string(rune('a' + i%2)), Shard: i % 4})
+		w.nodes = append(w.nodes, scheduler.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Zone: string(rune('a' + i%2)), Shard: i % 4})
 	}
 	return w
 }
 
-func (w *world) later(after time.Duration, event logic.Event) {
+func (w *world) later(after time.Duration, event scheduler.Event) {
 	w.count++
 	w.pending = append(w.pending, due{w.now + after, w.count, event})
 }
 
-func (w *world) batch(start logic.Time) []logic.Event {
-	var events []logic.Event
+func (w *world) batch(start scheduler.Time) []scheduler.Event {
+	var events []scheduler.Event
 	if w.now == start {
-		events = append(events, logic.NodeList{Kind: logic.ListCached, Version: 1, Nodes: slices.Clone(w.nodes)})
+		events = append(events, scheduler.NodeList{Kind: scheduler.ListCached, Version: 1, Nodes: slices.Clone(w.nodes)})
 	}
 	slices.SortFunc(w.pending, func(a, b due) int {
 		if a.at != b.at {
@@ -96,14 +96,14 @@
 	for len(w.pending) > 0 && w.pending[0].at <= w.now {
 		event := w.pending[0].event
 		w.pending = w.pending[1:]
-		if end, ok := event.(logic.AttemptEnded); ok {
-			if w.over[end.ID] || end.Outcome == logic.Success {
+		if end, ok := event.(scheduler.AttemptEnded); ok {
+			if w.over[end.ID] || end.Outcome == scheduler.Success {
 				end.Finished = true
 				w.over[end.ID] = true
 			}
 			event = end
 		}
-		if gone, ok := event.(logic.ClientGone); ok {
+		if gone, ok := event.(scheduler.ClientGone); ok {
 			if w.over[gone.ID] {
 				continue
 			}
@@ -114,8 +114,8 @@
 	return events
 }
 
-func (w *world) draw(busy bool) []logic.Event {
-	var events []logic.Event
+func (w *world) draw(busy bool) []scheduler.Event {
+	var events []scheduler.Event
 	rate := 1
 	if busy {
 		rate = 8
@@ -128,14 +128,14 @@
 		if w.rng.IntN(6) == 0 {
 			left = time.Duration(w.rng.Int64N(int64(class.Deadline))) + 1
 		}
-		r := logic.Request{ID: w.nextID, Class: class.Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
+		r := scheduler.Request{ID: w.nextID, Class: class.Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
 			Key: fmt.Sprint("k", w.rng.IntN(5)), Remaining: left, Units: float64(1 + w.rng.IntN(8)), Shard: shard,
 			Hosts: 1 + w.rng.IntN(w.set.Hosts)}
 		r.Volume = fmt.Sprint(r.Plan, r.Hosts, w.rng.IntN(3))
 		events = append(events, r)
 		w.ends[r.ID] = w.now + left
 		if w.rng.IntN(40) == 0 {
-			w.later(time.Duration(w.rng.Int64N(int64(left))), logic.ClientGone{ID: r.ID})
+			w.later(time.Duration(w.rng.Int64N(int64(left))), scheduler.ClientGone{ID: r.ID})
 		}
 	}
 	if w.rng.IntN(60) == 0 {
@@ -146,59 +146,59 @@
 		for i := range data {
 			data[i] = byte(w.rng.IntN(3))
 		}
-		events = append(events, logic.PeerMessage{From: w.rng.IntN(6) - 1, Data: data})
+		events = append(events, scheduler.PeerMessage{From: w.rng.IntN(6) - 1, Data: data})
 	}
 	if w.rng.IntN(30) == 0 {
-		events = append(events, logic.AttemptEnded{ID: 1 << 40, Node: "nobody"}, logic.Timer{Token: 1 << 50}, logic.ClientGone{ID: 1 << 41})
+		events = append(events, scheduler.AttemptEnded{ID: 1 << 40, Node: "nobody"}, scheduler.Timer{Token: 1 << 50}, scheduler.ClientGone{ID: 1 << 41})
 	}
 	return events
 }
 
-func (w *world) drawList() logic.Event {
+func (w *world) drawList() scheduler.Event {
 	i := w.rng.IntN(len(w.nodes))
 	switch w.rng.IntN(5) {
 	case 0:
-		return logic.NodeList{Kind: logic.ListFailed}
+		return scheduler.NodeList{Kind: scheduler.ListFailed}
 	case 1:
-		w.nodes[i].State = logic.Draining
+		w.nodes[i].State = scheduler.Draining
 	case 2:
-		w.nodes[i].State, w.nodes[i].UpSince = logic.Ready, w.now
+		w.nodes[i].State, w.nodes[i].UpSince = scheduler.Ready, w.now
 	case 3: // a new machine takes the place of another
 		w.count++
-		w.nodes[i] = logic.NodeInfo{Node: fmt.Sprintf("m%d:1", w.count), Zone: w.nodes[i].Zone, Shard: w.nodes[i].Shard, UpSince: w.now}
-		return logic.NodeList{Kind: logic.ListFull, Nodes: slices.Clone(w.nodes)}
+		w.nodes[i] = scheduler.NodeInfo{Node: fmt.Sprintf("m%d:1", w.count), Zone: w.nodes[i].Zone, Shard: w.nodes[i].Shard, UpSince: w.now}
+		return scheduler.NodeList{Kind: scheduler.ListFull, Nodes: slices.Clone(w.nodes)}
 	case 4:
-		w.nodes[i].State = logic.Gone
+		w.nodes[i].State = scheduler.Gone
 	}
-	return logic.NodeList{Kind: logic.ListChanges, Nodes: []logic.NodeInfo{w.nodes[i]}}
+	return scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{w.nodes[i]}}
 }
 
-func (w *world) follow(actions []logic.Action) {
+func (w *world) follow(actions []scheduler.Action) {
 	for _, action := range actions {
 		w.trace = append(w.trace, fmt.Sprintf("%v %T %+v", w.now, action, action))
 		switch a := action.(type) {
-		case logic.Send:
+		case scheduler.Send:
 			w.endLater(a)
-		case logic.SetTimer:
-			w.later(max(a.After, time.Microsecond), logic.Timer{Token: a.Token})
-		case logic.Refuse:
+		case scheduler.SetTimer:
+			w.later(max(a.After, time.Microsecond), scheduler.Timer{Token: a.Token})
+		case scheduler.Refuse:
 			w.over[a.ID] = true
-		case logic.Fail:
+		case scheduler.Fail:
 			w.over[a.ID] = true
-		case logic.Watch:
-			kind := logic.ListFull
+		case scheduler.Watch:
+			kind := scheduler.ListFull
 			if w.rng.IntN(2) == 0 {
-				kind = logic.ListFailed
+				kind = scheduler.ListFailed
 			}
-			list := logic.NodeList{Kind: kind}
-			if kind == logic.ListFull {
+			list := scheduler.NodeList{Kind: kind}
+			if kind == scheduler.ListFull {
 				list.Nodes = slices.Clone(w.nodes)
 			}
 			w.later(50*time.Millisecond, list)
-		case logic.Cancel:
+		case scheduler.Cancel:
 			for i, d := range w.pending {
-				if end, ok := d.event.(logic.AttemptEnded); ok && end.ID == a.ID && end.Attempt == a.Attempt {
-					end.Outcome = logic.Withdrawn
+				if end, ok := d.event.(scheduler.AttemptEnded); ok && end.ID == a.ID && end.Attempt == a.Attempt {
+					end.Outcome = scheduler.Withdrawn
 					w.pending[i] = due{w.now + time.Millisecond, d.order, end}
 				}
 			}
@@ -206,24 +206,24 @@
 	}
 }
 
-func (w *world) endLater(a logic.Send) {
+func (w *world) endLater(a scheduler.Send) {
 	attempt := w.sends[a.ID]
 	w.sends[a.ID]++
 	left := w.ends[a.ID] - w.now
 	took := time.Duration(w.rng.Int64N(int64(200 * time.Millisecond)))
-	outcome := logic.Success
+	outcome := scheduler.Success
 	if w.rng.IntN(100) < w.sick {
-		outcome = logic.Outcome(1 + w.rng.IntN(5))
+		outcome = scheduler.Outcome(1 + w.rng.IntN(5))
 		took *= time.Duration(w.rng.IntN(8))
 	}
-	if outcome == logic.TimedOut || took >= left {
-		took, outcome = left, logic.TimedOut
+	if outcome == scheduler.TimedOut || took >= left {
+		took, outcome = left, scheduler.TimedOut
 	}
-	w.later(max(took, 1), logic.AttemptEnded{ID: a.ID, Attempt: attempt, Node: a.Node, Outcome: outcome, Took: took, Load: logic.NoLoad})
+	w.later(max(took, 1), scheduler.AttemptEnded{ID: a.ID, Attempt: attempt, Node: a.Node, Outcome: outcome, Took: took, Load: scheduler.NoLoad})
 }
 
 // play runs a decider through a hostile day and returns the broken rules and the trace of actions.
-func play(seed uint64, start func(logic.Settings) decider) ([]string, []string) {
+func play(seed uint64, start func(scheduler.Settings) decider) ([]string, []string) {
 	w := newWorld(seed)
 	d, c := start(w.set), newChecker(w.set)
 	begin := w.now
@@ -244,8 +244,8 @@
 	return c.broken, w.trace
 }
 
-func newGateway(set logic.Settings) decider {
-	g, err := logic.New(set, 5)
+func newGateway(set scheduler.Settings) decider {
+	g, err := scheduler.New(set, 5)
 	if err != nil {
 		panic(err)
 	}
@@ -271,32 +271,32 @@
 }
 
 // stub breaks rules on purpose, to show that the checker can fail.
-type stub func(events []logic.Event) []logic.Action
+type stub func(events []scheduler.Event) []scheduler.Action
 
-func (s stub) Step(_ logic.Time, events []logic.Event) []logic.Action { return s(events) }
+func (s stub) Step(_ scheduler.Time, events []scheduler.Event) []scheduler.Action { return s(events) }
 
 // sendAtOnce sends each request to the first node ever listed for its shard, and again when it fails.
-func sendAtOnce(logic.Settings) decider {
-	nodes, taken := map[int]string{}, map[uint64]logic.Request{}
-	send := func(r logic.Request) []logic.Action {
+func sendAtOnce(scheduler.Settings) decider {
+	nodes, taken := map[int]string{}, map[uint64]scheduler.Request{}
+	send := func(r scheduler.Request) []scheduler.Action {
 		if node := nodes[max(0, r.Shard)]; node != "" {
-			return []logic.Action{logic.Send{ID: r.ID, Node: node}}
+			return []scheduler.Action{scheduler.Send{ID: r.ID, Node: node}}
 		}
 		return nil
 	}
-	return stub(func(events []logic.Event) (out []logic.Action) {
+	return stub(func(events []scheduler.Event) (out []scheduler.Action) {
 		for _, event := range events {
 			switch e := event.(type) {
-			case logic.NodeList:
+			case scheduler.NodeList:
 				for _, n := range e.Nodes {
-					if e.Kind == logic.ListCached || n.UpSince > 0 {
+					if e.Kind == scheduler.ListCached || n.UpSince > 0 {
 						nodes[n.Shard] = n.Node
 					}
 				}
-			case logic.Request:
+			case scheduler.Request:
 				taken[e.ID] = e
 				out = append(out, send(e)...)
-			case logic.AttemptEnded:
+			case scheduler.AttemptEnded:
 				if r, known := taken[e.ID]; known && !e.Finished && e.Attempt < 6 {
 					out = append(out, send(r)...)
 				}
@@ -307,14 +307,14 @@
 }
 
 // silent answers nothing.
-func silent(logic.Settings) decider {
-	return stub(func([]logic.Event) []logic.Action { return nil })
+func silent(scheduler.Settings) decider {
+	return stub(func([]scheduler.Event) []scheduler.Action { return nil })
 }
 
 func TestCheckerSeesEachBrokenRule(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(8) {
-		for _, start := range []func(logic.Settings) decider{sendAtOnce, silent} {
+		for _, start := range []func(scheduler.Settings) decider{sendAtOnce, silent} {
 			broken, _ := play(seed, start)
 			for _, text := range broken {
 				rule, _, _ := strings.Cut(text, ":")
--- a/logic/limits_test.go
+++ b/scheduler/limits_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 // brokers is a tier of processes before one node that answers each request after a while. One host may have two processes.
 type brokers struct {
 	t     *testing.T
-	set   logic.Settings
-	now   logic.Time
+	set   scheduler.Settings
+	now   scheduler.Time
 	procs []*broker
 	ids   uint64
 	sends []load
@@ -21,10 +21,10 @@
 
 type broker struct {
 	host    int
-	gateway *logic.Gateway
-	timers  []logic.Time
-	ends    []logic.AttemptEnded // in the order in which they come
-	endsAt  []logic.Time
+	gateway *scheduler.Gateway
+	timers  []scheduler.Time
+	ends    []scheduler.AttemptEnded // in the order in which they come
+	endsAt  []scheduler.Time
 	units   map[uint64]float64
 	once    map[uint64]bool
 }
@@ -34,13 +34,13 @@
 func (b *brokers) start(host int) {
 	set := b.set
 	set.Ordinal = host
-	g, err := logic.New(set, uint64(len(b.procs)))
+	g, err := scheduler.New(set, uint64(len(b.procs)))
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	p := &broker{host: host, gateway: g, units: map[uint64]float64{}, once: map[uint64]bool{}}
 	b.procs = append(b.procs, p)
-	b.step(p, logic.Shared{Processes: 1, Unseen: 1}, logic.NodeList{Kind: logic.ListFull, Nodes: []logic.NodeInfo{{Node: "n:1"}}})
+	b.step(p, scheduler.Shared{Processes: 1, Unseen: 1}, scheduler.NodeList{Kind: scheduler.ListFull, Nodes: []scheduler.NodeInfo{{Node: "n:1"}}})
 }
 
 // kill ends a host's oldest process; what it had on its way is over.
@@ -53,17 +53,17 @@
 	}
 }
 
-func (b *brokers) step(p *broker, events ...logic.Event) {
+func (b *brokers) step(p *broker, events ...scheduler.Event) {
 	for _, action := range p.gateway.Step(b.now, events) {
 		switch a := action.(type) {
-		case logic.SetTimer:
+		case scheduler.SetTimer:
 			p.timers = append(p.timers, b.now+a.After)
-		case logic.Send:
+		case scheduler.Send:
 			if !p.once[a.ID] {
 				p.once[a.ID] = true
 				b.sends = append(b.sends, load{b.now, p.units[a.ID]})
 			}
-			p.ends, p.endsAt = append(p.ends, logic.AttemptEnded{ID: a.ID, Node: a.Node, Took: answerTime, Finished: true, Load: logic.NoLoad}), append(p.endsAt, b.now+answerTime)
+			p.ends, p.endsAt = append(p.ends, scheduler.AttemptEnded{ID: a.ID, Node: a.Node, Took: answerTime, Finished: true, Load: scheduler.NoLoad}), append(p.endsAt, b.now+answerTime)
 		}
 	}
 }
@@ -73,10 +73,10 @@
 	for end := b.now + span; b.now < end; {
 		b.now += 5 * ms
 		for _, p := range b.procs {
-			var events []logic.Event
+			var events []scheduler.Event
 			for len(p.timers) > 0 && p.timers[0] <= b.now {
 				p.timers = p.timers[1:]
-				events = append(events, logic.Timer{Token: 1})
+				events = append(events, scheduler.Timer{Token: 1})
 			}
 			for len(p.endsAt) > 0 && p.endsAt[0] <= b.now {
 				events = append(events, p.ends[0])
@@ -85,7 +85,7 @@
 			b.ids++
 			units := float64(1 + rng.IntN(int(b.set.MaxUnits)))
 			p.units[b.ids] = units
-			b.step(p, append(events, logic.Request{ID: b.ids, Class: "read", Plan: "low", Volume: "v", Units: units, Hosts: b.set.Hosts, Remaining: 2000 * ms})...)
+			b.step(p, append(events, scheduler.Request{ID: b.ids, Class: "read", Plan: "low", Volume: "v", Units: units, Hosts: b.set.Hosts, Remaining: 2000 * ms})...)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // The limit of a volume holds over one, two and five brokers, each started beside itself, killed and back, or told new settings, with
 // nothing passing between processes; and its parts are used.
 func TestLimitOverBrokers(t *testing.T) {
-	plans := map[string]logic.Plan{
+	plans := map[string]scheduler.Plan{
 		"units of 1 to 8": {Name: "low", Rate: 4.5, Reserve: 1.4, Limit: 36, LimitBurst: 48, LimitSlack: 8, Weight: 1, Price: 1},
 		"units of 1 to 3": {Name: "low", Rate: 20, Reserve: 20, Limit: 160, LimitBurst: 120, LimitSlack: 12, Weight: 1, Price: 1},
 	}
@@ -119,7 +119,7 @@
 		"told the same settings": func(b *brokers, host int, _ *rand.Rand) {
 			for _, p := range b.procs {
 				if p.host == host {
-					b.step(p, logic.Retuned{Settings: b.set})
+					b.step(p, scheduler.Retuned{Settings: b.set})
 				}
 			}
 		},
--- a/logic/policy_test.go
+++ b/scheduler/policy_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"os"
--- a/logic/logic.go
+++ b/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package logic decides when a gateway sends which request to which storage node. All decisions
-// are in this file; the types that it takes and gives are in logic/api.go.
-package logic
+// Package scheduler decides when a gateway sends which request to which storage node. All decisions
+// are in this file; the types that it takes and gives are in scheduler/api.go.
+package scheduler
 
 import (
 	"cmp"
--- a/logic/logic_test.go
+++ b/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package logic_test
+package scheduler_test
 
 import (
 	"fmt"
@@ -6,45 +6,45 @@
 	"testing"
 	"time"
 
-	"junctionwharf/logic"
+	"junctionwharf/scheduler"
 )
 
 const ms = time.Millisecond
 
 // plain is a deployment of one class and two plans, with nothing that is optional.
-func plain() logic.Settings {
-	return logic.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, ShareWorth: 0.3, SpareWorth: 0.1,
-		Classes: []logic.Class{{Name: "read", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1}},
-		Plans:   []logic.Plan{{Name: "low", Rate: 5, Weight: 1, Price: 1}, {Name: "high", Rate: 20, Reserve: 40, Weight: 3, Price: 2}},
-		Bounds:  logic.Bounds{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules:   logic.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms}}
+func plain() scheduler.Settings {
+	return scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, ShareWorth: 0.3, SpareWorth: 0.1,
+		Classes: []scheduler.Class{{Name: "read", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1}},
+		Plans:   []scheduler.Plan{{Name: "low", Rate: 5, Weight: 1, Price: 1}, {Name: "high", Rate: 20, Reserve: 40, Weight: 3, Price: 2}},
+		Bounds:  scheduler.Bounds{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
+		Rules:   scheduler.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms}}
 }
 
 // driver calls a gateway and carries its timers.
 type driver struct {
 	t       *testing.T
-	gateway *logic.Gateway
-	now     logic.Time
-	timers  map[logic.Time][]uint64
-	acts    []logic.Action // since the last take
+	gateway *scheduler.Gateway
+	now     scheduler.Time
+	timers  map[scheduler.Time][]uint64
+	acts    []scheduler.Action // since the last take
 	ids     uint64
 }
 
-func drive(t *testing.T, set logic.Settings, nodes ...logic.NodeInfo) *driver {
+func drive(t *testing.T, set scheduler.Settings, nodes ...scheduler.NodeInfo) *driver {
 	t.Helper()
-	gateway, err := logic.New(set, 1)
+	gateway, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &driver{t: t, gateway: gateway, now: 100 * second, timers: map[logic.Time][]uint64{}}
-	d.step(logic.NodeList{Kind: logic.ListFull, Version: 1, Nodes: nodes})
+	d := &driver{t: t, gateway: gateway, now: 100 * second, timers: map[scheduler.Time][]uint64{}}
+	d.step(scheduler.NodeList{Kind: scheduler.ListFull, Version: 1, Nodes: nodes})
 	d.take()
 	return d
 }
 
-func (d *driver) step(events ...logic.Event) {
+func (d *driver) step(events ...scheduler.Event) {
 	for _, action := range d.gateway.Step(d.now, events) {
-		if timer, ok := action.(logic.SetTimer); ok {
+		if timer, ok := action.(scheduler.SetTimer); ok {
 			d.timers[d.now+timer.After.Truncate(ms)] = append(d.timers[d.now+timer.After.Truncate(ms)], timer.Token)
 		}
 		d.acts = append(d.acts, action)
@@ -56,12 +56,12 @@
 	for end := d.now + span; d.now < end; {
 		d.now += ms
 		for _, token := range d.timers[d.now] {
-			d.step(logic.Timer{Token: token})
+			d.step(scheduler.Timer{Token: token})
 		}
 	}
 }
 
-func (d *driver) take() []logic.Action {
+func (d *driver) take() []scheduler.Action {
 	acts := d.acts
 	d.acts = nil
 	return acts
@@ -69,18 +69,18 @@
 
 func (d *driver) request(plan, volume string, units float64) uint64 {
 	d.ids++
-	d.step(logic.Request{ID: d.ids, Class: "read", Plan: plan, Volume: volume, Units: units, Hosts: 1, Remaining: 2000 * ms})
+	d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: plan, Volume: volume, Units: units, Hosts: 1, Remaining: 2000 * ms})
 	return d.ids
 }
 
-func (d *driver) end(id uint64, attempt int, outcome logic.Outcome, took time.Duration) {
-	d.step(logic.AttemptEnded{ID: id, Attempt: attempt, Node: "n:1", Outcome: outcome, Took: took,
-		Finished: outcome == logic.Success, Load: logic.NoLoad})
+func (d *driver) end(id uint64, attempt int, outcome scheduler.Outcome, took time.Duration) {
+	d.step(scheduler.AttemptEnded{ID: id, Attempt: attempt, Node: "n:1", Outcome: outcome, Took: took,
+		Finished: outcome == scheduler.Success, Load: scheduler.NoLoad})
 }
 
-func sent(acts []logic.Action) (ids []uint64) {
+func sent(acts []scheduler.Action) (ids []uint64) {
 	for _, action := range acts {
-		if send, ok := action.(logic.Send); ok {
+		if send, ok := action.(scheduler.Send); ok {
 			ids = append(ids, send.ID)
 		}
 	}
@@ -88,27 +88,27 @@
 }
 
 // has tells whether an action of a kind is among those taken.
-func has[A logic.Action](acts []logic.Action) bool {
-	return slices.ContainsFunc(acts, func(action logic.Action) bool {
+func has[A scheduler.Action](acts []scheduler.Action) bool {
+	return slices.ContainsFunc(acts, func(action scheduler.Action) bool {
 		_, is := action.(A)
 		return is
 	})
 }
 
-var oneNode = logic.NodeInfo{Node: "n:1"}
+var oneNode = scheduler.NodeInfo{Node: "n:1"}
 
 func TestNewRefusesSettingsWithoutSense(t *testing.T) {
-	for name, spoil := range map[string]func(*logic.Settings){
-		"no hosts":      func(s *logic.Settings) { s.Hosts = 0 },
-		"ordinal":       func(s *logic.Settings) { s.Ordinal = 1 },
-		"no classes":    func(s *logic.Settings) { s.Classes = nil },
-		"no aim":        func(s *logic.Settings) { s.Classes[0].Aim = 0 },
-		"negative rate": func(s *logic.Settings) { s.Plans[0].Limit = -1 },
-		"negative rule": func(s *logic.Settings) { s.Rules.FallTime = -1 },
+	for name, spoil := range map[string]func(*scheduler.Settings){
+		"no hosts":      func(s *scheduler.Settings) { s.Hosts = 0 },
+		"ordinal":       func(s *scheduler.Settings) { s.Ordinal = 1 },
+		"no classes":    func(s *scheduler.Settings) { s.Classes = nil },
+		"no aim":        func(s *scheduler.Settings) { s.Classes[0].Aim = 0 },
+		"negative rate": func(s *scheduler.Settings) { s.Plans[0].Limit = -1 },
+		"negative rule": func(s *scheduler.Settings) { s.Rules.FallTime = -1 },
 	} {
 		set := plain()
 		spoil(&set)
-		if _, err := logic.New(set, 1); err == nil {
+		if _, err := scheduler.New(set, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -116,14 +116,14 @@
 
 func TestHeldRequestsLeaveEarliestDueFirst(t *testing.T) {
 	set := plain()
-	set.Classes = append(set.Classes, logic.Class{Name: "soon", Aim: 150 * ms, Deadline: 2000 * ms, Worth: 1})
+	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", Aim: 150 * ms, Deadline: 2000 * ms, Worth: 1})
 	d := drive(t, set, oneNode)
 	first, _ := d.request("high", "v", 1), d.request("high", "v", 1)
 	late := d.request("high", "v", 1)
 	d.ids++
-	d.step(logic.Request{ID: d.ids, Class: "soon", Plan: "high", Volume: "v", Units: 1, Hosts: 1, Remaining: 2000 * ms})
+	d.step(scheduler.Request{ID: d.ids, Class: "soon", Plan: "high", Volume: "v", Units: 1, Hosts: 1, Remaining: 2000 * ms})
 	d.take()
-	d.end(first, 0, logic.Success, 20*ms)
+	d.end(first, 0, scheduler.Success, 20*ms)
 	if got := sent(d.take()); len(got) != 1 || got[0] != d.ids {
 		t.Errorf("sent %v, want %d before %d", got, d.ids, late)
 	}
@@ -134,12 +134,12 @@
 	d.request("high", "v", 1)
 	d.take()
 	d.pass(250 * ms)
-	if acts := d.take(); has[logic.Refuse](acts) {
+	if acts := d.take(); has[scheduler.Refuse](acts) {
 		t.Fatal("refused before its aim is out")
 	}
 	d.pass(150 * ms)
 	for _, action := range d.take() {
-		if refuse, ok := action.(logic.Refuse); ok && refuse.After > 0 {
+		if refuse, ok := action.(scheduler.Refuse); ok && refuse.After > 0 {
 			return
 		}
 	}
@@ -151,7 +151,7 @@
 	d := drive(t, plain(), oneNode)
 	a := d.request("high", "v", 1)
 	d.pass(20 * ms)
-	d.end(a, 0, logic.Success, 20*ms)
+	d.end(a, 0, scheduler.Success, 20*ms)
 	d.request("high", "v", 1)
 	d.request("high", "v", 1)
 	d.take()
@@ -171,14 +171,14 @@
 	set := plain()
 	set.ColdUnits = 8
 	set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, 2
-	d := drive(t, set, logic.NodeInfo{Node: "n:1", UpSince: 100*second - ms})
+	d := drive(t, set, scheduler.NodeInfo{Node: "n:1", UpSince: 100*second - ms})
 	total := 0
 	for range 20 {
 		id := d.request("high", "v", 2)
 		if len(sent(d.take())) == 1 {
 			total++
 			d.pass(10 * ms)
-			d.end(id, 0, logic.Success, 10*ms)
+			d.end(id, 0, scheduler.Success, 10*ms)
 		}
 	}
 	if total < 15 {
@@ -198,11 +198,11 @@
 	d := drive(t, set)
 	asked := 0
 	for range 100 {
-		d.step(logic.NodeList{Kind: logic.ListFailed})
+		d.step(scheduler.NodeList{Kind: scheduler.ListFailed})
 		d.pass(200 * ms)
 	}
 	for _, action := range d.take() {
-		if _, ok := action.(logic.Watch); ok {
+		if _, ok := action.(scheduler.Watch); ok {
 			asked++
 		}
 	}
@@ -213,8 +213,8 @@
 
 func TestDrainingNodeGetsNothingInTheSameBatch(t *testing.T) {
 	d := drive(t, plain(), oneNode)
-	d.step(logic.NodeList{Kind: logic.ListChanges, Nodes: []logic.NodeInfo{{Node: "n:1", State: logic.Draining}}},
-		logic.Request{ID: 50, Class: "read", Plan: "high", Volume: "v", Units: 1, Hosts: 1, Remaining: 2000 * ms})
+	d.step(scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{{Node: "n:1", State: scheduler.Draining}}},
+		scheduler.Request{ID: 50, Class: "read", Plan: "high", Volume: "v", Units: 1, Hosts: 1, Remaining: 2000 * ms})
 	if got := sent(d.take()); len(got) != 0 {
 		t.Errorf("sent %v to a draining node", got)
 	}
@@ -225,7 +225,7 @@
 	for range 6 { // the node is seen to take 60 ms
 		id := d.request("high", "v", 2)
 		d.pass(60 * ms)
-		d.end(id, 0, logic.Success, 60*ms)
+		d.end(id, 0, scheduler.Success, 60*ms)
 	}
 	var surge, reserved []uint64
 	for range 30 {
@@ -239,7 +239,7 @@
 	out := surge[:2]
 	var after []uint64
 	for range 3 {
-		d.end(out[0], 0, logic.Success, 60*ms)
+		d.end(out[0], 0, scheduler.Success, 60*ms)
 		got := sent(d.take())
 		after = append(after, got...)
 		out = append(out[1:], got...)
@@ -254,7 +254,7 @@
 	set.Hosts, set.Bounds.Peers = 2, true
 	d := drive(t, set, oneNode)
 	for _, data := range [][]byte{nil, {9}, {2, 2, 3}, {1, 0, 0, 0, 0, 0, 0}, {4, 0, 0, 0, 0, 0, 0}, {3, 1, 1, 1, 1, 1, 1}, make([]byte, 1000)} {
-		d.step(logic.PeerMessage{From: 1, Data: data}, logic.PeerMessage{From: 7, Data: data})
+		d.step(scheduler.PeerMessage{From: 1, Data: data}, scheduler.PeerMessage{From: 7, Data: data})
 	}
 	if acts := d.take(); len(acts) > 0 {
 		t.Errorf("acts on foreign bytes: %v", acts)
@@ -273,11 +273,11 @@
 		d := drive(t, set, oneNode)
 		for i := range 40 {
 			d.ids++
-			d.step(logic.Request{ID: d.ids, Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%5), Units: 2, Hosts: 2, Remaining: 2000 * ms})
+			d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%5), Units: 2, Hosts: 2, Remaining: 2000 * ms})
 			d.pass(25 * ms)
 		}
 		for _, action := range d.take() {
-			if tell, ok := action.(logic.Tell); ok {
+			if tell, ok := action.(scheduler.Tell); ok {
 				if tell.Peer < 0 || tell.Peer >= hosts || len(tell.Data) > 8 {
 					t.Fatalf("tells %d bytes to %d", len(tell.Data), tell.Peer)
 				}
@@ -297,17 +297,17 @@
 	set.Hosts, set.Bounds.Peers = 4, true
 	d := drive(t, set, oneNode)
 	report := []byte{2, 9, 9, 9, 9, 0, 48}
-	d.step(logic.PeerMessage{From: 1, Data: report}, logic.PeerMessage{From: 1, Data: report}, logic.PeerMessage{From: 2, Data: report})
-	want := fmt.Sprint([]logic.Action{
-		logic.Tell{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}}, logic.Tell{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}},
-		logic.Tell{Peer: 2, Data: []byte{3, 9, 9, 9, 9, 0, 48}}})
+	d.step(scheduler.PeerMessage{From: 1, Data: report}, scheduler.PeerMessage{From: 1, Data: report}, scheduler.PeerMessage{From: 2, Data: report})
+	want := fmt.Sprint([]scheduler.Action{
+		scheduler.Tell{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}}, scheduler.Tell{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}},
+		scheduler.Tell{Peer: 2, Data: []byte{3, 9, 9, 9, 9, 0, 48}}})
 	if got := fmt.Sprint(d.take()); got != want {
 		t.Errorf("answers %v, want %v", got, want)
 	}
 	d.pass(2 * second)
 	d.take()
-	d.step(logic.PeerMessage{From: 3, Data: report})
-	if got := fmt.Sprint(d.take()); got != fmt.Sprint([]logic.Action{logic.Tell{Peer: 3, Data: []byte{3, 9, 9, 9, 9, 0, 0}}}) {
+	d.step(scheduler.PeerMessage{From: 3, Data: report})
+	if got := fmt.Sprint(d.take()); got != fmt.Sprint([]scheduler.Action{scheduler.Tell{Peer: 3, Data: []byte{3, 9, 9, 9, 9, 0, 0}}}) {
 		t.Errorf("old news still counts: %v", got)
 	}
 }
@@ -322,7 +322,7 @@
 		id := d.request(plan, "v", 2)
 		count += len(sent(d.take()))
 		d.pass(took)
-		d.end(id, 0, logic.Success, took)
+		d.end(id, 0, scheduler.Success, took)
 	}
 	return count
 }
@@ -361,7 +361,7 @@
 	d := drive(t, plain(), oneNode)
 	ask := func(key string, left time.Duration) uint64 {
 		d.ids++
-		d.step(logic.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Key: key, Units: 1, Hosts: 1, Remaining: left})
+		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Key: key, Units: 1, Hosts: 1, Remaining: left})
 		return d.ids
 	}
 	for range 2 {
@@ -369,11 +369,11 @@
 	}
 	patient, retried := ask("p", 2000*ms), ask("r", 100*ms)
 	d.pass(110 * ms) // the second is refused and comes again
-	d.step(logic.ClientGone{ID: retried})
+	d.step(scheduler.ClientGone{ID: retried})
 	again, short := ask("r", 1880*ms), ask("s", 250*ms)
 	d.take()
-	d.end(1, 0, logic.Success, 20*ms)
-	d.end(2, 0, logic.Success, 20*ms)
+	d.end(1, 0, scheduler.Success, 20*ms)
+	d.end(2, 0, scheduler.Success, 20*ms)
 	if got := fmt.Sprint(sent(d.take())); got != fmt.Sprint([]uint64{patient, again}) {
 		t.Errorf("sent %v, want %d and %d, which are due before %d", got, patient, again, short)
 	}
@@ -387,11 +387,11 @@
 	for range 8 {
 		id := d.request("high", "v", 2)
 		d.pass(400 * ms)
-		d.end(id, 0, logic.Success, 400*ms)
+		d.end(id, 0, scheduler.Success, 400*ms)
 	}
 	d.take()
 	d.request("high", "v", 2)
-	if acts := d.take(); has[logic.Send](acts) {
+	if acts := d.take(); has[scheduler.Send](acts) {
 		t.Fatalf("sends at once to a jammed node: %s", acts)
 	}
 	d.pass(15 * second)
@@ -405,12 +405,12 @@
 	set := plain()
 	set.Hosts, set.ColdUnits = 1000, 0.5
 	set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, 2
-	odd := []logic.Request{
+	odd := []scheduler.Request{
 		{Hosts: 0, Units: 1, Remaining: second}, {Hosts: 5000, Units: 1, Remaining: second},
 		{Hosts: 1, Units: 500, Remaining: second}, {Hosts: 1, Units: 0, Remaining: second},
 		{Hosts: 1, Units: 1, Remaining: 0}, {Hosts: 1, Units: 1, Remaining: 5 * ms},
 	}
-	for _, node := range []logic.NodeInfo{{Node: "n:1"}, {Node: "n:1", UpSince: 500 * second}, {Node: "n:1", Shard: 3}} {
+	for _, node := range []scheduler.NodeInfo{{Node: "n:1"}, {Node: "n:1", UpSince: 500 * second}, {Node: "n:1", Shard: 3}} {
 		d := drive(t, set, node, node)
 		for _, r := range odd {
 			d.ids++
@@ -421,12 +421,12 @@
 		answers, sends := map[uint64]int{}, map[uint64]bool{}
 		for _, action := range d.take() {
 			switch a := action.(type) {
-			case logic.Send:
+			case scheduler.Send:
 				sends[a.ID] = true
-				d.end(a.ID, 0, logic.Success, 20*ms)
-			case logic.Refuse:
+				d.end(a.ID, 0, scheduler.Success, 20*ms)
+			case scheduler.Refuse:
 				answers[a.ID]++
-			case logic.Fail:
+			case scheduler.Fail:
 				answers[a.ID]++
 			}
 		}
@@ -440,19 +440,19 @@
 
 // Hosts that know nothing of the nodes once all put their new objects on the first (incident i3a2b85).
 func TestHostsSpreadNewObjects(t *testing.T) {
-	var nodes []logic.NodeInfo
+	var nodes []scheduler.NodeInfo
 	for i := range 40 {
-		nodes = append(nodes, logic.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Shard: i})
+		nodes = append(nodes, scheduler.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Shard: i})
 	}
 	used := map[string]int{}
 	for seed := range uint64(100) {
-		g, err := logic.New(plain(), seed)
+		g, err := scheduler.New(plain(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, action := range g.Step(100*second, []logic.Event{logic.NodeList{Kind: logic.ListFull, Nodes: nodes},
-			logic.Request{ID: 1, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Hosts: 1, Remaining: 2 * second}}) {
-			if send, ok := action.(logic.Send); ok {
+		for _, action := range g.Step(100*second, []scheduler.Event{scheduler.NodeList{Kind: scheduler.ListFull, Nodes: nodes},
+			scheduler.Request{ID: 1, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Hosts: 1, Remaining: 2 * second}}) {
+			if send, ok := action.(scheduler.Send); ok {
 				used[send.Node]++
 			}
 		}
@@ -466,11 +466,11 @@
 func TestLateAttemptsAreNotRepeatedUnlessOvertaken(t *testing.T) {
 	set := plain()
 	set.Classes[0].Aim = 400 * ms
-	set.Classes = append(set.Classes, logic.Class{Name: "soon", Aim: 150 * ms, Deadline: 2000 * ms, Worth: 1})
+	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", Aim: 150 * ms, Deadline: 2000 * ms, Worth: 1})
 	d := drive(t, set, oneNode)
 	d.request("high", "v", 1)
 	d.pass(250 * ms)
-	if acts := d.take(); has[logic.Cancel](acts) {
+	if acts := d.take(); has[scheduler.Cancel](acts) {
 		t.Fatalf("calls off an attempt that nothing overtook: %s", acts)
 	}
 	d = drive(t, set, oneNode)
@@ -478,12 +478,12 @@
 	for range 5 { // the node answers what came later
 		id := d.request("high", "v", 1)
 		d.pass(10 * ms)
-		d.end(id, 0, logic.Success, 10*ms)
+		d.end(id, 0, scheduler.Success, 10*ms)
 	}
 	d.take()
 	d.pass(200 * ms)
 	for _, action := range d.take() {
-		if cancel, ok := action.(logic.Cancel); ok && cancel.ID == slow {
+		if cancel, ok := action.(scheduler.Cancel); ok && cancel.ID == slow {
 			return
 		}
 	}
@@ -493,7 +493,7 @@
 // Nodes in a crowd once worked for the most part at what was late already, and did half of what they could
 // (winterthur-main-later, a bad day at full size). At a quick node a late answer is still waited for.
 func TestLateWorkIsCalledOffAtACrowdedNode(t *testing.T) {
-	after := func(took time.Duration) []logic.Action {
+	after := func(took time.Duration) []scheduler.Action {
 		set := plain()
 		set.Bounds.MaxAttempts = 1
 		d := drive(t, set, oneNode)
@@ -501,15 +501,15 @@
 		for range 15 { // the node answers what came later
 			id := d.request("high", "v", 1)
 			d.pass(took)
-			d.end(id, 0, logic.Success, took)
+			d.end(id, 0, scheduler.Success, took)
 		}
 		d.pass(max(0, 400*ms-15*took))
 		return d.take()
 	}
-	if quick := after(20 * ms); has[logic.Cancel](quick) {
+	if quick := after(20 * ms); has[scheduler.Cancel](quick) {
 		t.Errorf("called off at a quick node: %v", quick)
 	}
-	if crowded := after(200 * ms); !has[logic.Cancel](crowded) || !has[logic.Refuse](crowded) {
+	if crowded := after(200 * ms); !has[scheduler.Cancel](crowded) || !has[scheduler.Refuse](crowded) {
 		t.Errorf("late work goes on at a crowded node: %v", crowded)
 	}
 }
@@ -521,17 +521,17 @@
 	set.ColdUnits = 40
 	set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, 2
 	d := drive(t, set, oneNode)
-	d.step(logic.NodeList{Kind: logic.ListChanges, Nodes: []logic.NodeInfo{{Node: "n:2", Shard: 1, UpSince: d.now - ms}}})
+	d.step(scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{{Node: "n:2", Shard: 1, UpSince: d.now - ms}}})
 	d.pass(second)
 	d.take()
 	toCold := 0
 	for range 8 {
 		d.ids++
-		d.step(logic.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Hosts: 1,
+		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Hosts: 1,
 			Remaining: 2 * second})
 	}
 	for _, action := range d.take() {
-		if send, ok := action.(logic.Send); ok && send.Node == "n:2" {
+		if send, ok := action.(scheduler.Send); ok && send.Node == "n:2" {
 			toCold++
 		}
 	}
@@ -547,11 +547,11 @@
 	d, count := drive(t, set, oneNode), 0
 	for range 16 {
 		d.ids++
-		d.step(logic.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 2, Hosts: 10, Remaining: 2 * second})
+		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 2, Hosts: 10, Remaining: 2 * second})
 		for _, id := range sent(d.take()) {
 			count++
 			d.pass(ms)
-			d.end(id, 0, logic.Success, ms)
+			d.end(id, 0, scheduler.Success, ms)
 		}
 	}
 	if count < 14 {
@@ -563,7 +563,7 @@
 // the node rests, and an answer that serves clears the count. Errors that a node words itself never have it rest: it
 // answers, and no other node holds its shard.
 func TestOneSpoiltAnswerDoesNotRestANode(t *testing.T) {
-	for _, outcome := range []logic.Outcome{logic.Broken, logic.Failure} {
+	for _, outcome := range []scheduler.Outcome{scheduler.Broken, scheduler.Failure} {
 		d := drive(t, plain(), oneNode)
 		fail := func(id uint64, attempt int) []uint64 {
 			d.take()
@@ -574,12 +574,12 @@
 		if got := fail(first, 0); len(got) != 1 {
 			t.Fatalf("outcome %d: sent %v after one", outcome, got)
 		}
-		d.end(first, 1, logic.Success, 20*ms)
+		d.end(first, 1, scheduler.Success, 20*ms)
 		second := d.request("high", "v", 1)
 		if got := fail(second, 0); len(got) != 1 {
 			t.Errorf("outcome %d: sent %v after one behind an answer that served", outcome, got)
 		}
-		if got := fail(second, 1); (len(got) == 0) != (outcome == logic.Broken) {
+		if got := fail(second, 1); (len(got) == 0) != (outcome == scheduler.Broken) {
 			t.Errorf("outcome %d: sent %v after two on end", outcome, got)
 		}
 	}
--- a/logic/shared_test.go
+++ b/scheduler/shared_test.go
@@ -1,4 +1,4 @@
-package logic
+package scheduler
 
 import (
 	"testing"
--- a/telemetry/fact.go
+++ b/telemetry/fact.go
@@ -17,7 +17,7 @@
 	Left // its client went before the answer
 )
 
-// Outcome says how an attempt ended, as package logic names it.
+// Outcome says how an attempt ended, as package scheduler names it.
 type Outcome uint8
 
 // The outcomes of an attempt that was begun.
