--- a/spread/spread.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package spread ranks the nodes of a shard for one of many brokers that each see little of the load, so that their sum is
+// Package balancer ranks the nodes of a shard for one of many brokers that each see little of the load, so that their sum is
 // even. It does no I/O, reads no clock and starts nothing; it is not safe for concurrent use.
 //
 // The rule. A broker uses a bounded part of a shard's nodes, its cover (cover.go), and takes them in turn: each node has a
@@ -14,7 +14,7 @@
 //
 // What it promises needs no other broker: with no news at all the turns go on. What peers tell of silent nodes can only lower
 // a weight, within the same bound. It costs some 200 bytes a node and broker, and no message but those of judge.go.
-package spread
+package balancer
 
 import (
 	"iter"
--- a/spread/cover.go
+++ b/balancer/cover.go
@@ -1,4 +1,4 @@
-package spread
+package balancer
 
 import (
 	"cmp"
--- a/cmd/wharflab/spread.go
+++ b/cmd/wharflab/spread.go
@@ -15,7 +15,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"junctionwharf/spread"
+	"junctionwharf/balancer"
 )
 
 func spreadCommand() *cli.Command {
@@ -181,16 +181,16 @@
 
 func (w rendezvous) choose(time.Duration) int { return w.mine[w.random.IntN(len(w.mine))] }
 
-// turns is package spread.
+// turns is package balancer.
 type turns struct {
-	group   *spread.Group
-	members []*spread.Member
+	group   *balancer.Group
+	members []*balancer.Member
 }
 
 func newTurns(ordinal, brokers, nodes, size int) *turns {
-	w := &turns{group: spread.NewGroup(spread.Options{Own: fmt.Sprint("broker-", ordinal), Ordinal: ordinal, Brokers: brokers, Nodes: size, Alone: true})}
+	w := &turns{group: balancer.NewGroup(balancer.Options{Own: fmt.Sprint("broker-", ordinal), Ordinal: ordinal, Brokers: brokers, Nodes: size, Alone: true})}
 	for n := range nodes {
-		w.members = append(w.members, &spread.Member{Name: fmt.Sprint("node-", n), Ref: n})
+		w.members = append(w.members, &balancer.Member{Name: fmt.Sprint("node-", n), Ref: n})
 	}
 	w.group.Set(0, w.members)
 	return w
@@ -216,7 +216,7 @@
 // ways are those that are weighed; "oracle" sees all nodes as they are.
 var ways = []string{"listed", "uniform", "least out", "two choices", "two by report", "least report", "subset", "rendezvous", "turns of all", "turns", "oracle"}
 
-const coverSize = spread.DefaultNodes
+const coverSize = balancer.DefaultNodes
 
 func newWay(name string, ordinal, brokers, nodes int, seed uint64) way {
 	t := &table{random: rand.New(rand.NewPCG(seed, uint64(ordinal))), out: make([]int, nodes), report: make([]float64, nodes), at: make([]time.Duration, nodes), since: make([]int, nodes)}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -6,9 +6,9 @@
 	"github.com/BurntSushi/toml"
 
 	"junctionwharf/admission"
+	"junctionwharf/balancer"
 	"junctionwharf/internal/sftp"
 	"junctionwharf/scheduler"
-	"junctionwharf/spread"
 )
 
 const (
@@ -32,9 +32,9 @@
 // Spread is how load is spread over the nodes of a shard; a shard with one node knows nothing of it.
 type Spread struct {
 	Off     bool    `toml:"off"`
-	Nodes   int     `toml:"nodes"`    // of a shard that a broker with little to send uses; 0: spread.DefaultNodes
-	Away    float64 `toml:"away"`     // the most of a shard's weight that judging its nodes may take away; 0: spread.DefaultAway
-	Trial   float64 `toml:"trial"`    // part of its weight that a silent node keeps, as trials; 0: spread.DefaultTrial
+	Nodes   int     `toml:"nodes"`    // of a shard that a broker with little to send uses; 0: balancer.DefaultNodes
+	Away    float64 `toml:"away"`     // the most of a shard's weight that judging its nodes may take away; 0: balancer.DefaultAway
+	Trial   float64 `toml:"trial"`    // part of its weight that a silent node keeps, as trials; 0: balancer.DefaultTrial
 	NoPeers bool    `toml:"no_peers"` // peers neither tell nor are told of silent nodes
 }
 
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// Options are those of package spread.
-func (s Spread) Options(name string) spread.Options {
-	return spread.Options{Off: s.Off, Nodes: s.Nodes, Away: s.Away, Trial: s.Trial, Alone: s.NoPeers, Own: name}
+// Options are those of package balancer.
+func (s Spread) Options(name string) balancer.Options {
+	return balancer.Options{Off: s.Off, Nodes: s.Nodes, Away: s.Away, Trial: s.Trial, Alone: s.NoPeers, Own: name}
 }
 
 // Admission is when requests are refused for want of room or processor.
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"junctionwharf/spread"
+	"junctionwharf/balancer"
 )
 
 // Time is a point on the caller's clock, counted from any fixed start.
@@ -28,7 +28,7 @@
 	MeterPeriod time.Duration // period of the meter behind AttemptEnded.Used, 0 for none
 	ShareWorth  float64       // part of the worth earned beyond the reserve, inside the share
 	SpareWorth  float64       // part of the worth earned beyond reserve and share
-	Spread      spread.Options
+	Spread      balancer.Options
 }
 
 // Check names settings that make no sense.
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"junctionwharf/spread"
+	"junctionwharf/balancer"
 )
 
 // shard holds the nodes of one shard and the requests held for it, earliest due first.
@@ -24,8 +24,8 @@
 	holds    bool    // and among the holding
 	served   float64 // units a second that warm nodes served this host, in the mean over ColdTime
 	servedAt Time
-	group    *spread.Group // of its nodes, nil until there are several
-	grouped  uint64        // Gateway.lists when that was brought up to date
+	group    *balancer.Group // of its nodes, nil until there are several
+	grouped  uint64          // Gateway.lists when that was brought up to date
 
 	// Where the last look moved nothing, another is spared until something happened that could: at the shard itself
 	// (touch), to all shards (Gateway.stirred), or by the passing of time.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
+	"junctionwharf/balancer"
 	"junctionwharf/quota"
-	"junctionwharf/spread"
 )
 
 // The tuned values. All are without dimension or bounds on a count of requests.
@@ -425,7 +425,7 @@
 	savedAt  Time
 	flight   []*request // attempts out, in the order sent
 	home     *shard     // among whose nodes it stands
-	member   *spread.Member
+	member   *balancer.Member
 	listed   uint64 // Gateway.stirred when a list last named it
 	number   int    // of its first coming
 	works    bool   // it stands among those at work
@@ -617,7 +617,7 @@
 	return room && g.now >= n.restTill
 }
 
-// pick takes the first of the nodes, in the order that package spread gives, that may serve a request now.
+// pick takes the first of the nodes, in the order that package balancer gives, that may serve a request now.
 func (g *Gateway) pick(s *shard, r *request) *node {
 	for n := range g.preferred(s, r) {
 		if n.state == Ready && g.hasRoom(n, r) && inScope(r, n) && g.coldRoom(n, r.Units) {
--- a/scheduler/spread.go
+++ b/scheduler/spread.go
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"junctionwharf/spread"
+	"junctionwharf/balancer"
 )
 
 // byShard orders shards by their ids.
 func byShard(s *shard, id int) int { return cmp.Compare(s.id, id) }
 
 // A shard with one ready node knows nothing of spreading: there is nothing to choose, and all is as it was without. Where there
-// are several, package spread ranks them, and the module still decides whether the one in front may be sent to.
+// are several, package balancer ranks them, and the module still decides whether the one in front may be sent to.
 
 // Where no node has answered since an attempt went out, it is tried elsewhere on suspicion alone, for so many of the sends: were all
 // nodes slow, more would only add to it.
@@ -49,25 +49,25 @@
 }
 
 // members brings the shard's group up to date with the list.
-func (g *Gateway) members(s *shard) *spread.Group {
+func (g *Gateway) members(s *shard) *balancer.Group {
 	if s.group != nil && s.grouped == g.lists {
 		return s.group
 	}
 	if s.group == nil {
 		opt := g.set.Spread
 		opt.Own, opt.Ordinal, opt.Brokers = cmp.Or(opt.Own, string(rune(g.set.Ordinal))), g.set.Ordinal, g.set.Hosts
-		s.group = spread.NewGroup(opt)
+		s.group = balancer.NewGroup(opt)
 		at, _ := slices.BinarySearchFunc(g.groups, s.id, byShard)
 		g.groups = slices.Insert(g.groups, at, s)
 	}
 	s.grouped = g.lists
-	var ready []*spread.Member
+	var ready []*balancer.Member
 	for _, n := range s.nodes {
 		if n.state != Ready {
 			continue
 		}
 		if n.member == nil {
-			n.member = &spread.Member{Name: n.Node, Ref: n}
+			n.member = &balancer.Member{Name: n.Node, Ref: n}
 		}
 		n.member.Priority, n.member.Weight, n.member.Warm = n.Priority, max(n.Weight, 0), 1
 		if n.Part > 0 {
@@ -257,7 +257,7 @@
 
 // hearSilent takes such a message of a peer, and tells whether it was one.
 func (g *Gateway) hearSilent(e PeerMessage) bool {
-	if len(e.Data) == 0 || e.Data[0] != spread.KindSilent && e.Data[0] != spread.KindAlive {
+	if len(e.Data) == 0 || e.Data[0] != balancer.KindSilent && e.Data[0] != balancer.KindAlive {
 		return false
 	}
 	for _, s := range g.groups {
