--- a/agree/document.go
+++ b/clusterconfig/document.go
@@ -1,4 +1,4 @@
-// Package agree has brokers agree on documents with versions: settings, node lists, tables of zones and quotas. It does no I/O and
+// Package clusterconfig has brokers agree on documents with versions: settings, node lists, tables of zones and quotas. It does no I/O and
 // reads no clock; time is an argument, in microseconds of the caller's own monotonic clock, and nothing here is safe for concurrent
 // use. docs/agreement.md states the promise, and why it holds.
 //
@@ -9,7 +9,7 @@
 //
 // What it costs: a renewal each third of a lease from each broker, and one message there and back in each phase of a change, by the
 // size of the change.
-package agree
+package clusterconfig
 
 import (
 	"cmp"
--- a/agree/record.go
+++ b/clusterconfig/record.go
@@ -1,4 +1,4 @@
-package agree
+package clusterconfig
 
 import (
 	"errors"
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 	"junctionwharf/scheduler"
 )
 
@@ -39,9 +39,9 @@
 // On tells whether there is anything to agree on.
 func (a Agreement) On() bool { return a.Cluster != "" }
 
-// Timing is that of package agree.
-func (a Agreement) Timing() agree.Timing {
-	return agree.Timing{Lease: int64(a.BoundMS * 1000 / 2), Drift: agree.DefaultTiming.Drift}
+// Timing is that of package clusterconfig.
+func (a Agreement) Timing() clusterconfig.Timing {
+	return clusterconfig.Timing{Lease: int64(a.BoundMS * 1000 / 2), Drift: clusterconfig.DefaultTiming.Drift}
 }
 
 func (a *Agreement) complete(set scheduler.Settings) error {
--- a/node/agreement/agreement_test.go
+++ b/node/agreement/agreement_test.go
@@ -10,16 +10,16 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"junctionwharf/agree"
 	"junctionwharf/broker"
+	"junctionwharf/clusterconfig"
 	"junctionwharf/scheduler"
 )
 
 var limits = map[string]float64{"gold": 100}
 
-func document(t *testing.T, changes ...agree.Change) *agree.Document {
-	doc := &agree.Document{Epoch: 5}
-	p := agree.Proposal{Author: "a", Reason: "r", Changes: changes}
+func document(t *testing.T, changes ...clusterconfig.Change) *clusterconfig.Document {
+	doc := &clusterconfig.Document{Epoch: 5}
+	p := clusterconfig.Proposal{Author: "a", Reason: "r", Changes: changes}
 	if err := doc.Check(rulesOf(limits), p); err != nil {
 		t.Fatal(err)
 	}
@@ -31,9 +31,9 @@
 
 // What grants carry is packed once, and unpacked as it was.
 func TestPack(t *testing.T) {
-	doc := document(t, agree.Change{Key: "class.read.repeat", Value: "yes"})
-	next := doc.Next(agree.Proposal{Expected: 1, Author: "a", Reason: "r", Changes: []agree.Change{{Key: "class.read.repeat", Value: "no"}}})
-	grants := []*agree.Grant{{Holder: "a", Number: 1, Life: 2, Epoch: 5, Term: 3, Entries: []agree.Entry{doc.Last}, Prepare: &next},
+	doc := document(t, clusterconfig.Change{Key: "class.read.repeat", Value: "yes"})
+	next := doc.Next(clusterconfig.Proposal{Expected: 1, Author: "a", Reason: "r", Changes: []clusterconfig.Change{{Key: "class.read.repeat", Value: "no"}}})
+	grants := []*clusterconfig.Grant{{Holder: "a", Number: 1, Life: 2, Epoch: 5, Term: 3, Entries: []clusterconfig.Entry{doc.Last}, Prepare: &next},
 		{Holder: "b", Number: 4, Epoch: 5, Term: 3, Whole: doc, Prepare: &next}, {Holder: "c", Number: 9, Epoch: 5, Term: 3, Prepare: &next}}
 	d := pack(grants)
 	if len(d.Entries) != 1 {
@@ -87,11 +87,11 @@
 func TestEffective(t *testing.T) {
 	set := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Effect: scheduler.Unsafe}, {Name: "new"}},
 		Plans: []scheduler.Plan{{Name: "gold", Limit: 900}, {Name: "free", Limit: 70}, {Name: "all"}}}
-	timing := agree.Timing{Lease: 1000, Drift: 500}
-	h := agree.NewHolder("h", 1, timing, rulesOf(limits))
+	timing := clusterconfig.Timing{Lease: 1000, Drift: 500}
+	h := clusterconfig.NewHolder("h", 1, timing, rulesOf(limits))
 	r := h.Renew(10)
-	doc := document(t, changesTo(&agree.Document{}, valuesOf(scheduler.Settings{Classes: set.Classes[:2], Plans: set.Plans}, limits))...)
-	if !h.Granted(20, agree.Grant{Holder: "h", Number: r.Number, Life: 1, Epoch: 5, Term: 1, Whole: doc}) {
+	doc := document(t, changesTo(&clusterconfig.Document{}, valuesOf(scheduler.Settings{Classes: set.Classes[:2], Plans: set.Plans}, limits))...)
+	if !h.Granted(20, clusterconfig.Grant{Holder: "h", Number: r.Number, Life: 1, Epoch: 5, Term: 1, Whole: doc}) {
 		t.Fatal("not granted")
 	}
 	got := effective(set, limits, h.View(30))
@@ -138,8 +138,8 @@
 
 func TestRulesAndFaults(t *testing.T) {
 	rules := rulesOf(limits)
-	doc := &agree.Document{}
-	err := doc.Check(rules, agree.Proposal{Expected: 3, Changes: []agree.Change{{Key: "plan.free.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "9"}, {Key: "class..repeat", Value: "yes"},
+	doc := &clusterconfig.Document{}
+	err := doc.Check(rules, clusterconfig.Proposal{Expected: 3, Changes: []clusterconfig.Change{{Key: "plan.free.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "9"}, {Key: "class..repeat", Value: "yes"},
 		{Key: "node.n.drain", Value: "maybe"}}})
 	for _, want := range []string{"expected:", "author:", "reason:", "plan.free.limit: unknown key", "plan.gold.limit: 9 is below 100", "class..repeat: unknown key", "node.n.drain: \"maybe\""} {
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/node/agreement/calls.go
+++ b/node/agreement/calls.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 )
 
 // answerSpan is how long an operator's call waits for the leader, and a change for coming into force.
@@ -62,7 +62,7 @@
 	case "diff":
 		a.Version, err = strconv.ParseUint(rest, 10, 64)
 	case "propose":
-		a.Proposal = &agree.Proposal{}
+		a.Proposal = &clusterconfig.Proposal{}
 		err = json.Unmarshal([]byte(rest), a.Proposal)
 		if wrong := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrong) {
 			return failure("invalid", typeNames.Replace(err.Error()))
@@ -73,7 +73,7 @@
 			return failure("invalid", "rollback wants VERSION AUTHOR REASON")
 		}
 		a.Version, err = strconv.ParseUint(parts[0], 10, 64)
-		a.Proposal = &agree.Proposal{Author: parts[1], Reason: parts[2]}
+		a.Proposal = &clusterconfig.Proposal{Author: parts[1], Reason: parts[2]}
 	default:
 		return failure("invalid", fmt.Sprintf("unknown call %q: %s", word, Calls))
 	}
@@ -101,11 +101,11 @@
 
 // typeNames keeps the names by which the console has always told the types of a faulty proposal, whatever they are called here.
 var typeNames = strings.NewReplacer(
-	"type "+reflect.TypeFor[[]agree.Change]().String(), "type []agree.Change",
-	"type "+reflect.TypeFor[agree.Change]().String(), "type agree.Change",
-	"type "+reflect.TypeFor[agree.Proposal]().String(), "type agree.Proposal",
-	"field "+reflect.TypeFor[agree.Change]().Name()+".", "field Change.",
-	"field "+reflect.TypeFor[agree.Proposal]().Name()+".", "field Proposal.",
+	"type "+reflect.TypeFor[[]clusterconfig.Change]().String(), "type []agree.Change",
+	"type "+reflect.TypeFor[clusterconfig.Change]().String(), "type agree.Change",
+	"type "+reflect.TypeFor[clusterconfig.Proposal]().String(), "type agree.Proposal",
+	"field "+reflect.TypeFor[clusterconfig.Change]().Name()+".", "field Change.",
+	"field "+reflect.TypeFor[clusterconfig.Proposal]().Name()+".", "field Proposal.",
 )
 
 func failure(kind, text string) []byte {
@@ -185,7 +185,7 @@
 }
 
 // answer is the leader's.
-func (s *Service) answer(now agree.Micros, a ask) {
+func (s *Service) answer(now clusterconfig.Micros, a ask) {
 	v := s.voter
 	say := func(what any, err error) {
 		r := reply{Holder: a.Holder, Number: a.Number}
@@ -197,12 +197,12 @@
 		}
 		s.sink(nil, down{Replies: []reply{r}})
 	}
-	taken := func(e agree.Entry, err error) { say(e, err) }
+	taken := func(e clusterconfig.Entry, err error) { say(e, err) }
 	switch record := v.Record(); a.Call {
 	case "members":
 		say(s.status(), nil)
 	case "history":
-		n := min(int(min(a.Version, agree.MostTrail)), len(record.Trail))
+		n := min(int(min(a.Version, clusterconfig.MostTrail)), len(record.Trail))
 		say(record.Trail[len(record.Trail)-n:], nil)
 	case "diff":
 		then, err := record.At(a.Version)
--- a/node/agreement/console_golden_test.go
+++ b/node/agreement/console_golden_test.go
@@ -7,7 +7,7 @@
 	"os"
 	"testing"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 )
 
 var recordAnswers = flag.Bool("record-answers", false, "write the golden files anew")
@@ -50,15 +50,15 @@
 	status := Status{Name: "n1", Role: "leader", Epoch: 5, Version: 9, Preparing: 10, Restricted: true, RestrictedMS: 1500, LeaseLeftMS: -3,
 		Parent: "n0", Path: []string{"n1", "n0"}, Children: []string{"n2", "n3"}, Voters: map[string]string{"n0": "connected", "n1": "self"},
 		Leader: "n1", Term: 4, Fault: "disk full", Waits: []string{"n4"}, Behind: map[string]uint64{"n5": 8}}
-	entry := agree.Entry{Version: 2, Proposal: agree.Proposal{Expected: 1, Author: "a", Reason: "r",
-		Changes: []agree.Change{{Key: "plan.gold.limit", Value: "120"}}}, Before: "00ff", Hash: "ff00"}
-	document := &agree.Document{Epoch: 5, Version: 2, Values: map[string]string{"plan.gold.limit": "120"}, Last: entry}
+	entry := clusterconfig.Entry{Version: 2, Proposal: clusterconfig.Proposal{Expected: 1, Author: "a", Reason: "r",
+		Changes: []clusterconfig.Change{{Key: "plan.gold.limit", Value: "120"}}}, Before: "00ff", Hash: "ff00"}
+	document := &clusterconfig.Document{Epoch: 5, Version: 2, Values: map[string]string{"plan.gold.limit": "120"}, Last: entry}
 	checkAnswer(t, "status.json", status, &Status{})
 	checkAnswer(t, "status-least.json", Status{}, &Status{})
-	checkAnswer(t, "history.json", []agree.Entry{entry}, &[]agree.Entry{})
+	checkAnswer(t, "history.json", []clusterconfig.Entry{entry}, &[]clusterconfig.Entry{})
 	checkAnswer(t, "diff.json", []Change{{Key: "plan.gold.limit", Then: "100", Now: "120"}}, &[]Change{})
-	checkAnswer(t, "change.json", entry, &agree.Entry{}) // of propose and rollback
-	checkAnswer(t, "export.json", document.Clone(), &agree.Document{})
+	checkAnswer(t, "change.json", entry, &clusterconfig.Entry{}) // of propose and rollback
+	checkAnswer(t, "export.json", document.Clone(), &clusterconfig.Document{})
 	var refused map[string]string
 	if err := json.Unmarshal(failure("expected", "expected: another version is in force: 3, not 2"), &refused); err != nil {
 		t.Fatal(err)
--- a/node/agreement/golden_test.go
+++ b/node/agreement/golden_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 	"junctionwharf/node/consensus"
 	"junctionwharf/scheduler"
 )
@@ -30,13 +30,13 @@
 	encodeTries  = 1000 // msgpack writes a map in the order of a Go range, which is random
 )
 
-func goldenDocument() (doc *agree.Document, next agree.Entry) {
-	doc = &agree.Document{Epoch: 5}
-	p := agree.Proposal{Author: "ana", Reason: "first", Changes: []agree.Change{{Key: "class.read.repeat", Value: "yes"}, {Key: "plan.gold.limit", Value: "900"}}}
+func goldenDocument() (doc *clusterconfig.Document, next clusterconfig.Entry) {
+	doc = &clusterconfig.Document{Epoch: 5}
+	p := clusterconfig.Proposal{Author: "ana", Reason: "first", Changes: []clusterconfig.Change{{Key: "class.read.repeat", Value: "yes"}, {Key: "plan.gold.limit", Value: "900"}}}
 	if err := doc.Apply(doc.Next(p)); err != nil {
 		panic(err)
 	}
-	return doc, doc.Next(agree.Proposal{Expected: 1, Author: "rui", Reason: "leaves", Changes: []agree.Change{{Key: "node.n1.drain", Value: "yes"}}})
+	return doc, doc.Next(clusterconfig.Proposal{Expected: 1, Author: "rui", Reason: "leaves", Changes: []clusterconfig.Change{{Key: "node.n1.drain", Value: "yes"}}})
 }
 
 type goldenFrame struct {
@@ -47,7 +47,7 @@
 // goldenTable has a frame of each kind, with all fields set.
 func goldenTable() []goldenFrame {
 	doc, next := goldenDocument()
-	grants := []*agree.Grant{{Holder: "a", Number: 1, Life: 2, Epoch: 5, Term: 3, Seq: 41, Entries: []agree.Entry{doc.Last}, Prepare: &next},
+	grants := []*clusterconfig.Grant{{Holder: "a", Number: 1, Life: 2, Epoch: 5, Term: 3, Seq: 41, Entries: []clusterconfig.Entry{doc.Last}, Prepare: &next},
 		{Holder: "b", Number: 4, Life: 8, Epoch: 5, Term: 3, Seq: 42, Whole: doc, Prepare: &next}, {Holder: "c", Number: 9, Life: 6, Epoch: 5, Term: 3, Seq: 43}}
 	return []goldenFrame{
 		{"alive", frame{}},
@@ -56,9 +56,9 @@
 		{"welcome", frame{Welcome: &welcome{Path: []string{"v0", "a"}, Name: "a", ID: 7, Fresh: true}}},
 		{"welcome refused", frame{Welcome: &welcome{Reason: "enough are fed here", Others: []string{"127.0.0.1:1", "127.0.0.1:2"}, Name: "a"}}},
 		{"raft", frame{Raft: []byte{1, 2, 3}}},
-		{"up renewals", frame{Up: &up{Renewals: []agree.Renewal{{Holder: "a", Number: 1, Life: 2, Epoch: 5, Version: 1, Ready: 2}, {Holder: "b", Number: 3}}}}},
+		{"up renewals", frame{Up: &up{Renewals: []clusterconfig.Renewal{{Holder: "a", Number: 1, Life: 2, Epoch: 5, Version: 1, Ready: 2}, {Holder: "b", Number: 3}}}}},
 		{"up asks", frame{Up: &up{Asks: []ask{{Holder: "a", Number: 4, Call: "propose", Proposal: &next.Proposal}, {Holder: "a", Number: 5, Call: "history", Version: 20}}}}},
-		{"up offers", frame{Up: &up{Offers: []*agree.Document{doc}}}},
+		{"up offers", frame{Up: &up{Offers: []*clusterconfig.Document{doc}}}},
 		{"down grants", frame{Down: pack(grants)}},
 		{"down notice", frame{Down: &down{Poke: true}}},
 		{"down adopt", frame{Down: &down{Lend: []string{"a", "b"}}}},
@@ -162,9 +162,9 @@
 func goldenAnswers(t *testing.T) map[string]string {
 	t.Helper()
 	doc, next := goldenDocument()
-	record := agree.NewRecord(5, nil)
+	record := clusterconfig.NewRecord(5, nil)
 	first := doc.Last
-	for _, c := range []agree.Command{{Begin: &first}, {Activate: 1}, {Begin: &next}} {
+	for _, c := range []clusterconfig.Command{{Begin: &first}, {Activate: 1}, {Begin: &next}} {
 		if err := record.Apply(c); err != nil {
 			t.Fatal(err)
 		}
@@ -178,8 +178,8 @@
 		answers[name] = string(text)
 	}
 	add("export", doc)
-	add("export empty", &agree.Document{})
-	add("history", []agree.Entry{first, next})
+	add("export empty", &clusterconfig.Document{})
+	add("history", []clusterconfig.Entry{first, next})
 	add("diff", []Change{{Key: "k", Then: "a", Now: "b"}})
 	add("status follower", Status{Name: "a", Role: "follower"})
 	add("status", Status{Name: "a", Role: "leader", Epoch: 5, Version: 1, Preparing: 2, Restricted: true, RestrictedMS: 3, LeaseLeftMS: 4, Parent: "p", Path: []string{"v0", "p"},
@@ -192,17 +192,17 @@
 		answers["call "+call] = strings.TrimSpace(string(s.Call(call)))
 	}
 	rules := rulesOf(limits)
-	err := record.Doc.Check(rules, agree.Proposal{Expected: 3, Changes: []agree.Change{{Key: "plan.free.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "x"},
+	err := record.Doc.Check(rules, clusterconfig.Proposal{Expected: 3, Changes: []clusterconfig.Change{{Key: "plan.free.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "x"},
 		{Key: "class..repeat", Value: "yes"}, {Key: "node.n.drain", Value: "maybe"}}})
 	answers["faults"] = strings.ReplaceAll(err.Error(), "\n", " | ")
-	answers["faults empty"] = strings.ReplaceAll(record.Doc.Check(rules, agree.Proposal{}).Error(), "\n", " | ")
-	for name, c := range map[string]agree.Command{"begin again": {Begin: &next}, "activate another": {Activate: 9}, "adopt": {Adopt: doc}, "empty": {}} {
+	answers["faults empty"] = strings.ReplaceAll(record.Doc.Check(rules, clusterconfig.Proposal{}).Error(), "\n", " | ")
+	for name, c := range map[string]clusterconfig.Command{"begin again": {Begin: &next}, "activate another": {Activate: 9}, "adopt": {Adopt: doc}, "empty": {}} {
 		answers["command "+name] = record.Apply(c).Error()
 	}
 	altered, other := next, next
 	altered.Hash, other.Before = "x", "y"
-	for name, e := range map[string]agree.Entry{"altered": altered, "of another history": other, "too early": first} {
-		answers["entry "+name] = fmt.Sprint(agree.NewRecord(5, nil).Apply(agree.Command{Begin: &e}))
+	for name, e := range map[string]clusterconfig.Entry{"altered": altered, "of another history": other, "too early": first} {
+		answers["entry "+name] = fmt.Sprint(clusterconfig.NewRecord(5, nil).Apply(clusterconfig.Command{Begin: &e}))
 		answers["entry "+name+" behind the first"] = fmt.Sprint(doc.Clone().Apply(e))
 	}
 	for _, version := range []uint64{0, 2} {
@@ -217,14 +217,14 @@
 	_, err = short.At(8)
 	answers["value too old"] = strings.Replace(err.Error(), "plan.gold.limit", "class.read.repeat", 1) // it names one of the two
 	answers["altered trail"] = short.Verify().Error()
-	for _, err := range []error{agree.ErrExpected, agree.ErrUnderWay, agree.ErrNotLeader, consensus.ErrUnknown} {
+	for _, err := range []error{clusterconfig.ErrExpected, clusterconfig.ErrUnderWay, clusterconfig.ErrNotLeader, consensus.ErrUnknown} {
 		answers["kind of "+err.Error()] = faultKind(fmt.Errorf("x: %w", err))
 	}
-	k := agree.NewKeeper(0, 1, agree.DefaultTiming, rules, record.Doc, record.Pending, 0)
-	_, err = k.Propose(0, agree.Proposal{})
+	k := clusterconfig.NewKeeper(0, 1, clusterconfig.DefaultTiming, rules, record.Doc, record.Pending, 0)
+	_, err = k.Propose(0, clusterconfig.Proposal{})
 	answers["proposal to a leader that is not sure"] = err.Error()
 	k.Confirmed(1 << 40)
-	_, err = k.Propose(0, agree.Proposal{})
+	_, err = k.Propose(0, clusterconfig.Proposal{})
 	answers["proposal beside another"] = err.Error()
 	answers["begun beside another"] = k.Begin(0, next).Error()
 	return answers
@@ -258,7 +258,7 @@
 
 // Two brokers agree only if they have set lease, limits and members alike; each says what it has set as one text, which both compare.
 func TestGoldenTerms(t *testing.T) {
-	s, err := New(Options{Name: "n", Timing: agree.DefaultTiming, Limits: map[string]float64{"gold": 100, "free": 2.5},
+	s, err := New(Options{Name: "n", Timing: clusterconfig.DefaultTiming, Limits: map[string]float64{"gold": 100, "free": 2.5},
 		Members: []Member{{"v0", "127.0.0.1:1"}, {"v1", "127.0.0.1:2"}}}, scheduler.Settings{}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -275,7 +275,7 @@
 	if missing := untagged(reflect.TypeFor[frame](), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
 		t.Errorf("no tag: %v", missing)
 	}
-	for _, value := range []any{agree.Document{}, agree.Entry{}, agree.Proposal{}, Status{}, Change{}} {
+	for _, value := range []any{clusterconfig.Document{}, clusterconfig.Entry{}, clusterconfig.Proposal{}, Status{}, Change{}} {
 		if missing := untagged(reflect.TypeOf(value), map[reflect.Type]bool{}, "json"); len(missing) > 0 {
 			t.Errorf("no tag: %v", missing)
 		}
--- a/node/agreement/service.go
+++ b/node/agreement/service.go
@@ -25,8 +25,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"junctionwharf/agree"
 	"junctionwharf/broker"
+	"junctionwharf/clusterconfig"
 	"junctionwharf/node/consensus"
 	"junctionwharf/scheduler"
 )
@@ -45,7 +45,7 @@
 	Local   net.IP // the address from which it connects, nil for the system's choice
 	Members []Member
 	Dir     string // of a disk that lasts, for a voter's state; empty for none
-	Timing  agree.Timing
+	Timing  clusterconfig.Timing
 	Limits  map[string]float64 // floors of the plans whose limit is agreed on
 	Feeds   int                // brokers that attach to this one at the most
 	Seed    uint64
@@ -73,14 +73,14 @@
 
 type route struct {
 	link *link
-	seen agree.Micros
+	seen clusterconfig.Micros
 }
 
 // Service takes part.
 type Service struct {
 	o      Options
 	terms  string
-	rules  agree.Rules
+	rules  clusterconfig.Rules
 	votes  bool
 	ln     net.Listener
 	calls  chan func()
@@ -91,12 +91,12 @@
 	seen   struct{ term, leads, behind, waits atomic.Uint64 } // for figures
 
 	mu     sync.Mutex // of what the core's turn looks at
-	holder *agree.Holder
+	holder *clusterconfig.Holder
 	set    scheduler.Settings
 	list   *list
 	acts   sign
-	turned agree.Micros // when it turned last
-	since  agree.Micros // when it began to act on acts
+	turned clusterconfig.Micros // when it turned last
+	since  clusterconfig.Micros // when it began to act on acts
 
 	// What follows belongs to the run's own goroutine.
 	random   *rand.Rand
@@ -109,24 +109,24 @@
 	parent   *link
 	routes   map[string]route
 	batch    up
-	flushAt  agree.Micros
-	renewAt  agree.Micros
-	formAt   agree.Micros
-	swapAt   agree.Micros
-	aloneAt  agree.Micros // since when there is no leader
-	heardAt  agree.Micros // the last grant
+	flushAt  clusterconfig.Micros
+	renewAt  clusterconfig.Micros
+	formAt   clusterconfig.Micros
+	swapAt   clusterconfig.Micros
+	aloneAt  clusterconfig.Micros // since when there is no leader
+	heardAt  clusterconfig.Micros // the last grant
 	asked    map[uint64]func(reply)
 	askNo    uint64
 	wants    map[string]wanted // drains that discovery told this broker, and that are to be agreed on
-	importAt agree.Micros
-	showAt   agree.Micros
+	importAt clusterconfig.Micros
+	showAt   clusterconfig.Micros
 	fileDue  bool // the settings file is to be proposed
 }
 
 // wanted is a value of a drain, to be proposed from a time on.
 type wanted struct {
 	value string
-	at    agree.Micros
+	at    clusterconfig.Micros
 }
 
 // sign tells views apart.
@@ -146,7 +146,7 @@
 		ids: map[uint64]string{}, dialed: map[string]*link{}, voters: map[string]*link{}, children: map[string]*link{}, routes: map[string]route{},
 		asked: map[uint64]func(reply){}, wants: map[string]wanted{}}
 	s.terms = fmt.Sprint(o.Timing, slices.Sorted(maps.Keys(o.Limits)), o.Limits, o.Members)
-	s.holder = agree.NewHolder(o.Name, s.random.Uint64(), o.Timing, s.rules)
+	s.holder = clusterconfig.NewHolder(o.Name, s.random.Uint64(), o.Timing, s.rules)
 	s.askNo = s.random.Uint64() >> 1
 	if s.votes {
 		if o.Listen == "" {
@@ -189,12 +189,12 @@
 	return nil
 }
 
-func (s *Service) now() agree.Micros { return agree.Micros(s.o.Now()) }
+func (s *Service) now() clusterconfig.Micros { return clusterconfig.Micros(s.o.Now()) }
 
 // Turn is called at the begin of each turn of the core, with the clock that the turn reads. It returns what the core has to go over
 // to before it decides anything, nil for nothing: a process that was stopped for minutes does not decide once by what it knew.
 func (s *Service) Turn(at broker.Micros) []broker.Event {
-	now := agree.Micros(at)
+	now := clusterconfig.Micros(at)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := s.holder.View(now)
@@ -214,7 +214,7 @@
 }
 
 // drains brings the list up to what changed in the view.
-func (s *Service) drains(view agree.View) []broker.Node {
+func (s *Service) drains(view clusterconfig.View) []broker.Node {
 	keys, all := s.holder.Touched()
 	if all {
 		return s.list.agree(drained(view))
@@ -251,10 +251,10 @@
 	if len(leave)+len(stay) > 0 {
 		s.do(func() {
 			for _, host := range leave {
-				s.wants[host] = wanted{"yes", s.now() + agree.Micros(s.random.IntN(drainWait))}
+				s.wants[host] = wanted{"yes", s.now() + clusterconfig.Micros(s.random.IntN(drainWait))}
 			}
 			for _, host := range stay {
-				s.wants[host] = wanted{"", s.now() + agree.Micros(s.random.IntN(drainWait))}
+				s.wants[host] = wanted{"", s.now() + clusterconfig.Micros(s.random.IntN(drainWait))}
 			}
 		})
 	}
@@ -322,7 +322,7 @@
 }
 
 // show leaves figures for whoever reads them.
-func (s *Service) show(now agree.Micros) {
+func (s *Service) show(now clusterconfig.Micros) {
 	if s.voter == nil || now < s.showAt {
 		return
 	}
@@ -347,7 +347,7 @@
 }
 
 // work does what is due and tells when it wants to be called again.
-func (s *Service) work() agree.Micros {
+func (s *Service) work() clusterconfig.Micros {
 	now := s.now()
 	if now >= s.renewAt {
 		s.renew(now)
@@ -366,7 +366,7 @@
 			s.swapAt = now + swapEvery
 			for name, l := range s.voters {
 				if id := v.Record().Members[name]; l.fresh && id != l.id && !l.closed.Load() {
-					s.effect(v.Replace(now, agree.Member{Name: name, ID: l.id}))
+					s.effect(v.Replace(now, clusterconfig.Member{Name: name, ID: l.id}))
 				}
 			}
 			s.bring(now)
@@ -389,13 +389,13 @@
 }
 
 // renew asks for the lease.
-func (s *Service) renew(now agree.Micros) {
+func (s *Service) renew(now clusterconfig.Micros) {
 	every := s.o.Timing.Lease / renewals
-	s.renewAt = now + every - agree.Micros(s.random.Int64N(every/5+1))
+	s.renewAt = now + every - clusterconfig.Micros(s.random.Int64N(every/5+1))
 	s.mu.Lock()
 	r := s.holder.Renew(now)
 	s.mu.Unlock()
-	s.rise(up{Renewals: []agree.Renewal{r}})
+	s.rise(up{Renewals: []clusterconfig.Renewal{r}})
 	if len(s.routes) > 0 {
 		maps.DeleteFunc(s.routes, func(_ string, r route) bool { return r.link.closed.Load() || now-r.seen > routeSpan })
 	}
@@ -454,7 +454,7 @@
 // handle is the leader's.
 func (s *Service) handle(u up) {
 	now, v := s.now(), s.voter
-	var grants []*agree.Grant
+	var grants []*clusterconfig.Grant
 	d := down{}
 	for _, r := range u.Renewals {
 		if g := v.Renewed(now, r); g != nil {
@@ -476,9 +476,9 @@
 }
 
 // sink has what comes from the leader go to this broker and, by their routes, to others.
-func (s *Service) sink(grants []*agree.Grant, d down) {
+func (s *Service) sink(grants []*clusterconfig.Grant, d down) {
 	now := s.now()
-	by := map[*link][]*agree.Grant{}
+	by := map[*link][]*clusterconfig.Grant{}
 	extra := map[*link]*down{}
 	at := func(holder string) *down {
 		l := s.routes[holder].link
@@ -502,7 +502,7 @@
 			s.mu.Lock()
 			doc := s.holder.Document().Clone()
 			s.mu.Unlock()
-			s.rise(up{Offers: []*agree.Document{doc}})
+			s.rise(up{Offers: []*clusterconfig.Document{doc}})
 		} else if to := at(holder); to != nil {
 			to.Lend = append(to.Lend, holder)
 		}
@@ -529,7 +529,7 @@
 }
 
 // poke tells those below, and this broker's own holder, that there is news.
-func (s *Service) poke(now agree.Micros) {
+func (s *Service) poke(now clusterconfig.Micros) {
 	for _, l := range s.children {
 		l.send(frame{Down: &down{Poke: true}})
 	}
@@ -541,7 +541,7 @@
 	s.renewAt = now
 }
 
-func (s *Service) granted(now agree.Micros, g *agree.Grant) {
+func (s *Service) granted(now clusterconfig.Micros, g *clusterconfig.Grant) {
 	s.mu.Lock()
 	before := s.holder.View(now)
 	took := s.holder.Granted(now, *g)
@@ -578,7 +578,7 @@
 
 // form has voters without any state begin, once all of them are there and none has any: whoever has state may be part of a consensus that
 // goes on. The first by name speaks for all.
-func (s *Service) form(now agree.Micros) {
+func (s *Service) form(now clusterconfig.Micros) {
 	v := s.voter
 	if !v.Fresh() {
 		if !v.Begun() && now-s.aloneAt > halfFormed {
@@ -636,7 +636,7 @@
 }
 
 // bring proposes the settings of the leader where nothing is in force: the first version.
-func (s *Service) bring(now agree.Micros) {
+func (s *Service) bring(now clusterconfig.Micros) {
 	v := s.voter
 	if v.Record().Doc.Version > 0 || v.Record().Pending != nil || v.Offers() || now < s.importAt || !v.Keeper().Clear(now) {
 		return
@@ -646,7 +646,7 @@
 	changes := changesTo(v.Record().Doc, valuesOf(s.set, s.o.Limits))
 	s.mu.Unlock()
 	if len(changes) > 0 {
-		s.effect(v.Propose(now, agree.Proposal{Author: s.o.Name, Reason: "settings of the first leader", Changes: changes}, func(_ agree.Entry, err error) {
+		s.effect(v.Propose(now, clusterconfig.Proposal{Author: s.o.Name, Reason: "settings of the first leader", Changes: changes}, func(_ clusterconfig.Entry, err error) {
 			if err != nil {
 				s.o.Log.Warn("first version not taken", "reason", err)
 			}
@@ -655,13 +655,13 @@
 }
 
 // propose has what this broker's file and discovery say agreed on.
-func (s *Service) propose(now agree.Micros) {
+func (s *Service) propose(now clusterconfig.Micros) {
 	if len(s.wants) == 0 && !s.fileDue || now < s.importAt {
 		return
 	}
 	s.mu.Lock()
 	doc, restricted := s.holder.Document(), s.holder.View(now).Restricted
-	p := agree.Proposal{Expected: doc.Version, Author: s.o.Name}
+	p := clusterconfig.Proposal{Expected: doc.Version, Author: s.o.Name}
 	if s.fileDue && doc.Version > 0 {
 		p.Changes, p.Reason = changesTo(doc, valuesOf(s.set, s.o.Limits)), "settings file"
 		s.fileDue = len(p.Changes) > 0
@@ -672,7 +672,7 @@
 			case doc.Values[key] == w.value:
 				delete(s.wants, host)
 			case now >= w.at && doc.Version > 0 && len(p.Changes) < mostAsks:
-				p.Changes, p.Reason = append(p.Changes, agree.Change{Key: key, Value: w.value}), "discovery"
+				p.Changes, p.Reason = append(p.Changes, clusterconfig.Change{Key: key, Value: w.value}), "discovery"
 			}
 		}
 	}
@@ -680,7 +680,7 @@
 	if restricted || len(p.Changes) == 0 {
 		return
 	}
-	s.importAt = now + again/2 + agree.Micros(s.random.IntN(again/2))
+	s.importAt = now + again/2 + clusterconfig.Micros(s.random.IntN(again/2))
 	s.ask(ask{Call: "propose", Proposal: &p}, func(r reply) {
 		if r.Error != "" {
 			s.o.Log.Info("proposal not taken", "reason", r.Error, "why", p.Reason)
@@ -1004,7 +1004,7 @@
 	s.mu.Lock()
 	view, left, since, acts := s.holder.View(now), s.holder.LeaseLeft(now), s.holder.RestrictedSince(), s.since
 	s.mu.Unlock()
-	restricted, span := uint64(0), agree.Micros(0)
+	restricted, span := uint64(0), clusterconfig.Micros(0)
 	if view.Restricted {
 		restricted, span = 1, now-since
 	}
--- a/node/agreement/settings.go
+++ b/node/agreement/settings.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"strings"
 
-	"junctionwharf/agree"
 	"junctionwharf/broker"
+	"junctionwharf/clusterconfig"
 	"junctionwharf/node/consensus"
 	"junctionwharf/scheduler"
 )
@@ -34,17 +34,17 @@
 }
 
 // rulesOf are the same for all brokers with the same limits, whatever classes each knows: a class that vanished keeps its rule.
-func rulesOf(limits map[string]float64) agree.Rules {
-	return func(key string) (agree.Rule, bool) {
+func rulesOf(limits map[string]float64) clusterconfig.Rules {
+	return func(key string) (clusterconfig.Rule, bool) {
 		if _, is := between(key, classKey, repeatKey); is {
-			return agree.Switch{}, true
+			return clusterconfig.Switch{}, true
 		}
 		if name, is := between(key, planKey, limitKey); is {
 			floor, is := limits[name]
-			return agree.Least{Lowest: floor}, is
+			return clusterconfig.Least{Lowest: floor}, is
 		}
 		if _, is := between(key, nodeKey, drainKey); is {
-			return agree.Drain{}, true
+			return clusterconfig.Drain{}, true
 		}
 		return nil, false
 	}
@@ -68,18 +68,18 @@
 }
 
 // changesTo are what a document lacks of values.
-func changesTo(doc *agree.Document, values map[string]string) []agree.Change {
-	var changes []agree.Change
+func changesTo(doc *clusterconfig.Document, values map[string]string) []clusterconfig.Change {
+	var changes []clusterconfig.Change
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		if doc.Values[key] != values[key] {
-			changes = append(changes, agree.Change{Key: key, Value: values[key]})
+			changes = append(changes, clusterconfig.Change{Key: key, Value: values[key]})
 		}
 	}
 	return changes
 }
 
 // effective is what a broker acts on: its settings, and of what is agreed the view. Limits of a plan that nothing is agreed on stand.
-func effective(set scheduler.Settings, limits map[string]float64, view agree.View) scheduler.Settings {
+func effective(set scheduler.Settings, limits map[string]float64, view clusterconfig.View) scheduler.Settings {
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	for i := range set.Classes {
 		if c := &set.Classes[i]; view.Value(classKey+c.Name+repeatKey) != "yes" {
@@ -101,7 +101,7 @@
 }
 
 // drained are the hosts that a view says leave.
-func drained(view agree.View) map[string]bool {
+func drained(view clusterconfig.View) map[string]bool {
 	hosts := map[string]bool{}
 	for _, key := range view.Keys() {
 		if host, is := between(key, nodeKey, drainKey); is && view.Value(key) == "yes" {
@@ -192,11 +192,11 @@
 // faultKind tells why a proposal was refused.
 func faultKind(err error) string {
 	switch {
-	case errors.Is(err, agree.ErrExpected), errors.Is(err, agree.ErrUnderWay):
+	case errors.Is(err, clusterconfig.ErrExpected), errors.Is(err, clusterconfig.ErrUnderWay):
 		return "expected"
 	case errors.Is(err, consensus.ErrUnknown):
 		return "unknown"
-	case errors.Is(err, agree.ErrNotLeader):
+	case errors.Is(err, clusterconfig.ErrNotLeader):
 		return "none"
 	}
 	return "invalid"
--- a/node/agreement/wire.go
+++ b/node/agreement/wire.go
@@ -13,7 +13,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 )
 
 const (
@@ -49,18 +49,18 @@
 
 // up goes towards the leader.
 type up struct {
-	Renewals []agree.Renewal   `msgpack:"Renewals"`
-	Asks     []ask             `msgpack:"Asks"`
-	Offers   []*agree.Document `msgpack:"Offers"`
+	Renewals []clusterconfig.Renewal   `msgpack:"Renewals"`
+	Asks     []ask                     `msgpack:"Asks"`
+	Offers   []*clusterconfig.Document `msgpack:"Offers"`
 }
 
 // ask is an operator's call, for the leader to answer.
 type ask struct {
-	Holder   string          `msgpack:"Holder"` // whose broker was asked
-	Number   uint64          `msgpack:"Number"`
-	Call     string          `msgpack:"Call"`
-	Proposal *agree.Proposal `msgpack:"Proposal"`
-	Version  uint64          `msgpack:"Version"`
+	Holder   string                  `msgpack:"Holder"` // whose broker was asked
+	Number   uint64                  `msgpack:"Number"`
+	Call     string                  `msgpack:"Call"`
+	Proposal *clusterconfig.Proposal `msgpack:"Proposal"`
+	Version  uint64                  `msgpack:"Version"`
 }
 
 // reply answers it.
@@ -74,15 +74,15 @@
 
 // down goes from the leader. Grants share what they carry.
 type down struct {
-	Epoch   uint64          `msgpack:"Epoch"`
-	Term    uint64          `msgpack:"Term"`
-	Grants  []granted       `msgpack:"Grants"`
-	Entries []agree.Entry   `msgpack:"Entries"`
-	Whole   *agree.Document `msgpack:"Whole"`
-	Prepare *agree.Entry    `msgpack:"Prepare"`
-	Poke    bool            `msgpack:"Poke"` // there is news: renew now
-	Lend    []string        `msgpack:"Lend"`
-	Replies []reply         `msgpack:"Replies"`
+	Epoch   uint64                  `msgpack:"Epoch"`
+	Term    uint64                  `msgpack:"Term"`
+	Grants  []granted               `msgpack:"Grants"`
+	Entries []clusterconfig.Entry   `msgpack:"Entries"`
+	Whole   *clusterconfig.Document `msgpack:"Whole"`
+	Prepare *clusterconfig.Entry    `msgpack:"Prepare"`
+	Poke    bool                    `msgpack:"Poke"` // there is news: renew now
+	Lend    []string                `msgpack:"Lend"`
+	Replies []reply                 `msgpack:"Replies"`
 }
 
 type granted struct {
@@ -112,7 +112,7 @@
 }
 
 // pack shares out what grants of one leader carry.
-func pack(grants []*agree.Grant) *down {
+func pack(grants []*clusterconfig.Grant) *down {
 	d := &down{}
 	known := map[uint64]bool{}
 	for _, g := range grants {
@@ -139,10 +139,10 @@
 }
 
 // unpack is what pack was given.
-func (d *down) unpack() ([]*agree.Grant, error) {
-	var grants []*agree.Grant
+func (d *down) unpack() ([]*clusterconfig.Grant, error) {
+	var grants []*clusterconfig.Grant
 	for _, h := range d.Grants {
-		g := &agree.Grant{Holder: h.Holder, Number: h.Number, Life: h.Life, Seq: h.Seq, Epoch: d.Epoch, Term: d.Term}
+		g := &clusterconfig.Grant{Holder: h.Holder, Number: h.Number, Life: h.Life, Seq: h.Seq, Epoch: d.Epoch, Term: d.Term}
 		if h.Whole {
 			if g.Whole = d.Whole; d.Whole == nil {
 				return nil, errors.New("a grant lacks its document")
--- a/node/consensus/golden_test.go
+++ b/node/consensus/golden_test.go
@@ -18,7 +18,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 )
 
 // recordGolden writes the golden files again. Do so only for a change of the format that is meant, with a way to read the old one.
@@ -32,13 +32,13 @@
 )
 
 // goldenEntries are two versions: the second builds on the first.
-func goldenEntries() (first, second agree.Entry) {
-	doc := &agree.Document{Epoch: 77}
-	first = doc.Next(agree.Proposal{Author: "ana", Reason: "first settings", Changes: []agree.Change{{Key: "limit", Value: "100"}, {Key: "repeat", Value: "yes"}}})
+func goldenEntries() (first, second clusterconfig.Entry) {
+	doc := &clusterconfig.Document{Epoch: 77}
+	first = doc.Next(clusterconfig.Proposal{Author: "ana", Reason: "first settings", Changes: []clusterconfig.Change{{Key: "limit", Value: "100"}, {Key: "repeat", Value: "yes"}}})
 	if err := doc.Apply(first); err != nil {
 		panic(err)
 	}
-	return first, doc.Next(agree.Proposal{Expected: 1, Author: "rui", Reason: "less", Changes: []agree.Change{{Key: "limit", Value: "40"}, {Key: "zone", Value: "a"}}})
+	return first, doc.Next(clusterconfig.Proposal{Expected: 1, Author: "rui", Reason: "less", Changes: []clusterconfig.Change{{Key: "limit", Value: "40"}, {Key: "zone", Value: "a"}}})
 }
 
 func goldenMembers() map[string]uint64 {
@@ -46,10 +46,10 @@
 }
 
 // goldenRecord is the replicated state with the first version in force and the second under way.
-func goldenRecord() *agree.Record {
+func goldenRecord() *clusterconfig.Record {
 	first, second := goldenEntries()
-	record := agree.NewRecord(77, goldenMembers())
-	for _, c := range []agree.Command{{Begin: &first}, {Activate: 1}, {Begin: &second}} {
+	record := clusterconfig.NewRecord(77, goldenMembers())
+	for _, c := range []clusterconfig.Command{{Begin: &first}, {Activate: 1}, {Begin: &second}} {
 		if err := record.Apply(c); err != nil {
 			panic(err)
 		}
@@ -68,17 +68,17 @@
 	first, second := goldenEntries()
 	record := goldenRecord()
 	return []goldenValue{
-		{"command begin", &agree.Command{Begin: &first}, &agree.Command{}},
-		{"command begin second", &agree.Command{Begin: &second}, &agree.Command{}},
-		{"command activate", &agree.Command{Activate: 1}, &agree.Command{}},
-		{"command adopt", &agree.Command{Adopt: record.Doc}, &agree.Command{}},
-		{"member", &agree.Member{Name: "v0", ID: 0x4444444444444444}, &agree.Member{}},
-		{"proposal", &first.Proposal, &agree.Proposal{}},
-		{"entry", &first, &agree.Entry{}},
-		{"document", record.Doc, &agree.Document{}},
-		{"record formed", agree.NewRecord(77, goldenMembers()), &agree.Record{}},
-		{"record", record, &agree.Record{}},
-		{"record empty", agree.NewRecord(0, nil), &agree.Record{}},
+		{"command begin", &clusterconfig.Command{Begin: &first}, &clusterconfig.Command{}},
+		{"command begin second", &clusterconfig.Command{Begin: &second}, &clusterconfig.Command{}},
+		{"command activate", &clusterconfig.Command{Activate: 1}, &clusterconfig.Command{}},
+		{"command adopt", &clusterconfig.Command{Adopt: record.Doc}, &clusterconfig.Command{}},
+		{"member", &clusterconfig.Member{Name: "v0", ID: 0x4444444444444444}, &clusterconfig.Member{}},
+		{"proposal", &first.Proposal, &clusterconfig.Proposal{}},
+		{"entry", &first, &clusterconfig.Entry{}},
+		{"document", record.Doc, &clusterconfig.Document{}},
+		{"record formed", clusterconfig.NewRecord(77, goldenMembers()), &clusterconfig.Record{}},
+		{"record", record, &clusterconfig.Record{}},
+		{"record empty", clusterconfig.NewRecord(0, nil), &clusterconfig.Record{}},
 	}
 }
 
@@ -180,7 +180,7 @@
 		}
 	}
 	first, second := goldenEntries()
-	formed := agree.NewRecord(77, goldenMembers())
+	formed := clusterconfig.NewRecord(77, goldenMembers())
 	sorted := sortedMaps(t, formed)
 	for range encodeTries { // Form draws the order of the map
 		do(Form(d, 77, goldenMembers()))
@@ -200,17 +200,17 @@
 		}
 		return e
 	}
-	do(d.Save(hard(2, 0x2222222222222222, 1), []*pb.Entry{normal(2, nil), normal(3, &agree.Command{Begin: &first})}, nil))
-	do(d.Save(hard(2, 0x2222222222222222, 3), []*pb.Entry{normal(4, &agree.Command{Activate: 1}), normal(5, &agree.Command{Begin: &second})}, nil))
+	do(d.Save(hard(2, 0x2222222222222222, 1), []*pb.Entry{normal(2, nil), normal(3, &clusterconfig.Command{Begin: &first})}, nil))
+	do(d.Save(hard(2, 0x2222222222222222, 3), []*pb.Entry{normal(4, &clusterconfig.Command{Activate: 1}), normal(5, &clusterconfig.Command{Begin: &second})}, nil))
 	do(d.Save(hard(2, 0x2222222222222222, 5), nil, nil))
 	record := goldenRecord()
 	conf := &pb.ConfState{Voters: slices.Sorted(maps.Values(goldenMembers()))}
 	do(d.Compact(5, conf, encoded(t, record, sortedMaps(t, record))))
 	add, remove, kind := pb.ConfChangeAddNode, pb.ConfChangeRemoveNode, pb.EntryConfChangeV2
-	change, err := proto.Marshal(&pb.ConfChangeV2{Context: encoded(t, agree.Member{Name: "v2", ID: 0x4444444444444444}, func([]byte) bool { return true }),
+	change, err := proto.Marshal(&pb.ConfChangeV2{Context: encoded(t, clusterconfig.Member{Name: "v2", ID: 0x4444444444444444}, func([]byte) bool { return true }),
 		Changes: []*pb.ConfChangeSingle{{Type: &add, NodeId: proto.Uint64(0x4444444444444444)}, {Type: &remove, NodeId: proto.Uint64(0x3333333333333333)}}})
 	do(err)
-	do(d.Save(hard(2, 0x2222222222222222, 7), []*pb.Entry{normal(6, &agree.Command{Activate: 2}),
+	do(d.Save(hard(2, 0x2222222222222222, 7), []*pb.Entry{normal(6, &clusterconfig.Command{Activate: 2}),
 		{Type: &kind, Index: proto.Uint64(7), Term: proto.Uint64(2), Data: change}}, nil))
 	do(d.Close())
 }
@@ -324,7 +324,7 @@
 // Somebody renames a field of a type that is kept on disk, and the next build no longer finds what the one before wrote. Each exported
 // field therefore carries its name on disk as a tag.
 func TestFieldsOnDiskAreTagged(t *testing.T) {
-	for _, value := range []any{agree.Command{}, agree.Record{}, agree.Member{}} {
+	for _, value := range []any{clusterconfig.Command{}, clusterconfig.Record{}, clusterconfig.Member{}} {
 		if missing := untagged(reflect.TypeOf(value), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
 			t.Errorf("no tag: %v", missing)
 		}
--- a/node/consensus/sim_test.go
+++ b/node/consensus/sim_test.go
@@ -15,7 +15,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 	"junctionwharf/internal/simtime"
 )
 
@@ -33,20 +33,20 @@
 	beginsEarly     // a leader has holders prepare what is not committed
 )
 
-func rules(key string) (agree.Rule, bool) {
-	rule, known := map[string]agree.Rule{"limit": agree.Least{Lowest: 1}, "repeat": agree.Switch{}, "zone": agree.Same{}}[key]
+func rules(key string) (clusterconfig.Rule, bool) {
+	rule, known := map[string]clusterconfig.Rule{"limit": clusterconfig.Least{Lowest: 1}, "repeat": clusterconfig.Switch{}, "zone": clusterconfig.Same{}}[key]
 	return rule, known
 }
 
-var timing = agree.Timing{Lease: 400_000, Drift: 20_000}
+var timing = clusterconfig.Timing{Lease: 400_000, Drift: 20_000}
 
 type clock struct {
-	offset agree.Micros
+	offset clusterconfig.Micros
 	rate   float64
 }
 
-func (c clock) read(now agree.Micros) agree.Micros {
-	return c.offset + agree.Micros(float64(now)*c.rate)
+func (c clock) read(now clusterconfig.Micros) clusterconfig.Micros {
+	return c.offset + clusterconfig.Micros(float64(now)*c.rate)
 }
 
 type simVoter struct {
@@ -56,16 +56,16 @@
 	store   Storage
 	stopped bool
 	waiting []func()
-	hearsTo agree.Micros // hears nothing before this
-	saysTo  agree.Micros // is heard by nobody before this
+	hearsTo clusterconfig.Micros // hears nothing before this
+	saysTo  clusterconfig.Micros // is heard by nobody before this
 }
 
 type simHolder struct {
-	*agree.Holder
+	*clusterconfig.Holder
 	clock   clock
 	life    uint64
 	stopped bool
-	cutTo   agree.Micros
+	cutTo   clusterconfig.Micros
 }
 
 // sim is a cluster on one true time axis, of real voters and holders. All comes from the seed.
@@ -82,17 +82,17 @@
 	changes int
 	lost    int // voters that lost their state
 	ops     []porcupine.Operation
-	end     agree.Micros // of the faults
-	open    []func()     // ends of calls, for those that are open at the end
+	end     clusterconfig.Micros // of the faults
+	open    []func()             // ends of calls, for those that are open at the end
 }
 
 func (s *sim) clock() clock {
-	return clock{agree.Micros(s.random.IntN(1 << 40)), 0.99 + 0.02*s.random.Float64()}
+	return clock{clusterconfig.Micros(s.random.IntN(1 << 40)), 0.99 + 0.02*s.random.Float64()}
 }
 
 func (s *sim) options(id uint64) Options { return Options{ID: id, Timing: timing, Rules: rules} }
 
-func play(t *testing.T, seed uint64, planted bug, span agree.Micros) *sim {
+func play(t *testing.T, seed uint64, planted bug, span clusterconfig.Micros) *sim {
 	var key [32]byte
 	binary.BigEndian.PutUint64(key[:], seed)
 	cryptorand.Reader = rand.NewChaCha8(key) // raft draws its election times from it
@@ -102,8 +102,8 @@
 		h := &simHolder{clock: s.clock()}
 		s.restart(h, i)
 		s.holders = append(s.holders, h)
-		s.After(agree.Micros(s.random.IntN(50_000)), func() { s.renew(h) })
-		s.After(agree.Micros(s.random.IntN(5000)), func() { s.act(h) })
+		s.After(clusterconfig.Micros(s.random.IntN(50_000)), func() { s.renew(h) })
+		s.After(clusterconfig.Micros(s.random.IntN(5000)), func() { s.act(h) })
 	}
 	for c := range 2 {
 		s.After(1_000_000, func() { s.client(c) })
@@ -137,7 +137,7 @@
 		x := &simVoter{name: fmt.Sprint("v", i), clock: s.clock(), store: formed(s.t, members)}
 		s.start(x, members[x.name])
 		s.voters = append(s.voters, x)
-		s.After(agree.Micros(s.random.IntN(20_000)), func() { s.tick(x) })
+		s.After(clusterconfig.Micros(s.random.IntN(20_000)), func() { s.tick(x) })
 	}
 }
 
@@ -151,7 +151,7 @@
 
 func (s *sim) restart(h *simHolder, i int) {
 	h.life++
-	h.Holder = agree.NewHolder(fmt.Sprint("h", i), h.life, timing, rules)
+	h.Holder = clusterconfig.NewHolder(fmt.Sprint("h", i), h.life, timing, rules)
 }
 
 // send has the effects of a voter's call happen.
@@ -204,24 +204,24 @@
 		s.at(x, func() { s.send(x, x.v.Tick(x.clock.read(s.Now))) })
 		for _, y := range s.voters { // whoever lost its state asks to be taken in
 			if y != x && !y.stopped && s.Now >= x.hearsTo && s.Now >= y.saysTo && s.bug != sameID {
-				s.send(x, x.v.Replace(x.clock.read(s.Now), agree.Member{Name: y.name, ID: y.v.ID()}))
+				s.send(x, x.v.Replace(x.clock.read(s.Now), clusterconfig.Member{Name: y.name, ID: y.v.ID()}))
 			}
 		}
 	}
 }
 
-func (s *sim) delay() agree.Micros {
+func (s *sim) delay() clusterconfig.Micros {
 	switch s.random.IntN(20) {
 	case 0:
 		return -1
 	case 1:
-		return agree.Micros(s.random.IntN(400_000))
+		return clusterconfig.Micros(s.random.IntN(400_000))
 	}
-	return agree.Micros(200 + s.random.IntN(5000))
+	return clusterconfig.Micros(200 + s.random.IntN(5000))
 }
 
 func (s *sim) renew(h *simHolder) {
-	s.After(agree.Micros(50_000+s.random.IntN(60_000)), func() { s.renew(h) })
+	s.After(clusterconfig.Micros(50_000+s.random.IntN(60_000)), func() { s.renew(h) })
 	if h.stopped || s.Now < h.cutTo {
 		return
 	}
@@ -246,7 +246,7 @@
 
 // act has a holder take a decision: every value must be below that of the latest version that anybody has acted on.
 func (s *sim) act(h *simHolder) {
-	s.After(agree.Micros(1000+s.random.IntN(9000)), func() { s.act(h) })
+	s.After(clusterconfig.Micros(1000+s.random.IntN(9000)), func() { s.act(h) })
 	if h.stopped {
 		return
 	}
@@ -257,7 +257,7 @@
 	for _, key := range []string{"limit", "repeat", "zone"} {
 		rule, _ := rules(key)
 		latest, is := s.docs[s.acted][key]
-		if value := v.Value(key); is && !agree.Below(rule, value, latest) {
+		if value := v.Value(key); is && !clusterconfig.Below(rule, value, latest) {
 			s.breach = fmt.Sprintf("%s: %q at version %d (restricted %v) against %q of version %d", key, value, v.Version, v.Restricted, latest, s.acted)
 		}
 	}
@@ -285,7 +285,7 @@
 
 // client proposes and reads, one call at a time, at whoever says that it leads.
 func (s *sim) client(c int) {
-	next := func() { s.After(agree.Micros(20_000+s.random.IntN(200_000)), func() { s.client(c) }) }
+	next := func() { s.After(clusterconfig.Micros(20_000+s.random.IntN(200_000)), func() { s.client(c) }) }
 	x := s.voters[s.random.IntN(len(s.voters))]
 	if x.stopped || !x.v.Leads() {
 		s.After(10_000, func() { s.client(c) })
@@ -301,7 +301,7 @@
 	if s.random.IntN(4) == 0 && expected > 0 {
 		expected--
 	}
-	changes := []agree.Change{{Key: "limit", Value: fmt.Sprint(1 + s.random.IntN(200))}, {Key: "repeat", Value: []string{"yes", "no"}[s.random.IntN(2)]}, {Key: "zone", Value: string(rune('a' + s.random.IntN(5)))}}
+	changes := []clusterconfig.Change{{Key: "limit", Value: fmt.Sprint(1 + s.random.IntN(200))}, {Key: "repeat", Value: []string{"yes", "no"}[s.random.IntN(2)]}, {Key: "zone", Value: string(rune('a' + s.random.IntN(5)))}}
 	over := false
 	end := func(out output) {
 		if over {
@@ -320,18 +320,18 @@
 		}
 		next()
 	}
-	proposal := agree.Proposal{Expected: expected, Author: "a", Reason: fmt.Sprint(s.Now), Changes: changes[s.random.IntN(3):]}
+	proposal := clusterconfig.Proposal{Expected: expected, Author: "a", Reason: fmt.Sprint(s.Now), Changes: changes[s.random.IntN(3):]}
 	if s.bug == beginsEarly && x.v.begun == "" {
 		if e, err := x.v.keeper.Propose(now, proposal); err == nil {
 			defer x.v.keeper.Begin(now, e)
 		}
 	}
 	s.at(x, func() {
-		s.send(x, x.v.Propose(now, proposal, func(e agree.Entry, err error) {
+		s.send(x, x.v.Propose(now, proposal, func(e clusterconfig.Entry, err error) {
 			switch {
 			case err == nil:
 				end(output{e.Version, "taken"})
-			case errors.Is(err, agree.ErrExpected):
+			case errors.Is(err, clusterconfig.ErrExpected):
 				end(output{end: "refused"})
 			case errors.Is(err, ErrUnknown):
 				end(output{end: "unknown"})
@@ -367,15 +367,15 @@
 	if s.Now > s.end {
 		return
 	}
-	s.After(agree.Micros(200_000+s.random.IntN(1_200_000)), s.fault)
-	x, span := s.voters[s.random.IntN(len(s.voters))], agree.Micros(100_000+s.random.IntN(3_000_000))
+	s.After(clusterconfig.Micros(200_000+s.random.IntN(1_200_000)), s.fault)
+	x, span := s.voters[s.random.IntN(len(s.voters))], clusterconfig.Micros(100_000+s.random.IntN(3_000_000))
 	i := s.random.IntN(len(s.holders))
 	h := s.holders[i]
 	crash := func() { // its calls get no answer any more
 		if x.v.leads {
 			for hash, done := range x.v.waiters {
 				delete(x.v.waiters, hash)
-				done(agree.Entry{}, ErrUnknown)
+				done(clusterconfig.Entry{}, ErrUnknown)
 			}
 		}
 	}
--- a/node/consensus/store_test.go
+++ b/node/consensus/store_test.go
@@ -9,7 +9,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 )
 
 func entry(index, term uint64, text string) *pb.Entry {
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for now := agree.Micros(0); now < 5_000_000; now += TickSpan {
+	for now := clusterconfig.Micros(0); now < 5_000_000; now += TickSpan {
 		if e := v.Tick(now); len(e.Messages) > 0 && v.Err() != nil {
 			t.Fatalf("it said %v", e.Messages)
 		}
@@ -162,7 +162,7 @@
 			t.Fatalf("it voted without storing that: %v", e.Messages)
 		}
 	}
-	if v.Err() == nil || v.Renewed(0, agree.Renewal{Holder: "h"}) != nil {
+	if v.Err() == nil || v.Renewed(0, clusterconfig.Renewal{Holder: "h"}) != nil {
 		t.Errorf("%v", v.Err())
 	}
 }
--- a/node/consensus/voter.go
+++ b/node/consensus/voter.go
@@ -24,7 +24,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"junctionwharf/agree"
+	"junctionwharf/clusterconfig"
 )
 
 // The times of the consensus, in µs.
@@ -57,8 +57,8 @@
 // Options is what a voter is told.
 type Options struct {
 	ID     uint64
-	Timing agree.Timing
-	Rules  agree.Rules
+	Timing clusterconfig.Timing
+	Rules  clusterconfig.Rules
 	Log    *slog.Logger
 }
 
@@ -76,7 +76,7 @@
 	options Options
 	storage Storage
 	raw     *raft.RawNode
-	record  *agree.Record
+	record  *clusterconfig.Record
 	conf    *pb.ConfState
 	applied uint64
 	logged  int  // bytes since the last cut
@@ -85,24 +85,24 @@
 	err     error
 
 	leads   bool
-	keeper  *agree.Keeper // while it leads and has applied all of earlier terms
-	tickAt  agree.Micros
-	asked   map[uint64]agree.Micros // confirmations on their way
+	keeper  *clusterconfig.Keeper // while it leads and has applied all of earlier terms
+	tickAt  clusterconfig.Micros
+	asked   map[uint64]clusterconfig.Micros // confirmations on their way
 	askNo   uint64
-	askAt   agree.Micros
+	askAt   clusterconfig.Micros
 	begun   string // hash of the entry whose begin was proposed
-	begunAt agree.Micros
-	actAt   agree.Micros // when bringing into force was proposed last
-	waiters map[string]func(agree.Entry, error)
-	adoptAt agree.Micros
-	swapAt  agree.Micros
-	offer   *agree.Document // the latest of an earlier epoch that a holder brought
+	begunAt clusterconfig.Micros
+	actAt   clusterconfig.Micros // when bringing into force was proposed last
+	waiters map[string]func(clusterconfig.Entry, error)
+	adoptAt clusterconfig.Micros
+	swapAt  clusterconfig.Micros
+	offer   *clusterconfig.Document // the latest of an earlier epoch that a holder brought
 	news    bool
 }
 
 // Form has an empty storage hold what all voters begin with that form a consensus.
 func Form(s Storage, epoch uint64, members map[string]uint64) error {
-	data, err := msgpack.Marshal(agree.NewRecord(epoch, members))
+	data, err := msgpack.Marshal(clusterconfig.NewRecord(epoch, members))
 	if err != nil {
 		return err
 	}
@@ -112,11 +112,11 @@
 }
 
 // New returns a voter with what its storage holds: nothing, for one that waits to be taken in.
-func New(now agree.Micros, o Options, s Storage) (*Voter, error) {
+func New(now clusterconfig.Micros, o Options, s Storage) (*Voter, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	v := &Voter{options: o, storage: s, record: agree.NewRecord(0, nil), tickAt: now + TickSpan, asked: map[uint64]agree.Micros{}, waiters: map[string]func(agree.Entry, error){}}
+	v := &Voter{options: o, storage: s, record: clusterconfig.NewRecord(0, nil), tickAt: now + TickSpan, asked: map[uint64]clusterconfig.Micros{}, waiters: map[string]func(clusterconfig.Entry, error){}}
 	snap, err := s.Snapshot()
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 }
 
 func (v *Voter) restore(snap *pb.Snapshot) error {
-	var record agree.Record
+	var record clusterconfig.Record
 	if err := msgpack.Unmarshal(snap.GetData(), &record); err != nil {
 		return fmt.Errorf("the record at index %d: %w", snap.GetMetadata().GetIndex(), err)
 	}
@@ -162,7 +162,7 @@
 func (v *Voter) Err() error { return v.err }
 
 // Record is what the log has built so far; it must not be changed.
-func (v *Voter) Record() *agree.Record { return v.record }
+func (v *Voter) Record() *clusterconfig.Record { return v.record }
 
 // ID is the voter's identity.
 func (v *Voter) ID() uint64 { return v.options.ID }
@@ -177,11 +177,11 @@
 func (v *Voter) Leads() bool { return v.keeper != nil && v.err == nil }
 
 // Keeper is the leader's, nil while it does not lead.
-func (v *Voter) Keeper() *agree.Keeper { return v.keeper }
+func (v *Voter) Keeper() *clusterconfig.Keeper { return v.keeper }
 
 // Step takes a message of another voter. One that is meant for another identity, such as that which this name had before, is
 // dropped: it must not vote again under it.
-func (v *Voter) Step(now agree.Micros, m *pb.Message) Effects {
+func (v *Voter) Step(now clusterconfig.Micros, m *pb.Message) Effects {
 	if v.err != nil || m.GetTo() != v.options.ID {
 		return Effects{}
 	}
@@ -190,7 +190,7 @@
 }
 
 // Next is when Tick should be called at the latest.
-func (v *Voter) Next() agree.Micros {
+func (v *Voter) Next() clusterconfig.Micros {
 	at := v.tickAt
 	if v.keeper != nil {
 		if due, any := v.keeper.Next(); any && v.actAt == 0 {
@@ -201,7 +201,7 @@
 }
 
 // Tick has time pass. A voter that stood still does not make up for it: others may lead by now.
-func (v *Voter) Tick(now agree.Micros) Effects {
+func (v *Voter) Tick(now clusterconfig.Micros) Effects {
 	if v.err != nil {
 		return Effects{}
 	}
@@ -215,7 +215,7 @@
 }
 
 // Read is what is in force now, nil if this voter can't be sure of it.
-func (v *Voter) Read(now agree.Micros) *agree.Document {
+func (v *Voter) Read(now clusterconfig.Micros) *clusterconfig.Document {
 	if !v.Leads() || !v.keeper.Sure(now) {
 		return nil
 	}
@@ -223,7 +223,7 @@
 }
 
 // Renewed answers a holder's renewal, nil for not: this voter does not lead, or not surely.
-func (v *Voter) Renewed(now agree.Micros, r agree.Renewal) *agree.Grant {
+func (v *Voter) Renewed(now clusterconfig.Micros, r clusterconfig.Renewal) *clusterconfig.Grant {
 	if !v.Leads() {
 		return nil
 	}
@@ -231,36 +231,36 @@
 }
 
 // Wants tells whether a holder should send its document: it may outlive voters without disks that were all restarted.
-func (v *Voter) Wants(r agree.Renewal) bool {
+func (v *Voter) Wants(r clusterconfig.Renewal) bool {
 	return v.Leads() && v.record.Doc.Version == 0 && r.Epoch != v.record.Doc.Epoch && r.Version > 0 && (v.offer == nil || r.Version > v.offer.Version)
 }
 
 // Offered takes such a document. The latest is taken over once all that can act on any has lost its lease.
-func (v *Voter) Offered(doc *agree.Document) {
+func (v *Voter) Offered(doc *clusterconfig.Document) {
 	if v.Leads() && v.record.Doc.Version == 0 && (v.offer == nil || doc.Version > v.offer.Version) {
 		v.offer = doc
 	}
 }
 
 // Propose proposes a change; done is told of its end: in force, refused, or ErrUnknown.
-func (v *Voter) Propose(now agree.Micros, p agree.Proposal, done func(agree.Entry, error)) Effects {
+func (v *Voter) Propose(now clusterconfig.Micros, p clusterconfig.Proposal, done func(clusterconfig.Entry, error)) Effects {
 	switch {
 	case !v.Leads():
-		done(agree.Entry{}, agree.ErrNotLeader)
+		done(clusterconfig.Entry{}, clusterconfig.ErrNotLeader)
 		return Effects{}
 	case v.begun != "" || len(v.waiters) >= mostWaiters:
-		done(agree.Entry{}, agree.ErrUnderWay)
+		done(clusterconfig.Entry{}, clusterconfig.ErrUnderWay)
 		return Effects{}
 	case v.record.Doc.Version == 0 && !v.keeper.Clear(now):
-		done(agree.Entry{}, fmt.Errorf("%w: brokers may act on what was in force before", agree.ErrNotLeader))
+		done(clusterconfig.Entry{}, fmt.Errorf("%w: brokers may act on what was in force before", clusterconfig.ErrNotLeader))
 		return Effects{}
 	}
 	e, err := v.keeper.Propose(now, p)
 	if err == nil {
-		err = v.propose(agree.Command{Begin: &e})
+		err = v.propose(clusterconfig.Command{Begin: &e})
 	}
 	if err != nil {
-		done(agree.Entry{}, err)
+		done(clusterconfig.Entry{}, err)
 		return Effects{}
 	}
 	v.begun, v.begunAt = e.Hash, now
@@ -268,7 +268,7 @@
 	return v.work(now)
 }
 
-func (v *Voter) propose(c agree.Command) error {
+func (v *Voter) propose(c clusterconfig.Command) error {
 	data, err := msgpack.Marshal(c)
 	if err != nil {
 		return err
@@ -277,7 +277,7 @@
 }
 
 // Replace has a name's identity replaced by another, as a joint change of the voters: its state is lost.
-func (v *Voter) Replace(now agree.Micros, m agree.Member) Effects {
+func (v *Voter) Replace(now clusterconfig.Micros, m clusterconfig.Member) Effects {
 	old, known := v.record.Members[m.Name]
 	if !v.Leads() || !known || old == m.ID || now < v.swapAt || len(v.conf.GetVotersOutgoing()) > 0 {
 		return Effects{}
@@ -296,7 +296,7 @@
 }
 
 // work carries out what raft has ready, and what the leader has to do.
-func (v *Voter) work(now agree.Micros) Effects {
+func (v *Voter) work(now clusterconfig.Micros) Effects {
 	var out Effects
 	for v.err == nil {
 		for v.raw.HasReady() {
@@ -312,7 +312,7 @@
 	return out
 }
 
-func (v *Voter) ready(now agree.Micros, out *Effects) bool {
+func (v *Voter) ready(now clusterconfig.Micros, out *Effects) bool {
 	rd := v.raw.Ready()
 	if err := v.storage.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
 		v.fail(err) // nothing of it was sent: it is as if this voter had crashed
@@ -331,7 +331,7 @@
 	for _, s := range rd.ReadStates {
 		if no := binary.BigEndian.Uint64(s.RequestCtx); v.keeper != nil && v.asked[no] > 0 {
 			v.keeper.Confirmed(v.asked[no] + ConfirmSpan)
-			maps.DeleteFunc(v.asked, func(n uint64, _ agree.Micros) bool { return n <= no })
+			maps.DeleteFunc(v.asked, func(n uint64, _ clusterconfig.Micros) bool { return n <= no })
 		}
 	}
 	for _, m := range rd.Messages {
@@ -355,7 +355,7 @@
 	clear(v.asked)
 	for hash, done := range v.waiters {
 		delete(v.waiters, hash)
-		done(agree.Entry{}, ErrUnknown)
+		done(clusterconfig.Entry{}, ErrUnknown)
 	}
 }
 
@@ -366,7 +366,7 @@
 }
 
 // commit applies a committed entry of raft's log.
-func (v *Voter) commit(now agree.Micros, e *pb.Entry) {
+func (v *Voter) commit(now clusterconfig.Micros, e *pb.Entry) {
 	v.applied = e.GetIndex()
 	v.logged += len(e.GetData())
 	switch {
@@ -378,7 +378,7 @@
 		}
 		v.conf = v.raw.ApplyConfChange(&change)
 		v.moved = true
-		var m agree.Member
+		var m clusterconfig.Member
 		if len(change.GetContext()) > 0 && msgpack.Unmarshal(change.GetContext(), &m) == nil {
 			v.record.Members[m.Name] = m.ID
 			v.options.Log.Info("voter replaced", "name", m.Name, "id", fmt.Sprintf("%x", m.ID))
@@ -387,7 +387,7 @@
 		v.fail(errors.New("a change of voters of an unknown kind"))
 		return
 	case len(e.GetData()) > 0:
-		var c agree.Command
+		var c clusterconfig.Command
 		if err := msgpack.Unmarshal(e.GetData(), &c); err != nil {
 			v.fail(fmt.Errorf("entry %d: %w", e.GetIndex(), err))
 			return
@@ -395,12 +395,12 @@
 		v.apply(now, c)
 	}
 	if _, term := v.Status(); v.leads && v.keeper == nil && e.GetTerm() == term {
-		v.keeper = agree.NewKeeper(now, term, v.options.Timing, v.options.Rules, v.record.Doc, v.record.Pending, ConfirmSpan)
+		v.keeper = clusterconfig.NewKeeper(now, term, v.options.Timing, v.options.Rules, v.record.Doc, v.record.Pending, ConfirmSpan)
 		v.options.Log.Info("leads", "term", term, "version", v.record.Doc.Version)
 	}
 }
 
-func (v *Voter) apply(now agree.Micros, c agree.Command) {
+func (v *Voter) apply(now clusterconfig.Micros, c clusterconfig.Command) {
 	err := v.record.Apply(c)
 	if err != nil {
 		v.options.Log.Info("command not taken", "reason", err)
@@ -415,7 +415,7 @@
 		}
 		if done := v.waiters[c.Begin.Hash]; err != nil && done != nil {
 			delete(v.waiters, c.Begin.Hash)
-			done(agree.Entry{}, err)
+			done(clusterconfig.Entry{}, err)
 		}
 	case c.Activate > 0 && err == nil:
 		v.actAt = 0
@@ -438,7 +438,7 @@
 }
 
 // lead does what a leader has to do now, and tells whether raft has work by it.
-func (v *Voter) lead(now agree.Micros) bool {
+func (v *Voter) lead(now clusterconfig.Micros) bool {
 	if v.leads && now >= v.askAt {
 		v.askAt = now + confirmEvery
 		if v.keeper != nil {
@@ -450,7 +450,7 @@
 		binary.BigEndian.PutUint64(no[:], v.askNo)
 		v.raw.ReadIndex(no[:])
 		if len(v.asked) > 64 {
-			maps.DeleteFunc(v.asked, func(n uint64, _ agree.Micros) bool { return n+64 <= v.askNo })
+			maps.DeleteFunc(v.asked, func(n uint64, _ clusterconfig.Micros) bool { return n+64 <= v.askNo })
 		}
 		return v.raw.HasReady()
 	}
@@ -462,10 +462,10 @@
 		v.begun = "" // it was lost on the way; were it committed yet, it would be refused or found under way
 	case v.offer != nil && v.record.Doc.Version == 0 && v.record.Pending == nil && k.Clear(now) && now >= v.adoptAt:
 		v.adoptAt = now + retryEvery
-		return v.propose(agree.Command{Adopt: v.offer}) == nil
+		return v.propose(clusterconfig.Command{Adopt: v.offer}) == nil
 	case k.Due(now) && now >= v.actAt:
 		v.actAt = now + retryEvery
-		return v.propose(agree.Command{Activate: k.Pending().Version}) == nil
+		return v.propose(clusterconfig.Command{Activate: k.Pending().Version}) == nil
 	}
 	return false
 }
