--- a/broker/reducer.go
+++ b/broker/reducer.go
@@ -7,7 +7,7 @@
 
 	"junctionwharf/scheduler"
 	"junctionwharf/telemetry"
-	"junctionwharf/wheel"
+	"junctionwharf/timingwheel"
 )
 
 // Event is something that happened; State.Reduce takes it.
@@ -166,9 +166,9 @@
 	stopping scheduler.Outcome // why the attempt out was stopped, if stopped
 	stopped  bool
 	answered bool
-	overdue  wheel.Handle // alarms that wait for it
-	timeout  wheel.Handle
-	window   wheel.Handle
+	overdue  timingwheel.Handle // alarms that wait for it
+	timeout  timingwheel.Handle
+	window   timingwheel.Handle
 }
 
 // listing is what the list says of a node.
@@ -186,7 +186,7 @@
 	free    []*entry            // that are over, for requests to come
 	nodes   map[string]*listing // by name
 	lists   uint64              // how many were taken
-	alarms  wheel.Wheel[alarm]
+	alarms  timingwheel.Wheel[alarm]
 	now     Micros
 	news    []scheduler.Event // what the gateway is told next
 	spare   []scheduler.Event // memory for it
@@ -266,7 +266,7 @@
 func (s *State) tell(e scheduler.Event) { s.news = append(s.news, e) }
 
 // wake sets an alarm.
-func (s *State) wake(at Micros, a alarm) wheel.Handle { return s.alarms.Set(int64(at), a) }
+func (s *State) wake(at Micros, a alarm) timingwheel.Handle { return s.alarms.Set(int64(at), a) }
 
 func (s *State) log(f string, a ...any) { s.do(Log{fmt.Sprintf(f, a...)}) }
 
--- a/wheel/wheel.go
+++ b/timingwheel/timingwheel.go
@@ -1,7 +1,7 @@
-// Package wheel is a hierarchical timing wheel (Varghese and Lauck, 1987): alarms are set and cancelled in constant time, and
+// Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, 1987): alarms are set and cancelled in constant time, and
 // come out in the order of their times. It keeps its entries in one slice, so that nothing is allocated for an alarm
 // once the wheel has grown to the number that wait at once.
-package wheel
+package timingwheel
 
 import (
 	"cmp"
--- a/wheel/wheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timingwheel
 
 import (
 	"container/heap"
