--- a/clusterconfig/holder_test.go
+++ b/clusterconfig/holder_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Renewals reach the leader in another order than they were sent in: what it granted before a change began, and is heard after what it
-// granted later, does not take a holder back that said it was ready. (Found by seed 16568 of the cluster in node/consensus.)
+// granted later, does not take a holder back that said it was ready. (Found by seed 16568 of the cluster in internal/consensus.)
 func TestGrantsInTheOrderTheyWereMade(t *testing.T) {
 	rules := func(string) (Rule, bool) { return Switch{}, true }
 	k := NewKeeper(0, 1, testTiming, rules, &Document{Epoch: 1}, nil, 0)
--- a/node/agreement/golden_test.go
+++ b/node/agreement/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"junctionwharf/clusterconfig"
-	"junctionwharf/node/consensus"
+	"junctionwharf/internal/consensus"
 	"junctionwharf/scheduler"
 )
 
--- a/node/agreement/service.go
+++ b/node/agreement/service.go
@@ -1,5 +1,5 @@
 // Package agreement has a broker take part in the agreed document: it holds a lease on what is in force and has the core act on it,
-// relays for others, and votes where it is one of the few that do. The decisions are those of agree and of node/consensus; here are the
+// relays for others, and votes where it is one of the few that do. The decisions are those of agree and of internal/consensus; here are the
 // connections, the clock, and the tree over which hundreds of brokers hear of a leader that talks to a few.
 //
 // The tree: a broker that does not vote attaches to a voter, or, where that feeds enough, to one of those that it feeds. Renewals go up in
@@ -27,7 +27,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/clusterconfig"
-	"junctionwharf/node/consensus"
+	"junctionwharf/internal/consensus"
 	"junctionwharf/scheduler"
 )
 
--- a/node/agreement/settings.go
+++ b/node/agreement/settings.go
@@ -9,7 +9,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/clusterconfig"
-	"junctionwharf/node/consensus"
+	"junctionwharf/internal/consensus"
 	"junctionwharf/scheduler"
 )
 
