--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -14,8 +14,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"junctionwharf/internal/agreement"
 	"junctionwharf/internal/console"
-	"junctionwharf/node/agreement"
 )
 
 // The exit codes of agree; 1 is for everything else.
--- a/internal/daemon/agreement.go
+++ b/internal/daemon/agreement.go
@@ -5,8 +5,8 @@
 	"net"
 
 	"junctionwharf/broker"
+	"junctionwharf/internal/agreement"
 	"junctionwharf/internal/config"
-	"junctionwharf/node/agreement"
 )
 
 // agreementOf listens for other brokers of the agreed document.
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -9,6 +9,7 @@
 
 	"junctionwharf/admission"
 	"junctionwharf/broker"
+	"junctionwharf/internal/agreement"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/console"
 	"junctionwharf/internal/discovery"
@@ -16,7 +17,6 @@
 	"junctionwharf/internal/metrics"
 	"junctionwharf/internal/peer"
 	"junctionwharf/internal/report"
-	"junctionwharf/node/agreement"
 	"junctionwharf/scheduler"
 )
 
--- a/internal/fleetrig/agreement.go
+++ b/internal/fleetrig/agreement.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
+	"junctionwharf/internal/agreement"
 	"junctionwharf/internal/console"
-	"junctionwharf/node/agreement"
 )
 
 // Agreement has brokers agree on settings, over links of the rig.
--- a/internal/fleetrig/agreement_test.go
+++ b/internal/fleetrig/agreement_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"junctionwharf/node/agreement"
+	"junctionwharf/internal/agreement"
 )
 
 const bound = time.Second
--- a/internal/fleetrig/fleetrig_test.go
+++ b/internal/fleetrig/fleetrig_test.go
@@ -18,7 +18,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"junctionwharf/node/agreement"
+	"junctionwharf/internal/agreement"
 )
 
 // program is the program, built once a run.
--- a/internal/fleetrig/hollow.go
+++ b/internal/fleetrig/hollow.go
@@ -16,9 +16,9 @@
 	"syscall"
 	"time"
 
+	"junctionwharf/internal/agreement"
 	"junctionwharf/internal/console"
 	"junctionwharf/internal/daemon"
-	"junctionwharf/node/agreement"
 )
 
 // Hollow is brokers beside the real ones that are only the control side of one, many to a process.
