--- a/internal/front/front.go
+++ b/internal/clientconn/clientconn.go
@@ -1,6 +1,6 @@
 // Package front holds what the fronts share: the table of open connections with its limits and eviction, and how
 // connections are handed over when the broker stops.
-package front
+package clientconn
 
 import (
 	"container/list"
--- a/internal/front/front_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -1,4 +1,4 @@
-package front
+package clientconn
 
 import (
 	"io"
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -18,7 +18,7 @@
 	"github.com/tidwall/redcon"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/front"
+	"junctionwharf/internal/clientconn"
 	"junctionwharf/internal/pool"
 )
 
@@ -31,11 +31,11 @@
 
 // Front serves the platform's clients.
 type Front struct {
-	*front.Table
+	*clientconn.Table
 	loop   *broker.Loop
 	terms  atomic.Pointer[Terms]
 	log    *slog.Logger
-	budget *front.Budget
+	budget *clientconn.Budget
 
 	mu      sync.Mutex
 	open    map[string]struct{} // ids of requests that wait for their answer
@@ -49,7 +49,7 @@
 // connections idle ones end.
 func NewFront(loop *broker.Loop, terms Terms, most, maxIdle, bytes int, log *slog.Logger) *Front {
 	log = log.With("front", "clients")
-	f := &Front{Table: front.NewTable(most, maxIdle, log), loop: loop, log: log, budget: front.NewBudget(bytes),
+	f := &Front{Table: clientconn.NewTable(most, maxIdle, log), loop: loop, log: log, budget: clientconn.NewBudget(bytes),
 		open: map[string]struct{}{}, others: map[string]struct{}{}, tell: func(string, bool) {}}
 	f.Retune(terms)
 	return f
@@ -160,7 +160,7 @@
 	if _, err := conn.Write(text); err != nil {
 		return
 	}
-	front.EndOfFile(conn)
+	clientconn.EndOfFile(conn)
 	for end, silent := time.Now().Add(lingerTime), time.Duration(0); time.Now().Before(end); {
 		conn.SetReadDeadline(time.Now().Add(lingerStep))
 		switch _, err = conn.Read(*buffer); {
@@ -184,7 +184,7 @@
 // listener hands redcon guarded connections, as many as there is room for.
 type listener struct {
 	net.Listener
-	table  *front.Table
+	table  *clientconn.Table
 	handed sync.WaitGroup // connections that redcon has still
 }
 
@@ -267,23 +267,23 @@
 }
 
 // Look implements front.Connection.
-func (c *client) Look() (front.Status, time.Duration) {
+func (c *client) Look() (clientconn.Status, time.Duration) {
 	c.mu.Lock()
 	owed, used := c.owes(), c.used
 	c.mu.Unlock()
 	switch {
 	case owed:
-		return front.Busy, 0
+		return clientconn.Busy, 0
 	case c.guard == nil:
-		return front.Idle, time.Since(used)
+		return clientconn.Idle, time.Since(used)
 	}
 	switch c.guard.phase.Load() {
 	case resting:
-		return front.Idle, time.Since(used)
+		return clientconn.Idle, time.Since(used)
 	case halfWay:
-		return front.HalfWay, 0
+		return clientconn.HalfWay, 0
 	}
-	return front.Busy, 0
+	return clientconn.Busy, 0
 }
 
 // leave is whether a connection is to end.
@@ -350,8 +350,8 @@
 	c.mu.Unlock()
 	if half {
 		c.busy()
-		front.EndOfFile(c.guard.Conn)
-		front.Drop(c.guard.Conn, time.Now().Add(partTime), dropMost) // the rest of what was refused
+		clientconn.EndOfFile(c.guard.Conn)
+		clientconn.Drop(c.guard.Conn, time.Now().Add(partTime), dropMost) // the rest of what was refused
 	}
 	c.conn.Close()
 	return true, true
@@ -407,7 +407,7 @@
 // drop reads what comes behind the last that counts and drops it: the end of a connection with unread input would be a reset,
 // which overtakes the answers. It ends with the connection, or past a bound. Where the client sends its end of file while requests wait it has left, or it waits for its answers still: these are given at once.
 func (c *client) drop() {
-	if !front.Drop(c.guard.Conn, time.Time{}, dropMost) {
+	if !clientconn.Drop(c.guard.Conn, time.Time{}, dropMost) {
 		return
 	}
 	c.mu.Lock()
@@ -610,7 +610,7 @@
 				return
 			case <-tick.C:
 			}
-			if front.PeerLeft(c.socket()) {
+			if clientconn.PeerLeft(c.socket()) {
 				c.away.Store(true)
 				c.mu.Lock()
 				c.gone = true
--- a/internal/resp/guard.go
+++ b/internal/resp/guard.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"junctionwharf/internal/front"
+	"junctionwharf/internal/clientconn"
 )
 
 // idleTime is how long a client may go without a command while it waits for no answer.
@@ -141,9 +141,9 @@
 		g.due = time.Time{}
 		return now.Add(idleTime)
 	case g.due.IsZero() && g.asked:
-		g.due = now.Add(front.CommandTime)
+		g.due = now.Add(clientconn.CommandTime)
 	case g.due.IsZero():
-		g.due = now.Add(front.FirstTime)
+		g.due = now.Add(clientconn.FirstTime)
 	}
 	return g.due
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -17,7 +17,7 @@
 
 	"junctionwharf/admission"
 	"junctionwharf/broker"
-	"junctionwharf/internal/front"
+	"junctionwharf/internal/clientconn"
 	"junctionwharf/internal/logs"
 	"junctionwharf/scheduler"
 )
@@ -402,10 +402,10 @@
 
 func (a *asked) Wake()     {}
 func (a *asked) End() bool { return true }
-func (a *asked) Look() (front.Status, time.Duration) {
+func (a *asked) Look() (clientconn.Status, time.Duration) {
 	a.began <- struct{}{}
 	<-a.end
-	return front.Busy, 0
+	return clientconn.Busy, 0
 }
 
 // A connection must not hold its own lock while it waits for its table's: the table may be asking it.
--- a/internal/sftp/front.go
+++ b/internal/sftp/front.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/front"
+	"junctionwharf/internal/clientconn"
 	"junctionwharf/internal/pool"
 )
 
@@ -26,7 +26,7 @@
 
 // Front serves file commands.
 type Front struct {
-	*front.Table
+	*clientconn.Table
 	loop *broker.Loop
 	via  broker.Transport
 	plan atomic.Pointer[Plan]
@@ -36,7 +36,7 @@
 // NewFront returns a front that holds most connections at the most. The plan has been checked.
 func NewFront(loop *broker.Loop, via broker.Transport, plan *Plan, most int, log *slog.Logger) *Front {
 	log = log.With("front", "files")
-	f := &Front{Table: front.NewTable(most, most, log), loop: loop, via: via, log: log}
+	f := &Front{Table: clientconn.NewTable(most, most, log), loop: loop, via: via, log: log}
 	f.Retune(plan)
 	return f
 }
@@ -114,16 +114,16 @@
 }
 
 // Look implements front.Connection.
-func (s *session) Look() (front.Status, time.Duration) {
+func (s *session) Look() (clientconn.Status, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case len(s.ops) > 0 || s.writing:
-		return front.Busy, 0
+		return clientconn.Busy, 0
 	case s.partly:
-		return front.HalfWay, 0
+		return clientconn.HalfWay, 0
 	}
-	return front.Idle, 0 // all of this front's may stay
+	return clientconn.Idle, 0 // all of this front's may stay
 }
 
 // End implements front.Connection.
@@ -153,7 +153,7 @@
 	defer s.end()
 	defer s.stopPanic()
 	in := bufio.NewReader(s.conn)
-	s.conn.SetReadDeadline(time.Now().Add(front.FirstTime))
+	s.conn.SetReadDeadline(time.Now().Add(clientconn.FirstTime))
 	p, err := readPacket(in)
 	if err != nil || p.kind != typeInit {
 		return
@@ -183,7 +183,7 @@
 	if _, err := in.Peek(1); err != nil {
 		return packet{}, err
 	}
-	s.conn.SetReadDeadline(time.Now().Add(front.CommandTime))
+	s.conn.SetReadDeadline(time.Now().Add(clientconn.CommandTime))
 	s.reading(true)
 	p, err := readPacket(in)
 	s.reading(false)
