--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -8,7 +8,7 @@
 	"io"
 	"os"
 
-	"junctionwharf/internal/wire"
+	"junctionwharf/internal/simwire"
 	"junctionwharf/scheduler"
 )
 
@@ -20,7 +20,7 @@
 }
 
 func run(in io.Reader, out io.Writer) error {
-	reader, writer := wire.NewReader(in), wire.NewWriter(out)
+	reader, writer := simwire.NewReader(in), simwire.NewWriter(out)
 	gateways := map[string]*scheduler.Gateway{}
 	for {
 		batch, err := reader.Next()
@@ -37,7 +37,7 @@
 }
 
 // answer routes a batch: the events of an instance since its last start go to it in one call.
-func answer(batch *wire.Batch, gateways map[string]*scheduler.Gateway, writer *wire.Writer) error {
+func answer(batch *simwire.Batch, gateways map[string]*scheduler.Gateway, writer *simwire.Writer) error {
 	var order []string
 	events := map[string][]scheduler.Event{}
 	for _, item := range batch.Items {
@@ -75,7 +75,7 @@
 }
 
 // decide calls one gateway; a panic in it becomes FATAL with its text.
-func decide(who string, gateway *scheduler.Gateway, now scheduler.Time, events []scheduler.Event, writer *wire.Writer) error {
+func decide(who string, gateway *scheduler.Gateway, now scheduler.Time, events []scheduler.Event, writer *simwire.Writer) error {
 	actions, failure := step(gateway, now, events)
 	if failure != "" {
 		return writer.Fatal(who, failure)
--- a/internal/wire/reply.go
+++ b/internal/simwire/reply.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
 // Package wire turns the text of the users' bench into the types of package scheduler and back. It
 // decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
