--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -15,8 +15,8 @@
 	"junctionwharf/internal/discovery"
 	"junctionwharf/internal/members"
 	"junctionwharf/internal/metrics"
+	"junctionwharf/internal/metricsexport"
 	"junctionwharf/internal/peer"
-	"junctionwharf/internal/report"
 	"junctionwharf/scheduler"
 )
 
@@ -32,7 +32,7 @@
 	agreement *agreement.Service // nil if off
 	members   *members.Members
 	watcher   *discovery.Watcher
-	reporter  *report.Reporter
+	reporter  *metricsexport.Reporter
 	console   *console.Door          // nil if off
 	post      func(broker.Event)     // what discovery and the sources say
 	figures   func() []broker.Figure // the broker's own, as sinks get them
@@ -69,7 +69,7 @@
 		outside.Agreed = k.agreement.Turn
 	}
 	k.figures = func() []broker.Figure { return slices.Concat(k.loop.Figures.Read(), k.members.Figures(), k.agreed()) }
-	k.reporter = report.New(report.Options{Name: c.Name, Loop: calls, Figures: func() []broker.Figure { return k.figures() }, Log: log})
+	k.reporter = metricsexport.New(metricsexport.Options{Name: c.Name, Loop: calls, Figures: func() []broker.Figure { return k.figures() }, Log: log})
 	outside.Observe = k.reporter.Observe
 	k.loop = broker.NewLoop(state, k.clock, transport, outside)
 	calls.Loop = k.loop
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -21,8 +21,8 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/discovery"
 	"junctionwharf/internal/handover"
+	"junctionwharf/internal/metricsexport"
 	"junctionwharf/internal/pool"
-	"junctionwharf/internal/report"
 	"junctionwharf/internal/resp"
 	"junctionwharf/internal/sftp"
 	"junctionwharf/scheduler"
@@ -285,8 +285,8 @@
 }
 
 // reportOf is what a configuration says of sinks of figures.
-func reportOf(c *config.Config) report.Settings {
-	return report.Settings{Registry: c.Site.Telemetry.Options(c.Settings.Logic), Graphite: c.Site.Graphite, Collectd: c.Site.Collectd}
+func reportOf(c *config.Config) metricsexport.Settings {
+	return metricsexport.Settings{Registry: c.Site.Telemetry.Options(c.Settings.Logic), Graphite: c.Site.Graphite, Collectd: c.Site.Collectd}
 }
 
 // timetable is what happens when after SIGTERM.
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -21,7 +21,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/discovery"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/report"
+	"junctionwharf/internal/metricsexport"
 	"junctionwharf/internal/resp"
 	"junctionwharf/internal/standin"
 	"junctionwharf/scheduler"
@@ -378,7 +378,7 @@
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{Log: log})
-	k := &control{loop: loop, reporter: report.New(report.Options{}), config: c, watcher: discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}), log: log}
+	k := &control{loop: loop, reporter: metricsexport.New(metricsexport.Options{}), config: c, watcher: discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}), log: log}
 	parts := &service{control: k, front: resp.NewFront(loop, resp.NewTerms(c.Settings.Logic, 0), 1, 1, 1, log)}
 	for _, fault := range []struct{ old, new, line string }{
 		{`"discovery":"127.0.0.1:2"`, `"discovery":"there"`, `discovery: "there" is no address:port`},
--- a/internal/report/report_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -1,4 +1,4 @@
-package report
+package metricsexport
 
 import (
 	"context"
