--- a/cmd/wharflab/demo.go
+++ b/cmd/wharflab/demo.go
@@ -17,9 +17,9 @@
 
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/daemon"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/load"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 )
 
 func demoCommand() *cli.Command {
@@ -51,16 +51,16 @@
 	if nodes < 1 || nodes > 100 {
 		return fmt.Errorf("--nodes: %d is not within 1 to 100", nodes)
 	}
-	points := standin.NewPoints(nil)
-	carbon, err := standin.NewCarbon("127.0.0.1:0", false, points)
+	points := fakes.NewPoints(nil)
+	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, points)
 	if err != nil {
 		return err
 	}
 	defer carbon.Close()
-	var hosts []standin.Host
+	var hosts []fakes.Host
 	for i := range nodes {
 		random := rand.New(rand.NewPCG(uint64(cmd.Uint("seed")), uint64(i)))
-		n, err := standin.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 2, 30, func(units float64) time.Duration {
+		n, err := fakes.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 2, 30, func(units float64) time.Duration {
 			return time.Duration((4 + 6*units) * float64(time.Millisecond)) // of a node's core
 		})
 		if err != nil {
@@ -71,7 +71,7 @@
 		stall := time.AfterFunc(time.Duration(2000+random.IntN(3000))*time.Millisecond, func() { n.Stall(150 * time.Millisecond) })
 		defer stall.Stop()
 	}
-	discovery, err := standin.NewDiscovery("127.0.0.1:0", hosts...)
+	discovery, err := fakes.NewDiscovery("127.0.0.1:0", hosts...)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 }
 
 // printNodes prints what the broker told its Carbon stand-in of each node, and whether that adds up to what clients saw.
-func printNodes(w io.Writer, carbon *standin.Carbon, result *load.Result) error {
+func printNodes(w io.Writer, carbon *fakes.Carbon, result *load.Result) error {
 	latest := carbon.Latest()
 	value := func(path string) float64 { return latest["wharf.demo."+path].Value }
 	var names []string
--- a/cmd/wharflab/dns.go
+++ b/cmd/wharflab/dns.go
@@ -18,9 +18,9 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/members"
-	"junctionwharf/internal/standin"
 	"junctionwharf/scheduler"
 )
 
@@ -34,7 +34,7 @@
 			"  alias NAME OF\n  wait SECONDS",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Value: "127.0.0.1:5353", Usage: "serve at `ADDR`, UDP and TCP"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			d, err := standin.NewDNS(cmd.String("address"))
+			d, err := fakes.NewDNS(cmd.String("address"))
 			if err != nil {
 				return err
 			}
@@ -50,12 +50,12 @@
 	}
 }
 
-var tricks = map[string]standin.Trick{"honest": standin.Honest, "silent": standin.Silent, "late": standin.Late, "servfail": standin.ServFail, "refused": standin.RefusedAll,
-	"nxdomain": standin.NoName, "nodata": standin.NoData, "truncated": standin.Truncated, "torn": standin.TornTCP, "wrongid": standin.WrongID,
-	"spoofed": standin.Spoofed, "rubbish": standin.Rubbish, "loop": standin.Looping, "third": standin.ThirdOnly}
+var tricks = map[string]fakes.Trick{"honest": fakes.Honest, "silent": fakes.Silent, "late": fakes.Late, "servfail": fakes.ServFail, "refused": fakes.RefusedAll,
+	"nxdomain": fakes.NoName, "nodata": fakes.NoData, "truncated": fakes.Truncated, "torn": fakes.TornTCP, "wrongid": fakes.WrongID,
+	"spoofed": fakes.Spoofed, "rubbish": fakes.Rubbish, "loop": fakes.Looping, "third": fakes.ThirdOnly}
 
 // playScript carries out a script's lines; an error names the line.
-func playScript(ctx context.Context, d *standin.DNS, script io.Reader) error {
+func playScript(ctx context.Context, d *fakes.DNS, script io.Reader) error {
 	lines := bufio.NewScanner(script)
 	for n := 1; lines.Scan(); n++ {
 		words := strings.Fields(lines.Text())
@@ -69,14 +69,14 @@
 	return lines.Err()
 }
 
-func playLine(ctx context.Context, d *standin.DNS, words []string) error {
+func playLine(ctx context.Context, d *fakes.DNS, words []string) error {
 	switch {
 	case words[0] == "set" && len(words) >= 3:
 		ttl, err := strconv.ParseUint(words[2], 10, 32)
 		if err != nil {
 			return fmt.Errorf("%q is no lifetime", words[2])
 		}
-		var all []standin.Name
+		var all []fakes.Name
 		for _, word := range words[3:] {
 			parts := strings.SplitN(word, ",", 6)
 			if len(parts) < 5 {
@@ -88,7 +88,7 @@
 					return fmt.Errorf("%q: %q is no number", word, parts[1+i])
 				}
 			}
-			name := standin.Name{Target: parts[0], Port: uint16(numbers[0]), Priority: uint16(numbers[1]), Weight: uint16(numbers[2]), Addresses: parts[4:5]}
+			name := fakes.Name{Target: parts[0], Port: uint16(numbers[0]), Priority: uint16(numbers[1]), Weight: uint16(numbers[2]), Addresses: parts[4:5]}
 			if len(parts) == 6 {
 				name.Text = strings.ReplaceAll(parts[5], "+", " ")
 			}
@@ -136,18 +136,18 @@
 // measureDrains replaces one node at a time, at random times, and waits until the core is told that it is gone.
 func measureDrains(ctx context.Context, removals, nodes int, ttl uint32, seed uint64) error {
 	const service = "_resp._tcp.storage.example.org"
-	d, err := standin.NewDNS("127.0.0.1:0")
+	d, err := fakes.NewDNS("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer d.Close()
 	random := rand.New(rand.NewPCG(seed, 0xd))
 	number := 0
-	fresh := func() standin.Name {
+	fresh := func() fakes.Name {
 		number++
-		return standin.Name{Target: fmt.Sprintf("s%d.example.org", number), Port: 6379, Addresses: []string{fmt.Sprintf("127.%d.%d.%d", 1+number>>16, number>>8&255, number&255)}}
+		return fakes.Name{Target: fmt.Sprintf("s%d.example.org", number), Port: 6379, Addresses: []string{fmt.Sprintf("127.%d.%d.%d", 1+number>>16, number>>8&255, number&255)}}
 	}
-	var zone []standin.Name
+	var zone []fakes.Name
 	for range nodes {
 		zone = append(zone, fresh())
 	}
--- a/cmd/wharflab/listen.go
+++ b/cmd/wharflab/listen.go
@@ -13,8 +13,8 @@
 	"github.com/urfave/cli/v3"
 
 	"junctionwharf/internal/collectd"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 )
 
 func listenCommand() *cli.Command {
@@ -45,7 +45,7 @@
 	}
 	var mu sync.Mutex
 	lines := bufio.NewWriter(out)
-	points := standin.NewPoints(func(p standin.Point) {
+	points := fakes.NewPoints(func(p fakes.Point) {
 		mu.Lock()
 		defer mu.Unlock()
 		fmt.Fprintf(lines, "%d %s %v\n", p.Stamp, p.Series, p.Value)
@@ -67,7 +67,7 @@
 	}
 	carbon := func(pickles bool) func(string) (io.Closer, string, error) {
 		return func(address string) (io.Closer, string, error) {
-			c, err := standin.NewCarbon(address, pickles, points)
+			c, err := fakes.NewCarbon(address, pickles, points)
 			if err != nil {
 				return nil, "", err
 			}
@@ -82,11 +82,11 @@
 		}
 		secrets[key.User] = key.Secret
 	}
-	var receiver *standin.Collectd
+	var receiver *fakes.Collectd
 	err = errors.Join(start("graphite", carbon(false)), start("pickle", carbon(true)),
 		start("collectd", func(address string) (io.Closer, string, error) {
 			var err error
-			if receiver, err = standin.NewCollectd(address, secrets, points); err != nil {
+			if receiver, err = fakes.NewCollectd(address, secrets, points); err != nil {
 				return nil, "", err
 			}
 			return ender(receiver.Close), receiver.Address(), nil
--- a/cmd/wharflab/sinks.go
+++ b/cmd/wharflab/sinks.go
@@ -21,9 +21,9 @@
 	"github.com/urfave/cli/v3"
 
 	"junctionwharf/internal/console"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/load"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 )
 
 func sinksCommand() *cli.Command {
@@ -53,10 +53,10 @@
 type fleet struct {
 	dir       string
 	program   string
-	nodes     []*standin.Node
-	discovery *standin.Discovery
-	carbon    *standin.Carbon
-	collectd  *standin.Collectd
+	nodes     []*fakes.Node
+	discovery *fakes.Discovery
+	carbon    *fakes.Carbon
+	collectd  *fakes.Collectd
 	dead      string // an address where nothing listens
 	site      string // a site file, instead of one that names sinks
 	cores     int    // of the broker, as are its sockets and memory
@@ -75,9 +75,9 @@
 	if f.dir, err = os.MkdirTemp("", "wharflab"); err != nil {
 		return nil, err
 	}
-	var hosts []standin.Host
+	var hosts []fakes.Host
 	for i := range nodes {
-		n, err := standin.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 8, 64, func(units float64) time.Duration {
+		n, err := fakes.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 8, 64, func(units float64) time.Duration {
 			return time.Duration(units * float64(unit))
 		})
 		if err != nil {
@@ -86,7 +86,7 @@
 		f.nodes = append(f.nodes, n)
 		hosts = append(hosts, n.Host())
 	}
-	if f.discovery, err = standin.NewDiscovery("127.0.0.1:0", hosts...); err != nil {
+	if f.discovery, err = fakes.NewDiscovery("127.0.0.1:0", hosts...); err != nil {
 		return nil, err
 	}
 	if err = f.receivers(); err != nil {
@@ -98,10 +98,10 @@
 
 // receivers starts stand-ins for Graphite and collectd anew.
 func (f *fleet) receivers() (err error) {
-	if f.carbon, err = standin.NewCarbon("127.0.0.1:0", false, standin.NewPoints(nil)); err != nil {
+	if f.carbon, err = fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil)); err != nil {
 		return err
 	}
-	f.collectd, err = standin.NewCollectd("127.0.0.1:0", nil, standin.NewPoints(nil))
+	f.collectd, err = fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
 	return err
 }
 
@@ -241,12 +241,12 @@
 
 func (f *fleet) play(ctx context.Context, cmd *cli.Command, round int, variant string) (run, error) {
 	graphite, collectd := "", ""
-	f.carbon.Behave(standin.Takes)
+	f.carbon.Behave(fakes.Takes)
 	switch variant {
 	case "healthy":
 		graphite, collectd = f.carbon.Address(), f.collectd.Address()
 	case "stalled":
-		f.carbon.Behave(standin.Stands)
+		f.carbon.Behave(fakes.Stands)
 		graphite, collectd = f.carbon.Address(), f.collectd.Address()
 	case "dead":
 		graphite, collectd = f.dead, f.dead
@@ -386,14 +386,14 @@
 	steps := make(chan error, 1)
 	go func() {
 		time.Sleep(part)
-		f.carbon.Behave(standin.Stands)
+		f.carbon.Behave(fakes.Stands)
 		time.Sleep(part)
 		f.carbon.Close()
 		f.collectd.Close()
 		time.Sleep(part)
 		var err error
-		if f.carbon, err = standin.NewCarbon(carbonAt, false, standin.NewPoints(nil)); err == nil {
-			f.collectd, err = standin.NewCollectd(collectdAt, nil, standin.NewPoints(nil))
+		if f.carbon, err = fakes.NewCarbon(carbonAt, false, fakes.NewPoints(nil)); err == nil {
+			f.collectd, err = fakes.NewCollectd(collectdAt, nil, fakes.NewPoints(nil))
 		}
 		steps <- err
 	}()
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"junctionwharf/internal/collectd"
-	"junctionwharf/internal/standin"
+	"junctionwharf/internal/fakes"
 )
 
 var at = time.Unix(1_700_000_000, 500_000_000)
@@ -52,7 +52,7 @@
 			if len(p) > collectd.MaxPacket {
 				t.Fatalf("a packet of %d bytes", len(p))
 			}
-			points, _, err := standin.ParsePacket(p, secrets, e.Security != collectd.Open)
+			points, _, err := fakes.ParsePacket(p, secrets, e.Security != collectd.Open)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -66,12 +66,12 @@
 				continue
 			}
 			for _, wrong := range []map[string]string{{"wharf": "other"}, {"else": "s3cret"}} {
-				if points, _, err := standin.ParsePacket(p, wrong, true); err == nil || len(points) > 0 {
+				if points, _, err := fakes.ParsePacket(p, wrong, true); err == nil || len(points) > 0 {
 					t.Fatalf("%d points under a wrong key", len(points))
 				}
 			}
 			p[len(p)-1] ^= 1
-			if points, _, err := standin.ParsePacket(p, secrets, true); err == nil || len(points) > 0 {
+			if points, _, err := fakes.ParsePacket(p, secrets, true); err == nil || len(points) > 0 {
 				t.Fatalf("%d points of a packet that was tampered with", len(points))
 			}
 		}
@@ -96,14 +96,14 @@
 		if err != nil || len(p) > collectd.MaxPacket {
 			t.Fatal(len(p), err)
 		}
-		_, notices, err := standin.ParsePacket(p, secrets, e.Security != collectd.Open)
+		_, notices, err := fakes.ParsePacket(p, secrets, e.Security != collectd.Open)
 		if len(notices) != 1 && err == nil {
 			t.Fatalf("%d notices", len(notices))
 		}
 	}
 	p, _ := ways[2].Notify(collectd.Notice{Severity: collectd.Failure, Instance: "sinks", Text: "graphite lost"}, at)
-	_, notices, err := standin.ParsePacket(p, secrets, true)
-	if err != nil || len(notices) != 1 || notices[0] != (standin.Notification{Severity: 1, Host: "n1", Plugin: "junctionwharf", Instance: "sinks", Text: "graphite lost", Stamp: at.Unix()}) {
+	_, notices, err := fakes.ParsePacket(p, secrets, true)
+	if err != nil || len(notices) != 1 || notices[0] != (fakes.Notification{Severity: 1, Host: "n1", Plugin: "junctionwharf", Instance: "sinks", Text: "graphite lost", Stamp: at.Unix()}) {
 		t.Errorf("%+v, %v", notices, err)
 	}
 }
@@ -155,7 +155,7 @@
 		if err != nil || len(packets) != 1 {
 			t.Fatal(len(packets), err)
 		}
-		points, _, err := standin.ParsePacket(packets[0], secrets, e.Security != collectd.Open)
+		points, _, err := fakes.ParsePacket(packets[0], secrets, e.Security != collectd.Open)
 		if err != nil || len(points) != 1 || points[0].Value != float64(n) {
 			t.Fatal(points, err)
 		}
@@ -169,5 +169,5 @@
 		f.Add(packets[0])
 	}
 	f.Add([]byte{2, 16, 0, 4})
-	f.Fuzz(func(_ *testing.T, b []byte) { standin.ParsePacket(b, secrets, false) })
+	f.Fuzz(func(_ *testing.T, b []byte) { fakes.ParsePacket(b, secrets, false) })
 }
--- a/internal/daemon/ends_test.go
+++ b/internal/daemon/ends_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 )
 
 // quickSettings has deadlines of a third of a second, so that SIGKILL would come 1 s after SIGTERM.
@@ -39,7 +39,7 @@
 		}
 		return "v"
 	})
-	discovery := serveList(t, standin.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
+	discovery := serveList(t, fakes.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
 	address := free(t)
 	c := configWith(t, address, discovery.Address(), quickSettings)
 	c.NoHandover = true
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 )
 
 // A broker is started beside itself without a handover, and clients ask both processes for far more than their volume's limit. What comes
@@ -32,7 +32,7 @@
 		}
 		return "v"
 	})
-	discovery := serveList(t, standin.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
+	discovery := serveList(t, fakes.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
 	address := free(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var programs, clients sync.WaitGroup
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/members_test.go
@@ -10,17 +10,17 @@
 	"time"
 
 	"junctionwharf/internal/config"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 )
 
 // A broker whose nodes come from DNS serves by priority, drains what leaves the zone, and goes on while the server fails.
 func TestNodesFromDNS(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	var nodes []*standin.Node
-	var zone []standin.Name
+	var nodes []*fakes.Node
+	var zone []fakes.Name
 	for i := range 2 {
-		n, err := standin.NewNode("127.0.0.1:0", fmt.Sprint("node", i), 0, 4, 8, func(float64) time.Duration { return time.Millisecond })
+		n, err := fakes.NewNode("127.0.0.1:0", fmt.Sprint("node", i), 0, 4, 8, func(float64) time.Duration { return time.Millisecond })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,9 +29,9 @@
 		_, port, _ := strings.Cut(n.Host().Dial, ":")
 		var number uint16
 		fmt.Sscan(port, &number)
-		zone = append(zone, standin.Name{Target: fmt.Sprintf("node%d.example.org", i), Port: number, Priority: uint16(i), Addresses: []string{"127.0.0.1"}})
+		zone = append(zone, fakes.Name{Target: fmt.Sprintf("node%d.example.org", i), Port: number, Priority: uint16(i), Addresses: []string{"127.0.0.1"}})
 	}
-	d, err := standin.NewDNS("127.0.0.1:0")
+	d, err := fakes.NewDNS("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	}
 	d.Set(service, 1, zone[1])
 	await("nodes", func(text string) bool { return !strings.Contains(text, "node0.example.org") })
-	d.Play(standin.Silent)
+	d.Play(fakes.Silent)
 	await("vars", func(text string) bool {
 		return strings.Contains(text, "source.dns.failures:") && !strings.Contains(text, "source.dns.failures:0|c")
 	})
@@ -98,7 +98,7 @@
 	}
 
 	// A write that is out where its node leaves, while another comes back, is sent to no other.
-	d.Play(standin.Honest)
+	d.Play(fakes.Honest)
 	nodes[1].Stall(1500 * time.Millisecond)
 	list := "c=write,t=plan,d=6000,volume=00000003b4d60021,units=1,shard=0,hosts=1"
 	fmt.Fprintf(conn, "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n7f3a9c21e0b4d655\r\n$1\r\nw\r\n$%d\r\n%s\r\n$4\r\nBODY\r\n", len(list), list)
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -20,10 +20,10 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/discovery"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
 	"junctionwharf/internal/metricsexport"
 	"junctionwharf/internal/resp"
-	"junctionwharf/internal/standin"
 	"junctionwharf/scheduler"
 )
 
@@ -100,9 +100,9 @@
 			io.WriteString(conn, "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
 		}
 	}()
-	discovery := serveList(t, standin.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
+	discovery := serveList(t, fakes.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
 	address, files := free(t), free(t)
-	carbon, err := standin.NewCarbon("127.0.0.1:0", false, standin.NewPoints(nil))
+	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 	late := make(chan struct{})
 	timer := time.AfterFunc(10*time.Second, func() { close(late) })
 	defer timer.Stop()
-	if !carbon.Await(late, func(latest map[string]standin.Point, _ []string) bool {
+	if !carbon.Await(late, func(latest map[string]fakes.Point, _ []string) bool {
 		return latest["wharf.n1.taken"].Value == 1 && latest["wharf.n1.inflight"].Value == 1 && latest["wharf.n1.backend_calls"].Value == 1
 	}) {
 		t.Errorf("%v", carbon.Latest())
@@ -154,7 +154,7 @@
 	if _, err := net.Dial("tcp", address); err == nil {
 		t.Error("it still listens")
 	}
-	if !carbon.Await(late, func(latest map[string]standin.Point, _ []string) bool {
+	if !carbon.Await(late, func(latest map[string]fakes.Point, _ []string) bool {
 		return latest["wharf.n1.all.served"].Value == 1
 	}) {
 		t.Errorf("the last interval was not flushed: %v", carbon.Latest()["wharf.n1.all.served"])
@@ -176,9 +176,9 @@
 }
 
 // serveList starts a stand-in for discovery.
-func serveList(t *testing.T, hosts ...standin.Host) *standin.Discovery {
+func serveList(t *testing.T, hosts ...fakes.Host) *fakes.Discovery {
 	t.Helper()
-	d, err := standin.NewDiscovery("127.0.0.1:0", hosts...)
+	d, err := fakes.NewDiscovery("127.0.0.1:0", hosts...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	for i := range services {
 		node := listen(t)
 		go serveNode(node, func(string) string { return fmt.Sprint(i) })
-		services[i] = serveList(t, standin.Host{Host: fmt.Sprint("n", i), Dial: node.Addr().String(), Health: "SERVING", Share: 1}).Address()
+		services[i] = serveList(t, fakes.Host{Host: fmt.Sprint("n", i), Dial: node.Addr().String(), Health: "SERVING", Share: 1}).Address()
 	}
 	dir, address, files := t.TempDir(), free(t), free(t)
 	write := func(name, text string) string {
@@ -278,7 +278,7 @@
 		}
 		return id
 	})
-	service := serveList(t, standin.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
+	service := serveList(t, fakes.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
 	address, files := free(t), free(t)
 	start := func() (door string, stop func(), ended chan error) {
 		door = free(t)
--- a/internal/standin/fleet.go
+++ b/internal/fakes/fleet.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/internal/standin/points.go
+++ b/internal/fakes/points.go
@@ -1,7 +1,7 @@
 // Package standin has stand-ins for what surrounds a broker: discovery, storage nodes, clients, and receivers of figures. Tests,
 // the demonstration and the tools share them. They are written from the protocols' public descriptions and share no
 // code with what they check.
-package standin
+package fakes
 
 import (
 	"fmt"
--- a/internal/fleetrig/rig.go
+++ b/internal/fleetrig/rig.go
@@ -24,7 +24,7 @@
 	"time"
 
 	"junctionwharf/internal/console"
-	"junctionwharf/internal/standin"
+	"junctionwharf/internal/fakes"
 )
 
 // Rig is one run.
@@ -416,7 +416,7 @@
 // ---- discovery
 
 type listed struct {
-	standin.Host
+	fakes.Host
 	version uint64
 }
 
@@ -453,7 +453,7 @@
 }
 
 func (g *registry) entry(n *node, health string, version uint64) listed {
-	e := listed{standin.Host{Host: n.name, Dial: n.at, Site: zone(n.number % g.rig.scenario.Node.Zones), Class: "m", Block: n.shard, Health: health, Share: 1}, version}
+	e := listed{fakes.Host{Host: n.name, Dial: n.at, Site: zone(n.number % g.rig.scenario.Node.Zones), Class: "m", Block: n.shard, Health: health, Share: 1}, version}
 	if n.born > 0 {
 		e.BornMS = time.Now().Add(n.born - Now()).UnixMilli()
 	}
@@ -597,7 +597,7 @@
 
 // word makes that text.
 func (g *registry) word(broker int, since, version uint64, watch bool) []byte {
-	hosts := []standin.Host{}
+	hosts := []fakes.Host{}
 	v := g.views[broker]
 	var list []listed
 	if !watch || since < version { // else there is nothing newer
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/graphite"
-	"junctionwharf/internal/standin"
 )
 
 func plaintext(points []graphite.Point, prefix string, naming graphite.Naming, datagrams bool) [][]byte {
@@ -43,10 +43,10 @@
 			"p.n1.busy;volume=a%2Eb%3Bc%3Dd%20e%0Af%00"},
 	}
 	for naming, paths := range want {
-		var got []standin.Point
+		var got []fakes.Point
 		for _, frame := range plaintext(points, "p.n1", naming, false) {
 			for line := range strings.Lines(string(frame)) {
-				p, err := standin.ParseLine(strings.TrimSuffix(line, "\n"))
+				p, err := fakes.ParseLine(strings.TrimSuffix(line, "\n"))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -57,7 +57,7 @@
 			if int(binary.BigEndian.Uint32(frame)) != len(frame)-4 {
 				t.Fatal("the length is wrong")
 			}
-			more, err := standin.ParsePickle(frame[4:])
+			more, err := fakes.ParsePickle(frame[4:])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -67,7 +67,7 @@
 			t.Fatalf("%d points of %d", len(got), 2*len(points))
 		}
 		for i, p := range got {
-			if i := i % len(points); p != (standin.Point{Series: paths[i], Stamp: 1_700_000_000, Value: float64(points[i].Value)}) {
+			if i := i % len(points); p != (fakes.Point{Series: paths[i], Stamp: 1_700_000_000, Value: float64(points[i].Value)}) {
 				t.Errorf("%+v, want %s %d", p, paths[i], points[i].Value)
 			}
 		}
@@ -114,13 +114,13 @@
 			for _, naming := range []graphite.Naming{graphite.Dotted, graphite.Tagged} {
 				points := []graphite.Point{{Path: graphite.Path{Tag: "volume", Name: name, Last: "served"}, Value: 1}}
 				frames[i] = plaintext(points, "p", naming, false)[0]
-				if _, err := standin.ParseLine(strings.TrimSuffix(string(frames[i]), "\n")); err != nil {
+				if _, err := fakes.ParseLine(strings.TrimSuffix(string(frames[i]), "\n")); err != nil {
 					t.Fatal(err)
 				}
 				if bytes.Count(frames[i], []byte("\n")) != 1 {
 					t.Fatalf("%q makes %q", name, frames[i])
 				}
-				if got, err := standin.ParsePickle(pickled(points, "p", naming)[0][4:]); err != nil || len(got) != 1 {
+				if got, err := fakes.ParsePickle(pickled(points, "p", naming)[0][4:]); err != nil || len(got) != 1 {
 					t.Fatal(got, err)
 				}
 			}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -13,8 +13,8 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 	"junctionwharf/scheduler"
 )
 
@@ -96,16 +96,16 @@
 	}
 }
 
-func zone(names ...string) (all []standin.Name) {
+func zone(names ...string) (all []fakes.Name) {
 	for i, n := range names {
-		all = append(all, standin.Name{Target: n + ".example.org", Port: 6379, Priority: uint16(i % 2), Weight: uint16(10 * i), Addresses: []string{fmt.Sprintf("10.0.0.%d", n[0])},
+		all = append(all, fakes.Name{Target: n + ".example.org", Port: 6379, Priority: uint16(i % 2), Weight: uint16(10 * i), Addresses: []string{fmt.Sprintf("10.0.0.%d", n[0])},
 			Text: fmt.Sprint("shard=", i)})
 	}
 	return all
 }
 
-func dnsServer(t *testing.T) *standin.DNS {
-	d, err := standin.NewDNS("127.0.0.1:0")
+func dnsServer(t *testing.T) *fakes.DNS {
+	d, err := fakes.NewDNS("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	return d
 }
 
-func source(d *standin.DNS) config.MemberSource {
+func source(d *fakes.DNS) config.MemberSource {
 	return config.MemberSource{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, TimeoutMS: 100, Texts: true, QueriesPerS: 1000}
 }
 
@@ -131,7 +131,7 @@
 		t.Errorf("%+v", n)
 	}
 	c.mu.Unlock()
-	for _, trick := range []standin.Trick{standin.ServFail, standin.NoName, standin.NoData, standin.Rubbish, standin.TornTCP} {
+	for _, trick := range []fakes.Trick{fakes.ServFail, fakes.NoName, fakes.NoData, fakes.Rubbish, fakes.TornTCP} {
 		d.Play(trick)
 		before := c.m.Figures()
 		for changed := false; !changed; { // until an answer or failure of this kind was taken
@@ -144,7 +144,7 @@
 			t.Fatalf("trick %d: %q", trick, got)
 		}
 	}
-	d.Play(standin.Honest)
+	d.Play(fakes.Honest)
 	d.Set(service, 1, zone("a", "b")...)
 	c.await("a b")
 	c.m.Discovery(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "s-1"}, Address: "10.0.0.97:6379"}, {NodeInfo: scheduler.NodeInfo{Node: "s-9"}, Address: "10.0.0.9:1"}}})
@@ -172,14 +172,14 @@
 	}
 	c.await("a b")
 	c.m.Close()
-	d.Play(standin.Silent)
+	d.Play(fakes.Silent)
 	c = newCore(t)
 	if err := c.m.Follow(set); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b")
 	d.Set(service, 1, zone("b", "c")...)
-	d.Play(standin.Honest)
+	d.Play(fakes.Honest)
 	c.await("b c")
 	c.m.Close()
 	text, err := os.ReadFile(path)
--- a/internal/metricsexport/metricsexport_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -14,8 +14,8 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/collectd"
 	"junctionwharf/internal/config"
+	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/logs"
-	"junctionwharf/internal/standin"
 	"junctionwharf/telemetry"
 )
 
@@ -85,9 +85,9 @@
 }
 
 // await waits until the series has the value.
-func (g *rig) await(points *standin.Points, series string, value float64) {
+func (g *rig) await(points *fakes.Points, series string, value float64) {
 	g.t.Helper()
-	if !points.Await(g.stop, func(latest map[string]standin.Point, _ []string) bool { return latest[series].Value == value }) {
+	if !points.Await(g.stop, func(latest map[string]fakes.Point, _ []string) bool { return latest[series].Value == value }) {
 		g.t.Fatalf("%s is %v, want %v; faults %q, log %q", series, points.Latest()[series].Value, value, points.Faults(), g.logs)
 	}
 }
@@ -124,8 +124,8 @@
 	}
 }
 
-func newCarbon(t *testing.T, address string) *standin.Carbon {
-	c, err := standin.NewCarbon(address, false, standin.NewPoints(nil))
+func newCarbon(t *testing.T, address string) *fakes.Carbon {
+	c, err := fakes.NewCarbon(address, false, fakes.NewPoints(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 // Both receivers get the broker's own counts, exactly, and the sums over every dimension agree.
 func TestBothSinks(t *testing.T) {
 	carbon := newCarbon(t, "127.0.0.1:0")
-	coll, err := standin.NewCollectd("127.0.0.1:0", nil, standin.NewPoints(nil))
+	coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 	g.await(coll.Points, "n1/junctionwharf/derive-success.read/0", 500)
 	for _, d := range []string{"class", "plan", "node", "volume"} {
 		sum := 0.0
-		if !carbon.Await(g.stop, func(latest map[string]standin.Point, _ []string) bool {
+		if !carbon.Await(g.stop, func(latest map[string]fakes.Point, _ []string) bool {
 			sum = 0
 			for series, p := range latest { // a volume that left keeps its last value, of an earlier time
 				if strings.HasPrefix(series, "w.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Stamp == latest["w.n1.all.served"].Stamp {
@@ -174,10 +174,10 @@
 // A sink that never reads, or takes a byte a second, is stalled, dropped from and given up; nobody waits for it, the other
 // sink gets all, and once it reads again it has the counts.
 func TestSinkStalls(t *testing.T) {
-	for _, manner := range []standin.Manner{standin.Stands, standin.Drips} {
+	for _, manner := range []fakes.Manner{fakes.Stands, fakes.Drips} {
 		carbon := newCarbon(t, "127.0.0.1:0")
 		carbon.Behave(manner)
-		coll, err := standin.NewCollectd("127.0.0.1:0", nil, standin.NewPoints(nil))
+		coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,7 +194,7 @@
 		})
 		g.serve("v1")
 		g.await(coll.Points, "n1/junctionwharf-all/junctionwharf_requests/0", 5)
-		carbon.Behave(standin.Takes)
+		carbon.Behave(fakes.Takes)
 		g.await(carbon.Points, "w.n1.all.served", 5)
 	}
 }
@@ -202,12 +202,12 @@
 // Resets in the middle of a line leave no wrong line and no lost count.
 func TestSinkResets(t *testing.T) {
 	carbon := newCarbon(t, "127.0.0.1:0")
-	carbon.Behave(standin.Resets)
+	carbon.Behave(fakes.Resets)
 	g := newRig(t, settings(carbon.Address(), ""))
 	g.on()
 	g.serve("v")
 	g.until("resets", func(f map[string]uint64) bool { return f["telemetry.graphite.redials"] > 3 })
-	carbon.Behave(standin.Takes)
+	carbon.Behave(fakes.Takes)
 	g.await(carbon.Points, "w.n1.all.served", 1)
 	if faults := carbon.Faults(); len(faults) > 0 {
 		t.Error(faults)
@@ -228,14 +228,14 @@
 	g.serve("v")
 	var mu sync.Mutex
 	stamps := map[int64]bool{}
-	points := standin.NewPoints(func(p standin.Point) {
+	points := fakes.NewPoints(func(p fakes.Point) {
 		mu.Lock()
 		defer mu.Unlock()
 		if p.Series == "w.n1.all.served" {
 			stamps[p.Stamp] = true
 		}
 	})
-	second, err := standin.NewCarbon(address, false, points)
+	second, err := fakes.NewCarbon(address, false, points)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -255,7 +255,7 @@
 
 // A name that resolves to nothing is a sink that is lost; a wrong key is one whose receiver takes nothing.
 func TestSinkUnknown(t *testing.T) {
-	coll, err := standin.NewCollectd("127.0.0.1:0", map[string]string{"wharf": "right"}, standin.NewPoints(nil))
+	coll, err := fakes.NewCollectd("127.0.0.1:0", map[string]string{"wharf": "right"}, fakes.NewPoints(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,7 +266,7 @@
 	g.on()
 	g.serve("v")
 	g.until("a name of nothing", func(f map[string]uint64) bool { return f["telemetry.graphite.redials"] > 0 })
-	if !coll.Await(g.stop, func(_ map[string]standin.Point, faults []string) bool {
+	if !coll.Await(g.stop, func(_ map[string]fakes.Point, faults []string) bool {
 		return len(faults) > 0 && strings.Contains(faults[0], "wrong key")
 	}) {
 		t.Fatal("packets under a wrong key were taken")
@@ -282,7 +282,7 @@
 // A sink that is turned off with a full queue ends at once; the counts go on when it is on again, from 0.
 func TestSinkTurnedOff(t *testing.T) {
 	carbon := newCarbon(t, "127.0.0.1:0")
-	carbon.Behave(standin.Stands)
+	carbon.Behave(fakes.Stands)
 	g := newRig(t, settings(carbon.Address(), ""))
 	g.on()
 	g.serve("v")
@@ -309,7 +309,7 @@
 	g.r.Finish(time.Now().Add(5 * time.Second))
 	g.await(carbon.Points, "w.n1.all.served", 7)
 
-	carbon.Behave(standin.Stands)
+	carbon.Behave(fakes.Stands)
 	g = newRig(t, settings(carbon.Address(), ""))
 	g.on()
 	g.serve("v")
@@ -334,7 +334,7 @@
 
 // Notifications tell of nodes that leave and of a sink that is lost.
 func TestNotices(t *testing.T) {
-	coll, err := standin.NewCollectd("127.0.0.1:0", nil, standin.NewPoints(nil))
+	coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -356,7 +356,7 @@
 		}
 		return strings.Join(all, "\n")
 	}
-	coll.Await(g.stop, func(map[string]standin.Point, []string) bool {
+	coll.Await(g.stop, func(map[string]fakes.Point, []string) bool {
 		return strings.Contains(seen(), "2 node listed down: s-1") && strings.Contains(seen(), "1 graphite lost: ")
 	})
 	if text := seen(); !strings.Contains(text, "2 node listed down: s-1") || !strings.Contains(text, "1 graphite lost: ") {
--- a/internal/srv/srv_test.go
+++ b/internal/srv/srv_test.go
@@ -12,14 +12,14 @@
 
 	"github.com/miekg/dns"
 
-	"junctionwharf/internal/standin"
+	"junctionwharf/internal/fakes"
 )
 
 const service = "_resp._tcp.storage.example.org"
 
-func server(t *testing.T) *standin.DNS {
+func server(t *testing.T) *fakes.DNS {
 	t.Helper()
-	d, err := standin.NewDNS("127.0.0.1:0")
+	d, err := fakes.NewDNS("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	return d
 }
 
-func resolver(t *testing.T, servers ...*standin.DNS) *Resolver {
+func resolver(t *testing.T, servers ...*fakes.DNS) *Resolver {
 	t.Helper()
 	opt := Options{Timeout: 150 * time.Millisecond, Rate: 1e6, Burst: 1e6}
 	for _, s := range servers {
@@ -40,9 +40,9 @@
 	return r
 }
 
-func names(n int) (all []standin.Name) {
+func names(n int) (all []fakes.Name) {
 	for i := range n {
-		all = append(all, standin.Name{Target: fmt.Sprintf("s%d-a.storage.example.org", i), Port: 6379, Priority: uint16(i % 2), Weight: uint16(i),
+		all = append(all, fakes.Name{Target: fmt.Sprintf("s%d-a.storage.example.org", i), Port: 6379, Priority: uint16(i % 2), Weight: uint16(i),
 			Addresses: []string{fmt.Sprintf("10.0.%d.%d", i/250, i%250), fmt.Sprintf("fd00::%x", i+1)}, Text: fmt.Sprintf("shard=%d share=1.5", i)})
 	}
 	return all
@@ -62,9 +62,9 @@
 
 // Each way in which a name server behaves, alone and with a sound one behind it.
 func TestTricks(t *testing.T) {
-	for trick, ends := range map[standin.Trick]string{standin.Honest: "", standin.Truncated: "", standin.Spoofed: "", standin.ThirdOnly: "", standin.Late: "timeout",
-		standin.Silent: "timeout", standin.ServFail: "SERVFAIL", standin.RefusedAll: "REFUSED", standin.NoName: "no such record", standin.NoData: "no such record",
-		standin.TornTCP: "EOF", standin.WrongID: "another id", standin.Rubbish: "dns", standin.Looping: "circle"} {
+	for trick, ends := range map[fakes.Trick]string{fakes.Honest: "", fakes.Truncated: "", fakes.Spoofed: "", fakes.ThirdOnly: "", fakes.Late: "timeout",
+		fakes.Silent: "timeout", fakes.ServFail: "SERVFAIL", fakes.RefusedAll: "REFUSED", fakes.NoName: "no such record", fakes.NoData: "no such record",
+		fakes.TornTCP: "EOF", fakes.WrongID: "another id", fakes.Rubbish: "dns", fakes.Looping: "circle"} {
 		bad := server(t)
 		bad.Set(service, 5, names(3)...)
 		bad.Play(trick)
@@ -117,7 +117,7 @@
 	if asked := s.Asked() - before; asked != 10 {
 		t.Errorf("%d questions for 10 lists", asked)
 	}
-	s.Play(standin.Silent) // addresses serve on after their life
+	s.Play(fakes.Silent) // addresses serve on after their life
 	r.clock = func() time.Time { return time.Now().Add(10 * time.Minute) }
 	if records, _, err := r.kept(context.Background(), question{"s1-a.storage.example.org.", dns.TypeA}); err != nil || len(records) != 1 {
 		t.Errorf("%v, %v", records, err)
@@ -223,9 +223,9 @@
 	clear(w.Resolver.cache)
 	w.Resolver.mu.Unlock()
 	await("list with a target that keeps its address", func(n News) bool { return len(n.Entries) == 2 && len(n.Faults) == 1 })
-	s.Play(standin.Silent)
+	s.Play(fakes.Silent)
 	await("failure", func(n News) bool { return n.Err != nil })
-	s.Play(standin.NoData)
+	s.Play(fakes.NoData)
 	await("empty list", func(n News) bool { return n.Err == nil && len(n.Entries) == 0 })
 }
 
