--- a/cmd/wharflab/connections.go
+++ b/cmd/wharflab/connections.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 
 	"junctionwharf/internal/capacity"
-	"junctionwharf/internal/fleetrig"
+	"junctionwharf/internal/fleetharness"
 	"junctionwharf/internal/load"
 )
 
@@ -110,7 +110,7 @@
 		}
 	}
 	began := time.Now()
-	before, _ := fleetrig.Spent(r.command.Process.Pid)
+	before, _ := fleetharness.Spent(r.command.Process.Pid)
 	if rate > 0 {
 		t, err := f.traffic(cmd, rate, 1)
 		if err != nil {
@@ -128,7 +128,7 @@
 		case <-time.After(cmd.Duration("for")):
 		}
 	}
-	h.CPU, h.MemoryMB = fleetrig.Spent(r.command.Process.Pid)
+	h.CPU, h.MemoryMB = fleetharness.Spent(r.command.Process.Pid)
 	h.CPU = (h.CPU - before) / time.Since(began).Seconds()
 	for _, conn := range conns { // one that the broker ended reads an end of file
 		conn.SetReadDeadline(time.Now().Add(time.Millisecond))
--- a/cmd/wharflab/fleet.go
+++ b/cmd/wharflab/fleet.go
@@ -13,7 +13,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"junctionwharf/internal/fleetrig"
+	"junctionwharf/internal/fleetharness"
 )
 
 func fleetCommand() *cli.Command {
@@ -45,7 +45,7 @@
 // fleetRun is one run of one version.
 type fleetRun struct {
 	Version string `json:"version"`
-	*fleetrig.Report
+	*fleetharness.Report
 }
 
 func runFleet(ctx context.Context, cmd *cli.Command) error {
@@ -55,7 +55,7 @@
 	var runs []fleetRun
 	broken := 0
 	for _, path := range cmd.Args().Slice() {
-		scenario, err := fleetrig.Load(path)
+		scenario, err := fleetharness.Load(path)
 		if err != nil {
 			return err
 		}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-func playFleet(ctx context.Context, program string, scenario *fleetrig.Scenario, stories int) (*fleetrig.Report, error) {
-	rig, err := fleetrig.New(program, scenario)
+func playFleet(ctx context.Context, program string, scenario *fleetharness.Scenario, stories int) (*fleetharness.Report, error) {
+	rig, err := fleetharness.New(program, scenario)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	return report, err
 }
 
-func printFleet(w io.Writer, name string, r *fleetrig.Report) {
+func printFleet(w io.Writer, name string, r *fleetharness.Report) {
 	fmt.Fprintf(w, "%s, %s, seed %d: %d brokers, %d nodes; %d connections made to nodes, at most %d at one; %d calls of discovery; %d datagrams\n", r.Scenario, name, r.Seed,
 		r.Brokers, r.Nodes, r.Dials, r.Peak, r.Calls, r.Sent)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -156,11 +156,11 @@
 }
 
 // printCold prints, for each second of a cold node's age, the fullest window over all nodes.
-func printCold(w io.Writer, seconds []fleetrig.ColdSecond) {
-	var fullest []fleetrig.ColdSecond
+func printCold(w io.Writer, seconds []fleetharness.ColdSecond) {
+	var fullest []fleetharness.ColdSecond
 	for _, c := range seconds {
 		for len(fullest) <= c.AgeS {
-			fullest = append(fullest, fleetrig.ColdSecond{AgeS: len(fullest)})
+			fullest = append(fullest, fleetharness.ColdSecond{AgeS: len(fullest)})
 		}
 		if f := &fullest[c.AgeS]; f.Bears == 0 || c.Units/c.Bears > f.Units/f.Bears {
 			*f = c
--- a/cmd/wharflab/hollow.go
+++ b/cmd/wharflab/hollow.go
@@ -13,7 +13,7 @@
 
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/daemon"
-	"junctionwharf/internal/fleetrig"
+	"junctionwharf/internal/fleetharness"
 	"junctionwharf/internal/logs"
 )
 
@@ -27,7 +27,7 @@
 			if err != nil {
 				return err
 			}
-			var all []fleetrig.HollowBroker
+			var all []fleetharness.HollowBroker
 			if err := json.Unmarshal(text, &all); err != nil {
 				return fmt.Errorf("%s: %w", cmd.String("brokers"), err)
 			}
@@ -39,7 +39,7 @@
 }
 
 // runHollow runs brokers until ctx ends, or one of them does.
-func runHollow(ctx context.Context, all []fleetrig.HollowBroker) error {
+func runHollow(ctx context.Context, all []fleetharness.HollowBroker) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	var wait sync.WaitGroup
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"junctionwharf/internal/fleetrig"
+	"junctionwharf/internal/fleetharness"
 )
 
 // Cell is one run of the grid.
@@ -74,16 +74,16 @@
 
 // dayOfFaults are those of the plan's day, all within one run: four brokers restart, one dies, one machine set aside for control dies and comes
 // back, one broker stands still, and three are cut off from what is agreed. They are of whole processes.
-var dayOfFaults = []fleetrig.Event{
+var dayOfFaults = []fleetharness.Event{
 	{AtS: 4, What: "kill", Brokers: []int{7, 8, 9, 10}, ForS: 2}, {AtS: 6, What: "kill", Brokers: []int{11}}, {AtS: 9, What: "kill", Brokers: []int{2}, ForS: 3},
 	{AtS: 10, What: "stop", Brokers: []int{12}, ForS: 3}, {AtS: 14, What: "agree_cut", Brokers: []int{13, 14, 15}, ForS: 4},
 }
 
 // Scenario is what the rig plays for a cell.
-func (c Cell) Scenario() *fleetrig.Scenario {
-	s := &fleetrig.Scenario{Name: c.Name(), Seed: c.Seed, Brokers: min(realOnes, c.Brokers), Peers: true, Shards: c.Nodes, ForS: forS, Rate: requests, LimitMB: 192,
-		Node: fleetrig.Node{Count: c.Nodes, Zones: 6}, Agreement: fleetrig.Agreement{Voters: 7, ChangeS: c.ChangeS, Control: c.Control},
-		Hollow: fleetrig.Hollow{Brokers: max(0, c.Brokers-realOnes), Rate: requests, Volumes: requests * c.Volumes}}
+func (c Cell) Scenario() *fleetharness.Scenario {
+	s := &fleetharness.Scenario{Name: c.Name(), Seed: c.Seed, Brokers: min(realOnes, c.Brokers), Peers: true, Shards: c.Nodes, ForS: forS, Rate: requests, LimitMB: 192,
+		Node: fleetharness.Node{Count: c.Nodes, Zones: 6}, Agreement: fleetharness.Agreement{Voters: 7, ChangeS: c.ChangeS, Control: c.Control},
+		Hollow: fleetharness.Hollow{Brokers: max(0, c.Brokers-realOnes), Rate: requests, Volumes: requests * c.Volumes}}
 	if c.Faults {
 		s.Events = slices.Clone(dayOfFaults)
 	}
@@ -97,13 +97,13 @@
 var Budget = struct{ Bytes, CPU, MemoryMB, ForceS float64 }{6000, 0.014, 256, 10}
 
 // Runs are the raw reports, by cell.
-type Runs map[string]*fleetrig.Report
+type Runs map[string]*fleetharness.Report
 
 // Load reads the raw runs of all cells that a directory has, and names those that it lacks.
 func Load(dir string) (runs Runs, missing []string, err error) {
 	runs = Runs{}
 	for _, c := range Grid {
-		var r fleetrig.Report
+		var r fleetharness.Report
 		there, err := readRaw(dir, c.Name()+".json", &r, func() bool { return len(r.Costs) > 0 })
 		switch {
 		case err != nil:
@@ -144,7 +144,7 @@
 	form   string  // of a figure
 	budget float64 // 0 for none
 	kind   kind
-	of     func(fleetrig.Cost) float64
+	of     func(fleetharness.Cost) float64
 }
 
 // kind is of which brokers a measure is taken.
@@ -161,18 +161,18 @@
 const datagram = 7 + 28
 
 var (
-	agreed    = measure{"bytes a second of agreement, sent and received", "%.0f", Budget.Bytes, anyBroker, func(c fleetrig.Cost) float64 { return c.Sent + c.Received }}
-	messages  = measure{"messages a second to and from other brokers", "%.1f", 0, anyBroker, func(c fleetrig.Cost) float64 { return c.Told + c.Heard }}
-	allBytes  = measure{"bytes a second of both, 35 a message", "%.0f", Budget.Bytes, anyBroker, func(c fleetrig.Cost) float64 { return agreed.of(c) + datagram*messages.of(c) }}
-	wholeCPU  = measure{"part of a core, whole brokers, their requests included", "%.4f", 0, wholeOnes, func(c fleetrig.Cost) float64 { return c.CPU }}
+	agreed    = measure{"bytes a second of agreement, sent and received", "%.0f", Budget.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return c.Sent + c.Received }}
+	messages  = measure{"messages a second to and from other brokers", "%.1f", 0, anyBroker, func(c fleetharness.Cost) float64 { return c.Told + c.Heard }}
+	allBytes  = measure{"bytes a second of both, 35 a message", "%.0f", Budget.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return agreed.of(c) + datagram*messages.of(c) }}
+	wholeCPU  = measure{"part of a core, whole brokers, their requests included", "%.4f", 0, wholeOnes, func(c fleetharness.Cost) float64 { return c.CPU }}
 	hollowCPU = measure{"part of a core, hollow brokers: their part of a process", "%.4f", Budget.CPU, hollowOnes, wholeCPU.of}
-	memory    = measure{"MB, requests included", "%.1f", Budget.MemoryMB, wholeOnes, func(c fleetrig.Cost) float64 { return c.MemoryMB }}
+	memory    = measure{"MB, requests included", "%.1f", Budget.MemoryMB, wholeOnes, func(c fleetharness.Cost) float64 { return c.MemoryMB }}
 
 	measures = []measure{agreed, messages, allBytes, wholeCPU, hollowCPU, memory}
 )
 
 // over returns the mean and the most of a measure over the brokers of a role, and how many these are.
-func (m measure) over(r *fleetrig.Report, role string) (mean, most float64, n int) {
+func (m measure) over(r *fleetharness.Report, role string) (mean, most float64, n int) {
 	for _, c := range r.Costs {
 		if c.Role != role || m.kind == wholeOnes && c.Hollow || m.kind == hollowOnes && !c.Hollow {
 			continue
@@ -259,7 +259,7 @@
 )
 
 // plannedRuns are those at the planned size, by seed.
-func plannedRuns(runs Runs, control bool) (planned []*fleetrig.Report) {
+func plannedRuns(runs Runs, control bool) (planned []*fleetharness.Report) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		if r := runs[at(Planned, seed).control(control).Name()]; r != nil {
 			planned = append(planned, r)
@@ -409,7 +409,7 @@
 }
 
 // row is what one cell came to.
-func row(c Cell, r *fleetrig.Report) string {
+func row(c Cell, r *fleetharness.Report) string {
 	sum, most, cpu, whole := 0.0, 0.0, 0.0, 0
 	for _, k := range r.Costs {
 		sum += agreed.of(k)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"junctionwharf/internal/fleetrig"
+	"junctionwharf/internal/fleetharness"
 )
 
 // The law that leaves least is named, with its figures.
@@ -34,8 +34,8 @@
 	}
 }
 
-func report(leaf, feeder float64) *fleetrig.Report {
-	return &fleetrig.Report{Costs: []fleetrig.Cost{{Role: "leaf", Sent: leaf, CPU: 0.001, MemoryMB: 9}, {Role: "leaf", Hollow: true, Received: 1.1 * leaf, CPU: 5, MemoryMB: 500},
+func report(leaf, feeder float64) *fleetharness.Report {
+	return &fleetharness.Report{Costs: []fleetharness.Cost{{Role: "leaf", Sent: leaf, CPU: 0.001, MemoryMB: 9}, {Role: "leaf", Hollow: true, Received: 1.1 * leaf, CPU: 5, MemoryMB: 500},
 		{Role: "feeder", Sent: feeder, Hollow: true}}}
 }
 
--- a/internal/fleetrig/journal_golden_test.go
+++ b/internal/fleetharness/journal_golden_test.go
@@ -1,4 +1,4 @@
-package fleetrig
+package fleetharness
 
 import (
 	"bytes"
--- a/internal/fleetrig/scenario.go
+++ b/internal/fleetharness/scenario.go
@@ -4,7 +4,7 @@
 // All addresses lie in one block 127.B of the loopback range, so that who calls is told by the source address: brokers get one of
 // their own (local_address) and no privilege is needed. All times are of CLOCK_MONOTONIC, which all processes share; nothing
 // outlives the rig, since the kernel kills its children with the thread that started them.
-package fleetrig
+package fleetharness
 
 import (
 	"fmt"
