--- a/internal/loopback/world_test.go
+++ b/internal/conformance/world_test.go
@@ -1,4 +1,4 @@
-package loopback
+package conformance
 
 import (
 	"fmt"
