--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"junctionwharf/admission"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 	"junctionwharf/telemetry"
 )
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	lines := make(chan string, 8)
-	loop := NewLoop(state, NewClock(), &faulty{}, Outside{Log: logs.Func(func(line string) { lines <- line })})
+	loop := NewLoop(state, NewClock(), &faulty{}, Outside{Log: logging.Func(func(line string) { lines <- line })})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop.Post(Listed{Kind: scheduler.ListFull, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -20,7 +20,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/daemon"
 	"junctionwharf/internal/discovery"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/internal/members"
 )
 
@@ -155,7 +155,7 @@
 	if err := level.UnmarshalText([]byte(cmd.String("log-level"))); err != nil {
 		return nil, fmt.Errorf("--log-level: %w", err)
 	}
-	log, err := logs.New(os.Stderr, logs.Options{Name: name, Format: cmd.String("log-format"), Level: level, Color: logs.Terminal(os.Stderr), Whole: cmd.Bool("log-all")})
+	log, err := logging.New(os.Stderr, logging.Options{Name: name, Format: cmd.String("log-format"), Level: level, Color: logging.Terminal(os.Stderr), Whole: cmd.Bool("log-all")})
 	if err != nil {
 		return nil, fmt.Errorf("--log-format: %w", err)
 	}
--- a/cmd/wharflab/curve.go
+++ b/cmd/wharflab/curve.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 
 	"junctionwharf/internal/load"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 func curveCommand() *cli.Command {
@@ -87,7 +87,7 @@
 	for round := range cmd.Int("rounds") {
 		for i, rate := range rates {
 			for j, version := range versions {
-				if logs.Terminal(os.Stderr) {
+				if logging.Terminal(os.Stderr) {
 					fmt.Fprintf(os.Stderr, "\rround %d, rate %d of %d, version %d of %d ", round+1, i+1, len(rates), j+1, len(versions))
 				}
 				name, program, found := strings.Cut(version, "=")
--- a/cmd/wharflab/demo.go
+++ b/cmd/wharflab/demo.go
@@ -19,7 +19,7 @@
 	"junctionwharf/internal/daemon"
 	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/load"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 func demoCommand() *cli.Command {
@@ -95,7 +95,7 @@
 		return err
 	}
 
-	log, err := logs.New(os.Stderr, logs.Options{Name: c.Name, Color: logs.Terminal(os.Stderr)})
+	log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Color: logging.Terminal(os.Stderr)})
 	if err != nil {
 		return err
 	}
--- a/cmd/wharflab/dns.go
+++ b/cmd/wharflab/dns.go
@@ -19,7 +19,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/internal/members"
 	"junctionwharf/scheduler"
 )
@@ -168,7 +168,7 @@
 		case listed <- struct{}{}:
 		default:
 		}
-	}, logs.Discard())
+	}, logging.Discard())
 	defer m.Close()
 	shard := 0
 	if err := m.Follow(config.Membership{Sources: []config.MemberSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, QueriesPerS: 1000}}}); err != nil {
--- a/cmd/wharflab/hollow.go
+++ b/cmd/wharflab/hollow.go
@@ -14,7 +14,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/daemon"
 	"junctionwharf/internal/fleetharness"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 func hollowCommand() *cli.Command {
@@ -51,7 +51,7 @@
 		if err != nil {
 			return fmt.Errorf("brokers[%d]: %w", i, err)
 		}
-		log, err := logs.New(os.Stderr, logs.Options{Name: c.Name, Format: "json", Whole: true})
+		log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Format: "json", Whole: true})
 		if err != nil {
 			return err
 		}
--- a/cmd/wharflab/listen.go
+++ b/cmd/wharflab/listen.go
@@ -14,7 +14,7 @@
 
 	"junctionwharf/internal/collectd"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 func listenCommand() *cli.Command {
@@ -131,7 +131,7 @@
 				}
 				told = len(notices)
 			}
-			if logs.Terminal(os.Stderr) {
+			if logging.Terminal(os.Stderr) {
 				fmt.Fprintf(os.Stderr, "\r%d points, %d series, %d faults ", points.Taken(), len(points.Latest()), faults)
 			}
 		}
--- a/cmd/wharflab/load.go
+++ b/cmd/wharflab/load.go
@@ -16,7 +16,7 @@
 
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/load"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -113,7 +113,7 @@
 }
 
 func progress(length time.Duration) func(time.Duration, int) {
-	if !logs.Terminal(os.Stderr) {
+	if !logging.Terminal(os.Stderr) {
 		return nil
 	}
 	return func(done time.Duration, sent int) {
@@ -122,7 +122,7 @@
 }
 
 func clearProgress() {
-	if logs.Terminal(os.Stderr) {
+	if logging.Terminal(os.Stderr) {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 }
--- a/cmd/wharflab/sinks.go
+++ b/cmd/wharflab/sinks.go
@@ -23,7 +23,7 @@
 	"junctionwharf/internal/console"
 	"junctionwharf/internal/fakes"
 	"junctionwharf/internal/load"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 func sinksCommand() *cli.Command {
@@ -286,7 +286,7 @@
 	var runs []run
 	for round := range rounds {
 		for i, v := range random.Perm(len(variants)) {
-			if logs.Terminal(os.Stderr) {
+			if logging.Terminal(os.Stderr) {
 				fmt.Fprintf(os.Stderr, "\rround %d of %d, run %d of %d ", round+1, rounds, i+1, len(variants))
 			}
 			r, err := f.play(ctx, cmd, round, variants[v])
--- a/internal/conformance/leavers_test.go
+++ b/internal/conformance/leavers_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/internal/pool"
 	"junctionwharf/internal/resp"
 	"junctionwharf/scheduler"
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes := pool.New(pool.Options{ConnectTimeout: 10 * time.Second, Idle: 30 * time.Second, Sockets: 64, Log: logs.Discard(),
+	nodes := pool.New(pool.Options{ConnectTimeout: 10 * time.Second, Idle: 30 * time.Second, Sockets: 64, Log: logging.Discard(),
 		Greet: func(net.Conn, *bufio.Reader) error {
 			w.coming <- struct{}{}
 			<-w.up
@@ -61,7 +61,7 @@
 	w.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Weight: 1}, Address: node.Addr().String()}}})
 	ln := listen(t)
 	w.address = ln.Addr().String()
-	f := resp.NewFront(w.loop, resp.NewTerms(settings(), 0), 64, 64, budget, logs.Discard())
+	f := resp.NewFront(w.loop, resp.NewTerms(settings(), 0), 64, 64, budget, logging.Discard())
 	go f.Serve(ln)
 	return w
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 	"io"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"net"
 	"os"
 	"strings"
@@ -13,7 +13,7 @@
 )
 
 func open(t *testing.T, calls Calls) *Door {
-	d, err := Open("127.0.0.1:0", calls, logs.Func(func(line string) { t.Log(line) }))
+	d, err := Open("127.0.0.1:0", calls, logging.Func(func(line string) { t.Log(line) }))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/ends_test.go
+++ b/internal/daemon/ends_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 // quickSettings has deadlines of a third of a second, so that SIGKILL would come 1 s after SIGTERM.
@@ -46,7 +46,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, c, logs.Discard(), nil, nil) }()
+	go func() { ended <- Serve(ctx, c, logging.Discard(), nil, nil) }()
 	dial(t, address).Close()
 
 	var clients sync.WaitGroup
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -14,7 +14,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/console"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := newControl(c, nowhere{}, nil, logs.Discard())
+	k, err := newControl(c, nowhere{}, nil, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := newControl(c, nowhere{}, nil, logs.Discard())
+	k, err := newControl(c, nowhere{}, nil, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/hollow_test.go
+++ b/internal/daemon/hollow_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"junctionwharf/internal/config"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 // around is what stands around one broker and notes what it says: discovery and two peers.
@@ -109,9 +109,9 @@
 	defer programs.Wait()
 	defer stop()
 	c := whole.config()
-	programs.Go(func() { Serve(ctx, c, logs.Discard(), nil, nil) })
+	programs.Go(func() { Serve(ctx, c, logging.Discard(), nil, nil) })
 	programs.Go(func() {
-		if err := Hollow(ctx, hollow.config(), Demand{Rate: 400, Volumes: volumes, Answer: time.Millisecond, Seed: 1}, logs.Discard()); err != nil {
+		if err := Hollow(ctx, hollow.config(), Demand{Rate: 400, Volumes: volumes, Answer: time.Millisecond, Seed: 1}, logging.Discard()); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 // A broker is started beside itself without a handover, and clients ask both processes for far more than their volume's limit. What comes
@@ -42,7 +42,7 @@
 		c := configWith(t, address, discovery.Address(), settings)
 		c.NoHandover = true
 		c.Console = free(t)
-		programs.Go(func() { Serve(ctx, c, logs.Discard(), nil, nil) })
+		programs.Go(func() { Serve(ctx, c, logging.Discard(), nil, nil) })
 		for got := ""; got != "SUCCESS\n"; {
 			conn := dial(t, c.Console)
 			io.WriteString(conn, "check\n")
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/members_test.go
@@ -11,7 +11,7 @@
 
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 // A broker whose nodes come from DNS serves by priority, drains what leaves the zone, and goes on while the server fails.
@@ -48,7 +48,7 @@
 	c.Site.Membership.Sources = []config.MemberSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, TimeoutMS: 100, QueriesPerS: 1000}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, c, logs.Discard(), nil, nil) }()
+	go func() { ended <- Serve(ctx, c, logging.Discard(), nil, nil) }()
 	ask := func(call string) string {
 		conn := dial(t, door)
 		defer conn.Close()
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -21,7 +21,7 @@
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/discovery"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/internal/metricsexport"
 	"junctionwharf/internal/resp"
 	"junctionwharf/scheduler"
@@ -112,7 +112,7 @@
 	c.Site.Graphite = config.Graphite{Receiver: config.Receiver{Address: carbon.Address(), IntervalS: 1, QueueBytes: 1 << 20}, Prefix: "wharf", Transport: "tcp"}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(ctx, c, logs.Discard(), nil, nil) }()
+	go func() { ended <- Serve(ctx, c, logging.Discard(), nil, nil) }()
 
 	conn := dial(t, address)
 	in := bufio.NewReader(conn)
@@ -230,7 +230,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { ended <- Serve(ctx, c, logs.Discard(), reload, load) }()
+	go func() { ended <- Serve(ctx, c, logging.Discard(), reload, load) }()
 	conn, file := dial(t, address), dial(t, files)
 	in := bufio.NewReader(conn)
 	ask := func() string {
@@ -290,7 +290,7 @@
 		c.Site.SFTP.Listen, c.Site.SFTP.Connections = files, 4
 		ctx, stop := context.WithCancel(context.Background())
 		ended = make(chan error, 1)
-		go func() { ended <- Serve(ctx, c, logs.Discard(), nil, nil) }()
+		go func() { ended <- Serve(ctx, c, logging.Discard(), nil, nil) }()
 		return door, stop, ended
 	}
 	check := func(door string) string {
@@ -372,7 +372,7 @@
 		t.Fatal(err)
 	}
 	var lines []string
-	log := logs.Func(func(line string) { lines = append(lines, line) })
+	log := logging.Func(func(line string) { lines = append(lines, line) })
 	state, err := broker.NewState(c.Settings.Logic, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -130,7 +130,7 @@
 		answerDrain(w, r)
 	})}
 	go server.Serve(ln)
-	w := NewWatcher("agent", Options{Brokers: brokers, Grace: grace, Log: logs.Discard()})
+	w := NewWatcher("agent", Options{Brokers: brokers, Grace: grace, Log: logging.Discard()})
 	w.client.Transport = &http.Transport{DialContext: ln.dial}
 	at := drainKnown(w, server)
 	most := back
@@ -186,7 +186,7 @@
 		}
 	})}
 	go server.Serve(ln)
-	w := NewWatcher("agent", Options{Brokers: brokers, Grace: grace, Asked: asked, Log: logs.Discard()})
+	w := NewWatcher("agent", Options{Brokers: brokers, Grace: grace, Asked: asked, Log: logging.Discard()})
 	w.client.Transport = &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		if now := time.Now(); how == 2 && !now.Before(fails) && now.Before(back) {
 			return nil, syscall.ECONNREFUSED
@@ -200,7 +200,7 @@
 
 // A whole list of an older count is not believed, but whom it names as draining gets nothing more. Changes of one are not taken.
 func TestOlderList(t *testing.T) {
-	w := NewWatcher("", Options{Brokers: 1, Log: logs.Discard()})
+	w := NewWatcher("", Options{Brokers: 1, Log: logging.Discard()})
 	var posted []broker.Listed
 	post := func(e broker.Event) { posted = append(posted, e.(broker.Listed)) }
 	clock := broker.NewClock()
--- a/internal/logs/logs.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
 // Package logs makes the loggers that a program hands to its parts: JSON or for human eyes, with lines that repeat themselves
 // sampled.
-package logs
+package logging
 
 import (
 	"context"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logging_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -14,7 +14,7 @@
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -32,7 +32,7 @@
 
 func newCore(t *testing.T) *core {
 	c := &core{t: t, nodes: map[string]broker.Node{}, news: make(chan struct{}, 1000), late: time.After(20 * time.Second)}
-	c.m = New(broker.NewClock(), c.post, logs.Func(func(line string) { t.Log(line) }))
+	c.m = New(broker.NewClock(), c.post, logging.Func(func(line string) { t.Log(line) }))
 	t.Cleanup(c.m.Close)
 	return c
 }
--- a/internal/members/snapshot_golden_test.go
+++ b/internal/members/snapshot_golden_test.go
@@ -9,7 +9,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -54,7 +54,7 @@
 
 // The console's answer and the series of a source are read by people and dashboards: their names stay.
 func TestConsoleNames(t *testing.T) {
-	m := New(broker.NewClock(), func(broker.Event) {}, logs.Func(func(line string) { t.Log(line) }))
+	m := New(broker.NewClock(), func(broker.Event) {}, logging.Func(func(line string) { t.Log(line) }))
 	t.Cleanup(m.Close)
 	if text := string(m.Text()); text != "discovery alone is followed\n" {
 		t.Errorf("without settings: %q", text)
--- a/internal/metricsexport/metricsexport_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -15,7 +15,7 @@
 	"junctionwharf/internal/collectd"
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/telemetry"
 )
 
@@ -58,7 +58,7 @@
 	g := &rig{loop: &loop{}, t: t, stop: make(chan struct{})}
 	late := time.AfterFunc(20*time.Second, func() { close(g.stop) })
 	t.Cleanup(func() { late.Stop() })
-	g.r = New(Options{Name: "n1", Loop: g.loop, Log: logs.Func(func(line string) {
+	g.r = New(Options{Name: "n1", Loop: g.loop, Log: logging.Func(func(line string) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if !strings.Contains(line, "clock") { // times are whole seconds, and run ahead at 20 ms an interval
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 )
 
 // peer is a stand-in node that hands its connections to the test.
@@ -66,7 +66,7 @@
 }
 
 func options() Options {
-	return Options{ConnectTimeout: 2 * time.Second, Idle: time.Hour, Sockets: 2, Log: logs.Discard()}
+	return Options{ConnectTimeout: 2 * time.Second, Idle: time.Hour, Sockets: 2, Log: logging.Discard()}
 }
 
 func (p *peer) serve(conn net.Conn) {
@@ -349,7 +349,7 @@
 // A panic in an exchange ends its attempt, which may have run, and nothing else.
 func TestPanic(t *testing.T) {
 	opt, lines := options(), make(chan string, 1)
-	opt.Log = logs.Func(func(line string) { lines <- line })
+	opt.Log = logging.Func(func(line string) { lines <- line })
 	node, p := newPeer(t), New(opt)
 	_, results := start(p, node.address, func(s *Session) (broker.Result, error) {
 		s.Send(net.Buffers{[]byte("line\n")}, 5)
--- a/internal/resp/admission_test.go
+++ b/internal/resp/admission_test.go
@@ -10,7 +10,7 @@
 
 	"junctionwharf/admission"
 	"junctionwharf/broker"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -30,7 +30,7 @@
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{Admission: admission.New(admission.Settings{MostOpen: most, Window: oneWindow}, set)})
 	terms := testTerms
 	terms.After = 150_000
-	f := NewFront(loop, terms, room, room, 1<<20, logs.Func(func(line string) { t.Log(line) }))
+	f := NewFront(loop, terms, room, room, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -14,7 +14,7 @@
 	"github.com/tidwall/redcon"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/internal/pool"
 	"junctionwharf/scheduler"
 )
@@ -80,7 +80,7 @@
 	t.Cleanup(cancel)
 	go e.loop.Run(ctx)
 	e.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
-	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logs.Func(func(line string) { t.Log(line) }))
+	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	if e.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/logs"
+	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{})
-	f := NewFront(loop, nil, testPlan(t), 1, logs.Func(func(line string) { t.Error(line) }))
+	f := NewFront(loop, nil, testPlan(t), 1, logging.Func(func(line string) { t.Error(line) }))
 	near, far := net.Pipe()
 	return f, newSession(f, near), far
 }
