--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -9,7 +9,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"junctionwharf/internal/srv"
+	"junctionwharf/internal/dnssrv"
 	"junctionwharf/membership"
 )
 
@@ -55,8 +55,8 @@
 }
 
 // Facts say where a DNS source's shards and zones come from.
-func (m MemberSource) Facts() srv.Facts {
-	f := srv.Facts{Pattern: m.pattern, Texts: m.Texts, Shard: -1, Zone: m.Zone, Kind: m.NodeKind}
+func (m MemberSource) Facts() dnssrv.Facts {
+	f := dnssrv.Facts{Pattern: m.pattern, Texts: m.Texts, Shard: -1, Zone: m.Zone, Kind: m.NodeKind}
 	if m.Shard != nil {
 		f.Shard = *m.Shard
 	}
@@ -64,9 +64,9 @@
 }
 
 // Resolver are the options of a DNS source's resolver.
-func (m MemberSource) Resolver() srv.Options {
+func (m MemberSource) Resolver() dnssrv.Options {
 	seconds := func(n int) time.Duration { return time.Duration(n) * time.Second }
-	return srv.Options{Servers: m.Resolvers, Timeout: time.Duration(m.TimeoutMS) * time.Millisecond, LeastTTL: seconds(m.LeastTTLS),
+	return dnssrv.Options{Servers: m.Resolvers, Timeout: time.Duration(m.TimeoutMS) * time.Millisecond, LeastTTL: seconds(m.LeastTTLS),
 		MostTTL: seconds(m.MostTTLS), Stale: seconds(m.StaleS), Rate: m.QueriesPerS}
 }
 
--- a/internal/srv/resolver.go
+++ b/internal/dnssrv/resolver.go
@@ -1,6 +1,6 @@
 // Package srv is a small resolver for lists of storage nodes in DNS: SRV records (RFC 2782) with the addresses of their targets,
 // and what a site's names or TXT records say of each.
-package srv
+package dnssrv
 
 import (
 	"context"
--- a/internal/srv/watch.go
+++ b/internal/dnssrv/watch.go
@@ -1,4 +1,4 @@
-package srv
+package dnssrv
 
 import (
 	"context"
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -15,7 +15,7 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
-	"junctionwharf/internal/srv"
+	"junctionwharf/internal/dnssrv"
 	"junctionwharf/membership"
 	"junctionwharf/scheduler"
 )
@@ -113,12 +113,12 @@
 func (m *Members) start(ctx context.Context, s config.MemberSource) error {
 	switch s.Kind {
 	case "dns":
-		r, err := srv.NewResolver(s.Resolver())
+		r, err := dnssrv.NewResolver(s.Resolver())
 		if err != nil {
 			return err
 		}
-		w := &srv.Watcher{Resolver: r, Name: s.SRV, Facts: s.Facts()}
-		go w.Run(ctx, func(n srv.News) { m.heard(ctx, s.Name, n) })
+		w := &dnssrv.Watcher{Resolver: r, Name: s.SRV, Facts: s.Facts()}
+		go w.Run(ctx, func(n dnssrv.News) { m.heard(ctx, s.Name, n) })
 	case "file":
 		go m.poll(ctx, s)
 	}
@@ -126,7 +126,7 @@
 }
 
 // heard takes what DNS said.
-func (m *Members) heard(ctx context.Context, name string, n srv.News) {
+func (m *Members) heard(ctx context.Context, name string, n dnssrv.News) {
 	for _, fault := range n.Faults {
 		m.log.Warn("entry left out", "source", name, "reason", fault)
 	}
