--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost lets gateways of package scheduler decide on the users' bench: it reads batches of
+// Command simadapter lets gateways of package scheduler decide on the users' bench: it reads batches of
 // events from standard input and writes one reply a batch to standard output.
 package main
 
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
