--- a/cmd/wharflab/capacity.go
+++ b/cmd/brokerbench/capacity.go
@@ -21,7 +21,7 @@
 		Usage: "measure the control side of a fleet by role, and make the tables of docs/CAPACITY.md",
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "play the cells of the grid that have no raw run yet, one at a time",
-				Flags: []cli.Flag{raw, &cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker; wharflab stands beside it"},
+				Flags: []cli.Flag{raw, &cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker; brokerbench stands beside it"},
 					&cli.StringSliceFlag{Name: "cell", Usage: "`NAME` of one cell; without it all"}}, Action: runCapacity},
 			connectionsCommand(),
 			{Name: "report", Usage: "draw the slopes as an HTML page with plots beside it",
--- a/cmd/wharflab/floor.go
+++ b/cmd/brokerbench/floor.go
@@ -16,7 +16,7 @@
 )
 
 // floorCommand is the least that a program can be which reads each request and answers it: what refusals cost before anything is
-// decided. It stands in for a broker in curve: --broker floor=bin/wharflab.
+// decided. It stands in for a broker in curve: --broker floor=bin/brokerbench.
 func floorCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "serve",
--- a/cmd/wharflab/main.go
+++ b/cmd/brokerbench/main.go
@@ -1,4 +1,4 @@
-// Command wharflab holds the tools round a broker: stand-in receivers of figures, a demonstration, and a load.
+// Command brokerbench holds the tools round a broker: stand-in receivers of figures, a demonstration, and a load.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	app := &cli.Command{
-		Name:  "wharflab",
+		Name:  "brokerbench",
 		Usage: "tools round a junctionwharf broker",
 		Commands: []*cli.Command{
 			demoCommand(),
@@ -29,7 +29,7 @@
 		},
 	}
 	if err := app.Run(ctx, os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "wharflab:", err)
+		fmt.Fprintln(os.Stderr, "brokerbench:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/wharflab/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -72,7 +72,7 @@
 			f.close()
 		}
 	}()
-	if f.dir, err = os.MkdirTemp("", "wharflab"); err != nil {
+	if f.dir, err = os.MkdirTemp("", "brokerbench"); err != nil {
 		return nil, err
 	}
 	var hosts []fakes.Host
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -454,7 +454,7 @@
 {{end}}
 {{if .Missing}}Not run: {{range $i, $c := .Missing}}{{if $i}}, {{end}}{{$c}}{{end}}.{{else}}All cells of the grid were run.{{end}}
 {{if .Held}}
-One whole broker with connections that had one request each, at rest beside a load on others (wharflab capacity connections, 64 nodes, 4 s a line):
+One whole broker with connections that had one request each, at rest beside a load on others (brokerbench capacity connections, 64 nodes, 4 s a line):
 
 | connections | open at the end | requests a second | served of sent | p99 ms | MB | part of a core |
 | --- | --- | --- | --- | --- | --- | --- |
@@ -463,8 +463,8 @@
 
 // The marks between which the section stands on the page.
 const (
-	Begin = "<!-- made by wharflab capacity page: begin -->\n"
-	End   = "<!-- made by wharflab capacity page: end -->\n"
+	Begin = "<!-- made by brokerbench capacity page: begin -->\n"
+	End   = "<!-- made by brokerbench capacity page: end -->\n"
 )
 
 // Replace puts the section into a page.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	if page, err := Replace(string(text), section); err != nil || page != string(text) {
-		t.Errorf("docs/CAPACITY.md is not what `wharflab capacity page` makes of docs/measurements/capacity: %v", err)
+		t.Errorf("docs/CAPACITY.md is not what `brokerbench capacity page` makes of docs/measurements/capacity: %v", err)
 	}
 }
 
--- a/internal/fleetharness/fleetharness_test.go
+++ b/internal/fleetharness/fleetharness_test.go
@@ -273,8 +273,8 @@
 // Hollow brokers agree with whole ones: a change that one of them proposes is in force at all, also when a process of theirs was killed
 // meanwhile, and what they cost is told by role.
 func TestHollowBrokers(t *testing.T) {
-	lab := filepath.Join(filepath.Dir(program), "wharflab")
-	if text, err := exec.Command("go", "build", "-o", lab, "junctionwharf/cmd/wharflab").CombinedOutput(); err != nil {
+	lab := filepath.Join(filepath.Dir(program), "brokerbench")
+	if text, err := exec.Command("go", "build", "-o", lab, "junctionwharf/cmd/brokerbench").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
 	rig, ctx := started(t, Scenario{Brokers: 3, Peers: true, Node: Node{Count: 2}, Agreement: Agreement{Voters: 3, BoundMS: 1000},
--- a/internal/fleetharness/hollow.go
+++ b/internal/fleetharness/hollow.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// HollowBroker is what `wharflab hollow` is told of one broker.
+// HollowBroker is what `brokerbench hollow` is told of one broker.
 type HollowBroker struct {
 	Config json.RawMessage `json:"config"`
 	Site   string          `json:"site"` // a path, empty for none
@@ -82,7 +82,7 @@
 
 // launchHollow starts all hollow brokers. The program stands beside the broker's.
 func (r *Rig) launchHollow() error {
-	lab := filepath.Join(filepath.Dir(r.Program), "wharflab")
+	lab := filepath.Join(filepath.Dir(r.Program), "brokerbench")
 	h := r.scenario.Hollow
 	for first := r.scenario.Brokers; first < r.scenario.total(); first += h.Each {
 		g := &group{brokers: r.brokers[first:min(r.scenario.total(), first+h.Each)], done: make(chan struct{})}
