--- a/admission/admission.go
+++ b/admission/admission.go
@@ -128,24 +128,24 @@
 // Retune goes over to other classes and plans. Classes that vanished count least from now on.
 func (ctl *Controller) Retune(l scheduler.Settings) {
 	classes := slices.Clone(l.Classes)
-	slices.SortStableFunc(classes, func(a, b scheduler.Class) int { return cmp.Compare(b.Worth, a.Worth) })
+	slices.SortStableFunc(classes, func(a, b scheduler.Class) int { return cmp.Compare(b.PriorityWeight, a.PriorityWeight) })
 	ctl.ranks, ctl.plans, ctl.largest = map[string]int{}, map[string]scheduler.Plan{}, max(1, l.MaxUnits)
 	ctl.aim, ctl.latest = 0, 0
 	rank := -1
 	for i, c := range classes {
-		if i == 0 || c.Worth != classes[i-1].Worth {
+		if i == 0 || c.PriorityWeight != classes[i-1].PriorityWeight {
 			rank++
 		}
 		ctl.ranks[c.Name] = rank
-		if aim := c.Aim.Microseconds(); ctl.aim == 0 || aim < ctl.aim {
+		if aim := c.LatencyObjective.Microseconds(); ctl.aim == 0 || aim < ctl.aim {
 			ctl.aim = aim
 		}
 	}
 	for _, p := range l.Plans {
 		ctl.plans[p.Name] = p
 	}
-	if l.Bounds.RetryAfter {
-		ctl.latest = l.Bounds.MaxRetryAfter.Microseconds()
+	if l.Capabilities.RetryAfter {
+		ctl.latest = l.Capabilities.MaxRetryAfter.Microseconds()
 	}
 	ranks := 2 * (rank + 2) // within the reserve, and beyond it; the last of each is of unknown classes
 	ctl.arrived, ctl.offered = make([]int, ranks), make([]float64, ranks)
@@ -169,7 +169,7 @@
 
 // within tells whether a request is within its volume's reserve, and takes it from there.
 func (ctl *Controller) within(now Micros, r *Request) bool {
-	rate := ctl.plans[r.Plan].Reserve / float64(max(1, r.Hosts))
+	rate := ctl.plans[r.Plan].ReservedRate / float64(max(1, r.Hosts))
 	if rate <= 0 {
 		return false
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -9,9 +9,9 @@
 )
 
 func settings() scheduler.Settings {
-	return scheduler.Settings{MaxUnits: 8, Bounds: scheduler.Bounds{RetryAfter: true, MaxRetryAfter: time.Second},
-		Classes: []scheduler.Class{{Name: "bulk", Worth: 1, Aim: 750 * time.Millisecond}, {Name: "read", Worth: 3, Aim: 150 * time.Millisecond}},
-		Plans:   []scheduler.Plan{{Name: "reserved", Reserve: 100}, {Name: "spare"}}}
+	return scheduler.Settings{MaxUnits: 8, Capabilities: scheduler.Capabilities{RetryAfter: true, MaxRetryAfter: time.Second},
+		Classes: []scheduler.Class{{Name: "bulk", PriorityWeight: 1, LatencyObjective: 750 * time.Millisecond}, {Name: "read", PriorityWeight: 3, LatencyObjective: 150 * time.Millisecond}},
+		Plans:   []scheduler.Plan{{Name: "reserved", ReservedRate: 100}, {Name: "spare"}}}
 }
 
 // server is a stand-in for a broker that serves so many a second, in order, and whose loop lags by its queue.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -28,33 +28,33 @@
 
 // Options are of one broker. The zero value stands for the defaults.
 type Options struct {
-	Off     bool    // nodes are taken by the attempts out there alone, the first listed of equals, as before there were turns
-	Nodes   int     // of a shard that a broker uses while its rate is low; 0: DefaultNodes
-	Away    float64 // the most of a shard's weight that judging may take away; 0: DefaultAway
-	Trial   float64 // the part of its weight that a node judged silent keeps, as trials; 0: DefaultTrial
-	Alone   bool    // peers are told nothing of silent nodes, and what they tell is dropped
-	Own     string  // the broker's name
-	Ordinal int     // its number among Brokers, from 0
-	Brokers int     // that share the load; below 2 the cover goes by the name alone
+	Disabled        bool    // nodes are taken by the attempts out there alone, the first listed of equals, as before there were turns
+	SubsetSize      int     // of a shard that a broker uses while its rate is low; 0: DefaultSubsetSize
+	MaxEjectedShare float64 // the most of a shard's weight that judging may take away; 0: DefaultMaxEjectedShare
+	TrialShare      float64 // the part of its weight that a node judged silent keeps, as trials; 0: DefaultTrialShare
+	NoGossip        bool    // peers are told nothing of silent nodes, and what they tell is dropped
+	Name            string  // the broker's name
+	Ordinal         int     // its number among Brokers, from 0
+	Brokers         int     // that share the load; below 2 the cover goes by the name alone
 }
 
 // The defaults.
 const (
-	DefaultNodes = 24
-	DefaultAway  = 0.5
-	DefaultTrial = 0.02
+	DefaultSubsetSize      = 24
+	DefaultMaxEjectedShare = 0.5
+	DefaultTrialShare      = 0.02
 )
 
-// Filled has the defaults where nothing is said.
-func (o Options) Filled() Options {
-	if o.Nodes <= 0 {
-		o.Nodes = DefaultNodes
+// WithDefaults has the defaults where nothing is said.
+func (o Options) WithDefaults() Options {
+	if o.SubsetSize <= 0 {
+		o.SubsetSize = DefaultSubsetSize
 	}
-	if o.Away <= 0 {
-		o.Away = DefaultAway
+	if o.MaxEjectedShare <= 0 {
+		o.MaxEjectedShare = DefaultMaxEjectedShare
 	}
-	if o.Trial <= 0 {
-		o.Trial = DefaultTrial
+	if o.TrialShare <= 0 {
+		o.TrialShare = DefaultTrialShare
 	}
 	return o
 }
@@ -74,14 +74,14 @@
 	alarmTime  = 5 * time.Second
 )
 
-// Member is a node as one broker sees it. The fields before the blank line are the caller's.
-type Member struct {
-	Name     string
-	Priority int
-	Weight   float64 // its size against others; 0 or less counts as 1
-	Out      int     // attempts out there
-	Warm     float64 // part of its capacity that it has, of one that has just started; 0 counts as 1
-	Ref      any     // the caller's own
+// Replica is a node as one broker sees it. The fields before the blank line are the caller's.
+type Replica struct {
+	Name          string
+	Priority      int
+	Weight        float64 // its size against others; 0 or less counts as 1
+	InFlight      int     // attempts out there
+	CapacityShare float64 // part of its capacity that it has, of one that has just started; 0 counts as 1
+	Ref           any     // the caller's own
 
 	judgement
 	at      float64 // its place in virtual time
@@ -94,35 +94,35 @@
 	id      uint32 // in messages to peers
 }
 
-func (m *Member) size() float64 {
+func (m *Replica) size() float64 {
 	if m.Weight > 0 {
 		return m.Weight
 	}
 	return 1
 }
 
-func (m *Member) weight() float64 {
+func (m *Replica) weight() float64 {
 	w := m.size() * m.balance * m.factor
-	if m.Warm > 0 {
-		w *= m.Warm
+	if m.CapacityShare > 0 {
+		w *= m.CapacityShare
 	}
 	return max(1e-6, w)
 }
 
-// Part is the part of this broker's requests to the shard that is meant for the node now.
-func (m *Member) Part() float64 { return m.part }
+// Share is the part of this broker's requests to the shard that is meant for the node now.
+func (m *Replica) Share() float64 { return m.part }
 
-// Group is the nodes of one shard.
-type Group struct {
+// Balancer is the nodes of one shard.
+type Balancer struct {
 	opt    Options
-	all    []*Member
-	used   []*Member // the cover, by priority
-	now    float64   // virtual time
+	all    []*Replica
+	used   []*Replica // the cover, by priority
+	now    float64    // virtual time
 	visits uint64
-	hushed bool    // a node of the cover is silent
-	first  *Member // whose place is the earliest, if next has just seen that; nil for not known
-	sure   bool    // the request that looks for a node wants a proved one
-	rate   float64 // requests a second, in the mean over some seconds
+	hushed bool     // a node of the cover is silent
+	first  *Replica // whose place is the earliest, if next has just seen that; nil for not known
+	sure   bool     // the request that looks for a node wants a proved one
+	rate   float64  // requests a second, in the mean over some seconds
 	rated  Time
 	wide   int  // doublings of the cover
 	stale  bool // parts are to be reckoned anew
@@ -131,12 +131,12 @@
 	evidence
 }
 
-// NewGroup returns a group without nodes.
-func NewGroup(opt Options) *Group { return &Group{opt: opt.Filled()} }
+// New returns a group without nodes.
+func New(opt Options) *Balancer { return &Balancer{opt: opt.WithDefaults()} }
 
-// Set takes the nodes that could serve. A node keeps its place as long as its Member is the same.
-func (g *Group) Set(now Time, members []*Member) {
-	known := map[*Member]bool{}
+// SetReplicas takes the nodes that could serve. A node keeps its place as long as its Replica is the same.
+func (g *Balancer) SetReplicas(now Time, members []*Replica) {
+	known := map[*Replica]bool{}
 	for _, m := range g.all {
 		known[m] = true
 	}
@@ -147,7 +147,7 @@
 		}
 		m.balance, m.factor, m.id = 1, 1, uint32(hash("", m.Name, 3))
 		m.brokers = g.brokersOf(m.Name, count<<g.wide)
-		m.at = g.now + unit(hash(g.opt.Own, m.Name, 1))/m.weight()
+		m.at = g.now + unit(hash(g.opt.Name, m.Name, 1))/m.weight()
 	}
 	g.all = slices.Clone(members)
 	g.uneven = true
@@ -155,21 +155,21 @@
 }
 
 // choose takes the cover from all nodes.
-func (g *Group) choose(now Time) {
+func (g *Balancer) choose(now Time) {
 	count := g.cover(len(g.all))
 	for _, m := range g.used {
 		m.part = 0
 	}
 	g.used = g.used[:0]
 	for _, m := range g.all {
-		if len(g.all) <= g.opt.Nodes || g.opt.Brokers > 1 && g.covers(m, count<<g.wide) {
+		if len(g.all) <= g.opt.SubsetSize || g.opt.Brokers > 1 && g.covers(m, count<<g.wide) {
 			g.used = append(g.used, m)
 		}
 	}
 	if len(g.used) == 0 { // no node has this broker early in its order: any few are better than all
 		g.used = append(g.used, g.nearest()...)
 	}
-	slices.SortStableFunc(g.used, func(a, b *Member) int { return a.Priority - b.Priority })
+	slices.SortStableFunc(g.used, func(a, b *Replica) int { return a.Priority - b.Priority })
 	g.ranked = g.ranked[:0]
 	if g.uneven && (g.evenAt == 0 || now-g.evenAt >= time.Second) {
 		g.uneven, g.evenAt = false, max(1, now)
@@ -178,18 +178,18 @@
 	g.stale = true
 }
 
-// Order yields the nodes in the order in which they are to be asked; the caller takes the first that may serve. With proved, for
-// a request that can't be tried again or was, those that answered a moment ago come first, and none is taken for a trial. Nodes
+// Candidates yields the nodes in the order in which they are to be asked; the caller takes the first that may serve. With proved, for
+// a request that can't be tried again or was, those that answered a moment ago come first, and none is taken for a trial. SubsetSize
 // beyond the cover follow last.
-func (g *Group) Order(now Time, proved bool) iter.Seq[*Member] {
-	return func(yield func(*Member) bool) {
+func (g *Balancer) Candidates(now Time, proved bool) iter.Seq[*Replica] {
+	return func(yield func(*Replica) bool) {
 		if g.uneven && now-g.evenAt >= time.Second {
 			g.choose(now)
 		}
 		g.reckon(now)
 		g.visits++
 		g.sure = proved
-		for _, next := range []func(Time) *Member{g.trial, g.proved, g.next} {
+		for _, next := range []func(Time) *Replica{g.trial, g.proved, g.next} {
 			for {
 				best := next(now)
 				if best == nil {
@@ -213,12 +213,12 @@
 }
 
 // trial is a silent node that is to be asked once more, by a request that may run twice.
-func (g *Group) trial(now Time) *Member {
+func (g *Balancer) trial(now Time) *Replica {
 	if g.sure || !g.hushed {
 		return nil
 	}
 	for _, m := range g.used {
-		if m.visited != g.visits && m.Suspect() && m.regain == 0 && m.Out == 0 && now >= m.trialAt {
+		if m.visited != g.visits && m.Unresponsive() && m.regain == 0 && m.InFlight == 0 && now >= m.trialAt {
 			return m
 		}
 	}
@@ -227,15 +227,15 @@
 
 // proved is a node that answered lately, for a request that may not run twice: the one that did last while there is an alarm; else
 // the third last, since the last has just had a request, and two within a moment add up over brokers.
-func (g *Group) proved(now Time) *Member {
+func (g *Balancer) proved(now Time) *Replica {
 	if !g.sure {
 		return nil
 	}
-	var last [provedBack]*Member // those that answered last, the latest first
+	var last [provedBack]*Replica // those that answered last, the latest first
 	middle := g.middle()
 	alarm := g.alarmAt > 0 && now-g.alarmAt < alarmTime
 	for _, m := range g.used {
-		if m.visited == g.visits || m.heardAt == 0 || m.Suspect() || m.Out > 0 || m.Priority != g.used[0].Priority || m.factor < 1 ||
+		if m.visited == g.visits || m.heardAt == 0 || m.Unresponsive() || m.InFlight > 0 || m.Priority != g.used[0].Priority || m.factor < 1 ||
 			!alarm && (now-m.heardAt > freshTime || m.at-middle > freshLead/m.weight()) {
 			continue
 		}
@@ -259,10 +259,10 @@
 }
 
 // middle is the mean place of the nodes that are not silent.
-func (g *Group) middle() float64 {
+func (g *Balancer) middle() float64 {
 	sum, n := 0.0, 0.0
 	for _, m := range g.used {
-		if !m.Suspect() {
+		if !m.Unresponsive() {
 			sum += m.at
 			n++
 		}
@@ -271,8 +271,8 @@
 }
 
 // next is the node of the cover whose turn comes first among those that were not visited.
-func (g *Group) next(_ Time) *Member {
-	var best *Member
+func (g *Balancer) next(_ Time) *Replica {
+	var best *Replica
 	least, sure := 0.0, !g.hushed
 	for _, m := range g.used {
 		if m.visited == g.visits {
@@ -284,11 +284,11 @@
 			break
 		}
 		key := m.at
-		if m.Out > 0 {
-			key += float64(m.Out) / m.weight()
+		if m.InFlight > 0 {
+			key += float64(m.InFlight) / m.weight()
 			sure = false
 		}
-		if m.Suspect() && m.regain == 0 && m.factor <= g.opt.Trial {
+		if m.Unresponsive() && m.regain == 0 && m.factor <= g.opt.TrialShare {
 			key += lastResort
 		}
 		if best == nil || key < least {
@@ -301,10 +301,10 @@
 	return best
 }
 
-// Sent notes that a request went to a node.
-func (g *Group) Sent(now Time, m *Member) {
+// RecordSent notes that a request went to a node.
+func (g *Balancer) RecordSent(now Time, m *Replica) {
 	step := 1 / m.weight()
-	m.at = max(m.at, g.now-step*unit(hash(g.opt.Own, m.Name, uint64(now))))
+	m.at = max(m.at, g.now-step*unit(hash(g.opt.Name, m.Name, uint64(now))))
 	if m == g.first { // no place is before its own, so neither is the middle: what follows would come to the same
 		g.now = max(g.now, m.at)
 	} else {
@@ -316,7 +316,7 @@
 	g.rate = g.rate*math.Exp(-span/rateSpan) + 1/rateSpan
 	g.rated = now
 	want := g.rate * reuse.Seconds()
-	switch most := float64(int(g.opt.Nodes) << g.wide); {
+	switch most := float64(int(g.opt.SubsetSize) << g.wide); {
 	case want > most && g.wide < mostWide && len(g.used) < len(g.all):
 		g.wide++
 		g.choose(now)
@@ -333,12 +333,12 @@
 )
 
 // reckon brings factors and parts up to date.
-func (g *Group) reckon(now Time) {
+func (g *Balancer) reckon(now Time) {
 	if !g.stale && now < g.reckonAt {
 		return
 	}
 	g.stale, g.reckonAt = false, now+reckonEach
-	g.hushed = slices.ContainsFunc(g.used, (*Member).Suspect)
+	g.hushed = slices.ContainsFunc(g.used, (*Replica).Unresponsive)
 	g.judge(now)
 	sum := 0.0 // of those that go first
 	for _, m := range g.used {
@@ -352,8 +352,8 @@
 	}
 }
 
-// Members are all nodes of the shard, the used ones told by Part or Priority.
-func (g *Group) Members() []*Member { return g.all }
+// Replicas are all nodes of the shard, the used ones told by Share or Priority.
+func (g *Balancer) Replicas() []*Replica { return g.all }
 
-// Covers tells how many nodes this broker uses.
-func (g *Group) Covers() int { return len(g.used) }
+// SubsetSize tells how many nodes this broker uses.
+func (g *Balancer) SubsetSize() int { return len(g.used) }
--- a/balancer/cover.go
+++ b/balancer/cover.go
@@ -36,19 +36,19 @@
 	return int(b)
 }
 
-// cover is how many brokers use each node of a shard of so many, each broker then uses opt.Nodes in the mean. It changes in
+// cover is how many brokers use each node of a shard of so many, each broker then uses opt.SubsetSize in the mean. It changes in
 // steps of a quarter, so that a node that joins or leaves moves its own brokers and no others, but at a step.
-func (g *Group) cover(nodes int) int {
+func (g *Balancer) cover(nodes int) int {
 	if nodes == 0 || g.opt.Brokers < 2 {
 		return 1
 	}
 	coarse := math.Pow(2, math.Floor(4*math.Log2(float64(nodes)))/4)
-	return max(1, min(g.opt.Brokers, int(math.Ceil(float64(g.opt.Brokers*g.opt.Nodes)/coarse))))
+	return max(1, min(g.opt.Brokers, int(math.Ceil(float64(g.opt.Brokers*g.opt.SubsetSize)/coarse))))
 }
 
 // brokersOf yields brokers in a node's own order, distinct, up to so many. The node's first ones use it: so each node is
 // covered by the same number of brokers, and each moves alone.
-func (g *Group) brokersOf(name string, most int) []int32 {
+func (g *Balancer) brokersOf(name string, most int) []int32 {
 	if most = min(most, g.opt.Brokers); g.opt.Brokers < 2 {
 		return nil
 	}
@@ -65,7 +65,7 @@
 }
 
 // covers tells whether this broker is among the first so many in a node's order.
-func (g *Group) covers(m *Member, count int) bool {
+func (g *Balancer) covers(m *Replica, count int) bool {
 	if count >= g.opt.Brokers {
 		return true
 	}
@@ -76,17 +76,17 @@
 }
 
 // nearest is the cover of a broker that goes by its name alone: the nodes that a weighted rendezvous draws for it.
-func (g *Group) nearest() []*Member {
+func (g *Balancer) nearest() []*Replica {
 	ranked := slices.Clone(g.all)
-	score := func(m *Member) float64 { return -math.Log(1-unit(hash(g.opt.Own, m.Name, 2))) / m.size() }
-	slices.SortFunc(ranked, func(a, b *Member) int { return cmp.Compare(score(a), score(b)) })
-	return ranked[:min(len(ranked), g.opt.Nodes)]
+	score := func(m *Replica) float64 { return -math.Log(1-unit(hash(g.opt.Name, m.Name, 2))) / m.size() }
+	slices.SortFunc(ranked, func(a, b *Replica) int { return cmp.Compare(score(a), score(b)) })
+	return ranked[:min(len(ranked), g.opt.SubsetSize)]
 }
 
 // even reckons what factor each node of the cover needs so that, were all brokers to send alike, each node would get its
 // size's part: some brokers have few nodes and some many. All brokers know who covers what, so each does the same sum, by
 // Sinkhorn's scaling of rows and columns in turn.
-func (g *Group) even() {
+func (g *Balancer) even() {
 	for _, m := range g.used {
 		m.balance = 1
 	}
--- a/balancer/judge.go
+++ b/balancer/judge.go
@@ -67,17 +67,17 @@
 	}
 }
 
-// Suspect tells whether the node was found silent and has not regained its place.
-func (j *judgement) Suspect() bool { return j.silentAt > 0 }
+// Unresponsive tells whether the node was found silent and has not regained its place.
+func (j *judgement) Unresponsive() bool { return j.silentAt > 0 }
 
-// Why tells in a word what the node's weight rests on.
-func (m *Member) Why() string { return cmp.Or(m.why, "sound") }
+// Reason tells in a word what the node's weight rests on.
+func (m *Replica) Reason() string { return cmp.Or(m.why, "sound") }
 
 // Factor is what judging leaves of the node's weight.
-func (m *Member) Factor() float64 { return m.factor }
+func (m *Replica) Factor() float64 { return m.factor }
 
-// Answered notes an answer of a node, after so long.
-func (g *Group) Answered(now Time, m *Member, took time.Duration) {
+// RecordAnswer notes an answer of a node, after so long.
+func (g *Balancer) RecordAnswer(now Time, m *Replica, took time.Duration) {
 	m.fade(now, &g.evidence)
 	m.ok++
 	if took > 0 {
@@ -87,7 +87,7 @@
 		m.square += l * l
 	}
 	m.heardAt = now
-	if m.Suspect() {
+	if m.Unresponsive() {
 		if m.regain > 0 {
 			m.silentAt, m.pause, m.regain = 0, 0, 0
 		} else {
@@ -99,45 +99,45 @@
 	}
 }
 
-// Refused notes an error, a cut connection or a turned-away attempt. alive tells that the node itself answered.
-func (g *Group) Refused(now Time, m *Member, alive bool) {
+// RecordFailure notes an error, a cut connection or a turned-away attempt. alive tells that the node itself answered.
+func (g *Balancer) RecordFailure(now Time, m *Replica, alive bool) {
 	m.fade(now, &g.evidence)
 	m.bad++
 	if alive {
 		m.heardAt = now
 	}
-	if m.Suspect() {
+	if m.Unresponsive() {
 		g.postpone(now, m)
 	}
 	g.stale = true
 }
 
 // postpone sets the next trial of a silent node, apart from those of other brokers.
-func (g *Group) postpone(now Time, m *Member) {
+func (g *Balancer) postpone(now Time, m *Replica) {
 	m.regain = 0
 	m.pause = min(trialMost, max(trialFirst, 2*m.pause))
-	m.trialAt = now + m.pause/2 + time.Duration(unit(hash(g.opt.Own, m.Name, uint64(now)))*float64(m.pause))
+	m.trialAt = now + m.pause/2 + time.Duration(unit(hash(g.opt.Name, m.Name, uint64(now)))*float64(m.pause))
 }
 
 // turn is how long it takes until each node of the cover has had a request: over such a time brokers try a node again of which a
 // peer says that it answers, which then gets about its usual load.
-func (g *Group) turn() time.Duration {
+func (g *Balancer) turn() time.Duration {
 	return min(mostTurn, max(leastTurn, time.Duration(float64(len(g.used))/max(0.1, g.rate)*float64(time.Second))))
 }
 
 // note remembers a node that peers are to be told of.
-func (g *Group) note(list *[]string, name string) {
+func (g *Balancer) note(list *[]string, name string) {
 	if !slices.Contains(*list, name) && len(*list) < tellNodes {
 		*list = append(*list, name)
 	}
 }
 
-// Silent notes that a node has left an attempt without a word for far longer than usual, while others of the shard answer.
-func (g *Group) Silent(now Time, m *Member) {
-	if m.Suspect() && now-m.silentAt < silentEach {
+// RecordUnresponsive notes that a node has left an attempt without a word for far longer than usual, while others of the shard answer.
+func (g *Balancer) RecordUnresponsive(now Time, m *Replica) {
+	if m.Unresponsive() && now-m.silentAt < silentEach {
 		return
 	}
-	if !m.Suspect() {
+	if !m.Unresponsive() {
 		g.note(&g.silent, m.Name)
 	}
 	m.silentAt = max(1, now)
@@ -147,7 +147,7 @@
 }
 
 // judge reckons the factor of each node, and bounds what they take away together.
-func (g *Group) judge(now Time) {
+func (g *Balancer) judge(now Time) {
 	usual := g.usualTime(now)
 	whole, away := 0.0, 0.0
 	for _, m := range g.used {
@@ -156,7 +156,7 @@
 		whole += m.size()
 		away += m.size() * (1 - m.factor)
 	}
-	if most := g.opt.Away * whole; away > most {
+	if most := g.opt.MaxEjectedShare * whole; away > most {
 		for _, m := range g.used {
 			if m.factor < 1 {
 				m.factor = 1 - (1-m.factor)*most/away
@@ -171,29 +171,29 @@
 
 // place has a node's turn come as much later or sooner as its weight is less or more than it was. One that has most of its weight
 // back at once comes at a drawn place of its next turn: other brokers find the same at the same time.
-func (g *Group) place(now Time, m *Member) {
+func (g *Balancer) place(now Time, m *Replica) {
 	if m.before == m.factor {
 		return
 	}
 	m.at = g.now + max(0, m.at-g.now)*m.before/m.factor
 	if m.factor > 2*m.before {
-		m.at = g.now + unit(hash(g.opt.Own, m.Name, uint64(now)))/m.weight()
+		m.at = g.now + unit(hash(g.opt.Name, m.Name, uint64(now)))/m.weight()
 	}
 }
 
-func (g *Group) factor(now Time, m *Member, usual float64) (float64, string) {
+func (g *Balancer) factor(now Time, m *Replica, usual float64) (float64, string) {
 	m.fade(now, &g.evidence)
-	if m.Suspect() {
-		return max(g.opt.Trial, m.regain), "silent"
+	if m.Unresponsive() {
+		return max(g.opt.TrialShare, m.regain), "silent"
 	}
 	if g.doubted(now, m) {
-		return max(g.opt.Trial, 0.25), "peers find it silent"
+		return max(g.opt.TrialShare, 0.25), "peers find it silent"
 	}
 	factor, why := 1.0, ""
 	if m.bad > 0.5 {
 		// the lower end of the 90% interval of its rate of errors
 		if low := (distuv.Beta{Alpha: priorBad + m.bad, Beta: priorOK + m.ok}).Quantile(0.05); low > usualBad {
-			factor, why = max(g.opt.Trial, math.Pow(1-low, 2)), "errors"
+			factor, why = max(g.opt.TrialShare, math.Pow(1-low, 2)), "errors"
 		}
 	}
 	if m.times > 2 && !math.IsNaN(usual) {
@@ -210,7 +210,7 @@
 
 // usualTime is the median over the nodes of the mean logarithm of their times, NaN without enough of them. A slow or quick
 // minority does not move it.
-func (g *Group) usualTime(now Time) float64 {
+func (g *Balancer) usualTime(now Time) float64 {
 	if len(g.ranked) != len(g.used) {
 		g.ranked = append(g.ranked[:0], g.used...)
 	}
@@ -239,8 +239,8 @@
 // evidence is what is told and heard of silent nodes, and what judging keeps between two times.
 type evidence struct {
 	reckonAt Time
-	ranked   []*Member // the cover by its nodes' mean times
-	silent   []string  // to be told
+	ranked   []*Replica // the cover by its nodes' mean times
+	silent   []string   // to be told
 	alive    []string
 	toldAt   Time
 	span     Time // of the last fading, and its factor
@@ -249,7 +249,7 @@
 }
 
 // doubted tells whether enough peers lately found a node silent of which this broker has heard nothing since.
-func (g *Group) doubted(now Time, m *Member) bool {
+func (g *Balancer) doubted(now Time, m *Replica) bool {
 	m.words = slices.DeleteFunc(m.words, func(w word) bool { return now-w.at > wordTime })
 	count := 0
 	for _, w := range m.words {
@@ -262,21 +262,21 @@
 
 // The first bytes of messages to peers.
 const (
-	KindSilent = 4 // nodes that were found silent
-	KindAlive  = 5 // nodes found silent that answered again
+	GossipUnresponsive = 4 // nodes that were found silent
+	GossipRecovered    = 5 // nodes found silent that answered again
 )
 
-// Tell returns the messages that are due to a few peers: the nodes found silent since the last, and those that answered again, as
+// GossipMessages returns the messages that are due to a few peers: the nodes found silent since the last, and those that answered again, as
 // hashes of their names. They go out once a second at the most.
-func (g *Group) Tell(now Time) (messages [][]byte) {
-	if g.opt.Alone || len(g.silent)+len(g.alive) == 0 || g.toldAt > 0 && now-g.toldAt < tellEach {
+func (g *Balancer) GossipMessages(now Time) (messages [][]byte) {
+	if g.opt.NoGossip || len(g.silent)+len(g.alive) == 0 || g.toldAt > 0 && now-g.toldAt < tellEach {
 		return nil
 	}
 	for kind, names := range [][]string{g.silent, g.alive} {
 		if len(names) == 0 {
 			continue
 		}
-		data := []byte{KindSilent + byte(kind)}
+		data := []byte{GossipUnresponsive + byte(kind)}
 		for _, name := range names {
 			data = binary.BigEndian.AppendUint32(data, uint32(hash("", name, 3)))
 		}
@@ -286,12 +286,12 @@
 	return messages
 }
 
-// Peers draws the few that are told, in whose place they stand among all: anew for each message, so that over some messages
+// GossipPeers draws the few that are told, in whose place they stand among all: anew for each message, so that over some messages
 // all hear.
-func (g *Group) Peers(now Time) []int {
+func (g *Balancer) GossipPeers(now Time) []int {
 	var peers []int
 	for k := range uint64(4 * tellPeers) {
-		p := int(hash(g.opt.Own, "", uint64(now)+k) % uint64(max(1, g.opt.Brokers)))
+		p := int(hash(g.opt.Name, "", uint64(now)+k) % uint64(max(1, g.opt.Brokers)))
 		if p != g.opt.Ordinal && !slices.Contains(peers, p) && len(peers) < tellPeers {
 			peers = append(peers, p)
 		}
@@ -299,10 +299,10 @@
 	return peers
 }
 
-// Hear takes a peer's message. One peer's word alone lowers no weight, and all together no more than Options.Away; that a node
+// ReceiveGossip takes a peer's message. One peer's word alone lowers no weight, and all together no more than Options.MaxEjectedShare; that a node
 // answers again only has it tried sooner.
-func (g *Group) Hear(now Time, from int, data []byte) {
-	if g.opt.Alone || len(data) < 5 || data[0] != KindSilent && data[0] != KindAlive || (len(data)-1)%4 != 0 || len(data) > 1+4*tellNodes {
+func (g *Balancer) ReceiveGossip(now Time, from int, data []byte) {
+	if g.opt.NoGossip || len(data) < 5 || data[0] != GossipUnresponsive && data[0] != GossipRecovered || (len(data)-1)%4 != 0 || len(data) > 1+4*tellNodes {
 		return
 	}
 	for at := 1; at < len(data); at += 4 {
@@ -312,10 +312,10 @@
 				continue
 			}
 			m.words = slices.DeleteFunc(m.words, func(w word) bool { return w.from == from })
-			if data[0] == KindAlive {
+			if data[0] == GossipRecovered {
 				m.words = nil
-				if m.Suspect() && m.regain == 0 {
-					m.trialAt = min(m.trialAt, now+time.Duration(unit(hash(g.opt.Own, m.Name, uint64(now)))*float64(g.turn())))
+				if m.Unresponsive() && m.regain == 0 {
+					m.trialAt = min(m.trialAt, now+time.Duration(unit(hash(g.opt.Name, m.Name, uint64(now)))*float64(g.turn())))
 				}
 				continue
 			}
--- a/broker/bench_test.go
+++ b/broker/bench_test.go
@@ -11,8 +11,8 @@
 // benchState returns a new state with a class of such an aim, a plan that pays for all, and further ones.
 func benchState(b *testing.B, aim time.Duration, plans ...scheduler.Plan) *State {
 	b.Helper()
-	s, err := NewState(scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read", Aim: aim, Deadline: 2 * aim, Worth: 1}},
-		Plans: append(plans, scheduler.Plan{Name: "plan", Rate: 1e6, Reserve: 1e6, Weight: 1, Price: 1}), Bounds: scheduler.Bounds{MaxAttempts: 3}}, 1)
+	s, err := NewState(scheduler.Settings{Brokers: 1, MeanUnits: 2, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read", LatencyObjective: aim, Deadline: 2 * aim, PriorityWeight: 1}},
+		Plans: append(plans, scheduler.Plan{Name: "plan", Rate: 1e6, ReservedRate: 1e6, Weight: 1, Price: 1}), Capabilities: scheduler.Capabilities{MaxAttempts: 3}}, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -26,9 +26,9 @@
 	s := benchState(b, time.Minute)
 	var list []Node
 	for i := range nodes {
-		list = append(list, Node{NodeInfo: scheduler.NodeInfo{Node: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+		list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 	}
-	s.Reduce(Second, []Event{Listed{Kind: scheduler.ListFull, Version: 1, Nodes: list}})
+	s.Reduce(Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
 	var arrivals []Event
 	for i := range held + 40*min(held, nodes) { // some go out
 		arrivals = append(arrivals, Arrived{ID: uint64(1<<50 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i%max(1, volumes)),
@@ -52,7 +52,7 @@
 				req := &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Hosts: 1, Wait: 60 * Second}
 				for _, e := range s.Reduce(now, []Event{Arrived{ID: id, Request: req}}) {
 					if start, is := e.(Start); is {
-						s.Reduce(now, []Event{Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoad}}})
+						s.Reduce(now, []Event{Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoadReport}}})
 					}
 				}
 			}
@@ -70,7 +70,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 10
 				list[nodes/2].Weight = float64(i)
-				s.Reduce(now, []Event{Listed{Kind: scheduler.ListFull, Version: uint64(i), Nodes: list}})
+				s.Reduce(now, []Event{Listed{Kind: scheduler.FullUpdate, Version: uint64(i), Nodes: list}})
 			}
 		})
 	}
@@ -105,9 +105,9 @@
 				s := benchState(b, 10*time.Minute, scheduler.Plan{Name: "poor", Rate: 0.001, Weight: 1, Price: 1})
 				var list []Node
 				for i := range 10 {
-					list = append(list, Node{NodeInfo: scheduler.NodeInfo{Node: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+					list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 				}
-				s.Reduce(Second, []Event{Listed{Kind: scheduler.ListFull, Version: 1, Nodes: list}})
+				s.Reduce(Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
 				var arrivals []Event
 				for i := range volumes { // each volume goes into its debt, so that what follows waits
 					arrivals = append(arrivals, Arrived{ID: uint64(1<<41 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", i), Units: 8, Shard: i % 10, Hosts: 1, Wait: 600 * Second}})
@@ -125,7 +125,7 @@
 						events = nil
 						for _, e := range effects {
 							if start, is := e.(Start); is {
-								events = append(events, Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoad}})
+								events = append(events, Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoadReport}})
 							}
 						}
 					}
@@ -151,7 +151,7 @@
 	const nodes = 10_000
 	all := func(prefix string) (list []Node) {
 		for i := range nodes {
-			list = append(list, Node{NodeInfo: scheduler.NodeInfo{Node: fmt.Sprint(prefix, i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+			list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint(prefix, i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 		}
 		return list
 	}
@@ -161,26 +161,26 @@
 			b.StopTimer()
 			s := benchState(b, time.Minute)
 			b.StartTimer()
-			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
 		}
 	})
 	b.Run("replaced", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
 			s, _ := settled(b, 1, 0, 1)
-			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
 			b.StartTimer()
-			s.Reduce(3*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 3, Nodes: other}})
+			s.Reduce(3*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 3, Nodes: other}})
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		s, _ := settled(b, 1, 0, 1)
-		s.Reduce(2*Second, []Event{Listed{Kind: scheduler.ListFull, Version: 2, Nodes: old}})
+		s.Reduce(2*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
 		now := 3 * Second
 		for i := 0; b.Loop(); i++ {
 			now += 10
 			old[7].Weight = float64(i)
-			s.Reduce(now, []Event{Listed{Kind: scheduler.ListChanges, Version: uint64(i + 3), Nodes: old[7:8]}})
+			s.Reduce(now, []Event{Listed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 3), Nodes: old[7:8]}})
 		}
 	})
 }
@@ -202,7 +202,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 100
-				s.news = append(s.news, scheduler.Timer{Token: 1})
+				s.news = append(s.news, scheduler.TimerFired{Token: 1})
 				s.Reduce(now, nil)
 			}
 		})
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -102,7 +102,7 @@
 	Value     any
 	Used      int
 	Elsewhere float64
-	Load      scheduler.Load
+	Load      scheduler.LoadReport
 }
 
 // Attempt is one sending of a request to one storage node.
@@ -137,7 +137,7 @@
 func (r Result) outcome() scheduler.Outcome {
 	if r.Err != nil {
 		if r.Err.Progress == WrittenWhole {
-			return scheduler.Broken
+			return scheduler.ConnectionBroken
 		}
 		return scheduler.Unreachable
 	}
--- a/broker/keyed_test.go
+++ b/broker/keyed_test.go
@@ -13,10 +13,10 @@
 	name  string
 	class scheduler.Class
 }{
-	{"by cell, for as long as clients wait", scheduler.Class{Aim: 600 * time.Millisecond, Deadline: 4 * time.Second, Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 4 * time.Second}},
-	{"by cell, not for long", scheduler.Class{Aim: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 300 * time.Millisecond}},
-	{"by zone, not for long", scheduler.Class{Aim: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Effect: scheduler.Keyed, Scope: scheduler.ScopeZone, Window: 150 * time.Millisecond}},
-	{"by all, not for long", scheduler.Class{Aim: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Effect: scheduler.Keyed, Scope: scheduler.ScopeAll, Window: 150 * time.Millisecond}},
+	{"by cell, for as long as clients wait", scheduler.Class{LatencyObjective: 600 * time.Millisecond, Deadline: 4 * time.Second, Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeShard, DedupWindow: 4 * time.Second}},
+	{"by cell, not for long", scheduler.Class{LatencyObjective: 500 * time.Millisecond, Deadline: 1200 * time.Millisecond, Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeShard, DedupWindow: 300 * time.Millisecond}},
+	{"by zone, not for long", scheduler.Class{LatencyObjective: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeZone, DedupWindow: 150 * time.Millisecond}},
+	{"by all, not for long", scheduler.Class{LatencyObjective: 200 * time.Millisecond, Deadline: 900 * time.Millisecond, Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeAll, DedupWindow: 150 * time.Millisecond}},
 }
 
 // A keyed request that may have run is repeated inside its window and its group or not at all: when it is decided, when its connection
@@ -37,14 +37,14 @@
 			{"broken at its end", 1.0001, 0, nil, 0, false},
 			{"broken past it", 1.4, 0, nil, 0, false},
 			{"its node leaves", 0.2, 0, func(r *rig, _ scheduler.Settings) {
-				r.turn(Listed{Kind: scheduler.ListFull, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n2", 1, scheduler.Ready)}})
+				r.turn(Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n2", 1, scheduler.Ready)}})
 			}, 0, false},
 			{"settings are told again", 0.2, 0, func(r *rig, set scheduler.Settings) { r.turn(Retuned{Settings: set}) }, 1, false},
 		} {
 			t.Run(fmt.Sprint(kind.name, ", ", c.name), func(t *testing.T) {
 				set := testSettings()
 				class := kind.class
-				class.Name, class.Worth = "put", 2
+				class.Name, class.PriorityWeight = "put", 2
 				set.Classes = append(set.Classes, class)
 				state, err := NewState(set, 1)
 				if err != nil {
@@ -53,16 +53,16 @@
 				r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Final{}}
 				n1, n2 := node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)
 				n1.Zone, n2.Zone = "a", "b"
-				r.turn(Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []Node{n1, n2}})
+				r.turn(Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []Node{n1, n2}})
 				began := r.now
 				r.turn(Arrived{ID: 1, Request: &Request{Class: "put", Plan: "plan", Key: "k", Volume: "v", Units: 2, Shard: 0, Hosts: 1, Wait: MicrosOf(class.Deadline), Write: true}})
 				if len(r.starts) != 1 {
 					t.Fatalf("%d attempts at once", len(r.starts))
 				}
-				window := MicrosOf(class.Window)
+				window := MicrosOf(class.DedupWindow)
 				part := window // what is served in time comes within the aim, too
 				if c.served {
-					part = min(window, MicrosOf(class.Aim))
+					part = min(window, MicrosOf(class.LatencyObjective))
 				}
 				r.pass(Micros(c.firstAt * float64(part)))
 				if c.between != nil {
@@ -73,7 +73,7 @@
 				}
 				r.pass(Micros(c.second * float64(part)))
 				if len(r.starts) > 1 && c.second > 0 {
-					r.turn(Ended{1, 1, Result{Value: "v", Load: scheduler.NoLoad}})
+					r.turn(Ended{1, 1, Result{Value: "v", Load: scheduler.NoLoadReport}})
 				}
 				// from here on nodes drop its repeats no longer: nothing that is not written whole by now may be
 				r.pass(max(0, began+window+1-r.now))
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -75,7 +75,7 @@
 	slow       atomic.Bool // the lag is above that of a crowd
 	crowd      int64       // admission.Settings.Crowd, 0 for none
 	crowded    atomic.Bool // requests were turned away by TurnCrowd since the last Lagged
-	parts      atomic.Pointer[[]scheduler.Part]
+	parts      atomic.Pointer[[]scheduler.NodeShare]
 	partsAt    Micros // when parts is to be taken again
 
 	early map[uint64]struct{} // requests whose clients left while the request itself stands in inbox still
@@ -145,7 +145,7 @@
 }
 
 // Parts tells how requests were spread over the nodes of shards that have several, up to a second ago.
-func (l *Loop) Parts() []scheduler.Part {
+func (l *Loop) Parts() []scheduler.NodeShare {
 	if parts := l.parts.Load(); parts != nil {
 		return *parts
 	}
@@ -475,7 +475,7 @@
 	l.countAt = now + countEach
 	if now >= l.partsAt {
 		l.partsAt = now + Second
-		if parts := l.state.gateway.Parts(); len(parts) > 0 || l.parts.Load() != nil {
+		if parts := l.state.gateway.NodeShares(); len(parts) > 0 || l.parts.Load() != nil {
 			l.parts.Store(&parts)
 		}
 	}
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -19,7 +19,7 @@
 	if f.starts++; f.starts == 1 {
 		panic("first")
 	}
-	go done(Result{Value: a.Node, Load: scheduler.NoLoad})
+	go done(Result{Value: a.Node, Load: scheduler.NoLoadReport})
 	return out{}
 }
 func (*faulty) Probe(string, func(Result)) {}
@@ -41,7 +41,7 @@
 	loop := NewLoop(state, NewClock(), &faulty{}, Outside{Log: logging.Func(func(line string) { lines <- line })})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	loop.Post(Listed{Kind: scheduler.ListFull, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
+	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
 	finals := make(chan Final, 2)
 	loop.Submit(request("write", 0), func(f Final) { finals <- f })
 	go loop.Run(ctx)
@@ -62,21 +62,21 @@
 
 func (local) Start(a Attempt, done func(Result)) Handle {
 	a.Written()
-	go done(Result{Value: fmt.Sprintf("%v from %s", a.Request.Message, a.Node), Load: scheduler.NoLoad})
+	go done(Result{Value: fmt.Sprintf("%v from %s", a.Request.Message, a.Node), Load: scheduler.NoLoadReport})
 	return out{}
 }
 func (local) Probe(string, func(Result)) {}
 func (local) CloseIdle(string)           {}
 
 func ExampleLoop() {
-	state, err := NewState(scheduler.Settings{Hosts: 1, MeanUnits: 1, MaxUnits: 8,
-		Classes: []scheduler.Class{{Name: "read", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1, Effect: scheduler.Safe}},
-		Plans:   []scheduler.Plan{{Name: "plan", Rate: 10, Reserve: 10, Weight: 1, Price: 1}}}, 1)
+	state, err := NewState(scheduler.Settings{Brokers: 1, MeanUnits: 1, MaxUnits: 8,
+		Classes: []scheduler.Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: scheduler.Idempotent}},
+		Plans:   []scheduler.Plan{{Name: "plan", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1}}}, 1)
 	if err != nil {
 		panic(err)
 	}
 	loop := NewLoop(state, NewClock(), local{}, Outside{})
-	loop.Post(Listed{Kind: scheduler.ListFull, Nodes: []Node{{NodeInfo: scheduler.NodeInfo{Node: "n1"}, Address: "192.0.2.1:6379"}}})
+	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{{Endpoint: scheduler.Endpoint{Name: "n1"}, Address: "192.0.2.1:6379"}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
@@ -111,7 +111,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
-	loop.Post(Listed{Kind: scheduler.ListFull, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Draining)}})
+	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Draining)}})
 	finals := make(chan Final, 1)
 	loop.Submit(request("read", 0), func(f Final) { finals <- f })
 	<-finals
@@ -145,7 +145,7 @@
 	}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	loop.Post(Listed{Kind: scheduler.ListFull, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
+	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
 	req := request("read", 1) // of a shard without a node: it waits
 	finals := make(chan Final, 2)
 	if loop.Ask(req) != nil {
@@ -317,7 +317,7 @@
 		loop.Leave(id)
 	}
 	open := loop.Open()
-	loop.Post(Listed{Kind: scheduler.ListFull, Nodes: []Node{node("n1", 0, scheduler.Ready)}}) // last of all
+	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}}) // last of all
 	turn()
 	if left := open - loop.Open(); left != 2 {
 		t.Errorf("%d have left after a turn, want the held one and the next", left)
@@ -338,10 +338,10 @@
 		}
 		return nodes
 	}
-	r.turn(Listed{Kind: scheduler.ListFull, Version: 2, Nodes: list("a")})
+	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: list("a")})
 	r.turn(Arrived{ID: 1, Request: request("read", 5)})
 	r.effects = nil
-	r.turn(Listed{Kind: scheduler.ListFull, Version: 3, Nodes: list("b")})
+	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 3, Nodes: list("b")})
 	if left := len(r.state.nodes); left != 10_000 {
 		t.Errorf("%d nodes are known", left)
 	}
--- a/broker/reducer.go
+++ b/broker/reducer.go
@@ -45,7 +45,7 @@
 	}
 	// Listed is news of the list of storage nodes.
 	Listed struct {
-		Kind    scheduler.ListKind
+		Kind    scheduler.UpdateKind
 		Version uint64
 		Nodes   []Node
 	}
@@ -75,7 +75,7 @@
 
 // Node is an entry of the list with the address at which this broker reaches it.
 type Node struct {
-	scheduler.NodeInfo
+	scheduler.Endpoint
 	Address string
 	Born    Micros // its last start on the loop's clock, 0 for long ago
 }
@@ -181,7 +181,7 @@
 
 // State is all that the broker knows. It does no I/O and reads no clock.
 type State struct {
-	gateway *scheduler.Gateway
+	gateway *scheduler.Scheduler
 	entries map[uint64]*entry
 	free    []*entry            // that are over, for requests to come
 	nodes   map[string]*listing // by name
@@ -227,7 +227,7 @@
 	for i := 0; i == 0 || len(s.news) > 0 && i < rounds; i++ {
 		news := s.news
 		s.news, s.spare = s.spare[:0], nil
-		for _, action := range s.gateway.Step(now.Duration(), news) {
+		for _, action := range s.gateway.Reduce(now.Duration(), news) {
 			s.act(action)
 		}
 		clear(news)
@@ -292,9 +292,9 @@
 		if r := s.entries[e.ID]; r != nil && r.out && r.attempts-1 == e.Attempt && !r.stopped {
 			outcome := e.Result.outcome()
 			if r.answered && e.Result.Err != nil { // abandoned: that it broke says nothing of the node
-				outcome = scheduler.Void
+				outcome = scheduler.NotSent
 				if e.Result.Err.Progress == WrittenWhole {
-					outcome = scheduler.Withdrawn
+					outcome = scheduler.Canceled
 				}
 			}
 			s.end(e.ID, r, outcome, e.Result)
@@ -307,18 +307,18 @@
 			if e.Progress != WrittenWhole {
 				outcome = scheduler.Unreachable // proved never to have run
 			}
-			s.end(e.ID, r, outcome, Result{Load: scheduler.NoLoad})
+			s.end(e.ID, r, outcome, Result{Load: scheduler.NoLoadReport})
 		}
 	case Probed:
-		s.tell(scheduler.ProbeResult{Node: e.Node, Took: e.Took.Duration(), Outcome: e.Result.outcome(), Load: e.Result.Load})
+		s.tell(scheduler.HealthCheckResult{Node: e.Node, Latency: e.Took.Duration(), Outcome: e.Result.outcome(), Load: e.Result.Load})
 	case Listed:
 		s.list(e)
 	case Heard:
 		s.tell(scheduler.PeerMessage{From: e.From, Data: e.Data})
 	case Retuned:
-		s.tell(scheduler.Retuned{Settings: e.Settings})
+		s.tell(scheduler.SettingsChanged{Settings: e.Settings})
 	case Shared:
-		s.tell(scheduler.Shared{Processes: e.Processes, Unseen: e.Unseen})
+		s.tell(scheduler.ProcessesChanged{Processes: e.Processes, Unseen: e.Unseen})
 	case Lagged:
 		if s.lag += (e.Waited - s.lag) / 4; e.Unknown {
 			s.lag = 0
@@ -375,12 +375,12 @@
 	}
 	r.overdue = s.wake(r.deadline, alarm{kind: overdue, id: id})
 	s.tell(scheduler.Request{ID: id, Class: req.Class, Plan: req.Plan, Key: req.Key, Remaining: (r.deadline - s.now).Duration(),
-		Volume: req.Volume, Units: req.Units, Shard: req.Shard, Hosts: req.Hosts, Retry: req.Retry, Write: req.Write})
+		Volume: req.Volume, Units: req.Units, Shard: req.Shard, Brokers: req.Hosts, Retry: req.Retry, Write: req.Write})
 }
 
 func (s *State) list(e Listed) {
 	s.lists++
-	infos := make([]scheduler.NodeInfo, 0, len(e.Nodes))
+	infos := make([]scheduler.Endpoint, 0, len(e.Nodes))
 	var leaving map[string]bool
 	leave := func(name string, node *listing, now bool) {
 		if now && !node.leaving {
@@ -395,25 +395,25 @@
 	}
 	for i := range e.Nodes {
 		n := &e.Nodes[i]
-		node := s.nodes[n.Node]
+		node := s.nodes[n.Name]
 		if node == nil {
 			node = &listing{}
-			s.nodes[n.Node] = node
-			s.facts = append(s.facts, telemetry.Fact{Kind: telemetry.NodeListed, Node: n.Node})
+			s.nodes[n.Name] = node
+			s.facts = append(s.facts, telemetry.Fact{Kind: telemetry.NodeListed, Node: n.Name})
 		}
 		if n.Address != "" {
 			node.address = n.Address
 		}
 		node.shard, node.listed = n.Shard, s.lists
-		leave(n.Node, node, n.State != scheduler.Ready)
-		if n.State == scheduler.Gone {
-			s.lose(n.Node, node)
+		leave(n.Name, node, n.State != scheduler.Ready)
+		if n.State == scheduler.Removed {
+			s.lose(n.Name, node)
 		}
-		info := n.NodeInfo
-		info.UpSince = n.Born.Duration()
+		info := n.Endpoint
+		info.StartedAt = n.Born.Duration()
 		infos = append(infos, info)
 	}
-	if e.Kind != scheduler.ListChanges {
+	if e.Kind != scheduler.DeltaUpdate {
 		for name, node := range s.nodes {
 			if node.listed != s.lists {
 				leave(name, node, true)
@@ -422,7 +422,7 @@
 		}
 	}
 	s.halt(leaving)
-	s.tell(scheduler.NodeList{Kind: e.Kind, Version: e.Version, Nodes: infos})
+	s.tell(scheduler.EndpointUpdate{Kind: e.Kind, Version: e.Version, Endpoints: infos})
 }
 
 // lose forgets a node that is gone: each that replaces one comes under a new name, and the process may run for
@@ -462,7 +462,7 @@
 // end tells the gateway of an attempt's one outcome and passes a served answer on.
 func (s *State) end(id uint64, r *entry, outcome scheduler.Outcome, result Result) {
 	r.out, r.stopped = false, false
-	if !r.ran && outcome.MayHaveRun() {
+	if !r.ran && outcome.MayHaveExecuted() {
 		r.ran, r.ranAt = true, r.sentAt
 	}
 	s.facts = append(s.facts, telemetry.Fact{Kind: telemetry.AttemptEnded, Outcome: outcomes[outcome], Class: r.req.Class, Plan: r.req.Plan,
@@ -473,7 +473,7 @@
 		s.drop(result.Value)
 	}
 	s.tell(scheduler.AttemptEnded{ID: id, Attempt: r.attempts - 1, Node: r.node, Outcome: outcome,
-		Took: s.atNode(s.now - r.sentAt).Duration(), Finished: r.answered, Used: result.Used, Elsewhere: result.Elsewhere,
+		Latency: s.atNode(s.now - r.sentAt).Duration(), Finished: r.answered, RateUsed: result.Used, ServedElsewhere: result.Elsewhere,
 		Load: result.Load})
 	s.forget(id, r)
 }
@@ -518,7 +518,7 @@
 
 // outcomes words an attempt's outcome for telemetry. Void is one that was abandoned before it was sent.
 var outcomes = [...]telemetry.Outcome{scheduler.Success: telemetry.Success, scheduler.Failure: telemetry.Failure, scheduler.Overloaded: telemetry.Overloaded,
-	scheduler.TimedOut: telemetry.TimedOut, scheduler.Unreachable: telemetry.Unreachable, scheduler.Broken: telemetry.Broken, scheduler.Withdrawn: telemetry.Withdrawn, scheduler.Void: telemetry.Withdrawn}
+	scheduler.TimedOut: telemetry.TimedOut, scheduler.Unreachable: telemetry.Unreachable, scheduler.ConnectionBroken: telemetry.Broken, scheduler.Canceled: telemetry.Withdrawn, scheduler.NotSent: telemetry.Withdrawn}
 
 // ended is what telemetry hears of a request that ends now.
 func (s *State) ended(r *entry, end telemetry.End) telemetry.Fact {
@@ -559,7 +559,7 @@
 	r := s.entries[a.id]
 	switch {
 	case a.kind == timer:
-		s.tell(scheduler.Timer{Token: a.id})
+		s.tell(scheduler.TimerFired{Token: a.id})
 	case r == nil:
 	case a.kind == timeout:
 		if r.attempts-1 == a.attempt {
@@ -583,27 +583,27 @@
 
 func (s *State) act(action scheduler.Action) {
 	switch a := action.(type) {
-	case scheduler.Send:
+	case scheduler.Forward:
 		s.send(a)
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		s.conclude(a.ID, Final{Verdict: Refused, After: MicrosOf(a.After)})
 	case scheduler.Fail:
 		s.conclude(a.ID, Final{Verdict: Failed})
 	case scheduler.Cancel:
 		if r := s.entries[a.ID]; r != nil && r.attempts-1 == a.Attempt {
-			s.stop(a.ID, r, scheduler.Withdrawn)
+			s.stop(a.ID, r, scheduler.Canceled)
 		}
-	case scheduler.Probe:
+	case scheduler.HealthCheck:
 		s.do(Probe{Node: a.Node, Address: s.address(a.Node)})
-	case scheduler.Tell:
+	case scheduler.SendToPeer:
 		s.do(Tell{Peer: a.Peer, Data: a.Data})
 	case scheduler.SetTimer:
 		s.wake(s.now+MicrosOf(a.After), alarm{kind: timer, id: a.Token})
-	case scheduler.CloseIdle:
+	case scheduler.CloseIdleConnections:
 		s.do(CloseIdle{Address: s.address(a.Node)})
 	case scheduler.Log:
 		s.do(Log{a.Text})
-	case scheduler.Watch, scheduler.FetchList: // discovery is always watched
+	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // discovery is always watched
 	default:
 		s.log("unknown action %T", action)
 	}
@@ -619,7 +619,7 @@
 
 // send starts an attempt, or tells at once that it is void: an id that is over, time that is up, a
 // second copy, an unknown node, or the wrong shard.
-func (s *State) send(a scheduler.Send) {
+func (s *State) send(a scheduler.Forward) {
 	r := s.entries[a.ID]
 	if r == nil {
 		return
@@ -631,8 +631,8 @@
 	}
 	if r.out || r.answered || s.now >= r.deadline || a.Timeout < 0 || address == "" ||
 		r.req.Shard >= 0 && node.shard != r.req.Shard {
-		s.tell(scheduler.AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Node: a.Node, Outcome: scheduler.Void,
-			Finished: r.answered, Load: scheduler.NoLoad})
+		s.tell(scheduler.AttemptEnded{ID: a.ID, Attempt: r.attempts - 1, Node: a.Node, Outcome: scheduler.NotSent,
+			Finished: r.answered, Load: scheduler.NoLoadReport})
 		return
 	}
 	wait := r.deadline - s.now
@@ -662,7 +662,7 @@
 	}
 	for _, class := range s.gateway.Classes() {
 		if class.Name == r.req.Class {
-			return r.ranAt + MicrosOf(class.Window), class.Effect == scheduler.Keyed
+			return r.ranAt + MicrosOf(class.DedupWindow), class.Idempotency == scheduler.IdempotentWithKey
 		}
 	}
 	return 0, false
--- a/broker/reducer_test.go
+++ b/broker/reducer_test.go
@@ -10,12 +10,12 @@
 )
 
 func testSettings() scheduler.Settings {
-	return scheduler.Settings{Hosts: 2, MeanUnits: 2, MaxUnits: 8,
-		Classes: []scheduler.Class{{Name: "read", Aim: 150 * time.Millisecond, Deadline: 750 * time.Millisecond, Worth: 3, Effect: scheduler.Safe},
-			{Name: "write", Aim: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2, Effect: scheduler.Unsafe}},
-		Plans:  []scheduler.Plan{{Name: "plan", Rate: 100, Reserve: 100, Weight: 1, Price: 1}},
-		Bounds: scheduler.Bounds{MaxAttempts: 3, MaxRetryAfter: time.Second, RetryAfter: true, Cancel: true, Peers: true},
-		Rules:  scheduler.Rules{AnswerSlack: 50 * time.Millisecond, DrainGrace: 2 * time.Second}}
+	return scheduler.Settings{Brokers: 2, MeanUnits: 2, MaxUnits: 8,
+		Classes: []scheduler.Class{{Name: "read", LatencyObjective: 150 * time.Millisecond, Deadline: 750 * time.Millisecond, PriorityWeight: 3, Idempotency: scheduler.Idempotent},
+			{Name: "write", LatencyObjective: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2, Idempotency: scheduler.NotIdempotent}},
+		Plans:        []scheduler.Plan{{Name: "plan", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}},
+		Capabilities: scheduler.Capabilities{MaxAttempts: 3, MaxRetryAfter: time.Second, RetryAfter: true, Cancel: true, Peers: true},
+		Rules:        scheduler.Rules{AnswerSlack: 50 * time.Millisecond, DrainGrace: 2 * time.Second}}
 }
 
 // rig drives a State by a clock of its own.
@@ -38,12 +38,12 @@
 		t.Fatal(err)
 	}
 	r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Final{}}
-	r.turn(Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)}})
+	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)}})
 	return r
 }
 
 func node(name string, shard int, state scheduler.NodeState) Node {
-	return Node{NodeInfo: scheduler.NodeInfo{Node: name, Shard: shard, State: state, Weight: 1}, Address: "192.0.2.1:" + name}
+	return Node{Endpoint: scheduler.Endpoint{Name: name, Shard: shard, State: state, Weight: 1}, Address: "192.0.2.1:" + name}
 }
 
 func request(class string, shard int) *Request {
@@ -93,7 +93,7 @@
 }
 
 func broke(p Progress) Result {
-	return Result{Err: &AttemptError{Progress: p, Err: errors.New("cut")}, Load: scheduler.NoLoad}
+	return Result{Err: &AttemptError{Progress: p, Err: errors.New("cut")}, Load: scheduler.NoLoadReport}
 }
 
 func TestServed(t *testing.T) {
@@ -103,7 +103,7 @@
 		t.Fatalf("%+v", r.starts)
 	}
 	r.now += 20_000
-	r.turn(Ended{1, 0, Result{Value: "v", Load: scheduler.NoLoad}})
+	r.turn(Ended{1, 0, Result{Value: "v", Load: scheduler.NoLoadReport}})
 	if f := r.final(1, Served); f.Value != "v" {
 		t.Errorf("%+v", f)
 	}
@@ -167,7 +167,7 @@
 	r := newRig(t)
 	r.turn(Arrived{ID: 1, Request: request("read", 0)})
 	r.turn(Left{1})
-	r.turn(Ended{1, 0, Result{Value: "v", Load: scheduler.NoLoad}})
+	r.turn(Ended{1, 0, Result{Value: "v", Load: scheduler.NoLoadReport}})
 	r.pass(Second)
 	if len(r.finals) > 0 || len(r.state.entries) > 0 || len(r.starts) != 1 {
 		t.Errorf("%+v, %d held, %d sent", r.finals, len(r.state.entries), len(r.starts))
@@ -196,8 +196,8 @@
 func TestDrainHalts(t *testing.T) {
 	r := newRig(t)
 	r.turn(Arrived{ID: 1, Request: request("write", 0)})
-	r.turn(Listed{Kind: scheduler.ListChanges, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n3", 0, scheduler.Ready)}})
-	r.turn(Listed{Kind: scheduler.ListChanges, Version: 3, Nodes: []Node{node("n1", 0, scheduler.Draining)}})
+	r.turn(Listed{Kind: scheduler.DeltaUpdate, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n3", 0, scheduler.Ready)}})
+	r.turn(Listed{Kind: scheduler.DeltaUpdate, Version: 3, Nodes: []Node{node("n1", 0, scheduler.Draining)}})
 	if len(r.halts) != 1 {
 		t.Fatalf("%d halts", len(r.halts))
 	}
@@ -211,7 +211,7 @@
 // A node that a whole list no longer names is gone.
 func TestMissingFromList(t *testing.T) {
 	r := newRig(t)
-	r.turn(Listed{Kind: scheduler.ListFull, Version: 2, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
+	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
 	r.turn(Arrived{ID: 1, Request: request("read", 0)})
 	r.pass(Second)
 	if len(r.starts) > 0 {
@@ -223,10 +223,10 @@
 func TestManyNodes(t *testing.T) {
 	r := newRig(t)
 	for i := range 200 {
-		old, young := node(fmt.Sprint("o", i), 0, scheduler.Gone), node(fmt.Sprint("o", i+1), 0, scheduler.Ready)
-		r.turn(Listed{Kind: scheduler.ListChanges, Version: uint64(i + 2), Nodes: []Node{old, young}})
+		old, young := node(fmt.Sprint("o", i), 0, scheduler.Removed), node(fmt.Sprint("o", i+1), 0, scheduler.Ready)
+		r.turn(Listed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 2), Nodes: []Node{old, young}})
 	}
-	r.turn(Listed{Kind: scheduler.ListFull, Version: 300, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
+	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 300, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
 	if len(r.state.nodes) != 1 {
 		t.Errorf("kept %d", len(r.state.nodes))
 	}
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -159,9 +159,9 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, n := range e.(broker.Listed).Nodes {
-			if at, waits := removed[n.Node]; waits && n.State == scheduler.Gone {
+			if at, waits := removed[n.Name]; waits && n.State == scheduler.Removed {
 				took = append(took, time.Since(at))
-				delete(removed, n.Node)
+				delete(removed, n.Name)
 			}
 		}
 		select {
--- a/cmd/brokerbench/load.go
+++ b/cmd/brokerbench/load.go
@@ -58,7 +58,7 @@
 	}
 	var kinds []load.Kind
 	for _, c := range classes {
-		k := load.Kind{Class: c.Name, Share: 1, Write: c.Effect != scheduler.Safe, Deadline: c.Deadline}
+		k := load.Kind{Class: c.Name, Share: 1, Write: c.Idempotency != scheduler.Idempotent, Deadline: c.Deadline}
 		if mix != "" {
 			k.Share = shares[c.Name]
 			delete(shares, c.Name)
@@ -87,7 +87,7 @@
 		return err
 	}
 	t := load.Traffic{Kinds: kinds, Volumes: cmd.Int("volumes"), Skew: cmd.Float("skew"), Shards: cmd.Int("shards"), MaxUnits: cmd.Int("units"),
-		Hosts: c.Settings.Logic.Hosts, Rate: cmd.Float("rate"), Length: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
+		Hosts: c.Settings.Logic.Brokers, Rate: cmd.Float("rate"), Length: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
 	for _, p := range c.Settings.Logic.Plans {
 		t.Plans = append(t.Plans, p.Name)
 	}
--- a/cmd/brokerbench/main_test.go
+++ b/cmd/brokerbench/main_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestMix(t *testing.T) {
-	classes := []scheduler.Class{{Name: "read", Effect: scheduler.Safe}, {Name: "write", Effect: scheduler.Unsafe}}
+	classes := []scheduler.Class{{Name: "read", Idempotency: scheduler.Idempotent}, {Name: "write", Idempotency: scheduler.NotIdempotent}}
 	kinds, err := kindsOf(classes, "write=2,read=1")
 	if err != nil || kinds[0].Share != 1 || kinds[1].Share != 2 || !kinds[1].Write || kinds[0].Write {
 		t.Errorf("%+v, %v", kinds, err)
--- a/cmd/brokerbench/spread.go
+++ b/cmd/brokerbench/spread.go
@@ -183,40 +183,40 @@
 
 // turns is package balancer.
 type turns struct {
-	group   *balancer.Group
-	members []*balancer.Member
+	group   *balancer.Balancer
+	members []*balancer.Replica
 }
 
 func newTurns(ordinal, brokers, nodes, size int) *turns {
-	w := &turns{group: balancer.NewGroup(balancer.Options{Own: fmt.Sprint("broker-", ordinal), Ordinal: ordinal, Brokers: brokers, Nodes: size, Alone: true})}
+	w := &turns{group: balancer.New(balancer.Options{Name: fmt.Sprint("broker-", ordinal), Ordinal: ordinal, Brokers: brokers, SubsetSize: size, NoGossip: true})}
 	for n := range nodes {
-		w.members = append(w.members, &balancer.Member{Name: fmt.Sprint("node-", n), Ref: n})
+		w.members = append(w.members, &balancer.Replica{Name: fmt.Sprint("node-", n), Ref: n})
 	}
-	w.group.Set(0, w.members)
+	w.group.SetReplicas(0, w.members)
 	return w
 }
 
 func (w *turns) choose(now time.Duration) int {
-	for m := range w.group.Order(now, false) {
+	for m := range w.group.Candidates(now, false) {
 		return m.Ref.(int)
 	}
 	return 0
 }
 
 func (w *turns) sent(now time.Duration, n int) {
-	w.members[n].Out++
-	w.group.Sent(now, w.members[n])
+	w.members[n].InFlight++
+	w.group.RecordSent(now, w.members[n])
 }
 
 func (w *turns) answered(now time.Duration, n int, took time.Duration, _ int) {
-	w.members[n].Out--
-	w.group.Answered(now, w.members[n], took)
+	w.members[n].InFlight--
+	w.group.RecordAnswer(now, w.members[n], took)
 }
 
 // ways are those that are weighed; "oracle" sees all nodes as they are.
 var ways = []string{"listed", "uniform", "least out", "two choices", "two by report", "least report", "subset", "rendezvous", "turns of all", "turns", "oracle"}
 
-const coverSize = balancer.DefaultNodes
+const coverSize = balancer.DefaultSubsetSize
 
 func newWay(name string, ordinal, brokers, nodes int, seed uint64) way {
 	t := &table{random: rand.New(rand.NewPCG(seed, uint64(ordinal))), out: make([]int, nodes), report: make([]float64, nodes), at: make([]time.Duration, nodes), since: make([]int, nodes)}
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -169,7 +169,7 @@
 	}
 	set := c.Settings.Logic
 	fmt.Printf("%s listens on %s: broker %d of %d, %d classes, %d plans\n", c.Name, c.Listen,
-		set.Ordinal, set.Hosts, len(set.Classes), len(set.Plans))
+		set.Ordinal, set.Brokers, len(set.Classes), len(set.Plans))
 	for sink, address := range map[string]string{"Graphite": c.Site.Graphite.Address, "collectd": c.Site.Collectd.Address} {
 		if address != "" {
 			fmt.Printf("figures to %s at %s\n", sink, address)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -21,7 +21,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := simwire.NewReader(in), simwire.NewWriter(out)
-	gateways := map[string]*scheduler.Gateway{}
+	gateways := map[string]*scheduler.Scheduler{}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -37,7 +37,7 @@
 }
 
 // answer routes a batch: the events of an instance since its last start go to it in one call.
-func answer(batch *simwire.Batch, gateways map[string]*scheduler.Gateway, writer *simwire.Writer) error {
+func answer(batch *simwire.Batch, gateways map[string]*scheduler.Scheduler, writer *simwire.Writer) error {
 	var order []string
 	events := map[string][]scheduler.Event{}
 	for _, item := range batch.Items {
@@ -75,7 +75,7 @@
 }
 
 // decide calls one gateway; a panic in it becomes FATAL with its text.
-func decide(who string, gateway *scheduler.Gateway, now scheduler.Time, events []scheduler.Event, writer *simwire.Writer) error {
+func decide(who string, gateway *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event, writer *simwire.Writer) error {
 	actions, failure := step(gateway, now, events)
 	if failure != "" {
 		return writer.Fatal(who, failure)
@@ -88,11 +88,11 @@
 	return nil
 }
 
-func step(gateway *scheduler.Gateway, now scheduler.Time, events []scheduler.Event) (actions []scheduler.Action, failure string) {
+func step(gateway *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event) (actions []scheduler.Action, failure string) {
 	defer func() {
 		if r := recover(); r != nil {
 			failure = fmt.Sprint("panic: ", r)
 		}
 	}()
-	return gateway.Step(now, events), ""
+	return gateway.Reduce(now, events), ""
 }
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -85,7 +85,7 @@
 // The core acts on its settings and on what is agreed, whichever is less; without a lease on the floors; and a class that the document
 // does not know may not be repeated.
 func TestEffective(t *testing.T) {
-	set := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Effect: scheduler.Unsafe}, {Name: "new"}},
+	set := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Idempotency: scheduler.NotIdempotent}, {Name: "new"}},
 		Plans: []scheduler.Plan{{Name: "gold", Limit: 900}, {Name: "free", Limit: 70}, {Name: "all"}}}
 	timing := clusterconfig.Timing{Lease: 1000, Drift: 500}
 	h := clusterconfig.NewHolder("h", 1, timing, rulesOf(limits))
@@ -95,14 +95,14 @@
 		t.Fatal("not granted")
 	}
 	got := effective(set, limits, h.View(30))
-	if got.Classes[0].Effect != scheduler.Safe || got.Classes[1].Effect != scheduler.Unsafe || got.Classes[2].Effect != scheduler.Unsafe || got.Plans[0].Limit != 900 || got.Plans[1].Limit != 70 {
+	if got.Classes[0].Idempotency != scheduler.Idempotent || got.Classes[1].Idempotency != scheduler.NotIdempotent || got.Classes[2].Idempotency != scheduler.NotIdempotent || got.Plans[0].Limit != 900 || got.Plans[1].Limit != 70 {
 		t.Errorf("%+v", got)
 	}
 	got = effective(set, limits, h.View(1010))
-	if got.Classes[0].Effect != scheduler.Unsafe || got.Plans[0].Limit != 100 || got.Plans[1].Limit != 70 || got.Plans[2].Limit != 0 {
+	if got.Classes[0].Idempotency != scheduler.NotIdempotent || got.Plans[0].Limit != 100 || got.Plans[1].Limit != 70 || got.Plans[2].Limit != 0 {
 		t.Errorf("without a lease: %+v", got)
 	}
-	if set.Classes[0].Effect != scheduler.Safe || set.Plans[0].Limit != 900 {
+	if set.Classes[0].Idempotency != scheduler.Idempotent || set.Plans[0].Limit != 900 {
 		t.Error("the broker's own settings were changed")
 	}
 }
@@ -111,26 +111,26 @@
 // discovery has it.
 func TestList(t *testing.T) {
 	node := func(host string, state scheduler.NodeState) broker.Node {
-		return broker.Node{NodeInfo: scheduler.NodeInfo{Node: host, State: state}}
+		return broker.Node{Endpoint: scheduler.Endpoint{Name: host, State: state}}
 	}
 	l := newList()
-	l.news(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Ready)}})
-	if changed := l.agree(map[string]bool{"a": true, "x": true}); len(changed) != 1 || changed[0].State != scheduler.Draining || changed[0].Node != "a" {
+	l.news(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Ready)}})
+	if changed := l.agree(map[string]bool{"a": true, "x": true}); len(changed) != 1 || changed[0].State != scheduler.Draining || changed[0].Name != "a" {
 		t.Errorf("%+v", changed)
 	}
-	shown, leave, stay := l.news(broker.Listed{Kind: scheduler.ListChanges, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Draining)}})
+	shown, leave, stay := l.news(broker.Listed{Kind: scheduler.DeltaUpdate, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Draining)}})
 	if shown.Nodes[0].State != scheduler.Draining || shown.Nodes[1].State != scheduler.Draining || !slices.Equal(leave, []string{"b"}) || len(stay) > 0 {
 		t.Errorf("%+v, %v, %v", shown, leave, stay)
 	}
 	if changed := l.agree(nil); len(changed) != 1 || changed[0].State != scheduler.Ready {
 		t.Errorf("%+v", changed)
 	}
-	shown, leave, stay = l.news(broker.Listed{Kind: scheduler.ListChanges, Nodes: []broker.Node{node("b", scheduler.Ready), node("a", scheduler.Gone)}})
-	if shown.Nodes[1].State != scheduler.Gone || len(leave) > 0 || !slices.Equal(stay, []string{"b", "a"}) {
+	shown, leave, stay = l.news(broker.Listed{Kind: scheduler.DeltaUpdate, Nodes: []broker.Node{node("b", scheduler.Ready), node("a", scheduler.Removed)}})
+	if shown.Nodes[1].State != scheduler.Removed || len(leave) > 0 || !slices.Equal(stay, []string{"b", "a"}) {
 		t.Errorf("%+v, %v, %v", shown, leave, stay)
 	}
 	l.agree(map[string]bool{"b": true})
-	l.news(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{node("c", scheduler.Ready)}})
+	l.news(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node("c", scheduler.Ready)}})
 	if changed := l.agree(map[string]bool{"b": true}); len(changed) > 0 || !reflect.DeepEqual(l.shown, map[string]bool{}) {
 		t.Errorf("%+v, %v", changed, l.shown)
 	}
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -208,7 +208,7 @@
 	s.o.Log.Info("acts", "epoch", is.epoch, "version", is.version, "preparing", is.preparing, "restricted", is.restricted, "before_us", now-last)
 	events := []broker.Event{broker.Retuned{Settings: effective(s.set, s.o.Limits, view)}}
 	if nodes := s.drains(view); len(nodes) > 0 {
-		events = append(events, broker.Listed{Kind: scheduler.ListChanges, Nodes: nodes})
+		events = append(events, broker.Listed{Kind: scheduler.DeltaUpdate, Nodes: nodes})
 	}
 	return events
 }
--- a/internal/agreement/settings.go
+++ b/internal/agreement/settings.go
@@ -55,7 +55,7 @@
 	values := map[string]string{}
 	for _, c := range set.Classes {
 		values[classKey+c.Name+repeatKey] = "yes"
-		if c.Effect == scheduler.Unsafe {
+		if c.Idempotency == scheduler.NotIdempotent {
 			values[classKey+c.Name+repeatKey] = "no"
 		}
 	}
@@ -83,7 +83,7 @@
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	for i := range set.Classes {
 		if c := &set.Classes[i]; view.Value(classKey+c.Name+repeatKey) != "yes" {
-			c.Effect = scheduler.Unsafe
+			c.Idempotency = scheduler.NotIdempotent
 		}
 	}
 	for i := range set.Plans {
@@ -124,12 +124,12 @@
 
 // news lays what is agreed over what discovery says, and tells which hosts discovery now says to leave, or no longer says so.
 func (l *list) news(e broker.Listed) (shown broker.Listed, leave, stay []string) {
-	if e.Kind == scheduler.ListFailed {
+	if e.Kind == scheduler.FailedUpdate {
 		return e, nil, nil
 	}
-	if e.Kind != scheduler.ListChanges {
+	if e.Kind != scheduler.DeltaUpdate {
 		for host := range l.nodes {
-			if !slices.ContainsFunc(e.Nodes, func(n broker.Node) bool { return n.Node == host }) {
+			if !slices.ContainsFunc(e.Nodes, func(n broker.Node) bool { return n.Name == host }) {
 				delete(l.nodes, host)
 				delete(l.shown, host)
 			}
@@ -138,24 +138,24 @@
 	shown = e
 	shown.Nodes = slices.Clone(e.Nodes)
 	for i, n := range e.Nodes {
-		old, known := l.nodes[n.Node]
+		old, known := l.nodes[n.Name]
 		switch {
-		case n.State == scheduler.Gone:
-			delete(l.nodes, n.Node)
-			delete(l.shown, n.Node)
-			stay = append(stay, n.Node) // nothing is to be said of it any more
+		case n.State == scheduler.Removed:
+			delete(l.nodes, n.Name)
+			delete(l.shown, n.Name)
+			stay = append(stay, n.Name) // nothing is to be said of it any more
 			continue
 		case n.State == scheduler.Draining && (!known || old.State != n.State):
-			leave = append(leave, n.Node)
+			leave = append(leave, n.Name)
 		case n.State == scheduler.Ready && known && old.State == scheduler.Draining:
-			stay = append(stay, n.Node)
+			stay = append(stay, n.Name)
 		}
-		l.nodes[n.Node] = n
-		if l.agreed[n.Node] && n.State == scheduler.Ready {
+		l.nodes[n.Name] = n
+		if l.agreed[n.Name] && n.State == scheduler.Ready {
 			shown.Nodes[i].State = scheduler.Draining
-			l.shown[n.Node] = true
+			l.shown[n.Name] = true
 		} else {
-			delete(l.shown, n.Node)
+			delete(l.shown, n.Name)
 		}
 	}
 	return shown, leave, stay
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -130,7 +130,7 @@
 	}{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen}, {"limits", c.Limits, other.Limits},
 		{"console", c.Console, other.Console}, {"local_address", c.Local, other.Local},
 		{"peer_listen", c.PeerListen, other.PeerListen}, {"peers", c.Peers, other.Peers}, {"peers_all", c.PeersAll, other.PeersAll},
-		{"settings.nInstances", c.Settings.Logic.Hosts, other.Settings.Logic.Hosts},
+		{"settings.nInstances", c.Settings.Logic.Brokers, other.Settings.Logic.Brokers},
 		{"settings.ordinal", c.Settings.Logic.Ordinal, other.Settings.Logic.Ordinal},
 		{"site", c.Site.ends(), other.Site.ends()}} {
 		if !reflect.DeepEqual(k.old, k.new) {
@@ -242,7 +242,7 @@
 		if class.Deadline <= 0 {
 			return fmt.Errorf("classes[%d].deadline: it is not above 0", i)
 		}
-		if class.Aim <= 0 {
+		if class.LatencyObjective <= 0 {
 			return fmt.Errorf("classes[%d].aim: it is not above 0", i)
 		}
 	}
@@ -256,16 +256,16 @@
 	if err := s.ranges(); err != nil {
 		return err
 	}
-	if s.Logic.Bounds.MaxAttempts < 1 {
-		return fmt.Errorf("bounds.maxAttempts: %d is not above 0", s.Logic.Bounds.MaxAttempts)
+	if s.Logic.Capabilities.MaxAttempts < 1 {
+		return fmt.Errorf("bounds.maxAttempts: %d is not above 0", s.Logic.Capabilities.MaxAttempts)
 	}
-	if s.Logic.Hosts < 1 {
-		return fmt.Errorf("nInstances: %d is below 1", s.Logic.Hosts)
+	if s.Logic.Brokers < 1 {
+		return fmt.Errorf("nInstances: %d is below 1", s.Logic.Brokers)
 	}
-	if s.Logic.Ordinal < 0 || s.Logic.Ordinal >= s.Logic.Hosts {
-		return fmt.Errorf("ordinal: %d is not below nInstances (%d)", s.Logic.Ordinal, s.Logic.Hosts)
+	if s.Logic.Ordinal < 0 || s.Logic.Ordinal >= s.Logic.Brokers {
+		return fmt.Errorf("ordinal: %d is not below nInstances (%d)", s.Logic.Ordinal, s.Logic.Brokers)
 	}
-	return s.Logic.Check()
+	return s.Logic.Validate()
 }
 
 // ranges names the key whose figure is below 0, before anything is served by it.
@@ -275,22 +275,22 @@
 		value float64
 	}
 	set := &s.Logic
-	r, b := set.Rules, set.Bounds
-	figures := []figure{{"invariants.answerSlack", float64(r.AnswerSlack)}, {"invariants.drainGrace", float64(r.DrainGrace)}, {"invariants.cold", float64(r.ColdTime)},
-		{"invariants.coldShare", r.ColdShare}, {"invariants.fall", float64(r.FallTime)}, {"invariants.fallMultiple", r.FallMultiple},
-		{"invariants.mustAskIn", float64(r.MustAskIn)}, {"invariants.keyQuiet", float64(r.KeyQuiet)}, {"invariants.extraFloor", r.BudgetFloor},
-		{"invariants.resendRatio", r.BudgetRatio}, {"invariants.ratioSpan", float64(r.BudgetSpan)}, {"bounds.maxRetryAfter", float64(b.MaxRetryAfter)},
-		{"specifics.usualUnits", set.MeanUnits}, {"specifics.maxUnits", set.MaxUnits}, {"specifics.youngLimit", set.ColdUnits},
-		{"specifics.usePeriod", float64(set.MeterPeriod)}, {"specifics.withinShare", set.ShareWorth}, {"specifics.idleWorth", set.SpareWorth}}
+	r, b := set.Rules, set.Capabilities
+	figures := []figure{{"invariants.answerSlack", float64(r.AnswerSlack)}, {"invariants.drainGrace", float64(r.DrainGrace)}, {"invariants.cold", float64(r.WarmUpTime)},
+		{"invariants.coldShare", r.InitialCapacity}, {"invariants.fall", float64(r.OverloadWindow)}, {"invariants.fallMultiple", r.OverloadMultiple},
+		{"invariants.mustAskIn", float64(r.PollDeadline)}, {"invariants.keyQuiet", float64(r.QuietPeriod)}, {"invariants.extraFloor", r.RetryBudgetMin},
+		{"invariants.resendRatio", r.RetryBudgetRatio}, {"invariants.ratioSpan", float64(r.RetryBudgetWindow)}, {"bounds.maxRetryAfter", float64(b.MaxRetryAfter)},
+		{"specifics.usualUnits", set.MeanUnits}, {"specifics.maxUnits", set.MaxUnits}, {"specifics.youngLimit", set.SlowStartUnits},
+		{"specifics.usePeriod", float64(set.MeterPeriod)}, {"specifics.withinShare", set.ShareWeight}, {"specifics.idleWorth", set.SpareWeight}}
 	for i, c := range set.Classes {
 		at := fmt.Sprintf("classes[%d].", i)
-		figures = append(figures, figure{at + "window", float64(c.Window)}, figure{at + "importance", c.Worth}, figure{at + "lateWorth", c.LateWorth},
-			figure{at + "aimStretch", c.AimStretch})
+		figures = append(figures, figure{at + "window", float64(c.DedupWindow)}, figure{at + "importance", c.PriorityWeight}, figure{at + "lateWorth", c.LateWeight},
+			figure{at + "aimStretch", c.ObjectiveStretch})
 	}
 	for i, p := range set.Plans {
 		at := fmt.Sprintf("serviceLevels[%d].", i)
-		figures = append(figures, figure{at + "nominal", p.Rate}, figure{at + "floorRate", p.Reserve}, figure{at + "ceilingRate", p.Limit},
-			figure{at + "capDepth", p.LimitBurst}, figure{at + "tolerance", p.LimitSlack}, figure{at + "parts", p.Weight}, figure{at + "price", p.Price})
+		figures = append(figures, figure{at + "nominal", p.Rate}, figure{at + "floorRate", p.ReservedRate}, figure{at + "ceilingRate", p.Limit},
+			figure{at + "capDepth", p.LimitBurst}, figure{at + "tolerance", p.LimitOverdraft}, figure{at + "parts", p.Weight}, figure{at + "price", p.Price})
 	}
 	for _, f := range figures {
 		if f.value < 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 100, 1024}) || c.Known.Seq != 41 || c.Settings.ConnIdle != 30*broker.Second ||
-		c.Settings.ConnectTimeout != broker.Second/4 || c.Settings.Logic.Ordinal != 2 || c.Settings.Logic.Classes[1].Effect != scheduler.Unsafe ||
+		c.Settings.ConnectTimeout != broker.Second/4 || c.Settings.Logic.Ordinal != 2 || c.Settings.Logic.Classes[1].Idempotency != scheduler.NotIdempotent ||
 		c.Settings.Logic.Classes[0].Deadline != 750*time.Millisecond || c.Site.SFTP.Listen != "" {
 		t.Errorf("%+v", c)
 	}
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -20,7 +20,7 @@
 			"classes":[{"name":"a","aim":1000,"deadline":2000,"effect":"unsafe"}],"serviceLevels":[{"name":"p"}]}`,
 			func(s *Settings) bool {
 				c, r := s.Logic.Classes[0], s.Logic.Rules
-				return c.Effect == scheduler.Unsafe && c.AimStretch == 0 && !c.Ordered && r.BudgetSpan == 0 && r.KeyQuiet == 0 && s.Logic.Plans[0].Limit == 0 && !s.Logic.Subscribe
+				return c.Idempotency == scheduler.NotIdempotent && c.ObjectiveStretch == 0 && !c.Ordered && r.RetryBudgetWindow == 0 && r.QuietPeriod == 0 && s.Logic.Plans[0].Limit == 0 && !s.Logic.Subscribe
 			}},
 		{"keyed by zone and cell, in order, with a budget and a limit", `{"nInstances":300,"ordinal":299,"zone":"z4","bounds":{"maxAttempts":5,"secondCopies":true},"discovery":"subscribe",
 			"classes":[{"name":"put","aim":90000,"deadline":250000,"effect":"keyed","keyScope":"zone","window":800000,"byArrival":true},
@@ -29,12 +29,12 @@
 			func(s *Settings) bool {
 				c := s.Logic.Classes
 				return c[0].Scope == scheduler.ScopeZone && c[0].Ordered && c[1].Scope == scheduler.ScopeShard && c[2].Scope == scheduler.ScopeAll && s.Logic.Subscribe &&
-					s.Logic.Plans[0].LimitBurst == 40 && s.Logic.Rules.DrainGrace == 300*time.Millisecond && s.Logic.Rules.BudgetRatio == 0.1
+					s.Logic.Plans[0].LimitBurst == 40 && s.Logic.Rules.DrainGrace == 300*time.Millisecond && s.Logic.Rules.RetryBudgetRatio == 0.1
 			}},
 		{"a write that may repeat, and keys of a later age", `{"nInstances":2,"ordinal":1,"bounds":{"maxAttempts":2,"novelty":[1]},"novelty":{"deep":true},"zones":["only"],
 			"classes":[{"name":"w","aim":5,"deadline":5,"effect":"safe","novelty":"x"}],"serviceLevels":[{"name":"p"},{"name":"q","price":9}]}`,
 			func(s *Settings) bool {
-				return s.Logic.Classes[0].Effect == scheduler.Safe && s.Logic.Plans[1].Price == 9
+				return s.Logic.Classes[0].Idempotency == scheduler.Idempotent && s.Logic.Plans[1].Price == 9
 			}},
 	} {
 		s, err := ParseSettings([]byte(d.text))
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,7 +20,7 @@
 }
 
 var (
-	effects = map[string]scheduler.Effect{"safe": scheduler.Safe, "keyed": scheduler.Keyed, "unsafe": scheduler.Unsafe}
+	effects = map[string]scheduler.Idempotency{"safe": scheduler.Idempotent, "keyed": scheduler.IdempotentWithKey, "unsafe": scheduler.NotIdempotent}
 	scopes  = map[string]scheduler.Scope{
 		"": scheduler.ScopeAll, "all": scheduler.ScopeAll, "zone": scheduler.ScopeZone, "cell": scheduler.ScopeShard,
 	}
@@ -113,16 +113,16 @@
 	}
 	b, v, x := raw.Bounds, raw.Invariants, raw.Specifics
 	s := scheduler.Settings{
-		Hosts: raw.NInstances, Ordinal: raw.Ordinal, Zone: raw.Zone, Subscribe: raw.Discovery == "subscribe",
-		MeanUnits: x.UsualUnits, MaxUnits: x.MaxUnits, ColdUnits: x.YoungLimit,
-		MeterPeriod: x.UsePeriod.span(), ShareWorth: x.WithinShare, SpareWorth: x.IdleWorth,
-		Bounds: scheduler.Bounds{MaxAttempts: b.MaxAttempts, MaxRetryAfter: b.MaxRetryAfter.span(),
-			RetryAfter: b.RetryAfter, Cancel: b.Cancel, Peers: b.Peers, Probes: b.Probes,
-			SecondCopies: b.SecondCopies},
+		Brokers: raw.NInstances, Ordinal: raw.Ordinal, Zone: raw.Zone, Subscribe: raw.Discovery == "subscribe",
+		MeanUnits: x.UsualUnits, MaxUnits: x.MaxUnits, SlowStartUnits: x.YoungLimit,
+		MeterPeriod: x.UsePeriod.span(), ShareWeight: x.WithinShare, SpareWeight: x.IdleWorth,
+		Capabilities: scheduler.Capabilities{MaxAttempts: b.MaxAttempts, MaxRetryAfter: b.MaxRetryAfter.span(),
+			RetryAfter: b.RetryAfter, Cancel: b.Cancel, Peers: b.Peers, HealthChecks: b.Probes,
+			HedgedRequests: b.SecondCopies},
 		Rules: scheduler.Rules{AnswerSlack: v.AnswerSlack.span(), DrainGrace: v.DrainGrace.span(),
-			ColdTime: v.Cold.span(), ColdShare: v.ColdShare, FallTime: v.Fall.span(),
-			FallMultiple: v.FallMultiple, MustAskIn: v.MustAskIn.span(), KeyQuiet: v.KeyQuiet.span(),
-			BudgetFloor: v.ExtraFloor, BudgetRatio: v.ResendRatio, BudgetSpan: v.RatioSpan.span()},
+			WarmUpTime: v.Cold.span(), InitialCapacity: v.ColdShare, OverloadWindow: v.Fall.span(),
+			OverloadMultiple: v.FallMultiple, PollDeadline: v.MustAskIn.span(), QuietPeriod: v.KeyQuiet.span(),
+			RetryBudgetMin: v.ExtraFloor, RetryBudgetRatio: v.ResendRatio, RetryBudgetWindow: v.RatioSpan.span()},
 	}
 	for i, c := range raw.Classes {
 		effect, known := effects[c.Effect]
@@ -133,13 +133,13 @@
 		if !known {
 			return nil, fmt.Errorf("classes[%d].keyScope: %q is neither all, zone nor cell", i, c.KeyScope)
 		}
-		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, Aim: c.Aim.span(), AimStretch: c.AimStretch,
-			Deadline: c.Deadline.span(), Worth: c.Importance, LateWorth: c.LateWorth, Effect: effect, Scope: scope,
-			Window: c.Window.span(), Ordered: c.ByArrival, Stream: c.Stream})
+		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, LatencyObjective: c.Aim.span(), ObjectiveStretch: c.AimStretch,
+			Deadline: c.Deadline.span(), PriorityWeight: c.Importance, LateWeight: c.LateWorth, Idempotency: effect, Scope: scope,
+			DedupWindow: c.Window.span(), Ordered: c.ByArrival, Stream: c.Stream})
 	}
 	for _, p := range raw.ServiceLevels {
-		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.Nominal, Reserve: p.FloorRate,
-			Limit: p.CeilingRate, LimitBurst: p.CapDepth, LimitSlack: p.Tolerance, Weight: p.Parts, Price: p.Price})
+		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.Nominal, ReservedRate: p.FloorRate,
+			Limit: p.CeilingRate, LimitBurst: p.CapDepth, LimitOverdraft: p.Tolerance, Weight: p.Parts, Price: p.Price})
 	}
 	return &Settings{Logic: s, Shards: x.NShards, ConnIdle: broker.MicrosOf(b.ConnIdle.span()),
 		ConnectTimeout: broker.MicrosOf(b.ConnectTimeout.span())}, nil
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -52,7 +52,7 @@
 
 // Options are those of package balancer.
 func (s Spread) Options(name string) balancer.Options {
-	return balancer.Options{Off: s.Off, Nodes: s.Nodes, Away: s.Away, Trial: s.Trial, Alone: s.NoPeers, Own: name}
+	return balancer.Options{Disabled: s.Off, SubsetSize: s.Nodes, MaxEjectedShare: s.Away, TrialShare: s.Trial, NoGossip: s.NoPeers, Name: name}
 }
 
 // Admission is when requests are refused for want of room or processor.
--- a/internal/conformance/leavers_test.go
+++ b/internal/conformance/leavers_test.go
@@ -58,7 +58,7 @@
 			close(w.up)
 		}
 	})
-	w.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Weight: 1}, Address: node.Addr().String()}}})
+	w.loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: node.Addr().String()}}})
 	ln := listen(t)
 	w.address = ln.Addr().String()
 	f := resp.NewFront(w.loop, resp.NewTerms(settings(), 0), 64, 64, budget, logging.Discard())
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -35,15 +35,15 @@
 var waits = map[kind]time.Duration{read: 900 * time.Millisecond, write: time.Second, listing: 1500 * time.Millisecond}
 
 func settings() scheduler.Settings {
-	class := func(name string, k kind, effect scheduler.Effect) scheduler.Class {
-		return scheduler.Class{Name: name, Aim: waits[k] - 100*time.Millisecond, Deadline: waits[k], Worth: 1, Effect: effect}
+	class := func(name string, k kind, effect scheduler.Idempotency) scheduler.Class {
+		return scheduler.Class{Name: name, LatencyObjective: waits[k] - 100*time.Millisecond, Deadline: waits[k], PriorityWeight: 1, Idempotency: effect}
 	}
-	return scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, ColdUnits: coldUnits,
-		Classes: []scheduler.Class{class("read", read, scheduler.Safe), class("write", write, scheduler.Unsafe), class("list", listing, scheduler.Safe)},
-		Plans:   []scheduler.Plan{{Name: "plan", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
-		Bounds:  scheduler.Bounds{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules: scheduler.Rules{AnswerSlack: 50 * time.Millisecond, DrainGrace: drainGrace, ColdTime: 10 * time.Second,
-			ColdShare: 0.2, FallTime: 3 * time.Second, FallMultiple: 4}}
+	return scheduler.Settings{Brokers: 1, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: coldUnits,
+		Classes:      []scheduler.Class{class("read", read, scheduler.Idempotent), class("write", write, scheduler.NotIdempotent), class("list", listing, scheduler.Idempotent)},
+		Plans:        []scheduler.Plan{{Name: "plan", Rate: 1000, ReservedRate: 1000, Weight: 1, Price: 1}},
+		Capabilities: scheduler.Capabilities{MaxAttempts: 3, Cancel: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Rules: scheduler.Rules{AnswerSlack: 50 * time.Millisecond, DrainGrace: drainGrace, WarmUpTime: 10 * time.Second,
+			InitialCapacity: 0.2, OverloadWindow: 3 * time.Second, OverloadMultiple: 4}}
 }
 
 // unitsOf is the size of a request of a stand-in client: those named c… are large.
@@ -107,7 +107,7 @@
 	for _, name := range []string{"n1", "n2"} {
 		ln := listen(t)
 		go accept(ln, func(conn net.Conn) { p.node(conn, name, b.world) })
-		b.nodes = append(b.nodes, broker.Node{NodeInfo: scheduler.NodeInfo{Node: name, Weight: 1}, Address: ln.Addr().String()})
+		b.nodes = append(b.nodes, broker.Node{Endpoint: scheduler.Endpoint{Name: name, Weight: 1}, Address: ln.Addr().String()})
 	}
 	ln := listen(t)
 	b.address = ln.Addr().String()
@@ -139,14 +139,14 @@
 }
 
 func (b *bench) list(nodes ...broker.Node) {
-	b.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: nodes})
+	b.loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: nodes})
 }
 
 // drain tells the broker that one node drains.
 func (b *bench) drain(name string) {
 	nodes := append([]broker.Node(nil), b.nodes...)
 	for i := range nodes {
-		if nodes[i].Node == name {
+		if nodes[i].Name == name {
 			nodes[i].State = scheduler.Draining
 		}
 	}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -48,13 +48,13 @@
 			k.close()
 		}
 	}()
-	c.Settings.Logic.Spread = c.Site.Spread.Options(c.Name)
+	c.Settings.Logic.Balancer = c.Site.Spread.Options(c.Name)
 	state, err := broker.NewState(c.Settings.Logic, c.Seed)
 	if err != nil {
 		return nil, err
 	}
 	outside := broker.Outside{Log: log, Admission: gate}
-	if c.PeerListen != "" && c.Settings.Logic.Bounds.Peers {
+	if c.PeerListen != "" && c.Settings.Logic.Capabilities.Peers {
 		if k.link, err = peer.Open(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Logic.Ordinal); err != nil {
 			return nil, err
 		}
@@ -110,10 +110,10 @@
 		}
 		listed = k.members.Discovery
 		if known != nil {
-			k.members.Known(known.Event(scheduler.ListCached, k.clock))
+			k.members.Known(known.Event(scheduler.CachedUpdate, k.clock))
 		}
 	} else if known != nil {
-		k.post(known.Event(scheduler.ListCached, k.clock))
+		k.post(known.Event(scheduler.CachedUpdate, k.clock))
 	}
 	go k.loop.Run(ctx)
 	if k.agreement != nil {
@@ -136,7 +136,7 @@
 // watch is what a configuration says of the watch of discovery.
 func (k *control) watch(c *config.Config) discovery.Options {
 	set := c.Settings.Logic
-	return discovery.Options{Brokers: set.Hosts, Grace: set.Rules.DrainGrace, Asked: set.Subscribe, Local: net.ParseIP(c.Local), Log: k.log}
+	return discovery.Options{Brokers: set.Brokers, Grace: set.Rules.DrainGrace, Asked: set.Subscribe, Local: net.ParseIP(c.Local), Log: k.log}
 }
 
 // agreed are the figures of the agreed document.
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -121,7 +121,7 @@
 
 // The same for what the console tells of spreading.
 func TestSpreadAnswers(t *testing.T) {
-	parts := []scheduler.Part{{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Part: 0.75, Why: ""}, {Node: "b", Shard: 1, Weight: 2, Factor: 0.25, Part: 0.25, Why: "slow"}}
+	parts := []scheduler.NodeShare{{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Share: 0.75, Reason: ""}, {Node: "b", Shard: 1, Weight: 2, Factor: 0.25, Share: 0.25, Reason: "slow"}}
 	checkGolden(t, "nodes-spread.txt", spreadText(parts))
 	checkGolden(t, "vars-spread.txt", fmt.Appendf(nil, "%v\n", spreadFigures(parts)))
 }
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -82,7 +82,7 @@
 
 // Probe implements broker.Transport.
 func (nowhere) Probe(_ string, done func(broker.Result)) {
-	go done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: errors.New("a process for control sends nothing")}, Load: scheduler.NoLoad})
+	go done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: errors.New("a process for control sends nothing")}, Load: scheduler.NoLoadReport})
 }
 
 // CloseIdle implements broker.Transport.
@@ -102,7 +102,7 @@
 		}
 		class, volume := set.Classes[random.IntN(len(set.Classes))], random.IntN(max(1, d.Volumes))
 		k.loop.Submit(&broker.Request{Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprintf("%016x", volume), Units: 1,
-			Shard: random.IntN(max(1, k.config.Settings.Shards)), Hosts: set.Hosts, Wait: broker.MicrosOf(class.Deadline), Write: class.Effect != scheduler.Safe}, func(broker.Final) {})
+			Shard: random.IntN(max(1, k.config.Settings.Shards)), Hosts: set.Brokers, Wait: broker.MicrosOf(class.Deadline), Write: class.Idempotency != scheduler.Idempotent}, func(broker.Final) {})
 	}
 }
 
@@ -116,12 +116,12 @@
 func (d *drawn) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
 	a.Written()
 	took := time.Duration(d.random.ExpFloat64() * float64(d.answer))
-	return (*pending)(time.AfterFunc(took, func() { done(broker.Result{Load: scheduler.NoLoad}) }))
+	return (*pending)(time.AfterFunc(took, func() { done(broker.Result{Load: scheduler.NoLoadReport}) }))
 }
 
 // Probe implements broker.Transport.
 func (d *drawn) Probe(_ string, done func(broker.Result)) {
-	go done(broker.Result{Load: scheduler.NoLoad})
+	go done(broker.Result{Load: scheduler.NoLoadReport})
 }
 
 // CloseIdle implements broker.Transport.
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -255,7 +255,7 @@
 // terms, the core knows.
 func (s *service) follow(c *config.Config) {
 	set := c.Settings
-	set.Logic.Spread = s.config.Site.Spread.Options(s.config.Name) // as at the start
+	set.Logic.Balancer = s.config.Site.Spread.Options(s.config.Name) // as at the start
 	if s.agreement != nil {
 		s.agreement.Settings(set.Logic)
 	} else {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,7 +42,7 @@
 }
 
 var states = map[string]scheduler.NodeState{
-	"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining, "DELETED": scheduler.Gone,
+	"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining, "DELETED": scheduler.Removed,
 }
 
 // ParseList reads a list's JSON.
@@ -77,11 +77,11 @@
 }
 
 // Event turns a list into the core's event.
-func (l *List) Event(kind scheduler.ListKind, clock *broker.Clock) broker.Listed {
+func (l *List) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.Listed {
 	event := broker.Listed{Kind: kind, Version: l.Seq}
 	for _, h := range l.Hosts {
 		event.Nodes = append(event.Nodes, broker.Node{
-			NodeInfo: scheduler.NodeInfo{Node: h.Host, Zone: h.Site, Kind: h.Class, Shard: h.Block, State: h.State, Weight: h.Share},
+			Endpoint: scheduler.Endpoint{Name: h.Host, Zone: h.Site, Kind: h.Class, Shard: h.Block, State: h.State, Weight: h.Share},
 			Address:  h.Dial, Born: clock.At(h.BornMS)})
 	}
 	return event
@@ -204,7 +204,7 @@
 	w.whole.Seq = news.Seq
 	for _, h := range news.Hosts {
 		w.whole.Hosts = slices.DeleteFunc(w.whole.Hosts, func(old Host) bool { return old.Host == h.Host })
-		if h.State != scheduler.Gone {
+		if h.State != scheduler.Removed {
 			w.whole.Hosts = append(w.whole.Hosts, h)
 		}
 	}
@@ -308,9 +308,9 @@
 func (w *Watcher) take(list *List, clock *broker.Clock, post func(broker.Event)) {
 	w.add(list)
 	if list.Whole {
-		post(list.Event(scheduler.ListFull, clock))
+		post(list.Event(scheduler.FullUpdate, clock))
 	} else if len(list.Hosts) > 0 {
-		post(list.Event(scheduler.ListChanges, clock))
+		post(list.Event(scheduler.DeltaUpdate, clock))
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -24,9 +24,9 @@
 	if err != nil || l.Seq != 41 || !l.Whole || len(l.Hosts) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	e := l.Event(scheduler.ListFull, broker.NewClock())
+	e := l.Event(scheduler.FullUpdate, broker.NewClock())
 	n := e.Nodes[0]
-	if n.Node != "a" || n.Address != "10.1.0.18:6379" || n.Zone != "a" || n.Kind != "m2" || n.Shard != 3 || n.State != scheduler.Ready || n.Weight != 1.5 || n.Born != 0 {
+	if n.Name != "a" || n.Address != "10.1.0.18:6379" || n.Zone != "a" || n.Kind != "m2" || n.Shard != 3 || n.State != scheduler.Ready || n.Weight != 1.5 || n.Born != 0 {
 		t.Errorf("%+v", n)
 	}
 	for _, text := range []string{`{`, `{"hosts":[{"host":"a","health":"UP"}]}`, `{"hosts":[{"health":"SERVING"}]}`} {
@@ -62,10 +62,10 @@
 	go NewWatcher(server.Listener.Addr().String(), Options{Brokers: 1, Log: logging.Func(func(line string) { t.Log(line) })}).Run(ctx, broker.NewClock(), func(e broker.Event) { events <- e })
 	for i, step := range []struct {
 		index, answer string
-		kind          scheduler.ListKind
+		kind          scheduler.UpdateKind
 		news          bool
-	}{{"", wholeText, scheduler.ListFull, true}, {"41", changeText, scheduler.ListChanges, true}, {"43", quietText, 0, false},
-		{"43", "", 0, false}, {"43", quietText, 0, false}, {"43", "cut", 0, false}, {"43", "cut", 0, false}, {"", strings.Replace(wholeText, "41", "44", 1), scheduler.ListFull, true}, {"44", changeText, scheduler.ListChanges, true}} {
+	}{{"", wholeText, scheduler.FullUpdate, true}, {"41", changeText, scheduler.DeltaUpdate, true}, {"43", quietText, 0, false},
+		{"43", "", 0, false}, {"43", quietText, 0, false}, {"43", "cut", 0, false}, {"43", "cut", 0, false}, {"", strings.Replace(wholeText, "41", "44", 1), scheduler.FullUpdate, true}, {"44", changeText, scheduler.DeltaUpdate, true}} {
 		select {
 		case index := <-queries:
 			if index != step.index {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -224,7 +224,7 @@
 	}
 	older := w.leavers(list(`{"seq":7,"whole":true,"hosts":[{"host":"a","block":3,"health":"DRAINING"},{"host":"b","block":1,"health":"SERVING"},{"host":"c","health":"DELETED"}]}`))
 	w.take(older, clock, post)
-	if len(posted) != 2 || posted[1].Kind != scheduler.ListChanges || len(posted[1].Nodes) != 1 || posted[1].Nodes[0].Node != "a" || posted[1].Nodes[0].State != scheduler.Draining {
+	if len(posted) != 2 || posted[1].Kind != scheduler.DeltaUpdate || len(posted[1].Nodes) != 1 || posted[1].Nodes[0].Name != "a" || posted[1].Nodes[0].State != scheduler.Draining {
 		t.Errorf("%+v", posted)
 	}
 	if held := w.Held(); held.Seq != 41 || len(held.Hosts) != 1 {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -19,7 +19,7 @@
 	List: &discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Host{
 		{Host: "a", Dial: "127.0.0.1:7001", Site: "z1", Class: "ssd", Block: 3, State: scheduler.Ready, Share: 0.5, BornMS: 1700000000123},
 		{Host: "b", Dial: "127.0.0.1:7002", State: scheduler.Draining, Share: 1},
-		{Host: "c", State: scheduler.Gone},
+		{Host: "c", State: scheduler.Removed},
 	}},
 	Opened: []string{"id-1", "id-2"},
 	Ended:  []string{"id-0"},
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -179,7 +179,7 @@
 func entriesOf(l broker.Listed) []membership.Entry {
 	var all []membership.Entry
 	for _, n := range l.Nodes {
-		all = append(all, membership.Entry{Name: n.Node, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, Share: n.Weight,
+		all = append(all, membership.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, Share: n.Weight,
 			State: membership.Health(n.State), Born: int64(n.Born)})
 	}
 	return all
@@ -202,7 +202,7 @@
 	if name == "" {
 		return
 	}
-	m.answer(context.Background(), name, membership.Answered{Asked: int64(m.clock.Now()), Whole: l.Kind != scheduler.ListChanges, Entries: entriesOf(l)})
+	m.answer(context.Background(), name, membership.Answered{Asked: int64(m.clock.Now()), Whole: l.Kind != scheduler.DeltaUpdate, Entries: entriesOf(l)})
 }
 
 func (m *Members) answer(ctx context.Context, name string, a membership.Answered) {
@@ -237,13 +237,13 @@
 		return
 	}
 	m.version++
-	e := broker.Listed{Kind: scheduler.ListChanges, Version: m.version}
+	e := broker.Listed{Kind: scheduler.DeltaUpdate, Version: m.version}
 	if m.version == 1 {
-		e.Kind = scheduler.ListFull
+		e.Kind = scheduler.FullUpdate
 	}
 	for _, n := range change.Nodes {
-		e.Nodes = append(e.Nodes, broker.Node{NodeInfo: scheduler.NodeInfo{Node: n.Name, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, State: scheduler.NodeState(n.State),
-			Weight: n.Share, Part: n.Part, Priority: n.Priority}, Address: n.Address, Born: broker.Micros(n.Born)})
+		e.Nodes = append(e.Nodes, broker.Node{Endpoint: scheduler.Endpoint{Name: n.Name, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, State: scheduler.NodeState(n.State),
+			Weight: n.Share, TrafficWeight: n.Part, Priority: n.Priority}, Address: n.Address, Born: broker.Micros(n.Born)})
 	}
 	m.post(e)
 	if m.snapshot != nil {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -41,14 +41,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := e.(broker.Listed)
-	if l.Kind == scheduler.ListFull {
+	if l.Kind == scheduler.FullUpdate {
 		clear(c.nodes)
 	}
 	for _, n := range l.Nodes {
-		if n.State == scheduler.Gone {
-			delete(c.nodes, n.Node)
+		if n.State == scheduler.Removed {
+			delete(c.nodes, n.Name)
 		} else {
-			c.nodes[n.Node] = n
+			c.nodes[n.Name] = n
 		}
 	}
 	select {
@@ -127,7 +127,7 @@
 	}
 	c.await("a b c")
 	c.mu.Lock()
-	if n := c.nodes["b.example.org"]; n.Priority != 1 || n.Part != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.Born != 0 {
+	if n := c.nodes["b.example.org"]; n.Priority != 1 || n.TrafficWeight != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.Born != 0 {
 		t.Errorf("%+v", n)
 	}
 	c.mu.Unlock()
@@ -147,7 +147,7 @@
 	d.Play(fakes.Honest)
 	d.Set(service, 1, zone("a", "b")...)
 	c.await("a b")
-	c.m.Discovery(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "s-1"}, Address: "10.0.0.97:6379"}, {NodeInfo: scheduler.NodeInfo{Node: "s-9"}, Address: "10.0.0.9:1"}}})
+	c.m.Discovery(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "s-1"}, Address: "10.0.0.97:6379"}, {Endpoint: scheduler.Endpoint{Name: "s-9"}, Address: "10.0.0.9:1"}}})
 	c.await("a b s-9") // one address is one node
 	d.Set(service, 1, zone("b")...)
 	c.await("b s-9")
--- a/internal/members/snapshot_golden_test.go
+++ b/internal/members/snapshot_golden_test.go
@@ -62,7 +62,7 @@
 	if err := m.Follow(config.Membership{Sources: []config.MemberSource{{Name: "list", Kind: "discovery"}}}); err != nil {
 		t.Fatal(err)
 	}
-	m.Discovery(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
+	m.Discovery(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
 	lines := strings.Split(string(m.Text()), "\n")
 	for i, want := range map[int]string{
 		0: "node address shard zone state priority part up s held by why",
--- a/internal/resp/admission_test.go
+++ b/internal/resp/admission_test.go
@@ -21,8 +21,8 @@
 // admissionServer serves a front with room for so many connections, whose admission control lets so many requests wait, and whose loop is never turned.
 func admissionServer(t *testing.T, room, most int) (*Front, net.Conn) {
 	t.Helper()
-	set := scheduler.Settings{Hosts: 1, Classes: []scheduler.Class{{Name: "read", Aim: 150 * time.Millisecond}},
-		Bounds: scheduler.Bounds{RetryAfter: true, MaxRetryAfter: time.Second}}
+	set := scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: 150 * time.Millisecond}},
+		Capabilities: scheduler.Capabilities{RetryAfter: true, MaxRetryAfter: time.Second}}
 	state, err := broker.NewState(set, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -48,10 +48,10 @@
 
 // NewTerms takes the terms from the settings.
 func NewTerms(set scheduler.Settings, shards int) Terms {
-	t := Terms{Classes: map[string]bool{}, Plans: map[string]bool{}, MaxUnits: set.MaxUnits, Shards: shards, Hosts: set.Hosts, MaxWait: time.Minute}
-	if set.Bounds.RetryAfter && len(set.Classes) > 0 {
-		aim := slices.MinFunc(set.Classes, func(a, b scheduler.Class) int { return cmp.Compare(a.Aim, b.Aim) }).Aim
-		t.After = broker.MicrosOf(min(aim, set.Bounds.MaxRetryAfter))
+	t := Terms{Classes: map[string]bool{}, Plans: map[string]bool{}, MaxUnits: set.MaxUnits, Shards: shards, Hosts: set.Brokers, MaxWait: time.Minute}
+	if set.Capabilities.RetryAfter && len(set.Classes) > 0 {
+		aim := slices.MinFunc(set.Classes, func(a, b scheduler.Class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) }).LatencyObjective
+		t.After = broker.MicrosOf(min(aim, set.Capabilities.MaxRetryAfter))
 	}
 	for _, c := range set.Classes {
 		t.Classes[c.Name] = true
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -62,14 +62,14 @@
 }
 
 func (a *attempt) serve(value string) {
-	a.done(broker.Result{Value: []byte(value), Load: scheduler.NoLoad})
+	a.done(broker.Result{Value: []byte(value), Load: scheduler.NoLoadReport})
 }
 
 func newEnding(t *testing.T) *ending {
-	set := scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8,
-		Classes: []scheduler.Class{{Name: "read", Aim: 5 * time.Second, Deadline: 10 * time.Second, Worth: 1}},
-		Plans:   []scheduler.Plan{{Name: "plan", Rate: 1e6, Reserve: 1e6, Weight: 1, Price: 1}},
-		Bounds:  scheduler.Bounds{MaxAttempts: 3}}
+	set := scheduler.Settings{Brokers: 1, MeanUnits: 2, MaxUnits: 8,
+		Classes:      []scheduler.Class{{Name: "read", LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}},
+		Plans:        []scheduler.Plan{{Name: "plan", Rate: 1e6, ReservedRate: 1e6, Weight: 1, Price: 1}},
+		Capabilities: scheduler.Capabilities{MaxAttempts: 3}}
 	state, err := broker.NewState(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go e.loop.Run(ctx)
-	e.loop.Post(broker.Listed{Kind: scheduler.ListFull, Version: 1, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
+	e.loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
 	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	if e.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/internal/resp/nodes.go
+++ b/internal/resp/nodes.go
@@ -79,7 +79,7 @@
 		result, _, err := readReply(r)
 		return result, err
 	}
-	result := broker.Result{Load: scheduler.NoLoad}
+	result := broker.Result{Load: scheduler.NoLoadReport}
 	text, err := readBulk(r, maxLine)
 	readFigures(text, &result)
 	return result, err
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -81,7 +81,7 @@
 // readReply reads a node's answer to a command up to its value, or up to the head of a long one, and tells what
 // stands behind that. An error means that the connection is of no more use.
 func readReply(r *bufio.Reader) (result broker.Result, left rest, err error) {
-	result = broker.Result{Load: scheduler.NoLoad}
+	result = broker.Result{Load: scheduler.NoLoadReport}
 	line, err := readLine(r)
 	if err != nil {
 		return result, left, err
@@ -156,15 +156,15 @@
 		case "inflight", "busy_reqs":
 			load.InFlight = x
 		case "queue", "pending":
-			load.Queue = x
+			load.Queued = x
 		case "util", "cpu_share":
-			load.Busy = x
+			load.Utilization = x
 		case "latency_ms", "svc_ms":
-			load.Service = time.Duration(min(x, 1e9) * float64(time.Millisecond))
+			load.ServiceTime = time.Duration(min(x, 1e9) * float64(time.Millisecond))
 		case "qps", "served_ps":
-			load.Served = x
+			load.ServedRate = x
 		case "eps", "failed_ps":
-			load.Failed = x
+			load.ErrorRate = x
 		}
 	}
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-var testTerms = NewTerms(scheduler.Settings{Hosts: 3, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}, 6)
+var testTerms = NewTerms(scheduler.Settings{Brokers: 3, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}, 6)
 
 // What no settings allow is turned away before the core hears of it.
 func TestTerms(t *testing.T) {
@@ -359,7 +359,7 @@
 
 // newServer serves a front whose loop is never turned, so that requests wait.
 func newServer(t *testing.T) (*Front, string) {
-	state, err := broker.NewState(scheduler.Settings{Hosts: 1, Classes: []scheduler.Class{{Name: "read", Aim: time.Second}}}, 1)
+	state, err := broker.NewState(scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -544,7 +544,7 @@
 
 // A refusal of that kind is counted as others are, and none is given while the processor is not the bound.
 func TestCrowdIsRefused(t *testing.T) {
-	set := scheduler.Settings{Hosts: 1, Classes: []scheduler.Class{{Name: "w", Aim: time.Second, Deadline: time.Second}}}
+	set := scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "w", LatencyObjective: time.Second, Deadline: time.Second}}}
 	state, err := broker.NewState(set, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -125,9 +125,9 @@
 			}()
 		}
 	}()
-	state, err := broker.NewState(scheduler.Settings{Hosts: 3, MaxUnits: 8, MeanUnits: 2, Bounds: scheduler.Bounds{MaxAttempts: 1},
-		Classes: []scheduler.Class{{Name: "read", Aim: 5 * time.Second, Deadline: 6 * time.Second, Worth: 1}},
-		Plans:   []scheduler.Plan{{Name: "gold", Rate: 100, Reserve: 100, Weight: 1, Price: 1}}}, 1)
+	state, err := broker.NewState(scheduler.Settings{Brokers: 3, MaxUnits: 8, MeanUnits: 2, Capabilities: scheduler.Capabilities{MaxAttempts: 1},
+		Classes: []scheduler.Class{{Name: "read", LatencyObjective: 5 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1}},
+		Plans:   []scheduler.Plan{{Name: "gold", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
-	loop.Post(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{{NodeInfo: scheduler.NodeInfo{Node: "n", Shard: 5, Weight: 1},
+	loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Shard: 5, Weight: 1},
 		Address: ln.Addr().String()}}})
 	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	door, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sftp/nodes.go
+++ b/internal/sftp/nodes.go
@@ -126,7 +126,7 @@
 		_, err := x.ask(true, typeClose, text(handle))
 		return err
 	})
-	return broker.Result{Value: answer{kind: typeHandle}, Load: scheduler.NoLoad}, nil
+	return broker.Result{Value: answer{kind: typeHandle}, Load: scheduler.NoLoadReport}, nil
 }
 
 // transfer reads or writes. Opening has no effect of its own, since OPEN as the client sent it has been
@@ -189,7 +189,7 @@
 			_, err := x.ask(false, typeClose, text(handle))
 			return err
 		})
-		return broker.Result{Value: answer{kind: typeName, names: names}, Load: scheduler.NoLoad}, nil
+		return broker.Result{Value: answer{kind: typeName, names: names}, Load: scheduler.NoLoadReport}, nil
 	}
 }
 
@@ -207,7 +207,7 @@
 
 // result judges a node's packet. A status that settles the command is an answer like any other.
 func result(p packet, err error) (broker.Result, error) {
-	r := broker.Result{Load: scheduler.NoLoad}
+	r := broker.Result{Load: scheduler.NoLoadReport}
 	if err != nil {
 		return r, err
 	}
--- a/internal/sftp/plan.go
+++ b/internal/sftp/plan.go
@@ -70,7 +70,7 @@
 		switch {
 		case class == nil:
 			return fmt.Errorf("command.%s.class: no class %q in the settings", name, terms.Class)
-		case changes[name] && class.Effect != scheduler.Unsafe:
+		case changes[name] && class.Idempotency != scheduler.NotIdempotent:
 			return fmt.Errorf("command.%s.class: %q may run twice, the command may not", name, terms.Class)
 		case terms.WaitMS < 0 || terms.WaitMS > math.MaxInt32:
 			return fmt.Errorf("command.%s.wait_ms: %d is out of range", name, terms.WaitMS)
@@ -94,10 +94,10 @@
 			return fmt.Errorf("volume[%d].plan: no plan %q in the settings", i, v.Plan)
 		case v.Shard < 0:
 			return fmt.Errorf("volume[%d].shard: %d is below 0", i, v.Shard)
-		case v.Hosts < 0 || v.Hosts > set.Hosts:
-			return fmt.Errorf("volume[%d].hosts: %d is not within the %d brokers", i, v.Hosts, set.Hosts)
+		case v.Hosts < 0 || v.Hosts > set.Brokers:
+			return fmt.Errorf("volume[%d].hosts: %d is not within the %d brokers", i, v.Hosts, set.Brokers)
 		case v.Hosts == 0:
-			v.Hosts = set.Hosts
+			v.Hosts = set.Brokers
 		}
 	}
 	return nil
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -34,9 +34,9 @@
 	message(typeRead, 7, text("none"), offset(0), number(10)), message(typeClose, 8, text("\x00\x00\x00\x00\x00\x00\x00\x01")))
 
 func testPlan(t testing.TB) *Plan {
-	set := scheduler.Settings{Hosts: 1, MaxUnits: 8, Plans: []scheduler.Plan{{Name: "plan"}}, Classes: []scheduler.Class{
-		{Name: "read", Aim: time.Second, Deadline: 2 * time.Second},
-		{Name: "write", Aim: time.Second, Deadline: 2 * time.Second, Effect: scheduler.Unsafe}}}
+	set := scheduler.Settings{Brokers: 1, MaxUnits: 8, Plans: []scheduler.Plan{{Name: "plan"}}, Classes: []scheduler.Class{
+		{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second},
+		{Name: "write", LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: scheduler.NotIdempotent}}}
 	terms := map[Command]Terms{}
 	for _, c := range Commands {
 		terms[c] = Terms{Class: "read"}
@@ -54,7 +54,7 @@
 
 // testFront serves one end of a pipe; its loop is never turned, so requests wait.
 func testFront(t testing.TB) (*Front, *session, net.Conn) {
-	state, err := broker.NewState(scheduler.Settings{Hosts: 1, Classes: []scheduler.Class{{Name: "read", Aim: time.Second}}}, 1)
+	state, err := broker.NewState(scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -48,17 +48,17 @@
 
 func actionText(who string, action scheduler.Action) string {
 	switch a := action.(type) {
-	case scheduler.Send:
+	case scheduler.Forward:
 		return fmt.Sprintf("SUBMIT_TO %s %d %s %s", who, a.ID, a.Node, spanText(a.Timeout))
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		return fmt.Sprintf("TURN_AWAY %s %d %s", who, a.ID, spanText(a.After))
 	case scheduler.Fail:
 		return fmt.Sprintf("REPORT_FAILURE %s %d", who, a.ID)
 	case scheduler.Cancel:
 		return fmt.Sprintf("UNDO_SEND %s %d %d", who, a.ID, a.Attempt)
-	case scheduler.Probe:
+	case scheduler.HealthCheck:
 		return fmt.Sprintf("TOUCH %s %s", who, a.Node)
-	case scheduler.Tell:
+	case scheduler.SendToPeer:
 		peer := "all"
 		if a.Peer != scheduler.AllPeers {
 			peer = fmt.Sprint(a.Peer)
@@ -70,15 +70,15 @@
 		return fmt.Sprintf("ANNOUNCE %s %s %s", who, peer, data)
 	case scheduler.SetTimer:
 		return fmt.Sprintf("NOTIFY_ME %s %d %d", who, a.Token, a.After.Microseconds())
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		on := 0
 		if a.On {
 			on = 1
 		}
 		return fmt.Sprintf("LISTEN %s %d", who, on)
-	case scheduler.FetchList:
+	case scheduler.FetchEndpoints:
 		return fmt.Sprintf("LIST_ALL %s", who)
-	case scheduler.CloseIdle:
+	case scheduler.CloseIdleConnections:
 		return fmt.Sprintf("FREE_LINKS %s %s", who, a.Node)
 	case scheduler.Log:
 		return fmt.Sprintf("NOTE_DOWN %s %s", who, oneLine(a.Text))
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -49,14 +49,14 @@
 type Reader struct {
 	scan  *bufio.Scanner
 	line  int
-	lists map[int][]scheduler.NodeInfo
+	lists map[int][]scheduler.Endpoint
 }
 
 // NewReader reads batches from r.
 func NewReader(r io.Reader) *Reader {
 	scan := bufio.NewScanner(r)
 	scan.Buffer(make([]byte, 64<<10), maxLine)
-	return &Reader{scan: scan, lists: map[int][]scheduler.NodeInfo{}}
+	return &Reader{scan: scan, lists: map[int][]scheduler.Endpoint{}}
 }
 
 // Next returns the next batch, or io.EOF at the end of the input between batches.
@@ -157,36 +157,36 @@
 	switch kind {
 	case "KNOCK":
 		return scheduler.Request{ID: f.whole(1 << 52), Class: f.word(), Plan: f.word(), Key: f.word(),
-			Remaining: f.span(), Volume: f.word(), Units: f.number(), Shard: f.signed(), Hosts: f.signed(),
+			Remaining: f.span(), Volume: f.word(), Units: f.number(), Shard: f.signed(), Brokers: f.signed(),
 			Retry: f.flag(), Write: f.flag()}
 	case "ALARM":
-		return scheduler.Timer{Token: f.whole(1 << 63)}
+		return scheduler.TimerFired{Token: f.whole(1 << 63)}
 	case "TIMED_OUT_CLIENT":
 		return scheduler.ClientGone{ID: f.whole(1 << 52)}
 	case "SAMPLED":
-		return scheduler.ProbeResult{Took: f.span(), Node: f.word(), Outcome: choose(f, outcomes), Load: f.load()}
+		return scheduler.HealthCheckResult{Latency: f.span(), Node: f.word(), Outcome: choose(f, outcomes), Load: f.load()}
 	case "WHISPER":
 		return scheduler.PeerMessage{From: f.signed(), Data: f.bytes()}
 	case "ENDED":
 		return scheduler.AttemptEnded{ID: f.whole(1 << 52), Attempt: f.signed(), Node: f.word(),
-			Outcome: choose(f, outcomes), Took: f.span(), Finished: f.flag(), Used: f.signed(),
-			Elsewhere: f.number(), Load: f.load()}
+			Outcome: choose(f, outcomes), Latency: f.span(), Finished: f.flag(), RateUsed: f.signed(),
+			ServedElsewhere: f.number(), Load: f.load()}
 	default: // HEADERS, the last of fieldCounts
-		return scheduler.AnswerStarted{ID: f.whole(1 << 52), Node: f.word(), Took: f.span(), Attempt: f.signed()}
+		return scheduler.ResponseStarted{ID: f.whole(1 << 52), Node: f.word(), Latency: f.span(), Attempt: f.signed()}
 	}
 }
 
 var (
 	outcomes = map[string]scheduler.Outcome{
 		"success": scheduler.Success, "failure": scheduler.Failure, "overloaded": scheduler.Overloaded,
-		"timed_out": scheduler.TimedOut, "unreachable": scheduler.Unreachable, "broken": scheduler.Broken,
-		"withdrawn": scheduler.Withdrawn, "void": scheduler.Void,
+		"timed_out": scheduler.TimedOut, "unreachable": scheduler.Unreachable, "broken": scheduler.ConnectionBroken,
+		"withdrawn": scheduler.Canceled, "void": scheduler.NotSent,
 	}
-	listKinds = map[string]scheduler.ListKind{
-		"delta": scheduler.ListChanges, "full": scheduler.ListFull, "cached": scheduler.ListCached, "failed": scheduler.ListFailed,
+	listKinds = map[string]scheduler.UpdateKind{
+		"delta": scheduler.DeltaUpdate, "full": scheduler.FullUpdate, "cached": scheduler.CachedUpdate, "failed": scheduler.FailedUpdate,
 	}
 	nodeStates = map[string]scheduler.NodeState{
-		"in_service": scheduler.Ready, "terminating": scheduler.Draining, "terminated": scheduler.Gone,
+		"in_service": scheduler.Ready, "terminating": scheduler.Draining, "terminated": scheduler.Removed,
 	}
 )
 
@@ -197,7 +197,7 @@
 	if f.err != nil {
 		return fmt.Errorf("LIST: %w", f.err)
 	}
-	var nodes []scheduler.NodeInfo
+	var nodes []scheduler.Endpoint
 	for range rows {
 		text, err := r.read()
 		if err != nil {
@@ -207,8 +207,8 @@
 		if f.word() != "M" {
 			return fmt.Errorf("LIST: want %d rows, have %.40q after %d", rows, text, len(nodes))
 		}
-		nodes = append(nodes, scheduler.NodeInfo{Node: f.word(), Zone: f.word(), Kind: f.word(),
-			Shard: f.signed(), State: choose(f, nodeStates), Weight: f.number(), UpSince: f.span()})
+		nodes = append(nodes, scheduler.Endpoint{Name: f.word(), Zone: f.word(), Kind: f.word(),
+			Shard: f.signed(), State: choose(f, nodeStates), Weight: f.number(), StartedAt: f.span()})
 		if f.err != nil {
 			return fmt.Errorf("LIST row: %w", f.err)
 		}
@@ -218,9 +218,9 @@
 }
 
 func (r *Reader) membership(f *fields) scheduler.Event {
-	list := scheduler.NodeList{Kind: choose(f, listKinds), Version: f.whole(math.MaxUint64)}
+	list := scheduler.EndpointUpdate{Kind: choose(f, listKinds), Version: f.whole(math.MaxUint64)}
 	sheet := f.word()
-	if list.Kind == scheduler.ListFailed || f.err != nil {
+	if list.Kind == scheduler.FailedUpdate || f.err != nil {
 		return list
 	}
 	number, err := strconv.Atoi(sheet)
@@ -228,7 +228,7 @@
 	if err != nil || !known {
 		f.fail("list %q was never sent", sheet)
 	}
-	list.Nodes = nodes
+	list.Endpoints = nodes
 	return list
 }
 
@@ -322,8 +322,8 @@
 	return data
 }
 
-func (f *fields) load() scheduler.Load {
-	load := scheduler.NoLoad
+func (f *fields) load() scheduler.LoadReport {
+	load := scheduler.NoLoadReport
 	text := f.word()
 	if text == "" {
 		return load
@@ -339,15 +339,15 @@
 		case "busy_reqs":
 			load.InFlight = x
 		case "pending":
-			load.Queue = x
+			load.Queued = x
 		case "cpu_share":
-			load.Busy = x
+			load.Utilization = x
 		case "svc_ms":
-			load.Service = time.Duration(x * float64(time.Millisecond))
+			load.ServiceTime = time.Duration(x * float64(time.Millisecond))
 		case "served_ps":
-			load.Served = x
+			load.ServedRate = x
 		case "failed_ps":
-			load.Failed = x
+			load.ErrorRate = x
 		}
 	}
 	return load
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -46,34 +46,34 @@
 		t.Fatalf("batch at %v, number %d, %d items", batch.Now, batch.Number, len(batch.Items))
 	}
 	start := batch.Items[0].Start
-	want := scheduler.Settings{Hosts: 3, Ordinal: 1, Zone: "a", Subscribe: true, MeanUnits: 2, MaxUnits: 8, ColdUnits: 70,
-		ShareWorth: 0.3, SpareWorth: 0.1,
-		Classes: []scheduler.Class{{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 3,
-			Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 3 * time.Second, Ordered: true}},
-		Plans:  []scheduler.Plan{{Name: "low", Rate: 5, Reserve: 2.5, Limit: 37, LimitBurst: 60, LimitSlack: 8, Weight: 1, Price: 0.9}},
-		Bounds: scheduler.Bounds{MaxAttempts: 3, MaxRetryAfter: time.Second, Cancel: true, Peers: true},
-		Rules:  scheduler.Rules{ColdShare: 0.2, FallTime: 2 * time.Second, BudgetFloor: 3, BudgetRatio: 0.15, BudgetSpan: 5 * time.Second}}
+	want := scheduler.Settings{Brokers: 3, Ordinal: 1, Zone: "a", Subscribe: true, MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 70,
+		ShareWeight: 0.3, SpareWeight: 0.1,
+		Classes: []scheduler.Class{{Name: "put", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 3,
+			Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeShard, DedupWindow: 3 * time.Second, Ordered: true}},
+		Plans:        []scheduler.Plan{{Name: "low", Rate: 5, ReservedRate: 2.5, Limit: 37, LimitBurst: 60, LimitOverdraft: 8, Weight: 1, Price: 0.9}},
+		Capabilities: scheduler.Capabilities{MaxAttempts: 3, MaxRetryAfter: time.Second, Cancel: true, Peers: true},
+		Rules:        scheduler.Rules{InitialCapacity: 0.2, OverloadWindow: 2 * time.Second, RetryBudgetMin: 3, RetryBudgetRatio: 0.15, RetryBudgetWindow: 5 * time.Second}}
 	if start.Seed != 77 || !reflect.DeepEqual(start.Settings, want) {
 		t.Errorf("settings are %+v", start.Settings)
 	}
-	load := scheduler.NoLoad
-	load.Service = 14500 * time.Microsecond
-	busy := scheduler.NoLoad
-	busy.Busy, busy.InFlight = 0.5, 7
+	load := scheduler.NoLoadReport
+	load.ServiceTime = 14500 * time.Microsecond
+	busy := scheduler.NoLoadReport
+	busy.Utilization, busy.InFlight = 0.5, 7
 	events := []scheduler.Event{
-		scheduler.NodeList{Kind: scheduler.ListCached, Version: 9, Nodes: []scheduler.NodeInfo{
-			{Node: "10.0.0.1:80", Zone: "a", Kind: "std", Shard: 4, Weight: 1.5},
-			{Node: "10.0.0.2:80", Zone: "b", Kind: "std", Shard: 5, State: scheduler.Draining, Weight: 1, UpSince: 4 * time.Millisecond}}},
-		scheduler.NodeList{Kind: scheduler.ListFailed, Version: 9},
+		scheduler.EndpointUpdate{Kind: scheduler.CachedUpdate, Version: 9, Endpoints: []scheduler.Endpoint{
+			{Name: "10.0.0.1:80", Zone: "a", Kind: "std", Shard: 4, Weight: 1.5},
+			{Name: "10.0.0.2:80", Zone: "b", Kind: "std", Shard: 5, State: scheduler.Draining, Weight: 1, StartedAt: 4 * time.Millisecond}}},
+		scheduler.EndpointUpdate{Kind: scheduler.FailedUpdate, Version: 9},
 		scheduler.Request{ID: 12, Class: "put", Plan: "low", Key: "91f03b7c55d20a64", Remaining: 240 * time.Millisecond,
-			Volume: "vol", Units: 2.5, Shard: -1, Hosts: 3, Retry: true, Write: true},
-		scheduler.Timer{Token: 1},
+			Volume: "vol", Units: 2.5, Shard: -1, Brokers: 3, Retry: true, Write: true},
+		scheduler.TimerFired{Token: 1},
 		scheduler.ClientGone{ID: 12},
-		scheduler.ProbeResult{Node: "10.0.0.1:80", Took: 1400 * time.Microsecond, Load: load},
+		scheduler.HealthCheckResult{Node: "10.0.0.1:80", Latency: 1400 * time.Microsecond, Load: load},
 		scheduler.PeerMessage{From: 2, Data: []byte("hi 7")},
-		scheduler.AttemptEnded{ID: 12, Node: "10.0.0.1:80", Outcome: scheduler.Overloaded, Took: 900 * time.Microsecond,
-			Used: 86, Elsewhere: 3.5, Load: busy},
-		scheduler.AnswerStarted{ID: 12, Node: "10.0.0.1:80", Took: 9250 * time.Microsecond},
+		scheduler.AttemptEnded{ID: 12, Node: "10.0.0.1:80", Outcome: scheduler.Overloaded, Latency: 900 * time.Microsecond,
+			RateUsed: 86, ServedElsewhere: 3.5, Load: busy},
+		scheduler.ResponseStarted{ID: 12, Node: "10.0.0.1:80", Latency: 9250 * time.Microsecond},
 	}
 	for i, event := range events {
 		if got := batch.Items[i+1].Event; !reflect.DeepEqual(got, event) {
@@ -117,11 +117,11 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for _, action := range []scheduler.Action{
-		scheduler.Send{ID: 1, Node: "a:1", Timeout: 80 * time.Millisecond}, scheduler.Send{ID: 1, Node: "a:1"},
-		scheduler.Refuse{ID: 2, After: time.Second}, scheduler.Refuse{ID: 2}, scheduler.Fail{ID: 3}, scheduler.Cancel{ID: 4, Attempt: 2},
-		scheduler.Probe{Node: "a:1"}, scheduler.Tell{Peer: scheduler.AllPeers, Data: []byte("hi 7")}, scheduler.Tell{Peer: 2},
-		scheduler.SetTimer{Token: 7, After: time.Millisecond}, scheduler.Watch{On: true}, scheduler.Watch{}, scheduler.FetchList{},
-		scheduler.CloseIdle{Node: "a:1"}, scheduler.Log{Text: "one\nline"},
+		scheduler.Forward{ID: 1, Node: "a:1", Timeout: 80 * time.Millisecond}, scheduler.Forward{ID: 1, Node: "a:1"},
+		scheduler.Reject{ID: 2, After: time.Second}, scheduler.Reject{ID: 2}, scheduler.Fail{ID: 3}, scheduler.Cancel{ID: 4, Attempt: 2},
+		scheduler.HealthCheck{Node: "a:1"}, scheduler.SendToPeer{Peer: scheduler.AllPeers, Data: []byte("hi 7")}, scheduler.SendToPeer{Peer: 2},
+		scheduler.SetTimer{Token: 7, After: time.Millisecond}, scheduler.WatchEndpoints{On: true}, scheduler.WatchEndpoints{}, scheduler.FetchEndpoints{},
+		scheduler.CloseIdleConnections{Node: "a:1"}, scheduler.Log{Text: "one\nline"},
 	} {
 		if err := w.Act("g", action); err != nil {
 			t.Fatal(err)
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -140,13 +140,13 @@
 }
 
 func (t *runner) run(ctx context.Context, a *attempt) (result broker.Result) {
-	result = broker.Result{Reply: broker.Errored, Load: scheduler.NoLoad}
+	result = broker.Result{Reply: broker.Errored, Load: scheduler.NoLoadReport}
 	defer func() {
 		if p := recover(); p != nil { // a handler's fault ends its request only
 			result.Err = &broker.AttemptError{Progress: broker.WrittenWhole, Err: fmt.Errorf("panic: %v", p)}
 		}
 		if a.notRun.Load() {
-			result = broker.Result{Reply: broker.TurnedAway, Load: scheduler.NoLoad}
+			result = broker.Result{Reply: broker.TurnedAway, Load: scheduler.NoLoadReport}
 		}
 	}()
 	r := t.request.Clone(ctx)
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -19,19 +19,19 @@
 )
 
 func newLoop(ctx context.Context) *broker.Loop {
-	class := func(name string, e scheduler.Effect) scheduler.Class {
-		return scheduler.Class{Name: name, Aim: 400 * time.Millisecond, Deadline: 500 * time.Millisecond, Worth: 1, Effect: e}
+	class := func(name string, e scheduler.Idempotency) scheduler.Class {
+		return scheduler.Class{Name: name, LatencyObjective: 400 * time.Millisecond, Deadline: 500 * time.Millisecond, PriorityWeight: 1, Idempotency: e}
 	}
-	state, err := broker.NewState(scheduler.Settings{Hosts: 1, MeanUnits: 1, MaxUnits: 8,
-		Classes: []scheduler.Class{class("read", scheduler.Safe), class("write", scheduler.Unsafe)},
-		Plans:   []scheduler.Plan{{Name: "plan", Rate: 100, Reserve: 100, Weight: 1, Price: 1}},
-		Bounds:  scheduler.Bounds{MaxAttempts: 3, MaxRetryAfter: 5 * time.Second, RetryAfter: true, Cancel: true}}, 1)
+	state, err := broker.NewState(scheduler.Settings{Brokers: 1, MeanUnits: 1, MaxUnits: 8,
+		Classes:      []scheduler.Class{class("read", scheduler.Idempotent), class("write", scheduler.NotIdempotent)},
+		Plans:        []scheduler.Plan{{Name: "plan", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}},
+		Capabilities: scheduler.Capabilities{MaxAttempts: 3, MaxRetryAfter: 5 * time.Second, RetryAfter: true, Cancel: true}}, 1)
 	if err != nil {
 		panic(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{})
-	loop.Post(broker.Listed{Kind: scheduler.ListFull, Nodes: []broker.Node{
-		{NodeInfo: scheduler.NodeInfo{Node: "n1"}, Address: "192.0.2.1:80"}}})
+	loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{
+		{Endpoint: scheduler.Endpoint{Name: "n1"}, Address: "192.0.2.1:80"}}})
 	go loop.Run(ctx)
 	return loop
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -26,8 +26,8 @@
 	Burst float64 // units that the store holds, with those by which it may be overdrawn
 }
 
-// Part is one process's part of a Limit. The zero value is an empty part since time 0, without a limit.
-type Part struct {
+// Quota is one process's part of a Limit. The zero value is an empty part since time 0, without a limit.
+type Quota struct {
 	limit Limit
 	share float64
 	level float64 // units that it has
@@ -37,24 +37,24 @@
 	each  map[uint64]float64 // of them, by request; nil for none
 }
 
-// NewPart returns a part that is empty now.
-func NewPart(now Time) Part { return Part{at: now} }
+// New returns a part that is empty now.
+func New(now Time) Quota { return Quota{at: now} }
 
-// Fill brings a part up to now, by the limit and share of the last call, and goes over to those given: a limit or a share that rises
+// Refill brings a part up to now, by the limit and share of the last call, and goes over to those given: a limit or a share that rises
 // gives nothing for the time before.
-func (p *Part) Fill(now Time, limit Limit, share float64) {
+func (p *Quota) Refill(now Time, limit Limit, share float64) {
 	p.level += p.limit.Rate * p.share * (now - p.at).Seconds()
 	p.level = min(p.level, p.limit.Burst*p.share-p.aloft, limit.Burst*share-p.aloft)
 	p.limit, p.share, p.at = limit, share, now
 }
 
-// Bears tells whether so many units may be taken now.
-func (p *Part) Bears(units float64) bool {
+// Allows tells whether so many units may be taken now.
+func (p *Quota) Allows(units float64) bool {
 	return p.limit.Rate <= 0 || p.level >= units
 }
 
 // Take takes a request's units, which are on their way from now on. Without a limit nothing is noted.
-func (p *Part) Take(request uint64, units float64) {
+func (p *Quota) Take(request uint64, units float64) {
 	if p.limit.Rate <= 0 {
 		return
 	}
@@ -65,8 +65,8 @@
 	p.level, p.aloft = p.level-units, p.aloft+units
 }
 
-// Arrive notes that what a request took has arrived, or never will. It is for each request that took something, and may come again.
-func (p *Part) Arrive(request uint64) (units float64) {
+// Settle notes that what a request took has arrived, or never will. It is for each request that took something, and may come again.
+func (p *Quota) Settle(request uint64) (units float64) {
 	units = p.each[request]
 	delete(p.each, request)
 	if p.aloft -= units; len(p.each) == 0 {
@@ -75,5 +75,5 @@
 	return units
 }
 
-// Return gives back what a request took, where it counts for nothing.
-func (p *Part) Return(request uint64) { p.level += p.Arrive(request) }
+// Refund gives back what a request took, where it counts for nothing.
+func (p *Quota) Refund(request uint64) { p.level += p.Settle(request) }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -28,11 +28,11 @@
 
 // process is one that sends as much as its part bears.
 type process struct {
-	part Part
+	part Quota
 	out  map[uint64]Time // when what a request took arrives
 }
 
-func newProcess(now Time) *process { return &process{NewPart(now), map[uint64]Time{}} }
+func newProcess(now Time) *process { return &process{New(now), map[uint64]Time{}} }
 
 // play has hosts send all they may for a while: each has a process, beside which another may start at any time and after which one
 // or the other ends, killed with units on their way. delay draws how late units arrive, and limit may change on the way.
@@ -68,12 +68,12 @@
 			for _, p := range live[host] {
 				for id, at := range p.out {
 					if at <= now {
-						p.part.Arrive(id)
+						p.part.Settle(id)
 						delete(p.out, id)
 					}
 				}
-				p.part.Fill(now, s.limit, share)
-				for p.part.Bears(units) {
+				p.part.Refill(now, s.limit, share)
+				for p.part.Allows(units) {
 					id++
 					p.part.Take(id, units)
 					at := now + step + delay.Truncate(step)
@@ -127,14 +127,14 @@
 func TestSumSeesWholeParts(t *testing.T) {
 	limit := Limit{Rate: 36, Burst: 56}
 	s := &store{limit: limit, level: limit.Burst, late: map[Time]float64{}}
-	two := []Part{NewPart(0), NewPart(0)}
+	two := []Quota{New(0), New(0)}
 	for now := Time(0); now < 10*time.Second; now += step {
 		s.pass(now)
 		for i := range two {
-			two[i].Fill(now, limit, 1)
-			for two[i].Bears(1) {
+			two[i].Refill(now, limit, 1)
+			for two[i].Allows(1) {
 				two[i].Take(uint64(now), 1)
-				two[i].Arrive(uint64(now))
+				two[i].Settle(uint64(now))
 				s.late[now+step]++
 			}
 		}
@@ -166,29 +166,29 @@
 
 // A share or a rate that rises gives nothing for the time before; one that falls counts at once. What is given back was never taken.
 func TestRefillFollowsWhatHeld(t *testing.T) {
-	p := NewPart(0)
+	p := New(0)
 	low, high := Limit{Rate: 10, Burst: 100}, Limit{Rate: 1000, Burst: 100}
-	p.Fill(0, low, 0.5)
-	p.Fill(time.Second, high, 1)
+	p.Refill(0, low, 0.5)
+	p.Refill(time.Second, high, 1)
 	if math.Abs(p.level-5) > 1e-9 {
 		t.Errorf("%v units after a second at 5 a second", p.level)
 	}
-	p.Fill(2*time.Second, high, 0.25)
+	p.Refill(2*time.Second, high, 0.25)
 	if p.level != 25 {
 		t.Errorf("%v units in a quarter of 100", p.level)
 	}
 	p.Take(1, 20)
 	p.Take(2, 5)
-	p.Return(1)
-	p.Return(1)
-	p.Arrive(2)
+	p.Refund(1)
+	p.Refund(1)
+	p.Settle(2)
 	if p.level != 20 || p.aloft != 0 {
 		t.Errorf("%v units and %v on their way, want 20 and 0", p.level, p.aloft)
 	}
-	free := NewPart(0)
-	free.Fill(time.Second, Limit{}, 1)
+	free := New(0)
+	free.Refill(time.Second, Limit{}, 1)
 	free.Take(1, 1e9)
-	if !free.Bears(1e9) || free.each != nil {
+	if !free.Allows(1e9) || free.each != nil {
 		t.Error("a volume without a limit is held to one")
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -14,30 +14,30 @@
 	for _, hosts := range []int{10, 200} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
 			set := plain()
-			set.Hosts, set.Bounds.Peers = hosts, true
+			set.Brokers, set.Capabilities.Peers = hosts, true
 			g, err := scheduler.New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := 100 * second
-			var nodes []scheduler.NodeInfo
+			var nodes []scheduler.Endpoint
 			for i := range 40 {
-				nodes = append(nodes, scheduler.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Shard: i})
+				nodes = append(nodes, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Shard: i})
 			}
-			g.Step(now, []scheduler.Event{scheduler.NodeList{Kind: scheduler.ListFull, Nodes: nodes}})
+			g.Reduce(now, []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: nodes}})
 			next := now
 			for i := range b.N {
 				now += 20 * time.Millisecond
 				shard := i % 40
 				events := []scheduler.Event{scheduler.Request{ID: uint64(i + 1), Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%12),
-					Units: 2, Shard: shard, Hosts: 8, Remaining: 2 * second}}
+					Units: 2, Shard: shard, Brokers: 8, Remaining: 2 * second}}
 				if now >= next {
-					events, next = append(events, scheduler.Timer{Token: 1}), now+50*time.Millisecond
+					events, next = append(events, scheduler.TimerFired{Token: 1}), now+50*time.Millisecond
 				}
-				for _, action := range g.Step(now, events) {
-					if send, ok := action.(scheduler.Send); ok {
-						g.Step(now+time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{ID: send.ID, Node: send.Node,
-							Took: time.Millisecond, Finished: true, Load: scheduler.NoLoad}})
+				for _, action := range g.Reduce(now, events) {
+					if send, ok := action.(scheduler.Forward); ok {
+						g.Reduce(now+time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{ID: send.ID, Node: send.Node,
+							Latency: time.Millisecond, Finished: true, Load: scheduler.NoLoadReport}})
 					}
 				}
 			}
@@ -50,26 +50,26 @@
 	for _, count := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprint("nodes=", count), func(b *testing.B) {
 			set := plain()
-			set.Hosts, set.Bounds.Peers = 930, true
+			set.Brokers, set.Capabilities.Peers = 930, true
 			g, err := scheduler.New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := 100 * second
-			var nodes []scheduler.NodeInfo
+			var nodes []scheduler.Endpoint
 			for i := range count {
-				nodes = append(nodes, scheduler.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Shard: i})
+				nodes = append(nodes, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Shard: i})
 			}
-			g.Step(now, []scheduler.Event{scheduler.NodeList{Kind: scheduler.ListFull, Nodes: nodes}})
+			g.Reduce(now, []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: nodes}})
 			for i := range b.N {
 				now += 25 * time.Millisecond
-				events := []scheduler.Event{scheduler.Timer{Token: 1}}
+				events := []scheduler.Event{scheduler.TimerFired{Token: 1}}
 				if i%4 == 0 {
-					events = append(events, scheduler.Request{ID: uint64(i + 1), Class: "read", Plan: "high", Volume: "v", Units: 2, Shard: i % count, Hosts: 8, Remaining: 2 * second})
+					events = append(events, scheduler.Request{ID: uint64(i + 1), Class: "read", Plan: "high", Volume: "v", Units: 2, Shard: i % count, Brokers: 8, Remaining: 2 * second})
 				}
-				for _, action := range g.Step(now, events) {
-					if send, ok := action.(scheduler.Send); ok {
-						g.Step(now+time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{ID: send.ID, Node: send.Node, Took: time.Millisecond, Finished: true, Load: scheduler.NoLoad}})
+				for _, action := range g.Reduce(now, events) {
+					if send, ok := action.(scheduler.Forward); ok {
+						g.Reduce(now+time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{ID: send.ID, Node: send.Node, Latency: time.Millisecond, Finished: true, Load: scheduler.NoLoadReport}})
 					}
 				}
 			}
--- a/scheduler/checker_test.go
+++ b/scheduler/checker_test.go
@@ -45,11 +45,11 @@
 	if !t.ended {
 		return true
 	}
-	return t.outcome != scheduler.Overloaded && t.outcome != scheduler.Unreachable && t.outcome != scheduler.Void
+	return t.outcome != scheduler.Overloaded && t.outcome != scheduler.Unreachable && t.outcome != scheduler.NotSent
 }
 
 type listed struct {
-	scheduler.NodeInfo
+	scheduler.Endpoint
 	leftAt scheduler.Time // when the gateway was told that it leaves, -1 if it was not
 	bornAt scheduler.Time // when it started as far as told, -1 for long ago
 	sends  []load         // units above zero were sent, below zero served
@@ -111,7 +111,7 @@
 			}
 		case scheduler.AttemptEnded:
 			c.seeEnd(e)
-		case scheduler.NodeList:
+		case scheduler.EndpointUpdate:
 			c.seeList(e)
 		}
 	}
@@ -130,29 +130,29 @@
 	}
 	if !r.class.Ordered {
 		// its key is in no order
-	} else if e.Outcome == scheduler.TimedOut || e.Outcome == scheduler.Broken || e.Outcome == scheduler.Withdrawn {
-		c.quiet[r.Key] = max(c.quiet[r.Key], c.now+c.set.Rules.KeyQuiet)
+	} else if e.Outcome == scheduler.TimedOut || e.Outcome == scheduler.ConnectionBroken || e.Outcome == scheduler.Canceled {
+		c.quiet[r.Key] = max(c.quiet[r.Key], c.now+c.set.Rules.QuietPeriod)
 	}
 	if n := c.nodes[t.node]; n != nil && e.Outcome == scheduler.Success && t.at >= n.bornAt {
 		n.sends = append(n.sends, load{c.now, -r.Units})
 	}
 }
 
-func (c *checker) seeList(e scheduler.NodeList) {
-	if e.Kind == scheduler.ListFailed {
+func (c *checker) seeList(e scheduler.EndpointUpdate) {
+	if e.Kind == scheduler.FailedUpdate {
 		return
 	}
 	named := map[string]bool{}
-	for _, info := range e.Nodes {
-		named[info.Node] = true
-		n := c.nodes[info.Node]
+	for _, info := range e.Endpoints {
+		named[info.Name] = true
+		n := c.nodes[info.Name]
 		if n == nil {
 			n = &listed{leftAt: -1, bornAt: -1}
-			c.nodes[info.Node] = n
+			c.nodes[info.Name] = n
 		}
-		n.NodeInfo = info
-		if info.UpSince > 0 {
-			n.bornAt = info.UpSince
+		n.Endpoint = info
+		if info.StartedAt > 0 {
+			n.bornAt = info.StartedAt
 		}
 		if info.State == scheduler.Ready {
 			n.leftAt = -1
@@ -161,7 +161,7 @@
 		}
 	}
 	for id, n := range c.nodes {
-		if e.Kind != scheduler.ListChanges && !named[id] && n.leftAt < 0 {
+		if e.Kind != scheduler.DeltaUpdate && !named[id] && n.leftAt < 0 {
 			n.leftAt = c.now
 		}
 	}
@@ -171,9 +171,9 @@
 func (c *checker) act(actions []scheduler.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case scheduler.Send:
+		case scheduler.Forward:
 			c.send(a)
-		case scheduler.Refuse:
+		case scheduler.Reject:
 			c.answer(a.ID, true)
 		case scheduler.Fail:
 			c.answer(a.ID, false)
@@ -201,7 +201,7 @@
 	}
 	r.over = true
 	r.answers++
-	if refusal && r.class.Effect != scheduler.Safe && !(r.class.Effect == scheduler.Keyed && r.class.Scope == scheduler.ScopeAll) {
+	if refusal && r.class.Idempotency != scheduler.Idempotent && !(r.class.Idempotency == scheduler.IdempotentWithKey && r.class.Scope == scheduler.ScopeAll) {
 		for _, t := range r.attempts {
 			if t.mayHaveRun() {
 				c.breaks("twice", "request %d is refused though it may have run", id)
@@ -211,7 +211,7 @@
 	}
 }
 
-func (c *checker) send(a scheduler.Send) {
+func (c *checker) send(a scheduler.Forward) {
 	r, n := c.requests[a.ID], c.nodes[a.Node]
 	switch {
 	case r == nil || r.over:
@@ -233,11 +233,11 @@
 }
 
 func (c *checker) checkEffect(r *watched, n *listed) {
-	if max := c.set.Bounds.MaxAttempts; max > 0 && len(r.attempts) >= max {
+	if max := c.set.Capabilities.MaxAttempts; max > 0 && len(r.attempts) >= max {
 		c.breaks("twice", "request %d has attempt %d", r.ID, len(r.attempts)+1)
 	}
 	for _, t := range r.attempts {
-		if !t.ended && !c.set.Bounds.SecondCopies {
+		if !t.ended && !c.set.Capabilities.HedgedRequests {
 			c.breaks("twice", "request %d has two attempts out", r.ID)
 		}
 	}
@@ -247,10 +247,10 @@
 		}
 		first := c.nodes[t.node]
 		switch {
-		case r.class.Effect == scheduler.Unsafe:
+		case r.class.Idempotency == scheduler.NotIdempotent:
 			c.breaks("twice", "unsafe request %d is sent again", r.ID)
-		case r.class.Effect != scheduler.Keyed:
-		case c.now > t.at+r.class.Window:
+		case r.class.Idempotency != scheduler.IdempotentWithKey:
+		case c.now > t.at+r.class.DedupWindow:
 			c.breaks("twice", "keyed request %d is sent after its window", r.ID)
 		case r.class.Scope == scheduler.ScopeZone && first.Zone != n.Zone, r.class.Scope == scheduler.ScopeShard && first.Shard != n.Shard:
 			c.breaks("twice", "keyed request %d leaves its group", r.ID)
@@ -281,7 +281,7 @@
 }
 
 func (c *checker) checkBudget(r *watched) {
-	span := c.set.Rules.BudgetSpan
+	span := c.set.Rules.RetryBudgetWindow
 	if span == 0 || len(r.attempts) == 0 {
 		return
 	}
@@ -294,7 +294,7 @@
 		}
 		return n
 	}
-	if within(c.extraAt) > c.set.Rules.BudgetFloor+c.set.Rules.BudgetRatio*within(c.takenAt)+1e-9 {
+	if within(c.extraAt) > c.set.Rules.RetryBudgetMin+c.set.Rules.RetryBudgetRatio*within(c.takenAt)+1e-9 {
 		c.breaks("budget", "%v further attempts, %v taken", within(c.extraAt), within(c.takenAt))
 	}
 }
@@ -305,7 +305,7 @@
 	if plan.Limit <= 0 || r.sentOnce {
 		return
 	}
-	hosts := math.Max(1, float64(min(r.Hosts, c.set.Hosts)))
+	hosts := math.Max(1, float64(min(r.Brokers, c.set.Brokers)))
 	p := c.limits[r.Volume]
 	if p == nil {
 		p = &part{at: 0}
@@ -313,28 +313,28 @@
 	}
 	p.left = min(plan.LimitBurst/hosts, p.left+plan.Limit/hosts*(c.now-p.at).Seconds()) - r.Units
 	p.at = c.now
-	if p.left < -plan.LimitSlack/hosts-1e-6 {
+	if p.left < -plan.LimitOverdraft/hosts-1e-6 {
 		c.breaks("limit", "volume %s is at %.1f", r.Volume, p.left)
 	}
 }
 
-// checkCold asks that what is sent within FallTime stays under what a node of that age surely does,
+// checkCold asks that what is sent within OverloadWindow stays under what a node of that age surely does,
 // which is at least what it served, plus this gateway's part of what it bears beyond.
 func (c *checker) checkCold(r *watched, n *listed) {
 	rules := c.set.Rules
 	n.sends = append(n.sends, load{c.now, r.Units})
-	if rules.FallTime == 0 || n.bornAt < 0 || c.now-n.bornAt > rules.ColdTime {
+	if rules.OverloadWindow == 0 || n.bornAt < 0 || c.now-n.bornAt > rules.WarmUpTime {
 		return
 	}
 	sum := 0.0
 	for _, l := range n.sends {
-		if c.now-l.at <= rules.FallTime && l.at >= n.bornAt {
+		if c.now-l.at <= rules.OverloadWindow && l.at >= n.bornAt {
 			sum += l.units
 		}
 	}
-	grown := 1 + (1-rules.ColdShare)/rules.ColdShare*float64(c.now-n.bornAt)/float64(rules.ColdTime)
-	if sum > c.set.ColdUnits*grown/float64(c.set.Hosts)+1e-6 {
-		c.breaks("cold", "node %s has %.1f units in hand at age %v", n.Node, sum, c.now-n.bornAt)
+	grown := 1 + (1-rules.InitialCapacity)/rules.InitialCapacity*float64(c.now-n.bornAt)/float64(rules.WarmUpTime)
+	if sum > c.set.SlowStartUnits*grown/float64(c.set.Brokers)+1e-6 {
+		c.breaks("cold", "node %s has %.1f units in hand at age %v", n.Name, sum, c.now-n.bornAt)
 	}
 }
 
--- a/scheduler/decision_text_test.go
+++ b/scheduler/decision_text_test.go
@@ -15,25 +15,25 @@
 func actionText(t testing.TB, action scheduler.Action) string {
 	t.Helper()
 	switch a := action.(type) {
-	case scheduler.Send:
+	case scheduler.Forward:
 		return fmt.Sprintf("send id=%d node=%q timeout=%d", a.ID, a.Node, int64(a.Timeout))
-	case scheduler.Refuse:
+	case scheduler.Reject:
 		return fmt.Sprintf("reject id=%d after=%d", a.ID, int64(a.After))
 	case scheduler.Fail:
 		return fmt.Sprintf("fail id=%d", a.ID)
 	case scheduler.Cancel:
 		return fmt.Sprintf("cancel id=%d attempt=%d", a.ID, a.Attempt)
-	case scheduler.Probe:
+	case scheduler.HealthCheck:
 		return fmt.Sprintf("probe node=%q", a.Node)
-	case scheduler.Tell:
+	case scheduler.SendToPeer:
 		return fmt.Sprintf("tell peer=%d data=%x", a.Peer, a.Data)
 	case scheduler.SetTimer:
 		return fmt.Sprintf("timer token=%d after=%d", a.Token, int64(a.After))
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		return fmt.Sprintf("watch on=%t", a.On)
-	case scheduler.FetchList:
+	case scheduler.FetchEndpoints:
 		return "fetch"
-	case scheduler.CloseIdle:
+	case scheduler.CloseIdleConnections:
 		return fmt.Sprintf("close-idle node=%q", a.Node)
 	case scheduler.Log:
 		return fmt.Sprintf("log text=%q", a.Text)
@@ -45,8 +45,8 @@
 // A field that the text leaves out could change without a red test. So each field of each kind of action has a key, and
 // another value of it another text.
 func TestDecisionsTextCoversFields(t *testing.T) {
-	kinds := []scheduler.Action{scheduler.Send{}, scheduler.Refuse{}, scheduler.Fail{}, scheduler.Cancel{}, scheduler.Probe{}, scheduler.Tell{}, scheduler.SetTimer{},
-		scheduler.Watch{}, scheduler.FetchList{}, scheduler.CloseIdle{}, scheduler.Log{}}
+	kinds := []scheduler.Action{scheduler.Forward{}, scheduler.Reject{}, scheduler.Fail{}, scheduler.Cancel{}, scheduler.HealthCheck{}, scheduler.SendToPeer{}, scheduler.SetTimer{},
+		scheduler.WatchEndpoints{}, scheduler.FetchEndpoints{}, scheduler.CloseIdleConnections{}, scheduler.Log{}}
 	words := map[string]bool{}
 	for _, kind := range kinds {
 		zero := actionText(t, kind)
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -38,8 +38,8 @@
 	if seed%2 == 1 {
 		set = hostileSettings(rng) // all kinds of classes, limits, budgets
 	}
-	set.Ordinal, set.Subscribe, set.Spread.Off = 0, false, off
-	set.Hosts, set.Bounds.Peers, set.Bounds.RetryAfter, set.Bounds.Cancel = 1+rng.IntN(4), true, rng.IntN(2) == 0, true
+	set.Ordinal, set.Subscribe, set.Balancer.Disabled = 0, false, off
+	set.Brokers, set.Capabilities.Peers, set.Capabilities.RetryAfter, set.Capabilities.Cancel = 1+rng.IntN(4), true, rng.IntN(2) == 0, true
 	sum := fnv.New64a()
 	var q fleetQueue
 	var now scheduler.Time = 100 * second
@@ -49,45 +49,45 @@
 		heap.Push(&q, fleetEvent{now + after, count, 0, e})
 	}
 	shards := 1 + rng.IntN(30)
-	nodes := make([]scheduler.NodeInfo, min(60, shards+rng.IntN(shards+1)))
+	nodes := make([]scheduler.Endpoint, min(60, shards+rng.IntN(shards+1)))
 	if single {
 		nodes = nodes[:shards]
 	}
 	speed, freeAt := map[string]time.Duration{}, map[string]scheduler.Time{}
 	name := 0
-	fresh := func(shard int) scheduler.NodeInfo {
+	fresh := func(shard int) scheduler.Endpoint {
 		name++
-		n := scheduler.NodeInfo{Node: fmt.Sprint("n", name), Shard: shard, Zone: string(rune('a' + rng.IntN(2)))}
-		speed[n.Node] = time.Duration(1+rng.IntN(20)) * ms
+		n := scheduler.Endpoint{Name: fmt.Sprint("n", name), Shard: shard, Zone: string(rune('a' + rng.IntN(2)))}
+		speed[n.Name] = time.Duration(1+rng.IntN(20)) * ms
 		return n
 	}
 	for i := range nodes {
 		nodes[i] = fresh(i % shards)
 	}
-	var g *scheduler.Gateway
+	var g *scheduler.Scheduler
 	begin := func() {
 		var err error
 		if g, err = scheduler.New(set, seed); err != nil {
 			t.Fatal(err)
 		}
 		q = nil
-		later(0, scheduler.NodeList{Kind: scheduler.ListFull, Version: 1, Nodes: append([]scheduler.NodeInfo(nil), nodes...)})
+		later(0, scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Version: 1, Endpoints: append([]scheduler.Endpoint(nil), nodes...)})
 	}
 	begin()
 	open := map[uint64]time.Duration{}
 	attempts := map[uint64]int{}
 	step := func(events ...scheduler.Event) {
-		for _, action := range g.Step(now, events) {
+		for _, action := range g.Reduce(now, events) {
 			fmt.Fprintf(sum, "%d %s\n", now, actionText(t, action))
 			switch a := action.(type) {
 			case scheduler.SetTimer:
-				later(a.After, scheduler.Timer{Token: a.Token})
-			case scheduler.Refuse:
+				later(a.After, scheduler.TimerFired{Token: a.Token})
+			case scheduler.Reject:
 				refusals++
 				delete(open, a.ID)
 			case scheduler.Fail:
 				delete(open, a.ID)
-			case scheduler.Send:
+			case scheduler.Forward:
 				sends++
 				freeAt[a.Node] = max(freeAt[a.Node], now) + time.Duration(float64(speed[a.Node])*(0.5+rng.Float64()))
 				if rng.IntN(200) == 0 {
@@ -100,7 +100,7 @@
 				case 1:
 					outcome = scheduler.Unreachable
 				case 2:
-					outcome = scheduler.Broken
+					outcome = scheduler.ConnectionBroken
 				}
 				took := freeAt[a.Node] - now
 				if a.Timeout > 0 && took > a.Timeout {
@@ -110,12 +110,12 @@
 				if outcome == scheduler.Success {
 					delete(open, a.ID)
 				}
-				later(took, scheduler.AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Node: a.Node, Outcome: outcome, Took: took,
-					Finished: outcome == scheduler.Success || !waits, Used: rng.IntN(200), Load: scheduler.NoLoad})
+				later(took, scheduler.AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Node: a.Node, Outcome: outcome, Latency: took,
+					Finished: outcome == scheduler.Success || !waits, RateUsed: rng.IntN(200), Load: scheduler.NoLoadReport})
 				attempts[a.ID]++
-			case scheduler.Tell:
+			case scheduler.SendToPeer:
 				if rng.IntN(2) == 0 {
-					later(time.Duration(rng.IntN(20))*ms, scheduler.PeerMessage{From: (set.Ordinal + 1) % set.Hosts, Data: a.Data})
+					later(time.Duration(rng.IntN(20))*ms, scheduler.PeerMessage{From: (set.Ordinal + 1) % set.Brokers, Data: a.Data})
 				}
 			}
 		}
@@ -148,16 +148,16 @@
 			old := nodes[i]
 			old.State = scheduler.Draining
 			nodes[i] = fresh(old.Shard)
-			nodes[i].UpSince = now
+			nodes[i].StartedAt = now
 			gone := old
-			gone.State = scheduler.Gone
-			later(time.Duration(rng.IntN(2000))*ms, scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{gone}})
-			step(scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{old, nodes[i]}})
+			gone.State = scheduler.Removed
+			later(time.Duration(rng.IntN(2000))*ms, scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{gone}})
+			step(scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{old, nodes[i]}})
 		case k == 1:
-			step(scheduler.NodeList{Kind: scheduler.ListFull, Nodes: append([]scheduler.NodeInfo(nil), nodes...)})
+			step(scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: append([]scheduler.Endpoint(nil), nodes...)})
 		case k == 2:
-			set.Plans[0].Reserve = 1 + float64(rng.IntN(30))
-			step(scheduler.Retuned{Settings: set})
+			set.Plans[0].ReservedRate = 1 + float64(rng.IntN(30))
+			step(scheduler.SettingsChanged{Settings: set})
 		case k == 3 && seed%5 == 0:
 			begin()
 			clear(open)
@@ -179,7 +179,7 @@
 			class := set.Classes[rng.IntN(len(set.Classes))]
 			open[id] = class.Deadline
 			step(scheduler.Request{ID: id, Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", rng.IntN(500)),
-				Units: float64(1 + rng.IntN(8)), Shard: rng.IntN(shards), Hosts: 1 + volume%set.Hosts, Remaining: class.Deadline, Retry: rng.IntN(20) == 0})
+				Units: float64(1 + rng.IntN(8)), Shard: rng.IntN(shards), Brokers: 1 + volume%set.Brokers, Remaining: class.Deadline, Retry: rng.IntN(20) == 0})
 		}
 	}
 	return sum.Sum64(), sends, refusals
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -10,9 +10,9 @@
 // A gateway takes a request, sends it and is told that it was served.
 func Example() {
 	settings := scheduler.Settings{
-		Hosts: 1, MeanUnits: 2, MaxUnits: 8,
-		Classes: []scheduler.Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []scheduler.Plan{{Name: "basic", Rate: 10, Reserve: 10, Weight: 1, Price: 1}},
+		Brokers: 1, MeanUnits: 2, MaxUnits: 8,
+		Classes: []scheduler.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []scheduler.Plan{{Name: "basic", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1}},
 	}
 	gateway, err := scheduler.New(settings, 42)
 	if err != nil {
@@ -23,21 +23,21 @@
 		for _, action := range actions {
 			switch a := action.(type) {
 			case scheduler.SetTimer:
-			case scheduler.Send:
+			case scheduler.Forward:
 				fmt.Printf("send request %d to %s, timeout %s\n", a.ID, a.Node, a.Timeout)
 			default:
 				fmt.Printf("%T %+v\n", a, a)
 			}
 		}
 	}
-	show(gateway.Step(0, []scheduler.Event{
-		scheduler.NodeList{Kind: scheduler.ListFull, Version: 1, Nodes: []scheduler.NodeInfo{{Node: "10.0.0.1:8000", Shard: 0}}},
-		scheduler.Request{ID: 7, Class: "read", Plan: "basic", Volume: "photos", Units: 2, Hosts: 1,
+	show(gateway.Reduce(0, []scheduler.Event{
+		scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Version: 1, Endpoints: []scheduler.Endpoint{{Name: "10.0.0.1:8000", Shard: 0}}},
+		scheduler.Request{ID: 7, Class: "read", Plan: "basic", Volume: "photos", Units: 2, Brokers: 1,
 			Remaining: 2 * time.Second},
 	}))
-	show(gateway.Step(40*time.Millisecond, []scheduler.Event{
-		scheduler.AttemptEnded{ID: 7, Node: "10.0.0.1:8000", Outcome: scheduler.Success, Took: 40 * time.Millisecond,
-			Finished: true, Load: scheduler.NoLoad},
+	show(gateway.Reduce(40*time.Millisecond, []scheduler.Event{
+		scheduler.AttemptEnded{ID: 7, Node: "10.0.0.1:8000", Outcome: scheduler.Success, Latency: 40 * time.Millisecond,
+			Finished: true, Load: scheduler.NoLoadReport},
 	}))
 	fmt.Println("done")
 	// Output:
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -12,7 +12,7 @@
 
 // fleet drives many gateways before one node, which serves one unit after another at a fixed rate.
 type fleet struct {
-	gateways []*scheduler.Gateway
+	gateways []*scheduler.Scheduler
 	rng      *rand.Rand
 	now      scheduler.Time
 	pending  fleetQueue
@@ -58,14 +58,14 @@
 func newFleet(t *testing.T, set scheduler.Settings, perUnit time.Duration) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(3, 4)), now: 100 * second, perUnit: perUnit, plan: "high", volumes: map[uint64]string{},
 		units: map[uint64]float64{}, attempts: map[uint64]int{}, over: map[uint64]bool{}}
-	for i := range set.Hosts {
+	for i := range set.Brokers {
 		set.Ordinal = i
 		g, err := scheduler.New(set, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.gateways = append(f.gateways, g)
-		f.later(0, i, scheduler.NodeList{Kind: scheduler.ListFull, Nodes: []scheduler.NodeInfo{{Node: "n:1"}}})
+		f.later(0, i, scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: []scheduler.Endpoint{{Name: "n:1"}}})
 	}
 	return f
 }
@@ -79,19 +79,19 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case scheduler.SetTimer:
-			f.later(a.After, who, scheduler.Timer{Token: a.Token})
-		case scheduler.Tell:
+			f.later(a.After, who, scheduler.TimerFired{Token: a.Token})
+		case scheduler.SendToPeer:
 			f.later(5*ms, a.Peer, scheduler.PeerMessage{From: who, Data: a.Data})
-		case scheduler.Refuse:
+		case scheduler.Reject:
 			f.over[a.ID] = true
-		case scheduler.Send:
+		case scheduler.Forward:
 			f.sends = append(f.sends, load{f.now, f.units[a.ID]})
 			if f.attempts[a.ID] == 0 {
 				f.first = append(f.first, firstSend{load{f.now, f.units[a.ID]}, f.volumes[a.ID]})
 			}
 			f.freeAt = max(f.freeAt, f.now) + time.Duration(f.units[a.ID]*float64(f.perUnit))
 			f.later(f.freeAt-f.now, who, scheduler.AttemptEnded{ID: a.ID, Attempt: f.attempts[a.ID], Node: a.Node,
-				Took: f.freeAt - f.now, Finished: true, Load: scheduler.NoLoad})
+				Latency: f.freeAt - f.now, Finished: true, Load: scheduler.NoLoadReport})
 			f.attempts[a.ID]++
 		}
 	}
@@ -107,14 +107,14 @@
 			if ended, ok := e.event.(scheduler.AttemptEnded); ok && !f.over[ended.ID] {
 				f.served++
 			}
-			f.act(e.who, f.gateways[e.who].Step(f.now, []scheduler.Event{e.event}))
+			f.act(e.who, f.gateways[e.who].Reduce(f.now, []scheduler.Event{e.event}))
 			continue
 		}
 		f.now = next
 		who, id := f.rng.IntN(len(f.gateways)), uint64(len(f.units)+1)
 		f.units[id], f.volumes[id] = float64(1+f.rng.IntN(3)), fmt.Sprint("v", who%10)
-		f.act(who, f.gateways[who].Step(f.now, []scheduler.Event{scheduler.Request{ID: id, Class: "read", Plan: f.plan,
-			Volume: f.volumes[id], Units: f.units[id], Hosts: len(f.gateways) / 10, Remaining: 2000 * ms}}))
+		f.act(who, f.gateways[who].Reduce(f.now, []scheduler.Event{scheduler.Request{ID: id, Class: "read", Plan: f.plan,
+			Volume: f.volumes[id], Units: f.units[id], Brokers: len(f.gateways) / 10, Remaining: 2000 * ms}}))
 		next = f.now + time.Duration(f.rng.ExpFloat64()/perSecond*float64(second))
 	}
 }
@@ -124,30 +124,30 @@
 func TestManyHostsShareAColdNode(t *testing.T) {
 	for _, multiple := range []float64{2, 4} {
 		set := plain()
-		set.Hosts, set.Bounds.Peers = 120, true
-		set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, multiple
+		set.Brokers, set.Capabilities.Peers = 120, true
+		set.Rules.OverloadWindow, set.Rules.WarmUpTime, set.Rules.InitialCapacity, set.Rules.OverloadMultiple = 2*second, 17*second, 0.2, multiple
 		warm := 10 * ms
 		cold := 5 * warm
-		set.ColdUnits = multiple * set.Rules.FallTime.Seconds() / cold.Seconds()
+		set.SlowStartUnits = multiple * set.Rules.OverloadWindow.Seconds() / cold.Seconds()
 		f := newFleet(t, set, warm)
 		f.run(20*second, 35)
 		f.perUnit = cold
 		f.sends, f.served = nil, 0
 		for i := range f.gateways {
-			f.later(time.Duration(i)*2*ms, i, scheduler.NodeList{Kind: scheduler.ListFull, Nodes: []scheduler.NodeInfo{{Node: "n:2", UpSince: f.now}}})
+			f.later(time.Duration(i)*2*ms, i, scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: []scheduler.Endpoint{{Name: "n:2", StartedAt: f.now}}})
 		}
 		f.run(6*second, 35)
 		most, sum, first := 0.0, 0.0, 0
 		for _, s := range f.sends {
 			sum += s.units
-			for ; s.at-f.sends[first].at > set.Rules.FallTime; first++ {
+			for ; s.at-f.sends[first].at > set.Rules.OverloadWindow; first++ {
 				sum -= f.sends[first].units
 			}
 			most = max(most, sum)
 		}
-		t.Logf("multiple %v: most %v of %v units, %d served", multiple, most, set.ColdUnits, f.served)
-		if most > set.ColdUnits {
-			t.Errorf("multiple %v: %v units sent within the rule's time, the node bears %v", multiple, most, set.ColdUnits)
+		t.Logf("multiple %v: most %v of %v units, %d served", multiple, most, set.SlowStartUnits, f.served)
+		if most > set.SlowStartUnits {
+			t.Errorf("multiple %v: %v units sent within the rule's time, the node bears %v", multiple, most, set.SlowStartUnits)
 		}
 		if f.served < 12 {
 			t.Errorf("multiple %v: a cold node that can serve 60 requests served %d", multiple, f.served)
@@ -158,8 +158,8 @@
 // A limit holds over all hosts of a volume together, also where a host's part of it is less than a request.
 func TestManyHostsKeepALimitTogether(t *testing.T) {
 	set := plain()
-	set.Hosts, set.Bounds.Peers = 120, true
-	set.Plans[0] = scheduler.Plan{Name: "low", Rate: 5, Weight: 1, Price: 1, Limit: 12, LimitBurst: 192, LimitSlack: 19}
+	set.Brokers, set.Capabilities.Peers = 120, true
+	set.Plans[0] = scheduler.Plan{Name: "low", Rate: 5, Weight: 1, Price: 1, Limit: 12, LimitBurst: 192, LimitOverdraft: 19}
 	f := newFleet(t, set, ms)
 	f.plan = "low"
 	f.run(40*second, 150) // each volume asks for 30 units a second
@@ -171,7 +171,7 @@
 		left[s.volume] = min(set.Plans[0].LimitBurst, left[s.volume]+set.Plans[0].Limit*(s.at-at[s.volume]).Seconds()) - s.units
 		at[s.volume] = s.at
 		sent += s.units
-		if left[s.volume] < -set.Plans[0].LimitSlack {
+		if left[s.volume] < -set.Plans[0].LimitOverdraft {
 			t.Fatalf("volume %s is at %.1f", s.volume, left[s.volume])
 		}
 	}
--- a/scheduler/forget_test.go
+++ b/scheduler/forget_test.go
@@ -8,29 +8,29 @@
 
 // What a process knows must not grow with the nodes and volumes that ever were.
 func TestForgetsWhatIsGone(t *testing.T) {
-	set := Settings{Hosts: 2, MeanUnits: 2, MaxUnits: 8, Bounds: Bounds{Peers: true},
-		Classes: []Class{{Name: "read", Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []Plan{{Name: "plan", Rate: 5, Reserve: 5, Weight: 1, Price: 1}},
-		Rules:   Rules{ColdTime: 10 * time.Second, FallTime: 3 * time.Second}}
+	set := Settings{Brokers: 2, MeanUnits: 2, MaxUnits: 8, Capabilities: Capabilities{Peers: true},
+		Classes: []Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []Plan{{Name: "plan", Rate: 5, ReservedRate: 5, Weight: 1, Price: 1}},
+		Rules:   Rules{WarmUpTime: 10 * time.Second, OverloadWindow: 3 * time.Second}}
 	g, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now, id := Time(time.Hour), uint64(0)
-	g.Step(now, []Event{NodeList{Kind: ListFull, Nodes: []NodeInfo{{Node: "n0"}}}})
+	g.Reduce(now, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Name: "n0"}}}})
 	for i := range 300 {
-		old, young := NodeInfo{Node: fmt.Sprint("n", i), State: Gone}, NodeInfo{Node: fmt.Sprint("n", i+1), UpSince: now}
-		events := []Event{NodeList{Kind: ListChanges, Nodes: []NodeInfo{old, young}}, Timer{Token: timerTick},
+		old, young := Endpoint{Name: fmt.Sprint("n", i), State: Removed}, Endpoint{Name: fmt.Sprint("n", i+1), StartedAt: now}
+		events := []Event{EndpointUpdate{Kind: DeltaUpdate, Endpoints: []Endpoint{old, young}}, TimerFired{Token: timerTick},
 			PeerMessage{From: 1, Data: []byte{newsReport, 0, 0, byte(i >> 8), byte(i), 0, 16}}}
 		id++
 		events = append(events, Request{ID: id, Class: g.set.Classes[0].Name, Plan: g.set.Plans[0].Name, Volume: fmt.Sprint("v", i),
-			Units: 1, Shard: 1000 + i, Hosts: 1, Remaining: time.Second})
-		g.Step(now, events)
+			Units: 1, Shard: 1000 + i, Brokers: 1, Remaining: time.Second})
+		g.Reduce(now, events)
 		now += 10 * time.Second
 	}
 	for range idleTicks + newsTicks + 2 {
 		now += g.tick
-		g.Step(now, []Event{Timer{Token: timerTick}})
+		g.Reduce(now, []Event{TimerFired{Token: timerTick}})
 	}
 	if n := g.nodes["n300"]; n == nil || !n.cold {
 		t.Errorf("the last node: %+v", n)
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -18,19 +18,19 @@
 	fresh    []*request // those that came since the last look, in the same order
 	late     []*request // and since marks were set
 	marks    [3]mark    // of each pass
-	marked   uint64     // Gateway.stirred when they were set, plus 1
+	marked   uint64     // Scheduler.stirred when they were set, plus 1
 	way      look
 	waits    bool    // it stands among the waiting
 	holds    bool    // and among the holding
-	served   float64 // units a second that warm nodes served this host, in the mean over ColdTime
+	served   float64 // units a second that warm nodes served this host, in the mean over WarmUpTime
 	servedAt Time
-	group    *balancer.Group // of its nodes, nil until there are several
-	grouped  uint64          // Gateway.lists when that was brought up to date
+	group    *balancer.Balancer // of its nodes, nil until there are several
+	grouped  uint64             // Scheduler.lists when that was brought up to date
 
 	// Where the last look moved nothing, another is spared until something happened that could: at the shard itself
-	// (touch), to all shards (Gateway.stirred), or by the passing of time.
+	// (touch), to all shards (Scheduler.stirred), or by the passing of time.
 	moved  bool
-	seen   uint64  // Gateway.stirred at the last look, plus 1; 0 before there was one
+	seen   uint64  // Scheduler.stirred at the last look, plus 1; 0 before there was one
 	fickle int     // requests held that time alone may let go, as at the last look and with those that came since
 	wakeAt Time    // when the first of those held then and since is given up
 	took   float64 // the time to serve that wakeAt counts with
@@ -57,7 +57,7 @@
 }
 
 // awaken has all shards looked at that something could have moved since the last time.
-func (g *Gateway) awaken() {
+func (g *Scheduler) awaken() {
 	if g.woke != g.stirred+1 {
 		g.woke = g.stirred + 1
 		g.waiting = g.waiting[:0]
@@ -81,7 +81,7 @@
 }
 
 // wake has a shard looked at in this step.
-func (s *shard) wake(g *Gateway) {
+func (s *shard) wake(g *Scheduler) {
 	if !s.waits {
 		s.waits = true
 		at, _ := slices.BinarySearchFunc(g.waiting, s.id, byShard)
@@ -90,7 +90,7 @@
 }
 
 // sleep spares a shard further looks until something can move what it holds, and tells whether it could.
-func (s *shard) sleep(g *Gateway) bool {
+func (s *shard) sleep(g *Scheduler) bool {
 	if !s.still(g) {
 		return false
 	}
@@ -101,7 +101,7 @@
 	return true
 }
 
-func (g *Gateway) shardOf(id int) *shard {
+func (g *Scheduler) shardOf(id int) *shard {
 	s := g.shards[id]
 	if s == nil {
 		s = &shard{id: id}
@@ -118,7 +118,7 @@
 }
 
 // hold keeps a request until it is sent or given up.
-func (s *shard) hold(g *Gateway, r *request) {
+func (s *shard) hold(g *Scheduler, r *request) {
 	if !s.holds {
 		s.holds = true
 		at, _ := slices.BinarySearchFunc(g.holding, s.id, byShard)
@@ -154,7 +154,7 @@
 
 // look begins a look, at all that is held or, if the last one moved nothing and nothing happened since that could move what
 // it saw, at what came since.
-func (s *shard) look(g *Gateway) *look {
+func (s *shard) look(g *Scheduler) *look {
 	s.way = look{s: s, only: !g.plain && !s.moved && s.inTime(g, s.service()) && s.alike(g)}
 	if !s.way.only && (s.marked != g.stirred+1 || s.fickle > 0 || g.plain) {
 		s.marked, s.marks = g.stirred+1, [3]mark{}
@@ -230,7 +230,7 @@
 }
 
 // count takes a request into what is known of all that are held.
-func (s *shard) count(g *Gateway, r *request) {
+func (s *shard) count(g *Scheduler, r *request) {
 	r.fickle = r.turn != nil || r.attempts > 0 || r.volume.plan.Limit > 0
 	if r.fickle {
 		s.fickle++
@@ -240,7 +240,7 @@
 }
 
 // recount brings what is known of all that are held up to date.
-func (s *shard) recount(g *Gateway) {
+func (s *shard) recount(g *Scheduler) {
 	if took := s.service(); s.seen != g.stirred+1 || s.took != took {
 		s.seen, s.took, s.wakeAt, s.fickle = g.stirred+1, took, 1<<63-1, 0
 		for _, r := range s.held {
@@ -258,20 +258,20 @@
 }
 
 // inTime tells whether nothing that is held is to be given up yet.
-func (s *shard) inTime(g *Gateway, service float64) bool {
+func (s *shard) inTime(g *Scheduler, service float64) bool {
 	return s.seen == g.stirred+1 && s.took == service && g.now < s.wakeAt
 }
 
 // alike tells whether the shard's nodes have room for all that is held or for none of it: no request is bound to some of
 // them, none of them is paced or cold.
-func (s *shard) alike(g *Gateway) bool {
+func (s *shard) alike(g *Scheduler) bool {
 	s.recount(g)
 	return s.fickle == 0 && !slices.ContainsFunc(s.nodes, func(n *node) bool { return n.cold || n.bound < 1 || n.jammed(g) })
 }
 
 // packed tells whether none of the shard's nodes has room, whatever is to be sent: each has out what its bound allows, rests, or
 // is paced and was sent to too lately even for what counts most.
-func (s *shard) packed(g *Gateway) bool {
+func (s *shard) packed(g *Scheduler) bool {
 	return !slices.ContainsFunc(s.nodes, func(n *node) bool {
 		return n.state == Ready && g.now >= n.restTill && float64(n.out) < max(1, math.Floor(n.bound)) && len(n.flight) < 2*boundMost &&
 			(n.bound >= 1 || (g.now-n.pacedAt).Seconds()*g.mostPart() >= n.took/n.bound)
@@ -279,7 +279,7 @@
 }
 
 // mostPart is the largest part of its worth that a request may be due.
-func (g *Gateway) mostPart() float64 { return max(1, g.set.SpareWorth, g.set.ShareWorth) }
+func (g *Scheduler) mostPart() float64 { return max(1, g.set.SpareWeight, g.set.ShareWeight) }
 
 // worths is those that can be in time, the least worthy first out. It is a heap from when one must leave: in a queue of
 // thousands an ordered slice made a tick take seconds, and mostly none must.
@@ -326,7 +326,7 @@
 }
 
 // touch tells that something happened at the shard which may move what it holds.
-func (s *shard) touch(g *Gateway) {
+func (s *shard) touch(g *Scheduler) {
 	s.moved = true
 	if len(s.held) > 0 {
 		s.wake(g)
@@ -334,12 +334,12 @@
 }
 
 // still tells whether another look at what is held would move nothing.
-func (s *shard) still(g *Gateway) bool {
+func (s *shard) still(g *Scheduler) bool {
 	return !g.plain && !s.moved && len(s.fresh) == 0 && s.inTime(g, s.service()) && s.alike(g)
 }
 
 // settle notes a look at a shard that held so many requests before: one that moved something is followed by another.
-func (s *shard) settle(g *Gateway, before int) {
+func (s *shard) settle(g *Scheduler, before int) {
 	clear(s.fresh)
 	s.fresh = s.fresh[:0]
 	s.moved = len(s.held) != before || slices.ContainsFunc(s.nodes, func(n *node) bool { return g.now < n.restTill })
--- a/scheduler/held_test.go
+++ b/scheduler/held_test.go
@@ -32,7 +32,7 @@
 // world has two gateways meet the same events: one spares itself looks, the other looks at all that is held in every step.
 type world struct {
 	t            *testing.T
-	quick, plain *Gateway
+	quick, plain *Scheduler
 	now          Time
 	n            int
 	queue        agenda
@@ -46,7 +46,7 @@
 func newWorld(t *testing.T, set Settings, seed uint64) *world {
 	t.Helper()
 	w := &world{t: t, now: 100 * Time(time.Second), attempts: map[uint64]int{}, sent: map[uint64]int{}, told: map[uint64]int{}, freeAt: map[string]Time{}, speed: 5 * time.Millisecond}
-	for _, g := range []**Gateway{&w.quick, &w.plain} {
+	for _, g := range []**Scheduler{&w.quick, &w.plain} {
 		var err error
 		if *g, err = New(set, seed); err != nil {
 			t.Fatal(err)
@@ -63,9 +63,9 @@
 
 func (w *world) step(events ...Event) {
 	w.t.Helper()
-	got := w.quick.Step(w.now, events)
+	got := w.quick.Reduce(w.now, events)
 	if w.plain != nil {
-		if want := w.plain.Step(w.now, events); !reflect.DeepEqual(got, want) {
+		if want := w.plain.Reduce(w.now, events); !reflect.DeepEqual(got, want) {
 			w.t.Fatalf("at %v: %v, but a look at all gives %v", w.now, got, want)
 		}
 	}
@@ -77,16 +77,16 @@
 	for _, action := range got {
 		switch a := action.(type) {
 		case SetTimer:
-			w.later(a.After, Timer{Token: a.Token})
-		case Refuse:
+			w.later(a.After, TimerFired{Token: a.Token})
+		case Reject:
 			w.told[a.ID]++
 		case Fail:
 			w.told[a.ID]++
-		case Send:
+		case Forward:
 			w.sent[a.ID]++
 			w.freeAt[a.Node] = max(w.freeAt[a.Node], w.now) + w.speed
-			w.later(w.freeAt[a.Node]-w.now, AttemptEnded{ID: a.ID, Attempt: w.attempts[a.ID], Node: a.Node, Outcome: Success, Took: w.freeAt[a.Node] - w.now,
-				Finished: true, Load: NoLoad})
+			w.later(w.freeAt[a.Node]-w.now, AttemptEnded{ID: a.ID, Attempt: w.attempts[a.ID], Node: a.Node, Outcome: Success, Latency: w.freeAt[a.Node] - w.now,
+				Finished: true, Load: NoLoadReport})
 			w.attempts[a.ID]++
 		}
 	}
@@ -107,18 +107,18 @@
 }
 
 func heldSettings() Settings {
-	return Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, SpareWorth: 0.05, ShareWorth: 0.4,
-		Classes: []Class{{Name: "read", Aim: 150 * time.Millisecond, Deadline: 750 * time.Millisecond, Worth: 3}, {Name: "bulk", Aim: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 1},
-			{Name: "write", Aim: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2, Effect: Unsafe}},
-		Plans: []Plan{{Name: "small", Rate: 2, Reserve: 1, Weight: 1, Price: 1}, {Name: "large", Rate: 100, Reserve: 100, Weight: 1, Price: 1}}, Bounds: Bounds{MaxAttempts: 3}}
+	return Settings{Brokers: 1, MeanUnits: 2, MaxUnits: 8, SpareWeight: 0.05, ShareWeight: 0.4,
+		Classes: []Class{{Name: "read", LatencyObjective: 150 * time.Millisecond, Deadline: 750 * time.Millisecond, PriorityWeight: 3}, {Name: "bulk", LatencyObjective: 750 * time.Millisecond, Deadline: 2500 * time.Millisecond, PriorityWeight: 1},
+			{Name: "write", LatencyObjective: 200 * time.Millisecond, Deadline: 1200 * time.Millisecond, PriorityWeight: 2, Idempotency: NotIdempotent}},
+		Plans: []Plan{{Name: "small", Rate: 2, ReservedRate: 1, Weight: 1, Price: 1}, {Name: "large", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}, Capabilities: Capabilities{MaxAttempts: 3}}
 }
 
-func (w *world) list(nodes, shards int) []NodeInfo {
-	var list []NodeInfo
+func (w *world) list(nodes, shards int) []Endpoint {
+	var list []Endpoint
 	for i := range nodes {
-		list = append(list, NodeInfo{Node: fmt.Sprint("n", i), Shard: i % shards})
+		list = append(list, Endpoint{Name: fmt.Sprint("n", i), Shard: i % shards})
 	}
-	w.step(NodeList{Kind: ListFull, Version: 1, Nodes: list})
+	w.step(EndpointUpdate{Kind: FullUpdate, Version: 1, Endpoints: list})
 	return list
 }
 
@@ -142,7 +142,7 @@
 				plan = []string{"small", "large"}[len(volume)%2]
 			}
 			class := w.quick.set.Classes[rng.IntN(3)]
-			w.step(Request{ID: id, Class: class.Name, Plan: plan, Volume: volume, Units: float64(1 + rng.IntN(8)), Shard: rng.IntN(shards), Hosts: 1,
+			w.step(Request{ID: id, Class: class.Name, Plan: plan, Volume: volume, Units: float64(1 + rng.IntN(8)), Shard: rng.IntN(shards), Brokers: 1,
 				Remaining: class.Deadline})
 			if rng.IntN(20) == 0 {
 				w.step(ClientGone{ID: 1 + rng.Uint64N(id)})
@@ -159,7 +159,7 @@
 	w.t.Helper()
 	var events []Event
 	for i := range requests {
-		r := Request{ID: uint64(i + 1), Class: "read", Plan: "large", Volume: fmt.Sprint("v", i%100), Units: 1, Hosts: 1, Remaining: 750 * time.Millisecond}
+		r := Request{ID: uint64(i + 1), Class: "read", Plan: "large", Volume: fmt.Sprint("v", i%100), Units: 1, Brokers: 1, Remaining: 750 * time.Millisecond}
 		if change != nil {
 			change(i, &r)
 		}
@@ -219,16 +219,16 @@
 // has saved up or served.
 func TestReturnToCrowd(t *testing.T) {
 	set := heldSettings()
-	set.Rules.ColdTime, set.Rules.FallTime, set.Rules.FallMultiple, set.Rules.ColdShare, set.ColdUnits = 17*time.Second, 3*time.Second, 4, 0.18, 41
+	set.Rules.WarmUpTime, set.Rules.OverloadWindow, set.Rules.OverloadMultiple, set.Rules.InitialCapacity, set.SlowStartUnits = 17*time.Second, 3*time.Second, 4, 0.18, 41
 	w := newWorld(t, set, 1)
 	old := w.list(1, 1)[0]
 	gone := old
-	gone.State = Gone
-	w.step(NodeList{Kind: ListChanges, Version: 2, Nodes: []NodeInfo{gone}})
+	gone.State = Removed
+	w.step(EndpointUpdate{Kind: DeltaUpdate, Version: 2, Endpoints: []Endpoint{gone}})
 	w.hold(10_000, func(i int, r *Request) { r.Class, r.Remaining = "bulk", 2500*time.Millisecond })
 	began := w.now
-	old.UpSince = w.now
-	w.step(NodeList{Kind: ListChanges, Version: 3, Nodes: []NodeInfo{old}})
+	old.StartedAt = w.now
+	w.step(EndpointUpdate{Kind: DeltaUpdate, Version: 3, Endpoints: []Endpoint{old}})
 	for w.now < began+Time(2400*time.Millisecond) {
 		w.until(w.now + Time(5*time.Millisecond))
 		if n := w.quick.nodes["n0"]; float64(n.out) > max(1, n.bound) {
@@ -257,14 +257,14 @@
 	}
 	less := heldSettings()
 	less.Classes, less.Plans = less.Classes[1:2], less.Plans[:1]
-	w.step(Retuned{Settings: less})
+	w.step(SettingsChanged{Settings: less})
 	again := uint64(0) // one that waits: its id is not taken a second time
 	for id := range w.quick.requests {
 		if r := w.quick.requests[id]; r.lane != nil && (again == 0 || id < again) {
 			again = id
 		}
 	}
-	w.step(Request{ID: again, Class: "bulk", Plan: "small", Volume: "other", Units: 1, Hosts: 1, Remaining: time.Second})
+	w.step(Request{ID: again, Class: "bulk", Plan: "small", Volume: "other", Units: 1, Brokers: 1, Remaining: time.Second})
 	w.now += Time(time.Second)
 	w.step()
 	w.until(w.now + Time(3*time.Second))
@@ -276,7 +276,7 @@
 	if len(w.quick.requests) > 0 {
 		t.Errorf("%d are kept", len(w.quick.requests))
 	}
-	w.step(Request{ID: 1, Class: "bulk", Plan: "small", Volume: "new", Units: 1, Hosts: 1, Remaining: time.Second}) // an id whose request is over
+	w.step(Request{ID: 1, Class: "bulk", Plan: "small", Volume: "new", Units: 1, Brokers: 1, Remaining: time.Second}) // an id whose request is over
 	if w.quick.requests[1] == nil {
 		t.Error("an id that is free again is not taken")
 	}
--- a/scheduler/hostile_test.go
+++ b/scheduler/hostile_test.go
@@ -12,32 +12,32 @@
 	"junctionwharf/scheduler"
 )
 
-// decider is what the hostile sequences drive: a Gateway, or a stub that breaks a rule.
+// decider is what the hostile sequences drive: a Scheduler, or a stub that breaks a rule.
 type decider interface {
-	Step(now scheduler.Time, events []scheduler.Event) []scheduler.Action
+	Reduce(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
 func hostileSettings(rng *rand.Rand) scheduler.Settings {
 	ms := time.Millisecond
-	set := scheduler.Settings{Hosts: 1 + rng.IntN(4), Zone: "a", Subscribe: rng.IntN(2) == 0,
-		MeanUnits: 2, MaxUnits: 8, ColdUnits: 60, ShareWorth: 0.3, SpareWorth: 0.1,
+	set := scheduler.Settings{Brokers: 1 + rng.IntN(4), Zone: "a", Subscribe: rng.IntN(2) == 0,
+		MeanUnits: 2, MaxUnits: 8, SlowStartUnits: 60, ShareWeight: 0.3, SpareWeight: 0.1,
 		Classes: []scheduler.Class{
-			{Name: "safe", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 2, LateWorth: 0.2},
-			{Name: "unsafe", Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Unsafe},
-			{Name: "ordered", Aim: 500 * ms, Deadline: 3000 * ms, Worth: 1, Ordered: true},
-			{Name: "all", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Keyed, Window: 900 * ms},
-			{Name: "zone", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Keyed, Scope: scheduler.ScopeZone, Window: 900 * ms},
-			{Name: "shard", Aim: 900 * ms, Deadline: 2000 * ms, Worth: 1, Effect: scheduler.Keyed, Scope: scheduler.ScopeShard, Window: 900 * ms},
+			{Name: "safe", LatencyObjective: 300 * ms, Deadline: 2000 * ms, PriorityWeight: 2, LateWeight: 0.2},
+			{Name: "unsafe", LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: scheduler.NotIdempotent},
+			{Name: "ordered", LatencyObjective: 500 * ms, Deadline: 3000 * ms, PriorityWeight: 1, Ordered: true},
+			{Name: "all", LatencyObjective: 300 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: scheduler.IdempotentWithKey, DedupWindow: 900 * ms},
+			{Name: "zone", LatencyObjective: 300 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeZone, DedupWindow: 900 * ms},
+			{Name: "shard", LatencyObjective: 900 * ms, Deadline: 2000 * ms, PriorityWeight: 1, Idempotency: scheduler.IdempotentWithKey, Scope: scheduler.ScopeShard, DedupWindow: 900 * ms},
 		},
-		Plans: []scheduler.Plan{{Name: "low", Rate: 5, Reserve: 2, Limit: 40, LimitBurst: 60, LimitSlack: 8, Weight: 1, Price: 1},
-			{Name: "high", Rate: 12, Reserve: 14, Weight: 3, Price: 2}, {Name: "none"}},
-		Bounds: scheduler.Bounds{MaxAttempts: 4, MaxRetryAfter: time.Second, RetryAfter: rng.IntN(2) == 0, Cancel: rng.IntN(2) == 0, Peers: true},
-		Rules: scheduler.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms, ColdTime: 10 * time.Second, ColdShare: 0.2,
-			FallTime: 2 * time.Second, FallMultiple: float64(2 + rng.IntN(3)), MustAskIn: 10 * time.Second, KeyQuiet: 300 * ms},
+		Plans: []scheduler.Plan{{Name: "low", Rate: 5, ReservedRate: 2, Limit: 40, LimitBurst: 60, LimitOverdraft: 8, Weight: 1, Price: 1},
+			{Name: "high", Rate: 12, ReservedRate: 14, Weight: 3, Price: 2}, {Name: "none"}},
+		Capabilities: scheduler.Capabilities{MaxAttempts: 4, MaxRetryAfter: time.Second, RetryAfter: rng.IntN(2) == 0, Cancel: rng.IntN(2) == 0, Peers: true},
+		Rules: scheduler.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms, WarmUpTime: 10 * time.Second, InitialCapacity: 0.2,
+			OverloadWindow: 2 * time.Second, OverloadMultiple: float64(2 + rng.IntN(3)), PollDeadline: 10 * time.Second, QuietPeriod: 300 * ms},
 	}
-	set.Ordinal = rng.IntN(set.Hosts)
+	set.Ordinal = rng.IntN(set.Brokers)
 	if rng.IntN(2) == 0 {
-		set.Rules.BudgetFloor, set.Rules.BudgetRatio, set.Rules.BudgetSpan = 3, 0.15, 5*time.Second
+		set.Rules.RetryBudgetMin, set.Rules.RetryBudgetRatio, set.Rules.RetryBudgetWindow = 3, 0.15, 5*time.Second
 	}
 	return set
 }
@@ -61,7 +61,7 @@
 	sends   map[uint64]int
 	ends    map[uint64]scheduler.Time
 	over    map[uint64]bool
-	nodes   []scheduler.NodeInfo
+	nodes   []scheduler.Endpoint
 	sick    int // how often attempts go wrong, in percent
 	trace   []string
 }
@@ -72,7 +72,7 @@
 	w.set = hostileSettings(w.rng)
 	w.sick = []int{2, 20, 60}[w.rng.IntN(3)]
 	for i := range 6 {
-		w.nodes = append(w.nodes, scheduler.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Zone: string(rune('a' + i%2)), Shard: i % 4})
+		w.nodes = append(w.nodes, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Zone: string(rune('a' + i%2)), Shard: i % 4})
 	}
 	return w
 }
@@ -85,7 +85,7 @@
 func (w *world) batch(start scheduler.Time) []scheduler.Event {
 	var events []scheduler.Event
 	if w.now == start {
-		events = append(events, scheduler.NodeList{Kind: scheduler.ListCached, Version: 1, Nodes: slices.Clone(w.nodes)})
+		events = append(events, scheduler.EndpointUpdate{Kind: scheduler.CachedUpdate, Version: 1, Endpoints: slices.Clone(w.nodes)})
 	}
 	slices.SortFunc(w.pending, func(a, b due) int {
 		if a.at != b.at {
@@ -130,8 +130,8 @@
 		}
 		r := scheduler.Request{ID: w.nextID, Class: class.Name, Plan: w.set.Plans[w.rng.IntN(3)].Name,
 			Key: fmt.Sprint("k", w.rng.IntN(5)), Remaining: left, Units: float64(1 + w.rng.IntN(8)), Shard: shard,
-			Hosts: 1 + w.rng.IntN(w.set.Hosts)}
-		r.Volume = fmt.Sprint(r.Plan, r.Hosts, w.rng.IntN(3))
+			Brokers: 1 + w.rng.IntN(w.set.Brokers)}
+		r.Volume = fmt.Sprint(r.Plan, r.Brokers, w.rng.IntN(3))
 		events = append(events, r)
 		w.ends[r.ID] = w.now + left
 		if w.rng.IntN(40) == 0 {
@@ -149,7 +149,7 @@
 		events = append(events, scheduler.PeerMessage{From: w.rng.IntN(6) - 1, Data: data})
 	}
 	if w.rng.IntN(30) == 0 {
-		events = append(events, scheduler.AttemptEnded{ID: 1 << 40, Node: "nobody"}, scheduler.Timer{Token: 1 << 50}, scheduler.ClientGone{ID: 1 << 41})
+		events = append(events, scheduler.AttemptEnded{ID: 1 << 40, Node: "nobody"}, scheduler.TimerFired{Token: 1 << 50}, scheduler.ClientGone{ID: 1 << 41})
 	}
 	return events
 }
@@ -158,47 +158,47 @@
 	i := w.rng.IntN(len(w.nodes))
 	switch w.rng.IntN(5) {
 	case 0:
-		return scheduler.NodeList{Kind: scheduler.ListFailed}
+		return scheduler.EndpointUpdate{Kind: scheduler.FailedUpdate}
 	case 1:
 		w.nodes[i].State = scheduler.Draining
 	case 2:
-		w.nodes[i].State, w.nodes[i].UpSince = scheduler.Ready, w.now
+		w.nodes[i].State, w.nodes[i].StartedAt = scheduler.Ready, w.now
 	case 3: // a new machine takes the place of another
 		w.count++
-		w.nodes[i] = scheduler.NodeInfo{Node: fmt.Sprintf("m%d:1", w.count), Zone: w.nodes[i].Zone, Shard: w.nodes[i].Shard, UpSince: w.now}
-		return scheduler.NodeList{Kind: scheduler.ListFull, Nodes: slices.Clone(w.nodes)}
+		w.nodes[i] = scheduler.Endpoint{Name: fmt.Sprintf("m%d:1", w.count), Zone: w.nodes[i].Zone, Shard: w.nodes[i].Shard, StartedAt: w.now}
+		return scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: slices.Clone(w.nodes)}
 	case 4:
-		w.nodes[i].State = scheduler.Gone
+		w.nodes[i].State = scheduler.Removed
 	}
-	return scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{w.nodes[i]}}
+	return scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{w.nodes[i]}}
 }
 
 func (w *world) follow(actions []scheduler.Action) {
 	for _, action := range actions {
 		w.trace = append(w.trace, fmt.Sprintf("%v %T %+v", w.now, action, action))
 		switch a := action.(type) {
-		case scheduler.Send:
+		case scheduler.Forward:
 			w.endLater(a)
 		case scheduler.SetTimer:
-			w.later(max(a.After, time.Microsecond), scheduler.Timer{Token: a.Token})
-		case scheduler.Refuse:
+			w.later(max(a.After, time.Microsecond), scheduler.TimerFired{Token: a.Token})
+		case scheduler.Reject:
 			w.over[a.ID] = true
 		case scheduler.Fail:
 			w.over[a.ID] = true
-		case scheduler.Watch:
-			kind := scheduler.ListFull
+		case scheduler.WatchEndpoints:
+			kind := scheduler.FullUpdate
 			if w.rng.IntN(2) == 0 {
-				kind = scheduler.ListFailed
+				kind = scheduler.FailedUpdate
 			}
-			list := scheduler.NodeList{Kind: kind}
-			if kind == scheduler.ListFull {
-				list.Nodes = slices.Clone(w.nodes)
+			list := scheduler.EndpointUpdate{Kind: kind}
+			if kind == scheduler.FullUpdate {
+				list.Endpoints = slices.Clone(w.nodes)
 			}
 			w.later(50*time.Millisecond, list)
 		case scheduler.Cancel:
 			for i, d := range w.pending {
 				if end, ok := d.event.(scheduler.AttemptEnded); ok && end.ID == a.ID && end.Attempt == a.Attempt {
-					end.Outcome = scheduler.Withdrawn
+					end.Outcome = scheduler.Canceled
 					w.pending[i] = due{w.now + time.Millisecond, d.order, end}
 				}
 			}
@@ -206,7 +206,7 @@
 	}
 }
 
-func (w *world) endLater(a scheduler.Send) {
+func (w *world) endLater(a scheduler.Forward) {
 	attempt := w.sends[a.ID]
 	w.sends[a.ID]++
 	left := w.ends[a.ID] - w.now
@@ -219,7 +219,7 @@
 	if outcome == scheduler.TimedOut || took >= left {
 		took, outcome = left, scheduler.TimedOut
 	}
-	w.later(max(took, 1), scheduler.AttemptEnded{ID: a.ID, Attempt: attempt, Node: a.Node, Outcome: outcome, Took: took, Load: scheduler.NoLoad})
+	w.later(max(took, 1), scheduler.AttemptEnded{ID: a.ID, Attempt: attempt, Node: a.Node, Outcome: outcome, Latency: took, Load: scheduler.NoLoadReport})
 }
 
 // play runs a decider through a hostile day and returns the broken rules and the trace of actions.
@@ -234,7 +234,7 @@
 		}
 		if len(events) > 0 {
 			c.see(w.now, events)
-			actions := d.Step(w.now, events)
+			actions := d.Reduce(w.now, events)
 			c.act(actions)
 			w.follow(actions)
 		}
@@ -273,24 +273,24 @@
 // stub breaks rules on purpose, to show that the checker can fail.
 type stub func(events []scheduler.Event) []scheduler.Action
 
-func (s stub) Step(_ scheduler.Time, events []scheduler.Event) []scheduler.Action { return s(events) }
+func (s stub) Reduce(_ scheduler.Time, events []scheduler.Event) []scheduler.Action { return s(events) }
 
 // sendAtOnce sends each request to the first node ever listed for its shard, and again when it fails.
 func sendAtOnce(scheduler.Settings) decider {
 	nodes, taken := map[int]string{}, map[uint64]scheduler.Request{}
 	send := func(r scheduler.Request) []scheduler.Action {
 		if node := nodes[max(0, r.Shard)]; node != "" {
-			return []scheduler.Action{scheduler.Send{ID: r.ID, Node: node}}
+			return []scheduler.Action{scheduler.Forward{ID: r.ID, Node: node}}
 		}
 		return nil
 	}
 	return stub(func(events []scheduler.Event) (out []scheduler.Action) {
 		for _, event := range events {
 			switch e := event.(type) {
-			case scheduler.NodeList:
-				for _, n := range e.Nodes {
-					if e.Kind == scheduler.ListCached || n.UpSince > 0 {
-						nodes[n.Shard] = n.Node
+			case scheduler.EndpointUpdate:
+				for _, n := range e.Endpoints {
+					if e.Kind == scheduler.CachedUpdate || n.StartedAt > 0 {
+						nodes[n.Shard] = n.Name
 					}
 				}
 			case scheduler.Request:
--- a/scheduler/idle.go
+++ b/scheduler/idle.go
@@ -20,7 +20,7 @@
 const cleanTicks = 16
 
 // clean drops turns and clients' patience that are over. They count no more, kept or not.
-func (g *Gateway) clean() {
+func (g *Scheduler) clean() {
 	if g.ticks%cleanTicks > 0 {
 		return
 	}
@@ -29,7 +29,7 @@
 }
 
 // stir has the next tick work on a volume.
-func (v *volume) stir(g *Gateway) {
+func (v *volume) stir(g *Scheduler) {
 	v.catchUp(g)
 	if !v.stirs {
 		v.stirs = true
@@ -38,25 +38,25 @@
 }
 
 // catchUp makes up for the ticks that a volume was idle in.
-func (v *volume) catchUp(g *Gateway) {
+func (v *volume) catchUp(g *Scheduler) {
 	missed := g.ticks - v.tick
 	if missed <= 0 {
 		return
 	}
 	span := (g.lastTick - v.tickAt).Seconds()
-	v.level = min(v.level+v.plan.Reserve/v.hosts*span, v.size)
+	v.level = min(v.level+v.plan.ReservedRate/v.hosts*span, v.size)
 	v.demand *= math.Pow(1-smoothing, float64(missed))
 	v.excess *= math.Exp(-span)
 	v.tick, v.tickAt = g.ticks, g.lastTick
 }
 
 // order puts the active volumes in the order in which they first came: sums must not depend on who was idle.
-func (g *Gateway) order() {
+func (g *Scheduler) order() {
 	slices.SortFunc(g.active, func(a, b *volume) int { return cmp.Compare(a.number, b.number) })
 }
 
 // rest takes those out of the active volumes that nothing happens to.
-func (g *Gateway) rest() {
+func (g *Scheduler) rest() {
 	if g.plain {
 		return
 	}
@@ -67,7 +67,7 @@
 }
 
 // forgetVolumes drops volumes that have been idle for long, a part of them in each tick.
-func (g *Gateway) forgetVolumes() {
+func (g *Scheduler) forgetVolumes() {
 	if g.swept >= len(g.inOrder) {
 		g.swept = 0
 	}
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -21,7 +21,7 @@
 
 type broker struct {
 	host    int
-	gateway *scheduler.Gateway
+	gateway *scheduler.Scheduler
 	timers  []scheduler.Time
 	ends    []scheduler.AttemptEnded // in the order in which they come
 	endsAt  []scheduler.Time
@@ -40,7 +40,7 @@
 	}
 	p := &broker{host: host, gateway: g, units: map[uint64]float64{}, once: map[uint64]bool{}}
 	b.procs = append(b.procs, p)
-	b.step(p, scheduler.Shared{Processes: 1, Unseen: 1}, scheduler.NodeList{Kind: scheduler.ListFull, Nodes: []scheduler.NodeInfo{{Node: "n:1"}}})
+	b.step(p, scheduler.ProcessesChanged{Processes: 1, Unseen: 1}, scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: []scheduler.Endpoint{{Name: "n:1"}}})
 }
 
 // kill ends a host's oldest process; what it had on its way is over.
@@ -54,16 +54,16 @@
 }
 
 func (b *brokers) step(p *broker, events ...scheduler.Event) {
-	for _, action := range p.gateway.Step(b.now, events) {
+	for _, action := range p.gateway.Reduce(b.now, events) {
 		switch a := action.(type) {
 		case scheduler.SetTimer:
 			p.timers = append(p.timers, b.now+a.After)
-		case scheduler.Send:
+		case scheduler.Forward:
 			if !p.once[a.ID] {
 				p.once[a.ID] = true
 				b.sends = append(b.sends, load{b.now, p.units[a.ID]})
 			}
-			p.ends, p.endsAt = append(p.ends, scheduler.AttemptEnded{ID: a.ID, Node: a.Node, Took: answerTime, Finished: true, Load: scheduler.NoLoad}), append(p.endsAt, b.now+answerTime)
+			p.ends, p.endsAt = append(p.ends, scheduler.AttemptEnded{ID: a.ID, Node: a.Node, Latency: answerTime, Finished: true, Load: scheduler.NoLoadReport}), append(p.endsAt, b.now+answerTime)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 			var events []scheduler.Event
 			for len(p.timers) > 0 && p.timers[0] <= b.now {
 				p.timers = p.timers[1:]
-				events = append(events, scheduler.Timer{Token: 1})
+				events = append(events, scheduler.TimerFired{Token: 1})
 			}
 			for len(p.endsAt) > 0 && p.endsAt[0] <= b.now {
 				events = append(events, p.ends[0])
@@ -85,7 +85,7 @@
 			b.ids++
 			units := float64(1 + rng.IntN(int(b.set.MaxUnits)))
 			p.units[b.ids] = units
-			b.step(p, append(events, scheduler.Request{ID: b.ids, Class: "read", Plan: "low", Volume: "v", Units: units, Hosts: b.set.Hosts, Remaining: 2000 * ms})...)
+			b.step(p, append(events, scheduler.Request{ID: b.ids, Class: "read", Plan: "low", Volume: "v", Units: units, Brokers: b.set.Brokers, Remaining: 2000 * ms})...)
 		}
 	}
 }
@@ -94,8 +94,8 @@
 // nothing passing between processes; and its parts are used.
 func TestLimitOverBrokers(t *testing.T) {
 	plans := map[string]scheduler.Plan{
-		"units of 1 to 8": {Name: "low", Rate: 4.5, Reserve: 1.4, Limit: 36, LimitBurst: 48, LimitSlack: 8, Weight: 1, Price: 1},
-		"units of 1 to 3": {Name: "low", Rate: 20, Reserve: 20, Limit: 160, LimitBurst: 120, LimitSlack: 12, Weight: 1, Price: 1},
+		"units of 1 to 8": {Name: "low", Rate: 4.5, ReservedRate: 1.4, Limit: 36, LimitBurst: 48, LimitOverdraft: 8, Weight: 1, Price: 1},
+		"units of 1 to 3": {Name: "low", Rate: 20, ReservedRate: 20, Limit: 160, LimitBurst: 120, LimitOverdraft: 12, Weight: 1, Price: 1},
 	}
 	happens := map[string]func(b *brokers, host int, rng *rand.Rand){
 		"nothing": func(*brokers, int, *rand.Rand) {},
@@ -119,7 +119,7 @@
 		"told the same settings": func(b *brokers, host int, _ *rand.Rand) {
 			for _, p := range b.procs {
 				if p.host == host {
-					b.step(p, scheduler.Retuned{Settings: b.set})
+					b.step(p, scheduler.SettingsChanged{Settings: b.set})
 				}
 			}
 		},
@@ -129,7 +129,7 @@
 			for what, happen := range happens {
 				t.Run(fmt.Sprint(units, ", ", hosts, " brokers, ", what), func(t *testing.T) {
 					set := plain()
-					set.Hosts, set.Plans[0] = hosts, plan
+					set.Brokers, set.Plans[0] = hosts, plan
 					if units == "units of 1 to 3" {
 						set.MaxUnits = 3
 					}
@@ -147,7 +147,7 @@
 					for _, s := range b.sends {
 						level = min(plan.LimitBurst, level+plan.Limit*(s.at-at).Seconds()) - s.units
 						at, sent = s.at, sent+s.units
-						if level < -plan.LimitSlack-1e-6 {
+						if level < -plan.LimitOverdraft-1e-6 {
 							t.Fatalf("the volume's store fell to %.2f at %v", level, s.at-100*second)
 						}
 					}
--- a/scheduler/retune_test.go
+++ b/scheduler/retune_test.go
@@ -8,24 +8,24 @@
 // New settings change what comes; requests under way keep their class, and what clients of a vanished class were not
 // served must not fault later ticks.
 func TestRetune(t *testing.T) {
-	class := func(name string, effect Effect) Class {
-		return Class{Name: name, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: effect}
+	class := func(name string, effect Idempotency) Class {
+		return Class{Name: name, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: effect}
 	}
-	set := Settings{Hosts: 2, Ordinal: 1, MeanUnits: 2, MaxUnits: 8, Bounds: Bounds{MaxAttempts: 3},
-		Classes: []Class{class("old", Safe), class("gone", Safe)},
-		Plans:   []Plan{{Name: "plan", Rate: 50, Reserve: 50, Weight: 1, Price: 1}}}
+	set := Settings{Brokers: 2, Ordinal: 1, MeanUnits: 2, MaxUnits: 8, Capabilities: Capabilities{MaxAttempts: 3},
+		Classes: []Class{class("old", Idempotent), class("gone", Idempotent)},
+		Plans:   []Plan{{Name: "plan", Rate: 50, ReservedRate: 50, Weight: 1, Price: 1}}}
 	g, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := Time(time.Hour)
 	ask := func(id uint64, class string) Request {
-		return Request{ID: id, Class: class, Plan: "plan", Volume: "v", Units: 1, Hosts: 1, Remaining: time.Second}
+		return Request{ID: id, Class: class, Plan: "plan", Volume: "v", Units: 1, Brokers: 1, Remaining: time.Second}
 	}
 	count := func(actions []Action) (sends, fails int) {
 		for _, a := range actions {
 			switch a.(type) {
-			case Send:
+			case Forward:
 				sends++
 			case Fail:
 				fails++
@@ -33,24 +33,24 @@
 		}
 		return sends, fails
 	}
-	sends, _ := count(g.Step(now, []Event{NodeList{Kind: ListFull, Nodes: []NodeInfo{{Node: "n"}}}, ask(1, "gone"), ask(2, "gone")}))
+	sends, _ := count(g.Reduce(now, []Event{EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Name: "n"}}}, ask(1, "gone"), ask(2, "gone")}))
 	idle := ask(9, "old")
 	idle.Volume = "w"
-	g.Step(now, []Event{idle, ClientGone{ID: 9}})
+	g.Reduce(now, []Event{idle, ClientGone{ID: 9}})
 	if sends != 2 {
 		t.Fatalf("%d sends", sends)
 	}
 	next := set
-	next.Ordinal, next.Bounds.MaxAttempts = 0, 1
-	next.Classes = []Class{class("old", Unsafe), class("new", Unsafe)}
-	next.Plans = []Plan{{Name: "plan", Rate: 5, Reserve: 5, Weight: 1, Price: 1}}
+	next.Ordinal, next.Capabilities.MaxAttempts = 0, 1
+	next.Classes = []Class{class("old", NotIdempotent), class("new", NotIdempotent)}
+	next.Plans = []Plan{{Name: "plan", Rate: 5, ReservedRate: 5, Weight: 1, Price: 1}}
 	now += time.Millisecond
-	sends, fails := count(g.Step(now, []Event{Retuned{next}, ask(3, "new"), ask(4, "gone"), ClientGone{ID: 1},
-		AttemptEnded{ID: 2, Node: "n", Outcome: Broken}}))
+	sends, fails := count(g.Reduce(now, []Event{SettingsChanged{next}, ask(3, "new"), ask(4, "gone"), ClientGone{ID: 1},
+		AttemptEnded{ID: 2, Node: "n", Outcome: ConnectionBroken}}))
 	if sends != 1 || fails != 1 {
 		t.Errorf("%d sends, %d fails: want the new class sent, the vanished one failed and no attempt beyond one", sends, fails)
 	}
-	if g.set.Ordinal != 1 || g.requests[3].class.Effect != Unsafe || g.requests[1].class.Effect != Safe || g.volumes["v"].plan.Rate != 5 {
+	if g.set.Ordinal != 1 || g.requests[3].class.Idempotency != NotIdempotent || g.requests[1].class.Idempotency != Idempotent || g.volumes["v"].plan.Rate != 5 {
 		t.Error("the settings in force are not the new ones")
 	}
 	// Guards the tokens of a volume that nobody asks for just now: they must not jump with the new plan.
@@ -59,7 +59,7 @@
 	}
 	for range 400 {
 		now += g.tick
-		g.Step(now, []Event{Timer{Token: timerTick}})
+		g.Reduce(now, []Event{TimerFired{Token: timerTick}})
 	}
 	if len(g.unserved) != 0 {
 		t.Errorf("%d waits kept", len(g.unserved))
