--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -36,15 +36,15 @@
 	overtakes   = 4    // later answers of a node after which an earlier attempt is presumed lost
 	overtime    = 3.0  // and only when it is out for this many times what its size takes
 	silenceAims = 3.0  // largest aims without any answer after which a node with work out is silent
-	watchRetry  = 0.25 // first wait before asking for the list again, as a part of MustAskIn
+	watchRetry  = 0.25 // first wait before asking for the list again, as a part of PollDeadline
 	logTicks    = 100  // ticks between two log lines of one kind
 	idleTicks   = 2400 // ticks without a request after which a volume's accounts are forgotten
 )
 
 const timerTick = 1
 
-// Gateway decides for one host. It is not safe for concurrent use.
-type Gateway struct {
+// Scheduler decides for one host. It is not safe for concurrent use.
+type Scheduler struct {
 	set           Settings
 	processes     float64 // that are this host together: while one replaces another, 2
 	unseen        float64 // others that may be this host too without being known
@@ -115,11 +115,11 @@
 }
 
 // New starts a gateway that knows nothing but its settings.
-func New(set Settings, seed uint64) (*Gateway, error) {
-	if err := set.Check(); err != nil {
+func New(set Settings, seed uint64) (*Scheduler, error) {
+	if err := set.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	g := &Gateway{processes: 1, rng: rand.New(rand.NewPCG(seed, uint64(set.Ordinal))),
+	g := &Scheduler{processes: 1, rng: rand.New(rand.NewPCG(seed, uint64(set.Ordinal))),
 		requests: map[uint64]*request{},
 		volumes:  map[string]*volume{}, nodes: map[string]*node{}, shards: map[int]*shard{},
 		turns: map[string]*turn{}, byID: map[uint32]*volume{}, kept: map[uint32][]news{},
@@ -129,7 +129,7 @@
 }
 
 // follow takes settings, at the start or later. Requests that are under way keep their class.
-func (g *Gateway) follow(set Settings) {
+func (g *Scheduler) follow(set Settings) {
 	g.set, g.classes, g.plans, g.resum = set, map[string]*Class{}, map[string]*Plan{}, true
 	g.stirred++
 	for _, c := range set.Classes {
@@ -141,23 +141,23 @@
 	for _, v := range g.inOrder {
 		v.catchUp(g)
 		if p := g.plans[v.plan.Name]; p != nil {
-			v.plan, v.size = p, max(p.Rate, p.Reserve)+set.MaxUnits
+			v.plan, v.size = p, max(p.Rate, p.ReservedRate)+set.MaxUnits
 			v.level = min(v.level, v.size)
 		}
 	}
-	shorter := func(a, b Class) int { return int(a.Aim - b.Aim) }
-	g.aim = slices.MinFunc(set.Classes, shorter).Aim
+	shorter := func(a, b Class) int { return int(a.LatencyObjective - b.LatencyObjective) }
+	g.aim = slices.MinFunc(set.Classes, shorter).LatencyObjective
 	g.tick = time.Duration(float64(g.aim) / ticksPerAim)
 }
 
 // Classes are the classes of requests that it knows.
-func (g *Gateway) Classes() []Class { return g.set.Classes }
+func (g *Scheduler) Classes() []Class { return g.set.Classes }
 
-// Nodes counts the nodes in the list, and those of them that are avoided now: they drain, are silent or
+// Endpoints counts the nodes in the list, and those of them that are avoided now: they drain, are silent or
 // rest for long.
-func (g *Gateway) Nodes() (listed, avoided int) {
+func (g *Scheduler) Nodes() (listed, avoided int) {
 	for _, n := range g.nodeList {
-		if n.state != Gone {
+		if n.state != Removed {
 			listed++
 			if n.state != Ready || n.silent(g) || g.now < n.restTill && n.rest >= g.aim {
 				avoided++
@@ -169,9 +169,9 @@
 
 // ---- events
 
-// Step takes the events of one point of the clock and returns what is to be done. The slice is good until
-// the next Step.
-func (g *Gateway) Step(now Time, events []Event) []Action {
+// Reduce takes the events of one point of the clock and returns what is to be done. The slice is good until
+// the next Reduce.
+func (g *Scheduler) Reduce(now Time, events []Event) []Action {
 	clear(g.out)
 	g.now, g.out = now, g.out[:0]
 	if !g.started {
@@ -186,13 +186,13 @@
 	return g.out
 }
 
-func (g *Gateway) take(event Event) {
+func (g *Scheduler) take(event Event) {
 	switch e := event.(type) {
 	case Request:
 		g.takeRequest(e)
 	case AttemptEnded:
 		g.endAttempt(e)
-	case AnswerStarted:
+	case ResponseStarted:
 		if r := g.requests[e.ID]; r != nil {
 			r.over = true
 		}
@@ -200,27 +200,27 @@
 		if r := g.requests[e.ID]; r != nil {
 			g.leaveUnserved(r)
 		}
-	case Timer:
+	case TimerFired:
 		if e.Token == timerTick {
 			g.endTick()
 		}
 	case PeerMessage:
 		g.hear(e)
-	case NodeList:
+	case EndpointUpdate:
 		g.takeList(e)
-	case Retuned:
-		e.Settings.Hosts, e.Settings.Ordinal = g.set.Hosts, g.set.Ordinal // peers know this host by them
+	case SettingsChanged:
+		e.Settings.Brokers, e.Settings.Ordinal = g.set.Brokers, g.set.Ordinal // peers know this host by them
 		g.follow(e.Settings)
-	case Shared:
+	case ProcessesChanged:
 		g.stirred++
 		g.processes, g.unseen = float64(max(1, e.Processes)), float64(max(0, e.Unseen))
 	}
 }
 
-func (g *Gateway) act(a Action) { g.out = append(g.out, a) }
+func (g *Scheduler) act(a Action) { g.out = append(g.out, a) }
 
 // log writes a line for the people on call, each kind at most once in logTicks.
-func (g *Gateway) log(kind, format string, args ...any) {
+func (g *Scheduler) log(kind, format string, args ...any) {
 	if last, seen := g.logged[kind]; seen && g.ticks-last < logTicks {
 		return
 	}
@@ -228,7 +228,7 @@
 	g.act(Log{Text: kind + ": " + fmt.Sprintf(format, args...)})
 }
 
-func (g *Gateway) takeRequest(e Request) {
+func (g *Scheduler) takeRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
 	}
@@ -242,11 +242,11 @@
 	r := &request{Request: e, class: class, deadline: g.now + e.Remaining}
 	g.requests[e.ID] = r
 	r.from = g.firstAsked(e, class)
-	r.due = min(r.from+class.Aim, r.deadline)
+	r.due = min(r.from+class.LatencyObjective, r.deadline)
 	r.volume = g.volumeOf(e, plan)
 	r.volume.arrived += e.Units
 	r.part = g.due(r.volume, e.Units)
-	r.value = class.Worth * plan.Price * r.part
+	r.value = class.PriorityWeight * plan.Price * r.part
 	g.queueTurn(r)
 	g.hold(r)
 }
@@ -263,7 +263,7 @@
 // firstAsked tells since when a client waits: the aim runs from its first try. A request like one that
 // was not served, within the patience left of that, is its next try; any other with little time left
 // comes from an impatient client. It errs where other clients ask for the same at once.
-func (g *Gateway) firstAsked(e Request, class *Class) Time {
+func (g *Scheduler) firstAsked(e Request, class *Class) Time {
 	p, known := g.unserved[try{e.Class, e.Volume, e.Key, e.Units}]
 	if known && g.now+e.Remaining <= p.till {
 		return p.from
@@ -289,7 +289,7 @@
 	dueAt   Time    // when due was last filled
 	excess  float64 // units beyond the reserve, smoothed over ticks
 	told    news    // demand at all peers
-	limit   quota.Part
+	limit   quota.Quota
 	asked   int  // tick of the last request
 	number  int  // of its first coming
 	tick    int  // up to which level, demand and excess are brought
@@ -297,11 +297,11 @@
 	stirs   bool // it stands among the active
 }
 
-func (g *Gateway) volumeOf(e Request, plan *Plan) *volume {
+func (g *Scheduler) volumeOf(e Request, plan *Plan) *volume {
 	v, h := g.volumes[e.Volume], fnv.New32a()
 	if v == nil {
 		h.Write([]byte(e.Volume))
-		v = &volume{name: e.Volume, id: h.Sum32(), plan: plan, limit: quota.NewPart(g.now)}
+		v = &volume{name: e.Volume, id: h.Sum32(), plan: plan, limit: quota.New(g.now)}
 		g.volumes[e.Volume], g.byID[v.id] = v, v
 		g.inOrder = append(g.inOrder, v)
 		v.number, v.tick, v.tickAt = g.volumesSeen, g.ticks, g.lastTick
@@ -309,10 +309,10 @@
 	}
 	v.asked = g.ticks
 	v.stir(g)
-	hosts := float64(max(1, min(e.Hosts, g.set.Hosts)))
+	hosts := float64(max(1, min(e.Brokers, g.set.Brokers)))
 	if hosts != v.hosts {
 		v.hosts = hosts
-		v.size = max(plan.Rate, plan.Reserve) + max(g.set.MaxUnits, e.Units)
+		v.size = max(plan.Rate, plan.ReservedRate) + max(g.set.MaxUnits, e.Units)
 		v.level = min(v.level, v.size)
 		g.stirred++
 	}
@@ -321,32 +321,32 @@
 
 // due tells what part of its worth a unit earns: all inside the reserve, less the more the volume asks
 // beyond it against its weight. The reserve counts here by where the volume's demand is.
-func (g *Gateway) due(v *volume, units float64) float64 {
+func (g *Scheduler) due(v *volume, units float64) float64 {
 	part := 1 / v.hosts
 	if told := g.heard(v.told); told > 0 || v.demand > 0 {
 		part = max(part, (v.demand+1)/(v.demand+told+v.hosts))
 	}
-	most := v.plan.Reserve*part + g.set.MaxUnits
-	v.due, v.dueAt = min(most, v.due+v.plan.Reserve*part*(g.now-v.dueAt).Seconds()), g.now
-	if v.plan.Reserve > 0 && v.due >= units {
+	most := v.plan.ReservedRate*part + g.set.MaxUnits
+	v.due, v.dueAt = min(most, v.due+v.plan.ReservedRate*part*(g.now-v.dueAt).Seconds()), g.now
+	if v.plan.ReservedRate > 0 && v.due >= units {
 		v.due -= units
 		return 1
 	}
 	v.excess += units
-	usual := max(v.plan.Rate, v.plan.Reserve) / v.hosts
-	return g.set.SpareWorth + (g.set.ShareWorth-g.set.SpareWorth)/(1+v.excess/max(1, usual))
+	usual := max(v.plan.Rate, v.plan.ReservedRate) / v.hosts
+	return g.set.SpareWeight + (g.set.ShareWeight-g.set.SpareWeight)/(1+v.excess/max(1, usual))
 }
 
 // limit is this process's even part of a volume's limit. While another may live beside it unseen, as one that
 // starts before this one has ended, each keeps to half. It hurts a volume whose traffic leans on one host.
-func (g *Gateway) limit(v *volume) *quota.Part {
-	limit := quota.Limit{Rate: v.plan.Limit, Burst: v.plan.LimitBurst + v.plan.LimitSlack}
-	v.limit.Fill(g.now, limit, 1/v.hosts/(g.processes+g.unseen))
+func (g *Scheduler) limit(v *volume) *quota.Quota {
+	limit := quota.Limit{Rate: v.plan.Limit, Burst: v.plan.LimitBurst + v.plan.LimitOverdraft}
+	v.limit.Refill(g.now, limit, 1/v.hosts/(g.processes+g.unseen))
 	return &v.limit
 }
 
 // endTick grants tokens by equation 12 of the paper and tells peers this host's demand.
-func (g *Gateway) endTick() {
+func (g *Scheduler) endTick() {
 	g.order()
 	g.orderNodes()
 	g.ticks++
@@ -359,7 +359,7 @@
 		total += v.arrived + g.heard(v.told)
 	}
 	for _, v := range g.active {
-		grant := v.plan.Reserve / v.hosts * span
+		grant := v.plan.ReservedRate / v.hosts * span
 		if total > 0 {
 			grant += max(0, v.arrived/total*(room-v.level))
 		}
@@ -387,7 +387,7 @@
 }
 
 // room is W of equation 11: what ready nodes finished for this host plus what they may still take.
-func (g *Gateway) room() float64 {
+func (g *Scheduler) room() float64 {
 	room := g.idleBound * g.set.MeanUnits
 	for _, n := range g.atWork {
 		if n.state == Ready && !n.silent(g) {
@@ -401,7 +401,7 @@
 // ---- node state
 
 type node struct {
-	NodeInfo
+	Endpoint
 	state    NodeState
 	out      int     // attempts out
 	bound    float64 // most attempts out
@@ -425,28 +425,28 @@
 	savedAt  Time
 	flight   []*request // attempts out, in the order sent
 	home     *shard     // among whose nodes it stands
-	member   *balancer.Member
-	listed   uint64 // Gateway.stirred when a list last named it
+	member   *balancer.Replica
+	listed   uint64 // Scheduler.stirred when a list last named it
 	number   int    // of its first coming
 	works    bool   // it stands among those at work
 }
 
 // silent tells whether a node with work out has said nothing for long, be it dead, cut off or stuck.
-func (n *node) silent(g *Gateway) bool {
+func (n *node) silent(g *Scheduler) bool {
 	return len(n.flight) > 0 && g.now-max(n.heard, n.lastSent) > time.Duration(silenceAims*float64(g.aim))
 }
 
 // jammed tells whether even the quickest of a node's recent answers are slow: a queue stands there.
-func (n *node) jammed(g *Gateway) bool { return n.standing > jamShare*g.aim.Seconds() }
+func (n *node) jammed(g *Scheduler) bool { return n.standing > jamShare*g.aim.Seconds() }
 
 // judge moves a node's bound by the time that its answers took, for each tick since the last answer up to
 // three. Below one it guards a node that many hosts share, each with little: while even the quickest of the
 // recent answers are slow, a queue stands there and sends are paced, in the mean down to this host's part of
 // what one host alone may have out. It should catch any jam at a node, whatever the cause, and let pauses,
 // flushes and large requests of a sound node pass. It hurts where few of many hosts use a jammed node.
-func (g *Gateway) judge(n *node) {
+func (g *Scheduler) judge(n *node) {
 	if n.silent(g) {
-		g.log("silent node", "%s with %d out", n.Node, n.out)
+		g.log("silent node", "%s with %d out", n.Name, n.out)
 		n.bound = min(n.bound, 1)
 	}
 	if n.answers == 0 {
@@ -462,7 +462,7 @@
 	if n.took > queueShare*g.aim.Seconds() && n.bound > 1 {
 		n.bound = max(1, n.bound*math.Pow(boundCut, ticks))
 	} else if n.jammed(g) {
-		n.bound = max(min(1, boundMost/float64(g.set.Hosts)), n.bound*math.Pow(boundCut, ticks))
+		n.bound = max(min(1, boundMost/float64(g.set.Brokers)), n.bound*math.Pow(boundCut, ticks))
 	} else if n.full && n.took < queueShare*g.aim.Seconds() || n.bound < 1 {
 		n.bound = min(boundMost, n.bound+0.25*min(1, n.bound)*ticks)
 	}
@@ -474,19 +474,19 @@
 // the even split, or by what the shard served this host when warm, since all hosts together had no more
 // than a whole node. The part grows as slowly as a node may warm; where it is less than a request, whole
 // savings pay for one. Refused and lost attempts weigh too. It hurts when few hosts have work for the node.
-func (g *Gateway) coldRoom(n *node, units float64) bool {
+func (g *Scheduler) coldRoom(n *node, units float64) bool {
 	rules := g.set.Rules
 	age := g.now - n.bornAt
-	if !n.cold || rules.FallTime <= 0 || age >= rules.ColdTime+rules.FallTime {
+	if !n.cold || rules.OverloadWindow <= 0 || age >= rules.WarmUpTime+rules.OverloadWindow {
 		n.cold = false
 		return true
 	}
-	multiple, span := max(2, rules.FallMultiple), rules.FallTime.Seconds()
-	own := g.shards[n.Shard].served * rules.ColdShare * multiple * span
-	part := max(g.set.ColdUnits/float64(g.set.Hosts), own) * (1 - 1/multiple) / 2 / g.processes
-	if rules.ColdShare > 0 && rules.ColdTime > 0 {
-		warm := max(0, (age-rules.FallTime).Seconds()) / rules.ColdTime.Seconds()
-		part *= 1 + warm*(1-rules.ColdShare)/rules.ColdShare
+	multiple, span := max(2, rules.OverloadMultiple), rules.OverloadWindow.Seconds()
+	own := g.shards[n.Shard].served * rules.InitialCapacity * multiple * span
+	part := max(g.set.SlowStartUnits/float64(g.set.Brokers), own) * (1 - 1/multiple) / 2 / g.processes
+	if rules.InitialCapacity > 0 && rules.WarmUpTime > 0 {
+		warm := max(0, (age-rules.OverloadWindow).Seconds()) / rules.WarmUpTime.Seconds()
+		part *= 1 + warm*(1-rules.InitialCapacity)/rules.InitialCapacity
 	}
 	n.savings = min(part, n.savings+part*(g.now-n.savedAt).Seconds()/span)
 	n.savedAt = g.now
@@ -495,7 +495,7 @@
 
 // ---- dispatch
 
-func (g *Gateway) hold(r *request) {
+func (g *Scheduler) hold(r *request) {
 	id := r.Shard
 	if id < 0 {
 		id = g.placeNew(r)
@@ -509,7 +509,7 @@
 // same, the one where it will wait least. A cold node is one of them as far as it surely bears the object,
 // else after many restarts all new work crowds the old ones; one that is not known counts as no quicker than
 // the usual. It hurts when reads of new objects follow to a node that is still cold.
-func (g *Gateway) placeNew(r *request) int {
+func (g *Scheduler) placeNew(r *request) int {
 	best, least, left := -1, math.Inf(1), newChoices
 	start := g.rng.IntN(max(1, len(g.nodeList)))
 	for i := 0; i < len(g.nodeList) && left > 0; i++ {
@@ -530,13 +530,13 @@
 
 // inScope keeps a keyed request that may have run with the nodes that drop its repeats.
 func inScope(r *request, n *node) bool {
-	if r.ranAt == nil || r.class.Effect != Keyed || r.class.Scope == ScopeAll {
+	if r.ranAt == nil || r.class.Idempotency != IdempotentWithKey || r.class.Scope == ScopeAll {
 		return true
 	}
 	return n.Shard == r.ranAt.Shard || r.class.Scope == ScopeZone && n.Zone == r.ranAt.Zone
 }
 
-func (g *Gateway) dispatchAll() {
+func (g *Scheduler) dispatchAll() {
 	g.awaken()
 	g.waiting = slices.DeleteFunc(g.waiting, func(s *shard) bool {
 		if len(s.held) > 0 && !s.still(g) {
@@ -553,7 +553,7 @@
 // shed guards against overload of one node, from a surge, slowness or lost room: where earliest due
 // first would make many requests late, the least worthy yield to those that can be in time and leave
 // only on spare room. It hurts where the time to serve is judged too long.
-func (g *Gateway) shed(s *shard) {
+func (g *Scheduler) shed(s *shard) {
 	n := s.quickest()
 	if n == nil || len(s.held) < 2 {
 		return
@@ -588,7 +588,7 @@
 
 // dispatch sends what may leave of those held, each time earliest due first: paid requests, then unpaid
 // ones into debt, then those that were shed.
-func (g *Gateway) dispatch(s *shard, l *look) {
+func (g *Scheduler) dispatch(s *shard, l *look) {
 	for l.pass = range 3 {
 		l.begin()
 		for r := l.now(); r != nil; r = l.now() {
@@ -609,7 +609,7 @@
 // hasRoom tells whether a node's bound lets an attempt out now. Below a bound of one sends are paced, and at
 // a jammed node those beyond the reserve in any case, longer the less they are worth. That guards reserved
 // work of other hosts, which this host does not see, against any surge. It hurts at nodes slow by themselves.
-func (g *Gateway) hasRoom(n *node, r *request) bool {
+func (g *Scheduler) hasRoom(n *node, r *request) bool {
 	room := float64(n.out) < max(1, math.Floor(n.bound)) && len(n.flight) < 2*boundMost
 	paced := n.bound < 1 || r.part < 1 && n.jammed(g)
 	room = room && !(paced && (g.now-n.pacedAt).Seconds()*r.part < n.took/n.bound)
@@ -618,7 +618,7 @@
 }
 
 // pick takes the first of the nodes, in the order that package balancer gives, that may serve a request now.
-func (g *Gateway) pick(s *shard, r *request) *node {
+func (g *Scheduler) pick(s *shard, r *request) *node {
 	for n := range g.preferred(s, r) {
 		if n.state == Ready && g.hasRoom(n, r) && inScope(r, n) && g.coldRoom(n, r.Units) {
 			return n
@@ -628,19 +628,19 @@
 }
 
 // pays tells whether a request's volume can pay for it, or go into debt for it.
-func (g *Gateway) pays(r *request, unpaid bool) bool {
+func (g *Scheduler) pays(r *request, unpaid bool) bool {
 	v, floor := r.volume, 0.0
 	v.catchUp(g)
 	if unpaid {
 		floor = -v.size
 	}
-	if r.attempts == 0 && v.level-r.Units < floor || !r.counted && !g.limit(v).Bears(r.Units) {
+	if r.attempts == 0 && v.level-r.Units < floor || !r.counted && !g.limit(v).Allows(r.Units) {
 		return false
 	}
 	return g.hasTurn(r) && (r.attempts == 0 || g.mayTryAgain(r))
 }
 
-func (g *Gateway) send(r *request, n *node) {
+func (g *Scheduler) send(r *request, n *node) {
 	if r.attempts == 0 {
 		r.volume.level -= r.Units
 	} else {
@@ -657,11 +657,11 @@
 	r.passed, r.lost, n.flight = 0, false, append(n.flight, r)
 	n.savings, n.pacedAt = n.savings-r.Units, g.now
 	n.leave(g)
-	g.act(Send{ID: r.ID, Node: n.Node})
+	g.act(Forward{ID: r.ID, Node: n.Name})
 }
 
 // giveUpLate answers requests that can no longer be served within their aim, at once.
-func (g *Gateway) giveUpLate(s *shard) {
+func (g *Scheduler) giveUpLate(s *shard) {
 	service := s.service()
 	if s.inTime(g, service) {
 		return
@@ -679,9 +679,9 @@
 
 // ---- further attempts and final answers
 
-func (g *Gateway) endAttempt(e AttemptEnded) {
+func (g *Scheduler) endAttempt(e AttemptEnded) {
 	r := g.requests[e.ID]
-	if r == nil || r.outAt == nil || r.outAt.Node != e.Node || e.Attempt != r.attempts-1 {
+	if r == nil || r.outAt == nil || r.outAt.Name != e.Node || e.Attempt != r.attempts-1 {
 		return
 	}
 	n := r.outAt
@@ -695,12 +695,12 @@
 	}
 	g.learn(n, r, e)
 	g.observe(n, r, e)
-	if e.Outcome.MayHaveRun() && r.ranAt == nil {
+	if e.Outcome.MayHaveExecuted() && r.ranAt == nil {
 		r.ranAt, r.firstRun = n, r.sentAt
-		r.volume.limit.Arrive(r.ID)
+		r.volume.limit.Settle(r.ID)
 	}
-	if r.turn != nil && (e.Outcome == TimedOut || e.Outcome == Broken || e.Outcome == Withdrawn) {
-		r.turn.restTo = g.now + g.set.Rules.KeyQuiet + 1
+	if r.turn != nil && (e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled) {
+		r.turn.restTo = g.now + g.set.Rules.QuietPeriod + 1
 	}
 	if e.Finished || r.over || e.Outcome == Success {
 		g.finish(r)
@@ -717,8 +717,8 @@
 // off and answered, so that the node does what can still be in time. It should catch any jam, whoever filled
 // the node. Where nodes go on with what was called off it would hide how long they take, so without an
 // answer between the next attempt runs to its end. It hurts where late answers earn much.
-func (g *Gateway) callOffLate(n *node, r *request) bool {
-	if r.over || g.now <= r.due || !n.jammed(g) || n.futile || !g.set.Bounds.Cancel {
+func (g *Scheduler) callOffLate(n *node, r *request) bool {
+	if r.over || g.now <= r.due || !n.jammed(g) || n.futile || !g.set.Capabilities.Cancel {
 		return false
 	}
 	n.futile = true
@@ -733,7 +733,7 @@
 // half-dead path. An attempt that later ones overtook, or that is out past any likely answer, gives its
 // room back; unless it is just late it is called off and tried again where the rules allow. It hurts
 // where a node serves out of turn or has become slower at one stroke.
-func (g *Gateway) findLost(n *node) {
+func (g *Scheduler) findLost(n *node) {
 	for _, r := range n.flight {
 		out := (g.now - r.sentAt).Seconds()
 		usual := overtime * n.took * max(1, r.Units/max(1, g.set.MeanUnits))
@@ -746,9 +746,9 @@
 			n.answers++
 			n.waited += out
 		}
-		g.log("attempt lost", "%s after %.0f ms", n.Node, out*1000)
+		g.log("attempt lost", "%s after %.0f ms", n.Name, out*1000)
 		again := !r.over && (r.passed >= overtakes || n.silent(g)) // a repeat of a late one is twice the work
-		again = again && g.set.Bounds.Cancel && r.class.Effect == Safe
+		again = again && g.set.Capabilities.Cancel && r.class.Idempotency == Idempotent
 		if again && g.now < r.due && g.mayTryAgain(r) {
 			g.act(Cancel{ID: r.ID, Attempt: r.attempts - 1})
 		}
@@ -756,22 +756,22 @@
 }
 
 // learn takes what an outcome shows of its node. Only answers that served count as service.
-func (g *Gateway) learn(n *node, r *request, e AttemptEnded) {
-	if e.Outcome != TimedOut && e.Outcome != Withdrawn && e.Outcome != Unreachable && e.Outcome != Void {
+func (g *Scheduler) learn(n *node, r *request, e AttemptEnded) {
+	if e.Outcome != TimedOut && e.Outcome != Canceled && e.Outcome != Unreachable && e.Outcome != NotSent {
 		n.heard = g.now
 	}
 	n.lastSent = g.now
 	switch e.Outcome {
 	case Success:
 		n.finished += r.Units
-		s, span := g.shards[n.Shard], g.set.Rules.ColdTime.Seconds()
+		s, span := g.shards[n.Shard], g.set.Rules.WarmUpTime.Seconds()
 		if n.cold && r.sentAt >= n.bornAt {
 			n.savings += r.Units
 		} else if !n.cold && span > 0 {
 			s.served, s.servedAt = s.served*math.Exp(-(g.now-s.servedAt).Seconds()/span)+r.Units/span, g.now
 		}
 		n.answers++
-		n.waited += e.Took.Seconds()
+		n.waited += e.Latency.Seconds()
 		n.rest, n.futile, n.faults = 0, false, 0
 		for _, other := range n.flight {
 			if other.sentAt < r.sentAt {
@@ -779,18 +779,18 @@
 			}
 		}
 		if n.took == 0 {
-			n.took = e.Took.Seconds()
+			n.took = e.Latency.Seconds()
 		}
-	case Void: // it never reached the node, which bears it still
+	case NotSent: // it never reached the node, which bears it still
 		n.savings += r.Units
 		if v := r.volume; r.over && r.attempts == 1 { // nor took anything of what its volume has
 			v.level += r.Units
-			v.limit.Return(r.ID)
+			v.limit.Refund(r.ID)
 		}
-	case Overloaded, Unreachable, Broken:
+	case Overloaded, Unreachable, ConnectionBroken:
 		// One lost answer among good ones shows nothing of the node's room, two on end may. An error never
 		// does: a shard has no other node, and what waits while that rests is given up.
-		if n.faults++; n.faults < 2 && e.Outcome == Broken {
+		if n.faults++; n.faults < 2 && e.Outcome == ConnectionBroken {
 			return
 		}
 		n.bound = max(min(1, n.bound), n.bound*boundCut)
@@ -800,22 +800,22 @@
 }
 
 // mayTryAgain holds the rules on effects, attempts and the budget.
-func (g *Gateway) mayTryAgain(r *request) bool {
-	rules, most := g.set.Rules, g.set.Bounds.MaxAttempts
-	late := r.class.Effect == Keyed && g.now > r.firstRun+r.class.Window
-	if most > 0 && r.attempts >= most || r.ranAt != nil && (late || r.class.Effect == Unsafe) {
+func (g *Scheduler) mayTryAgain(r *request) bool {
+	rules, most := g.set.Rules, g.set.Capabilities.MaxAttempts
+	late := r.class.Idempotency == IdempotentWithKey && g.now > r.firstRun+r.class.DedupWindow
+	if most > 0 && r.attempts >= most || r.ranAt != nil && (late || r.class.Idempotency == NotIdempotent) {
 		return false
 	}
-	if rules.BudgetSpan <= 0 {
+	if rules.RetryBudgetWindow <= 0 {
 		return true
 	}
 	g.trimBudget()
-	return float64(len(g.extras)+1) <= rules.BudgetFloor+rules.BudgetRatio*float64(len(g.taken))
+	return float64(len(g.extras)+1) <= rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(g.taken))
 }
 
 // trimBudget forgets requests a little early and further attempts a little late, to be safe at the edge.
-func (g *Gateway) trimBudget() {
-	span := g.set.Rules.BudgetSpan
+func (g *Scheduler) trimBudget() {
+	span := g.set.Rules.RetryBudgetWindow
 	for ; len(g.taken) > 0 && g.now-g.taken[0] >= span; g.taken = g.taken[1:] {
 	}
 	for ; len(g.extras) > 0 && g.now-g.extras[0] > span; g.extras = g.extras[1:] {
@@ -823,22 +823,22 @@
 }
 
 // giveUp gives the final answer: a refusal where that is true, else a failure.
-func (g *Gateway) giveUp(r *request) {
+func (g *Scheduler) giveUp(r *request) {
 	ran := r.ranAt != nil || r.outAt != nil
 	harmless := !ran || r.harmless()
 	hint := time.Duration(0)
-	if g.set.Bounds.RetryAfter {
-		hint = min(g.aim, g.set.Bounds.MaxRetryAfter)
+	if g.set.Capabilities.RetryAfter {
+		hint = min(g.aim, g.set.Capabilities.MaxRetryAfter)
 	}
 	if harmless && g.now < r.deadline {
-		g.act(Refuse{ID: r.ID, After: hint})
+		g.act(Reject{ID: r.ID, After: hint})
 	} else {
 		g.act(Fail{ID: r.ID})
 	}
 	g.leaveUnserved(r)
 }
 
-func (g *Gateway) leaveUnserved(r *request) {
+func (g *Scheduler) leaveUnserved(r *request) {
 	if !r.over {
 		g.unserved[try{r.Class, r.Volume, r.Key, r.Units}] = patience{r.from, r.from + r.class.Deadline}
 	}
@@ -846,13 +846,13 @@
 }
 
 // finish ends what is owed for a request; it is forgotten when no attempt is out either.
-func (g *Gateway) finish(r *request) {
+func (g *Scheduler) finish(r *request) {
 	r.over = true
 	if r.lane != nil {
 		r.lane.drop(r)
 	}
 	if r.outAt == nil {
-		r.volume.limit.Arrive(r.ID)
+		r.volume.limit.Settle(r.ID)
 		delete(g.requests, r.ID)
 		g.leaveTurn(r)
 	}
@@ -864,7 +864,7 @@
 	restTo  Time
 }
 
-func (g *Gateway) queueTurn(r *request) {
+func (g *Scheduler) queueTurn(r *request) {
 	if !r.class.Ordered || r.Key == "" {
 		return
 	}
@@ -875,11 +875,11 @@
 	r.turn.waiting = append(r.turn.waiting, r)
 }
 
-func (g *Gateway) hasTurn(r *request) bool {
+func (g *Scheduler) hasTurn(r *request) bool {
 	return r.turn == nil || r.turn.waiting[0] == r && (g.now >= r.turn.restTo || r.attempts > 0)
 }
 
-func (g *Gateway) leaveTurn(r *request) {
+func (g *Scheduler) leaveTurn(r *request) {
 	if r.turn == nil {
 		return
 	}
@@ -896,7 +896,7 @@
 }
 
 // heard is what news still counts.
-func (g *Gateway) heard(n news) float64 {
+func (g *Scheduler) heard(n news) float64 {
 	if g.ticks-n.tick > newsTicks {
 		return 0
 	}
@@ -907,15 +907,15 @@
 // among the hosts, by its name: it adds up what is told and answers with the demand at all others. So
 // messages follow a host's own traffic, however many hosts there are. Without its keeper a volume
 // falls back on the even split.
-func (g *Gateway) tellPeers() {
-	if !g.set.Bounds.Peers || g.set.Hosts < 2 {
+func (g *Scheduler) tellPeers() {
+	if !g.set.Capabilities.Peers || g.set.Brokers < 2 {
 		return
 	}
 	for _, v := range g.active {
 		if v.hosts < 2 || v.demand*newsScale < 1 || (g.ticks+v.number)%tellTicks > 0 {
 			continue
 		}
-		if keeper := int(v.id % uint32(g.set.Hosts)); keeper != g.set.Ordinal {
+		if keeper := int(v.id % uint32(g.set.Brokers)); keeper != g.set.Ordinal {
 			g.tell(keeper, newsReport, v.id, v.demand)
 		} else {
 			v.told = news{g.keep(v.id, keeper, v.demand), g.ticks, keeper}
@@ -923,14 +923,14 @@
 	}
 }
 
-func (g *Gateway) tell(peer int, kind byte, id uint32, units float64) {
+func (g *Scheduler) tell(peer int, kind byte, id uint32, units float64) {
 	data := binary.BigEndian.AppendUint32([]byte{kind}, id)
 	steps := uint16(min(math.Round(units*newsScale), math.MaxUint16))
-	g.act(Tell{Peer: peer, Data: binary.BigEndian.AppendUint16(data, steps)})
+	g.act(SendToPeer{Peer: peer, Data: binary.BigEndian.AppendUint16(data, steps)})
 }
 
 // keep notes what one host told of a volume and returns the demand at all others. Old news is dropped.
-func (g *Gateway) keep(id uint32, from int, units float64) float64 {
+func (g *Scheduler) keep(id uint32, from int, units float64) float64 {
 	sum, replaced := 0.0, func(n news) bool { return n.from == from || g.heard(n) == 0 }
 	others := slices.DeleteFunc(g.kept[id], replaced)
 	for _, n := range others {
@@ -941,8 +941,8 @@
 }
 
 // hear takes a peer's message; bytes that are not one are dropped.
-func (g *Gateway) hear(e PeerMessage) {
-	bad := e.From < 0 || e.From >= g.set.Hosts || e.From == g.set.Ordinal
+func (g *Scheduler) hear(e PeerMessage) {
+	bad := e.From < 0 || e.From >= g.set.Brokers || e.From == g.set.Ordinal
 	if bad || g.hearSilent(e) || len(e.Data) != newsBytes {
 		return
 	}
@@ -959,70 +959,70 @@
 // ---- list watch
 
 // ask subscribes to the list, and again after growing waits until a list comes.
-func (g *Gateway) ask() {
+func (g *Scheduler) ask() {
 	if !g.set.Subscribe || g.watching || g.now < g.askAt {
 		return
 	}
-	g.act(Watch{On: true})
-	wait := max(g.watchWait, time.Duration(watchRetry*float64(g.set.Rules.MustAskIn)), g.tick)
-	g.watchWait = min(2*wait, max(g.set.Rules.MustAskIn, wait))
+	g.act(WatchEndpoints{On: true})
+	wait := max(g.watchWait, time.Duration(watchRetry*float64(g.set.Rules.PollDeadline)), g.tick)
+	g.watchWait = min(2*wait, max(g.set.Rules.PollDeadline, wait))
 	g.askAt = g.now + wait + time.Duration(g.rng.Float64()*float64(wait)/2)
 }
 
 // takeList follows the list; it acts in the batch in which it is told.
-func (g *Gateway) takeList(e NodeList) {
-	if e.Kind == ListFailed {
+func (g *Scheduler) takeList(e EndpointUpdate) {
+	if e.Kind == FailedUpdate {
 		g.log("list failed", "asking again")
 		g.watching = false
 		return
 	}
-	if e.Kind != ListCached {
+	if e.Kind != CachedUpdate {
 		g.watching, g.watchWait = true, 0
 	}
 	g.stirred++
 	g.lists++
 	g.resum = true
 	first := !g.listed
-	g.listed = g.listed || len(e.Nodes) > 0
-	for _, info := range e.Nodes {
+	g.listed = g.listed || len(e.Endpoints) > 0
+	for _, info := range e.Endpoints {
 		g.takeNode(info, e.Kind, first)
 	}
-	if e.Kind == ListChanges {
+	if e.Kind == DeltaUpdate {
 		return
 	}
 	for _, n := range g.nodeList {
 		if n.listed != g.stirred {
-			n.state = Gone
+			n.state = Removed
 		}
 	}
 }
 
-func (g *Gateway) takeNode(info NodeInfo, kind ListKind, first bool) {
-	n := g.nodes[info.Node]
+func (g *Scheduler) takeNode(info Endpoint, kind UpdateKind, first bool) {
+	n := g.nodes[info.Name]
 	if n == nil {
 		n = &node{bound: boundStart, heard: g.now, number: g.nodesSeen}
 		g.nodesSeen++
-		g.nodes[info.Node] = n
+		g.nodes[info.Name] = n
 		g.nodeList = append(g.nodeList, n)
 		g.shardOf(info.Shard).add(n)
 		n.bornAt, n.cold = g.now, !first
 	}
-	if info.UpSince > n.UpSince || n.state == Gone && info.State == Ready {
+	if info.StartedAt > n.StartedAt || n.state == Removed && info.State == Ready {
 		n.bornAt, n.bound = g.now, boundStart
-		if info.UpSince > 0 {
-			n.bornAt = min(info.UpSince, g.now)
+		if info.StartedAt > 0 {
+			n.bornAt = min(info.StartedAt, g.now)
 		}
 		n.cold = true
 	}
-	if n.cold && n.savedAt < n.bornAt-g.set.Rules.FallTime {
-		spread := g.rng.Float64() * (1 - 1/float64(g.set.Hosts)) // keeps first sends of many hosts apart
+	if n.cold && n.savedAt < n.bornAt-g.set.Rules.OverloadWindow {
+		spread := g.rng.Float64() * (1 - 1/float64(g.set.Brokers)) // keeps first sends of many hosts apart
 		n.savings, n.savedAt = -spread*g.set.MeanUnits, g.now
 		if g.processes == 1 { // else the other process may have spent what was saved
-			n.savedAt -= g.set.Rules.FallTime
+			n.savedAt -= g.set.Rules.OverloadWindow
 		}
 	}
-	n.NodeInfo, n.state, n.listed = info, info.State, g.stirred
+	n.Endpoint, n.state, n.listed = info, info.State, g.stirred
 	if info.State != Ready {
-		g.log("node leaves", "%s", info.Node)
+		g.log("node leaves", "%s", info.Name)
 	}
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -13,37 +13,37 @@
 
 // plain is a deployment of one class and two plans, with nothing that is optional.
 func plain() scheduler.Settings {
-	return scheduler.Settings{Hosts: 1, MeanUnits: 2, MaxUnits: 8, ShareWorth: 0.3, SpareWorth: 0.1,
-		Classes: []scheduler.Class{{Name: "read", Aim: 300 * ms, Deadline: 2000 * ms, Worth: 1}},
-		Plans:   []scheduler.Plan{{Name: "low", Rate: 5, Weight: 1, Price: 1}, {Name: "high", Rate: 20, Reserve: 40, Weight: 3, Price: 2}},
-		Bounds:  scheduler.Bounds{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
-		Rules:   scheduler.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms}}
+	return scheduler.Settings{Brokers: 1, MeanUnits: 2, MaxUnits: 8, ShareWeight: 0.3, SpareWeight: 0.1,
+		Classes:      []scheduler.Class{{Name: "read", LatencyObjective: 300 * ms, Deadline: 2000 * ms, PriorityWeight: 1}},
+		Plans:        []scheduler.Plan{{Name: "low", Rate: 5, Weight: 1, Price: 1}, {Name: "high", Rate: 20, ReservedRate: 40, Weight: 3, Price: 2}},
+		Capabilities: scheduler.Capabilities{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
+		Rules:        scheduler.Rules{AnswerSlack: 8 * ms, DrainGrace: 500 * ms}}
 }
 
 // driver calls a gateway and carries its timers.
 type driver struct {
 	t       *testing.T
-	gateway *scheduler.Gateway
+	gateway *scheduler.Scheduler
 	now     scheduler.Time
 	timers  map[scheduler.Time][]uint64
 	acts    []scheduler.Action // since the last take
 	ids     uint64
 }
 
-func drive(t *testing.T, set scheduler.Settings, nodes ...scheduler.NodeInfo) *driver {
+func drive(t *testing.T, set scheduler.Settings, nodes ...scheduler.Endpoint) *driver {
 	t.Helper()
 	gateway, err := scheduler.New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &driver{t: t, gateway: gateway, now: 100 * second, timers: map[scheduler.Time][]uint64{}}
-	d.step(scheduler.NodeList{Kind: scheduler.ListFull, Version: 1, Nodes: nodes})
+	d.step(scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Version: 1, Endpoints: nodes})
 	d.take()
 	return d
 }
 
 func (d *driver) step(events ...scheduler.Event) {
-	for _, action := range d.gateway.Step(d.now, events) {
+	for _, action := range d.gateway.Reduce(d.now, events) {
 		if timer, ok := action.(scheduler.SetTimer); ok {
 			d.timers[d.now+timer.After.Truncate(ms)] = append(d.timers[d.now+timer.After.Truncate(ms)], timer.Token)
 		}
@@ -56,7 +56,7 @@
 	for end := d.now + span; d.now < end; {
 		d.now += ms
 		for _, token := range d.timers[d.now] {
-			d.step(scheduler.Timer{Token: token})
+			d.step(scheduler.TimerFired{Token: token})
 		}
 	}
 }
@@ -69,18 +69,18 @@
 
 func (d *driver) request(plan, volume string, units float64) uint64 {
 	d.ids++
-	d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: plan, Volume: volume, Units: units, Hosts: 1, Remaining: 2000 * ms})
+	d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: plan, Volume: volume, Units: units, Brokers: 1, Remaining: 2000 * ms})
 	return d.ids
 }
 
 func (d *driver) end(id uint64, attempt int, outcome scheduler.Outcome, took time.Duration) {
-	d.step(scheduler.AttemptEnded{ID: id, Attempt: attempt, Node: "n:1", Outcome: outcome, Took: took,
-		Finished: outcome == scheduler.Success, Load: scheduler.NoLoad})
+	d.step(scheduler.AttemptEnded{ID: id, Attempt: attempt, Node: "n:1", Outcome: outcome, Latency: took,
+		Finished: outcome == scheduler.Success, Load: scheduler.NoLoadReport})
 }
 
 func sent(acts []scheduler.Action) (ids []uint64) {
 	for _, action := range acts {
-		if send, ok := action.(scheduler.Send); ok {
+		if send, ok := action.(scheduler.Forward); ok {
 			ids = append(ids, send.ID)
 		}
 	}
@@ -95,16 +95,16 @@
 	})
 }
 
-var oneNode = scheduler.NodeInfo{Node: "n:1"}
+var oneNode = scheduler.Endpoint{Name: "n:1"}
 
 func TestNewRefusesSettingsWithoutSense(t *testing.T) {
 	for name, spoil := range map[string]func(*scheduler.Settings){
-		"no hosts":      func(s *scheduler.Settings) { s.Hosts = 0 },
+		"no hosts":      func(s *scheduler.Settings) { s.Brokers = 0 },
 		"ordinal":       func(s *scheduler.Settings) { s.Ordinal = 1 },
 		"no classes":    func(s *scheduler.Settings) { s.Classes = nil },
-		"no aim":        func(s *scheduler.Settings) { s.Classes[0].Aim = 0 },
+		"no aim":        func(s *scheduler.Settings) { s.Classes[0].LatencyObjective = 0 },
 		"negative rate": func(s *scheduler.Settings) { s.Plans[0].Limit = -1 },
-		"negative rule": func(s *scheduler.Settings) { s.Rules.FallTime = -1 },
+		"negative rule": func(s *scheduler.Settings) { s.Rules.OverloadWindow = -1 },
 	} {
 		set := plain()
 		spoil(&set)
@@ -116,12 +116,12 @@
 
 func TestHeldRequestsLeaveEarliestDueFirst(t *testing.T) {
 	set := plain()
-	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", Aim: 150 * ms, Deadline: 2000 * ms, Worth: 1})
+	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", LatencyObjective: 150 * ms, Deadline: 2000 * ms, PriorityWeight: 1})
 	d := drive(t, set, oneNode)
 	first, _ := d.request("high", "v", 1), d.request("high", "v", 1)
 	late := d.request("high", "v", 1)
 	d.ids++
-	d.step(scheduler.Request{ID: d.ids, Class: "soon", Plan: "high", Volume: "v", Units: 1, Hosts: 1, Remaining: 2000 * ms})
+	d.step(scheduler.Request{ID: d.ids, Class: "soon", Plan: "high", Volume: "v", Units: 1, Brokers: 1, Remaining: 2000 * ms})
 	d.take()
 	d.end(first, 0, scheduler.Success, 20*ms)
 	if got := sent(d.take()); len(got) != 1 || got[0] != d.ids {
@@ -134,12 +134,12 @@
 	d.request("high", "v", 1)
 	d.take()
 	d.pass(250 * ms)
-	if acts := d.take(); has[scheduler.Refuse](acts) {
+	if acts := d.take(); has[scheduler.Reject](acts) {
 		t.Fatal("refused before its aim is out")
 	}
 	d.pass(150 * ms)
 	for _, action := range d.take() {
-		if refuse, ok := action.(scheduler.Refuse); ok && refuse.After > 0 {
+		if refuse, ok := action.(scheduler.Reject); ok && refuse.After > 0 {
 			return
 		}
 	}
@@ -169,9 +169,9 @@
 // A cold node once stood idle behind its allowance though it served all that it got.
 func TestColdNodeMayGetWhatItServes(t *testing.T) {
 	set := plain()
-	set.ColdUnits = 8
-	set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, 2
-	d := drive(t, set, scheduler.NodeInfo{Node: "n:1", UpSince: 100*second - ms})
+	set.SlowStartUnits = 8
+	set.Rules.OverloadWindow, set.Rules.WarmUpTime, set.Rules.InitialCapacity, set.Rules.OverloadMultiple = 2*second, 17*second, 0.2, 2
+	d := drive(t, set, scheduler.Endpoint{Name: "n:1", StartedAt: 100*second - ms})
 	total := 0
 	for range 20 {
 		id := d.request("high", "v", 2)
@@ -194,15 +194,15 @@
 // Each failed list call once started one more chain of timers.
 func TestFailedListsKeepOneTimer(t *testing.T) {
 	set := plain()
-	set.Subscribe, set.Rules.MustAskIn = true, 10*second
+	set.Subscribe, set.Rules.PollDeadline = true, 10*second
 	d := drive(t, set)
 	asked := 0
 	for range 100 {
-		d.step(scheduler.NodeList{Kind: scheduler.ListFailed})
+		d.step(scheduler.EndpointUpdate{Kind: scheduler.FailedUpdate})
 		d.pass(200 * ms)
 	}
 	for _, action := range d.take() {
-		if _, ok := action.(scheduler.Watch); ok {
+		if _, ok := action.(scheduler.WatchEndpoints); ok {
 			asked++
 		}
 	}
@@ -213,8 +213,8 @@
 
 func TestDrainingNodeGetsNothingInTheSameBatch(t *testing.T) {
 	d := drive(t, plain(), oneNode)
-	d.step(scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{{Node: "n:1", State: scheduler.Draining}}},
-		scheduler.Request{ID: 50, Class: "read", Plan: "high", Volume: "v", Units: 1, Hosts: 1, Remaining: 2000 * ms})
+	d.step(scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{{Name: "n:1", State: scheduler.Draining}}},
+		scheduler.Request{ID: 50, Class: "read", Plan: "high", Volume: "v", Units: 1, Brokers: 1, Remaining: 2000 * ms})
 	if got := sent(d.take()); len(got) != 0 {
 		t.Errorf("sent %v to a draining node", got)
 	}
@@ -251,7 +251,7 @@
 
 func TestForeignPeerBytesAreDropped(t *testing.T) {
 	set := plain()
-	set.Hosts, set.Bounds.Peers = 2, true
+	set.Brokers, set.Capabilities.Peers = 2, true
 	d := drive(t, set, oneNode)
 	for _, data := range [][]byte{nil, {9}, {2, 2, 3}, {1, 0, 0, 0, 0, 0, 0}, {4, 0, 0, 0, 0, 0, 0}, {3, 1, 1, 1, 1, 1, 1}, make([]byte, 1000)} {
 		d.step(scheduler.PeerMessage{From: 1, Data: data}, scheduler.PeerMessage{From: 7, Data: data})
@@ -269,15 +269,15 @@
 func TestMessagesFollowTheHostsOwnTraffic(t *testing.T) {
 	told := func(hosts int) (count int) {
 		set := plain()
-		set.Hosts, set.Bounds.Peers = hosts, true
+		set.Brokers, set.Capabilities.Peers = hosts, true
 		d := drive(t, set, oneNode)
 		for i := range 40 {
 			d.ids++
-			d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%5), Units: 2, Hosts: 2, Remaining: 2000 * ms})
+			d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%5), Units: 2, Brokers: 2, Remaining: 2000 * ms})
 			d.pass(25 * ms)
 		}
 		for _, action := range d.take() {
-			if tell, ok := action.(scheduler.Tell); ok {
+			if tell, ok := action.(scheduler.SendToPeer); ok {
 				if tell.Peer < 0 || tell.Peer >= hosts || len(tell.Data) > 8 {
 					t.Fatalf("tells %d bytes to %d", len(tell.Data), tell.Peer)
 				}
@@ -294,20 +294,20 @@
 // A keeper answers each report with what the others told, and no longer with old news.
 func TestKeeperAnswersWithTheDemandOfOthers(t *testing.T) {
 	set := plain()
-	set.Hosts, set.Bounds.Peers = 4, true
+	set.Brokers, set.Capabilities.Peers = 4, true
 	d := drive(t, set, oneNode)
 	report := []byte{2, 9, 9, 9, 9, 0, 48}
 	d.step(scheduler.PeerMessage{From: 1, Data: report}, scheduler.PeerMessage{From: 1, Data: report}, scheduler.PeerMessage{From: 2, Data: report})
 	want := fmt.Sprint([]scheduler.Action{
-		scheduler.Tell{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}}, scheduler.Tell{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}},
-		scheduler.Tell{Peer: 2, Data: []byte{3, 9, 9, 9, 9, 0, 48}}})
+		scheduler.SendToPeer{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}}, scheduler.SendToPeer{Peer: 1, Data: []byte{3, 9, 9, 9, 9, 0, 0}},
+		scheduler.SendToPeer{Peer: 2, Data: []byte{3, 9, 9, 9, 9, 0, 48}}})
 	if got := fmt.Sprint(d.take()); got != want {
 		t.Errorf("answers %v, want %v", got, want)
 	}
 	d.pass(2 * second)
 	d.take()
 	d.step(scheduler.PeerMessage{From: 3, Data: report})
-	if got := fmt.Sprint(d.take()); got != fmt.Sprint([]scheduler.Action{scheduler.Tell{Peer: 3, Data: []byte{3, 9, 9, 9, 9, 0, 0}}}) {
+	if got := fmt.Sprint(d.take()); got != fmt.Sprint([]scheduler.Action{scheduler.SendToPeer{Peer: 3, Data: []byte{3, 9, 9, 9, 9, 0, 0}}}) {
 		t.Errorf("old news still counts: %v", got)
 	}
 }
@@ -315,7 +315,7 @@
 // sendsTo counts what of 12 requests goes to a node whose answers take the given times, in turn.
 func sendsTo(t *testing.T, hosts int, plan string, times ...time.Duration) (count int) {
 	set := plain()
-	set.Hosts = hosts
+	set.Brokers = hosts
 	d := drive(t, set, oneNode)
 	for i := range 12 {
 		took := times[i%len(times)]
@@ -361,7 +361,7 @@
 	d := drive(t, plain(), oneNode)
 	ask := func(key string, left time.Duration) uint64 {
 		d.ids++
-		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Key: key, Units: 1, Hosts: 1, Remaining: left})
+		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Key: key, Units: 1, Brokers: 1, Remaining: left})
 		return d.ids
 	}
 	for range 2 {
@@ -382,7 +382,7 @@
 // A host with little traffic once took a node for jammed long after it was well, and refused at once.
 func TestNewsOfAJamFades(t *testing.T) {
 	set := plain()
-	set.Hosts = 100
+	set.Brokers = 100
 	d := drive(t, set, oneNode)
 	for range 8 {
 		id := d.request("high", "v", 2)
@@ -391,7 +391,7 @@
 	}
 	d.take()
 	d.request("high", "v", 2)
-	if acts := d.take(); has[scheduler.Send](acts) {
+	if acts := d.take(); has[scheduler.Forward](acts) {
 		t.Fatalf("sends at once to a jammed node: %s", acts)
 	}
 	d.pass(15 * second)
@@ -403,14 +403,14 @@
 
 func TestOddRequestsGetOneAnswer(t *testing.T) {
 	set := plain()
-	set.Hosts, set.ColdUnits = 1000, 0.5
-	set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, 2
+	set.Brokers, set.SlowStartUnits = 1000, 0.5
+	set.Rules.OverloadWindow, set.Rules.WarmUpTime, set.Rules.InitialCapacity, set.Rules.OverloadMultiple = 2*second, 17*second, 0.2, 2
 	odd := []scheduler.Request{
-		{Hosts: 0, Units: 1, Remaining: second}, {Hosts: 5000, Units: 1, Remaining: second},
-		{Hosts: 1, Units: 500, Remaining: second}, {Hosts: 1, Units: 0, Remaining: second},
-		{Hosts: 1, Units: 1, Remaining: 0}, {Hosts: 1, Units: 1, Remaining: 5 * ms},
+		{Brokers: 0, Units: 1, Remaining: second}, {Brokers: 5000, Units: 1, Remaining: second},
+		{Brokers: 1, Units: 500, Remaining: second}, {Brokers: 1, Units: 0, Remaining: second},
+		{Brokers: 1, Units: 1, Remaining: 0}, {Brokers: 1, Units: 1, Remaining: 5 * ms},
 	}
-	for _, node := range []scheduler.NodeInfo{{Node: "n:1"}, {Node: "n:1", UpSince: 500 * second}, {Node: "n:1", Shard: 3}} {
+	for _, node := range []scheduler.Endpoint{{Name: "n:1"}, {Name: "n:1", StartedAt: 500 * second}, {Name: "n:1", Shard: 3}} {
 		d := drive(t, set, node, node)
 		for _, r := range odd {
 			d.ids++
@@ -421,10 +421,10 @@
 		answers, sends := map[uint64]int{}, map[uint64]bool{}
 		for _, action := range d.take() {
 			switch a := action.(type) {
-			case scheduler.Send:
+			case scheduler.Forward:
 				sends[a.ID] = true
 				d.end(a.ID, 0, scheduler.Success, 20*ms)
-			case scheduler.Refuse:
+			case scheduler.Reject:
 				answers[a.ID]++
 			case scheduler.Fail:
 				answers[a.ID]++
@@ -438,11 +438,11 @@
 	}
 }
 
-// Hosts that know nothing of the nodes once all put their new objects on the first (incident i3a2b85).
+// Brokers that know nothing of the nodes once all put their new objects on the first (incident i3a2b85).
 func TestHostsSpreadNewObjects(t *testing.T) {
-	var nodes []scheduler.NodeInfo
+	var nodes []scheduler.Endpoint
 	for i := range 40 {
-		nodes = append(nodes, scheduler.NodeInfo{Node: fmt.Sprintf("n%d:1", i), Shard: i})
+		nodes = append(nodes, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Shard: i})
 	}
 	used := map[string]int{}
 	for seed := range uint64(100) {
@@ -450,9 +450,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, action := range g.Step(100*second, []scheduler.Event{scheduler.NodeList{Kind: scheduler.ListFull, Nodes: nodes},
-			scheduler.Request{ID: 1, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Hosts: 1, Remaining: 2 * second}}) {
-			if send, ok := action.(scheduler.Send); ok {
+		for _, action := range g.Reduce(100*second, []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: nodes},
+			scheduler.Request{ID: 1, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Brokers: 1, Remaining: 2 * second}}) {
+			if send, ok := action.(scheduler.Forward); ok {
 				used[send.Node]++
 			}
 		}
@@ -465,8 +465,8 @@
 // An attempt that is only late was once called off and sent again, twice the work for a jammed node (i3a2b85).
 func TestLateAttemptsAreNotRepeatedUnlessOvertaken(t *testing.T) {
 	set := plain()
-	set.Classes[0].Aim = 400 * ms
-	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", Aim: 150 * ms, Deadline: 2000 * ms, Worth: 1})
+	set.Classes[0].LatencyObjective = 400 * ms
+	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", LatencyObjective: 150 * ms, Deadline: 2000 * ms, PriorityWeight: 1})
 	d := drive(t, set, oneNode)
 	d.request("high", "v", 1)
 	d.pass(250 * ms)
@@ -490,12 +490,12 @@
 	t.Error("an overtaken attempt is not called off")
 }
 
-// Nodes in a crowd once worked for the most part at what was late already, and did half of what they could
+// Endpoints in a crowd once worked for the most part at what was late already, and did half of what they could
 // (winterthur-main-later, a bad day at full size). At a quick node a late answer is still waited for.
 func TestLateWorkIsCalledOffAtACrowdedNode(t *testing.T) {
 	after := func(took time.Duration) []scheduler.Action {
 		set := plain()
-		set.Bounds.MaxAttempts = 1
+		set.Capabilities.MaxAttempts = 1
 		d := drive(t, set, oneNode)
 		d.request("high", "late", 1)
 		for range 15 { // the node answers what came later
@@ -509,7 +509,7 @@
 	if quick := after(20 * ms); has[scheduler.Cancel](quick) {
 		t.Errorf("called off at a quick node: %v", quick)
 	}
-	if crowded := after(200 * ms); !has[scheduler.Cancel](crowded) || !has[scheduler.Refuse](crowded) {
+	if crowded := after(200 * ms); !has[scheduler.Cancel](crowded) || !has[scheduler.Reject](crowded) {
 		t.Errorf("late work goes on at a crowded node: %v", crowded)
 	}
 }
@@ -518,20 +518,20 @@
 // what it surely bears.
 func TestColdNodesTakeNewObjects(t *testing.T) {
 	set := plain()
-	set.ColdUnits = 40
-	set.Rules.FallTime, set.Rules.ColdTime, set.Rules.ColdShare, set.Rules.FallMultiple = 2*second, 17*second, 0.2, 2
+	set.SlowStartUnits = 40
+	set.Rules.OverloadWindow, set.Rules.WarmUpTime, set.Rules.InitialCapacity, set.Rules.OverloadMultiple = 2*second, 17*second, 0.2, 2
 	d := drive(t, set, oneNode)
-	d.step(scheduler.NodeList{Kind: scheduler.ListChanges, Nodes: []scheduler.NodeInfo{{Node: "n:2", Shard: 1, UpSince: d.now - ms}}})
+	d.step(scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{{Name: "n:2", Shard: 1, StartedAt: d.now - ms}}})
 	d.pass(second)
 	d.take()
 	toCold := 0
 	for range 8 {
 		d.ids++
-		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Hosts: 1,
+		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 1, Shard: -1, Brokers: 1,
 			Remaining: 2 * second})
 	}
 	for _, action := range d.take() {
-		if send, ok := action.(scheduler.Send); ok && send.Node == "n:2" {
+		if send, ok := action.(scheduler.Forward); ok && send.Node == "n:2" {
 			toCold++
 		}
 	}
@@ -543,11 +543,11 @@
 // A volume that leans on one host was once out of tokens there while its node was idle (quiet days at full size).
 func TestAVolumeThatLeansOnOneHostMayUseAnIdleNode(t *testing.T) {
 	set := plain()
-	set.Hosts = 10
+	set.Brokers = 10
 	d, count := drive(t, set, oneNode), 0
 	for range 16 {
 		d.ids++
-		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 2, Hosts: 10, Remaining: 2 * second})
+		d.step(scheduler.Request{ID: d.ids, Class: "read", Plan: "high", Volume: "v", Units: 2, Brokers: 10, Remaining: 2 * second})
 		for _, id := range sent(d.take()) {
 			count++
 			d.pass(ms)
@@ -563,7 +563,7 @@
 // the node rests, and an answer that serves clears the count. Errors that a node words itself never have it rest: it
 // answers, and no other node holds its shard.
 func TestOneSpoiltAnswerDoesNotRestANode(t *testing.T) {
-	for _, outcome := range []scheduler.Outcome{scheduler.Broken, scheduler.Failure} {
+	for _, outcome := range []scheduler.Outcome{scheduler.ConnectionBroken, scheduler.Failure} {
 		d := drive(t, plain(), oneNode)
 		fail := func(id uint64, attempt int) []uint64 {
 			d.take()
@@ -579,7 +579,7 @@
 		if got := fail(second, 0); len(got) != 1 {
 			t.Errorf("outcome %d: sent %v after one behind an answer that served", outcome, got)
 		}
-		if got := fail(second, 1); (len(got) == 0) != (outcome == scheduler.Broken) {
+		if got := fail(second, 1); (len(got) == 0) != (outcome == scheduler.ConnectionBroken) {
 			t.Errorf("outcome %d: sent %v after two on end", outcome, got)
 		}
 	}
--- a/scheduler/spread.go
+++ b/scheduler/spread.go
@@ -49,49 +49,49 @@
 }
 
 // members brings the shard's group up to date with the list.
-func (g *Gateway) members(s *shard) *balancer.Group {
+func (g *Scheduler) members(s *shard) *balancer.Balancer {
 	if s.group != nil && s.grouped == g.lists {
 		return s.group
 	}
 	if s.group == nil {
-		opt := g.set.Spread
-		opt.Own, opt.Ordinal, opt.Brokers = cmp.Or(opt.Own, string(rune(g.set.Ordinal))), g.set.Ordinal, g.set.Hosts
-		s.group = balancer.NewGroup(opt)
+		opt := g.set.Balancer
+		opt.Name, opt.Ordinal, opt.Brokers = cmp.Or(opt.Name, string(rune(g.set.Ordinal))), g.set.Ordinal, g.set.Brokers
+		s.group = balancer.New(opt)
 		at, _ := slices.BinarySearchFunc(g.groups, s.id, byShard)
 		g.groups = slices.Insert(g.groups, at, s)
 	}
 	s.grouped = g.lists
-	var ready []*balancer.Member
+	var ready []*balancer.Replica
 	for _, n := range s.nodes {
 		if n.state != Ready {
 			continue
 		}
 		if n.member == nil {
-			n.member = &balancer.Member{Name: n.Node, Ref: n}
+			n.member = &balancer.Replica{Name: n.Name, Ref: n}
 		}
-		n.member.Priority, n.member.Weight, n.member.Warm = n.Priority, max(n.Weight, 0), 1
-		if n.Part > 0 {
-			n.member.Weight = max(n.member.Weight, 1) * n.Part
+		n.member.Priority, n.member.Weight, n.member.CapacityShare = n.Priority, max(n.Weight, 0), 1
+		if n.TrafficWeight > 0 {
+			n.member.Weight = max(n.member.Weight, 1) * n.TrafficWeight
 		}
 		ready = append(ready, n.member)
 	}
-	s.group.Set(g.now, ready)
+	s.group.SetReplicas(g.now, ready)
 	return s.group
 }
 
 // preferred yields a shard's nodes, the best choice first.
-func (g *Gateway) preferred(s *shard, r *request) iter.Seq[*node] {
-	if len(s.nodes) < 2 || g.set.Spread.Off || !s.several() {
+func (g *Scheduler) preferred(s *shard, r *request) iter.Seq[*node] {
+	if len(s.nodes) < 2 || g.set.Balancer.Disabled || !s.several() {
 		return g.leastOut(s, r)
 	}
 	group := g.members(s)
 	for _, n := range s.nodes {
 		if n.member != nil {
-			n.member.Out, n.member.Warm = n.out, g.warmth(n)
+			n.member.InFlight, n.member.CapacityShare = n.out, g.warmth(n)
 		}
 	}
 	return func(yield func(*node) bool) {
-		for m := range group.Order(g.now, !r.harmless() || r.attempts > 0) {
+		for m := range group.Candidates(g.now, !r.harmless() || r.attempts > 0) {
 			if !yield(m.Ref.(*node)) {
 				return
 			}
@@ -100,7 +100,7 @@
 }
 
 // leastOut yields the one node with the fewest attempts out, against its part, that may be sent to: the first listed of equals.
-func (g *Gateway) leastOut(s *shard, r *request) iter.Seq[*node] {
+func (g *Scheduler) leastOut(s *shard, r *request) iter.Seq[*node] {
 	if len(s.nodes) < 2 {
 		return slices.Values(s.nodes)
 	}
@@ -118,36 +118,36 @@
 	if n.Priority != other.Priority {
 		return n.Priority < other.Priority
 	}
-	part := func(n *node) float64 { return cmp.Or(max(n.Part, 0), 1) }
+	part := func(n *node) float64 { return cmp.Or(max(n.TrafficWeight, 0), 1) }
 	return float64(n.out+1)*part(other) < float64(other.out+1)*part(n)
 }
 
 // warmth is the part of its capacity that a node that has just started surely has.
-func (g *Gateway) warmth(n *node) float64 {
+func (g *Scheduler) warmth(n *node) float64 {
 	rules := g.set.Rules
-	if !n.cold || rules.ColdTime <= 0 || rules.ColdShare <= 0 {
+	if !n.cold || rules.WarmUpTime <= 0 || rules.InitialCapacity <= 0 {
 		return 1
 	}
-	return min(1, rules.ColdShare+(1-rules.ColdShare)*max(0, (g.now-n.bornAt).Seconds())/rules.ColdTime.Seconds())
+	return min(1, rules.InitialCapacity+(1-rules.InitialCapacity)*max(0, (g.now-n.bornAt).Seconds())/rules.WarmUpTime.Seconds())
 }
 
 // harmless tells whether a request may run twice.
 func (r *request) harmless() bool {
-	return r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+	return r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.Scope == ScopeAll
 }
 
 // leave counts a send.
-func (n *node) leave(g *Gateway) {
+func (n *node) leave(g *Scheduler) {
 	n.work(g)
 	n.out++
 	g.spent = max(0, g.spent-movesEach)
 	if n.member != nil && n.home.group != nil {
-		n.home.group.Sent(g.now, n.member)
+		n.home.group.RecordSent(g.now, n.member)
 	}
 }
 
 // observe tells the shard's group what an outcome shows of its node.
-func (g *Gateway) observe(n *node, r *request, e AttemptEnded) {
+func (g *Scheduler) observe(n *node, r *request, e AttemptEnded) {
 	group := n.home.group
 	if group == nil || n.member == nil {
 		return
@@ -157,11 +157,11 @@
 		if from := r.moved.from; from != nil && from != n && from.heard < r.moved.at && from.member != nil {
 			g.foundSilent(from) // it has said nothing, and another answered
 		}
-		group.Answered(g.now, n.member, time.Duration(float64(e.Took)*max(1, g.set.MeanUnits)/max(1, r.Units)))
+		group.RecordAnswer(g.now, n.member, time.Duration(float64(e.Latency)*max(1, g.set.MeanUnits)/max(1, r.Units)))
 	case Failure, Overloaded:
-		group.Refused(g.now, n.member, true)
-	case Unreachable, Broken:
-		group.Refused(g.now, n.member, false)
+		group.RecordFailure(g.now, n.member, true)
+	case Unreachable, ConnectionBroken:
+		group.RecordFailure(g.now, n.member, false)
 	}
 }
 
@@ -169,7 +169,7 @@
 func (n *node) elsewhere() *node {
 	var last *node
 	for _, other := range n.home.nodes {
-		if other != n && other.state == Ready && other.member != nil && !other.member.Suspect() && (last == nil || other.heard > last.heard) {
+		if other != n && other.state == Ready && other.member != nil && !other.member.Unresponsive() && (last == nil || other.heard > last.heard) {
 			last = other
 		}
 	}
@@ -180,7 +180,7 @@
 // longer than usual, while others of the shard answered and this one did not, shows it silent; where it may run twice it is called off
 // and tried at another. Whatever was written to the node stays its own. It hurts where a sound node pauses for as long. A broker
 // that stood still itself, stopped or starved, judges nobody until it has read what came meanwhile.
-func (g *Gateway) moveOn(n *node, r *request) bool {
+func (g *Scheduler) moveOn(n *node, r *request) bool {
 	if g.ticks != g.lookTick {
 		if g.lookTick > 0 && g.now-g.lookAt > 3*g.tick {
 			g.stoodTill = g.now + 2*g.tick
@@ -194,11 +194,11 @@
 	if other == nil || (g.now-r.sentAt).Seconds() < overtime*other.took*max(1, r.Units/max(1, g.set.MeanUnits)) {
 		return false
 	}
-	shown := other.heard > r.sentAt || n.member.Suspect()
+	shown := other.heard > r.sentAt || n.member.Unresponsive()
 	if shown {
 		g.foundSilent(n)
 	}
-	if !shown && g.spent > movesMost-1 || !g.set.Bounds.Cancel || !r.harmless() || !g.mayTryAgain(r) || g.now+2*g.tick >= r.deadline {
+	if !shown && g.spent > movesMost-1 || !g.set.Capabilities.Cancel || !r.harmless() || !g.mayTryAgain(r) || g.now+2*g.tick >= r.deadline {
 		return false
 	}
 	if !shown {
@@ -216,19 +216,19 @@
 	at   Time
 }
 
-func (g *Gateway) foundSilent(n *node) {
-	n.home.group.Silent(g.now, n.member)
-	g.log("node found silent", "%s of shard %d, others answer", n.Node, n.Shard)
+func (g *Scheduler) foundSilent(n *node) {
+	n.home.group.RecordUnresponsive(g.now, n.member)
+	g.log("node found silent", "%s of shard %d, others answer", n.Name, n.Shard)
 }
 
 // callOff calls off an attempt that is of no use.
-func (g *Gateway) callOff(n *node, r *request) bool { return g.moveOn(n, r) || g.callOffLate(n, r) }
+func (g *Scheduler) callOff(n *node, r *request) bool { return g.moveOn(n, r) || g.callOffLate(n, r) }
 
 // late gives a request that is tried at another node its time there: its aim may be over, and a late answer is worth more than none.
-func (r *request) late(g *Gateway) { r.due = min(r.deadline-2*g.tick, max(r.due, g.now+g.aim)) }
+func (r *request) late(g *Scheduler) { r.due = min(r.deadline-2*g.tick, max(r.due, g.now+g.aim)) }
 
 // holdAgain holds a request whose attempt has ended without an answer.
-func (g *Gateway) holdAgain(r *request, n *node) {
+func (g *Scheduler) holdAgain(r *request, n *node) {
 	if n.home.group != nil && n.home.several() {
 		r.late(g)
 	}
@@ -236,32 +236,32 @@
 }
 
 // tellAll tells peers what there is to tell.
-func (g *Gateway) tellAll() {
+func (g *Scheduler) tellAll() {
 	g.tellPeers()
 	g.tellSilent()
 }
 
 // tellSilent tells a few peers which nodes were found silent.
-func (g *Gateway) tellSilent() {
-	if !g.set.Bounds.Peers || g.set.Hosts < 2 {
+func (g *Scheduler) tellSilent() {
+	if !g.set.Capabilities.Peers || g.set.Brokers < 2 {
 		return
 	}
 	for _, s := range g.groups {
-		for _, data := range s.group.Tell(g.now) {
-			for _, peer := range s.group.Peers(g.now) {
-				g.act(Tell{Peer: peer, Data: data})
+		for _, data := range s.group.GossipMessages(g.now) {
+			for _, peer := range s.group.GossipPeers(g.now) {
+				g.act(SendToPeer{Peer: peer, Data: data})
 			}
 		}
 	}
 }
 
 // hearSilent takes such a message of a peer, and tells whether it was one.
-func (g *Gateway) hearSilent(e PeerMessage) bool {
-	if len(e.Data) == 0 || e.Data[0] != balancer.KindSilent && e.Data[0] != balancer.KindAlive {
+func (g *Scheduler) hearSilent(e PeerMessage) bool {
+	if len(e.Data) == 0 || e.Data[0] != balancer.GossipUnresponsive && e.Data[0] != balancer.GossipRecovered {
 		return false
 	}
 	for _, s := range g.groups {
-		s.group.Hear(g.now, e.From, e.Data)
+		s.group.ReceiveGossip(g.now, e.From, e.Data)
 	}
 	return true
 }
@@ -275,10 +275,10 @@
 	}
 	best := first
 	for _, n := range s.nodes {
-		if n.state != Ready || n.member == nil || n.member.Suspect() || n.took <= 0 {
+		if n.state != Ready || n.member == nil || n.member.Unresponsive() || n.took <= 0 {
 			continue
 		}
-		if best.member == nil || best.member.Suspect() || best.took <= 0 || n.took < best.took {
+		if best.member == nil || best.member.Unresponsive() || best.took <= 0 || n.took < best.took {
 			best = n
 		}
 	}
@@ -292,32 +292,32 @@
 	}
 	count := 0
 	for _, n := range s.nodes {
-		if n.state == Ready && n.member != nil && !n.member.Suspect() {
+		if n.state == Ready && n.member != nil && !n.member.Unresponsive() {
 			count++
 		}
 	}
-	return float64(max(1, min(count, s.group.Covers())))
+	return float64(max(1, min(count, s.group.SubsetSize())))
 }
 
-// Part is what a node gets of this gateway's requests to its shard.
-type Part struct {
+// Share is what a node gets of this gateway's requests to its shard.
+type NodeShare struct {
 	Node           string
 	Shard          int
 	Weight, Factor float64 // its size against others, and what judging leaves of it
-	Part           float64 // of the requests, 0 where this gateway does not use it
-	Why            string
+	Share          float64 // of the requests, 0 where this gateway does not use it
+	Reason         string
 }
 
-// Parts tells how requests are spread over the nodes of shards that have several.
-func (g *Gateway) Parts() []Part {
-	var parts []Part
+// NodeShares tells how requests are spread over the nodes of shards that have several.
+func (g *Scheduler) NodeShares() []NodeShare {
+	var parts []NodeShare
 	for _, id := range g.shardIDs {
 		s := g.shards[id]
 		if s.group == nil || !s.several() {
 			continue
 		}
-		for _, m := range s.group.Members() {
-			parts = append(parts, Part{m.Name, id, cmp.Or(m.Weight, 1), m.Factor(), m.Part(), m.Why()})
+		for _, m := range s.group.Replicas() {
+			parts = append(parts, NodeShare{m.Name, id, cmp.Or(m.Weight, 1), m.Factor(), m.Share(), m.Reason()})
 		}
 	}
 	return parts
--- a/scheduler/work.go
+++ b/scheduler/work.go
@@ -24,7 +24,7 @@
 const resumTicks = 1024
 
 // work has ticks work on a node from now on.
-func (n *node) work(g *Gateway) {
+func (n *node) work(g *Scheduler) {
 	if n.works {
 		return
 	}
@@ -36,12 +36,12 @@
 }
 
 // idle tells whether a tick would do nothing to a node: no attempt is out, no answer has come, and old news of a jam has faded.
-func (n *node) idle(g *Gateway) bool {
+func (n *node) idle(g *Scheduler) bool {
 	return len(n.flight) == 0 && n.out == 0 && n.answers == 0 && n.finished == 0 && n.took <= queueShare*g.aim.Seconds()
 }
 
 // orderNodes puts those at work in the order in which they were first seen, and after news looks at all which they are.
-func (g *Gateway) orderNodes() {
+func (g *Scheduler) orderNodes() {
 	if g.resum || g.plain || g.ticks >= g.resumAt {
 		g.atWork, g.idleBound, g.resumAt = g.atWork[:0], 0, g.ticks+resumTicks
 		for _, n := range g.nodeList {
@@ -58,7 +58,7 @@
 }
 
 // restNodes takes those out that a tick would do nothing to.
-func (g *Gateway) restNodes() {
+func (g *Scheduler) restNodes() {
 	g.atWork = slices.DeleteFunc(g.atWork, func(n *node) bool {
 		if n.works = g.plain || !n.idle(g); !n.works && n.state == Ready {
 			g.idleBound += n.bound
@@ -70,7 +70,7 @@
 // forget guards a process that runs for months: nodes are replaced under new names, volumes come and go, and
 // news of peers gets old. A node that is gone is kept while attempts are out there, a shard while a node that
 // comes new may be measured by what the last one served.
-func (g *Gateway) forget() {
+func (g *Scheduler) forget() {
 	if g.resum {
 		g.resum = g.forgetNodes()
 	}
@@ -81,24 +81,24 @@
 }
 
 // forgetNodes drops nodes and shards that are gone, and tells whether some are left for a later tick.
-func (g *Gateway) forgetNodes() (left bool) {
+func (g *Scheduler) forgetNodes() (left bool) {
 	listed := len(g.nodeList)
 	g.nodeList = slices.DeleteFunc(g.nodeList, func(n *node) bool {
-		over := n.state == Gone && len(n.flight) == 0
+		over := n.state == Removed && len(n.flight) == 0
 		if over {
-			delete(g.nodes, n.Node)
+			delete(g.nodes, n.Name)
 		}
-		left = left || n.state == Gone && !over
+		left = left || n.state == Removed && !over
 		return over
 	})
 	for _, id := range g.shardIDs {
 		if s := g.shards[id]; len(g.nodeList) < listed {
-			s.nodes = slices.DeleteFunc(s.nodes, func(n *node) bool { return g.nodes[n.Node] != n })
+			s.nodes = slices.DeleteFunc(s.nodes, func(n *node) bool { return g.nodes[n.Name] != n })
 		}
 	}
 	g.shardIDs = slices.DeleteFunc(g.shardIDs, func(id int) bool {
 		s := g.shards[id]
-		fresh := s.servedAt > 0 && g.now-s.servedAt <= 4*g.set.Rules.ColdTime+g.aim
+		fresh := s.servedAt > 0 && g.now-s.servedAt <= 4*g.set.Rules.WarmUpTime+g.aim
 		over := len(s.nodes)+len(s.held) == 0 && !fresh
 		if over {
 			delete(g.shards, id)
--- a/scheduler/work_test.go
+++ b/scheduler/work_test.go
@@ -26,7 +26,7 @@
 				if n.works {
 					works++
 				} else if !n.idle(g) {
-					t.Fatalf("seed %d: %s has %d attempts out, and no tick works on it", seed, n.Node, len(n.flight))
+					t.Fatalf("seed %d: %s has %d attempts out, and no tick works on it", seed, n.Name, len(n.flight))
 				} else if n.state == Ready {
 					idle += n.bound
 				}
@@ -43,15 +43,15 @@
 			w.until(w.now + time.Duration(rng.Int64N(int64(4*time.Millisecond))))
 			id++
 			class := g.set.Classes[rng.IntN(3)]
-			w.step(Request{ID: id, Class: class.Name, Plan: "large", Volume: fmt.Sprint("v", rng.IntN(5)), Units: 2, Shard: rng.IntN(visited), Hosts: 1, Remaining: class.Deadline})
+			w.step(Request{ID: id, Class: class.Name, Plan: "large", Volume: fmt.Sprint("v", rng.IntN(5)), Units: 2, Shard: rng.IntN(visited), Brokers: 1, Remaining: class.Deadline})
 			if rng.IntN(100) == 0 {
 				version++
 				at := rng.IntN(visited + 3)
 				list[at].State = NodeState(rng.IntN(3))
-				w.step(NodeList{Kind: ListChanges, Version: version, Nodes: list[at : at+1]})
+				w.step(EndpointUpdate{Kind: DeltaUpdate, Version: version, Endpoints: list[at : at+1]})
 			}
 			if rng.IntN(300) == 0 {
-				w.step(Retuned{Settings: heldSettings()})
+				w.step(SettingsChanged{Settings: heldSettings()})
 			}
 			check()
 		}
