--- a/admission/admission.go
+++ b/admission/admission.go
@@ -22,11 +22,11 @@
 
 // Settings of a Controller. Spans are in µs.
 type Settings struct {
-	Target   Micros // the lag that is sought; 0: only the bound on open requests holds
-	MostOpen int    // requests that may wait for their answer, 0 for no bound
-	Crowd    int    // requests that may wait for their answer while the lag is above CrowdLag, 0 for no bound
-	Window   Micros // between two steps; 0: DefaultWindow
-	Volumes  int    // whose reserves are followed at once; 0: DefaultVolumes
+	TargetLag         Micros // the lag that is sought; 0: only the bound on open requests holds
+	MaxOpen           int    // requests that may wait for their answer, 0 for no bound
+	MaxOpenOverloaded int    // requests that may wait for their answer while the lag is above OverloadLag, 0 for no bound
+	Window            Micros // between two steps; 0: DefaultWindow
+	MaxVolumes        int    // whose reserves are followed at once; 0: DefaultVolumes
 }
 
 // The defaults.
@@ -35,9 +35,9 @@
 	DefaultVolumes        = 1 << 14
 )
 
-// CrowdLag is the lag above which a broker is itself the bound, and what waits in it beyond Settings.Crowd waits for its
+// OverloadLag is the lag above which a broker is itself the bound, and what waits in it beyond Settings.MaxOpenOverloaded waits for its
 // processor and not for nodes.
-const CrowdLag Micros = 2_000
+const OverloadLag Micros = 2_000
 
 // The pace of a step.
 const (
@@ -52,7 +52,7 @@
 	least    = 0.3  // of the most that lately came in: where refusals alone keep the broker busy, fewer would not help
 	fading   = 1e-3 // of that most, a window
 	hops     = 6    // queues like the loop's that a request stands in: client, loop, node, node, loop, client
-	openRoom = 0.9  // of MostOpen, from where on only those within their reserve come in
+	openRoom = 0.9  // of MaxOpen, from where on only those within their reserve come in
 	calm     = 20   // windows with room for all after which nothing is refused any more
 )
 
@@ -60,7 +60,7 @@
 type Request struct {
 	Class, Plan, Volume string
 	Units               float64
-	Hosts               int    // brokers through which the volume works
+	Brokers             int    // brokers through which the volume works
 	Wait                Micros // until its client leaves
 }
 
@@ -69,10 +69,10 @@
 
 // The reasons.
 const (
-	None    Reason = iota // it was let in
-	Rank                  // others came first
-	Full                  // too many wait for their answers
-	TooLate               // it could not be served before its client leaves
+	Admitted         Reason = iota // it was let in
+	LowPriority                    // others came first
+	TooManyOpen                    // too many wait for their answers
+	DeadlineTooClose               // it could not be served before its client leaves
 )
 
 func (r Reason) String() string { return [...]string{"none", "rank", "full", "too late"}[r] }
@@ -107,7 +107,7 @@
 	best     float64 // the most that came in lately in a window without overload
 	quiet    int     // windows in which all would have come in
 	excess   float64 // offered for each one let in, smoothed
-	crowded  bool    // Settings.Crowd was passed in this window
+	crowded  bool    // Settings.MaxOpenOverloaded was passed in this window
 	crowds   int     // windows for which it still counts
 }
 
@@ -120,13 +120,13 @@
 // New returns a controller that lets everybody in.
 func New(set Settings, l scheduler.Settings) *Controller {
 	ctl := &Controller{set: set, volumes: map[string]*reserve{}, excess: 1}
-	ctl.set.Window, ctl.set.Volumes = cmp.Or(set.Window, DefaultWindow), cmp.Or(set.Volumes, DefaultVolumes)
-	ctl.Retune(l)
+	ctl.set.Window, ctl.set.MaxVolumes = cmp.Or(set.Window, DefaultWindow), cmp.Or(set.MaxVolumes, DefaultVolumes)
+	ctl.ApplySettings(l)
 	return ctl
 }
 
-// Retune goes over to other classes and plans. Classes that vanished count least from now on.
-func (ctl *Controller) Retune(l scheduler.Settings) {
+// ApplySettings goes over to other classes and plans. Classes that vanished count least from now on.
+func (ctl *Controller) ApplySettings(l scheduler.Settings) {
 	classes := slices.Clone(l.Classes)
 	slices.SortStableFunc(classes, func(a, b scheduler.Class) int { return cmp.Compare(b.PriorityWeight, a.PriorityWeight) })
 	ctl.ranks, ctl.plans, ctl.largest = map[string]int{}, map[string]scheduler.Plan{}, max(1, l.MaxUnits)
@@ -169,14 +169,14 @@
 
 // within tells whether a request is within its volume's reserve, and takes it from there.
 func (ctl *Controller) within(now Micros, r *Request) bool {
-	rate := ctl.plans[r.Plan].ReservedRate / float64(max(1, r.Hosts))
+	rate := ctl.plans[r.Plan].ReservedRate / float64(max(1, r.Brokers))
 	if rate <= 0 {
 		return false
 	}
 	most := rate + ctl.largest
 	v := ctl.volumes[r.Volume]
 	if v == nil {
-		if len(ctl.volumes) >= ctl.set.Volumes && !ctl.forget(now) {
+		if len(ctl.volumes) >= ctl.set.MaxVolumes && !ctl.forget(now) {
 			return false // more volumes than are followed: those that came first keep their reserve
 		}
 		v = &reserve{units: most, at: now}
@@ -209,27 +209,27 @@
 	return false
 }
 
-// Ask tells whether a request comes in while so many wait for their answers, else why not and when it may come back, in µs
+// Admit tells whether a request comes in while so many wait for their answers, else why not and when it may come back, in µs
 // (0: not told).
-func (ctl *Controller) Ask(now Micros, open int, r *Request) (why Reason, after Micros) {
+func (ctl *Controller) Admit(now Micros, open int, r *Request) (why Reason, after Micros) {
 	ctl.turn(now)
 	rank := 0
-	if ctl.set.Target > 0 || ctl.set.MostOpen > 0 { // else no rank comes before another
+	if ctl.set.TargetLag > 0 || ctl.set.MaxOpen > 0 { // else no rank comes before another
 		rank = ctl.rank(now, r)
 	}
 	ctl.arrived[rank]++
 	switch within := rank < len(ctl.arrived)/2; {
-	case ctl.set.MostOpen > 0 && (open >= ctl.set.MostOpen || !within && float64(open) >= openRoom*float64(ctl.set.MostOpen)):
-		why = Full
-	case ctl.set.Crowd > 0 && open >= ctl.set.Crowd && ctl.smoothed > CrowdLag:
-		why, ctl.crowded = Full, true
-	case ctl.set.Target > 0 && hops*ctl.smoothed > r.Wait:
-		why = TooLate
+	case ctl.set.MaxOpen > 0 && (open >= ctl.set.MaxOpen || !within && float64(open) >= openRoom*float64(ctl.set.MaxOpen)):
+		why = TooManyOpen
+	case ctl.set.MaxOpenOverloaded > 0 && open >= ctl.set.MaxOpenOverloaded && ctl.smoothed > OverloadLag:
+		why, ctl.crowded = TooManyOpen, true
+	case ctl.set.TargetLag > 0 && hops*ctl.smoothed > r.Wait:
+		why = DeadlineTooClose
 	case ctl.shedding && !ctl.admits(rank):
-		why = Rank
+		why = LowPriority
 	default:
 		ctl.came++
-		return None, 0
+		return Admitted, 0
 	}
 	return why, ctl.after()
 }
@@ -251,8 +251,8 @@
 	return true
 }
 
-// Lag tells for how long work has waited since the last call.
-func (ctl *Controller) Lag(now, lag Micros) {
+// RecordLag tells for how long work has waited since the last call.
+func (ctl *Controller) RecordLag(now, lag Micros) {
 	ctl.lags++
 	ctl.lag += (lag - ctl.lag) / Micros(ctl.lags)
 	ctl.turn(now)
@@ -284,7 +284,7 @@
 	}
 	ctl.crowded = false
 	lag, came := ctl.lag, ctl.came
-	over := ctl.set.Target > 0 && ctl.lags > 0 && min(lag, ctl.smoothed) > ctl.set.Target
+	over := ctl.set.TargetLag > 0 && ctl.lags > 0 && min(lag, ctl.smoothed) > ctl.set.TargetLag
 	ctl.lag, ctl.lags, ctl.came = 0, 0, 0
 	ctl.best *= 1 - fading
 	if !over {
@@ -305,7 +305,7 @@
 	case over:
 	case ctl.shedding && ctl.allowed < near*ctl.cutAt:
 		ctl.allowed *= back
-	case ctl.shedding && float64(lag) < light*float64(ctl.set.Target) && ctl.allowed < near*ctl.best:
+	case ctl.shedding && float64(lag) < light*float64(ctl.set.TargetLag) && ctl.allowed < near*ctl.best:
 		ctl.allowed = ctl.allowed*brisk + 1
 	case ctl.shedding:
 		ctl.allowed = ctl.allowed*more + 1
@@ -331,14 +331,14 @@
 	}
 }
 
-// Crowd is Settings.Crowd.
-func (ctl *Controller) Crowd() int { return ctl.set.Crowd }
+// MaxOpenOverloaded is Settings.MaxOpenOverloaded.
+func (ctl *Controller) MaxOpenOverloaded() int { return ctl.set.MaxOpenOverloaded }
 
-// Slow tells whether the lag is above CrowdLag.
-func (ctl *Controller) Slow() bool { return ctl.smoothed > CrowdLag }
+// Overloaded tells whether the lag is above OverloadLag.
+func (ctl *Controller) Overloaded() bool { return ctl.smoothed > OverloadLag }
 
-// Crowded notes that requests were refused for Settings.Crowd before they came here.
-func (ctl *Controller) Crowded() { ctl.crowded = true }
+// RecordOverload notes that requests were refused for Settings.MaxOpenOverloaded before they came here.
+func (ctl *Controller) RecordOverload() { ctl.crowded = true }
 
 // Shedding tells whether requests are refused now for want of the broker's own processor.
 func (ctl *Controller) Shedding() bool { return ctl.shedding || ctl.crowded || ctl.crowds > 0 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -28,10 +28,10 @@
 	s.queue = max(0, s.queue-s.rate*float64(each)/1e6)
 	s.now += each
 	lag := Micros(s.queue / s.rate * 1e6)
-	s.d.Lag(s.now, lag)
+	s.d.RecordLag(s.now, lag)
 	s.latest = max(s.latest, lag)
 	name := r.Class + " " + r.Plan
-	if why, after := s.d.Ask(s.now, 0, &r); why == None {
+	if why, after := s.d.Admit(s.now, 0, &r); why == Admitted {
 		s.came[name]++
 		s.queue++
 	} else {
@@ -43,7 +43,7 @@
 // TestOverload offers five times what can be done: the lag comes down to its target, the capacity is used, those within
 // their reserve come in, then the worthier class, and the controller opens again afterwards.
 func TestOverload(t *testing.T) {
-	s := &server{d: New(Settings{Target: 5000}, settings()), rate: 10_000, came: map[string]int{}, turned: map[string]int{}}
+	s := &server{d: New(Settings{TargetLag: 5000}, settings()), rate: 10_000, came: map[string]int{}, turned: map[string]int{}}
 	play := func(seconds, rate int) {
 		clear(s.came)
 		clear(s.turned)
@@ -94,15 +94,15 @@
 
 // The bound on open requests holds, its last tenth for those within their reserve.
 func TestFull(t *testing.T) {
-	d := New(Settings{MostOpen: 100}, settings())
+	d := New(Settings{MaxOpen: 100}, settings())
 	spare := Request{Class: "read", Plan: "spare", Volume: "a", Units: 1, Wait: 1e6}
 	reserved := Request{Class: "read", Plan: "reserved", Volume: "b", Units: 1, Wait: 1e6}
 	for _, c := range []struct {
 		open int
 		r    Request
 		why  Reason
-	}{{89, spare, None}, {90, spare, Full}, {90, reserved, None}, {99, reserved, None}, {100, reserved, Full}} {
-		if why, after := d.Ask(1000, c.open, &c.r); why != c.why || (after == 0) != (why == None) {
+	}{{89, spare, Admitted}, {90, spare, TooManyOpen}, {90, reserved, Admitted}, {99, reserved, Admitted}, {100, reserved, TooManyOpen}} {
+		if why, after := d.Admit(1000, c.open, &c.r); why != c.why || (after == 0) != (why == Admitted) {
 			t.Errorf("%d open, %s: %v, after %d", c.open, c.r.Plan, why, after)
 		}
 	}
@@ -110,52 +110,52 @@
 
 // What cannot be served before its client leaves is refused, and only that.
 func TestTooLate(t *testing.T) {
-	d := New(Settings{Target: 100_000}, settings())
+	d := New(Settings{TargetLag: 100_000}, settings())
 	for now := Micros(1); now < 1_000_000; now += 1000 {
-		d.Lag(now, 50_000)
+		d.RecordLag(now, 50_000)
 	}
-	for wait, want := range map[Micros]Reason{290_000: TooLate, 310_000: None} {
-		if why, _ := d.Ask(1_000_000, 0, &Request{Class: "read", Plan: "spare", Volume: "a", Units: 1, Wait: wait}); why != want {
+	for wait, want := range map[Micros]Reason{290_000: DeadlineTooClose, 310_000: Admitted} {
+		if why, _ := d.Admit(1_000_000, 0, &Request{Class: "read", Plan: "spare", Volume: "a", Units: 1, Wait: wait}); why != want {
 			t.Errorf("a wait of %d us: %v", wait, why)
 		}
 	}
 }
 
-// Volumes are bounded: the newest have no reserve until others have been idle. Classes and plans may vanish; a clock that
+// MaxVolumes are bounded: the newest have no reserve until others have been idle. Classes and plans may vanish; a clock that
 // stood still for a second ends one window.
 func TestBounded(t *testing.T) {
-	d := New(Settings{Target: 1000, Volumes: 100}, settings())
+	d := New(Settings{TargetLag: 1000, MaxVolumes: 100}, settings())
 	now := Micros(1)
 	for i := range 1000 {
-		d.Ask(now, 0, &Request{Class: "read", Plan: "reserved", Volume: fmt.Sprint(i), Units: 1, Wait: 1e6})
+		d.Admit(now, 0, &Request{Class: "read", Plan: "reserved", Volume: fmt.Sprint(i), Units: 1, Wait: 1e6})
 	}
 	if len(d.volumes) != 100 || len(d.sweep) != 100 {
 		t.Fatalf("%d volumes, %d to sweep", len(d.volumes), len(d.sweep))
 	}
 	now += forgetAfter
 	for i := range 1000 {
-		d.Ask(now, 0, &Request{Class: "read", Plan: "reserved", Volume: fmt.Sprint("new", i), Units: 1, Wait: 1e6})
+		d.Admit(now, 0, &Request{Class: "read", Plan: "reserved", Volume: fmt.Sprint("new", i), Units: 1, Wait: 1e6})
 	}
 	if d.volumes["new99"] == nil || len(d.volumes) != 100 {
 		t.Errorf("idle volumes are kept: %d", len(d.volumes))
 	}
 	for range 30 {
 		now += 10_001
-		d.Lag(now, 5000)
+		d.RecordLag(now, 5000)
 	}
 	if !d.Shedding() {
 		t.Fatal("not shut")
 	}
 	less := settings()
 	less.Classes, less.Plans = less.Classes[:1], less.Plans[:1]
-	d.Retune(less)
+	d.ApplySettings(less)
 	now += 1_000_000
 	for _, class := range []string{"bulk", "read", "unheard"} {
-		d.Ask(now, 0, &Request{Class: class, Plan: "spare", Volume: "x", Units: 1, Wait: 1e6})
+		d.Admit(now, 0, &Request{Class: class, Plan: "spare", Volume: "x", Units: 1, Wait: 1e6})
 	}
 	for range 400 {
 		now += 10_001
-		d.Lag(now, 0)
+		d.RecordLag(now, 0)
 	}
 	if d.Shedding() {
 		t.Error("shut for good")
@@ -163,7 +163,7 @@
 }
 
 func BenchmarkAsk(b *testing.B) {
-	d := New(Settings{Target: 5000, MostOpen: 1000}, settings())
+	d := New(Settings{TargetLag: 5000, MaxOpen: 1000}, settings())
 	names := make([]string, 1000)
 	for i := range names {
 		names[i] = fmt.Sprint("volume", i)
@@ -172,38 +172,38 @@
 	now := Micros(0)
 	for i := 0; b.Loop(); i++ {
 		now += 7
-		d.Lag(now, 6000)
-		d.Ask(now, 10, &Request{Class: "read", Plan: "reserved", Volume: names[i%1000], Units: 1, Wait: 1e6})
+		d.RecordLag(now, 6000)
+		d.Admit(now, 10, &Request{Class: "read", Plan: "reserved", Volume: names[i%1000], Units: 1, Wait: 1e6})
 	}
 }
 
-// What waits beyond Crowd is refused only while the broker itself is the bound: held for slow nodes it may wait.
+// What waits beyond MaxOpenOverloaded is refused only while the broker itself is the bound: held for slow nodes it may wait.
 func TestCrowd(t *testing.T) {
-	d := New(Settings{Crowd: 10}, scheduler.Settings{})
+	d := New(Settings{MaxOpenOverloaded: 10}, scheduler.Settings{})
 	ask := func(now Micros, open int) Reason {
-		why, _ := d.Ask(now, open, &Request{Wait: 1_000_000})
+		why, _ := d.Admit(now, open, &Request{Wait: 1_000_000})
 		return why
 	}
 	now := Micros(1)
 	for range 50 {
 		now += DefaultWindow
-		d.Lag(now, CrowdLag/4)
-		if why := ask(now, 1000); why != None {
+		d.RecordLag(now, OverloadLag/4)
+		if why := ask(now, 1000); why != Admitted {
 			t.Fatalf("refused without lag: %v", why)
 		}
 	}
 	for range 50 {
 		now += DefaultWindow
-		d.Lag(now, 4*CrowdLag)
+		d.RecordLag(now, 4*OverloadLag)
 	}
-	if ask(now, 9) != None || ask(now, 10) != Full || !d.Shedding() {
+	if ask(now, 9) != Admitted || ask(now, 10) != TooManyOpen || !d.Shedding() {
 		t.Error("a crowd waits for the processor and is let in")
 	}
 	for range 2 * calm {
 		now += DefaultWindow
-		d.Lag(now, 0)
+		d.RecordLag(now, 0)
 	}
-	if ask(now, 1000) != None || d.Shedding() {
+	if ask(now, 1000) != Admitted || d.Shedding() {
 		t.Error("the crowd has gone and the controller stays shut")
 	}
 }
--- a/broker/bench_test.go
+++ b/broker/bench_test.go
@@ -28,11 +28,11 @@
 	for i := range nodes {
 		list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 	}
-	s.Reduce(Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
+	s.Reduce(Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
 	var arrivals []Event
 	for i := range held + 40*min(held, nodes) { // some go out
 		arrivals = append(arrivals, Arrived{ID: uint64(1<<50 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i%max(1, volumes)),
-			Units: 1, Shard: i % nodes, Hosts: 1, Wait: 60 * Second}})
+			Units: 1, Shard: i % nodes, Brokers: 1, Timeout: 60 * Second}})
 	}
 	s.Reduce(Second, arrivals)
 	s.Reduce(Second+1, nil)
@@ -49,7 +49,7 @@
 			for b.Loop() {
 				id++
 				now += 10
-				req := &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Hosts: 1, Wait: 60 * Second}
+				req := &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Brokers: 1, Timeout: 60 * Second}
 				for _, e := range s.Reduce(now, []Event{Arrived{ID: id, Request: req}}) {
 					if start, is := e.(Start); is {
 						s.Reduce(now, []Event{Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoadReport}}})
@@ -70,7 +70,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 10
 				list[nodes/2].Weight = float64(i)
-				s.Reduce(now, []Event{Listed{Kind: scheduler.FullUpdate, Version: uint64(i), Nodes: list}})
+				s.Reduce(now, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: uint64(i), Nodes: list}})
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 				for b.Loop() {
 					id++
 					now += 10
-					s.Reduce(now, []Event{Arrived{ID: id, Request: &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Hosts: 1, Wait: 60 * Second}}})
+					s.Reduce(now, []Event{Arrived{ID: id, Request: &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Brokers: 1, Timeout: 60 * Second}}})
 					s.Reduce(now, []Event{Left{ID: id}})
 				}
 			})
@@ -107,17 +107,17 @@
 				for i := range 10 {
 					list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
 				}
-				s.Reduce(Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
+				s.Reduce(Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
 				var arrivals []Event
 				for i := range volumes { // each volume goes into its debt, so that what follows waits
-					arrivals = append(arrivals, Arrived{ID: uint64(1<<41 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", i), Units: 8, Shard: i % 10, Hosts: 1, Wait: 600 * Second}})
+					arrivals = append(arrivals, Arrived{ID: uint64(1<<41 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", i), Units: 8, Shard: i % 10, Brokers: 1, Timeout: 600 * Second}})
 				}
 				for i := range held {
 					volume := 0
 					if i%10 == 0 {
 						volume = i % volumes
 					}
-					arrivals = append(arrivals, Arrived{ID: uint64(1<<42 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", volume), Units: 8, Shard: i % 10, Hosts: 1, Wait: 600 * Second}})
+					arrivals = append(arrivals, Arrived{ID: uint64(1<<42 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", volume), Units: 8, Shard: i % 10, Brokers: 1, Timeout: 600 * Second}})
 				}
 				end := func(now Micros, events []Event) { // and of each that is sent its ending
 					for len(events) > 0 {
@@ -131,7 +131,7 @@
 					}
 				}
 				end(Second+1, arrivals)
-				if waits := s.Open(); waits < held/2 {
+				if waits := s.OpenRequests(); waits < held/2 {
 					b.Fatalf("%d wait", waits)
 				}
 				now, id := 2*Second, uint64(0)
@@ -139,7 +139,7 @@
 				for b.Loop() {
 					id++
 					now += 10
-					end(now, []Event{Arrived{ID: id, Request: &Request{Class: "read", Plan: "plan", Volume: "rich", Units: 1, Shard: int(id) % 10, Hosts: 1, Wait: 600 * Second}}})
+					end(now, []Event{Arrived{ID: id, Request: &Request{Class: "read", Plan: "plan", Volume: "rich", Units: 1, Shard: int(id) % 10, Brokers: 1, Timeout: 600 * Second}}})
 				}
 			})
 		}
@@ -161,26 +161,26 @@
 			b.StopTimer()
 			s := benchState(b, time.Minute)
 			b.StartTimer()
-			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
 		}
 	})
 	b.Run("replaced", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
 			s, _ := settled(b, 1, 0, 1)
-			s.Reduce(2*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
 			b.StartTimer()
-			s.Reduce(3*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 3, Nodes: other}})
+			s.Reduce(3*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 3, Nodes: other}})
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		s, _ := settled(b, 1, 0, 1)
-		s.Reduce(2*Second, []Event{Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
+		s.Reduce(2*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
 		now := 3 * Second
 		for i := 0; b.Loop(); i++ {
 			now += 10
 			old[7].Weight = float64(i)
-			s.Reduce(now, []Event{Listed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 3), Nodes: old[7:8]}})
+			s.Reduce(now, []Event{NodesListed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 3), Nodes: old[7:8]}})
 		}
 	})
 }
@@ -192,7 +192,7 @@
 			s, _ := settled(b, c.nodes, c.held, c.volumes)
 			var seen []Event
 			for i := range c.volumes { // volumes that were active
-				seen = append(seen, Arrived{ID: uint64(1<<43 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i), Units: 1, Shard: -1, Hosts: 1, Wait: 60 * Second}})
+				seen = append(seen, Arrived{ID: uint64(1<<43 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i), Units: 1, Shard: -1, Brokers: 1, Timeout: 60 * Second}})
 			}
 			s.Reduce(Second+2, seen)
 			for i := range c.volumes {
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -27,14 +27,14 @@
 type Request struct {
 	Class, Plan, Key, Volume string
 
-	Units   float64
-	Shard   int // the shard that holds the data, -1 for a new object
-	Hosts   int // brokers through which the volume's requests come
-	Retry   bool
-	Write   bool
-	Wait    Micros // how long the client waits, from now
-	Message any    // what the transport sends
-	Via     Transport
+	Units     float64
+	Shard     int // the shard that holds the data, -1 for a new object
+	Brokers   int // brokers through which the volume's requests come
+	Retry     bool
+	Write     bool
+	Timeout   Micros // how long the client waits, from now
+	Message   any    // what the transport sends
+	Transport Transport
 }
 
 // Verdict says how a request ended.
@@ -42,20 +42,20 @@
 
 // The verdicts.
 const (
-	Served  Verdict = iota // a storage node's answer is in Value
-	Refused                // trying again is harmless
-	Failed                 // nothing is promised
+	Served   Verdict = iota // a storage node's answer is in Value
+	Rejected                // trying again is harmless
+	Failed                  // nothing is promised
 )
 
-// Final is the one final answer to a request.
-type Final struct {
-	Verdict Verdict
-	Value   any    // of Served, as the transport made it; one that is an io.Closer is closed if no client takes it
-	After   Micros // of Refused: when to come again, 0 for no advice
+// Response is the one final answer to a request.
+type Response struct {
+	Verdict    Verdict
+	Value      any    // of Served, as the transport made it; one that is an io.Closer is closed if no client takes it
+	RetryAfter Micros // of Rejected: when to come again, 0 for no advice
 }
 
-// Lasting is a value that takes its time to be given, and may break meanwhile. Its request counts as open until then.
-type Lasting interface {
+// Streaming is a value that takes its time to be given, and may break meanwhile. Its request counts as open until then.
+type Streaming interface {
 	// OnEnd has a function called once when the value was given whole, or never will be.
 	OnEnd(func(whole bool))
 }
@@ -66,8 +66,8 @@
 // The steps of an attempt. Only one written whole may have run.
 const (
 	NotConnected Progress = iota
-	PartlyWritten
-	WrittenWhole
+	PartiallyWritten
+	FullyWritten
 )
 
 func (p Progress) String() string {
@@ -90,28 +90,28 @@
 
 // The replies.
 const (
-	Done       Reply = iota // served
-	Errored                 // it may have run
-	TurnedAway              // it never ran
+	ReplyOK       Reply = iota // served
+	ReplyError                 // it may have run
+	ReplyRejected              // it never ran
 )
 
 // Result is how an attempt or a probe ended by itself. Err, if set, outweighs all else.
 type Result struct {
-	Err       *AttemptError
-	Reply     Reply
-	Value     any
-	Used      int
-	Elsewhere float64
-	Load      scheduler.LoadReport
+	Err             *AttemptError
+	Reply           Reply
+	Value           any
+	RateUsed        int
+	ServedElsewhere float64
+	Load            scheduler.LoadReport
 }
 
 // Attempt is one sending of a request to one storage node.
 type Attempt struct {
-	Node    string // its name in the list
-	Address string
-	Request *Request
-	Wait    Micros // how long the broker waits for the answer
-	Written func() // the transport calls it once the attempt is written whole; it does not block
+	Node      string // its name in the list
+	Address   string
+	Request   *Request
+	Timeout   Micros // how long the broker waits for the answer
+	OnWritten func() // the transport calls it once the attempt is written whole; it does not block
 }
 
 // Transport carries attempts over a wire. Its methods do not block, and done may be called from any
@@ -126,20 +126,20 @@
 type Handle interface {
 	// Stop ends the attempt before it returns and tells how far it came; done is not called after.
 	Stop() Progress
-	// Halt bars further sending. An attempt that was not written whole yet ends by it.
-	Halt()
-	// Abandon ends the attempt unless it was written whole, for nobody waits for it any more: not even a message that is being
+	// StopSending bars further sending. An attempt that was not written whole yet ends by it.
+	StopSending()
+	// CancelUnlessWritten ends the attempt unless it was written whole, for nobody waits for it any more: not even a message that is being
 	// written goes on. It does not block, and done is called.
-	Abandon()
+	CancelUnlessWritten()
 }
 
 // outcome is what package scheduler is told; it follows from the result alone.
 func (r Result) outcome() scheduler.Outcome {
 	if r.Err != nil {
-		if r.Err.Progress == WrittenWhole {
+		if r.Err.Progress == FullyWritten {
 			return scheduler.ConnectionBroken
 		}
 		return scheduler.Unreachable
 	}
-	return [...]scheduler.Outcome{Done: scheduler.Success, Errored: scheduler.Failure, TurnedAway: scheduler.Overloaded}[r.Reply]
+	return [...]scheduler.Outcome{ReplyOK: scheduler.Success, ReplyError: scheduler.Failure, ReplyRejected: scheduler.Overloaded}[r.Reply]
 }
--- a/broker/figure_names_test.go
+++ b/broker/figure_names_test.go
@@ -7,7 +7,7 @@
 
 // Dashboards and the console's callers know the figures by name: all of them, in their order, and which only grow.
 func TestFigureNames(t *testing.T) {
-	var f Figures
+	var f Metrics
 	f.ended("read", Served)
 	var names []string
 	for _, figure := range f.Read() {
--- a/broker/figures.go
+++ b/broker/figures.go
@@ -8,16 +8,16 @@
 	"junctionwharf/scheduler"
 )
 
-// Figure is one of a broker's figures at one moment. A counter only grows.
-type Figure struct {
+// Metric is one of a broker's figures at one moment. A counter only grows.
+type Metric struct {
 	Name    string
 	Value   uint64
 	Counter bool
 }
 
-// Figures is the one registry of what a broker counts. It is read at any time, without the loop: whoever asks for
+// Metrics is the one registry of what a broker counts. It is read at any time, without the loop: whoever asks for
 // figures must get them above all when the loop is busy.
-type Figures struct {
+type Metrics struct {
 	open, listed, down atomic.Int64
 
 	taken, turned, left, attempts, stopped, probes, told, heard atomic.Uint64
@@ -35,13 +35,13 @@
 }
 
 // list has classes counted from now on. Those that vanished from the settings stay: a counter does not go back.
-func (f *Figures) list(classes []scheduler.Class) {
+func (f *Metrics) list(classes []scheduler.Class) {
 	for _, c := range classes {
 		f.class(c.Name)
 	}
 }
 
-func (f *Figures) class(name string) *classFigures {
+func (f *Metrics) class(name string) *classFigures {
 	if c := f.known(name); c != nil {
 		return c
 	}
@@ -56,7 +56,7 @@
 	return c
 }
 
-func (f *Figures) all() []*classFigures {
+func (f *Metrics) all() []*classFigures {
 	if all := f.classes.Load(); all != nil {
 		return *all
 	}
@@ -64,7 +64,7 @@
 }
 
 // known finds a class without a lock. There are a few; a map would take longer.
-func (f *Figures) known(name string) *classFigures {
+func (f *Metrics) known(name string) *classFigures {
 	for _, c := range f.all() {
 		if c.name == name {
 			return c
@@ -74,13 +74,13 @@
 }
 
 // ended counts a final answer.
-func (f *Figures) ended(class string, verdict Verdict) {
+func (f *Metrics) ended(class string, verdict Verdict) {
 	c := f.class(class)
-	[...]*atomic.Uint64{Served: &c.served, Refused: &c.refused, Failed: &c.failed}[verdict].Add(1)
+	[...]*atomic.Uint64{Served: &c.served, Rejected: &c.refused, Failed: &c.failed}[verdict].Add(1)
 }
 
-// Reloaded counts a configuration that was taken while the broker ran, or turned down.
-func (f *Figures) Reloaded(taken bool) {
+// CountReload counts a configuration that was taken while the broker ran, or turned down.
+func (f *Metrics) CountReload(taken bool) {
 	if taken {
 		f.reloads.Add(1)
 	} else {
@@ -89,24 +89,24 @@
 }
 
 // Read returns all figures, each class with every way to end, at 0 too.
-func (f *Figures) Read() []Figure {
-	var all []Figure
+func (f *Metrics) Read() []Metric {
+	var all []Metric
 	for _, c := range f.all() {
-		all = append(all, Figure{"success." + c.name, c.served.Load(), true}, Figure{"busy." + c.name, c.refused.Load(), true},
-			Figure{"failure." + c.name, c.failed.Load(), true})
+		all = append(all, Metric{"success." + c.name, c.served.Load(), true}, Metric{"busy." + c.name, c.refused.Load(), true},
+			Metric{"failure." + c.name, c.failed.Load(), true})
 	}
 	for _, c := range []struct {
 		name  string
 		count *atomic.Uint64
 	}{{"backend_calls", &f.attempts}, {"reconfig_ok", &f.reloads}, {"reconfig_failed", &f.faultyReloads}, {"taken", &f.taken}, {"door_refused", &f.turned},
 		{"left", &f.left}, {"stopped", &f.stopped}, {"probes", &f.probes}, {"peer_sent", &f.told}, {"peer_heard", &f.heard}} {
-		all = append(all, Figure{c.name, c.count.Load(), true})
+		all = append(all, Metric{c.name, c.count.Load(), true})
 	}
 	for _, g := range []struct {
 		name  string
 		gauge *atomic.Int64
 	}{{"inflight", &f.open}, {"hosts_listed", &f.listed}, {"hosts_down", &f.down}} {
-		all = append(all, Figure{g.name, uint64(max(0, g.gauge.Load())), false})
+		all = append(all, Metric{g.name, uint64(max(0, g.gauge.Load())), false})
 	}
 	return all
 }
--- a/broker/figures_test.go
+++ b/broker/figures_test.go
@@ -8,11 +8,11 @@
 
 // Classes are counted without a lock, and those that vanish stay.
 func TestFiguresOfClasses(t *testing.T) {
-	var f Figures
+	var f Metrics
 	f.list([]scheduler.Class{{Name: "read"}})
 	f.list([]scheduler.Class{{Name: "write"}})
 	f.ended("read", Served)
-	f.ended("new", Refused)
+	f.ended("new", Rejected)
 	counts := map[string]uint64{}
 	for _, figure := range f.Read() {
 		counts[figure.Name] = figure.Value
@@ -24,7 +24,7 @@
 
 // BenchmarkFigures is what counting a final answer costs beside a reader; package telemetry's BenchmarkObserve is what its rows add.
 func BenchmarkFigures(b *testing.B) {
-	var f Figures
+	var f Metrics
 	f.list([]scheduler.Class{{Name: "lesson-read"}, {Name: "record-write"}, {Name: "bulk-export"}})
 	stop := make(chan struct{})
 	defer close(stop)
--- a/broker/keyed_test.go
+++ b/broker/keyed_test.go
@@ -37,9 +37,9 @@
 			{"broken at its end", 1.0001, 0, nil, 0, false},
 			{"broken past it", 1.4, 0, nil, 0, false},
 			{"its node leaves", 0.2, 0, func(r *rig, _ scheduler.Settings) {
-				r.turn(Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n2", 1, scheduler.Ready)}})
+				r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n2", 1, scheduler.Ready)}})
 			}, 0, false},
-			{"settings are told again", 0.2, 0, func(r *rig, set scheduler.Settings) { r.turn(Retuned{Settings: set}) }, 1, false},
+			{"settings are told again", 0.2, 0, func(r *rig, set scheduler.Settings) { r.turn(SettingsChanged{Settings: set}) }, 1, false},
 		} {
 			t.Run(fmt.Sprint(kind.name, ", ", c.name), func(t *testing.T) {
 				set := testSettings()
@@ -50,12 +50,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Final{}}
+				r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Response{}}
 				n1, n2 := node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)
 				n1.Zone, n2.Zone = "a", "b"
-				r.turn(Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []Node{n1, n2}})
+				r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []Node{n1, n2}})
 				began := r.now
-				r.turn(Arrived{ID: 1, Request: &Request{Class: "put", Plan: "plan", Key: "k", Volume: "v", Units: 2, Shard: 0, Hosts: 1, Wait: MicrosOf(class.Deadline), Write: true}})
+				r.turn(Arrived{ID: 1, Request: &Request{Class: "put", Plan: "plan", Key: "k", Volume: "v", Units: 2, Shard: 0, Brokers: 1, Timeout: MicrosOf(class.Deadline), Write: true}})
 				if len(r.starts) != 1 {
 					t.Fatalf("%d attempts at once", len(r.starts))
 				}
@@ -69,7 +69,7 @@
 					c.between(r, set)
 				}
 				if len(r.finals[1]) == 0 {
-					r.turn(Ended{1, 0, broke(WrittenWhole)})
+					r.turn(Ended{1, 0, broke(FullyWritten)})
 				}
 				r.pass(Micros(c.second * float64(part)))
 				if len(r.starts) > 1 && c.second > 0 {
@@ -99,8 +99,8 @@
 				switch {
 				case c.served:
 					want = Served
-				case class.Scope == scheduler.ScopeAll && len(r.finals[1]) == 1 && r.finals[1][0].Verdict == Refused:
-					want = Refused // harmless, as nodes of any group drop it
+				case class.Scope == scheduler.ScopeAll && len(r.finals[1]) == 1 && r.finals[1][0].Verdict == Rejected:
+					want = Rejected // harmless, as nodes of any group drop it
 				}
 				r.final(1, want)
 			})
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -28,21 +28,21 @@
 // Now reads the clock.
 func (c *Clock) Now() Micros { return clockStart + MicrosOf(time.Since(c.start)) }
 
-// At turns a point of the system's clock, in Unix milliseconds, into one of this clock: 0 for long ago.
-func (c *Clock) At(unixMilli int64) Micros {
+// FromUnixMilli turns a point of the system's clock, in Unix milliseconds, into one of this clock: 0 for long ago.
+func (c *Clock) FromUnixMilli(unixMilli int64) Micros {
 	if unixMilli <= 0 {
 		return 0
 	}
 	return max(0, clockStart+Micros((unixMilli-c.start.UnixMilli())*1000))
 }
 
-// Outside is what a Loop acts on besides transports. Its methods do not block.
-type Outside struct {
-	Tell      func(peer int, data []byte)  // nil without peers
-	Observe   func(facts []telemetry.Fact) // nil for none; it does not keep the slice
-	Log       *slog.Logger                 // nil for none
-	Agreed    func(now Micros) []Event     // what a turn has to go over to before it decides anything, by the clock that it reads; nil for nothing agreed
-	Admission *admission.Controller        // decides who comes in at all, nil for everybody; the loop's own from now on
+// Dependencies is what a Loop acts on besides transports. Its methods do not block.
+type Dependencies struct {
+	SendToPeer    func(peer int, data []byte)  // nil without peers
+	Observe       func(facts []telemetry.Fact) // nil for none; it does not keep the slice
+	Log           *slog.Logger                 // nil for none
+	ConfigChanges func(now Micros) []Event     // what a turn has to go over to before it decides anything, by the clock that it reads; nil for nothing agreed
+	Admission     *admission.Controller        // decides who comes in at all, nil for everybody; the loop's own from now on
 }
 
 type attemptKey struct {
@@ -53,17 +53,17 @@
 // client is who waits for a request's answer.
 type client struct {
 	class string
-	reply func(Final)
+	reply func(Response)
 }
 
 // Loop runs a State: it gathers events, reads the clock once a turn and carries out the effects.
 type Loop struct {
-	Figures Figures
+	Metrics Metrics
 
 	state     *State
 	clock     *Clock
 	transport Transport
-	outside   Outside
+	outside   Dependencies
 	ids       atomic.Uint64
 	clients   map[uint64]client // of the loop's own goroutine, as is handles
 	handles   map[attemptKey]Handle
@@ -74,7 +74,7 @@
 	busy       chan struct{}
 	slow       atomic.Bool // the lag is above that of a crowd
 	crowd      int64       // admission.Settings.Crowd, 0 for none
-	crowded    atomic.Bool // requests were turned away by TurnCrowd since the last Lagged
+	crowded    atomic.Bool // requests were turned away by RejectOverload since the last RecordSchedulingLag
 	parts      atomic.Pointer[[]scheduler.NodeShare]
 	partsAt    Micros // when parts is to be taken again
 
@@ -88,13 +88,13 @@
 	room   *sync.Cond        // told when inbox has become shorter
 	ended  bool              // it turns no more
 	since  Micros            // when the first event in inbox came
-	lag    Micros            // the longest that one waited since Lagged
+	lag    Micros            // the longest that one waited since RecordSchedulingLag
 	turned []telemetry.Fact  // what admission control refused
 	notify chan struct{}
 }
 
 // NewLoop returns a loop over a new state. Requests that name no transport go through transport.
-func NewLoop(state *State, clock *Clock, transport Transport, outside Outside) *Loop {
+func NewLoop(state *State, clock *Clock, transport Transport, outside Dependencies) *Loop {
 	if outside.Log == nil {
 		outside.Log = slog.New(slog.DiscardHandler)
 	}
@@ -103,81 +103,81 @@
 		notify: make(chan struct{}, 1)}
 	l.room = sync.NewCond(&l.mu)
 	if outside.Admission != nil {
-		l.crowd = int64(outside.Admission.Crowd())
+		l.crowd = int64(outside.Admission.MaxOpenOverloaded())
 	}
 	l.busy = make(chan struct{}, 1)
-	l.Figures.list(state.gateway.Classes())
+	l.Metrics.list(state.gateway.Classes())
 	return l
 }
 
-// Submit takes a request and returns its id. reply is called once with the final answer, unless Leave comes before; it must
+// Submit takes a request and returns its id. reply is called once with the final answer, unless Cancel comes before; it must
 // not block.
-func (l *Loop) Submit(req *Request, reply func(Final)) uint64 {
-	if refused := l.Ask(req); refused != nil {
+func (l *Loop) Submit(req *Request, reply func(Response)) uint64 {
+	if refused := l.Admit(req); refused != nil {
 		l.Do(func() { reply(*refused) })
 		return 0
 	}
-	return l.Enter(req, reply)
+	return l.SubmitAdmitted(req, reply)
 }
 
-// Ask has admission control decide on a request. What it refuses has its final answer, which is returned, and must not be entered;
+// Admit has admission control decide on a request. What it refuses has its final answer, which is returned, and must not be entered;
 // nil lets it in.
-func (l *Loop) Ask(req *Request) *Final {
+func (l *Loop) Admit(req *Request) *Response {
 	if l.outside.Admission == nil {
 		return nil
 	}
-	asked := admission.Request{Class: req.Class, Plan: req.Plan, Volume: req.Volume, Units: req.Units, Hosts: req.Hosts, Wait: int64(req.Wait)}
-	now, open := int64(l.clock.Now()), l.Open()
+	asked := admission.Request{Class: req.Class, Plan: req.Plan, Volume: req.Volume, Units: req.Units, Brokers: req.Brokers, Wait: int64(req.Timeout)}
+	now, open := int64(l.clock.Now()), l.OpenRequests()
 	l.mu.Lock()
-	why, after := l.outside.Admission.Ask(now, open, &asked)
-	if why != admission.None && len(l.turned) < mostTurned && l.outside.Observe != nil {
+	why, after := l.outside.Admission.Admit(now, open, &asked)
+	if why != admission.Admitted && len(l.turned) < mostTurned && l.outside.Observe != nil {
 		l.turned = append(l.turned, telemetry.Fact{Kind: telemetry.RequestEnded, End: telemetry.Busy, Class: req.Class, Plan: req.Plan,
 			Volume: req.Volume, Units: req.Units})
 	}
 	l.mu.Unlock()
-	if why == admission.None {
+	if why == admission.Admitted {
 		return nil
 	}
-	l.Figures.taken.Add(1)
-	l.Figures.turned.Add(1)
-	l.Figures.ended(req.Class, Refused)
-	return &Final{Verdict: Refused, After: Micros(after)}
+	l.Metrics.taken.Add(1)
+	l.Metrics.turned.Add(1)
+	l.Metrics.ended(req.Class, Rejected)
+	return &Response{Verdict: Rejected, RetryAfter: Micros(after)}
 }
 
-// Parts tells how requests were spread over the nodes of shards that have several, up to a second ago.
-func (l *Loop) Parts() []scheduler.NodeShare {
+// NodeShares tells how requests were spread over the nodes of shards that have several, up to a second ago.
+func (l *Loop) NodeShares() []scheduler.NodeShare {
 	if parts := l.parts.Load(); parts != nil {
 		return *parts
 	}
 	return nil
 }
 
-// Crowded tells whether more requests wait than the processor can do, so that a front may refuse one before it reads it. It takes
+// Overloaded tells whether more requests wait than the processor can do, so that a front may refuse one before it reads it. It takes
 // no lock.
-func (l *Loop) Crowded() bool {
-	return l.crowd > 0 && l.slow.Load() && l.Figures.open.Load() >= l.crowd
+func (l *Loop) Overloaded() bool {
+	return l.crowd > 0 && l.slow.Load() && l.Metrics.open.Load() >= l.crowd
 }
 
-// TurnCrowd counts such a refusal.
-func (l *Loop) TurnCrowd(class string) {
+// RejectOverload counts such a refusal.
+func (l *Loop) RejectOverload(class string) {
 	l.crowded.Store(true)
-	l.Figures.taken.Add(1)
-	l.Figures.turned.Add(1)
-	if known := l.Figures.known(class); known != nil {
+	l.Metrics.taken.Add(1)
+	l.Metrics.turned.Add(1)
+	if known := l.Metrics.known(class); known != nil {
 		known.refused.Add(1)
 	}
 }
 
-// Overloaded tells whether admission control refuses requests.
-func (l *Loop) Overloaded() bool { return l.overloaded.Load() }
+// SheddingLoad tells whether admission control refuses requests.
+func (l *Loop) SheddingLoad() bool { return l.overloaded.Load() }
 
 // mostTurned bounds the facts of refusals that wait for the loop; figures count the others too.
 const mostTurned = 1 << 12
 
-// Enter is Submit for a request that was let in.
-func (l *Loop) Enter(req *Request, reply func(Final)) uint64 {
+// SubmitAdmitted is Submit for a request that was let in.
+func (l *Loop) SubmitAdmitted(req *Request, reply func(Response)) uint64 {
 	id, at := l.ids.Add(1), l.clock.Now()
-	if l.Figures.open.Add(1) == l.many() && l.crowd > 0 {
+	if l.Metrics.open.Add(1) == l.many() && l.crowd > 0 {
 		select {
 		case l.busy <- struct{}{}:
 		default:
@@ -196,8 +196,8 @@
 	if len(l.inbox) == 0 && l.outside.Admission != nil {
 		l.since = l.clock.Now()
 	}
-	if r, is := e.(Retuned); is && l.outside.Admission != nil {
-		l.outside.Admission.Retune(r.Settings)
+	if r, is := e.(SettingsChanged); is && l.outside.Admission != nil {
+		l.outside.Admission.ApplySettings(r.Settings)
 	}
 	if _, is := e.(Left); is {
 		l.leaves = append(l.leaves, e)
@@ -206,16 +206,16 @@
 	l.inbox = append(l.inbox, e)
 }
 
-// Lagged tells admission control, now and then, for how long whatever could run waited for a processor meanwhile. The loop's own
+// RecordSchedulingLag tells admission control, now and then, for how long whatever could run waited for a processor meanwhile. The loop's own
 // queue says less: Go runs next what was woken last, which may be the loop, while hundreds wait to read what has come.
-func (l *Loop) Lagged(waited Micros) {
+func (l *Loop) RecordSchedulingLag(waited Micros) {
 	l.mu.Lock()
 	if l.outside.Admission != nil {
 		if l.crowded.Swap(false) {
-			l.outside.Admission.Crowded()
+			l.outside.Admission.RecordOverload()
 		}
-		l.outside.Admission.Lag(int64(l.clock.Now()), int64(max(waited, l.lag)))
-		l.slow.Store(l.outside.Admission.Slow())
+		l.outside.Admission.RecordLag(int64(l.clock.Now()), int64(max(waited, l.lag)))
+		l.slow.Store(l.outside.Admission.Overloaded())
 		l.overloaded.Store(l.outside.Admission.Shedding())
 	}
 	l.lag = 0
@@ -226,16 +226,16 @@
 // many is how many open requests are worth a look at how long work waits: half of those at which it decides.
 func (l *Loop) many() int64 { return max(1, l.crowd/2) }
 
-// Busy tells each time that many requests have come to be open at once, so that somebody may begin to measure.
-func (l *Loop) Busy() <-chan struct{} { return l.busy }
+// LagMeasurementWanted tells each time that many requests have come to be open at once, so that somebody may begin to measure.
+func (l *Loop) LagMeasurementWanted() <-chan struct{} { return l.busy }
 
-// StillBusy tells whether it is worth measuring on: many requests are open, or work lately waited for a processor.
-func (l *Loop) StillBusy() bool {
-	return l.Figures.open.Load() >= l.many() || l.slow.Load() || l.overloaded.Load()
+// KeepMeasuringLag tells whether it is worth measuring on: many requests are open, or work lately waited for a processor.
+func (l *Loop) KeepMeasuringLag() bool {
+	return l.Metrics.open.Load() >= l.many() || l.slow.Load() || l.overloaded.Load()
 }
 
-// Measured tells that Lagged will be called from now on, or not any more: what was known before counts no longer.
-func (l *Loop) Measured(begins bool) {
+// SetLagMeasured tells that RecordSchedulingLag will be called from now on, or not any more: what was known before counts no longer.
+func (l *Loop) SetLagMeasured(begins bool) {
 	l.mu.Lock()
 	l.lag = 0
 	l.mu.Unlock()
@@ -244,14 +244,14 @@
 	}
 }
 
-// Leave tells that the client of a request no longer waits.
-func (l *Loop) Leave(id uint64) { l.Post(Left{ID: id}) }
+// Cancel tells that the client of a request no longer waits.
+func (l *Loop) Cancel(id uint64) { l.Post(Left{ID: id}) }
 
-// Hasten tells that the client of a request may have left, but wants an answer if it has not.
-func (l *Loop) Hasten(id uint64) { l.Post(Hastened{ID: id}) }
+// Expedite tells that the client of a request may have left, but wants an answer if it has not.
+func (l *Loop) Expedite(id uint64) { l.Post(Hastened{ID: id}) }
 
-// Open tells how many requests wait for their final answer.
-func (l *Loop) Open() int { return int(l.Figures.open.Load()) }
+// OpenRequests tells how many requests wait for their final answer.
+func (l *Loop) OpenRequests() int { return int(l.Metrics.open.Load()) }
 
 // Post hands an event to the loop.
 func (l *Loop) Post(e Event) {
@@ -282,16 +282,16 @@
 // mostQueued bounds the events that wait for a turn before a front reads no further request.
 const mostQueued = 16 * mostEvents
 
-// Full tells whether the loop is far behind, so that Room would wait.
-func (l *Loop) Full() bool {
+// Backlogged tells whether the loop is far behind, so that WaitForCapacity would wait.
+func (l *Loop) Backlogged() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.inbox) >= mostQueued && !l.ended
 }
 
-// Room waits while the loop is far behind, unless given up is true at the end of a turn. Fronts call it before they take a request,
+// WaitForCapacity waits while the loop is far behind, unless given up is true at the end of a turn. Fronts call it before they take a request,
 // holding no lock: so what is read and not yet decided is bounded, whatever clients send.
-func (l *Loop) Room(givenUp func() bool) {
+func (l *Loop) WaitForCapacity(givenUp func() bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.inbox) >= mostQueued && !l.ended && !givenUp() {
@@ -390,17 +390,17 @@
 
 // agree has the core go over to what is agreed as of now, before it decides anything else.
 func (l *Loop) agree(now Micros) {
-	if l.outside.Agreed == nil {
+	if l.outside.ConfigChanges == nil {
 		return
 	}
-	first := l.outside.Agreed(now)
+	first := l.outside.ConfigChanges(now)
 	if len(first) == 0 {
 		return
 	}
 	l.mu.Lock()
 	for _, e := range first {
-		if r, is := e.(Retuned); is && l.outside.Admission != nil {
-			l.outside.Admission.Retune(r.Settings)
+		if r, is := e.(SettingsChanged); is && l.outside.Admission != nil {
+			l.outside.Admission.ApplySettings(r.Settings)
 		}
 	}
 	l.mu.Unlock()
@@ -469,7 +469,7 @@
 
 // countNodes keeps the figures of the list: at once when it changes, else now and then.
 func (l *Loop) countNodes(now Micros, events []Event) {
-	if now < l.countAt && !slices.ContainsFunc(events, func(e Event) bool { _, is := e.(Listed); return is }) {
+	if now < l.countAt && !slices.ContainsFunc(events, func(e Event) bool { _, is := e.(NodesListed); return is }) {
 		return
 	}
 	l.countAt = now + countEach
@@ -480,44 +480,44 @@
 		}
 	}
 	listed, down := l.state.gateway.Nodes()
-	l.Figures.listed.Store(int64(listed))
-	l.Figures.down.Store(int64(down))
+	l.Metrics.listed.Store(int64(listed))
+	l.Metrics.down.Store(int64(down))
 }
 
 func (l *Loop) count(event Event) {
 	switch e := event.(type) {
 	case Arrived:
-		l.Figures.taken.Add(1)
+		l.Metrics.taken.Add(1)
 	case Left:
 		if _, waits := l.clients[e.ID]; waits {
-			l.Figures.left.Add(1)
+			l.Metrics.left.Add(1)
 			l.forget(e.ID)
 		}
 	case Ended:
 		delete(l.handles, attemptKey{e.ID, e.Attempt})
-	case Retuned:
-		l.Figures.list(e.Settings.Classes)
-	case Heard:
-		l.Figures.heard.Add(1)
+	case SettingsChanged:
+		l.Metrics.list(e.Settings.Classes)
+	case PeerMessage:
+		l.Metrics.heard.Add(1)
 	}
 }
 
 func (l *Loop) forget(id uint64) {
 	delete(l.clients, id)
-	l.Figures.open.Add(-1)
+	l.Metrics.open.Add(-1)
 }
 
 // run carries out one effect; that of a Stop is an event.
 func (l *Loop) run(effect Effect, now Micros) Event {
 	switch e := effect.(type) {
 	case Start:
-		e.Attempt.Written = func() { l.Figures.attempts.Add(1) }
+		e.Attempt.OnWritten = func() { l.Metrics.attempts.Add(1) }
 		l.handles[attemptKey{e.ID, e.Number}] = l.via(e.Attempt.Request).Start(e.Attempt, func(r Result) {
 			l.Post(Ended{ID: e.ID, Attempt: e.Number, Result: r})
 		})
 	case Stop:
-		l.Figures.stopped.Add(1)
-		progress := WrittenWhole
+		l.Metrics.stopped.Add(1)
+		progress := FullyWritten
 		if h := l.handles[attemptKey{e.ID, e.Number}]; h != nil {
 			progress = h.Stop()
 			delete(l.handles, attemptKey{e.ID, e.Number})
@@ -525,21 +525,21 @@
 		return Stopped{ID: e.ID, Attempt: e.Number, Progress: progress}
 	case Halt:
 		if h := l.handles[attemptKey{e.ID, e.Number}]; h != nil {
-			h.Halt()
+			h.StopSending()
 		}
 	case Abandon:
 		if h := l.handles[attemptKey{e.ID, e.Number}]; h != nil {
-			h.Abandon()
+			h.CancelUnlessWritten()
 		}
 	case Answer:
 		l.answer(e)
 	case Tell:
-		if l.outside.Tell != nil {
-			l.Figures.told.Add(1)
-			l.outside.Tell(e.Peer, e.Data)
+		if l.outside.SendToPeer != nil {
+			l.Metrics.told.Add(1)
+			l.outside.SendToPeer(e.Peer, e.Data)
 		}
 	case Probe:
-		l.Figures.probes.Add(1)
+		l.Metrics.probes.Add(1)
 		l.transport.Probe(e.Address, func(r Result) {
 			l.Post(Probed{Node: e.Node, Took: l.clock.Now() - now, Result: r})
 		})
@@ -554,8 +554,8 @@
 }
 
 func (l *Loop) via(req *Request) Transport {
-	if req.Via != nil {
-		return req.Via
+	if req.Transport != nil {
+		return req.Transport
 	}
 	return l.transport
 }
@@ -567,20 +567,20 @@
 		l.Post(Given{ID: e.ID})
 		return
 	}
-	if value, lasts := e.Final.Value.(Lasting); lasts {
+	if value, lasts := e.Final.Value.(Streaming); lasts {
 		delete(l.clients, e.ID)
 		value.OnEnd(func(whole bool) {
-			l.Figures.open.Add(-1)
+			l.Metrics.open.Add(-1)
 			if whole {
-				l.Figures.ended(c.class, Served)
+				l.Metrics.ended(c.class, Served)
 			} else {
-				l.Figures.ended(c.class, Failed)
+				l.Metrics.ended(c.class, Failed)
 			}
 			l.Post(Given{ID: e.ID, Whole: whole})
 		})
 	} else {
 		l.forget(e.ID)
-		l.Figures.ended(c.class, e.Final.Verdict)
+		l.Metrics.ended(c.class, e.Final.Verdict)
 	}
 	c.reply(e.Final)
 }
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -27,9 +27,9 @@
 
 type out struct{}
 
-func (out) Stop() Progress { return WrittenWhole }
-func (out) Halt()          {}
-func (out) Abandon()       {}
+func (out) Stop() Progress       { return FullyWritten }
+func (out) StopSending()         {}
+func (out) CancelUnlessWritten() {}
 
 // A fault in one turn must not end the process or the other requests.
 func TestFaultInOneTurn(t *testing.T) {
@@ -38,17 +38,17 @@
 		t.Fatal(err)
 	}
 	lines := make(chan string, 8)
-	loop := NewLoop(state, NewClock(), &faulty{}, Outside{Log: logging.Func(func(line string) { lines <- line })})
+	loop := NewLoop(state, NewClock(), &faulty{}, Dependencies{Log: logging.Func(func(line string) { lines <- line })})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
-	finals := make(chan Final, 2)
-	loop.Submit(request("write", 0), func(f Final) { finals <- f })
+	loop.Post(NodesListed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
+	finals := make(chan Response, 2)
+	loop.Submit(request("write", 0), func(f Response) { finals <- f })
 	go loop.Run(ctx)
 	if line := <-lines; line != "panic front=core panic=first" {
 		t.Fatal(line)
 	}
-	loop.Submit(request("read", 0), func(f Final) { finals <- f })
+	loop.Submit(request("read", 0), func(f Response) { finals <- f })
 	if f := <-finals; f.Verdict != Served {
 		t.Errorf("the second request: %+v", f)
 	}
@@ -61,7 +61,7 @@
 type local struct{}
 
 func (local) Start(a Attempt, done func(Result)) Handle {
-	a.Written()
+	a.OnWritten()
 	go done(Result{Value: fmt.Sprintf("%v from %s", a.Request.Message, a.Node), Load: scheduler.NoLoadReport})
 	return out{}
 }
@@ -75,15 +75,15 @@
 	if err != nil {
 		panic(err)
 	}
-	loop := NewLoop(state, NewClock(), local{}, Outside{})
-	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{{Endpoint: scheduler.Endpoint{Name: "n1"}, Address: "192.0.2.1:6379"}}})
+	loop := NewLoop(state, NewClock(), local{}, Dependencies{})
+	loop.Post(NodesListed{Kind: scheduler.FullUpdate, Nodes: []Node{{Endpoint: scheduler.Endpoint{Name: "n1"}, Address: "192.0.2.1:6379"}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
 
-	final := make(chan Final)
-	loop.Submit(&Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Hosts: 1, Wait: 2 * Second, Message: "lesson 7"},
-		func(f Final) { final <- f })
+	final := make(chan Response)
+	loop.Submit(&Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Brokers: 1, Timeout: 2 * Second, Message: "lesson 7"},
+		func(f Response) { final <- f })
 	fmt.Println((<-final).Value)
 	// Output: lesson 7 from n1
 }
@@ -94,10 +94,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := NewLoop(state, NewClock(), local{}, Outside{})
+	loop := NewLoop(state, NewClock(), local{}, Dependencies{})
 	read := func() map[string]uint64 {
 		all := map[string]uint64{}
-		for _, f := range loop.Figures.Read() {
+		for _, f := range loop.Metrics.Read() {
 			all[f.Name] = f.Value
 		}
 		return all
@@ -111,14 +111,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
-	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Draining)}})
-	finals := make(chan Final, 1)
-	loop.Submit(request("read", 0), func(f Final) { finals <- f })
+	loop.Post(NodesListed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Draining)}})
+	finals := make(chan Response, 1)
+	loop.Submit(request("read", 0), func(f Response) { finals <- f })
 	<-finals
-	loop.Submit(request("other", 0), func(f Final) { finals <- f })
+	loop.Submit(request("other", 0), func(f Response) { finals <- f })
 	<-finals
-	loop.Figures.Reloaded(true)
-	loop.Figures.Reloaded(false)
+	loop.Metrics.CountReload(true)
+	loop.Metrics.CountReload(false)
 	for name, want := range map[string]uint64{"success.read": 1, "failure.other": 1, "backend_calls": 1, "inflight": 0, "hosts_listed": 2,
 		"hosts_down": 1, "reconfig_ok": 1, "reconfig_failed": 1} {
 		if got := read()[name]; got != want {
@@ -127,7 +127,7 @@
 	}
 }
 
-// What admission control refuses has one answer, through Submit as through Ask, is counted, told to telemetry, and never reaches the module; it
+// What admission control refuses has one answer, through Submit as through Admit, is counted, told to telemetry, and never reaches the module; it
 // follows new settings, and opens when the lag is over.
 func TestAdmission(t *testing.T) {
 	state, err := NewState(testSettings(), 1)
@@ -135,8 +135,8 @@
 		t.Fatal(err)
 	}
 	facts := make(chan telemetry.Fact, 8)
-	controller := admission.New(admission.Settings{MostOpen: 1}, testSettings())
-	loop := NewLoop(state, NewClock(), local{}, Outside{Admission: controller, Observe: func(all []telemetry.Fact) {
+	controller := admission.New(admission.Settings{MaxOpen: 1}, testSettings())
+	loop := NewLoop(state, NewClock(), local{}, Dependencies{Admission: controller, Observe: func(all []telemetry.Fact) {
 		for _, f := range all {
 			if f.Kind == telemetry.RequestEnded {
 				facts <- f
@@ -145,19 +145,19 @@
 	}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
+	loop.Post(NodesListed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
 	req := request("read", 1) // of a shard without a node: it waits
-	finals := make(chan Final, 2)
-	if loop.Ask(req) != nil {
+	finals := make(chan Response, 2)
+	if loop.Admit(req) != nil {
 		t.Fatal("refused while there is room")
 	}
-	id := loop.Enter(req, func(f Final) { finals <- f })
-	if f := loop.Ask(request("read", 0)); f == nil || f.Verdict != Refused || f.After != 150_000 {
+	id := loop.SubmitAdmitted(req, func(f Response) { finals <- f })
+	if f := loop.Admit(request("read", 0)); f == nil || f.Verdict != Rejected || f.RetryAfter != 150_000 {
 		t.Fatalf("%+v", f)
 	}
-	loop.Submit(request("write", 0), func(f Final) { finals <- f })
+	loop.Submit(request("write", 0), func(f Response) { finals <- f })
 	go loop.Run(ctx)
-	if f := <-finals; f.Verdict != Refused || f.After != 150_000 {
+	if f := <-finals; f.Verdict != Rejected || f.RetryAfter != 150_000 {
 		t.Errorf("%+v", f)
 	}
 	for range 2 {
@@ -166,13 +166,13 @@
 		}
 	}
 	figures := map[string]uint64{}
-	for _, f := range loop.Figures.Read() {
+	for _, f := range loop.Metrics.Read() {
 		figures[f.Name] = f.Value
 	}
 	if figures["door_refused"] != 2 || figures["busy.read"] != 1 || figures["busy.write"] != 1 || figures["inflight"] != 1 {
 		t.Errorf("%v", figures)
 	}
-	loop.Leave(id)
+	loop.Cancel(id)
 }
 
 // Nobody measures how long work waits while little is open: the loop says when it is worth it, at half of the crowd, and what was measured
@@ -183,23 +183,23 @@
 		t.Fatal(err)
 	}
 	const crowd = 6
-	loop := NewLoop(state, NewClock(), local{}, Outside{Admission: admission.New(admission.Settings{Crowd: crowd, Window: 1}, testSettings())})
+	loop := NewLoop(state, NewClock(), local{}, Dependencies{Admission: admission.New(admission.Settings{MaxOpenOverloaded: crowd, Window: 1}, testSettings())})
 	busy := func() bool {
 		select {
-		case <-loop.Busy():
+		case <-loop.LagMeasurementWanted():
 			return true
 		default:
 			return false
 		}
 	}
 	for i := range crowd + 1 {
-		loop.Enter(request("read", 0), func(Final) {})
-		if got := busy(); got != (i == crowd/2-1) || loop.StillBusy() != (i >= crowd/2-1) {
-			t.Errorf("with %d open: busy %v, still %v", i+1, got, loop.StillBusy())
+		loop.SubmitAdmitted(request("read", 0), func(Response) {})
+		if got := busy(); got != (i == crowd/2-1) || loop.KeepMeasuringLag() != (i >= crowd/2-1) {
+			t.Errorf("with %d open: busy %v, still %v", i+1, got, loop.KeepMeasuringLag())
 		}
 	}
-	loop.Measured(true)
-	for end := time.Now().Add(5 * time.Second); !loop.Crowded(); loop.Lagged(50_000) {
+	loop.SetLagMeasured(true)
+	for end := time.Now().Add(5 * time.Second); !loop.Overloaded(); loop.RecordSchedulingLag(50_000) {
 		if time.Now().After(end) {
 			t.Fatal("no crowd where work waits")
 		}
@@ -224,8 +224,8 @@
 		}
 	}
 	r.state.lag = 0
-	loop := NewLoop(r.state, NewClock(), local{}, Outside{Admission: admission.New(admission.Settings{Target: 1000}, testSettings())})
-	if loop.Lagged(0); len(loop.notify) != 1 { // guards an idle broker against the lag of the news of its lag
+	loop := NewLoop(r.state, NewClock(), local{}, Dependencies{Admission: admission.New(admission.Settings{TargetLag: 1000}, testSettings())})
+	if loop.RecordSchedulingLag(0); len(loop.notify) != 1 { // guards an idle broker against the lag of the news of its lag
 		t.Error("an idle loop is not woken")
 	}
 	for range 40 {
@@ -243,15 +243,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := NewLoop(state, NewClock(), local{}, Outside{})
+	loop := NewLoop(state, NewClock(), local{}, Dependencies{})
 	const requests = mostQueued + 10
-	finals := make(chan Final, requests)
+	finals := make(chan Response, requests)
 	for range requests {
 		req := request("read", 1) // of a shard without a node
-		loop.Enter(req, func(f Final) { finals <- f })
+		loop.SubmitAdmitted(req, func(f Response) { finals <- f })
 	}
 	passed := make(chan bool, 1)
-	go func() { loop.Room(func() bool { return false }); passed <- true }()
+	go func() { loop.WaitForCapacity(func() bool { return false }); passed <- true }()
 	for turn, left := 1, requests; left > 0; turn++ {
 		events, _, more := loop.collect(loop.clock.Now(), nil)
 		if want := min(left, mostEvents); len(events) != want || more != (left > mostEvents) {
@@ -267,9 +267,9 @@
 	}
 	<-passed
 	for range requests {
-		loop.Enter(request("read", 1), func(f Final) { finals <- f })
+		loop.SubmitAdmitted(request("read", 1), func(f Response) { finals <- f })
 	}
-	go func() { loop.Room(func() bool { return false }); passed <- true }()
+	go func() { loop.WaitForCapacity(func() bool { return false }); passed <- true }()
 	loop.end()
 	<-passed
 }
@@ -293,11 +293,11 @@
 		t.Fatal(err)
 	}
 	started := starts{}
-	loop := NewLoop(state, NewClock(), started, Outside{})
+	loop := NewLoop(state, NewClock(), started, Dependencies{})
 	enter := func(name string) uint64 {
 		req := request("read", 0)
 		req.Message = name
-		return loop.Enter(req, func(Final) {})
+		return loop.SubmitAdmitted(req, func(Response) {})
 	}
 	turn := func() bool {
 		now := loop.clock.Now()
@@ -309,23 +309,23 @@
 	turn()
 	next := enter("next")
 	for range mostQueued - 2 {
-		loop.Post(Heard{From: 1})
+		loop.Post(PeerMessage{From: 1})
 	}
 	far := enter("far")
 	enter("stays")
 	for _, id := range []uint64{held, next, far, held} {
-		loop.Leave(id)
+		loop.Cancel(id)
 	}
-	open := loop.Open()
-	loop.Post(Listed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}}) // last of all
+	open := loop.OpenRequests()
+	loop.Post(NodesListed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}}) // last of all
 	turn()
-	if left := open - loop.Open(); left != 2 {
+	if left := open - loop.OpenRequests(); left != 2 {
 		t.Errorf("%d have left after a turn, want the held one and the next", left)
 	}
 	for turn() {
 	}
-	if len(started) != 1 || !started["stays"] || loop.Open() != 1 || len(loop.early) != 0 {
-		t.Errorf("started %v, %d open, %d early", started, loop.Open(), len(loop.early))
+	if len(started) != 1 || !started["stays"] || loop.OpenRequests() != 1 || len(loop.early) != 0 {
+		t.Errorf("started %v, %d open, %d early", started, loop.OpenRequests(), len(loop.early))
 	}
 }
 
@@ -338,10 +338,10 @@
 		}
 		return nodes
 	}
-	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: list("a")})
+	r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: list("a")})
 	r.turn(Arrived{ID: 1, Request: request("read", 5)})
 	r.effects = nil
-	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 3, Nodes: list("b")})
+	r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 3, Nodes: list("b")})
 	if left := len(r.state.nodes); left != 10_000 {
 		t.Errorf("%d nodes are known", left)
 	}
--- a/broker/reducer.go
+++ b/broker/reducer.go
@@ -15,7 +15,7 @@
 
 // The events.
 type (
-	// Arrived tells of a new request; its ID is new. Its client's time runs from At, 0 for the turn that hears of it.
+	// Arrived tells of a new request; its ID is new. Its client's time runs from FromUnixMilli, 0 for the turn that hears of it.
 	Arrived struct {
 		ID      uint64
 		Request *Request
@@ -43,56 +43,56 @@
 		Took   Micros
 		Result Result
 	}
-	// Listed is news of the list of storage nodes.
-	Listed struct {
+	// NodesListed is news of the list of storage nodes.
+	NodesListed struct {
 		Kind    scheduler.UpdateKind
 		Version uint64
 		Nodes   []Node
 	}
-	// Heard is a message of another broker.
-	Heard struct {
+	// PeerMessage is a message of another broker.
+	PeerMessage struct {
 		From int
 		Data []byte
 	}
-	// Retuned brings new settings, which were checked. Requests under way keep their class.
-	Retuned struct{ Settings scheduler.Settings }
-	// Shared tells that so many processes are this broker together, as while one replaces another, and how many more may be
+	// SettingsChanged brings new settings, which were checked. Requests under way keep their class.
+	SettingsChanged struct{ Settings scheduler.Settings }
+	// ProcessesChanged tells that so many processes are this broker together, as while one replaces another, and how many more may be
 	// without its being known.
-	Shared struct{ Processes, Unseen int }
-	// Given tells that a Lasting value was given to its client whole, or never will be.
+	ProcessesChanged struct{ Processes, Unseen int }
+	// Given tells that a Streaming value was given to its client whole, or never will be.
 	Given struct {
 		ID    uint64
 		Whole bool
 	}
-	// Lagged tells how long whatever could run in this process has lately waited for a processor, in the mean. Unknown ends that.
+	// RecordSchedulingLag tells how long whatever could run in this process has lately waited for a processor, in the mean. Unknown ends that.
 	Lagged struct {
 		Waited  Micros
 		Unknown bool
 	}
-	// Ending tells that the process ends: what is owed is to be answered now, and so is what still comes.
-	Ending struct{}
+	// ShuttingDown tells that the process ends: what is owed is to be answered now, and so is what still comes.
+	ShuttingDown struct{}
 )
 
 // Node is an entry of the list with the address at which this broker reaches it.
 type Node struct {
 	scheduler.Endpoint
-	Address string
-	Born    Micros // its last start on the loop's clock, 0 for long ago
+	Address   string
+	LastStart Micros // its last start on the loop's clock, 0 for long ago
 }
 
-func (Arrived) event()  {}
-func (Left) event()     {}
-func (Hastened) event() {}
-func (Ended) event()    {}
-func (Stopped) event()  {}
-func (Probed) event()   {}
-func (Listed) event()   {}
-func (Heard) event()    {}
-func (Retuned) event()  {}
-func (Shared) event()   {}
-func (Given) event()    {}
-func (Lagged) event()   {}
-func (Ending) event()   {}
+func (Arrived) event()          {}
+func (Left) event()             {}
+func (Hastened) event()         {}
+func (Ended) event()            {}
+func (Stopped) event()          {}
+func (Probed) event()           {}
+func (NodesListed) event()      {}
+func (PeerMessage) event()      {}
+func (SettingsChanged) event()  {}
+func (ProcessesChanged) event() {}
+func (Given) event()            {}
+func (Lagged) event()           {}
+func (ShuttingDown) event()     {}
 
 // Effect is something that the reducer wants done.
 type Effect interface{ effect() }
@@ -110,12 +110,12 @@
 		ID     uint64
 		Number int
 	}
-	// Halt bars an attempt from sending more to its node.
+	// StopSending bars an attempt from sending more to its node.
 	Halt struct {
 		ID     uint64
 		Number int
 	}
-	// Abandon ends an attempt whose client has left, or which came too late to its node, unless it was written whole.
+	// CancelUnlessWritten ends an attempt whose client has left, or which came too late to its node, unless it was written whole.
 	Abandon struct {
 		ID     uint64
 		Number int
@@ -123,9 +123,9 @@
 	// Answer gives the final answer to a request's client.
 	Answer struct {
 		ID    uint64
-		Final Final
+		Final Response
 	}
-	// Tell sends bytes to one broker, or to all others.
+	// SendToPeer sends bytes to one broker, or to all others.
 	Tell struct {
 		Peer int
 		Data []byte
@@ -194,7 +194,7 @@
 	facts   []telemetry.Fact
 	ending  bool                      // the process ends
 	lag     Micros                    // how long work waits for a processor here
-	giving  map[uint64]telemetry.Fact // requests whose Lasting value is on its way to the client
+	giving  map[uint64]telemetry.Fact // requests whose Streaming value is on its way to the client
 }
 
 // NewState returns the state of a broker that has taken nothing yet.
@@ -251,8 +251,8 @@
 // Knows tells whether a request has arrived and is not over.
 func (s *State) Knows(id uint64) bool { return s.entries[id] != nil }
 
-// Open tells how many requests still wait for their final answer.
-func (s *State) Open() int {
+// OpenRequests tells how many requests still wait for their final answer.
+func (s *State) OpenRequests() int {
 	open := 0
 	for _, e := range s.entries {
 		if !e.answered {
@@ -293,7 +293,7 @@
 			outcome := e.Result.outcome()
 			if r.answered && e.Result.Err != nil { // abandoned: that it broke says nothing of the node
 				outcome = scheduler.NotSent
-				if e.Result.Err.Progress == WrittenWhole {
+				if e.Result.Err.Progress == FullyWritten {
 					outcome = scheduler.Canceled
 				}
 			}
@@ -304,26 +304,26 @@
 	case Stopped:
 		if r := s.entries[e.ID]; r != nil && r.out && r.attempts-1 == e.Attempt {
 			outcome := r.stopping
-			if e.Progress != WrittenWhole {
+			if e.Progress != FullyWritten {
 				outcome = scheduler.Unreachable // proved never to have run
 			}
 			s.end(e.ID, r, outcome, Result{Load: scheduler.NoLoadReport})
 		}
 	case Probed:
 		s.tell(scheduler.HealthCheckResult{Node: e.Node, Latency: e.Took.Duration(), Outcome: e.Result.outcome(), Load: e.Result.Load})
-	case Listed:
+	case NodesListed:
 		s.list(e)
-	case Heard:
+	case PeerMessage:
 		s.tell(scheduler.PeerMessage{From: e.From, Data: e.Data})
-	case Retuned:
+	case SettingsChanged:
 		s.tell(scheduler.SettingsChanged{Settings: e.Settings})
-	case Shared:
+	case ProcessesChanged:
 		s.tell(scheduler.ProcessesChanged{Processes: e.Processes, Unseen: e.Unseen})
 	case Lagged:
 		if s.lag += (e.Waited - s.lag) / 4; e.Unknown {
 			s.lag = 0
 		}
-	case Ending:
+	case ShuttingDown:
 		s.endAll()
 	}
 }
@@ -343,7 +343,7 @@
 		return
 	}
 	if r.attempts == 0 && !r.answered {
-		s.overrule(id, r, Refused)
+		s.overrule(id, r, Rejected)
 		return
 	}
 	s.ring(alarm{kind: overdue, id: id})
@@ -351,7 +351,7 @@
 
 // overrule gives a final answer in the gateway's stead, which forgets the request.
 func (s *State) overrule(id uint64, r *entry, verdict Verdict) {
-	s.answer(id, r, Final{Verdict: verdict})
+	s.answer(id, r, Response{Verdict: verdict})
 	s.tell(scheduler.ClientGone{ID: id})
 	s.forget(id, r)
 }
@@ -367,18 +367,18 @@
 	} else {
 		r = &entry{}
 	}
-	*r = entry{req: req, arrived: at, deadline: max(s.now, at+max(0, req.Wait))}
+	*r = entry{req: req, arrived: at, deadline: max(s.now, at+max(0, req.Timeout))}
 	s.entries[id] = r
 	if s.ending { // nobody would be left to answer it
-		s.conclude(id, Final{Verdict: Refused})
+		s.conclude(id, Response{Verdict: Rejected})
 		return
 	}
 	r.overdue = s.wake(r.deadline, alarm{kind: overdue, id: id})
 	s.tell(scheduler.Request{ID: id, Class: req.Class, Plan: req.Plan, Key: req.Key, Remaining: (r.deadline - s.now).Duration(),
-		Volume: req.Volume, Units: req.Units, Shard: req.Shard, Brokers: req.Hosts, Retry: req.Retry, Write: req.Write})
+		Volume: req.Volume, Units: req.Units, Shard: req.Shard, Brokers: req.Brokers, Retry: req.Retry, Write: req.Write})
 }
 
-func (s *State) list(e Listed) {
+func (s *State) list(e NodesListed) {
 	s.lists++
 	infos := make([]scheduler.Endpoint, 0, len(e.Nodes))
 	var leaving map[string]bool
@@ -410,7 +410,7 @@
 			s.lose(n.Name, node)
 		}
 		info := n.Endpoint
-		info.StartedAt = n.Born.Duration()
+		info.StartedAt = n.LastStart.Duration()
 		infos = append(infos, info)
 	}
 	if e.Kind != scheduler.DeltaUpdate {
@@ -468,12 +468,12 @@
 	s.facts = append(s.facts, telemetry.Fact{Kind: telemetry.AttemptEnded, Outcome: outcomes[outcome], Class: r.req.Class, Plan: r.req.Plan,
 		Volume: r.req.Volume, Node: r.node, Units: r.req.Units, AtNode: int64(s.now - r.sentAt)})
 	if outcome == scheduler.Success && !r.answered {
-		s.answer(id, r, Final{Verdict: Served, Value: result.Value})
+		s.answer(id, r, Response{Verdict: Served, Value: result.Value})
 	} else {
 		s.drop(result.Value)
 	}
 	s.tell(scheduler.AttemptEnded{ID: id, Attempt: r.attempts - 1, Node: r.node, Outcome: outcome,
-		Latency: s.atNode(s.now - r.sentAt).Duration(), Finished: r.answered, RateUsed: result.Used, ServedElsewhere: result.Elsewhere,
+		Latency: s.atNode(s.now - r.sentAt).Duration(), Finished: r.answered, RateUsed: result.RateUsed, ServedElsewhere: result.ServedElsewhere,
 		Load: result.Load})
 	s.forget(id, r)
 }
@@ -492,10 +492,10 @@
 	}
 }
 
-func (s *State) answer(id uint64, r *entry, final Final) {
+func (s *State) answer(id uint64, r *entry, final Response) {
 	r.answered = true
-	fact := s.ended(r, [...]telemetry.End{Served: telemetry.Served, Refused: telemetry.Busy, Failed: telemetry.Failed}[final.Verdict])
-	if _, lasts := final.Value.(Lasting); lasts {
+	fact := s.ended(r, [...]telemetry.End{Served: telemetry.Served, Rejected: telemetry.Busy, Failed: telemetry.Failed}[final.Verdict])
+	if _, lasts := final.Value.(Streaming); lasts {
 		s.giving[id] = fact
 	} else {
 		s.facts = append(s.facts, fact)
@@ -586,9 +586,9 @@
 	case scheduler.Forward:
 		s.send(a)
 	case scheduler.Reject:
-		s.conclude(a.ID, Final{Verdict: Refused, After: MicrosOf(a.After)})
+		s.conclude(a.ID, Response{Verdict: Rejected, RetryAfter: MicrosOf(a.After)})
 	case scheduler.Fail:
-		s.conclude(a.ID, Final{Verdict: Failed})
+		s.conclude(a.ID, Response{Verdict: Failed})
 	case scheduler.Cancel:
 		if r := s.entries[a.ID]; r != nil && r.attempts-1 == a.Attempt {
 			s.stop(a.ID, r, scheduler.Canceled)
@@ -610,7 +610,7 @@
 }
 
 // conclude gives the gateway's own final answer.
-func (s *State) conclude(id uint64, final Final) {
+func (s *State) conclude(id uint64, final Response) {
 	if r := s.entries[id]; r != nil && !r.answered {
 		s.answer(id, r, final)
 		s.forget(id, r)
@@ -650,7 +650,7 @@
 		r.window = s.wake(at, alarm{kind: window, id: a.ID, attempt: r.attempts - 1})
 	}
 	s.do(Start{ID: a.ID, Number: r.attempts - 1,
-		Attempt: Attempt{Node: a.Node, Address: address, Request: r.req, Wait: wait}})
+		Attempt: Attempt{Node: a.Node, Address: address, Request: r.req, Timeout: wait}})
 }
 
 // windowEnd tells until when a further attempt of a request may be sent, if its class bounds that: nodes drop repeats of a keyed
--- a/broker/reducer_test.go
+++ b/broker/reducer_test.go
@@ -23,7 +23,7 @@
 	*testing.T
 	state  *State
 	now    Micros
-	finals map[uint64][]Final
+	finals map[uint64][]Response
 	starts []Start
 	stops  []Stop
 	halts  []Halt
@@ -37,8 +37,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Final{}}
-	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)}})
+	r := &rig{T: t, state: state, now: clockStart, finals: map[uint64][]Response{}}
+	r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []Node{node("n1", 0, scheduler.Ready), node("n2", 1, scheduler.Ready)}})
 	return r
 }
 
@@ -51,7 +51,7 @@
 	if class == "write" {
 		wait = 1_200_000
 	}
-	return &Request{Class: class, Plan: "plan", Key: "k", Volume: "v", Units: 2, Shard: shard, Hosts: 1, Wait: wait, Write: class == "write"}
+	return &Request{Class: class, Plan: "plan", Key: "k", Volume: "v", Units: 2, Shard: shard, Brokers: 1, Timeout: wait, Write: class == "write"}
 }
 
 func (r *rig) turn(events ...Event) {
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *rig) final(id uint64, want Verdict) Final {
+func (r *rig) final(id uint64, want Verdict) Response {
 	r.Helper()
 	if len(r.finals[id]) != 1 || r.finals[id][0].Verdict != want {
 		r.Fatalf("request %d got %+v, want one answer of kind %d", id, r.finals[id], want)
@@ -99,7 +99,7 @@
 func TestServed(t *testing.T) {
 	r := newRig(t)
 	r.turn(Arrived{ID: 1, Request: request("read", 0)})
-	if len(r.starts) != 1 || r.starts[0].Attempt.Node != "n1" || r.starts[0].Attempt.Wait != 750_000 {
+	if len(r.starts) != 1 || r.starts[0].Attempt.Node != "n1" || r.starts[0].Attempt.Timeout != 750_000 {
 		t.Fatalf("%+v", r.starts)
 	}
 	r.now += 20_000
@@ -116,7 +116,7 @@
 
 // What an attempt's progress means: a write goes out again only if it never ran.
 func TestProgressDecides(t *testing.T) {
-	for progress, again := range map[Progress]bool{NotConnected: true, PartlyWritten: true, WrittenWhole: false} {
+	for progress, again := range map[Progress]bool{NotConnected: true, PartiallyWritten: true, FullyWritten: false} {
 		r := newRig(t)
 		r.turn(Arrived{ID: 1, Request: request("write", 0)})
 		r.turn(Ended{1, 0, broke(progress)})
@@ -132,7 +132,7 @@
 
 // The deadline ends an attempt however far it came, and its late answer finds no one.
 func TestStoppedAtDeadline(t *testing.T) {
-	for _, progress := range []Progress{NotConnected, PartlyWritten, WrittenWhole} {
+	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		r := newRig(t)
 		r.turn(Arrived{ID: 1, Request: request("write", 0)})
 		r.pass(1_200_000)
@@ -155,7 +155,7 @@
 	r := newRig(t)
 	r.turn(Arrived{ID: 1, Request: request("read", 7)})
 	r.pass(750_000)
-	if f := r.final(1, Refused); f.After <= 0 {
+	if f := r.final(1, Rejected); f.RetryAfter <= 0 {
 		t.Errorf("%+v names no time to come again", f)
 	}
 	if len(r.starts) > 0 {
@@ -177,7 +177,7 @@
 // What a client that has left asked for is not sent on, however late its connection comes up, and that says nothing of the
 // node: the next request goes there at once.
 func TestLeftBeforeItIsSent(t *testing.T) {
-	for _, progress := range []Progress{NotConnected, PartlyWritten, WrittenWhole} { // the last may become whole as it is cut
+	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} { // the last may become whole as it is cut
 		r := newRig(t)
 		r.turn(Arrived{ID: 1, Request: request("write", 0)})
 		r.turn(Left{1})
@@ -196,12 +196,12 @@
 func TestDrainHalts(t *testing.T) {
 	r := newRig(t)
 	r.turn(Arrived{ID: 1, Request: request("write", 0)})
-	r.turn(Listed{Kind: scheduler.DeltaUpdate, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n3", 0, scheduler.Ready)}})
-	r.turn(Listed{Kind: scheduler.DeltaUpdate, Version: 3, Nodes: []Node{node("n1", 0, scheduler.Draining)}})
+	r.turn(NodesListed{Kind: scheduler.DeltaUpdate, Version: 2, Nodes: []Node{node("n1", 0, scheduler.Draining), node("n3", 0, scheduler.Ready)}})
+	r.turn(NodesListed{Kind: scheduler.DeltaUpdate, Version: 3, Nodes: []Node{node("n1", 0, scheduler.Draining)}})
 	if len(r.halts) != 1 {
 		t.Fatalf("%d halts", len(r.halts))
 	}
-	r.turn(Ended{1, 0, broke(PartlyWritten)})
+	r.turn(Ended{1, 0, broke(PartiallyWritten)})
 	r.pass(100_000)
 	if len(r.starts) < 2 || r.starts[1].Attempt.Node != "n3" {
 		t.Errorf("%+v", r.starts)
@@ -211,7 +211,7 @@
 // A node that a whole list no longer names is gone.
 func TestMissingFromList(t *testing.T) {
 	r := newRig(t)
-	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 2, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
+	r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
 	r.turn(Arrived{ID: 1, Request: request("read", 0)})
 	r.pass(Second)
 	if len(r.starts) > 0 {
@@ -224,9 +224,9 @@
 	r := newRig(t)
 	for i := range 200 {
 		old, young := node(fmt.Sprint("o", i), 0, scheduler.Removed), node(fmt.Sprint("o", i+1), 0, scheduler.Ready)
-		r.turn(Listed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 2), Nodes: []Node{old, young}})
+		r.turn(NodesListed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 2), Nodes: []Node{old, young}})
 	}
-	r.turn(Listed{Kind: scheduler.FullUpdate, Version: 300, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
+	r.turn(NodesListed{Kind: scheduler.FullUpdate, Version: 300, Nodes: []Node{node("n2", 1, scheduler.Ready)}})
 	if len(r.state.nodes) != 1 {
 		t.Errorf("kept %d", len(r.state.nodes))
 	}
@@ -246,7 +246,7 @@
 	r := newRig(t)
 	for i := range uint64(40) {
 		req := request("read", 1)
-		req.Hosts, req.Volume = 2, []string{"v", "w", "x", "y"}[i%4]
+		req.Brokers, req.Volume = 2, []string{"v", "w", "x", "y"}[i%4]
 		r.turn(Arrived{ID: i + 1, Request: req})
 		r.pass(25_000)
 	}
@@ -258,21 +258,21 @@
 	t.Error("no peer was told")
 }
 
-// At the end of the process all that is owed is answered: a write that may have run has failed, and what was
+// FromUnixMilli the end of the process all that is owed is answered: a write that may have run has failed, and what was
 // never sent may come again.
 func TestEnding(t *testing.T) {
 	r := newRig(t)
 	r.turn(Arrived{ID: 1, Request: request("write", 0)}, Arrived{ID: 2, Request: request("read", 0)}, Arrived{ID: 3, Request: request("read", 7)})
-	r.turn(Ending{})
+	r.turn(ShuttingDown{})
 	if len(r.stops) != 2 {
 		t.Fatalf("%d attempts stopped", len(r.stops))
 	}
-	r.turn(Stopped{1, 0, WrittenWhole}, Stopped{2, 0, WrittenWhole})
+	r.turn(Stopped{1, 0, FullyWritten}, Stopped{2, 0, FullyWritten})
 	r.final(1, Failed)
-	r.final(2, Refused)
-	r.final(3, Refused)
+	r.final(2, Rejected)
+	r.final(3, Rejected)
 	r.turn(Arrived{ID: 4, Request: request("write", 0)}) // on a connection that stayed open
-	r.final(4, Refused)
+	r.final(4, Rejected)
 	if r.pass(Second); len(r.state.entries) > 0 || len(r.starts) != 2 {
 		t.Errorf("%d held, %d sent", len(r.state.entries), len(r.starts))
 	}
@@ -280,11 +280,11 @@
 
 func TestClockAt(t *testing.T) {
 	c := NewClock()
-	if c.At(0) != 0 || c.At(1) != 0 {
+	if c.FromUnixMilli(0) != 0 || c.FromUnixMilli(1) != 0 {
 		t.Error("long ago is not 0")
 	}
 	// A node that started before this process is cold all the same.
-	if at := c.At(time.Now().Add(-5 * time.Second).UnixMilli()); at <= 0 || c.Now()-at < 4*Second || c.Now()-at > 6*Second {
+	if at := c.FromUnixMilli(time.Now().Add(-5 * time.Second).UnixMilli()); at <= 0 || c.Now()-at < 4*Second || c.Now()-at > 6*Second {
 		t.Errorf("5 s ago is %d, now is %d", at, c.Now())
 	}
 }
@@ -295,15 +295,15 @@
 	r := newRig(t)
 	req := request("read", 0)
 	came := r.now
-	r.now += req.Wait / 4
+	r.now += req.Timeout / 4
 	r.turn(Arrived{ID: 1, Request: req, At: came})
-	if len(r.starts) != 1 || r.starts[0].Attempt.Wait != req.Wait*3/4 {
+	if len(r.starts) != 1 || r.starts[0].Attempt.Timeout != req.Timeout*3/4 {
 		t.Fatalf("%+v", r.starts)
 	}
-	if at, any := r.state.Next(); !any || at > came+req.Wait {
+	if at, any := r.state.Next(); !any || at > came+req.Timeout {
 		t.Errorf("looked at again at %v", at)
 	}
-	r.turn(Arrived{ID: 2, Request: req, At: r.now - 2*req.Wait})
+	r.turn(Arrived{ID: 2, Request: req, At: r.now - 2*req.Timeout})
 	r.now++
 	r.turn()
 	if len(r.starts) != 1 || len(r.finals[2]) != 1 {
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -158,7 +158,7 @@
 	m := members.New(broker.NewClock(), func(e broker.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, n := range e.(broker.Listed).Nodes {
+		for _, n := range e.(broker.NodesListed).Nodes {
 			if at, waits := removed[n.Name]; waits && n.State == scheduler.Removed {
 				took = append(took, time.Since(at))
 				delete(removed, n.Name)
@@ -171,7 +171,7 @@
 	}, logging.Discard())
 	defer m.Close()
 	shard := 0
-	if err := m.Follow(config.Membership{Sources: []config.MemberSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, QueriesPerS: 1000}}}); err != nil {
+	if err := m.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, QueriesPerS: 1000}}}); err != nil {
 		return err
 	}
 	<-listed
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -140,12 +140,12 @@
 	m := members.New(clock, func(broker.Event) {}, log)
 	defer m.Close()
 	c.Site.Membership.Snapshot = "" // it is the broker's
-	if err := m.Follow(c.Site.Membership); err != nil {
+	if err := m.ApplySettings(c.Site.Membership); err != nil {
 		return err
 	}
-	go discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}).Run(ctx, clock, m.Discovery)
+	go discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}).Run(ctx, clock, m.HandleDiscovery)
 	<-ctx.Done()
-	_, err = os.Stdout.Write(m.Text())
+	_, err = os.Stdout.Write(m.Table())
 	return err
 }
 
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -114,23 +114,23 @@
 		return broker.Node{Endpoint: scheduler.Endpoint{Name: host, State: state}}
 	}
 	l := newList()
-	l.news(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Ready)}})
+	l.news(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Ready)}})
 	if changed := l.agree(map[string]bool{"a": true, "x": true}); len(changed) != 1 || changed[0].State != scheduler.Draining || changed[0].Name != "a" {
 		t.Errorf("%+v", changed)
 	}
-	shown, leave, stay := l.news(broker.Listed{Kind: scheduler.DeltaUpdate, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Draining)}})
+	shown, leave, stay := l.news(broker.NodesListed{Kind: scheduler.DeltaUpdate, Nodes: []broker.Node{node("a", scheduler.Ready), node("b", scheduler.Draining)}})
 	if shown.Nodes[0].State != scheduler.Draining || shown.Nodes[1].State != scheduler.Draining || !slices.Equal(leave, []string{"b"}) || len(stay) > 0 {
 		t.Errorf("%+v, %v, %v", shown, leave, stay)
 	}
 	if changed := l.agree(nil); len(changed) != 1 || changed[0].State != scheduler.Ready {
 		t.Errorf("%+v", changed)
 	}
-	shown, leave, stay = l.news(broker.Listed{Kind: scheduler.DeltaUpdate, Nodes: []broker.Node{node("b", scheduler.Ready), node("a", scheduler.Removed)}})
+	shown, leave, stay = l.news(broker.NodesListed{Kind: scheduler.DeltaUpdate, Nodes: []broker.Node{node("b", scheduler.Ready), node("a", scheduler.Removed)}})
 	if shown.Nodes[1].State != scheduler.Removed || len(leave) > 0 || !slices.Equal(stay, []string{"b", "a"}) {
 		t.Errorf("%+v, %v, %v", shown, leave, stay)
 	}
 	l.agree(map[string]bool{"b": true})
-	l.news(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node("c", scheduler.Ready)}})
+	l.news(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node("c", scheduler.Ready)}})
 	if changed := l.agree(map[string]bool{"b": true}); len(changed) > 0 || !reflect.DeepEqual(l.shown, map[string]bool{}) {
 		t.Errorf("%+v, %v", changed, l.shown)
 	}
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -206,9 +206,9 @@
 	}
 	s.acts, s.since = is, now
 	s.o.Log.Info("acts", "epoch", is.epoch, "version", is.version, "preparing", is.preparing, "restricted", is.restricted, "before_us", now-last)
-	events := []broker.Event{broker.Retuned{Settings: effective(s.set, s.o.Limits, view)}}
+	events := []broker.Event{broker.SettingsChanged{Settings: effective(s.set, s.o.Limits, view)}}
 	if nodes := s.drains(view); len(nodes) > 0 {
-		events = append(events, broker.Listed{Kind: scheduler.DeltaUpdate, Nodes: nodes})
+		events = append(events, broker.NodesListed{Kind: scheduler.DeltaUpdate, Nodes: nodes})
 	}
 	return events
 }
@@ -239,7 +239,7 @@
 
 // Listed takes what discovery or membership says, in place of the core.
 func (s *Service) Listed(e broker.Event) {
-	listed, is := e.(broker.Listed)
+	listed, is := e.(broker.NodesListed)
 	if !is {
 		s.post(e)
 		return
@@ -999,7 +999,7 @@
 }
 
 // Figures are the broker's own, for sinks and the console.
-func (s *Service) Figures() []broker.Figure {
+func (s *Service) Figures() []broker.Metric {
 	now := s.now()
 	s.mu.Lock()
 	view, left, since, acts := s.holder.View(now), s.holder.LeaseLeft(now), s.holder.RestrictedSince(), s.since
@@ -1008,10 +1008,10 @@
 	if view.Restricted {
 		restricted, span = 1, now-since
 	}
-	count := func(name string, n int64) broker.Figure {
-		return broker.Figure{Name: "agree_" + name, Value: uint64(n), Counter: true}
+	count := func(name string, n int64) broker.Metric {
+		return broker.Metric{Name: "agree_" + name, Value: uint64(n), Counter: true}
 	}
-	return []broker.Figure{{Name: "agree_version", Value: view.Version}, {Name: "agree_preparing", Value: view.Preparing}, {Name: "agree_age_ms", Value: uint64(max(0, now-acts) / 1000)},
+	return []broker.Metric{{Name: "agree_version", Value: view.Version}, {Name: "agree_preparing", Value: view.Preparing}, {Name: "agree_age_ms", Value: uint64(max(0, now-acts) / 1000)},
 		{Name: "agree_lease_left_ms", Value: uint64(left / 1000)}, {Name: "agree_restricted", Value: restricted}, {Name: "agree_restricted_ms", Value: uint64(max(0, span) / 1000)},
 		{Name: "agree_term", Value: s.seen.term.Load()}, {Name: "agree_leads", Value: s.seen.leads.Load()}, {Name: "agree_behind", Value: s.seen.behind.Load()}, {Name: "agree_waits", Value: s.seen.waits.Load()},
 		count("bytes_sent", s.counts.sent.Load()), count("bytes_received", s.counts.received.Load()), count("dropped", s.counts.dropped.Load()), count("turned_away", s.counts.refused.Load())}
--- a/internal/agreement/settings.go
+++ b/internal/agreement/settings.go
@@ -123,7 +123,7 @@
 }
 
 // news lays what is agreed over what discovery says, and tells which hosts discovery now says to leave, or no longer says so.
-func (l *list) news(e broker.Listed) (shown broker.Listed, leave, stay []string) {
+func (l *list) news(e broker.NodesListed) (shown broker.NodesListed, leave, stay []string) {
 	if e.Kind == scheduler.FailedUpdate {
 		return e, nil, nil
 	}
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -49,9 +49,9 @@
 }
 
 // Rights are what the source may do.
-func (m MemberSource) Rights() membership.Rights {
+func (m MemberSource) Rights() membership.Permissions {
 	may := func(word string) bool { return len(m.May) == 0 || slices.Contains(m.May, word) }
-	return membership.Rights{Add: may("add"), Drain: may("drain"), Remove: may("remove")}
+	return membership.Permissions{Add: may("add"), Drain: may("drain"), Remove: may("remove")}
 }
 
 // Facts say where a DNS source's shards and zones come from.
@@ -72,9 +72,9 @@
 
 // Options are those of the merging.
 func (m Membership) Options() membership.Options {
-	o := membership.Options{Suspect: int64(m.SuspectS) * 1e6}
+	o := membership.Options{SuspectHold: int64(m.SuspectS) * 1e6}
 	for _, s := range m.Sources {
-		o.Sources = append(o.Sources, membership.SourceOptions{Name: s.Name, Rights: s.Rights(), Good: int64(s.GoodS) * 1e6})
+		o.Sources = append(o.Sources, membership.SourceOptions{Name: s.Name, Permissions: s.Rights(), RemovalTTL: int64(s.GoodS) * 1e6})
 	}
 	return o
 }
@@ -213,7 +213,7 @@
 		if n.Shard < 0 || n.Share < 0 {
 			return nil, fmt.Errorf("%s: node[%d]: its shard or share is below 0", path, i)
 		}
-		e := membership.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, Share: n.Share, Priority: n.Priority, Born: membership.Unknown}
+		e := membership.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, Capacity: n.Share, Priority: n.Priority, LastStart: membership.UnknownStart}
 		if n.Draining {
 			e.State = membership.Draining
 		}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -78,7 +78,7 @@
 
 // Controller returns what decides on admission. crowd is admission.Settings.Crowd, 0 for none.
 func (a Admission) Controller(set scheduler.Settings, crowd int) *admission.Controller {
-	return admission.New(admission.Settings{Target: int64(a.LagMS * 1000), MostOpen: a.MostOpen, Crowd: crowd}, set)
+	return admission.New(admission.Settings{TargetLag: int64(a.LagMS * 1000), MaxOpen: a.MostOpen, MaxOpenOverloaded: crowd}, set)
 }
 
 // ends is all of a site but the mapping of file commands and where figures go, which may change while the broker runs.
--- a/internal/conformance/leavers_test.go
+++ b/internal/conformance/leavers_test.go
@@ -40,7 +40,7 @@
 			<-w.up
 			return nil
 		}})
-	w.loop = broker.NewLoop(state, broker.NewClock(), resp.NewNodes(nodes), broker.Outside{})
+	w.loop = broker.NewLoop(state, broker.NewClock(), resp.NewNodes(nodes), broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go w.loop.Run(ctx)
@@ -58,7 +58,7 @@
 			close(w.up)
 		}
 	})
-	w.loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: node.Addr().String()}}})
+	w.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: node.Addr().String()}}})
 	ln := listen(t)
 	w.address = ln.Addr().String()
 	f := resp.NewFront(w.loop, resp.NewTerms(settings(), 0), 64, 64, budget, logging.Discard())
@@ -104,7 +104,7 @@
 				c.send(fmt.Sprint("l", i), k)
 				conns = append(conns, conn.(*net.TCPConn))
 			}
-			eventually(t, "all are taken", func() bool { return w.loop.Open() == clients })
+			eventually(t, "all are taken", func() bool { return w.loop.OpenRequests() == clients })
 			<-w.coming
 			for _, conn := range conns {
 				if reset {
@@ -112,7 +112,7 @@
 				}
 				conn.Close()
 			}
-			eventually(t, "all have left", func() bool { return w.loop.Open() == 0 })
+			eventually(t, "all have left", func() bool { return w.loop.OpenRequests() == 0 })
 			if n := w.sentOn(); n > 0 {
 				t.Errorf("class %d, reset %v: %d bytes were sent on", k, reset, n)
 			}
@@ -135,11 +135,11 @@
 		for i := range 4 {
 			c.send(fmt.Sprint("l", i), k)
 		}
-		eventually(t, "the budget is full", func() bool { return w.loop.Open() == 2 })
+		eventually(t, "the budget is full", func() bool { return w.loop.OpenRequests() == 2 })
 		<-w.coming
 		began := time.Now()
 		conn.Close()
-		eventually(t, "it has left", func() bool { return w.loop.Open() == 0 })
+		eventually(t, "it has left", func() bool { return w.loop.OpenRequests() == 0 })
 		if took := time.Since(began); took > waits[k]/2 {
 			t.Errorf("class %d: its requests were open for %v", k, took)
 		}
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -100,7 +100,7 @@
 	}
 	via := p.transport(pool.Options{ConnectTimeout: 500 * time.Millisecond, Idle: 30 * time.Second, Sockets: 64,
 		Log: logging.Func(func(line string) { t.Error(line) })})
-	b.loop = broker.NewLoop(state, b.clock, via, broker.Outside{})
+	b.loop = broker.NewLoop(state, b.clock, via, broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go b.loop.Run(ctx)
@@ -139,7 +139,7 @@
 }
 
 func (b *bench) list(nodes ...broker.Node) {
-	b.loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: nodes})
+	b.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: nodes})
 }
 
 // drain tells the broker that one node drains.
@@ -277,7 +277,7 @@
 			}
 		}
 		b.want(b.run(read, "r2"), served)
-		eventually(b.T, "nothing of them is left", func() bool { return b.loop.Open() == 0 && b.front.Clients() == 1 })
+		eventually(b.T, "nothing of them is left", func() bool { return b.loop.OpenRequests() == 0 && b.front.Clients() == 1 })
 	}},
 	{"a read that lost its answer is sent again", func(b *bench) {
 		b.client.prepare(b.T, "r")
@@ -302,10 +302,10 @@
 			return serve
 		})
 		b.client.send("r", read)
-		eventually(b.T, "the request is taken", func() bool { return b.loop.Open() == 1 })
+		eventually(b.T, "the request is taken", func() bool { return b.loop.OpenRequests() == 1 })
 		set := settings()
 		set.Classes[0].Name = "newer"
-		b.loop.Post(broker.Retuned{Settings: set})
+		b.loop.Post(broker.SettingsChanged{Settings: set})
 		b.retune(b.front, b.client, set, "newer")
 		close(release)
 		v, err := b.client.receive()
@@ -313,7 +313,7 @@
 		b.want([]final{{id: "r", verdict: v}}, served)
 		b.want(b.run(read, "r1"), served)
 		counts := map[string]uint64{}
-		for _, f := range b.loop.Figures.Read() {
+		for _, f := range b.loop.Metrics.Read() {
 			counts[f.Name] = f.Value
 		}
 		if counts["success.newer"] != 1 || counts["success.read"] == 0 {
@@ -388,7 +388,7 @@
 		}
 		b.client.prepare(b.T, ids...)
 		cold := b.nodes[0]
-		cold.Born = b.clock.Now()
+		cold.LastStart = b.clock.Now()
 		b.world.play(func(string, string, int) behaviour { return hang }) // an answer would prove capacity
 		b.list(cold)
 		b.run(read, ids...)
@@ -408,14 +408,14 @@
 		b.client.send("r", read)
 		b.world.awaitVisits(b.T, "r", 1)
 		b.client.close()
-		eventually(b.T, "the request is forgotten", func() bool { return b.loop.Open() == 0 && b.front.Clients() == 0 })
+		eventually(b.T, "the request is forgotten", func() bool { return b.loop.OpenRequests() == 0 && b.front.Clients() == 0 })
 	}},
 	{"what was taken before a stop is answered", func(b *bench) {
 		b.client.prepare(b.T, "w")
 		release := make(chan struct{})
 		b.world.play(func(string, string, int) behaviour { <-release; return serve })
 		b.client.send("w", write)
-		eventually(b.T, "the request is taken", func() bool { return b.loop.Open() == 1 })
+		eventually(b.T, "the request is taken", func() bool { return b.loop.OpenRequests() == 1 })
 		b.front.Drain()
 		close(release)
 		v, err := b.client.receive()
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -35,7 +35,7 @@
 	reporter  *metricsexport.Reporter
 	console   *console.Door          // nil if off
 	post      func(broker.Event)     // what discovery and the sources say
-	figures   func() []broker.Figure // the broker's own, as sinks get them
+	figures   func() []broker.Metric // the broker's own, as sinks get them
 	closes    []func()               // what ends with it, the last first
 }
 
@@ -53,23 +53,23 @@
 	if err != nil {
 		return nil, err
 	}
-	outside := broker.Outside{Log: log, Admission: gate}
+	outside := broker.Dependencies{Log: log, Admission: gate}
 	if c.PeerListen != "" && c.Settings.Logic.Capabilities.Peers {
 		if k.link, err = peer.Open(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Logic.Ordinal); err != nil {
 			return nil, err
 		}
 		k.closes = append(k.closes, func() { k.link.Close() })
-		outside.Tell = k.link.Tell
+		outside.SendToPeer = k.link.Tell
 	}
 	calls := &loopCalls{}
 	if c.Site.Agreement.On() {
 		if k.agreement, err = agreementOf(c, k.clock, calls, log); err != nil {
 			return nil, err
 		}
-		outside.Agreed = k.agreement.Turn
+		outside.ConfigChanges = k.agreement.Turn
 	}
-	k.figures = func() []broker.Figure { return slices.Concat(k.loop.Figures.Read(), k.members.Figures(), k.agreed()) }
-	k.reporter = metricsexport.New(metricsexport.Options{Name: c.Name, Loop: calls, Figures: func() []broker.Figure { return k.figures() }, Log: log})
+	k.figures = func() []broker.Metric { return slices.Concat(k.loop.Metrics.Read(), k.members.Metrics(), k.agreed()) }
+	k.reporter = metricsexport.New(metricsexport.Options{Name: c.Name, Loop: calls, Figures: func() []broker.Metric { return k.figures() }, Log: log})
 	outside.Observe = k.reporter.Observe
 	k.loop = broker.NewLoop(state, k.clock, transport, outside)
 	calls.Loop = k.loop
@@ -84,14 +84,14 @@
 }
 
 // open opens the operators' console, where there is one. check tells whether clients are taken, more are further figures.
-func (k *control) open(check func() error, more func() []broker.Figure) (err error) {
+func (k *control) open(check func() error, more func() []broker.Metric) (err error) {
 	if k.config.Console == "" {
 		return nil
 	}
 	k.console, err = console.Open(k.config.Console, console.Calls{Check: check,
 		Vars: func() []byte {
-			return metrics.Statsd(slices.Concat(k.loop.Figures.Read(), k.reporter.Figures(), k.members.Figures(), k.agreed(), spreadFigures(k.loop.Parts()), more()))
-		}, Nodes: func() []byte { return append(k.members.Text(), spreadText(k.loop.Parts())...) }, Agree: k.agreeCall()}, k.log)
+			return metrics.Statsd(slices.Concat(k.loop.Metrics.Read(), k.reporter.Figures(), k.members.Metrics(), k.agreed(), spreadFigures(k.loop.NodeShares()), more()))
+		}, Nodes: func() []byte { return append(k.members.Table(), spreadText(k.loop.NodeShares())...) }, Agree: k.agreeCall()}, k.log)
 	if err != nil {
 		return err
 	}
@@ -102,15 +102,15 @@
 }
 
 // run has it all run until ctx ends. known is the list that it held before, nil for none; hear takes peers' messages.
-func (k *control) run(ctx context.Context, known *discovery.List, hear func(broker.Heard)) error {
+func (k *control) run(ctx context.Context, known *discovery.List, hear func(broker.PeerMessage)) error {
 	listed := k.post // what discovery says is the truth, or one word among others
 	if len(k.config.Site.Membership.Sources) > 0 {
-		if err := k.members.Follow(k.config.Site.Membership); err != nil {
+		if err := k.members.ApplySettings(k.config.Site.Membership); err != nil {
 			return fmt.Errorf("membership: %w", err)
 		}
-		listed = k.members.Discovery
+		listed = k.members.HandleDiscovery
 		if known != nil {
-			k.members.Known(known.Event(scheduler.CachedUpdate, k.clock))
+			k.members.Restore(known.Event(scheduler.CachedUpdate, k.clock))
 		}
 	} else if known != nil {
 		k.post(known.Event(scheduler.CachedUpdate, k.clock))
@@ -140,7 +140,7 @@
 }
 
 // agreed are the figures of the agreed document.
-func (k *control) agreed() []broker.Figure {
+func (k *control) agreed() []broker.Metric {
 	if k.agreement == nil {
 		return nil
 	}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -51,8 +51,8 @@
 	}
 	defer k.close()
 	taking := errors.New("no clients are taken")
-	more := func() []broker.Figure {
-		return []broker.Figure{{Name: "connections_turned_away", Value: 3, Counter: true}}
+	more := func() []broker.Metric {
+		return []broker.Metric{{Name: "connections_turned_away", Value: 3, Counter: true}}
 	}
 	if err := k.open(func() error { return taking }, more); err != nil {
 		t.Fatal(err)
@@ -101,10 +101,10 @@
 		t.Fatal(err)
 	}
 	defer k.close()
-	if err := k.open(func() error { return nil }, func() []broker.Figure { return nil }); err != nil {
+	if err := k.open(func() error { return nil }, func() []broker.Metric { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.members.Follow(config.Membership{Sources: []config.MemberSource{{Name: "file", Kind: "file", Path: list}}}); err != nil {
+	if err := k.members.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "file", Kind: "file", Path: list}}}); err != nil {
 		t.Fatal(err)
 	}
 	var answer []byte
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -61,10 +61,10 @@
 
 // begin has a control run by itself, without fronts and nodes.
 func (k *control) begin(ctx context.Context, check func() error) error {
-	if err := k.open(check, func() []broker.Figure { return nil }); err != nil {
+	if err := k.open(check, func() []broker.Metric { return nil }); err != nil {
 		return err
 	}
-	if err := k.run(ctx, k.config.Known, func(e broker.Heard) { k.loop.Post(e) }); err != nil {
+	if err := k.run(ctx, k.config.Known, func(e broker.PeerMessage) { k.loop.Post(e) }); err != nil {
 		return err
 	}
 	k.reporter.Retune(reportOf(k.config))
@@ -102,7 +102,7 @@
 		}
 		class, volume := set.Classes[random.IntN(len(set.Classes))], random.IntN(max(1, d.Volumes))
 		k.loop.Submit(&broker.Request{Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprintf("%016x", volume), Units: 1,
-			Shard: random.IntN(max(1, k.config.Settings.Shards)), Hosts: set.Brokers, Wait: broker.MicrosOf(class.Deadline), Write: class.Idempotency != scheduler.Idempotent}, func(broker.Final) {})
+			Shard: random.IntN(max(1, k.config.Settings.Shards)), Brokers: set.Brokers, Timeout: broker.MicrosOf(class.Deadline), Write: class.Idempotency != scheduler.Idempotent}, func(broker.Response) {})
 	}
 }
 
@@ -114,7 +114,7 @@
 
 // Start implements broker.Transport.
 func (d *drawn) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
-	a.Written()
+	a.OnWritten()
 	took := time.Duration(d.random.ExpFloat64() * float64(d.answer))
 	return (*pending)(time.AfterFunc(took, func() { done(broker.Result{Load: scheduler.NoLoadReport}) }))
 }
@@ -133,11 +133,11 @@
 // Stop implements broker.Handle.
 func (p *pending) Stop() broker.Progress {
 	(*time.Timer)(p).Stop()
-	return broker.WrittenWhole
+	return broker.FullyWritten
 }
 
-// Halt implements broker.Handle. What was written whole stays.
-func (p *pending) Halt() {}
+// StopSending implements broker.Handle. What was written whole stays.
+func (p *pending) StopSending() {}
 
-// Abandon implements broker.Handle, as Halt.
-func (p *pending) Abandon() {}
+// CancelUnlessWritten implements broker.Handle, as StopSending.
+func (p *pending) CancelUnlessWritten() {}
--- a/internal/daemon/pressure.go
+++ b/internal/daemon/pressure.go
@@ -52,23 +52,23 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-loop.Busy():
+			case <-loop.LagMeasurementWanted():
 			}
 		}
 		var p pressure
 		p.waited()
-		loop.Measured(true)
+		loop.SetLagMeasured(true)
 		tick := time.NewTicker(time.Duration(admission.DefaultWindow) * time.Microsecond)
-		for always || loop.StillBusy() {
+		for always || loop.KeepMeasuringLag() {
 			select {
 			case <-ctx.Done():
 				tick.Stop()
 				return
 			case <-tick.C:
-				loop.Lagged(p.waited())
+				loop.RecordSchedulingLag(p.waited())
 			}
 		}
 		tick.Stop()
-		loop.Measured(false)
+		loop.SetLagMeasured(false)
 	}
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -82,8 +82,8 @@
 	}
 	defer k.close()
 	s, loop := &service{control: k}, k.loop
-	k.figures = func() []broker.Figure {
-		return slices.Concat(loop.Figures.Read(), s.members.Figures(), s.agreed(), []broker.Figure{{Name: "clients", Value: uint64(clients(s.fronts))}})
+	k.figures = func() []broker.Metric {
+		return slices.Concat(loop.Metrics.Read(), s.members.Metrics(), s.agreed(), []broker.Metric{{Name: "clients", Value: uint64(clients(s.fronts))}})
 	}
 	s.pools = []*pool.Pool{nodes}
 	s.front = resp.NewFront(loop, resp.NewTerms(c.Settings.Logic, c.Settings.Shards), size.clients, size.maxIdle, size.requests, log)
@@ -100,8 +100,8 @@
 
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
-	if err := k.open(s.check, func() []broker.Figure {
-		return []broker.Figure{{Name: "connections_turned_away", Value: s.front.Rejected(), Counter: true}}
+	if err := k.open(s.check, func() []broker.Metric {
+		return []broker.Metric{{Name: "connections_turned_away", Value: s.front.Rejected(), Counter: true}}
 	}); err != nil {
 		return err
 	}
@@ -232,7 +232,7 @@
 	if err == nil {
 		err = old.Lacks(c)
 	}
-	s.loop.Figures.Reloaded(err == nil)
+	s.loop.Metrics.CountReload(err == nil)
 	if err != nil {
 		s.log.Error("reload turned down, the old configuration stands", "reason", err)
 		s.reporter.Notify(collectd.Notice{Severity: collectd.Failure, Instance: "reload", Text: "reload turned down: " + err.Error()})
@@ -259,7 +259,7 @@
 	if s.agreement != nil {
 		s.agreement.Settings(set.Logic)
 	} else {
-		s.loop.Post(broker.Retuned{Settings: set.Logic})
+		s.loop.Post(broker.SettingsChanged{Settings: set.Logic})
 	}
 	s.front.Retune(resp.NewTerms(set.Logic, set.Shards))
 	if s.files != nil && c.Site.SFTP.Listen != "" {
@@ -269,7 +269,7 @@
 		p.Retune(set.ConnectTimeout.Duration(), set.ConnIdle.Duration())
 	}
 	if len(s.config.Site.Membership.Sources) > 0 && len(c.Site.Membership.Sources) > 0 {
-		if err := s.members.Follow(c.Site.Membership); err != nil { // guards against settings that nobody checked
+		if err := s.members.ApplySettings(c.Site.Membership); err != nil { // guards against settings that nobody checked
 			s.log.Error("sources unchanged", "reason", err)
 		}
 	}
@@ -308,7 +308,7 @@
 // somewhere to go at once: new connections are led to it, and the old ones end as soon as they wait for nothing.
 func (s *service) finish() {
 	t, began := timesOf(*s.classes.Load()), time.Now()
-	left := func() bool { return s.loop.Open() > 0 || clients(s.fronts) > 0 }
+	left := func() bool { return s.loop.OpenRequests() > 0 || clients(s.fronts) > 0 }
 	if s.office != nil && s.office.Succeeded() {
 		s.log.Info("stopping", "successor", true)
 		s.leadAway()
@@ -329,7 +329,7 @@
 	for told := false; left() && time.Since(began) < t.end; time.Sleep(lastCheck) {
 		if !told && time.Since(began) >= t.answer {
 			told = true
-			s.loop.Post(broker.Ending{})
+			s.loop.Post(broker.ShuttingDown{})
 		}
 	}
 	s.reporter.Finish(began.Add(max(t.end, time.Since(began)+lastCheck))) // no client waits any more
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -377,7 +377,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{Log: log})
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Log: log})
 	k := &control{loop: loop, reporter: metricsexport.New(metricsexport.Options{}), config: c, watcher: discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}), log: log}
 	parts := &service{control: k, front: resp.NewFront(loop, resp.NewTerms(c.Settings.Logic, 0), 1, 1, 1, log)}
 	for _, fault := range []struct{ old, new, line string }{
@@ -403,7 +403,7 @@
 		t.Errorf("%+v, %q", renewed, lines)
 	}
 	counts := map[string]uint64{}
-	for _, f := range loop.Figures.Read() {
+	for _, f := range loop.Metrics.Read() {
 		counts[f.Name] = f.Value
 	}
 	if counts["reconfig_ok"] != 1 || counts["reconfig_failed"] != 9 {
--- a/internal/daemon/spread.go
+++ b/internal/daemon/spread.go
@@ -30,20 +30,20 @@
 }
 
 // spreadFigures is the same in thousandths, and how many nodes are less than sound.
-func spreadFigures(parts []scheduler.NodeShare) []broker.Figure {
+func spreadFigures(parts []scheduler.NodeShare) []broker.Metric {
 	if len(parts) == 0 {
 		return nil
 	}
-	var figures []broker.Figure
+	var figures []broker.Metric
 	judged := uint64(0)
 	for i, p := range parts {
 		if p.Factor < 1 {
 			judged++
 		}
 		if i < mostFigures {
-			figures = append(figures, broker.Figure{Name: "spread_part." + p.Node, Value: uint64(math.Round(1000 * p.Share))},
-				broker.Figure{Name: "spread_left." + p.Node, Value: uint64(math.Round(1000 * p.Factor))})
+			figures = append(figures, broker.Metric{Name: "spread_part." + p.Node, Value: uint64(math.Round(1000 * p.Share))},
+				broker.Metric{Name: "spread_left." + p.Node, Value: uint64(math.Round(1000 * p.Factor))})
 		}
 	}
-	return append(figures, broker.Figure{Name: "spread_judged", Value: judged})
+	return append(figures, broker.Metric{Name: "spread_judged", Value: judged})
 }
--- a/internal/daemon/succeed.go
+++ b/internal/daemon/succeed.go
@@ -47,7 +47,7 @@
 		if unseen {
 			n = 1
 		}
-		s.loop.Post(broker.Shared{Processes: 1, Unseen: n})
+		s.loop.Post(broker.ProcessesChanged{Processes: 1, Unseen: n})
 	}
 	known, over := make(chan handover.Company, 1), time.NewTimer(besideTime)
 	defer over.Stop()
@@ -84,7 +84,7 @@
 // meet shares the limits and the rules with the other process.
 func (s *service) meet() handover.News {
 	s.resize(2)
-	s.loop.Post(broker.Shared{Processes: 2})
+	s.loop.Post(broker.ProcessesChanged{Processes: 2})
 	return handover.News{List: s.watcher.Held(), Opened: s.front.Open()}
 }
 
@@ -95,7 +95,7 @@
 	}
 	s.front.Hear(news.Opened, news.Ended)
 	if news.Heard != nil {
-		s.loop.Post(broker.Heard{From: news.From, Data: news.Heard})
+		s.loop.Post(broker.PeerMessage{From: news.From, Data: news.Heard})
 	}
 }
 
@@ -103,7 +103,7 @@
 func (s *service) parted() {
 	s.front.Part()
 	s.resize(1)
-	s.loop.Post(broker.Shared{Processes: 1})
+	s.loop.Post(broker.ProcessesChanged{Processes: 1})
 	s.log.Info("handover: the other process is gone")
 }
 
@@ -118,7 +118,7 @@
 }
 
 // hear takes a peer's message. While two processes share the address each is sent to one of them.
-func (s *service) hear(e broker.Heard) {
+func (s *service) hear(e broker.PeerMessage) {
 	s.loop.Post(e)
 	if s.office != nil {
 		s.office.Tell(handover.News{From: e.From, Heard: e.Data})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -77,12 +77,12 @@
 }
 
 // Event turns a list into the core's event.
-func (l *List) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.Listed {
-	event := broker.Listed{Kind: kind, Version: l.Seq}
+func (l *List) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.NodesListed {
+	event := broker.NodesListed{Kind: kind, Version: l.Seq}
 	for _, h := range l.Hosts {
 		event.Nodes = append(event.Nodes, broker.Node{
 			Endpoint: scheduler.Endpoint{Name: h.Host, Zone: h.Site, Kind: h.Class, Shard: h.Block, State: h.State, Weight: h.Share},
-			Address:  h.Dial, Born: clock.At(h.BornMS)})
+			Address:  h.Dial, LastStart: clock.FromUnixMilli(h.BornMS)})
 	}
 	return event
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -26,7 +26,7 @@
 	}
 	e := l.Event(scheduler.FullUpdate, broker.NewClock())
 	n := e.Nodes[0]
-	if n.Name != "a" || n.Address != "10.1.0.18:6379" || n.Zone != "a" || n.Kind != "m2" || n.Shard != 3 || n.State != scheduler.Ready || n.Weight != 1.5 || n.Born != 0 {
+	if n.Name != "a" || n.Address != "10.1.0.18:6379" || n.Zone != "a" || n.Kind != "m2" || n.Shard != 3 || n.State != scheduler.Ready || n.Weight != 1.5 || n.LastStart != 0 {
 		t.Errorf("%+v", n)
 	}
 	for _, text := range []string{`{`, `{"hosts":[{"host":"a","health":"UP"}]}`, `{"hosts":[{"health":"SERVING"}]}`} {
@@ -76,7 +76,7 @@
 		}
 		answers <- step.answer
 		if step.news {
-			if e := (<-events).(broker.Listed); e.Kind != step.kind || len(e.Nodes) != 1 {
+			if e := (<-events).(broker.NodesListed); e.Kind != step.kind || len(e.Nodes) != 1 {
 				t.Errorf("step %d: %+v", i, e)
 			}
 		}
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, version := range []uint64{41, 43, 44} {
-		if e := (<-events).(broker.Listed); e.Version != version {
+		if e := (<-events).(broker.NodesListed); e.Version != version {
 			t.Errorf("version %d, want %d", e.Version, version)
 		}
 	}
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -90,7 +90,7 @@
 	go func() {
 		defer close(ended)
 		w.Run(ctx, broker.NewClock(), func(e broker.Event) {
-			if l := e.(broker.Listed); len(l.Nodes) == 1 && l.Nodes[0].State == scheduler.Draining {
+			if l := e.(broker.NodesListed); len(l.Nodes) == 1 && l.Nodes[0].State == scheduler.Draining {
 				select {
 				case known <- time.Now():
 				default:
@@ -201,8 +201,8 @@
 // A whole list of an older count is not believed, but whom it names as draining gets nothing more. Changes of one are not taken.
 func TestOlderList(t *testing.T) {
 	w := NewWatcher("", Options{Brokers: 1, Log: logging.Discard()})
-	var posted []broker.Listed
-	post := func(e broker.Event) { posted = append(posted, e.(broker.Listed)) }
+	var posted []broker.NodesListed
+	post := func(e broker.Event) { posted = append(posted, e.(broker.NodesListed)) }
 	clock := broker.NewClock()
 	list := func(text string) *List {
 		l, err := ParseList([]byte(text))
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -47,14 +47,14 @@
 	kept     = "snapshot"  // the source of what was held before a restart
 )
 
-// New returns members that post to the core. Nothing is asked before Follow.
+// New returns members that post to the core. Nothing is asked before ApplySettings.
 func New(clock *broker.Clock, post func(broker.Event), log *slog.Logger) *Members {
 	return &Members{clock: clock, post: post, log: log, running: map[string]running{}}
 }
 
-// Follow goes over to settings, which were checked: sources that stay as they are go on, others end and begin. What ended
+// ApplySettings goes over to settings, which were checked: sources that stay as they are go on, others end and begin. What ended
 // sources held stays until the new ones have answered.
-func (m *Members) Follow(set config.Membership) error {
+func (m *Members) ApplySettings(set config.Membership) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := int64(m.clock.Now())
@@ -68,7 +68,7 @@
 			m.load(now, set.Snapshot)
 		}
 	} else {
-		change, err := m.state.Retune(now, set.Options())
+		change, err := m.state.ApplyOptions(now, set.Options())
 		if err != nil {
 			return err
 		}
@@ -134,10 +134,10 @@
 		m.fail(ctx, name, n.Err)
 		return
 	}
-	a := membership.Answered{Asked: int64(m.clock.Now()) - time.Since(n.Asked).Microseconds(), Whole: true}
+	a := membership.SourceAnswered{AskedAt: int64(m.clock.Now()) - time.Since(n.Asked).Microseconds(), Complete: true}
 	for _, e := range n.Entries {
-		a.Entries = append(a.Entries, membership.Entry{Name: e.Target, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Shard: e.Shard, Share: e.Share,
-			Part: max(0.1, float64(e.Weight)), Priority: int(e.Priority), Born: membership.Unknown})
+		a.Entries = append(a.Entries, membership.Entry{Name: e.Target, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Shard: e.Shard, Capacity: e.Share,
+			TrafficWeight: max(0.1, float64(e.Weight)), Priority: int(e.Priority), LastStart: membership.UnknownStart})
 	}
 	m.answer(ctx, name, a)
 }
@@ -158,7 +158,7 @@
 				m.fail(ctx, s.Name, err)
 			} else {
 				seen, size = info.ModTime(), info.Size()
-				m.answer(ctx, s.Name, membership.Answered{Asked: asked, Whole: true, Entries: entries})
+				m.answer(ctx, s.Name, membership.SourceAnswered{AskedAt: asked, Complete: true, Entries: entries})
 			}
 		}
 		select {
@@ -169,25 +169,25 @@
 	}
 }
 
-// Known takes the list that was held before the start, which stands until all sources have answered.
-func (m *Members) Known(l broker.Listed) {
+// Restore takes the list that was held before the start, which stands until all sources have answered.
+func (m *Members) Restore(l broker.NodesListed) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.tell(m.state.Restore(int64(m.clock.Now()), "known", entriesOf(l)))
 }
 
-func entriesOf(l broker.Listed) []membership.Entry {
+func entriesOf(l broker.NodesListed) []membership.Entry {
 	var all []membership.Entry
 	for _, n := range l.Nodes {
-		all = append(all, membership.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, Share: n.Weight,
-			State: membership.Health(n.State), Born: int64(n.Born)})
+		all = append(all, membership.Entry{Name: n.Name, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, Capacity: n.Weight,
+			State: membership.Health(n.State), LastStart: int64(n.LastStart)})
 	}
 	return all
 }
 
-// Discovery takes what discovery's watch posts, in place of the core. Where discovery is no source its word does not count.
-func (m *Members) Discovery(e broker.Event) {
-	l, is := e.(broker.Listed)
+// HandleDiscovery takes what discovery's watch posts, in place of the core. Where discovery is no source its word does not count.
+func (m *Members) HandleDiscovery(e broker.Event) {
+	l, is := e.(broker.NodesListed)
 	if !is {
 		return
 	}
@@ -202,10 +202,10 @@
 	if name == "" {
 		return
 	}
-	m.answer(context.Background(), name, membership.Answered{Asked: int64(m.clock.Now()), Whole: l.Kind != scheduler.DeltaUpdate, Entries: entriesOf(l)})
+	m.answer(context.Background(), name, membership.SourceAnswered{AskedAt: int64(m.clock.Now()), Complete: l.Kind != scheduler.DeltaUpdate, Entries: entriesOf(l)})
 }
 
-func (m *Members) answer(ctx context.Context, name string, a membership.Answered) {
+func (m *Members) answer(ctx context.Context, name string, a membership.SourceAnswered) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if src, known := m.state.SourceOf(name); known && ctx.Err() == nil {
@@ -219,7 +219,7 @@
 	defer m.mu.Unlock()
 	if src, known := m.state.SourceOf(name); known && ctx.Err() == nil {
 		m.log.Warn("source silent", "source", name, "reason", err)
-		m.reduce(membership.Failed{Source: src, Reason: err.Error()})
+		m.reduce(membership.SourceFailed{Source: src, Reason: err.Error()})
 	}
 }
 
@@ -237,13 +237,13 @@
 		return
 	}
 	m.version++
-	e := broker.Listed{Kind: scheduler.DeltaUpdate, Version: m.version}
+	e := broker.NodesListed{Kind: scheduler.DeltaUpdate, Version: m.version}
 	if m.version == 1 {
 		e.Kind = scheduler.FullUpdate
 	}
 	for _, n := range change.Nodes {
 		e.Nodes = append(e.Nodes, broker.Node{Endpoint: scheduler.Endpoint{Name: n.Name, Zone: n.Zone, Kind: n.Kind, Shard: n.Shard, State: scheduler.NodeState(n.State),
-			Weight: n.Share, TrafficWeight: n.Part, Priority: n.Priority}, Address: n.Address, Born: broker.Micros(n.Born)})
+			Weight: n.Capacity, TrafficWeight: n.TrafficWeight, Priority: n.Priority}, Address: n.Address, LastStart: broker.Micros(n.LastStart)})
 	}
 	m.post(e)
 	if m.snapshot != nil {
@@ -282,28 +282,28 @@
 	}
 }
 
-// Figures count per source, for console and sinks.
-func (m *Members) Figures() []broker.Figure {
+// Metrics count per source, for console and sinks.
+func (m *Members) Metrics() []broker.Metric {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state == nil {
 		return nil
 	}
-	var all []broker.Figure
+	var all []broker.Metric
 	for _, s := range m.state.Sources(int64(m.clock.Now())) {
 		at := "source." + s.Name + "."
-		all = append(all, broker.Figure{Name: at + "held", Value: uint64(s.Held)}, broker.Figure{Name: at + "suspect", Value: uint64(s.Suspects)},
-			broker.Figure{Name: at + "answers", Value: s.Answers, Counter: true}, broker.Figure{Name: at + "failures", Value: s.Failures, Counter: true},
-			broker.Figure{Name: at + "refused", Value: s.Refused, Counter: true})
+		all = append(all, broker.Metric{Name: at + "held", Value: uint64(s.Held)}, broker.Metric{Name: at + "suspect", Value: uint64(s.Suspects)},
+			broker.Metric{Name: at + "answers", Value: s.Answers, Counter: true}, broker.Metric{Name: at + "failures", Value: s.Failures, Counter: true},
+			broker.Metric{Name: at + "refused", Value: s.Refused, Counter: true})
 		if s.Age >= 0 {
-			all = append(all, broker.Figure{Name: at + "age_s", Value: uint64(s.Age / time.Second)})
+			all = append(all, broker.Metric{Name: at + "age_s", Value: uint64(s.Age / time.Second)})
 		}
 	}
 	return all
 }
 
-// Text is the merged list for people: each node, who holds it, and why it is listed as it is; then the sources.
-func (m *Members) Text() []byte {
+// Table is the merged list for people: each node, who holds it, and why it is listed as it is; then the sources.
+func (m *Members) Table() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var b strings.Builder
@@ -316,10 +316,10 @@
 	fmt.Fprintln(table, "node\taddress\tshard\tzone\tstate\tpriority\tpart\tup s\theld by\twhy")
 	for i, n := range nodes {
 		up := "long"
-		if n.Born > 0 {
-			up = fmt.Sprint((now - n.Born) / 1e6)
+		if n.LastStart > 0 {
+			up = fmt.Sprint((now - n.LastStart) / 1e6)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%d\t%g\t%s\t%s\t%s\n", n.Name, n.Address, n.Shard, n.Zone, [...]string{"ready", "draining", "gone"}[n.State], n.Priority, n.Part, up,
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%d\t%g\t%s\t%s\t%s\n", n.Name, n.Address, n.Shard, n.Zone, [...]string{"ready", "draining", "gone"}[n.State], n.Priority, n.TrafficWeight, up,
 			strings.Join(holders[i], ","), n.Reason)
 	}
 	fmt.Fprintln(table, "\nsource\tholds\tsuspect\tlast answer\tanswers\tfailures\tnot believed\tlast fault")
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -40,7 +40,7 @@
 func (c *core) post(e broker.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := e.(broker.Listed)
+	l := e.(broker.NodesListed)
 	if l.Kind == scheduler.FullUpdate {
 		clear(c.nodes)
 	}
@@ -74,7 +74,7 @@
 		select {
 		case <-c.news:
 		case <-c.late:
-			c.t.Fatalf("the list is %q, want %q\n%s", c.list(), want, c.m.Text())
+			c.t.Fatalf("the list is %q, want %q\n%s", c.list(), want, c.m.Table())
 		}
 	}
 }
@@ -83,7 +83,7 @@
 func (c *core) figure(name string) {
 	c.t.Helper()
 	for {
-		for _, f := range c.m.Figures() {
+		for _, f := range c.m.Metrics() {
 			if f.Name == name && f.Value > 0 {
 				return
 			}
@@ -91,7 +91,7 @@
 		select {
 		case <-time.After(time.Millisecond):
 		case <-c.late:
-			c.t.Fatalf("%s stays 0\n%s", name, c.m.Text())
+			c.t.Fatalf("%s stays 0\n%s", name, c.m.Table())
 		}
 	}
 }
@@ -122,20 +122,20 @@
 	d := dnsServer(t)
 	d.Set(service, 1, zone("a", "b", "c")...)
 	c := newCore(t)
-	if err := c.m.Follow(config.Membership{Sources: []config.MemberSource{{Name: "discovery", Kind: "discovery"}, source(d)}}); err != nil {
+	if err := c.m.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "discovery", Kind: "discovery"}, source(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b c")
 	c.mu.Lock()
-	if n := c.nodes["b.example.org"]; n.Priority != 1 || n.TrafficWeight != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.Born != 0 {
+	if n := c.nodes["b.example.org"]; n.Priority != 1 || n.TrafficWeight != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.LastStart != 0 {
 		t.Errorf("%+v", n)
 	}
 	c.mu.Unlock()
 	for _, trick := range []fakes.Trick{fakes.ServFail, fakes.NoName, fakes.NoData, fakes.Rubbish, fakes.TornTCP} {
 		d.Play(trick)
-		before := c.m.Figures()
+		before := c.m.Metrics()
 		for changed := false; !changed; { // until an answer or failure of this kind was taken
-			for i, f := range c.m.Figures() {
+			for i, f := range c.m.Metrics() {
 				changed = changed || f.Name == "source.dns.failures" && f.Value > before[i].Value+1 || f.Name == "source.dns.refused" && f.Value > before[i].Value+1
 			}
 			time.Sleep(time.Millisecond)
@@ -147,7 +147,7 @@
 	d.Play(fakes.Honest)
 	d.Set(service, 1, zone("a", "b")...)
 	c.await("a b")
-	c.m.Discovery(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "s-1"}, Address: "10.0.0.97:6379"}, {Endpoint: scheduler.Endpoint{Name: "s-9"}, Address: "10.0.0.9:1"}}})
+	c.m.HandleDiscovery(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "s-1"}, Address: "10.0.0.97:6379"}, {Endpoint: scheduler.Endpoint{Name: "s-9"}, Address: "10.0.0.9:1"}}})
 	c.await("a b s-9") // one address is one node
 	d.Set(service, 1, zone("b")...)
 	c.await("b s-9")
@@ -155,7 +155,7 @@
 	moved[0].Addresses = []string{"10.0.0.200"}
 	d.Set(service, 1, moved...)
 	c.await("b.example.org@10.0.0.200:6379 d s-9") // a name that moves is another node
-	if text := string(c.m.Text()); !strings.Contains(text, "10.0.0.200:6379") || !strings.Contains(text, "discovery") {
+	if text := string(c.m.Table()); !strings.Contains(text, "10.0.0.200:6379") || !strings.Contains(text, "discovery") {
 		t.Error(text)
 	}
 }
@@ -167,14 +167,14 @@
 	d.Set(service, 1, zone("a", "b")...)
 	set := config.Membership{Snapshot: path, Sources: []config.MemberSource{source(d)}}
 	c := newCore(t)
-	if err := c.m.Follow(set); err != nil {
+	if err := c.m.ApplySettings(set); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b")
 	c.m.Close()
 	d.Play(fakes.Silent)
 	c = newCore(t)
-	if err := c.m.Follow(set); err != nil {
+	if err := c.m.ApplySettings(set); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b")
@@ -207,7 +207,7 @@
 	d := dnsServer(t)
 	d.Set(service, 1, zone("a", "b")...)
 	c := newCore(t)
-	if err := c.m.Follow(config.Membership{Sources: []config.MemberSource{source(d)}}); err != nil {
+	if err := c.m.ApplySettings(config.Membership{Sources: []config.MemberSource{source(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b")
@@ -219,7 +219,7 @@
 	}
 	write("[[node]]\nname = \"f\"\naddress = \"10.0.0.6:1\"\nshard = 1\n")
 	file := config.MemberSource{Name: "file", Kind: "file", Path: path}
-	if err := c.m.Follow(config.Membership{Sources: []config.MemberSource{file}}); err != nil {
+	if err := c.m.ApplySettings(config.Membership{Sources: []config.MemberSource{file}}); err != nil {
 		t.Fatal(err)
 	}
 	c.await("f")
@@ -230,7 +230,7 @@
 	if got := c.list(); got != "f g" {
 		t.Errorf("a faulty file: %q", got)
 	}
-	if err := c.m.Follow(config.Membership{}); err == nil {
+	if err := c.m.ApplySettings(config.Membership{}); err == nil {
 		t.Error("no source at all is taken")
 	}
 }
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -47,26 +47,26 @@
 		Kind:     e.Kind,
 		Shard:    e.Shard,
 		State:    int(e.State),
-		Share:    e.Share,
-		Part:     e.Part,
+		Share:    e.Capacity,
+		Part:     e.TrafficWeight,
 		Priority: e.Priority,
-		Born:     e.Born,
+		Born:     e.LastStart,
 		BornMS:   startedMS,
 	}
 }
 
 func (n savedNode) entry(started broker.Micros) membership.Entry {
 	return membership.Entry{
-		Name:     n.Name,
-		Address:  n.Address,
-		Zone:     n.Zone,
-		Kind:     n.Kind,
-		Shard:    n.Shard,
-		State:    membership.Health(n.State),
-		Share:    n.Share,
-		Part:     n.Part,
-		Priority: n.Priority,
-		Born:     int64(started),
+		Name:          n.Name,
+		Address:       n.Address,
+		Zone:          n.Zone,
+		Kind:          n.Kind,
+		Shard:         n.Shard,
+		State:         membership.Health(n.State),
+		Capacity:      n.Share,
+		TrafficWeight: n.Part,
+		Priority:      n.Priority,
+		LastStart:     int64(started),
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	var entries []membership.Entry
 	for _, n := range nodes {
-		entries = append(entries, n.entry(m.clock.At(n.BornMS)))
+		entries = append(entries, n.entry(m.clock.FromUnixMilli(n.BornMS)))
 	}
 	m.tell(m.state.Restore(now, kept, entries))
 	m.log.Info("snapshot read", "nodes", len(entries))
@@ -188,8 +188,8 @@
 	saved := make([]savedNode, 0, len(nodes))
 	for _, n := range nodes {
 		bornMS := int64(0)
-		if n.Born > 0 {
-			bornMS = time.Now().Add(-(m.clock.Now() - broker.Micros(n.Born)).Duration()).UnixMilli()
+		if n.LastStart > 0 {
+			bornMS = time.Now().Add(-(m.clock.Now() - broker.Micros(n.LastStart)).Duration()).UnixMilli()
 		}
 		saved = append(saved, savedOf(n.Entry, bornMS))
 	}
--- a/internal/members/snapshot_golden_test.go
+++ b/internal/members/snapshot_golden_test.go
@@ -56,14 +56,14 @@
 func TestConsoleNames(t *testing.T) {
 	m := New(broker.NewClock(), func(broker.Event) {}, logging.Func(func(line string) { t.Log(line) }))
 	t.Cleanup(m.Close)
-	if text := string(m.Text()); text != "discovery alone is followed\n" {
+	if text := string(m.Table()); text != "discovery alone is followed\n" {
 		t.Errorf("without settings: %q", text)
 	}
-	if err := m.Follow(config.Membership{Sources: []config.MemberSource{{Name: "list", Kind: "discovery"}}}); err != nil {
+	if err := m.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "list", Kind: "discovery"}}}); err != nil {
 		t.Fatal(err)
 	}
-	m.Discovery(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
-	lines := strings.Split(string(m.Text()), "\n")
+	m.HandleDiscovery(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
+	lines := strings.Split(string(m.Table()), "\n")
 	for i, want := range map[int]string{
 		0: "node address shard zone state priority part up s held by why",
 		1: "n1 192.0.2.1:1 0 z ready 0 0 long list list",
@@ -74,7 +74,7 @@
 		}
 	}
 	var names []string
-	for _, f := range m.Figures() {
+	for _, f := range m.Metrics() {
 		names = append(names, f.Name)
 	}
 	want := "source.list.held source.list.suspect source.list.answers source.list.failures source.list.refused source.list.age_s"
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -8,7 +8,7 @@
 )
 
 // Sample is one figure.
-type Sample = broker.Figure
+type Sample = broker.Metric
 
 // statsdPrefix stands before each name that the operators' door shows.
 const statsdPrefix = "edge_balancer"
--- a/internal/metricsexport/metricsexport.go
+++ b/internal/metricsexport/metricsexport.go
@@ -21,7 +21,7 @@
 type Options struct {
 	Name    string                 // the broker's
 	Loop    Loop                   // where the registry lives
-	Figures func() []broker.Figure // the broker's own figures; called on the loop
+	Figures func() []broker.Metric // the broker's own figures; called on the loop
 	Log     *slog.Logger
 }
 
@@ -251,10 +251,10 @@
 }
 
 // cut takes a cut and the broker's own figures of the same moment from the loop.
-func (r *Reporter) cut(ctx context.Context, spent *telemetry.Cut) (*telemetry.Cut, []broker.Figure, bool) {
+func (r *Reporter) cut(ctx context.Context, spent *telemetry.Cut) (*telemetry.Cut, []broker.Metric, bool) {
 	type result struct {
 		cut     *telemetry.Cut
-		figures []broker.Figure
+		figures []broker.Metric
 	}
 	done := make(chan result, 1)
 	var given atomic.Bool
@@ -292,22 +292,22 @@
 }
 
 // Figures are what the reporter tells of itself, for the operators' console too. They are empty while no sink is on.
-func (r *Reporter) Figures() []broker.Figure {
+func (r *Reporter) Figures() []broker.Metric {
 	r.mu.Lock()
 	sinks, rows, swaps := r.sinks, r.rows, r.swaps
 	r.mu.Unlock()
 	if len(sinks) == 0 {
 		return nil
 	}
-	all := []broker.Figure{{Name: "telemetry.series", Value: uint64(rows * telemetry.RowSeries)},
+	all := []broker.Metric{{Name: "telemetry.series", Value: uint64(rows * telemetry.RowSeries)},
 		{Name: "telemetry.volume_changes", Value: swaps, Counter: true}}
 	for _, s := range sinks {
 		f, name := s.figures(), "telemetry."+s.target.name
-		all = append(all, broker.Figure{Name: name + ".state", Value: uint64(f.State)},
-			broker.Figure{Name: name + ".queue_bytes", Value: uint64(f.QueueBytes)},
-			broker.Figure{Name: name + ".sent_intervals", Value: f.Sent, Counter: true},
-			broker.Figure{Name: name + ".dropped_intervals", Value: f.Dropped, Counter: true},
-			broker.Figure{Name: name + ".redials", Value: f.Redials, Counter: true})
+		all = append(all, broker.Metric{Name: name + ".state", Value: uint64(f.State)},
+			broker.Metric{Name: name + ".queue_bytes", Value: uint64(f.QueueBytes)},
+			broker.Metric{Name: name + ".sent_intervals", Value: f.Sent, Counter: true},
+			broker.Metric{Name: name + ".dropped_intervals", Value: f.Dropped, Counter: true},
+			broker.Metric{Name: name + ".redials", Value: f.Redials, Counter: true})
 	}
 	return all
 }
--- a/internal/metricsexport/metricsexport_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -64,8 +64,8 @@
 		if !strings.Contains(line, "clock") { // times are whole seconds, and run ahead at 20 ms an interval
 			g.logs = append(g.logs, line)
 		}
-	}), Figures: func() []broker.Figure {
-		return []broker.Figure{{Name: "success.read", Value: g.served, Counter: true}, {Name: "inflight", Value: 1}}
+	}), Figures: func() []broker.Metric {
+		return []broker.Metric{{Name: "success.read", Value: g.served, Counter: true}, {Name: "inflight", Value: 1}}
 	}})
 	g.r.hasten = func(t *target) {
 		t.interval = interval
@@ -384,7 +384,7 @@
 	r.Observe([]telemetry.Fact{{Kind: telemetry.RequestEnded, Class: "read"}, {Kind: telemetry.AttemptEnded, Class: "read"}})
 	up := telemetry.NewRollup()
 	up.Add(r.Cut(nil), func() {})
-	lists = listsOf([]broker.Figure{{Name: "taken", Counter: true}, {Name: "open"}}, up, telemetry.NewSummarizer())
+	lists = listsOf([]broker.Metric{{Name: "taken", Counter: true}, {Name: "open"}}, up, telemetry.NewSummarizer())
 	for _, l := range lists {
 		if sources[l.Type] != len(l.Values) {
 			t.Fatalf("%s has %d values, types.db says %d", l.Type, len(l.Values), sources[l.Type])
--- a/internal/metricsexport/sink.go
+++ b/internal/metricsexport/sink.go
@@ -48,7 +48,7 @@
 func (s *sink) due() bool { return s.held >= s.target.interval }
 
 // tell words the interval and queues it.
-func (s *sink) tell(name string, figures []broker.Figure, stamp int64, sum *telemetry.Summarizer) {
+func (s *sink) tell(name string, figures []broker.Metric, stamp int64, sum *telemetry.Summarizer) {
 	s.held = 0
 	frames, err := s.target.encode(name, figures, s.rollup, stamp, sum)
 	if err != nil {
--- a/internal/metricsexport/words.go
+++ b/internal/metricsexport/words.go
@@ -27,7 +27,7 @@
 }
 
 // encoder words an interval as frames.
-type encoder func(name string, figures []broker.Figure, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error)
+type encoder func(name string, figures []broker.Metric, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error)
 
 func (t target) same(other target) bool {
 	return t.name == other.name && t.network == other.network && t.address == other.address && t.interval == other.interval &&
@@ -59,7 +59,7 @@
 
 // carbon words an interval for Graphite.
 func carbon(g config.Graphite) encoder {
-	return func(name string, figures []broker.Figure, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error) {
+	return func(name string, figures []broker.Metric, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error) {
 		prefix := string(graphite.AppendName([]byte(g.Prefix+"."), name))
 		w := graphite.NewPlaintext(prefix, g.Naming(), stamp, g.Transport == "udp")
 		if g.Protocol == "pickle" {
@@ -124,12 +124,12 @@
 
 // packets words an interval for collectd. The types stand in deploy/types.db.
 func packets(e *collectd.Encoder, interval time.Duration) encoder {
-	return func(_ string, figures []broker.Figure, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error) {
+	return func(_ string, figures []broker.Metric, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error) {
 		return e.Lists(listsOf(figures, rows, sum), time.Unix(stamp, 0), interval)
 	}
 }
 
-func listsOf(figures []broker.Figure, rows *telemetry.Rollup, sum *telemetry.Summarizer) []collectd.List {
+func listsOf(figures []broker.Metric, rows *telemetry.Rollup, sum *telemetry.Summarizer) []collectd.List {
 	lists := make([]collectd.List, 0, len(figures)+512)
 	for _, f := range figures {
 		l := collectd.List{Type: "gauge", TypeInstance: short(f.Name), Values: []collectd.Value{{Kind: collectd.Gauge, N: f.Value}}}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -62,7 +62,7 @@
 }
 
 // Run posts what comes in until the link is closed. Datagrams from elsewhere or too long are dropped.
-func (l *Link) Run(post func(broker.Heard)) {
+func (l *Link) Run(post func(broker.PeerMessage)) {
 	buffer := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
@@ -75,7 +75,7 @@
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		for i, p := range l.peers {
 			if p == from && n <= maxDatagram && i != l.own {
-				post(broker.Heard{From: i, Data: append([]byte(nil), buffer[:n]...)})
+				post(broker.PeerMessage{From: i, Data: append([]byte(nil), buffer[:n]...)})
 				break
 			}
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	heard, done := make(chan broker.Event, 8), make(chan struct{})
-	go func() { link.Run(func(e broker.Heard) { heard <- e }); close(done) }()
+	go func() { link.Run(func(e broker.PeerMessage) { heard <- e }); close(done) }()
 	read := func(c *net.UDPConn) string {
 		b := make([]byte, 512)
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -48,7 +48,7 @@
 	stranger.WriteToUDP([]byte("x"), to)
 	other.WriteToUDP(make([]byte, maxDatagram+1), to)
 	other.WriteToUDP([]byte("news"), to)
-	if e := (<-heard).(broker.Heard); e.From != 0 || string(e.Data) != "news" {
+	if e := (<-heard).(broker.PeerMessage); e.From != 0 || string(e.Data) != "news" {
 		t.Errorf("%+v", e)
 	}
 	link.Close()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -145,12 +145,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if deciding > 0 && n >= int64(deciding) {
-		if s.at != broker.WrittenWhole && s.written != nil {
+		if s.at != broker.FullyWritten && s.written != nil {
 			s.written()
 		}
-		s.at = broker.WrittenWhole
+		s.at = broker.FullyWritten
 	} else if n > 0 {
-		s.at = max(s.at, broker.PartlyWritten)
+		s.at = max(s.at, broker.PartiallyWritten)
 	}
 	return err
 }
@@ -222,21 +222,21 @@
 	return s.progress()
 }
 
-// Halt implements broker.Handle. What was written whole, or is being written, keeps its connection: it was on
+// StopSending implements broker.Handle. What was written whole, or is being written, keeps its connection: it was on
 // its way before, and to cut it could lose the answer to what has run.
-func (s *Session) Halt() {
+func (s *Session) StopSending() {
 	conn, whole := s.bar()
 	if whole || !s.writing.TryLock() {
 		return
 	}
 	defer s.writing.Unlock()
-	if s.progress() != broker.WrittenWhole {
+	if s.progress() != broker.FullyWritten {
 		s.cut(conn)
 	}
 }
 
-// Abandon implements broker.Handle. A message that is being written is cut: its client has left, so there is no answer to lose.
-func (s *Session) Abandon() {
+// CancelUnlessWritten implements broker.Handle. A message that is being written is cut: its client has left, so there is no answer to lose.
+func (s *Session) CancelUnlessWritten() {
 	if conn, whole := s.bar(); !whole {
 		s.cut(conn)
 	}
@@ -247,7 +247,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.halted = true
-	return s.conn, s.at == broker.WrittenWhole
+	return s.conn, s.at == broker.FullyWritten
 }
 
 // cut ends the exchange with its connection, nil for one that has none.
@@ -528,5 +528,5 @@
 type refused struct{}
 
 func (refused) Stop() broker.Progress { return broker.NotConnected }
-func (refused) Halt()                 {}
-func (refused) Abandon()              {}
+func (refused) StopSending()          {}
+func (refused) CancelUnlessWritten()  {}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -208,7 +208,7 @@
 	conn := closed.next()
 	bufio.NewReader(conn).ReadString('\n')
 	conn.Close()
-	if progress(results) != broker.WrittenWhole {
+	if progress(results) != broker.FullyWritten {
 		t.Error("a lost answer is not WrittenWhole")
 	}
 	_, results = start(p, node.address, func(s *Session) (broker.Result, error) {
@@ -221,7 +221,7 @@
 	conn = node.next()
 	bufio.NewReader(conn).ReadString('\n')
 	conn.Close()
-	if progress(results) != broker.PartlyWritten {
+	if progress(results) != broker.PartiallyWritten {
 		t.Error("an exchange cut before its deciding message is not PartlyWritten")
 	}
 }
@@ -232,14 +232,14 @@
 	h, results := start(p, node.address, echo)
 	conn := node.next()
 	bufio.NewReader(conn).ReadString('\n')
-	if at := h.Stop(); at != broker.WrittenWhole {
+	if at := h.Stop(); at != broker.FullyWritten {
 		t.Errorf("stopped %v", at)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the connection is open: %v", err)
 	}
 	big := make([]byte, 64<<20) // more than the sockets hold
-	for deciding, want := range map[int]broker.Progress{len(big): broker.PartlyWritten, 0: broker.PartlyWritten, 1: broker.WrittenWhole} {
+	for deciding, want := range map[int]broker.Progress{len(big): broker.PartiallyWritten, 0: broker.PartiallyWritten, 1: broker.FullyWritten} {
 		h, _ = start(p, node.address, func(s *Session) (broker.Result, error) {
 			return broker.Result{}, s.Send(net.Buffers{big}, deciding)
 		})
@@ -256,7 +256,7 @@
 	}
 }
 
-// Halt lets a whole message have its answer, and bars the next.
+// StopSending lets a whole message have its answer, and bars the next.
 func TestHalt(t *testing.T) {
 	node, p := newPeer(t), New(options())
 	h, results := start(p, node.address, func(s *Session) (broker.Result, error) {
@@ -268,7 +268,7 @@
 	})
 	conn := node.next()
 	line, _ := bufio.NewReader(conn).ReadString('\n')
-	h.Halt()
+	h.StopSending()
 	io.WriteString(conn, "answer\n")
 	if r := <-results; r.Err != nil || line != "line\n" {
 		t.Errorf("%+v", r)
@@ -278,7 +278,7 @@
 	}
 }
 
-// Halt leaves a write that is under way: it may be whole already.
+// StopSending leaves a write that is under way: it may be whole already.
 func TestHaltDuringWrite(t *testing.T) {
 	node, p := newPeer(t), New(options())
 	big := make([]byte, 64<<20)
@@ -291,7 +291,7 @@
 	})
 	conn := node.next()
 	io.ReadFull(conn, make([]byte, 1))
-	h.Halt()
+	h.StopSending()
 	if _, err := io.ReadFull(conn, make([]byte, len(big)-1)); err != nil {
 		t.Fatal(err)
 	}
@@ -312,7 +312,7 @@
 	node, p := newPeer(t), New(opt)
 	h, results := start(p, node.address, echo)
 	conn := node.next()
-	h.Abandon()
+	h.CancelUnlessWritten()
 	close(up)
 	if r := <-results; r.Err == nil || r.Err.Progress != broker.NotConnected {
 		t.Errorf("%+v", r)
@@ -325,8 +325,8 @@
 	h, results = start(p, node.address, func(s *Session) (broker.Result, error) { return broker.Result{}, s.Send(net.Buffers{big}, len(big)) })
 	conn = node.next()
 	io.ReadFull(conn, make([]byte, 1))
-	h.Abandon()
-	if r := <-results; r.Err == nil || r.Err.Progress != broker.PartlyWritten {
+	h.CancelUnlessWritten()
+	if r := <-results; r.Err == nil || r.Err.Progress != broker.PartiallyWritten {
 		t.Errorf("%+v", r)
 	}
 	if n, err := io.Copy(io.Discard, conn); n >= int64(len(big)-1) {
@@ -339,7 +339,7 @@
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	<-written
 	h.(*Session).progress() // behind the writer's own note
-	h.Abandon()
+	h.CancelUnlessWritten()
 	io.WriteString(conn, "answer\n")
 	if r := <-results; r.Err != nil || line != "line\n" || r.Value != "answer\n" {
 		t.Errorf("%q: %+v", line, r)
@@ -355,7 +355,7 @@
 		s.Send(net.Buffers{[]byte("line\n")}, 5)
 		panic("fault")
 	})
-	if r := <-results; r.Err == nil || r.Err.Progress != broker.WrittenWhole || <-lines != "panic front=nodes panic=fault" {
+	if r := <-results; r.Err == nil || r.Err.Progress != broker.FullyWritten || <-lines != "panic front=nodes panic=fault" {
 		t.Errorf("%+v", r)
 	}
 	if p.slots.Held() != 0 {
--- a/internal/resp/admission_test.go
+++ b/internal/resp/admission_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{Admission: admission.New(admission.Settings{MostOpen: most, Window: oneWindow}, set)})
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Admission: admission.New(admission.Settings{MaxOpen: most, Window: oneWindow}, set)})
 	terms := testTerms
 	terms.After = 150_000
 	f := NewFront(loop, terms, room, room, 1<<20, logging.Func(func(line string) { t.Log(line) }))
@@ -52,7 +52,7 @@
 func TestAdmissionRefuses(t *testing.T) {
 	f, first := admissionServer(t, 8, 1)
 	io.WriteString(first, ask(0))
-	for end := time.Now().Add(5 * time.Second); f.loop.Open() < 1 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); f.loop.OpenRequests() < 1 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	conn, err := net.Dial("tcp", first.RemoteAddr().String())
 	if err != nil {
@@ -109,7 +109,7 @@
 		if line, err := bufio.NewReader(other).ReadString('\n'); err != nil || line != "+PONG\r\n" {
 			t.Errorf("%s: %q, %v", name, line, err)
 		}
-		if f.loop.Open() > 0 {
+		if f.loop.OpenRequests() > 0 {
 			t.Errorf("%s: a request was taken on a connection that had ended", name)
 		}
 	}
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -69,8 +69,8 @@
 		sound bool
 		name  string
 	}{{t.Classes[r.Class], "c"}, {t.Plans[r.Plan], "t"}, {hexWord([]byte(r.Volume)), "volume"},
-		{r.Wait > 0 && r.Wait <= broker.MicrosOf(t.MaxWait), "d"}, {r.Units > 0 && (t.MaxUnits <= 0 || r.Units <= t.MaxUnits), "units"},
-		{r.Shard >= -1 && (t.Shards <= 0 || r.Shard < t.Shards), "shard"}, {r.Hosts >= 1 && r.Hosts <= t.Hosts, "hosts"}} {
+		{r.Timeout > 0 && r.Timeout <= broker.MicrosOf(t.MaxWait), "d"}, {r.Units > 0 && (t.MaxUnits <= 0 || r.Units <= t.MaxUnits), "units"},
+		{r.Shard >= -1 && (t.Shards <= 0 || r.Shard < t.Shards), "shard"}, {r.Brokers >= 1 && r.Brokers <= t.Hosts, "hosts"}} {
 		if !c.sound {
 			return fmt.Errorf("%w: %s is missing, unknown or out of range", errForm, c.name)
 		}
@@ -88,7 +88,7 @@
 		return nil, fmt.Errorf("%w: piece or id", errForm)
 	}
 	m := message{command{raw: raw, list: args[3]}}
-	r := &broker.Request{Key: string(args[1]), Write: write, Shard: -1, Hosts: 1}
+	r := &broker.Request{Key: string(args[1]), Write: write, Shard: -1, Brokers: 1}
 	var millis int64
 	for rest := args[3]; len(rest) > 0; {
 		var pair []byte
@@ -116,7 +116,7 @@
 		case "shard":
 			r.Shard, err = strconv.Atoi(string(value))
 		case "hosts":
-			r.Hosts, err = strconv.Atoi(string(value))
+			r.Brokers, err = strconv.Atoi(string(value))
 		case "r":
 			r.Retry = string(value) == "1"
 		}
@@ -127,7 +127,7 @@
 	if m.wait == nil {
 		return nil, fmt.Errorf("%w: d is missing", errForm)
 	}
-	r.Wait = broker.MicrosOf(time.Duration(millis) * time.Millisecond)
+	r.Timeout = broker.MicrosOf(time.Duration(millis) * time.Millisecond)
 	r.Message = &m
 	return r, nil
 }
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -54,9 +54,9 @@
 	return broker.NotConnected
 }
 
-func (a *attempt) Halt() {}
+func (a *attempt) StopSending() {}
 
-func (a *attempt) Abandon() {
+func (a *attempt) CancelUnlessWritten() {
 	a.once.Do(func() { close(a.gone) })
 	go a.done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: errors.New("abandoned")}})
 }
@@ -75,11 +75,11 @@
 		t.Fatal(err)
 	}
 	e := &ending{T: t, via: &held{sent: make(chan *attempt, 256)}}
-	e.loop = broker.NewLoop(state, broker.NewClock(), e.via, broker.Outside{})
+	e.loop = broker.NewLoop(state, broker.NewClock(), e.via, broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go e.loop.Run(ctx)
-	e.loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
+	e.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
 	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	if e.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -208,7 +208,7 @@
 	if got, err := io.ReadAll(peer); string(got) != "$1\r\nv\r\n-BUSY\r\n-BUSY\r\n" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
-	if n := len(e.via.sent) + e.loop.Open(); n > 0 {
+	if n := len(e.via.sent) + e.loop.OpenRequests(); n > 0 {
 		t.Errorf("%d requests were taken", n)
 	}
 }
@@ -311,7 +311,7 @@
 				t.Fatal(err)
 			}
 			if len(behind) == len(many) {
-				e.until("all that may wait do", func() bool { return e.loop.Open() == maxPipeline })
+				e.until("all that may wait do", func() bool { return e.loop.OpenRequests() == maxPipeline })
 			}
 			hangUp(conn, reset)
 			leavers++
@@ -324,7 +324,7 @@
 			e.until("it is forgotten", func() bool {
 				e.front.mu.Lock()
 				defer e.front.mu.Unlock()
-				return e.loop.Open() == 0 && len(e.front.open) == 0 && e.front.Clients() == 0
+				return e.loop.OpenRequests() == 0 && len(e.front.open) == 0 && e.front.Clients() == 0
 			})
 		}
 	}
--- a/internal/resp/figures_test.go
+++ b/internal/resp/figures_test.go
@@ -52,7 +52,7 @@
 	ask := func() {
 		t.Helper()
 		results := make(chan broker.Result, 1)
-		nodes.Start(broker.Attempt{Node: "n", Address: ln.Addr().String(), Request: req, Wait: broker.Second}, func(r broker.Result) { results <- r })
+		nodes.Start(broker.Attempt{Node: "n", Address: ln.Addr().String(), Request: req, Timeout: broker.Second}, func(r broker.Result) { results <- r })
 		select {
 		case r := <-results:
 			if value, _ := r.Value.([]byte); r.Err != nil || string(value) != "hi" {
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -85,14 +85,14 @@
 }
 
 // RejectBeyond has up to so many connections at a time beyond the limit answered and ended. It comes before Serve.
-func (f *Front) RejectBeyond(most int) { f.Table.RejectBeyond(most, f.reject, f.loop.Overloaded) }
+func (f *Front) RejectBeyond(most int) { f.Table.RejectBeyond(most, f.reject, f.loop.SheddingLoad) }
 
 // ResizeBudget changes how many bytes of requests and answers there may be.
 func (f *Front) ResizeBudget(bytes int) { f.budget.Resize(bytes) }
 
 // Retune changes what requests may ask for from now on.
 func (f *Front) Retune(terms Terms) {
-	terms.busy = answer(broker.Final{Verdict: broker.Refused, After: terms.After})[0]
+	terms.busy = answer(broker.Response{Verdict: broker.Rejected, RetryAfter: terms.After})[0]
 	f.terms.Store(&terms)
 }
 
@@ -419,7 +419,7 @@
 	}
 	c.mu.Unlock()
 	for _, id := range waiting {
-		c.front.loop.Hasten(id)
+		c.front.loop.Expedite(id)
 	}
 }
 
@@ -454,10 +454,10 @@
 		c.refuse(err)
 		return false
 	}
-	if loop := c.front.loop; loop.Full() {
-		c.watching(func() { loop.Room(c.away.Load) })
+	if loop := c.front.loop; loop.Backlogged() {
+		c.watching(func() { loop.WaitForCapacity(c.away.Load) })
 	}
-	if refused := c.front.loop.Ask(req); refused != nil {
+	if refused := c.front.loop.Admit(req); refused != nil {
 		return c.refuseAdmission(refused)
 	}
 	s := &slot{size: len(cmd.Raw), name: string(cmd.Args[2])}
@@ -476,7 +476,7 @@
 		c.front.leave(s.name)
 		return false
 	}
-	id := c.front.loop.Enter(req, func(final broker.Final) {
+	id := c.front.loop.SubmitAdmitted(req, func(final broker.Response) {
 		c.front.leave(s.name)
 		text := answer(final)
 		value, _ := final.Value.([]byte)
@@ -500,7 +500,7 @@
 // refuseCrowd answers a request, as it came, where the broker's own processor is the bound and too many wait for it: it is neither
 // read nor kept, which costs a third of a refusal behind its parsing. It tells whether it did.
 func (c *client) refuseCrowd(raw []byte) bool {
-	if !c.front.loop.Crowded() {
+	if !c.front.loop.Overloaded() {
 		return false
 	}
 	_, rest, found := bytes.Cut(raw, blockCommand)
@@ -515,7 +515,7 @@
 		name, _, _ := bytes.Cut(after, []byte(","))
 		class = string(name)
 	}
-	c.front.loop.TurnCrowd(class)
+	c.front.loop.RejectOverload(class)
 	return c.sayDirect(c.front.terms.Load().busy, true)
 }
 
@@ -523,11 +523,11 @@
 
 // refuseAdmission answers what admission refused: from here where nothing else is owed, which spares a broker that has too much to do
 // the way through the writer. It tells whether the connection is of further use.
-func (c *client) refuseAdmission(final *broker.Final) bool {
+func (c *client) refuseAdmission(final *broker.Response) bool {
 	if !c.beginDirect() {
 		return c.push(&slot{ready: true, refusal: true, text: answer(*final)})
 	}
-	return c.sayDirect(answer(*final)[0], c.front.loop.Overloaded())
+	return c.sayDirect(answer(*final)[0], c.front.loop.SheddingLoad())
 }
 
 // beginDirect tells whether nothing else is owed, so that the goroutine that read a request may answer it itself. Then it must,
@@ -585,7 +585,7 @@
 	if s.name == "" && !s.refusal {
 		c.front.Greeted(c)
 	} else {
-		c.front.Asked(c, c.front.loop.Overloaded())
+		c.front.Asked(c, c.front.loop.SheddingLoad())
 	}
 	if s.ready {
 		c.Wake()
@@ -652,7 +652,7 @@
 	}
 	c.mu.Unlock()
 	for _, s := range left {
-		c.front.loop.Leave(s.id)
+		c.front.loop.Cancel(s.id)
 		c.front.leave(s.name)
 	}
 }
@@ -762,7 +762,7 @@
 }
 
 // answer words a final answer.
-func answer(final broker.Final) net.Buffers {
+func answer(final broker.Response) net.Buffers {
 	switch final.Verdict {
 	case broker.Served:
 		if long, ok := final.Value.(*stream); ok {
@@ -772,10 +772,10 @@
 		value, _ := final.Value.([]byte)
 		head := strconv.AppendInt([]byte{'$'}, int64(len(value)), 10)
 		return net.Buffers{append(head, '\r', '\n'), value, []byte("\r\n")}
-	case broker.Refused:
+	case broker.Rejected:
 		text := []byte("-BUSY")
-		if final.After > 0 {
-			text = strconv.AppendInt(append(text, ' '), int64((final.After+999)/1000), 10)
+		if final.RetryAfter > 0 {
+			text = strconv.AppendInt(append(text, ' '), int64((final.RetryAfter+999)/1000), 10)
 		}
 		return net.Buffers{append(text, '\r', '\n')}
 	}
--- a/internal/resp/nodes.go
+++ b/internal/resp/nodes.go
@@ -25,7 +25,7 @@
 		return pool.Refuse(errors.New("not a RESP request"), done)
 	}
 	return n.pool.Start(a.Address, func(s *pool.Session) (broker.Result, error) {
-		command := m.forward(a.Wait - broker.MicrosOf(s.Waited()))
+		command := m.forward(a.Timeout - broker.MicrosOf(s.Waited()))
 		if err := s.Send(command, pool.Size(command)); err != nil {
 			return broker.Result{}, err
 		}
@@ -37,7 +37,7 @@
 			finish(s, left, &result)
 		}
 		return result, err
-	}, 0, a.Written, done)
+	}, 0, a.OnWritten, done)
 }
 
 // finish reads what follows a value. The client waits for it only where all of it has come: figures may be late, or
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -89,9 +89,9 @@
 	switch line[0] {
 	case '-':
 		words := bytes.Fields(line[1:])
-		result.Reply = broker.Errored
+		result.Reply = broker.ReplyError
 		if len(words) > 0 && string(words[0]) == "BUSY" {
-			result.Reply = broker.TurnedAway
+			result.Reply = broker.ReplyRejected
 		}
 		for _, word := range words {
 			readFigures(word, &result)
@@ -119,7 +119,7 @@
 		return result, left, err
 	}
 	if result.Value = value; value == nil {
-		result.Value, result.Reply = nil, broker.Errored // a null value serves nothing
+		result.Value, result.Reply = nil, broker.ReplyError // a null value serves nothing
 	}
 	return result, left, nil
 }
@@ -150,9 +150,9 @@
 		load := &result.Load
 		switch string(name) {
 		case "used":
-			result.Used = 1 + int(max(0, min(x, 1e9)))
+			result.RateUsed = 1 + int(max(0, min(x, 1e9)))
 		case "cost":
-			result.Elsewhere = x
+			result.ServedElsewhere = x
 		case "inflight", "busy_reqs":
 			load.InFlight = x
 		case "queue", "pending":
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -144,8 +144,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Class != "read" || r.Plan != "gold" || r.Wait != 480_000 || r.Volume != "00000003b4d60021" || r.Units != 2 ||
-		r.Shard != 5 || r.Hosts != 3 || !r.Write || r.Retry || r.Key != "7f3a9c21e0b4d655" {
+	if r.Class != "read" || r.Plan != "gold" || r.Timeout != 480_000 || r.Volume != "00000003b4d60021" || r.Units != 2 ||
+		r.Shard != 5 || r.Brokers != 3 || !r.Write || r.Retry || r.Key != "7f3a9c21e0b4d655" {
 		t.Errorf("%+v", r)
 	}
 	for _, words := range [][]string{{"GET", "a"}, {"BLK.READ", "7f3a9c21e0b4d655", "id", "c=read"},
@@ -193,17 +193,17 @@
 	load  float64
 	sound bool
 }{
-	{"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$10\r\ninflight=7\r\n", broker.Done, "hi", 38, 4, 7, true},
-	{"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", broker.Done, "", 0, 0, -1, true},
-	{"*1\r\n$-1\r\n", broker.Errored, "", 0, 0, -1, true},
-	{"-BUSY\r\n", broker.TurnedAway, "", 0, 0, -1, true},
-	{"-BUSY used=9 busy_reqs=3\r\n", broker.TurnedAway, "", 10, 0, 3, true},
-	{"-ERR failed used=1,cost=2 inflight=5\r\n", broker.Errored, "", 2, 2, 5, true},
-	{"-SYNTAX\r\n", broker.Errored, "", 0, 0, -1, true},
+	{"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$10\r\ninflight=7\r\n", broker.ReplyOK, "hi", 38, 4, 7, true},
+	{"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n", broker.ReplyOK, "", 0, 0, -1, true},
+	{"*1\r\n$-1\r\n", broker.ReplyError, "", 0, 0, -1, true},
+	{"-BUSY\r\n", broker.ReplyRejected, "", 0, 0, -1, true},
+	{"-BUSY used=9 busy_reqs=3\r\n", broker.ReplyRejected, "", 10, 0, 3, true},
+	{"-ERR failed used=1,cost=2 inflight=5\r\n", broker.ReplyError, "", 2, 2, 5, true},
+	{"-SYNTAX\r\n", broker.ReplyError, "", 0, 0, -1, true},
 	{"+noise that happens to begin like a status\r\n", 0, "", 0, 0, 0, false}, // served a client once, with nothing
 	{"*99\r\n", 0, "", 0, 0, 0, false},
 	{"$2\r\nhi\r\n", 0, "", 0, 0, 0, false},
-	{"*1\r\n$258436\r\n" + strings.Repeat("x", 258436) + "\r\n", broker.Done, strings.Repeat("x", 258436), 0, 0, -1, true},
+	{"*1\r\n$258436\r\n" + strings.Repeat("x", 258436) + "\r\n", broker.ReplyOK, strings.Repeat("x", 258436), 0, 0, -1, true},
 	{"*1\r\n$4194305\r\n" + strings.Repeat("x", 4194305) + "\r\n", 0, "", 0, 0, 0, false},
 	{"*1\r\n$3000000000\r\n", 0, "", 0, 0, 0, false},
 	{"*1\r\n$2\r\nhi!!", 0, "", 0, 0, 0, false},
@@ -237,7 +237,7 @@
 			t.Errorf("%.40q: %v", c.text, err)
 		}
 		value, _ := r.Value.([]byte)
-		if err == nil && (r.Reply != c.reply || string(value) != c.value || r.Used != c.used || r.Elsewhere != c.cost ||
+		if err == nil && (r.Reply != c.reply || string(value) != c.value || r.RateUsed != c.used || r.ServedElsewhere != c.cost ||
 			r.Load.InFlight != c.load) {
 			t.Errorf("%.40q: %+v", c.text, r)
 		}
@@ -257,10 +257,10 @@
 }
 
 func TestAnswers(t *testing.T) {
-	for want, final := range map[string]broker.Final{
+	for want, final := range map[string]broker.Response{
 		"$2\r\nhi\r\n":    {Verdict: broker.Served, Value: []byte("hi")},
-		"-BUSY 151\r\n":   {Verdict: broker.Refused, After: 150_001},
-		"-BUSY\r\n":       {Verdict: broker.Refused},
+		"-BUSY 151\r\n":   {Verdict: broker.Rejected, RetryAfter: 150_001},
+		"-BUSY\r\n":       {Verdict: broker.Rejected},
 		"-ERR failed\r\n": {Verdict: broker.Failed},
 	} {
 		if text := bytes.Join(answer(final), nil); string(text) != want {
@@ -334,14 +334,14 @@
 	}
 	defer first.Close()
 	io.WriteString(first, readText)
-	for end := time.Now().Add(5 * time.Second); f.loop.Open() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); f.loop.OpenRequests() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if got, _ := answered(t, address, readText); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("%q", got)
 	}
-	if f.loop.Open() != 1 {
-		t.Errorf("%d requests open", f.loop.Open())
+	if f.loop.OpenRequests() != 1 {
+		t.Errorf("%d requests open", f.loop.OpenRequests())
 	}
 	first.Close()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -363,7 +363,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{})
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
 	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -549,18 +549,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	controller := admission.New(admission.Settings{Crowd: 1}, set)
-	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{Admission: controller})
+	controller := admission.New(admission.Settings{MaxOpenOverloaded: 1}, set)
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Admission: controller})
 	f := NewFront(loop, NewTerms(set, 0), 4, 4, 1<<20, logging.Discard())
 	near, far := net.Pipe()
 	c := &client{front: f, conn: near, wake: make(chan struct{}, 1)}
 	raw := []byte("*4\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n$1\r\ni\r\n$7\r\nc=w,t=p\r\n")
-	loop.Enter(&broker.Request{Class: "w"}, func(broker.Final) {})
+	loop.SubmitAdmitted(&broker.Request{Class: "w"}, func(broker.Response) {})
 	if c.refuseCrowd(raw) {
 		t.Error("refused without lag")
 	}
-	for !loop.Crowded() { // admission control believes in a lag that lasts
-		loop.Lagged(50_000)
+	for !loop.Overloaded() { // admission control believes in a lag that lasts
+		loop.RecordSchedulingLag(50_000)
 	}
 	said := make(chan string, 1)
 	go func() {
@@ -573,7 +573,7 @@
 	if c.refuseCrowd([]byte(pingText)) {
 		t.Error("a greeting was refused")
 	}
-	for _, figure := range loop.Figures.Read() {
+	for _, figure := range loop.Metrics.Read() {
 		if figure.Name == "door_refused" && figure.Value != 1 || figure.Name == "busy.w" && figure.Value != 1 {
 			t.Errorf("%s is %d", figure.Name, figure.Value)
 		}
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -132,11 +132,11 @@
 		t.Fatal(err)
 	}
 	nodes := pool.New(pool.Options{ConnectTimeout: time.Second, Idle: time.Minute, Sockets: 8, Log: logging.Func(func(line string) { t.Error(line) })})
-	loop := broker.NewLoop(state, broker.NewClock(), NewNodes(nodes), broker.Outside{})
+	loop := broker.NewLoop(state, broker.NewClock(), NewNodes(nodes), broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
-	loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Shard: 5, Weight: 1},
+	loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Shard: 5, Weight: 1},
 		Address: ln.Addr().String()}}})
 	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.Func(func(line string) { t.Log(line) }))
 	door, err := net.Listen("tcp", "127.0.0.1:0")
@@ -178,12 +178,12 @@
 		}
 	}
 	// A value counts as served once it was given whole, and as open until then.
-	for end := time.Now().Add(5 * time.Second); loop.Open() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); loop.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d open", loop.Open())
+			t.Fatalf("%d open", loop.OpenRequests())
 		}
 	}
-	for _, figure := range loop.Figures.Read() {
+	for _, figure := range loop.Metrics.Read() {
 		if want, checked := map[string]uint64{"success.read": 5, "failure.read": 2}[figure.Name]; checked && figure.Value != want {
 			t.Errorf("%s: %d, want %d", figure.Name, figure.Value, want)
 		}
--- a/internal/sftp/front.go
+++ b/internal/sftp/front.go
@@ -102,7 +102,7 @@
 	req    *broker.Request
 	core   uint64
 	taken  bool // by the core
-	finish func(broker.Final) net.Buffers
+	finish func(broker.Response) net.Buffers
 }
 
 // Wake implements front.Connection.
@@ -212,7 +212,7 @@
 			op.timer.Stop()
 		}
 		if op.taken {
-			s.front.loop.Leave(op.core)
+			s.front.loop.Cancel(op.core)
 		}
 	}
 	if !flush {
@@ -409,9 +409,9 @@
 	if req == nil {
 		return s.status(id, statusNoSuchFile, "no volume holds this path")
 	}
-	req.Via = s.front.via
-	op := &pending{operation: o, id: id, req: req, due: time.Now().Add(req.Wait.Duration())}
-	op.finish = func(final broker.Final) net.Buffers { return s.word(id, final, served) }
+	req.Transport = s.front.via
+	op := &pending{operation: o, id: id, req: req, due: time.Now().Add(req.Timeout.Duration())}
+	op.finish = func(final broker.Response) net.Buffers { return s.word(id, final, served) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.ops) >= maxOps && !s.gone {
@@ -431,11 +431,11 @@
 		s.start(op)
 		return nil
 	}
-	op.timer = time.AfterFunc(req.Wait.Duration(), func() {
+	op.timer = time.AfterFunc(req.Timeout.Duration(), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if !op.taken { // never sent, so trying again is harmless
-			s.settle(op, broker.Final{Verdict: broker.Refused})
+			s.settle(op, broker.Response{Verdict: broker.Rejected})
 		}
 	})
 	return nil
@@ -460,8 +460,8 @@
 		op.timer.Stop()
 	}
 	op.taken = true
-	op.req.Wait = max(0, broker.MicrosOf(time.Until(op.due)))
-	op.core = s.front.loop.Submit(op.req, func(final broker.Final) {
+	op.req.Timeout = max(0, broker.MicrosOf(time.Until(op.due)))
+	op.core = s.front.loop.Submit(op.req, func(final broker.Response) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.settle(op, final)
@@ -469,7 +469,7 @@
 }
 
 // settle answers a command and starts those that waited for it; the caller holds s.mu.
-func (s *session) settle(op *pending, final broker.Final) {
+func (s *session) settle(op *pending, final broker.Response) {
 	held := false
 	for i, other := range s.ops {
 		if other == op {
@@ -492,15 +492,15 @@
 }
 
 // word words a final answer; the caller holds s.mu.
-func (s *session) word(id uint32, final broker.Final, served func(answer) net.Buffers) net.Buffers {
+func (s *session) word(id uint32, final broker.Response, served func(answer) net.Buffers) net.Buffers {
 	switch final.Verdict {
 	case broker.Served:
 		a, _ := final.Value.(answer)
 		return served(a)
-	case broker.Refused:
+	case broker.Rejected:
 		words := busyWord
-		if final.After > 0 {
-			words = fmt.Sprintf("%s: come again after %d ms", busyWord, (final.After+999)/1000)
+		if final.RetryAfter > 0 {
+			words = fmt.Sprintf("%s: come again after %d ms", busyWord, (final.RetryAfter+999)/1000)
 		}
 		return message(typeStatus, id, status(statusFailure, words))
 	}
--- a/internal/sftp/nodes.go
+++ b/internal/sftp/nodes.go
@@ -58,7 +58,7 @@
 	}
 	return n.pool.Start(n.address(a.Address), func(s *pool.Session) (broker.Result, error) {
 		return (&exchange{Session: s}).run(op)
-	}, 0, a.Written, done)
+	}, 0, a.OnWritten, done)
 }
 
 // Probe implements broker.Transport: a STAT of the root.
@@ -222,13 +222,13 @@
 		switch code {
 		case statusOK, statusEOF, statusNoSuchFile, statusDenied, statusBadMessage, statusUnsupported:
 		case statusFailure:
-			r.Reply = broker.Errored
+			r.Reply = broker.ReplyError
 			if strings.HasPrefix(words, busyWord) {
-				r.Reply = broker.TurnedAway
+				r.Reply = broker.ReplyRejected
 			}
 			return r, nil
 		default:
-			r.Reply = broker.Errored
+			r.Reply = broker.ReplyError
 			return r, nil
 		}
 	default:
--- a/internal/sftp/plan.go
+++ b/internal/sftp/plan.go
@@ -138,8 +138,8 @@
 	hash.Write([]byte(op.path))
 	return &broker.Request{Class: terms.Class, Plan: v.Plan, Volume: v.Volume,
 		Key:   fmt.Sprintf("%016x", binary.BigEndian.Uint64(hash.Sum(nil))),
-		Units: min(max(1, units), p.MaxUnits), Shard: v.Shard, Hosts: v.Hosts,
-		Write: changes[op.command], Wait: broker.Micros(terms.WaitMS) * 1000, Message: op}
+		Units: min(max(1, units), p.MaxUnits), Shard: v.Shard, Brokers: v.Hosts,
+		Write: changes[op.command], Timeout: broker.Micros(terms.WaitMS) * 1000, Message: op}
 }
 
 // operation is a file command as the core carries it.
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{})
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
 	f := NewFront(loop, nil, testPlan(t), 1, logging.Func(func(line string) { t.Error(line) }))
 	near, far := net.Pipe()
 	return f, newSession(f, near), far
@@ -141,9 +141,9 @@
 		code  uint32
 		words string
 		reply broker.Reply
-	}{{statusOK, "", broker.Done}, {statusEOF, "", broker.Done}, {statusNoSuchFile, "no such file", broker.Done},
-		{statusDenied, "", broker.Done}, {statusFailure, "disk", broker.Errored}, {statusFailure, "BUSY", broker.TurnedAway},
-		{6, "", broker.Errored}, {7, "", broker.Errored}, {99, "", broker.Errored}} {
+	}{{statusOK, "", broker.ReplyOK}, {statusEOF, "", broker.ReplyOK}, {statusNoSuchFile, "no such file", broker.ReplyOK},
+		{statusDenied, "", broker.ReplyOK}, {statusFailure, "disk", broker.ReplyError}, {statusFailure, "BUSY", broker.ReplyRejected},
+		{6, "", broker.ReplyError}, {7, "", broker.ReplyError}, {99, "", broker.ReplyError}} {
 		r, err := result(packet{kind: typeStatus, body: status(c.code, c.words)}, nil)
 		if err != nil || r.Reply != c.reply {
 			t.Errorf("%d %q: %v, %v", c.code, c.words, r.Reply, err)
@@ -153,7 +153,7 @@
 		t.Error(err)
 	}
 	s := &session{}
-	for want, final := range map[string]broker.Final{"BUSY: come again after 151 ms": {Verdict: broker.Refused, After: 150_001},
+	for want, final := range map[string]broker.Response{"BUSY: come again after 151 ms": {Verdict: broker.Rejected, RetryAfter: 150_001},
 		"failed: it may or may not have run": {Verdict: broker.Failed}} {
 		if got := joined(s.word(9, final, nil)); !strings.Contains(string(got), want) {
 			t.Errorf("%q lacks %q", got, want)
@@ -178,7 +178,7 @@
 			}
 			continue
 		}
-		if r.Volume != c.volume || r.Units != c.units || r.Write != c.write || r.Wait != 2*broker.Second || len(r.Key) != 16 {
+		if r.Volume != c.volume || r.Units != c.units || r.Write != c.write || r.Timeout != 2*broker.Second || len(r.Key) != 16 {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -226,7 +226,7 @@
 	if out := fmt.Sprintf("%s", joined(s.out)); !strings.Contains(out, "BUSY") || third.taken {
 		t.Errorf("%q, taken %v", out, third.taken)
 	}
-	s.settle(first, broker.Final{Verdict: broker.Failed})
+	s.settle(first, broker.Response{Verdict: broker.Failed})
 	if !second.taken || len(s.ops) != 1 {
 		t.Error("the second did not follow")
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -40,56 +40,56 @@
 const (
 	Ready Health = iota
 	Draining
-	Gone // only in an answer of changes
+	Removed // only in an answer of changes
 )
 
 // Entry is what a source says of one node.
 type Entry struct {
-	Name     string
-	Address  string // host:port; the node's identity
-	Zone     string
-	Kind     string
-	Shard    int
-	State    Health
-	Share    float64 // its size, as discovery tells it; 0 counts as 1
-	Part     float64 // of the load, against others of its shard and priority, as SRV weights tell it; 0 counts as 1
-	Priority int     // lower goes first
-	Born     Micros  // its last start on the given clock; 0 for long ago, Unknown if the source does not tell
+	Name          string
+	Address       string // host:port; the node's identity
+	Zone          string
+	Kind          string
+	Shard         int
+	State         Health
+	Capacity      float64 // its size, as discovery tells it; 0 counts as 1
+	TrafficWeight float64 // of the load, against others of its shard and priority, as SRV weights tell it; 0 counts as 1
+	Priority      int     // lower goes first
+	LastStart     Micros  // its last start on the given clock; 0 for long ago, UnknownStart if the source does not tell
 }
 
-// Unknown is the Born of an entry whose source does not tell.
-const Unknown Micros = -1
+// UnknownStart is the LastStart of an entry whose source does not tell.
+const UnknownStart Micros = -1
 
-// Rights are what a source may do.
-type Rights struct{ Add, Drain, Remove bool }
+// Permissions are what a source may do.
+type Permissions struct{ Add, Drain, Remove bool }
 
 // SourceOptions are of one source.
 type SourceOptions struct {
-	Name   string
-	Rights Rights
-	Good   Micros // how long its removals outweigh what others hold once it is silent; 10 min by default
+	Name        string
+	Permissions Permissions
+	RemovalTTL  Micros // how long its removals outweigh what others hold once it is silent; 10 min by default
 }
 
 // Options are of a State. The zero value of a field means its default.
 type Options struct {
-	Sources    []SourceOptions // the first names nodes that several hold
-	Suspect    Micros          // how long a sudden loss is held; 30 s by default
-	FlapWindow Micros          // 60 s by default
-	FlapMost   int             // times a node may come back within it at once; 3 by default
-	HoldMost   Micros          // the longest that a flapping node is held back; 60 s by default
-	MaxNodes   int             // of one source, and remembered after they left; 50,000 by default
+	Sources     []SourceOptions // the first names nodes that several hold
+	SuspectHold Micros          // how long a sudden loss is held; 30 s by default
+	FlapWindow  Micros          // 60 s by default
+	FlapMost    int             // times a node may come back within it at once; 3 by default
+	HoldMost    Micros          // the longest that a flapping node is held back; 60 s by default
+	MaxNodes    int             // of one source, and remembered after they left; 50,000 by default
 }
 
 func (o *Options) complete() {
 	for _, d := range []struct {
 		value    *Micros
 		fallback Micros
-	}{{&o.Suspect, 30e6}, {&o.FlapWindow, 60e6}, {&o.HoldMost, 60e6}} {
+	}{{&o.SuspectHold, 30e6}, {&o.FlapWindow, 60e6}, {&o.HoldMost, 60e6}} {
 		*d.value = cmp.Or(*d.value, d.fallback)
 	}
 	o.FlapMost, o.MaxNodes = cmp.Or(o.FlapMost, 3), cmp.Or(o.MaxNodes, 50_000)
 	for i := range o.Sources {
-		o.Sources[i].Good = cmp.Or(o.Sources[i].Good, 600e6)
+		o.Sources[i].RemovalTTL = cmp.Or(o.Sources[i].RemovalTTL, 600e6)
 	}
 }
 
@@ -104,15 +104,15 @@
 			return fmt.Errorf("sources[%d].name: %q is missing or stands twice", i, s.Name)
 		}
 		names[s.Name] = true
-		adds = adds || s.Rights.Add
-		if s.Good < 0 {
+		adds = adds || s.Permissions.Add
+		if s.RemovalTTL < 0 {
 			return fmt.Errorf("sources[%d].good: it is below 0", i)
 		}
 	}
 	if !adds {
 		return fmt.Errorf("sources: none may add")
 	}
-	if min(o.Suspect, o.FlapWindow, o.HoldMost) < 0 || min(o.FlapMost, o.MaxNodes) < 0 {
+	if min(o.SuspectHold, o.FlapWindow, o.HoldMost) < 0 || min(o.FlapMost, o.MaxNodes) < 0 {
 		return fmt.Errorf("a time or bound is below 0")
 	}
 	return nil
@@ -123,22 +123,22 @@
 
 // The events.
 type (
-	// Answered brings a source's answer to a question that was asked at Asked.
-	Answered struct {
-		Source  Source
-		Asked   Micros
-		Whole   bool // all that it holds; else what has changed
-		Entries []Entry
-	}
-	// Failed tells that a source could not be asked, or did not answer.
-	Failed struct {
+	// SourceAnswered brings a source's answer to a question that was asked at AskedAt.
+	SourceAnswered struct {
+		Source   Source
+		AskedAt  Micros
+		Complete bool // all that it holds; else what has changed
+		Entries  []Entry
+	}
+	// SourceFailed tells that a source could not be asked, or did not answer.
+	SourceFailed struct {
 		Source Source
 		Reason string
 	}
 )
 
-func (Answered) event() {}
-func (Failed) event()   {}
+func (SourceAnswered) event() {}
+func (SourceFailed) event()   {}
 
 // Node is a node as the core is told of it.
 type Node struct {
@@ -146,7 +146,7 @@
 	Reason string // why it is listed as it is
 }
 
-// Change is what the core is to be told: nodes that are new or changed, and, with State Gone, those that went.
+// Change is what the core is to be told: nodes that are new or changed, and, with State Removed, those that went.
 type Change struct{ Nodes []Node }
 
 // State merges. Use New.
@@ -218,9 +218,9 @@
 func (s *State) Reduce(now Micros, event Event) Change {
 	s.now = now
 	switch e := event.(type) {
-	case Answered:
+	case SourceAnswered:
 		s.answer(s.sources[e.Source], e)
-	case Failed:
+	case SourceFailed:
 		src := s.sources[e.Source]
 		src.reason = e.Reason
 		src.failures++
@@ -235,10 +235,10 @@
 	return Source(at), at >= 0
 }
 
-// Retune goes over to other options. A source that keeps its name keeps what it holds; one that is gone is asked no more, and
+// ApplyOptions goes over to other options. A source that keeps its name keeps what it holds; one that is gone is asked no more, and
 // what it held stays without its rights until all others have answered: there is no gap. Options that make no sense
 // change nothing.
-func (s *State) Retune(now Micros, opt Options) (Change, error) {
+func (s *State) ApplyOptions(now Micros, opt Options) (Change, error) {
 	if err := opt.Check(); err != nil {
 		return Change{}, err
 	}
@@ -263,7 +263,7 @@
 			s.touch(src)
 			continue
 		}
-		src.leaving, src.Rights = true, Rights{Add: true}
+		src.leaving, src.Permissions = true, Permissions{Add: true}
 		s.sources = append(s.sources, src)
 		s.touch(src)
 	}
@@ -272,7 +272,7 @@
 
 // Restore takes what was held before a restart. It stands until all sources have answered.
 func (s *State) Restore(now Micros, name string, entries []Entry) Change {
-	src := &source{SourceOptions: SourceOptions{Name: name, Rights: Rights{Add: true}, Good: 1}, held: map[string]held{}, names: map[string]string{}, leaving: true, answers: 1, answered: now}
+	src := &source{SourceOptions: SourceOptions{Name: name, Permissions: Permissions{Add: true}, RemovalTTL: 1}, held: map[string]held{}, names: map[string]string{}, leaving: true, answers: 1, answered: now}
 	s.sources = append(s.sources, src)
 	s.now = now
 	for _, e := range entries {
@@ -312,22 +312,22 @@
 		sooner(s.nodes[address].until)
 	}
 	for _, src := range s.sources {
-		if src.vetoes > 0 && src.answered+src.Good > s.now {
-			sooner(src.answered + src.Good)
+		if src.vetoes > 0 && src.answered+src.RemovalTTL > s.now {
+			sooner(src.answered + src.RemovalTTL)
 		}
 	}
 	return at, any
 }
 
 // answer takes what a source says. Rules 5 and 6 stand here.
-func (s *State) answer(src *source, e Answered) {
-	if e.Asked < src.asked {
+func (s *State) answer(src *source, e SourceAnswered) {
+	if e.AskedAt < src.asked {
 		src.refused++
 		return
 	}
 	src.answers++
-	src.asked, src.answered, src.reason = e.Asked, s.now, ""
-	if e.Whole {
+	src.asked, src.answered, src.reason = e.AskedAt, s.now, ""
+	if e.Complete {
 		s.whole(src, e.Entries)
 		return
 	}
@@ -335,7 +335,7 @@
 		if entry.Address == "" { // a change may name a node that goes without its address
 			entry.Address = src.names[entry.Name]
 		}
-		if entry.State == Gone {
+		if entry.State == Removed {
 			s.drop(src, entry.Address)
 		} else {
 			s.hold(src, entry)
@@ -356,7 +356,7 @@
 			continue
 		}
 		here[entry.Address] = true
-		if entry.State == Gone {
+		if entry.State == Removed {
 			s.drop(src, entry.Address)
 		} else {
 			s.hold(src, entry)
@@ -376,7 +376,7 @@
 		if src.since == 0 {
 			src.since = s.now
 		}
-		if s.now-src.since < s.opt.Suspect {
+		if s.now-src.since < s.opt.SuspectHold {
 			src.refused++
 			for _, address := range missing {
 				h := src.held[address]
@@ -396,8 +396,8 @@
 }
 
 func (s *State) hold(src *source, entry Entry) {
-	if entry.Share <= 0 {
-		entry.Share = 1
+	if entry.Capacity <= 0 {
+		entry.Capacity = 1
 	}
 	if entry.Address == "" {
 		return
@@ -435,7 +435,7 @@
 	if src.names[h.Name] == address {
 		delete(src.names, h.Name)
 	}
-	if src.Rights.Remove {
+	if src.Permissions.Remove {
 		h.removed, h.suspect, h.at = true, false, s.now
 		src.held[address] = h
 		src.vetoes++
@@ -446,7 +446,7 @@
 }
 
 // silent tells whether the source's removals no longer outweigh what others hold.
-func (s *State) silent(src *source) bool { return s.now-src.answered >= src.Good }
+func (s *State) silent(src *source) bool { return s.now-src.answered >= src.RemovalTTL }
 
 // settle marks what the passing of time has changed.
 func (s *State) settle() {
@@ -489,9 +489,9 @@
 	clear(s.dirty)
 	slices.SortStableFunc(change.Nodes, func(a, b Node) int { // who goes is told first: a name may move
 		switch {
-		case a.State == Gone && b.State != Gone:
+		case a.State == Removed && b.State != Removed:
 			return -1
-		case b.State == Gone && a.State != Gone:
+		case b.State == Removed && a.State != Removed:
 			return 1
 		}
 		return 0
@@ -509,7 +509,7 @@
 	}
 	var first *held
 	by, draining, added, any := "", "", false, false
-	born := Unknown
+	born := UnknownStart
 	for _, src := range s.sources {
 		h, holds := src.held[address]
 		if !holds || h.removed {
@@ -525,12 +525,12 @@
 				by += ", suspect: its latest answers lack it"
 			}
 		}
-		added = added || src.Rights.Add
-		if h.State == Draining && src.Rights.Drain && draining == "" {
+		added = added || src.Permissions.Add
+		if h.State == Draining && src.Permissions.Drain && draining == "" {
 			draining = src.Name
 		}
-		if born == Unknown {
-			born = h.Born
+		if born == UnknownStart {
+			born = h.LastStart
 		}
 	}
 	if !any { // nobody is overruled any more
@@ -551,7 +551,7 @@
 			return Node{}, false
 		}
 		gone := n.told
-		gone.State, gone.Reason = Gone, "no source holds it"
+		gone.State, gone.Reason = Removed, "no source holds it"
 		if vetoed != "" {
 			gone.Reason = "removed by " + vetoed
 		}
@@ -569,7 +569,7 @@
 		return Node{}, false
 	}
 	entry := first.Entry
-	entry.Born = s.bornOf(n, born, first.first)
+	entry.LastStart = s.bornOf(n, born, first.first)
 	entry.State = Ready
 	if draining != "" {
 		entry.State = Draining
@@ -593,10 +593,10 @@
 // bornOf is rule 7's sign: when a node started, as the core is to believe.
 func (s *State) bornOf(n *node, told Micros, first bool) Micros {
 	switch {
-	case told != Unknown:
+	case told != UnknownStart:
 		return told
 	case n.listed:
-		return n.told.Born
+		return n.told.LastStart
 	case n.left == 0 && first: // it was there when its source was asked first
 		return 0
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -18,8 +18,8 @@
 func newState(t testing.TB, opt Options) *State {
 	t.Helper()
 	if opt.Sources == nil {
-		all := Rights{true, true, true}
-		opt.Sources = []SourceOptions{{Name: "discovery", Rights: all}, {Name: "dns", Rights: all}}
+		all := Permissions{true, true, true}
+		opt.Sources = []SourceOptions{{Name: "discovery", Permissions: all}, {Name: "dns", Permissions: all}}
 	}
 	s, err := New(opt)
 	if err != nil {
@@ -31,7 +31,7 @@
 func entries(names ...string) []Entry {
 	var all []Entry
 	for _, n := range names {
-		all = append(all, Entry{Name: n, Address: n + ":1", Born: Unknown})
+		all = append(all, Entry{Name: n, Address: n + ":1", LastStart: UnknownStart})
 	}
 	return all
 }
@@ -56,8 +56,8 @@
 	return strings.Join(names, " ")
 }
 
-func whole(src Source, at Micros, names ...string) Answered {
-	return Answered{Source: src, Asked: at, Whole: true, Entries: entries(names...)}
+func whole(src Source, at Micros, names ...string) SourceAnswered {
+	return SourceAnswered{Source: src, AskedAt: at, Complete: true, Entries: entries(names...)}
 }
 
 // Each step of the rule, as a script.
@@ -67,17 +67,17 @@
 		event Event
 		want  string
 	}
-	drain := Answered{Source: disco, Asked: 20e6, Entries: []Entry{{Name: "a", Address: "a:1", State: Draining, Born: Unknown}}}
-	gone := Answered{Source: disco, Asked: 20e6, Entries: []Entry{{Name: "a", State: Gone}}}
+	drain := SourceAnswered{Source: disco, AskedAt: 20e6, Entries: []Entry{{Name: "a", Address: "a:1", State: Draining, LastStart: UnknownStart}}}
+	gone := SourceAnswered{Source: disco, AskedAt: 20e6, Entries: []Entry{{Name: "a", State: Removed}}}
 	for name, steps := range map[string][]step{
 		"any source adds":            {{1, whole(disco, 1, "a"), "a"}, {2, whole(dns, 2, "b"), "a b"}},
-		"failure takes nothing":      {{1, whole(dns, 1, "a", "b"), "a b"}, {2, Failed{dns, "no answer"}, "a b"}, {3600, Failed{dns, "no answer"}, "a b"}, {7200, nil, "a b"}},
+		"failure takes nothing":      {{1, whole(dns, 1, "a", "b"), "a b"}, {2, SourceFailed{dns, "no answer"}, "a b"}, {3600, SourceFailed{dns, "no answer"}, "a b"}, {7200, nil, "a b"}},
 		"nothing is never believed":  {{1, whole(dns, 1, "a"), "a"}, {2, whole(dns, 2), "a"}, {3600, whole(dns, 3600e6), "a"}},
 		"removed from DNS alone":     {{1, whole(disco, 1, "a", "b"), "a b"}, {2, whole(dns, 2e6, "a", "b"), "a b"}, {3, whole(dns, 3e6, "b"), "b"}, {4, whole(disco, 4e6, "a", "b"), "b"}},
 		"removed from discovery":     {{1, whole(dns, 1, "a", "b"), "a b"}, {2, whole(disco, 2e6, "a", "b"), "a b"}, {20, gone, "b"}, {21, whole(dns, 21e6, "a", "b"), "b"}},
 		"listed anew by the remover": {{1, whole(disco, 1, "a", "b"), "a b"}, {2, whole(dns, 2e6, "a", "b"), "a b"}, {3, whole(dns, 3e6, "b"), "b"}, {9, whole(dns, 9e6, "a", "b"), "a b"}},
 		"listed anew by another":     {{1, whole(disco, 1, "b"), "b"}, {2, whole(dns, 2e6, "a", "b"), "a b"}, {3, whole(dns, 3e6, "b"), "b"}, {4, whole(disco, 4e6, "a", "b"), "a b"}},
-		"a silent remover":           {{1, whole(disco, 1, "a", "b"), "a b"}, {2, whole(dns, 2e6, "a", "b"), "a b"}, {3, whole(dns, 3e6, "b"), "b"}, {602, Failed{dns, "x"}, "b"}, {604, nil, "a b"}},
+		"a silent remover":           {{1, whole(disco, 1, "a", "b"), "a b"}, {2, whole(dns, 2e6, "a", "b"), "a b"}, {3, whole(dns, 3e6, "b"), "b"}, {602, SourceFailed{dns, "x"}, "b"}, {604, nil, "a b"}},
 		"draining":                   {{1, whole(disco, 1, "a"), "a"}, {2, whole(dns, 2, "a"), "a"}, {20, drain, "a!"}, {21, whole(dns, 21e6, "a"), "a!"}, {22, whole(disco, 22e6, "a"), "a"}},
 		"a sudden loss is held":      {{1, whole(dns, 1, "a", "b", "c", "d"), "a b c d"}, {2, whole(dns, 2e6, "a"), "a b c d"}, {20, whole(dns, 20e6, "a"), "a b c d"}, {33, whole(dns, 33e6, "a"), "a"}},
 		"a loss that was none":       {{1, whole(dns, 1, "a", "b", "c", "d"), "a b c d"}, {2, whole(dns, 2e6, "a"), "a b c d"}, {3, whole(dns, 3e6, "a", "b", "c", "d"), "a b c d"}, {40, whole(dns, 40e6, "a"), "a b c d"}},
@@ -99,7 +99,7 @@
 // sources have.
 func TestRetuneAndRestore(t *testing.T) {
 	s := newState(t, Options{})
-	s.Restore(5e5, "snapshot", []Entry{{Name: "a", Address: "a:1", Born: 77}, {Name: "z", Address: "z:1", Born: 0}})
+	s.Restore(5e5, "snapshot", []Entry{{Name: "a", Address: "a:1", LastStart: 77}, {Name: "z", Address: "z:1", LastStart: 0}})
 	if got := listed(s); got != "a z" {
 		t.Errorf("restored %q", got)
 	}
@@ -111,11 +111,11 @@
 	if got := listed(s); got != "a b c" {
 		t.Errorf("both have answered: %q", got)
 	}
-	all := Rights{true, true, true}
-	if _, err := s.Retune(3e6, Options{}); err == nil {
+	all := Permissions{true, true, true}
+	if _, err := s.ApplyOptions(3e6, Options{}); err == nil {
 		t.Error("options without a source are taken")
 	}
-	if _, err := s.Retune(3e6, Options{Sources: []SourceOptions{{Name: "file", Rights: all}, {Name: "discovery", Rights: all}}}); err != nil {
+	if _, err := s.ApplyOptions(3e6, Options{Sources: []SourceOptions{{Name: "file", Permissions: all}, {Name: "discovery", Permissions: all}}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, known := s.SourceOf("dns"); known || listed(s) != "a b c" {
@@ -123,17 +123,17 @@
 	}
 	file, _ := s.SourceOf("file")
 	c := s.Reduce(4e6, whole(file, 4e6, "d"))
-	if got := listed(s); got != "a b d" || len(c.Nodes) != 2 || c.Nodes[0].State != Gone {
+	if got := listed(s); got != "a b d" || len(c.Nodes) != 2 || c.Nodes[0].State != Removed {
 		t.Errorf("after it: %q, %+v", got, c)
 	}
 }
 
-// Rights bound what a source does: one that may only add neither removes nor drains what others hold.
+// Permissions bound what a source does: one that may only add neither removes nor drains what others hold.
 func TestRights(t *testing.T) {
-	s := newState(t, Options{Sources: []SourceOptions{{Name: "discovery", Rights: Rights{true, true, true}}, {Name: "file", Rights: Rights{Add: true}}, {Name: "watch", Rights: Rights{Remove: true, Drain: true}}}})
+	s := newState(t, Options{Sources: []SourceOptions{{Name: "discovery", Permissions: Permissions{true, true, true}}, {Name: "file", Permissions: Permissions{Add: true}}, {Name: "watch", Permissions: Permissions{Remove: true, Drain: true}}}})
 	s.Reduce(1e6, whole(0, 1, "a", "b"))
 	s.Reduce(2e6, whole(1, 2, "a", "c"))
-	s.Reduce(3e6, Answered{Source: 1, Asked: 3, Whole: true, Entries: []Entry{{Name: "c", Address: "c:1", State: Draining}}})
+	s.Reduce(3e6, SourceAnswered{Source: 1, AskedAt: 3, Complete: true, Entries: []Entry{{Name: "c", Address: "c:1", State: Draining}}})
 	s.Reduce(4e6, whole(2, 4, "b", "d", "e"))
 	if got := listed(s); got != "a b c" {
 		t.Errorf("%q", got)
@@ -147,30 +147,30 @@
 // One address is one node, under the first source's name; a name that moves is a new node, and the old one goes first.
 func TestNames(t *testing.T) {
 	s := newState(t, Options{})
-	s.Reduce(1e6, Answered{Source: dns, Asked: 1, Whole: true, Entries: []Entry{{Name: "x.example.org", Address: "10.0.0.1:1", Born: Unknown}, {Name: "y.example.org", Address: "10.0.0.2:1", Born: Unknown}}})
-	c := s.Reduce(2e6, Answered{Source: disco, Asked: 2, Whole: true, Entries: []Entry{{Name: "s-1", Address: "10.0.0.1:1", Born: 7}}})
-	if got := listed(s); got != "x.example.org y.example.org" || len(c.Nodes) != 1 || c.Nodes[0].Born != 7 {
+	s.Reduce(1e6, SourceAnswered{Source: dns, AskedAt: 1, Complete: true, Entries: []Entry{{Name: "x.example.org", Address: "10.0.0.1:1", LastStart: UnknownStart}, {Name: "y.example.org", Address: "10.0.0.2:1", LastStart: UnknownStart}}})
+	c := s.Reduce(2e6, SourceAnswered{Source: disco, AskedAt: 2, Complete: true, Entries: []Entry{{Name: "s-1", Address: "10.0.0.1:1", LastStart: 7}}})
+	if got := listed(s); got != "x.example.org y.example.org" || len(c.Nodes) != 1 || c.Nodes[0].LastStart != 7 {
 		t.Errorf("%q, %+v", got, c)
 	}
-	c = s.Reduce(3e6, Answered{Source: dns, Asked: 3e6, Whole: true, Entries: []Entry{{Name: "x.example.org", Address: "10.0.0.1:1", Born: Unknown}, {Name: "y.example.org", Address: "10.0.0.3:1", Born: Unknown}}})
-	if len(c.Nodes) != 2 || c.Nodes[0].State != Gone || c.Nodes[0].Address != "10.0.0.2:1" || c.Nodes[1].Address != "10.0.0.3:1" || c.Nodes[1].Born != 3e6 {
+	c = s.Reduce(3e6, SourceAnswered{Source: dns, AskedAt: 3e6, Complete: true, Entries: []Entry{{Name: "x.example.org", Address: "10.0.0.1:1", LastStart: UnknownStart}, {Name: "y.example.org", Address: "10.0.0.3:1", LastStart: UnknownStart}}})
+	if len(c.Nodes) != 2 || c.Nodes[0].State != Removed || c.Nodes[0].Address != "10.0.0.2:1" || c.Nodes[1].Address != "10.0.0.3:1" || c.Nodes[1].LastStart != 3e6 {
 		t.Errorf("%+v", c)
 	}
 }
 
 // A node that returns is new unless its source tells its start; one that flaps returns later and later, and goes at once.
 func TestReturns(t *testing.T) {
-	s := newState(t, Options{Sources: []SourceOptions{{Name: "dns", Rights: Rights{true, true, true}}}})
+	s := newState(t, Options{Sources: []SourceOptions{{Name: "dns", Permissions: Permissions{true, true, true}}}})
 	s.Reduce(1e6, whole(0, 1, "a", "b"))
 	nodes, _ := s.List()
-	if nodes[0].Born != 0 {
-		t.Errorf("born %d", nodes[0].Born)
+	if nodes[0].LastStart != 0 {
+		t.Errorf("born %d", nodes[0].LastStart)
 	}
 	now, back := Micros(1e6), 0
 	var waits []Micros
 	for range 6 {
 		now += 1e6
-		if c := s.Reduce(now, whole(0, now, "b")); len(c.Nodes) != 1 || c.Nodes[0].State != Gone {
+		if c := s.Reduce(now, whole(0, now, "b")); len(c.Nodes) != 1 || c.Nodes[0].State != Removed {
 			t.Fatalf("at %d it did not go: %+v", now, c)
 		}
 		now += 1e6
@@ -184,8 +184,8 @@
 			now = at
 			c = s.Reduce(now, nil)
 		}
-		if c.Nodes[0].Born != now {
-			t.Errorf("born %d, back at %d", c.Nodes[0].Born, now)
+		if c.Nodes[0].LastStart != now {
+			t.Errorf("born %d, back at %d", c.Nodes[0].LastStart, now)
 		}
 		back++
 		waits = append(waits, now-came)
@@ -199,8 +199,8 @@
 // changes told add up to the list; and what is remembered stays bounded.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := Rights{true, true, true}
-		s, err := New(Options{Sources: []SourceOptions{{Name: "a", Rights: all}, {Name: "b", Rights: all}, {Name: "c", Rights: Rights{Add: true}}}})
+		all := Permissions{true, true, true}
+		s, err := New(Options{Sources: []SourceOptions{{Name: "a", Permissions: all}, {Name: "b", Permissions: all}, {Name: "c", Permissions: Permissions{Add: true}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,7 +214,7 @@
 			kind := rapid.IntRange(0, 5).Draw(t, "kind")
 			switch kind {
 			case 0:
-				event = Failed{src, "x"}
+				event = SourceFailed{src, "x"}
 			case 1:
 				event = nil
 			case 2:
@@ -231,10 +231,10 @@
 					}
 					es = append(es, e)
 				}
-				event, takes = Answered{Source: src, Asked: now, Whole: true, Entries: es}, true
+				event, takes = SourceAnswered{Source: src, AskedAt: now, Complete: true, Entries: es}, true
 			}
 			for _, n := range s.Reduce(now, event).Nodes {
-				if n.State == Gone {
+				if n.State == Removed {
 					if told[n.Name].Address != n.Address {
 						t.Fatalf("%s goes and was not there", n.Address)
 					}
@@ -250,7 +250,7 @@
 					}
 				}
 			}
-			if answer, is := event.(Answered); is && takes && src < 2 {
+			if answer, is := event.(SourceAnswered); is && takes && src < 2 {
 				for address, h := range s.sources[src].held {
 					if n := s.nodes[address]; h.removed && n != nil && n.listed && !slices.ContainsFunc(s.sources, func(o *source) bool {
 						other, holds := o.held[address]
@@ -284,7 +284,7 @@
 
 // Ten thousand nodes replaced within 10 s: each change is told once, none twice, and nothing of the old is kept.
 func TestReplacedByTheThousand(t *testing.T) {
-	s := newState(t, Options{Sources: []SourceOptions{{Name: "dns", Rights: Rights{true, true, true}}}})
+	s := newState(t, Options{Sources: []SourceOptions{{Name: "dns", Permissions: Permissions{true, true, true}}}})
 	s.Reduce(1e6, whole(0, 1, numbered(0, 10_000)...))
 	now, told := Micros(1e6), 0
 	for i := range 100 {
@@ -302,8 +302,8 @@
 }
 
 func TestOptions(t *testing.T) {
-	for _, o := range []Options{{}, {Sources: []SourceOptions{{}}}, {Sources: []SourceOptions{{Name: "a"}}}, {Sources: []SourceOptions{{Name: "a", Rights: Rights{Add: true}}, {Name: "a"}}},
-		{Sources: []SourceOptions{{Name: "a", Rights: Rights{Add: true}, Good: -1}}}, {Sources: []SourceOptions{{Name: "a", Rights: Rights{Add: true}}}, Suspect: -1}} {
+	for _, o := range []Options{{}, {Sources: []SourceOptions{{}}}, {Sources: []SourceOptions{{Name: "a"}}}, {Sources: []SourceOptions{{Name: "a", Permissions: Permissions{Add: true}}, {Name: "a"}}},
+		{Sources: []SourceOptions{{Name: "a", Permissions: Permissions{Add: true}, RemovalTTL: -1}}}, {Sources: []SourceOptions{{Name: "a", Permissions: Permissions{Add: true}}}, SuspectHold: -1}} {
 		if _, err := New(o); err == nil {
 			t.Errorf("%+v is taken", o)
 		}
@@ -317,13 +317,13 @@
 		all := entries(names...)
 		b.Run(fmt.Sprintf("change/n=%d", n), func(b *testing.B) {
 			s := newState(b, Options{})
-			s.Reduce(1, Answered{Source: disco, Asked: 1, Whole: true, Entries: all})
+			s.Reduce(1, SourceAnswered{Source: disco, AskedAt: 1, Complete: true, Entries: all})
 			b.ReportAllocs()
 			now := Micros(1)
 			for i := 0; b.Loop(); i++ {
 				now += 1e9
 				state := Health(i % 2)
-				s.Reduce(now, Answered{Source: disco, Asked: now, Entries: []Entry{{Name: "x", Address: "x:1", State: state, Born: Unknown}}})
+				s.Reduce(now, SourceAnswered{Source: disco, AskedAt: now, Entries: []Entry{{Name: "x", Address: "x:1", State: state, LastStart: UnknownStart}}})
 			}
 		})
 		b.Run(fmt.Sprintf("whole/n=%d", n), func(b *testing.B) {
@@ -332,15 +332,15 @@
 			now := Micros(1)
 			for i := 0; b.Loop(); i++ {
 				now += 1e9
-				all[n/2].Share = float64(1 + i%2)
-				s.Reduce(now, Answered{Source: disco, Asked: now, Whole: true, Entries: all})
+				all[n/2].Capacity = float64(1 + i%2)
+				s.Reduce(now, SourceAnswered{Source: disco, AskedAt: now, Complete: true, Entries: all})
 			}
 		})
 		b.Run(fmt.Sprintf("anew/n=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				s := newState(b, Options{})
-				s.Reduce(1, Answered{Source: disco, Asked: 1, Whole: true, Entries: all})
+				s.Reduce(1, SourceAnswered{Source: disco, AskedAt: 1, Complete: true, Entries: all})
 			}
 		})
 	}
