--- a/middleware/answers_test.go
+++ b/middleware/answers_test.go
@@ -11,16 +11,16 @@
 func TestAnswerTexts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		final broker.Final
+		final broker.Response
 		late  bool
 		code  int
 		text  string
 		after string
 	}{
-		{"refused without advice", broker.Final{Verdict: broker.Refused}, false, 503, "busy\n", "1"},
-		{"refused, advice is rounded up", broker.Final{Verdict: broker.Refused, After: 2*broker.Second + 1}, true, 503, "busy\n", "3"},
-		{"failed in time", broker.Final{Verdict: broker.Failed}, false, 502, "failed: it may or may not have run\n", ""},
-		{"failed late", broker.Final{Verdict: broker.Failed}, true, 504, "no answer in time\n", ""},
+		{"refused without advice", broker.Response{Verdict: broker.Rejected}, false, 503, "busy\n", "1"},
+		{"refused, advice is rounded up", broker.Response{Verdict: broker.Rejected, RetryAfter: 2*broker.Second + 1}, true, 503, "busy\n", "3"},
+		{"failed in time", broker.Response{Verdict: broker.Failed}, false, 502, "failed: it may or may not have run\n", ""},
+		{"failed late", broker.Response{Verdict: broker.Failed}, true, 504, "no answer in time\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := httptest.NewRecorder()
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,5 +1,5 @@
 // Package middleware puts the broker's core before net/http handlers. The core decides when a request runs
-// and for which storage node; a handler finds that node with NodeOf.
+// and for which storage node; a handler finds that node with NodeFromContext.
 package middleware
 
 import (
@@ -32,8 +32,8 @@
 
 type attemptKey struct{}
 
-// NodeOf returns the node of the attempt that a handler runs.
-func NodeOf(ctx context.Context) (Node, bool) {
+// NodeFromContext returns the node of the attempt that a handler runs.
+func NodeFromContext(ctx context.Context) (Node, bool) {
 	a, ok := ctx.Value(attemptKey{}).(*attempt)
 	if !ok {
 		return Node{}, false
@@ -41,9 +41,9 @@
 	return a.node, true
 }
 
-// NotRun tells the core that the attempt has had no effect, so that even an unsafe request may go elsewhere.
+// MarkNotExecuted tells the core that the attempt has had no effect, so that even an unsafe request may go elsewhere.
 // A handler calls it when, say, its node refused the connection.
-func NotRun(ctx context.Context) {
+func MarkNotExecuted(ctx context.Context) {
 	if a, ok := ctx.Value(attemptKey{}).(*attempt); ok {
 		a.notRun.Store(true)
 	}
@@ -69,24 +69,24 @@
 		http.Error(w, "the body can't be read or is too large", http.StatusRequestEntityTooLarge)
 		return
 	}
-	req.Via, req.Message = &runner{next: next, request: r, body: body}, nil
-	began, finals := time.Now(), make(chan broker.Final, 1)
-	id := loop.Submit(req, func(f broker.Final) { finals <- f })
+	req.Transport, req.Message = &runner{next: next, request: r, body: body}, nil
+	began, finals := time.Now(), make(chan broker.Response, 1)
+	id := loop.Submit(req, func(f broker.Response) { finals <- f })
 	select {
 	case f := <-finals:
-		answer(w, f, time.Since(began) >= req.Wait.Duration())
+		answer(w, f, time.Since(began) >= req.Timeout.Duration())
 	case <-r.Context().Done():
-		loop.Leave(id)
+		loop.Cancel(id)
 	}
 }
 
 // answer words a final answer.
-func answer(w http.ResponseWriter, f broker.Final, late bool) {
+func answer(w http.ResponseWriter, f broker.Response, late bool) {
 	switch {
 	case f.Verdict == broker.Served:
 		f.Value.(*recorder).copyTo(w)
-	case f.Verdict == broker.Refused:
-		after := max(1, (f.After+broker.Second-1)/broker.Second)
+	case f.Verdict == broker.Rejected:
+		after := max(1, (f.RetryAfter+broker.Second-1)/broker.Second)
 		w.Header().Set("Retry-After", strconv.FormatInt(int64(after), 10))
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 	case late:
@@ -128,8 +128,8 @@
 		if !run.begin() {
 			return
 		}
-		if a.Written != nil {
-			a.Written()
+		if a.OnWritten != nil {
+			a.OnWritten()
 		}
 		result := t.run(context.WithValue(ctx, attemptKey{}, run), run)
 		if run.finish() {
@@ -140,13 +140,13 @@
 }
 
 func (t *runner) run(ctx context.Context, a *attempt) (result broker.Result) {
-	result = broker.Result{Reply: broker.Errored, Load: scheduler.NoLoadReport}
+	result = broker.Result{Reply: broker.ReplyError, Load: scheduler.NoLoadReport}
 	defer func() {
 		if p := recover(); p != nil { // a handler's fault ends its request only
-			result.Err = &broker.AttemptError{Progress: broker.WrittenWhole, Err: fmt.Errorf("panic: %v", p)}
+			result.Err = &broker.AttemptError{Progress: broker.FullyWritten, Err: fmt.Errorf("panic: %v", p)}
 		}
 		if a.notRun.Load() {
-			result = broker.Result{Reply: broker.TurnedAway, Load: scheduler.NoLoadReport}
+			result = broker.Result{Reply: broker.ReplyRejected, Load: scheduler.NoLoadReport}
 		}
 	}()
 	r := t.request.Clone(ctx)
@@ -154,7 +154,7 @@
 	rec := &recorder{header: http.Header{}, code: http.StatusOK}
 	t.next.ServeHTTP(rec, r)
 	if rec.code < http.StatusInternalServerError && !rec.full {
-		result.Reply, result.Value = broker.Done, rec
+		result.Reply, result.Value = broker.ReplyOK, rec
 	}
 	return result
 }
@@ -189,16 +189,16 @@
 	a.over = true
 	a.cancel()
 	if a.begun {
-		return broker.WrittenWhole
+		return broker.FullyWritten
 	}
 	return broker.NotConnected
 }
 
-// Halt implements broker.Handle. A handler's own sending ends with its context, at the deadline at the latest.
-func (a *attempt) Halt() {}
+// StopSending implements broker.Handle. A handler's own sending ends with its context, at the deadline at the latest.
+func (a *attempt) StopSending() {}
 
-// Abandon implements broker.Handle. A handler runs from its start on, so that there is nothing left to bar.
-func (a *attempt) Abandon() {}
+// CancelUnlessWritten implements broker.Handle. A handler runs from its start on, so that there is nothing left to bar.
+func (a *attempt) CancelUnlessWritten() {}
 
 // recorder holds a handler's answer until it is final.
 type recorder struct {
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		panic(err)
 	}
-	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Outside{})
-	loop.Post(broker.Listed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
+	loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{
 		{Endpoint: scheduler.Endpoint{Name: "n1"}, Address: "192.0.2.1:80"}}})
 	go loop.Run(ctx)
 	return loop
@@ -46,8 +46,8 @@
 	if strings.HasPrefix(r.URL.Path, "/elsewhere") {
 		shard = 9
 	}
-	return &broker.Request{Class: class, Plan: "plan", Key: r.URL.Path, Volume: "v", Units: 1, Shard: shard, Hosts: 1,
-		Wait: broker.Second / 2, Write: class == "write"}, nil
+	return &broker.Request{Class: class, Plan: "plan", Key: r.URL.Path, Volume: "v", Units: 1, Shard: shard, Brokers: 1,
+		Timeout: broker.Second / 2, Write: class == "write"}, nil
 }
 
 func Example() {
@@ -56,7 +56,7 @@
 	router := chi.NewRouter()
 	router.Use(middleware.New(newLoop(ctx), classify))
 	router.Get("/lessons/{id}", func(w http.ResponseWriter, r *http.Request) {
-		node, _ := middleware.NodeOf(r.Context())
+		node, _ := middleware.NodeFromContext(r.Context())
 		fmt.Fprintf(w, "lesson %s from %s", chi.URLParam(r, "id"), node.Name)
 	})
 	w := httptest.NewRecorder()
@@ -85,7 +85,7 @@
 		{"an unsafe request does not", "POST", "/", func(int32, http.ResponseWriter, *http.Request) { panic("lost") }, 502, 1},
 		{"unless it had no effect", "POST", "/", func(run int32, w http.ResponseWriter, r *http.Request) {
 			if run == 1 {
-				middleware.NotRun(r.Context())
+				middleware.MarkNotExecuted(r.Context())
 			}
 			io.Copy(w, r.Body)
 		}, 200, 2},
@@ -133,7 +133,7 @@
 	go func() { <-began; leave() }()
 	h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest("POST", "/", nil).WithContext(gone))
 	<-ended
-	for end := time.Now().Add(5 * time.Second); loop.Open() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); loop.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the core still holds the request")
 		}
