--- a/clusterconfig/holder.go
+++ b/clusterconfig/holder.go
@@ -7,15 +7,15 @@
 
 // Timing is what all members of an installation share.
 type Timing struct {
-	Lease Micros // for how long a broker acts on a version after it asked for a renewal that was granted
-	Drift Micros // by how much two clocks may differ after a second, in µs
+	Lease    Micros // for how long a broker acts on a version after it asked for a renewal that was granted
+	DriftPPM Micros // by how much two clocks may differ after a second, in µs
 }
 
 // DefaultTiming restricts a broker that is cut off after a second, so that a change waits for no longer than about that.
-var DefaultTiming = Timing{Lease: 1_000_000, Drift: 500}
+var DefaultTiming = Timing{Lease: 1_000_000, DriftPPM: 500}
 
 // Outlasts is a span after which, on one clock, a lease has run out on any other.
-func (t Timing) Outlasts(lease Micros) Micros { return lease + 2*lease*t.Drift/1_000_000 + 1 }
+func (t Timing) Outlasts(lease Micros) Micros { return lease + 2*lease*t.DriftPPM/1_000_000 + 1 }
 
 // Renewal asks for a lease.
 type Renewal struct {
--- a/clusterconfig/sim_test.go
+++ b/clusterconfig/sim_test.go
@@ -29,7 +29,7 @@
 }
 
 // Clocks here run 2.5% fast or slow, so that a second shows what a day would.
-var testTiming = Timing{Lease: 300_000, Drift: 50_000}
+var testTiming = Timing{Lease: 300_000, DriftPPM: 50_000}
 
 // sim is a cluster on one true time axis: holders, a leader, and the log that outlives leaders. The consensus under it is an oracle
 // that keeps its own promises: what it commits stays, and no leader begins before the one before it has lost its confirmation.
--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -123,13 +123,13 @@
 			fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%.12s\n", e.Version, e.Proposal.Author, e.Proposal.Reason, strings.Join(changes, " "), e.Hash)
 		}
 	case "diff":
-		var changes []agreement.Change
+		var changes []agreement.Difference
 		if err := json.Unmarshal(text, &changes); err != nil {
 			return err
 		}
 		fmt.Fprintln(table, "KEY\tTHEN\tNOW")
 		for _, c := range changes {
-			fmt.Fprintf(table, "%s\t%s\t%s\n", c.Key, c.Then, c.Now)
+			fmt.Fprintf(table, "%s\t%s\t%s\n", c.Key, c.Old, c.New)
 		}
 	case "status", "members":
 		var s agreement.Status
@@ -137,8 +137,8 @@
 			return err
 		}
 		fmt.Fprintf(table, "name\t%s, %s\nversion\t%d", s.Name, s.Role, s.Version)
-		if s.Preparing > 0 {
-			fmt.Fprintf(table, ", %d is under way", s.Preparing)
+		if s.PendingVersion > 0 {
+			fmt.Fprintf(table, ", %d is under way", s.PendingVersion)
 		}
 		fmt.Fprintln(table)
 		if s.Restricted {
@@ -151,7 +151,7 @@
 			is  bool
 			val any
 		}{{"hears by", s.Parent != "", strings.Join(s.Path, " > ")}, {"feeds", len(s.Children) > 0, strings.Join(s.Children, " ")}, {"leader", s.Leader != "", fmt.Sprintf("%s, term %d", s.Leader, s.Term)},
-			{"voters", len(s.Voters) > 0, s.Voters}, {"fault", s.Fault != "", s.Fault}, {"waits for", len(s.Waits) > 0, s.Waits}, {"behind", len(s.Behind) > 0, s.Behind}} {
+			{"voters", len(s.Voters) > 0, s.Voters}, {"fault", s.Fault != "", s.Fault}, {"waits for", len(s.WaitingFor) > 0, s.WaitingFor}, {"behind", len(s.Lagging) > 0, s.Lagging}} {
 			if line.is {
 				fmt.Fprintf(table, "%s\t%v\n", line.key, line.val)
 			}
--- a/internal/agreement/agreement_test.go
+++ b/internal/agreement/agreement_test.go
@@ -87,7 +87,7 @@
 func TestEffective(t *testing.T) {
 	set := scheduler.Settings{Classes: []scheduler.Class{{Name: "read"}, {Name: "write", Idempotency: scheduler.NotIdempotent}, {Name: "new"}},
 		Plans: []scheduler.Plan{{Name: "gold", Limit: 900}, {Name: "free", Limit: 70}, {Name: "all"}}}
-	timing := clusterconfig.Timing{Lease: 1000, Drift: 500}
+	timing := clusterconfig.Timing{Lease: 1000, DriftPPM: 500}
 	h := clusterconfig.NewHolder("h", 1, timing, rulesOf(limits))
 	r := h.Renew(10)
 	doc := document(t, changesTo(&clusterconfig.Document{}, valuesOf(scheduler.Settings{Classes: set.Classes[:2], Plans: set.Plans}, limits))...)
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -18,30 +18,30 @@
 
 // Status is what `junctionwharf agree status` tells.
 type Status struct {
-	Name         string            `json:"name"`
-	Role         string            `json:"role"` // leader, voter or follower
-	Epoch        uint64            `json:"epoch"`
-	Version      uint64            `json:"version"`
-	Preparing    uint64            `json:"preparing,omitempty"`
-	Restricted   bool              `json:"restricted"`
-	RestrictedMS int64             `json:"restricted_ms,omitempty"`
-	LeaseLeftMS  int64             `json:"lease_left_ms"`
-	Parent       string            `json:"parent,omitempty"`
-	Path         []string          `json:"path,omitempty"`
-	Children     []string          `json:"children,omitempty"`
-	Voters       map[string]string `json:"voters,omitempty"` // by name: connected or not
-	Leader       string            `json:"leader,omitempty"`
-	Term         uint64            `json:"term,omitempty"`
-	Fault        string            `json:"fault,omitempty"`
-	Waits        []string          `json:"waits,omitempty"`  // brokers for which the change under way waits; the leader's
-	Behind       map[string]uint64 `json:"behind,omitempty"` // brokers that do not act on the version in force; the leader's
+	Name           string            `json:"name"`
+	Role           string            `json:"role"` // leader, voter or follower
+	Epoch          uint64            `json:"epoch"`
+	Version        uint64            `json:"version"`
+	PendingVersion uint64            `json:"preparing,omitempty"`
+	Restricted     bool              `json:"restricted"`
+	RestrictedMS   int64             `json:"restricted_ms,omitempty"`
+	LeaseLeftMS    int64             `json:"lease_left_ms"`
+	Parent         string            `json:"parent,omitempty"`
+	Path           []string          `json:"path,omitempty"`
+	Children       []string          `json:"children,omitempty"`
+	Voters         map[string]string `json:"voters,omitempty"` // by name: connected or not
+	Leader         string            `json:"leader,omitempty"`
+	Term           uint64            `json:"term,omitempty"`
+	Fault          string            `json:"fault,omitempty"`
+	WaitingFor     []string          `json:"waits,omitempty"`  // brokers for which the change under way waits; the leader's
+	Lagging        map[string]uint64 `json:"behind,omitempty"` // brokers that do not act on the version in force; the leader's
 }
 
-// Calls are the words of an operator's call.
-const Calls = "status, members, history [N], diff VERSION, export, propose JSON, rollback VERSION AUTHOR REASON"
+// CommandUsage are the words of an operator's call.
+const CommandUsage = "status, members, history [N], diff VERSION, export, propose JSON, rollback VERSION AUTHOR REASON"
 
-// Call answers an operator's call with JSON; an error has {"error": ..., "kind": ...}.
-func (s *Service) Call(line string) []byte {
+// HandleCommand answers an operator's call with JSON; an error has {"error": ..., "kind": ...}.
+func (s *Service) HandleCommand(line string) []byte {
 	word, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	a := ask{Call: word}
 	var err error
@@ -75,7 +75,7 @@
 		a.Version, err = strconv.ParseUint(parts[0], 10, 64)
 		a.Proposal = &clusterconfig.Proposal{Author: parts[1], Reason: parts[2]}
 	default:
-		return failure("invalid", fmt.Sprintf("unknown call %q: %s", word, Calls))
+		return failure("invalid", fmt.Sprintf("unknown call %q: %s", word, CommandUsage))
 	}
 	if err != nil {
 		return failure("invalid", err.Error())
@@ -135,7 +135,7 @@
 	now := s.now()
 	s.mu.Lock()
 	view := s.holder.View(now)
-	st := Status{Name: s.o.Name, Role: "follower", Epoch: s.holder.Document().Epoch, Version: view.Version, Preparing: view.Preparing, Restricted: view.Restricted,
+	st := Status{Name: s.o.Name, Role: "follower", Epoch: s.holder.Document().Epoch, Version: view.Version, PendingVersion: view.Preparing, Restricted: view.Restricted,
 		LeaseLeftMS: s.holder.LeaseLeft(now) / 1000}
 	if view.Restricted {
 		st.RestrictedMS = (now - s.holder.RestrictedSince()) / 1000
@@ -151,7 +151,7 @@
 	if v := s.voter; v != nil {
 		leader, term := v.Status()
 		st.Role, st.Leader, st.Term, st.Voters = "voter", s.ids[leader], term, map[string]string{}
-		for _, m := range s.o.Members {
+		for _, m := range s.o.Voters {
 			switch {
 			case m.Name == s.o.Name:
 				st.Voters[m.Name] = "self"
@@ -171,17 +171,17 @@
 		}
 		if v.Leads() {
 			st.Role = "leader"
-			st.Waits, st.Behind = v.Keeper().Waits(now), v.Keeper().Behind(now)
+			st.WaitingFor, st.Lagging = v.Keeper().Waits(now), v.Keeper().Behind(now)
 		}
 	}
 	return st
 }
 
-// Change is a line of a diff.
-type Change struct {
-	Key  string `json:"key"`
-	Then string `json:"then"`
-	Now  string `json:"now"`
+// Difference is a line of a diff.
+type Difference struct {
+	Key string `json:"key"`
+	Old string `json:"then"`
+	New string `json:"now"`
 }
 
 // answer is the leader's.
@@ -206,10 +206,10 @@
 		say(record.Trail[len(record.Trail)-n:], nil)
 	case "diff":
 		then, err := record.At(a.Version)
-		var changes []Change
+		var changes []Difference
 		if err == nil {
 			for _, c := range then.Back(record.Doc, "", "").Changes {
-				changes = append(changes, Change{c.Key, then.Values[c.Key], c.Value})
+				changes = append(changes, Difference{c.Key, then.Values[c.Key], c.Value})
 			}
 		}
 		say(changes, err)
--- a/internal/agreement/console_golden_test.go
+++ b/internal/agreement/console_golden_test.go
@@ -47,16 +47,16 @@
 
 // Operators' programs read the answers of the console's agree calls as JSON: their bytes stay the same.
 func TestConsoleAnswerBytes(t *testing.T) {
-	status := Status{Name: "n1", Role: "leader", Epoch: 5, Version: 9, Preparing: 10, Restricted: true, RestrictedMS: 1500, LeaseLeftMS: -3,
+	status := Status{Name: "n1", Role: "leader", Epoch: 5, Version: 9, PendingVersion: 10, Restricted: true, RestrictedMS: 1500, LeaseLeftMS: -3,
 		Parent: "n0", Path: []string{"n1", "n0"}, Children: []string{"n2", "n3"}, Voters: map[string]string{"n0": "connected", "n1": "self"},
-		Leader: "n1", Term: 4, Fault: "disk full", Waits: []string{"n4"}, Behind: map[string]uint64{"n5": 8}}
+		Leader: "n1", Term: 4, Fault: "disk full", WaitingFor: []string{"n4"}, Lagging: map[string]uint64{"n5": 8}}
 	entry := clusterconfig.Entry{Version: 2, Proposal: clusterconfig.Proposal{Expected: 1, Author: "a", Reason: "r",
 		Changes: []clusterconfig.Change{{Key: "plan.gold.limit", Value: "120"}}}, Before: "00ff", Hash: "ff00"}
 	document := &clusterconfig.Document{Epoch: 5, Version: 2, Values: map[string]string{"plan.gold.limit": "120"}, Last: entry}
 	checkAnswer(t, "status.json", status, &Status{})
 	checkAnswer(t, "status-least.json", Status{}, &Status{})
 	checkAnswer(t, "history.json", []clusterconfig.Entry{entry}, &[]clusterconfig.Entry{})
-	checkAnswer(t, "diff.json", []Change{{Key: "plan.gold.limit", Then: "100", Now: "120"}}, &[]Change{})
+	checkAnswer(t, "diff.json", []Difference{{Key: "plan.gold.limit", Old: "100", New: "120"}}, &[]Difference{})
 	checkAnswer(t, "change.json", entry, &clusterconfig.Entry{}) // of propose and rollback
 	checkAnswer(t, "export.json", document.Clone(), &clusterconfig.Document{})
 	var refused map[string]string
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -180,16 +180,16 @@
 	add("export", doc)
 	add("export empty", &clusterconfig.Document{})
 	add("history", []clusterconfig.Entry{first, next})
-	add("diff", []Change{{Key: "k", Then: "a", Now: "b"}})
+	add("diff", []Difference{{Key: "k", Old: "a", New: "b"}})
 	add("status follower", Status{Name: "a", Role: "follower"})
-	add("status", Status{Name: "a", Role: "leader", Epoch: 5, Version: 1, Preparing: 2, Restricted: true, RestrictedMS: 3, LeaseLeftMS: 4, Parent: "p", Path: []string{"v0", "p"},
-		Children: []string{"c"}, Voters: map[string]string{"v0": "self", "v1": "connected"}, Leader: "v0", Term: 6, Fault: "f", Waits: []string{"w"}, Behind: map[string]uint64{"b": 1}})
+	add("status", Status{Name: "a", Role: "leader", Epoch: 5, Version: 1, PendingVersion: 2, Restricted: true, RestrictedMS: 3, LeaseLeftMS: 4, Parent: "p", Path: []string{"v0", "p"},
+		Children: []string{"c"}, Voters: map[string]string{"v0": "self", "v1": "connected"}, Leader: "v0", Term: 6, Fault: "f", WaitingFor: []string{"w"}, Lagging: map[string]uint64{"b": 1}})
 	answers["failure"] = strings.TrimSpace(string(failure("invalid", "a \"fault\"")))
 	s := &Service{}
 	for _, call := range []string{"", "unknown", "rollback 1 ana", "rollback x ana why", "history x", "history 99999999999", "diff x", "diff -1", "propose", "propose {", "propose 5", "propose [1]",
 		`propose "a"`, `propose {"expected":"1"}`, `propose {"expected":-1}`, `propose {"expected":1.5}`, `propose {"author":5}`, `propose {"reason":[]}`, `propose {"changes":5}`, `propose {"changes":{}}`, `propose {"changes":[5]}`,
 		`propose {"changes":["a"]}`, `propose {"changes":[{"key":5}]}`, `propose {"changes":[{"value":true}]}`, `propose {"changes":[{"key":{}}]}`, `propose {"author":"a"`} {
-		answers["call "+call] = strings.TrimSpace(string(s.Call(call)))
+		answers["call "+call] = strings.TrimSpace(string(s.HandleCommand(call)))
 	}
 	rules := rulesOf(limits)
 	err := record.Doc.Check(rules, clusterconfig.Proposal{Expected: 3, Changes: []clusterconfig.Change{{Key: "plan.free.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "9"}, {Key: "plan.gold.limit", Value: "x"},
@@ -258,8 +258,8 @@
 
 // Two brokers agree only if they have set lease, limits and members alike; each says what it has set as one text, which both compare.
 func TestGoldenTerms(t *testing.T) {
-	s, err := New(Options{Name: "n", Timing: clusterconfig.DefaultTiming, Limits: map[string]float64{"gold": 100, "free": 2.5},
-		Members: []Member{{"v0", "127.0.0.1:1"}, {"v1", "127.0.0.1:2"}}}, scheduler.Settings{}, nil, nil)
+	s, err := New(Options{Name: "n", Timing: clusterconfig.DefaultTiming, LimitFloors: map[string]float64{"gold": 100, "free": 2.5},
+		Voters: []Voter{{"v0", "127.0.0.1:1"}, {"v1", "127.0.0.1:2"}}}, scheduler.Settings{}, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,7 +275,7 @@
 	if missing := untagged(reflect.TypeFor[frame](), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
 		t.Errorf("no tag: %v", missing)
 	}
-	for _, value := range []any{clusterconfig.Document{}, clusterconfig.Entry{}, clusterconfig.Proposal{}, Status{}, Change{}} {
+	for _, value := range []any{clusterconfig.Document{}, clusterconfig.Entry{}, clusterconfig.Proposal{}, Status{}, Difference{}} {
 		if missing := untagged(reflect.TypeOf(value), map[reflect.Type]bool{}, "json"); len(missing) > 0 {
 			t.Errorf("no tag: %v", missing)
 		}
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -31,26 +31,26 @@
 	"junctionwharf/scheduler"
 )
 
-// Member is a broker that votes.
-type Member struct {
+// Voter is a broker that votes.
+type Voter struct {
 	Name    string
 	Address string
 }
 
 // Options is what a broker is told.
 type Options struct {
-	Name    string
-	Cluster string
-	Listen  string // where others reach it; empty: it feeds nobody
-	Local   net.IP // the address from which it connects, nil for the system's choice
-	Members []Member
-	Dir     string // of a disk that lasts, for a voter's state; empty for none
-	Timing  clusterconfig.Timing
-	Limits  map[string]float64 // floors of the plans whose limit is agreed on
-	Feeds   int                // brokers that attach to this one at the most
-	Seed    uint64
-	Now     func() broker.Micros
-	Log     *slog.Logger
+	Name          string
+	Cluster       string
+	ListenAddress string // where others reach it; empty: it feeds nobody
+	LocalIP       net.IP // the address from which it connects, nil for the system's choice
+	Voters        []Voter
+	DataDir       string // of a disk that lasts, for a voter's state; empty for none
+	Timing        clusterconfig.Timing
+	LimitFloors   map[string]float64 // floors of the plans whose limit is agreed on
+	MaxChildren   int                // brokers that attach to this one at the most
+	Seed          uint64
+	Now           func() broker.Micros
+	Log           *slog.Logger
 }
 
 // The times of the driver.
@@ -136,28 +136,28 @@
 }
 
 func (o Options) member(name string) bool {
-	return slices.ContainsFunc(o.Members, func(m Member) bool { return m.Name == name })
+	return slices.ContainsFunc(o.Voters, func(m Voter) bool { return m.Name == name })
 }
 
 // New returns a service that listens, and takes part once it runs.
 func New(o Options, set scheduler.Settings, post func(broker.Event), wake func()) (*Service, error) {
-	s := &Service{o: o, rules: rulesOf(o.Limits), votes: o.member(o.Name), calls: make(chan func(), mostCalls),
+	s := &Service{o: o, rules: rulesOf(o.LimitFloors), votes: o.member(o.Name), calls: make(chan func(), mostCalls),
 		done: make(chan struct{}), wake: wake, post: post, set: set, list: newList(), random: rand.New(rand.NewPCG(o.Seed, uint64(time.Now().UnixNano()))),
 		ids: map[uint64]string{}, dialed: map[string]*link{}, voters: map[string]*link{}, children: map[string]*link{}, routes: map[string]route{},
 		asked: map[uint64]func(reply){}, wants: map[string]wanted{}}
-	s.terms = fmt.Sprint(o.Timing, slices.Sorted(maps.Keys(o.Limits)), o.Limits, o.Members)
+	s.terms = fmt.Sprint(o.Timing, slices.Sorted(maps.Keys(o.LimitFloors)), o.LimitFloors, o.Voters)
 	s.holder = clusterconfig.NewHolder(o.Name, s.random.Uint64(), o.Timing, s.rules)
 	s.askNo = s.random.Uint64() >> 1
 	if s.votes {
-		if o.Listen == "" {
+		if o.ListenAddress == "" {
 			return nil, errors.New("agreement.listen: missing, and this broker votes")
 		}
 		if err := s.open(); err != nil {
 			return nil, err
 		}
 	}
-	if o.Listen != "" {
-		ln, err := net.Listen("tcp", o.Listen)
+	if o.ListenAddress != "" {
+		ln, err := net.Listen("tcp", o.ListenAddress)
 		if err != nil {
 			return nil, fmt.Errorf("agreement.listen: %w", err)
 		}
@@ -170,8 +170,8 @@
 func (s *Service) open() error {
 	id := consensus.DrawID(s.random)
 	s.storage = consensus.NewMemory()
-	if s.o.Dir != "" {
-		disk, held, err := consensus.Open(filepath.Join(s.o.Dir, "agreement.db"), func() uint64 { return id })
+	if s.o.DataDir != "" {
+		disk, held, err := consensus.Open(filepath.Join(s.o.DataDir, "agreement.db"), func() uint64 { return id })
 		if err != nil {
 			return fmt.Errorf("agreement.dir: %w", err)
 		}
@@ -191,9 +191,9 @@
 
 func (s *Service) now() clusterconfig.Micros { return clusterconfig.Micros(s.o.Now()) }
 
-// Turn is called at the begin of each turn of the core, with the clock that the turn reads. It returns what the core has to go over
+// ConfigChanges is called at the begin of each turn of the core, with the clock that the turn reads. It returns what the core has to go over
 // to before it decides anything, nil for nothing: a process that was stopped for minutes does not decide once by what it knew.
-func (s *Service) Turn(at broker.Micros) []broker.Event {
+func (s *Service) ConfigChanges(at broker.Micros) []broker.Event {
 	now := clusterconfig.Micros(at)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -206,7 +206,7 @@
 	}
 	s.acts, s.since = is, now
 	s.o.Log.Info("acts", "epoch", is.epoch, "version", is.version, "preparing", is.preparing, "restricted", is.restricted, "before_us", now-last)
-	events := []broker.Event{broker.SettingsChanged{Settings: effective(s.set, s.o.Limits, view)}}
+	events := []broker.Event{broker.SettingsChanged{Settings: effective(s.set, s.o.LimitFloors, view)}}
 	if nodes := s.drains(view); len(nodes) > 0 {
 		events = append(events, broker.NodesListed{Kind: scheduler.DeltaUpdate, Nodes: nodes})
 	}
@@ -228,8 +228,8 @@
 	return changed
 }
 
-// Settings goes over to a settings file that was read again. What it says of agreed keys becomes a proposal; all else counts at once.
-func (s *Service) Settings(set scheduler.Settings) {
+// SettingsChanged goes over to a settings file that was read again. What it says of agreed keys becomes a proposal; all else counts at once.
+func (s *Service) SettingsChanged(set scheduler.Settings) {
 	s.mu.Lock()
 	s.set, s.since = set, 0 // the next turn brings it
 	s.mu.Unlock()
@@ -237,8 +237,8 @@
 	s.do(func() { s.fileDue = true })
 }
 
-// Listed takes what discovery or membership says, in place of the core.
-func (s *Service) Listed(e broker.Event) {
+// HandleEndpoints takes what discovery or membership says, in place of the core.
+func (s *Service) HandleEndpoints(e broker.Event) {
 	listed, is := e.(broker.NodesListed)
 	if !is {
 		s.post(e)
@@ -290,7 +290,7 @@
 		wait.Go(s.accept)
 	}
 	if s.votes {
-		for _, m := range s.o.Members {
+		for _, m := range s.o.Voters {
 			if m.Name != s.o.Name {
 				wait.Go(func() { s.dialVoter(ctx, m) })
 			}
@@ -588,7 +588,7 @@
 		return
 	}
 	members := map[string]uint64{s.o.Name: v.ID()}
-	for _, m := range s.o.Members {
+	for _, m := range s.o.Voters {
 		if m.Name == s.o.Name {
 			continue
 		}
@@ -606,7 +606,7 @@
 }
 
 func (s *Service) formed(f *form) {
-	if !s.voter.Fresh() || f.Members[s.o.Name] != s.voter.ID() || len(f.Members) != len(s.o.Members) {
+	if !s.voter.Fresh() || f.Members[s.o.Name] != s.voter.ID() || len(f.Members) != len(s.o.Voters) {
 		return
 	}
 	err := consensus.Form(s.storage, f.Epoch, f.Members)
@@ -643,7 +643,7 @@
 	}
 	s.importAt = now + again
 	s.mu.Lock()
-	changes := changesTo(v.Record().Doc, valuesOf(s.set, s.o.Limits))
+	changes := changesTo(v.Record().Doc, valuesOf(s.set, s.o.LimitFloors))
 	s.mu.Unlock()
 	if len(changes) > 0 {
 		s.effect(v.Propose(now, clusterconfig.Proposal{Author: s.o.Name, Reason: "settings of the first leader", Changes: changes}, func(_ clusterconfig.Entry, err error) {
@@ -663,7 +663,7 @@
 	doc, restricted := s.holder.Document(), s.holder.View(now).Restricted
 	p := clusterconfig.Proposal{Expected: doc.Version, Author: s.o.Name}
 	if s.fileDue && doc.Version > 0 {
-		p.Changes, p.Reason = changesTo(doc, valuesOf(s.set, s.o.Limits)), "settings file"
+		p.Changes, p.Reason = changesTo(doc, valuesOf(s.set, s.o.LimitFloors)), "settings file"
 		s.fileDue = len(p.Changes) > 0
 	}
 	if len(p.Changes) == 0 {
@@ -706,7 +706,7 @@
 // ---- connections
 
 func (s *Service) hello() hello {
-	h := hello{Cluster: s.o.Cluster, Terms: s.terms, Name: s.o.Name, Listen: s.o.Listen, Voter: s.votes}
+	h := hello{Cluster: s.o.Cluster, Terms: s.terms, Name: s.o.Name, Listen: s.o.ListenAddress, Voter: s.votes}
 	if s.voter != nil {
 		h.ID, h.Fresh = s.voter.ID(), s.voter.Fresh()
 	}
@@ -715,7 +715,7 @@
 
 // accept lets others in.
 func (s *Service) accept() {
-	room := make(chan struct{}, s.o.Feeds+len(s.o.Members)+8)
+	room := make(chan struct{}, s.o.MaxChildren+len(s.o.Voters)+8)
 	for {
 		conn, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -839,7 +839,7 @@
 		w.Reason = "no way to a voter from here"
 	case s.parent != nil && slices.Contains(s.parent.path, h.Name):
 		w.Reason = "a circle"
-	case len(s.children) >= s.o.Feeds:
+	case len(s.children) >= s.o.MaxChildren:
 		w.Reason = "enough are fed here"
 		for _, c := range s.children {
 			if c.listen != "" {
@@ -860,8 +860,8 @@
 // dial connects and introduces itself.
 func (s *Service) dial(ctx context.Context, address string) (*link, welcome, error) {
 	d := net.Dialer{Timeout: dialSpan}
-	if s.o.Local != nil {
-		d.LocalAddr = &net.TCPAddr{IP: s.o.Local}
+	if s.o.LocalIP != nil {
+		d.LocalAddr = &net.TCPAddr{IP: s.o.LocalIP}
 	}
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -928,7 +928,7 @@
 }
 
 // dialVoter keeps a connection to another voter.
-func (s *Service) dialVoter(ctx context.Context, m Member) {
+func (s *Service) dialVoter(ctx context.Context, m Voter) {
 	for tries := 0; ctx.Err() == nil; tries++ {
 		l, _, err := s.dial(ctx, m.Address)
 		if err == nil && l.name != m.Name {
@@ -960,7 +960,7 @@
 	var ask []string
 	for tries := 0; ctx.Err() == nil; {
 		if len(ask) == 0 {
-			for _, m := range s.o.Members {
+			for _, m := range s.o.Voters {
 				ask = append(ask, m.Address)
 			}
 			rand.Shuffle(len(ask), func(i, j int) { ask[i], ask[j] = ask[j], ask[i] })
@@ -998,8 +998,8 @@
 	}
 }
 
-// Figures are the broker's own, for sinks and the console.
-func (s *Service) Figures() []broker.Metric {
+// Metrics are the broker's own, for sinks and the console.
+func (s *Service) Metrics() []broker.Metric {
 	now := s.now()
 	s.mu.Lock()
 	view, left, since, acts := s.holder.View(now), s.holder.LeaseLeft(now), s.holder.RestrictedSince(), s.since
--- a/internal/agreement/settings.go
+++ b/internal/agreement/settings.go
@@ -78,7 +78,7 @@
 	return changes
 }
 
-// effective is what a broker acts on: its settings, and of what is agreed the view. Limits of a plan that nothing is agreed on stand.
+// effective is what a broker acts on: its settings, and of what is agreed the view. LimitFloors of a plan that nothing is agreed on stand.
 func effective(set scheduler.Settings, limits map[string]float64, view clusterconfig.View) scheduler.Settings {
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	for i := range set.Classes {
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -41,7 +41,7 @@
 
 // Timing is that of package clusterconfig.
 func (a Agreement) Timing() clusterconfig.Timing {
-	return clusterconfig.Timing{Lease: int64(a.BoundMS * 1000 / 2), Drift: clusterconfig.DefaultTiming.Drift}
+	return clusterconfig.Timing{Lease: int64(a.BoundMS * 1000 / 2), DriftPPM: clusterconfig.DefaultTiming.DriftPPM}
 }
 
 func (a *Agreement) complete(set scheduler.Settings) error {
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -38,7 +38,7 @@
 	return rule, known
 }
 
-var timing = clusterconfig.Timing{Lease: 400_000, Drift: 20_000}
+var timing = clusterconfig.Timing{Lease: 400_000, DriftPPM: 20_000}
 
 type clock struct {
 	offset clusterconfig.Micros
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -66,7 +66,7 @@
 		if k.agreement, err = agreementOf(c, k.clock, calls, log); err != nil {
 			return nil, err
 		}
-		outside.ConfigChanges = k.agreement.Turn
+		outside.ConfigChanges = k.agreement.ConfigChanges
 	}
 	k.figures = func() []broker.Metric { return slices.Concat(k.loop.Metrics.Read(), k.members.Metrics(), k.agreed()) }
 	k.reporter = metricsexport.New(metricsexport.Options{Name: c.Name, Loop: calls, Figures: func() []broker.Metric { return k.figures() }, Log: log})
@@ -75,7 +75,7 @@
 	calls.Loop = k.loop
 	k.post = k.loop.Post
 	if k.agreement != nil {
-		k.post = k.agreement.Listed
+		k.post = k.agreement.HandleEndpoints
 	}
 	k.watcher = discovery.NewWatcher(c.Discovery, k.watch(c))
 	k.members = members.New(k.clock, k.post, log)
@@ -144,7 +144,7 @@
 	if k.agreement == nil {
 		return nil
 	}
-	return k.agreement.Figures()
+	return k.agreement.Metrics()
 }
 
 // agreeCall answers operators, nil if there is nothing agreed.
@@ -152,5 +152,5 @@
 	if k.agreement == nil {
 		return nil
 	}
-	return k.agreement.Call
+	return k.agreement.HandleCommand
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -257,7 +257,7 @@
 	set := c.Settings
 	set.Logic.Balancer = s.config.Site.Spread.Options(s.config.Name) // as at the start
 	if s.agreement != nil {
-		s.agreement.Settings(set.Logic)
+		s.agreement.SettingsChanged(set.Logic)
 	} else {
 		s.loop.Post(broker.SettingsChanged{Settings: set.Logic})
 	}
--- a/internal/fleetharness/agreement_test.go
+++ b/internal/fleetharness/agreement_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rig.all(t, ctx, func(s agreement.Status) bool { return s.Version >= 1 && !s.Restricted && s.Preparing == 0 })
+	rig.all(t, ctx, func(s agreement.Status) bool { return s.Version >= 1 && !s.Restricted && s.PendingVersion == 0 })
 	t.Cleanup(func() {
 		c := rig.Contradictions()
 		if c.LongestUS > bound.Microseconds() || c.Versions == 0 || c.Spans < 2*len(rig.brokers) {
@@ -126,7 +126,7 @@
 		_, kind := rig.change(t, 3, 1, "class.lesson-read.repeat", "no")
 		asked <- kind
 	}()
-	preparing := func(s agreement.Status) bool { return s.Preparing == 2 || s.Version == 2 }
+	preparing := func(s agreement.Status) bool { return s.PendingVersion == 2 || s.Version == 2 }
 	if _, err := rig.AgreeUntil(ctx, 4, preparing); err != nil {
 		t.Fatal(err)
 	}
@@ -409,14 +409,14 @@
 		defer close(ended)
 		rig.change(t, 4, 1, "plan.basico.limit", "2000")
 	}()
-	if _, err := rig.AgreeUntil(ctx, 4, func(s agreement.Status) bool { return s.Preparing == 2 || s.Version >= 2 }); err != nil {
+	if _, err := rig.AgreeUntil(ctx, 4, func(s agreement.Status) bool { return s.PendingVersion == 2 || s.Version >= 2 }); err != nil {
 		t.Fatal(err)
 	}
 	rig.end(rig.brokers[leader], syscall.SIGKILL)
 	rig.served(t, 10, false)
 	<-ended
 	left := slices.DeleteFunc([]int{0, 1, 2}, func(b int) bool { return b == leader })
-	s, err := rig.AgreeUntil(ctx, left[0], func(s agreement.Status) bool { return !s.Restricted && s.Preparing == 0 })
+	s, err := rig.AgreeUntil(ctx, left[0], func(s agreement.Status) bool { return !s.Restricted && s.PendingVersion == 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
