--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	lines := make(chan string, 8)
-	loop := NewLoop(state, NewClock(), &faulty{}, Dependencies{Log: logging.Func(func(line string) { lines <- line })})
+	loop := NewLoop(state, NewClock(), &faulty{}, Dependencies{Log: logging.ToFunc(func(line string) { lines <- line })})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop.Post(NodesListed{Kind: scheduler.FullUpdate, Nodes: []Node{node("n1", 0, scheduler.Ready)}})
--- a/cmd/brokerbench/curve.go
+++ b/cmd/brokerbench/curve.go
@@ -87,7 +87,7 @@
 	for round := range cmd.Int("rounds") {
 		for i, rate := range rates {
 			for j, version := range versions {
-				if logging.Terminal(os.Stderr) {
+				if logging.IsTerminal(os.Stderr) {
 					fmt.Fprintf(os.Stderr, "\rround %d, rate %d of %d, version %d of %d ", round+1, i+1, len(rates), j+1, len(versions))
 				}
 				name, program, found := strings.Cut(version, "=")
--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -90,12 +90,12 @@
 		return err
 	}
 	c.Site.Graphite = config.Graphite{Receiver: config.Receiver{Address: carbon.Address(), IntervalS: 1, QueueBytes: 1 << 20}, Prefix: "wharf", Transport: "tcp"}
-	kinds, err := kindsOf(c.Settings.Logic.Classes, "lesson-read=55,record-write=30,bulk-export=15")
+	kinds, err := kindsOf(c.Settings.Scheduler.Classes, "lesson-read=55,record-write=30,bulk-export=15")
 	if err != nil {
 		return err
 	}
 
-	log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Color: logging.Terminal(os.Stderr)})
+	log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Color: logging.IsTerminal(os.Stderr)})
 	if err != nil {
 		return err
 	}
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -171,7 +171,7 @@
 	}, logging.Discard())
 	defer m.Close()
 	shard := 0
-	if err := m.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, QueriesPerS: 1000}}}); err != nil {
+	if err := m.ApplySettings(config.Membership{Sources: []config.EndpointSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, QueriesPerS: 1000}}}); err != nil {
 		return err
 	}
 	<-listed
--- a/cmd/brokerbench/hollow.go
+++ b/cmd/brokerbench/hollow.go
@@ -46,17 +46,17 @@
 	for i, h := range all {
 		c, err := config.Parse(h.Config, func(string) string { return "" })
 		if err == nil && h.Site != "" {
-			c.Site, err = config.LoadSite(h.Site, c.Settings.Logic)
+			c.Site, err = config.LoadSite(h.Site, c.Settings.Scheduler)
 		}
 		if err != nil {
 			return fmt.Errorf("brokers[%d]: %w", i, err)
 		}
-		log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Format: "json", Whole: true})
+		log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Format: "json", SamplingDisabled: true})
 		if err != nil {
 			return err
 		}
 		wait.Go(func() {
-			if err := daemon.Hollow(ctx, c, h.Demand, log); err != nil {
+			if err := daemon.ServeHollow(ctx, c, h.Demand, log); err != nil {
 				stop(fmt.Errorf("%s: %w", c.Name, err))
 			}
 		})
--- a/cmd/brokerbench/listen.go
+++ b/cmd/brokerbench/listen.go
@@ -131,7 +131,7 @@
 				}
 				told = len(notices)
 			}
-			if logging.Terminal(os.Stderr) {
+			if logging.IsTerminal(os.Stderr) {
 				fmt.Fprintf(os.Stderr, "\r%d points, %d series, %d faults ", points.Taken(), len(points.Latest()), faults)
 			}
 		}
--- a/cmd/brokerbench/load.go
+++ b/cmd/brokerbench/load.go
@@ -82,13 +82,13 @@
 	if err != nil {
 		return err
 	}
-	kinds, err := kindsOf(c.Settings.Logic.Classes, cmd.String("mix"))
+	kinds, err := kindsOf(c.Settings.Scheduler.Classes, cmd.String("mix"))
 	if err != nil {
 		return err
 	}
 	t := load.Traffic{Kinds: kinds, Volumes: cmd.Int("volumes"), Skew: cmd.Float("skew"), Shards: cmd.Int("shards"), MaxUnits: cmd.Int("units"),
-		Hosts: c.Settings.Logic.Brokers, Rate: cmd.Float("rate"), Length: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
-	for _, p := range c.Settings.Logic.Plans {
+		Hosts: c.Settings.Scheduler.Brokers, Rate: cmd.Float("rate"), Length: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
+	for _, p := range c.Settings.Scheduler.Plans {
 		t.Plans = append(t.Plans, p.Name)
 	}
 	if t.Shards == 0 {
@@ -113,7 +113,7 @@
 }
 
 func progress(length time.Duration) func(time.Duration, int) {
-	if !logging.Terminal(os.Stderr) {
+	if !logging.IsTerminal(os.Stderr) {
 		return nil
 	}
 	return func(done time.Duration, sent int) {
@@ -122,7 +122,7 @@
 }
 
 func clearProgress() {
-	if logging.Terminal(os.Stderr) {
+	if logging.IsTerminal(os.Stderr) {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 }
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -184,7 +184,7 @@
 // figures reads the console's figures.
 func (r *running) figures() map[string]float64 {
 	figures := map[string]float64{}
-	all, _ := console.Ask(r.console, "vars", 2*time.Second) // of a broker that is gone there are none
+	all, _ := console.Call(r.console, "vars", 2*time.Second) // of a broker that is gone there are none
 	for line := range strings.Lines(string(all)) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
 		text, _, _ := strings.Cut(rest, "|")
@@ -286,7 +286,7 @@
 	var runs []run
 	for round := range rounds {
 		for i, v := range random.Perm(len(variants)) {
-			if logging.Terminal(os.Stderr) {
+			if logging.IsTerminal(os.Stderr) {
 				fmt.Fprintf(os.Stderr, "\rround %d of %d, run %d of %d ", round+1, rounds, i+1, len(variants))
 			}
 			r, err := f.play(ctx, cmd, round, variants[v])
--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -52,7 +52,7 @@
 	if c.Console == "" {
 		return nil, errors.New("console: no address in the configuration")
 	}
-	text, err := console.Ask(c.Console, "agree "+call, console.AgreeTime+time.Second)
+	text, err := console.Call(c.Console, "agree "+call, console.AgreementTimeout+time.Second)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	if path := cmd.String("site"); path != "" {
-		c.Site, err = config.LoadSite(path, c.Settings.Logic)
+		c.Site, err = config.LoadSite(path, c.Settings.Scheduler)
 	}
 	return c, err
 }
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	c.NoHandover = !cmd.Bool("handover")
+	c.HandoverDisabled = !cmd.Bool("handover")
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	return daemon.Serve(ctx, c, log, reload, func() (*config.Config, error) { return load(cmd) })
@@ -107,7 +107,7 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return daemon.Control(ctx, c, log)
+	return daemon.ServeControl(ctx, c, log)
 }
 
 // askTime is how long sources are asked where no broker runs.
@@ -155,7 +155,7 @@
 	if err := level.UnmarshalText([]byte(cmd.String("log-level"))); err != nil {
 		return nil, fmt.Errorf("--log-level: %w", err)
 	}
-	log, err := logging.New(os.Stderr, logging.Options{Name: name, Format: cmd.String("log-format"), Level: level, Color: logging.Terminal(os.Stderr), Whole: cmd.Bool("log-all")})
+	log, err := logging.New(os.Stderr, logging.Options{Name: name, Format: cmd.String("log-format"), Level: level, Color: logging.IsTerminal(os.Stderr), SamplingDisabled: cmd.Bool("log-all")})
 	if err != nil {
 		return nil, fmt.Errorf("--log-format: %w", err)
 	}
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	set := c.Settings.Logic
+	set := c.Settings.Scheduler
 	fmt.Printf("%s listens on %s: broker %d of %d, %d classes, %d plans\n", c.Name, c.Listen,
 		set.Ordinal, set.Brokers, len(set.Classes), len(set.Plans))
 	for sink, address := range map[string]string{"Graphite": c.Site.Graphite.Address, "collectd": c.Site.Collectd.Address} {
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -36,7 +36,7 @@
 // A full table first ends who has only greeted, then who has sent nothing, then who has been idle for longest, then who stands half way in a first
 // command: a crowd must not push out slow writers. Who waits for an answer stays, and who has just come.
 func TestEvict(t *testing.T) {
-	h := NewTable(10, 10, logging.Func(func(line string) { t.Log(line) }))
+	h := NewTable(10, 10, logging.ToFunc(func(line string) { t.Log(line) }))
 	busy, old, young := &fakeConn{status: Busy}, &fakeConn{status: Idle}, &fakeConn{status: Idle}
 	slow, mute, mute2, fresh := &fakeConn{status: HalfWay}, &fakeConn{status: Idle}, &fakeConn{status: Idle}, &fakeConn{status: Idle}
 	enter(h, true, busy, young, old)
@@ -66,7 +66,7 @@
 // Clients that ask once and keep their connection must not use up the few that they have: beyond maxIdle
 // the idlest of them ends, long before the table is full. Who has not asked yet, or waits for an answer, stays.
 func TestMaxIdle(t *testing.T) {
-	h := NewTable(100, 2, logging.Func(func(line string) { t.Log(line) }))
+	h := NewTable(100, 2, logging.ToFunc(func(line string) { t.Log(line) }))
 	busy, idle, mute, other := &fakeConn{status: Busy}, &fakeConn{status: Idle, idle: time.Second}, &fakeConn{status: Idle}, &fakeConn{status: Idle}
 	enter(h, false, mute)
 	enter(h, true, busy, idle)
@@ -85,7 +85,7 @@
 // ended, and each request looks at two at the most: with a look at all, and an end for whoever was idle, a broker that fell
 // behind spent its time on looks and new connections and served a tenth of what it could.
 func TestMaxIdleUnderLoad(t *testing.T) {
-	h := NewTable(10_000, 10, logging.Func(func(line string) { t.Log(line) }))
+	h := NewTable(10_000, 10, logging.ToFunc(func(line string) { t.Log(line) }))
 	var conns []*fakeConn
 	for i := range 3000 {
 		g := &fakeConn{status: Busy}
@@ -131,7 +131,7 @@
 }
 
 func TestStages(t *testing.T) {
-	h := NewTable(2, 2, logging.Func(func(line string) { t.Log(line) }))
+	h := NewTable(2, 2, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 
 // A full table in which all wait for answers once left each further connection in the kernel's queue, past its client's time.
 func TestRejectBeyond(t *testing.T) {
-	h := NewTable(2, 2, logging.Func(func(line string) { t.Log(line) }))
+	h := NewTable(2, 2, logging.ToFunc(func(line string) { t.Log(line) }))
 	h.RejectBeyond(3, func(conn net.Conn) { conn.Write([]byte("busy")) }, func() bool { return false })
 	first, second := &fakeConn{status: Busy}, &fakeConn{status: Busy}
 	enter(h, true, first, second)
@@ -242,7 +242,7 @@
 // A connection that was ended takes a while to leave. Its place is free at once, for as many as may be on their way out; and while the
 // broker is overloaded one that asked a moment ago is not ended for a newcomer, which would cost a connection a request.
 func TestPlaceOfEvicted(t *testing.T) {
-	h := NewTable(3, 3, logging.Func(func(line string) { t.Log(line) }))
+	h := NewTable(3, 3, logging.ToFunc(func(line string) { t.Log(line) }))
 	overloaded := true
 	h.RejectBeyond(1, func(net.Conn) {}, func() bool { return overloaded })
 	conns := []*fakeConn{{status: Idle, idle: idleGrace - 1}, {status: Idle, idle: idleGrace - 1}, {status: Busy}}
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -19,15 +19,15 @@
 	mostVoters     = 7
 )
 
-// Agreement is how brokers agree on settings and lists with versions. Off without a cluster.
+// Agreement is how brokers agree on settings and lists with versions. Disabled without a cluster.
 type Agreement struct {
-	Cluster string             `toml:"cluster"`  // its name: brokers of another are turned away
-	Listen  string             `toml:"listen"`   // of this broker; empty: it feeds nobody, and can't vote
-	Members []Voter            `toml:"members"`  // the brokers that vote, the same for all
-	Dir     string             `toml:"dir"`      // of a disk that lasts, for a voter's state; empty: a restarted voter is a new one
-	BoundMS float64            `toml:"bound_ms"` // how long brokers that are cut off may hold up a change; half of it is a lease
-	Feeds   int                `toml:"feeds"`    // brokers that hear from this one, at the most
-	Limits  map[string]float64 `toml:"limits"`   // plans whose limit is agreed on: the figure below which it can't be set, and on which brokers without a lease act
+	Cluster     string             `toml:"cluster"`  // its name: brokers of another are turned away
+	Listen      string             `toml:"listen"`   // of this broker; empty: it feeds nobody, and can't vote
+	Members     []Voter            `toml:"members"`  // the brokers that vote, the same for all
+	Dir         string             `toml:"dir"`      // of a disk that lasts, for a voter's state; empty: a restarted voter is a new one
+	BoundMS     float64            `toml:"bound_ms"` // how long brokers that are cut off may hold up a change; half of it is a lease
+	MaxChildren int                `toml:"feeds"`    // brokers that hear from this one, at the most
+	Limits      map[string]float64 `toml:"limits"`   // plans whose limit is agreed on: the figure below which it can't be set, and on which brokers without a lease act
 }
 
 // Voter is a broker that votes.
@@ -36,8 +36,8 @@
 	Address string `toml:"address"`
 }
 
-// On tells whether there is anything to agree on.
-func (a Agreement) On() bool { return a.Cluster != "" }
+// Enabled tells whether there is anything to agree on.
+func (a Agreement) Enabled() bool { return a.Cluster != "" }
 
 // Timing is that of package clusterconfig.
 func (a Agreement) Timing() clusterconfig.Timing {
@@ -45,8 +45,8 @@
 }
 
 func (a *Agreement) complete(set scheduler.Settings) error {
-	if !a.On() {
-		if a.Listen != "" || len(a.Members) > 0 || a.Dir != "" || len(a.Limits) > 0 || a.BoundMS != 0 || a.Feeds != 0 {
+	if !a.Enabled() {
+		if a.Listen != "" || len(a.Members) > 0 || a.Dir != "" || len(a.Limits) > 0 || a.BoundMS != 0 || a.MaxChildren != 0 {
 			return errors.New("cluster: missing, though other keys are there")
 		}
 		return nil
@@ -54,8 +54,8 @@
 	if a.BoundMS == 0 {
 		a.BoundMS = defaultBoundMS
 	}
-	if a.Feeds == 0 {
-		a.Feeds = defaultFeeds
+	if a.MaxChildren == 0 {
+		a.MaxChildren = defaultFeeds
 	}
 	if err := checkAddress(a.Listen, false); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -65,8 +65,8 @@
 		return fmt.Errorf("members: %d, 3, 5 or 7 are wanted", len(a.Members))
 	case !(a.BoundMS >= leastBoundMS && a.BoundMS <= mostBoundMS):
 		return fmt.Errorf("bound_ms: %v is not within %d to %d", a.BoundMS, leastBoundMS, mostBoundMS)
-	case a.Feeds < 2 || a.Feeds > mostFeeds:
-		return fmt.Errorf("feeds: %d is not within 2 to %d", a.Feeds, mostFeeds)
+	case a.MaxChildren < 2 || a.MaxChildren > mostFeeds:
+		return fmt.Errorf("feeds: %d is not within 2 to %d", a.MaxChildren, mostFeeds)
 	}
 	seen := map[string]bool{}
 	for i, m := range a.Members {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,20 +34,20 @@
 
 // Config is all that a broker is told.
 type Config struct {
-	Name       string
-	Listen     string
-	Discovery  string
-	Console    string // the operators' door; empty: off
-	Local      string // the address from which connections to nodes and discovery are made; empty: the system's choice
-	Seed       uint64
-	Limits     Limits
-	PeerListen string
-	Peers      []string
-	PeersAll   string
-	Known      *discovery.List // nil if none is held
-	Settings   *Settings
-	Site       Site // all off unless a file says otherwise
-	NoHandover bool // no meeting of processes over a Unix socket: a platform that has none says so
+	Name             string
+	Listen           string
+	Discovery        string
+	Console          string // the operators' door; empty: off
+	LocalAddress     string // the address from which connections to nodes and discovery are made; empty: the system's choice
+	Seed             uint64
+	Limits           Limits
+	PeerListen       string
+	Peers            []string
+	PeersAll         string
+	CachedEndpoints  *discovery.EndpointList // nil if none is held
+	Settings         *Settings
+	Site             Site // all off unless a file says otherwise
+	HandoverDisabled bool // no meeting of processes over a Unix socket: a platform that has none says so
 
 	keys keys // that the file holds
 }
@@ -90,7 +90,7 @@
 	}
 	c := &Config{Name: or(raw.Name, getenv("BALANCER_NAME")), Listen: or(raw.Listen, getenv("BALANCER_LISTEN")),
 		Discovery: or(raw.Discovery, getenv("BALANCER_DISCOVERY")), Limits: raw.Limits,
-		Console: or(raw.Console, getenv("BALANCER_CONSOLE")), Local: raw.Local,
+		Console: or(raw.Console, getenv("BALANCER_CONSOLE")), LocalAddress: raw.Local,
 		PeerListen: raw.PeerListen, Peers: raw.Peers, PeersAll: raw.PeersAll}
 	if err := c.addresses(); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 		return nil, fmt.Errorf("seed: %q is not 16 hex digits at most", raw.Seed)
 	}
 	if len(raw.Known) > 0 && string(raw.Known) != "null" {
-		if c.Known, err = discovery.ParseList(raw.Known); err != nil {
+		if c.CachedEndpoints, err = discovery.ParseList(raw.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -120,18 +120,18 @@
 	return c, nil
 }
 
-// Fixed names the keys in which other differs and which count only from a start on. The seed and the known list
+// RestartOnlyChanges names the keys in which other differs and which count only from a start on. The seed and the known list
 // always are those of the start.
-func (c *Config) Fixed(other *Config) []string {
+func (c *Config) RestartOnlyChanges(other *Config) []string {
 	var keys []string
 	for _, k := range []struct {
 		key      string
 		old, new any
 	}{{"name", c.Name, other.Name}, {"listen", c.Listen, other.Listen}, {"limits", c.Limits, other.Limits},
-		{"console", c.Console, other.Console}, {"local_address", c.Local, other.Local},
+		{"console", c.Console, other.Console}, {"local_address", c.LocalAddress, other.LocalAddress},
 		{"peer_listen", c.PeerListen, other.PeerListen}, {"peers", c.Peers, other.Peers}, {"peers_all", c.PeersAll, other.PeersAll},
-		{"settings.nInstances", c.Settings.Logic.Brokers, other.Settings.Logic.Brokers},
-		{"settings.ordinal", c.Settings.Logic.Ordinal, other.Settings.Logic.Ordinal},
+		{"settings.nInstances", c.Settings.Scheduler.Brokers, other.Settings.Scheduler.Brokers},
+		{"settings.ordinal", c.Settings.Scheduler.Ordinal, other.Settings.Scheduler.Ordinal},
 		{"site", c.Site.ends(), other.Site.ends()}} {
 		if !reflect.DeepEqual(k.old, k.new) {
 			keys = append(keys, k.key)
@@ -140,8 +140,8 @@
 	return keys
 }
 
-// Renew takes over what counts while the broker runs.
-func (c *Config) Renew(other *Config) {
+// ApplyReload takes over what counts while the broker runs.
+func (c *Config) ApplyReload(other *Config) {
 	c.Discovery, c.Settings, c.keys = other.Discovery, other.Settings, other.keys
 	c.Site.SFTP.plan = other.Site.SFTP.plan
 	if len(c.Site.Membership.Sources) > 0 && len(other.Site.Membership.Sources) > 0 {
@@ -167,8 +167,8 @@
 			return fmt.Errorf("%s: %w", a.key, err)
 		}
 	}
-	if c.Local != "" && net.ParseIP(c.Local) == nil {
-		return fmt.Errorf("local_address: %q is no numeric address", c.Local)
+	if c.LocalAddress != "" && net.ParseIP(c.LocalAddress) == nil {
+		return fmt.Errorf("local_address: %q is no numeric address", c.LocalAddress)
 	}
 	for i, peer := range c.Peers {
 		if err := checkAddress(peer, true); err != nil {
@@ -230,11 +230,11 @@
 	if s.ConnectTimeout == 0 {
 		s.ConnectTimeout = defaultConnectTimeout
 	}
-	if len(s.Logic.Classes) == 0 {
+	if len(s.Scheduler.Classes) == 0 {
 		return errors.New("classes: none")
 	}
 	names := map[string]bool{}
-	for i, class := range s.Logic.Classes {
+	for i, class := range s.Scheduler.Classes {
 		if class.Name == "" || names[class.Name] {
 			return fmt.Errorf("classes[%d].name: %q is missing or stands twice", i, class.Name)
 		}
@@ -247,7 +247,7 @@
 		}
 	}
 	names = map[string]bool{}
-	for i, plan := range s.Logic.Plans {
+	for i, plan := range s.Scheduler.Plans {
 		if plan.Name == "" || names[plan.Name] {
 			return fmt.Errorf("serviceLevels[%d].name: %q is missing or stands twice", i, plan.Name)
 		}
@@ -256,16 +256,16 @@
 	if err := s.ranges(); err != nil {
 		return err
 	}
-	if s.Logic.Capabilities.MaxAttempts < 1 {
-		return fmt.Errorf("bounds.maxAttempts: %d is not above 0", s.Logic.Capabilities.MaxAttempts)
+	if s.Scheduler.Capabilities.MaxAttempts < 1 {
+		return fmt.Errorf("bounds.maxAttempts: %d is not above 0", s.Scheduler.Capabilities.MaxAttempts)
 	}
-	if s.Logic.Brokers < 1 {
-		return fmt.Errorf("nInstances: %d is below 1", s.Logic.Brokers)
+	if s.Scheduler.Brokers < 1 {
+		return fmt.Errorf("nInstances: %d is below 1", s.Scheduler.Brokers)
 	}
-	if s.Logic.Ordinal < 0 || s.Logic.Ordinal >= s.Logic.Brokers {
-		return fmt.Errorf("ordinal: %d is not below nInstances (%d)", s.Logic.Ordinal, s.Logic.Brokers)
+	if s.Scheduler.Ordinal < 0 || s.Scheduler.Ordinal >= s.Scheduler.Brokers {
+		return fmt.Errorf("ordinal: %d is not below nInstances (%d)", s.Scheduler.Ordinal, s.Scheduler.Brokers)
 	}
-	return s.Logic.Validate()
+	return s.Scheduler.Validate()
 }
 
 // ranges names the key whose figure is below 0, before anything is served by it.
@@ -274,7 +274,7 @@
 		key   string
 		value float64
 	}
-	set := &s.Logic
+	set := &s.Scheduler
 	r, b := set.Rules, set.Capabilities
 	figures := []figure{{"invariants.answerSlack", float64(r.AnswerSlack)}, {"invariants.drainGrace", float64(r.DrainGrace)}, {"invariants.cold", float64(r.WarmUpTime)},
 		{"invariants.coldShare", r.InitialCapacity}, {"invariants.fall", float64(r.OverloadWindow)}, {"invariants.fallMultiple", r.OverloadMultiple},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -26,9 +26,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 100, 1024}) || c.Known.Seq != 41 || c.Settings.ConnIdle != 30*broker.Second ||
-		c.Settings.ConnectTimeout != broker.Second/4 || c.Settings.Logic.Ordinal != 2 || c.Settings.Logic.Classes[1].Idempotency != scheduler.NotIdempotent ||
-		c.Settings.Logic.Classes[0].Deadline != 750*time.Millisecond || c.Site.SFTP.Listen != "" {
+	if c.Seed != 0x8c1f30d27a5be964 || c.Limits != (Limits{1, 100, 1024}) || c.CachedEndpoints.Version != 41 || c.Settings.ConnIdle != 30*broker.Second ||
+		c.Settings.ConnectTimeout != broker.Second/4 || c.Settings.Scheduler.Ordinal != 2 || c.Settings.Scheduler.Classes[1].Idempotency != scheduler.NotIdempotent ||
+		c.Settings.Scheduler.Classes[0].Deadline != 750*time.Millisecond || c.Site.SFTP.Listen != "" {
 		t.Errorf("%+v", c)
 	}
 }
@@ -94,7 +94,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return LoadSite(path, set.Logic)
+		return LoadSite(path, set.Scheduler)
 	}
 	s, err := load(siteText)
 	if err != nil {
--- a/internal/config/deployments_test.go
+++ b/internal/config/deployments_test.go
@@ -19,22 +19,22 @@
 		{"one class, one plan, nothing optional", `{"nInstances":1,"ordinal":0,"bounds":{"maxAttempts":1},
 			"classes":[{"name":"a","aim":1000,"deadline":2000,"effect":"unsafe"}],"serviceLevels":[{"name":"p"}]}`,
 			func(s *Settings) bool {
-				c, r := s.Logic.Classes[0], s.Logic.Rules
-				return c.Idempotency == scheduler.NotIdempotent && c.ObjectiveStretch == 0 && !c.Ordered && r.RetryBudgetWindow == 0 && r.QuietPeriod == 0 && s.Logic.Plans[0].Limit == 0 && !s.Logic.Subscribe
+				c, r := s.Scheduler.Classes[0], s.Scheduler.Rules
+				return c.Idempotency == scheduler.NotIdempotent && c.ObjectiveStretch == 0 && !c.Ordered && r.RetryBudgetWindow == 0 && r.QuietPeriod == 0 && s.Scheduler.Plans[0].Limit == 0 && !s.Scheduler.Subscribe
 			}},
 		{"keyed by zone and cell, in order, with a budget and a limit", `{"nInstances":300,"ordinal":299,"zone":"z4","bounds":{"maxAttempts":5,"secondCopies":true},"discovery":"subscribe",
 			"classes":[{"name":"put","aim":90000,"deadline":250000,"effect":"keyed","keyScope":"zone","window":800000,"byArrival":true},
 				{"name":"swap","aim":90000,"deadline":9000000,"effect":"keyed","keyScope":"cell","window":1},{"name":"any","aim":1,"deadline":1,"effect":"keyed","keyScope":"all"}],
 			"serviceLevels":[{"name":"x","ceilingRate":5,"capDepth":40,"tolerance":4}],"invariants":{"drainGrace":300000,"ratioSpan":1000000,"extraFloor":2,"resendRatio":0.1,"keyQuiet":50000}}`,
 			func(s *Settings) bool {
-				c := s.Logic.Classes
-				return c[0].Scope == scheduler.ScopeZone && c[0].Ordered && c[1].Scope == scheduler.ScopeShard && c[2].Scope == scheduler.ScopeAll && s.Logic.Subscribe &&
-					s.Logic.Plans[0].LimitBurst == 40 && s.Logic.Rules.DrainGrace == 300*time.Millisecond && s.Logic.Rules.RetryBudgetRatio == 0.1
+				c := s.Scheduler.Classes
+				return c[0].Scope == scheduler.ScopeZone && c[0].Ordered && c[1].Scope == scheduler.ScopeShard && c[2].Scope == scheduler.ScopeAll && s.Scheduler.Subscribe &&
+					s.Scheduler.Plans[0].LimitBurst == 40 && s.Scheduler.Rules.DrainGrace == 300*time.Millisecond && s.Scheduler.Rules.RetryBudgetRatio == 0.1
 			}},
 		{"a write that may repeat, and keys of a later age", `{"nInstances":2,"ordinal":1,"bounds":{"maxAttempts":2,"novelty":[1]},"novelty":{"deep":true},"zones":["only"],
 			"classes":[{"name":"w","aim":5,"deadline":5,"effect":"safe","novelty":"x"}],"serviceLevels":[{"name":"p"},{"name":"q","price":9}]}`,
 			func(s *Settings) bool {
-				return s.Logic.Classes[0].Idempotency == scheduler.Idempotent && s.Logic.Plans[1].Price == 9
+				return s.Scheduler.Classes[0].Idempotency == scheduler.Idempotent && s.Scheduler.Plans[1].Price == 9
 			}},
 	} {
 		s, err := ParseSettings([]byte(d.text))
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -69,10 +69,10 @@
 	return ""
 }
 
-// Lacks guards against a file that was cut or lost a key, which would otherwise pass for one that leaves the key to
+// CheckReloadKeys guards against a file that was cut or lost a key, which would otherwise pass for one that leaves the key to
 // its default: a configuration that comes while the broker runs holds all that the one in force holds. The list of
 // nodes last held counts at a start only.
-func (c *Config) Lacks(other *Config) error {
+func (c *Config) CheckReloadKeys(other *Config) error {
 	wanted := maps.Clone(c.keys)
 	delete(wanted, "known")
 	if missing := wanted.lacks(other.keys); missing != "" {
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -16,28 +16,28 @@
 // Membership is where the list of storage nodes comes from. Without a source discovery alone is followed, and its word is the
 // truth.
 type Membership struct {
-	SuspectS int            `toml:"suspect_s"` // how long a sudden loss of most nodes is held
-	Snapshot string         `toml:"snapshot"`  // a file that keeps the list across a restart; empty: none
-	Sources  []MemberSource `toml:"source"`
+	SuspectS int              `toml:"suspect_s"` // how long a sudden loss of most nodes is held
+	Snapshot string           `toml:"snapshot"`  // a file that keeps the list across a restart; empty: none
+	Sources  []EndpointSource `toml:"source"`
 }
 
-// MemberSource is one source of the list.
-type MemberSource struct {
-	Name  string   `toml:"name"`
-	Kind  string   `toml:"kind"`   // "discovery", "dns" or "file"
-	May   []string `toml:"may"`    // of "add", "drain" and "remove"; all by default
-	GoodS int      `toml:"good_s"` // once it is silent for so long, its removals no longer outweigh what others hold
+// EndpointSource is one source of the list.
+type EndpointSource struct {
+	Name    string   `toml:"name"`
+	Kind    string   `toml:"kind"`   // "discovery", "dns" or "file"
+	Allowed []string `toml:"may"`    // of "add", "drain" and "remove"; all by default
+	FreshS  int      `toml:"good_s"` // once it is silent for so long, its removals no longer outweigh what others hold
 
 	// of "dns"
 	SRV         string   `toml:"srv"`
 	Resolvers   []string `toml:"resolvers"`
 	TimeoutMS   int      `toml:"timeout_ms"`
-	LeastTTLS   int      `toml:"ttl_least_s"`
-	MostTTLS    int      `toml:"ttl_most_s"`
+	MinTTLS     int      `toml:"ttl_least_s"`
+	MaxTTLS     int      `toml:"ttl_most_s"`
 	StaleS      int      `toml:"stale_s"`
 	QueriesPerS float64  `toml:"queries_per_s"`
 	Pattern     string   `toml:"pattern"` // over targets, with groups shard, zone, kind and share
-	Texts       bool     `toml:"texts"`   // TXT records of targets tell the same
+	UseTXT      bool     `toml:"texts"`   // TXT records of targets tell the same
 	Shard       *int     `toml:"shard"`   // of targets where neither tells
 	Zone        string   `toml:"zone"`
 	NodeKind    string   `toml:"node_kind"`
@@ -49,14 +49,14 @@
 }
 
 // Rights are what the source may do.
-func (m MemberSource) Rights() membership.Permissions {
-	may := func(word string) bool { return len(m.May) == 0 || slices.Contains(m.May, word) }
+func (m EndpointSource) Rights() membership.Permissions {
+	may := func(word string) bool { return len(m.Allowed) == 0 || slices.Contains(m.Allowed, word) }
 	return membership.Permissions{Add: may("add"), Drain: may("drain"), Remove: may("remove")}
 }
 
-// Facts say where a DNS source's shards and zones come from.
-func (m MemberSource) Facts() dnssrv.Facts {
-	f := dnssrv.Facts{Pattern: m.pattern, Texts: m.Texts, Shard: -1, Zone: m.Zone, Kind: m.NodeKind}
+// Mapping say where a DNS source's shards and zones come from.
+func (m EndpointSource) Mapping() dnssrv.Mapping {
+	f := dnssrv.Mapping{Pattern: m.pattern, UseTXT: m.UseTXT, Shard: -1, Zone: m.Zone, Kind: m.NodeKind}
 	if m.Shard != nil {
 		f.Shard = *m.Shard
 	}
@@ -64,17 +64,17 @@
 }
 
 // Resolver are the options of a DNS source's resolver.
-func (m MemberSource) Resolver() dnssrv.Options {
+func (m EndpointSource) Resolver() dnssrv.Options {
 	seconds := func(n int) time.Duration { return time.Duration(n) * time.Second }
-	return dnssrv.Options{Servers: m.Resolvers, Timeout: time.Duration(m.TimeoutMS) * time.Millisecond, LeastTTL: seconds(m.LeastTTLS),
-		MostTTL: seconds(m.MostTTLS), Stale: seconds(m.StaleS), Rate: m.QueriesPerS}
+	return dnssrv.Options{Servers: m.Resolvers, Timeout: time.Duration(m.TimeoutMS) * time.Millisecond, MinTTL: seconds(m.MinTTLS),
+		MaxTTL: seconds(m.MaxTTLS), MaxStale: seconds(m.StaleS), Rate: m.QueriesPerS}
 }
 
 // Options are those of the merging.
 func (m Membership) Options() membership.Options {
 	o := membership.Options{SuspectHold: int64(m.SuspectS) * 1e6}
 	for _, s := range m.Sources {
-		o.Sources = append(o.Sources, membership.SourceOptions{Name: s.Name, Permissions: s.Rights(), RemovalTTL: int64(s.GoodS) * 1e6})
+		o.Sources = append(o.Sources, membership.SourceOptions{Name: s.Name, Permissions: s.Rights(), RemovalTTL: int64(s.FreshS) * 1e6})
 	}
 	return o
 }
@@ -108,8 +108,8 @@
 	return m.Options().Check()
 }
 
-func (s *MemberSource) complete() error {
-	for _, word := range s.May {
+func (s *EndpointSource) complete() error {
+	for _, word := range s.Allowed {
 		if !slices.Contains([]string{"add", "drain", "remove"}, word) {
 			return fmt.Errorf("may: %q is neither \"add\", \"drain\" nor \"remove\"", word)
 		}
@@ -117,7 +117,7 @@
 	for _, n := range []struct {
 		key   string
 		value float64
-	}{{"good_s", float64(s.GoodS)}, {"timeout_ms", float64(s.TimeoutMS)}, {"ttl_least_s", float64(s.LeastTTLS)}, {"ttl_most_s", float64(s.MostTTLS)},
+	}{{"good_s", float64(s.FreshS)}, {"timeout_ms", float64(s.TimeoutMS)}, {"ttl_least_s", float64(s.MinTTLS)}, {"ttl_most_s", float64(s.MaxTTLS)},
 		{"stale_s", float64(s.StaleS)}, {"queries_per_s", s.QueriesPerS}} {
 		if !(n.value >= 0) {
 			return fmt.Errorf("%s: %v is below 0", n.key, n.value)
@@ -131,7 +131,7 @@
 		if s.Path == "" {
 			return fmt.Errorf("path: missing")
 		}
-		if _, err := LoadNodes(s.Path); err != nil {
+		if _, err := LoadEndpoints(s.Path); err != nil {
 			return fmt.Errorf("path: %w", err)
 		}
 	default:
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func (s *MemberSource) completeDNS() error {
+func (s *EndpointSource) completeDNS() error {
 	if s.SRV == "" {
 		return fmt.Errorf("srv: missing")
 	}
@@ -152,8 +152,8 @@
 			return fmt.Errorf("resolvers[%d]: %w", i, err)
 		}
 	}
-	if s.LeastTTLS > 0 && s.MostTTLS > 0 && s.LeastTTLS > s.MostTTLS {
-		return fmt.Errorf("ttl_least_s: %d is above ttl_most_s (%d)", s.LeastTTLS, s.MostTTLS)
+	if s.MinTTLS > 0 && s.MaxTTLS > 0 && s.MinTTLS > s.MaxTTLS {
+		return fmt.Errorf("ttl_least_s: %d is above ttl_most_s (%d)", s.MinTTLS, s.MaxTTLS)
 	}
 	if s.Pattern != "" {
 		var err error
@@ -166,14 +166,14 @@
 			}
 		}
 	}
-	if s.Pattern == "" && !s.Texts && s.Shard == nil {
+	if s.Pattern == "" && !s.UseTXT && s.Shard == nil {
 		return fmt.Errorf("pattern: missing, and neither texts nor shard tell the shards")
 	}
 	return nil
 }
 
-// LoadNodes reads a static list of nodes: [[node]] tables with name, address, shard, zone, kind, share, priority and state.
-func LoadNodes(path string) ([]membership.Entry, error) {
+// LoadEndpoints reads a static list of nodes: [[node]] tables with name, address, shard, zone, kind, share, priority and state.
+func LoadEndpoints(path string) ([]membership.Entry, error) {
 	var raw struct {
 		Node []struct {
 			Name     string  `toml:"name"`
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,7 +13,7 @@
 
 // Settings is the object that an instance gets in the simulator's first message.
 type Settings struct {
-	Logic          scheduler.Settings
+	Scheduler      scheduler.Settings
 	Shards         int           // they run from 0 to this less 1; 0 for unknown
 	ConnIdle       broker.Micros // idle connections to nodes end after this
 	ConnectTimeout broker.Micros
@@ -141,6 +141,6 @@
 		s.Plans = append(s.Plans, scheduler.Plan{Name: p.Name, Rate: p.Nominal, ReservedRate: p.FloorRate,
 			Limit: p.CeilingRate, LimitBurst: p.CapDepth, LimitOverdraft: p.Tolerance, Weight: p.Parts, Price: p.Price})
 	}
-	return &Settings{Logic: s, Shards: x.NShards, ConnIdle: broker.MicrosOf(b.ConnIdle.span()),
+	return &Settings{Scheduler: s, Shards: x.NShards, ConnIdle: broker.MicrosOf(b.ConnIdle.span()),
 		ConnectTimeout: broker.MicrosOf(b.ConnectTimeout.span())}, nil
 }
--- a/internal/config/sinks.go
+++ b/internal/config/sinks.go
@@ -157,8 +157,8 @@
 
 var securities = map[string]collectd.Security{"none": collectd.Open, "sign": collectd.Signed, "encrypt": collectd.Encrypted}
 
-// Guard is how packets are guarded.
-func (c Collectd) Guard() collectd.Security { return securities[c.Security] }
+// SecurityLevel is how packets are guarded.
+func (c Collectd) SecurityLevel() collectd.Security { return securities[c.Security] }
 
 func (c *Collectd) complete() error {
 	if err := c.Receiver.complete(); err != nil {
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -25,40 +25,40 @@
 	Graphite   Graphite   `toml:"graphite"`
 	Collectd   Collectd   `toml:"collectd"`
 	Admission  Admission  `toml:"admission"`
-	Spread     Spread     `toml:"spread"`
+	Balancer   Balancer   `toml:"spread"`
 	Agreement  Agreement  `toml:"agreement"`
 }
 
-// Spread is how load is spread over the nodes of a shard; a shard with one node knows nothing of it.
-type Spread struct {
-	Off     bool    `toml:"off"`
-	Nodes   int     `toml:"nodes"`    // of a shard that a broker with little to send uses; 0: balancer.DefaultNodes
-	Away    float64 `toml:"away"`     // the most of a shard's weight that judging its nodes may take away; 0: balancer.DefaultAway
-	Trial   float64 `toml:"trial"`    // part of its weight that a silent node keeps, as trials; 0: balancer.DefaultTrial
-	NoPeers bool    `toml:"no_peers"` // peers neither tell nor are told of silent nodes
+// Balancer is how load is spread over the nodes of a shard; a shard with one node knows nothing of it.
+type Balancer struct {
+	Disabled       bool    `toml:"off"`
+	SubsetSize     int     `toml:"nodes"`    // of a shard that a broker with little to send uses; 0: balancer.DefaultNodes
+	MaxReduction   float64 `toml:"away"`     // the most of a shard's weight that judging its nodes may take away; 0: balancer.DefaultAway
+	ProbeWeight    float64 `toml:"trial"`    // part of its weight that a silent node keeps, as trials; 0: balancer.DefaultTrial
+	GossipDisabled bool    `toml:"no_peers"` // peers neither tell nor are told of silent nodes
 }
 
-func (s Spread) check() error {
+func (s Balancer) check() error {
 	switch {
-	case s.Nodes < 0 || s.Nodes > 10_000:
-		return fmt.Errorf("nodes: %d is not within 0 to 10000", s.Nodes)
-	case !(s.Away >= 0 && s.Away <= 0.9):
-		return fmt.Errorf("away: %v is not within 0 to 0.9", s.Away)
-	case !(s.Trial >= 0 && s.Trial <= 0.25):
-		return fmt.Errorf("trial: %v is not within 0 to 0.25", s.Trial)
+	case s.SubsetSize < 0 || s.SubsetSize > 10_000:
+		return fmt.Errorf("nodes: %d is not within 0 to 10000", s.SubsetSize)
+	case !(s.MaxReduction >= 0 && s.MaxReduction <= 0.9):
+		return fmt.Errorf("away: %v is not within 0 to 0.9", s.MaxReduction)
+	case !(s.ProbeWeight >= 0 && s.ProbeWeight <= 0.25):
+		return fmt.Errorf("trial: %v is not within 0 to 0.25", s.ProbeWeight)
 	}
 	return nil
 }
 
 // Options are those of package balancer.
-func (s Spread) Options(name string) balancer.Options {
-	return balancer.Options{Disabled: s.Off, SubsetSize: s.Nodes, MaxEjectedShare: s.Away, TrialShare: s.Trial, NoGossip: s.NoPeers, Name: name}
+func (s Balancer) Options(name string) balancer.Options {
+	return balancer.Options{Disabled: s.Disabled, SubsetSize: s.SubsetSize, MaxEjectedShare: s.MaxReduction, TrialShare: s.ProbeWeight, NoGossip: s.GossipDisabled, Name: name}
 }
 
 // Admission is when requests are refused for want of room or processor.
 type Admission struct {
-	LagMS    float64 `toml:"lag_ms"`    // of the broker's loop, beyond which fewer come in; 0: off
-	MostOpen int     `toml:"most_open"` // requests that may wait for their answer; 0: no bound but those of connections and memory
+	LagMS   float64 `toml:"lag_ms"`    // of the broker's loop, beyond which fewer come in; 0: off
+	MaxOpen int     `toml:"most_open"` // requests that may wait for their answer; 0: no bound but those of connections and memory
 }
 
 const (
@@ -70,20 +70,20 @@
 	if !(a.LagMS >= 0 && a.LagMS <= maxLagMS) {
 		return fmt.Errorf("lag_ms: %v is not within 0 to %d", a.LagMS, maxLagMS)
 	}
-	if a.MostOpen < 0 || a.MostOpen > maxMostOpen {
-		return fmt.Errorf("most_open: %d is not within 0 to %d", a.MostOpen, maxMostOpen)
+	if a.MaxOpen < 0 || a.MaxOpen > maxMostOpen {
+		return fmt.Errorf("most_open: %d is not within 0 to %d", a.MaxOpen, maxMostOpen)
 	}
 	return nil
 }
 
 // Controller returns what decides on admission. crowd is admission.Settings.Crowd, 0 for none.
 func (a Admission) Controller(set scheduler.Settings, crowd int) *admission.Controller {
-	return admission.New(admission.Settings{TargetLag: int64(a.LagMS * 1000), MaxOpen: a.MostOpen, MaxOpenOverloaded: crowd}, set)
+	return admission.New(admission.Settings{TargetLag: int64(a.LagMS * 1000), MaxOpen: a.MaxOpen, MaxOpenOverloaded: crowd}, set)
 }
 
 // ends is all of a site but the mapping of file commands and where figures go, which may change while the broker runs.
 func (s Site) ends() any {
-	return []any{s.SFTP.Listen, s.SFTP.NodePort, s.SFTP.Connections, len(s.Membership.Sources) > 0, s.Membership.Snapshot, s.Admission, s.Spread, s.Agreement}
+	return []any{s.SFTP.Listen, s.SFTP.NodePort, s.SFTP.Connections, len(s.Membership.Sources) > 0, s.Membership.Snapshot, s.Admission, s.Balancer, s.Agreement}
 }
 
 // SFTP is the second front, file commands.
@@ -120,7 +120,7 @@
 	if err := s.Telemetry.check(set); err != nil {
 		return Site{}, fmt.Errorf("%s: telemetry.%w", path, err)
 	}
-	if err := s.Spread.check(); err != nil {
+	if err := s.Balancer.check(); err != nil {
 		return Site{}, fmt.Errorf("%s: spread.%w", path, err)
 	}
 	if err := s.Agreement.complete(set); err != nil {
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	via := p.transport(pool.Options{ConnectTimeout: 500 * time.Millisecond, Idle: 30 * time.Second, Sockets: 64,
-		Log: logging.Func(func(line string) { t.Error(line) })})
+		Log: logging.ToFunc(func(line string) { t.Error(line) })})
 	b.loop = broker.NewLoop(state, b.clock, via, broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -111,7 +111,7 @@
 	}
 	ln := listen(t)
 	b.address = ln.Addr().String()
-	b.front = p.front(b.loop, via, logging.Func(func(line string) { t.Log(line) }))
+	b.front = p.front(b.loop, via, logging.ToFunc(func(line string) { t.Log(line) }))
 	go b.front.Serve(ln)
 	b.list(b.nodes...)
 	b.client = p.client(t, b.address)
--- a/internal/console/ask.go
+++ b/internal/console/ask.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Ask calls a console and returns all that it answers, within a span.
-func Ask(address, call string, within time.Duration) ([]byte, error) {
+// Call calls a console and returns all that it answers, within a span.
+func Call(address, call string, within time.Duration) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	most        = 8               // connections at once; beyond it the one unfinished for longest gives way
-	lineBytes   = 256             // of a call
-	agreeBytes  = 256 << 10       // where there are calls of the agreed document
-	AgreeTime   = 8 * time.Second // for the answer to one of these
-	lineTime    = 6 * time.Second // for a call to come whole
-	answerTime  = time.Second     // for its answer to be taken
-	acceptPause = 10 * time.Millisecond
+	most             = 8               // connections at once; beyond it the one unfinished for longest gives way
+	lineBytes        = 256             // of a call
+	agreeBytes       = 256 << 10       // where there are calls of the agreed document
+	AgreementTimeout = 8 * time.Second // for the answer to one of these
+	lineTime         = 6 * time.Second // for a call to come whole
+	answerTime       = time.Second     // for its answer to be taken
+	acceptPause      = 10 * time.Millisecond
 )
 
 // The words that answers begin or end with.
@@ -33,17 +33,17 @@
 	agreeWord = "agree "
 )
 
-// Calls is what operators may ask for. The functions must not wait for anything.
-type Calls struct {
+// Handlers is what operators may ask for. The functions must not wait for anything.
+type Handlers struct {
 	Check func() error             // nil if clients are taken
 	Vars  func() []byte            // the figures, in lines
 	Nodes func() []byte            // the list of storage nodes and where it comes from, in lines; nil for none
-	Agree func(call string) []byte // calls of the agreed document, which may wait for AgreeTime; nil for none
+	Agree func(call string) []byte // calls of the agreed document, which may wait for AgreementTimeout; nil for none
 }
 
-// Door answers calls.
-type Door struct {
-	calls Calls
+// Server answers calls.
+type Server struct {
+	calls Handlers
 	log   *slog.Logger
 	ln    net.Listener
 
@@ -51,20 +51,20 @@
 	waiting []net.Conn // the callers, the one that came first in front
 }
 
-// Open listens at an address.
-func Open(address string, calls Calls, log *slog.Logger) (*Door, error) {
+// Listen listens at an address.
+func Listen(address string, calls Handlers, log *slog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	return &Door{calls: calls, log: log, ln: ln}, nil
+	return &Server{calls: calls, log: log, ln: ln}, nil
 }
 
 // Close ends Serve.
-func (d *Door) Close() error { return d.ln.Close() }
+func (d *Server) Close() error { return d.ln.Close() }
 
 // Serve answers calls until Close.
-func (d *Door) Serve() {
+func (d *Server) Serve() {
 	for {
 		conn, err := d.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -81,7 +81,7 @@
 }
 
 // enter guards callers with a whole line against those that hold a connection without one: these give way.
-func (d *Door) enter(conn net.Conn) {
+func (d *Server) enter(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) >= most {
@@ -91,7 +91,7 @@
 	d.waiting = append(d.waiting, conn)
 }
 
-func (d *Door) leave(conn net.Conn) {
+func (d *Server) leave(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, c := range d.waiting {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (d *Door) serve(conn net.Conn) {
+func (d *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	defer d.leave(conn)
 	defer func() { // a fault in one call ends its connection only
@@ -121,7 +121,7 @@
 	}
 	call := strings.TrimSpace(string(line))
 	if rest, is := strings.CutPrefix(call, agreeWord); is && d.calls.Agree != nil && err == nil {
-		conn.SetDeadline(time.Now().Add(AgreeTime))
+		conn.SetDeadline(time.Now().Add(AgreementTimeout))
 		conn.Write(append(d.calls.Agree(rest), endWord+"\n"...))
 		return
 	}
@@ -141,7 +141,7 @@
 	return line, bufio.ErrBufferFull
 }
 
-func (d *Door) answer(call string, err error) []byte {
+func (d *Server) answer(call string, err error) []byte {
 	switch {
 	case err != nil:
 		return []byte(failure + " the line is too long\n")
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-func open(t *testing.T, calls Calls) *Door {
-	d, err := Open("127.0.0.1:0", calls, logging.Func(func(line string) { t.Log(line) }))
+func open(t *testing.T, calls Handlers) *Server {
+	d, err := Listen("127.0.0.1:0", calls, logging.ToFunc(func(line string) { t.Log(line) }))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 	return d
 }
 
-func dial(t *testing.T, d *Door, text string) net.Conn {
+func dial(t *testing.T, d *Server, text string) net.Conn {
 	conn, err := net.Dial("tcp", d.ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	return conn
 }
 
-func ask(t *testing.T, d *Door, text string) string {
+func ask(t *testing.T, d *Server, text string) string {
 	got, err := io.ReadAll(dial(t, d, text))
 	if err != nil {
 		t.Errorf("%q: %v", text, err)
@@ -44,7 +44,7 @@
 // Each connection carries one line and gets one answer, whatever the line.
 func TestCalls(t *testing.T) {
 	var taking atomic.Bool
-	d := open(t, Calls{Check: func() error {
+	d := open(t, Handlers{Check: func() error {
 		if !taking.Load() {
 			return errors.New("starting")
 		}
@@ -68,7 +68,7 @@
 // Guards against callers that hold connections without a whole call: the oldest of them give way, and a fault in one
 // call harms no other.
 func TestHeldConnections(t *testing.T) {
-	d := open(t, Calls{Check: func() error { return nil }, Vars: func() []byte { panic("fault") }})
+	d := open(t, Handlers{Check: func() error { return nil }, Vars: func() []byte { panic("fault") }})
 	var held []net.Conn
 	for range 3 * most {
 		held = append(held, dial(t, d, "che"))
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -33,7 +33,7 @@
 	members   *members.Members
 	watcher   *discovery.Watcher
 	reporter  *metricsexport.Reporter
-	console   *console.Door          // nil if off
+	console   *console.Server        // nil if off
 	post      func(broker.Event)     // what discovery and the sources say
 	figures   func() []broker.Metric // the broker's own, as sinks get them
 	closes    []func()               // what ends with it, the last first
@@ -48,21 +48,21 @@
 			k.close()
 		}
 	}()
-	c.Settings.Logic.Balancer = c.Site.Spread.Options(c.Name)
-	state, err := broker.NewState(c.Settings.Logic, c.Seed)
+	c.Settings.Scheduler.Balancer = c.Site.Balancer.Options(c.Name)
+	state, err := broker.NewState(c.Settings.Scheduler, c.Seed)
 	if err != nil {
 		return nil, err
 	}
 	outside := broker.Dependencies{Log: log, Admission: gate}
-	if c.PeerListen != "" && c.Settings.Logic.Capabilities.Peers {
-		if k.link, err = peer.Open(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Logic.Ordinal); err != nil {
+	if c.PeerListen != "" && c.Settings.Scheduler.Capabilities.Peers {
+		if k.link, err = peer.Open(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Scheduler.Ordinal); err != nil {
 			return nil, err
 		}
 		k.closes = append(k.closes, func() { k.link.Close() })
 		outside.SendToPeer = k.link.Tell
 	}
 	calls := &loopCalls{}
-	if c.Site.Agreement.On() {
+	if c.Site.Agreement.Enabled() {
 		if k.agreement, err = agreementOf(c, k.clock, calls, log); err != nil {
 			return nil, err
 		}
@@ -88,7 +88,7 @@
 	if k.config.Console == "" {
 		return nil
 	}
-	k.console, err = console.Open(k.config.Console, console.Calls{Check: check,
+	k.console, err = console.Listen(k.config.Console, console.Handlers{Check: check,
 		Vars: func() []byte {
 			return metrics.Statsd(slices.Concat(k.loop.Metrics.Read(), k.reporter.Figures(), k.members.Metrics(), k.agreed(), spreadFigures(k.loop.NodeShares()), more()))
 		}, Nodes: func() []byte { return append(k.members.Table(), spreadText(k.loop.NodeShares())...) }, Agree: k.agreeCall()}, k.log)
@@ -102,7 +102,7 @@
 }
 
 // run has it all run until ctx ends. known is the list that it held before, nil for none; hear takes peers' messages.
-func (k *control) run(ctx context.Context, known *discovery.List, hear func(broker.PeerMessage)) error {
+func (k *control) run(ctx context.Context, known *discovery.EndpointList, hear func(broker.PeerMessage)) error {
 	listed := k.post // what discovery says is the truth, or one word among others
 	if len(k.config.Site.Membership.Sources) > 0 {
 		if err := k.members.ApplySettings(k.config.Site.Membership); err != nil {
@@ -135,8 +135,8 @@
 
 // watch is what a configuration says of the watch of discovery.
 func (k *control) watch(c *config.Config) discovery.Options {
-	set := c.Settings.Logic
-	return discovery.Options{Brokers: set.Brokers, Grace: set.Rules.DrainGrace, Asked: set.Subscribe, Local: net.ParseIP(c.Local), Log: k.log}
+	set := c.Settings.Scheduler
+	return discovery.Options{Brokers: set.Brokers, DrainGrace: set.Rules.DrainGrace, SharedService: set.Subscribe, Local: net.ParseIP(c.LocalAddress), Log: k.log}
 }
 
 // agreed are the figures of the agreed document.
--- a/internal/daemon/ends_test.go
+++ b/internal/daemon/ends_test.go
@@ -42,7 +42,7 @@
 	discovery := serveList(t, fakes.Host{Host: "a", Dial: node.Addr().String(), Health: "SERVING", Share: 1})
 	address := free(t)
 	c := configWith(t, address, discovery.Address(), quickSettings)
-	c.NoHandover = true
+	c.HandoverDisabled = true
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error, 1)
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -73,7 +73,7 @@
 // callConsole makes one call.
 func callConsole(t *testing.T, address, call string) []byte {
 	t.Helper()
-	got, err := console.Ask(address, call, 5*time.Second)
+	got, err := console.Call(address, call, 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	if err := k.open(func() error { return nil }, func() []broker.Metric { return nil }); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.members.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "file", Kind: "file", Path: list}}}); err != nil {
+	if err := k.members.ApplySettings(config.Membership{Sources: []config.EndpointSource{{Name: "file", Kind: "file", Path: list}}}); err != nil {
 		t.Fatal(err)
 	}
 	var answer []byte
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -14,19 +14,19 @@
 	"junctionwharf/scheduler"
 )
 
-// Demand is what a hollow broker's clients and nodes are drawn to do.
-type Demand struct {
-	Rate    float64       `json:"Rate"`    // requests a second, each of its own time; 0 for none
-	Volumes int           `json:"Volumes"` // drawn from evenly, the same ones at all brokers; at least 1
-	Answer  time.Duration `json:"Answer"`  // a node's time for a request, in the mean; exponential
-	Seed    uint64        `json:"Seed"`
+// SyntheticLoad is what a hollow broker's clients and nodes are drawn to do.
+type SyntheticLoad struct {
+	Rate         float64       `json:"Rate"`    // requests a second, each of its own time; 0 for none
+	Volumes      int           `json:"Volumes"` // drawn from evenly, the same ones at all brokers; at least 1
+	ResponseTime time.Duration `json:"Answer"`  // a node's time for a request, in the mean; exponential
+	Seed         uint64        `json:"Seed"`
 }
 
-// Hollow runs the side of a broker that carries no requests, as Serve builds it, until ctx ends: the watch of discovery, the agreed
+// ServeHollow runs the side of a broker that carries no requests, as Serve builds it, until ctx ends: the watch of discovery, the agreed
 // document, messages between brokers, figures, and the decisions on requests that are drawn and never sent. Many may run in one process. It
 // measures what that side costs in a fleet larger than a machine could hold as processes.
-func Hollow(ctx context.Context, c *config.Config, demand Demand, log *slog.Logger) error {
-	k, err := newControl(c, &drawn{random: rand.New(rand.NewPCG(demand.Seed, 2)), answer: demand.Answer}, nil, log)
+func ServeHollow(ctx context.Context, c *config.Config, demand SyntheticLoad, log *slog.Logger) error {
+	k, err := newControl(c, &drawn{random: rand.New(rand.NewPCG(demand.Seed, 2)), answer: demand.ResponseTime}, nil, log)
 	if err != nil {
 		return err
 	}
@@ -39,10 +39,10 @@
 	return nil
 }
 
-// Control runs what a machine set aside for control does, until ctx ends: it votes on the agreed document, and feeds brokers that feed
+// ServeControl runs what a machine set aside for control does, until ctx ends: it votes on the agreed document, and feeds brokers that feed
 // nobody themselves. It takes no clients and sends nothing to storage nodes.
-func Control(ctx context.Context, c *config.Config, log *slog.Logger) error {
-	if !c.Site.Agreement.On() || c.Site.Agreement.Listen == "" {
+func ServeControl(ctx context.Context, c *config.Config, log *slog.Logger) error {
+	if !c.Site.Agreement.Enabled() || c.Site.Agreement.Listen == "" {
 		return errors.New("agreement: no cluster and listen: a process for control has nothing else to do")
 	}
 	k, err := newControl(c, nowhere{}, nil, log)
@@ -64,7 +64,7 @@
 	if err := k.open(check, func() []broker.Metric { return nil }); err != nil {
 		return err
 	}
-	if err := k.run(ctx, k.config.Known, func(e broker.PeerMessage) { k.loop.Post(e) }); err != nil {
+	if err := k.run(ctx, k.config.CachedEndpoints, func(e broker.PeerMessage) { k.loop.Post(e) }); err != nil {
 		return err
 	}
 	k.reporter.Retune(reportOf(k.config))
@@ -89,8 +89,8 @@
 func (nowhere) CloseIdle(string) {}
 
 // demand has drawn requests come until ctx ends.
-func (k *control) demand(ctx context.Context, d Demand) {
-	set := k.config.Settings.Logic
+func (k *control) demand(ctx context.Context, d SyntheticLoad) {
+	set := k.config.Settings.Scheduler
 	random := rand.New(rand.NewPCG(d.Seed, 1))
 	for d.Rate > 0 {
 		timer := time.NewTimer(time.Duration(random.ExpFloat64() / d.Rate * float64(time.Second)))
--- a/internal/daemon/hollow_test.go
+++ b/internal/daemon/hollow_test.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		a.Fatal(err)
 	}
-	c.NoHandover = true
+	c.HandoverDisabled = true
 	return c
 }
 
@@ -111,7 +111,7 @@
 	c := whole.config()
 	programs.Go(func() { Serve(ctx, c, logging.Discard(), nil, nil) })
 	programs.Go(func() {
-		if err := Hollow(ctx, hollow.config(), Demand{Rate: 400, Volumes: volumes, Answer: time.Millisecond, Seed: 1}, logging.Discard()); err != nil {
+		if err := ServeHollow(ctx, hollow.config(), SyntheticLoad{Rate: 400, Volumes: volumes, ResponseTime: time.Millisecond, Seed: 1}, logging.Discard()); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -40,7 +40,7 @@
 	defer stop()
 	start := func() {
 		c := configWith(t, address, discovery.Address(), settings)
-		c.NoHandover = true
+		c.HandoverDisabled = true
 		c.Console = free(t)
 		programs.Go(func() { Serve(ctx, c, logging.Discard(), nil, nil) })
 		for got := ""; got != "SUCCESS\n"; {
--- a/internal/daemon/members_test.go
+++ b/internal/daemon/members_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	shard := 0
-	c.Site.Membership.Sources = []config.MemberSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, TimeoutMS: 100, QueriesPerS: 1000}}
+	c.Site.Membership.Sources = []config.EndpointSource{{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, Shard: &shard, TimeoutMS: 100, QueriesPerS: 1000}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Serve(ctx, c, logging.Discard(), nil, nil) }()
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -70,12 +70,12 @@
 		debug.SetGCPercent(gcPercent)
 	}
 
-	local := net.ParseIP(c.Local)
+	local := net.ParseIP(c.LocalAddress)
 	size := sizesOf(c, 1)
 	options := pool.Options{ConnectTimeout: c.Settings.ConnectTimeout.Duration(),
 		Idle: c.Settings.ConnIdle.Duration(), Settle: settle, Sockets: size.nodes, Local: local, Log: log}
 	nodes := pool.New(options)
-	gate := c.Site.Admission.Controller(c.Settings.Logic, size.crowd)
+	gate := c.Site.Admission.Controller(c.Settings.Scheduler, size.crowd)
 	k, err := newControl(c, resp.NewNodes(nodes), gate, log)
 	if err != nil {
 		return err
@@ -86,10 +86,10 @@
 		return slices.Concat(loop.Metrics.Read(), s.members.Metrics(), s.agreed(), []broker.Metric{{Name: "clients", Value: uint64(clients(s.fronts))}})
 	}
 	s.pools = []*pool.Pool{nodes}
-	s.front = resp.NewFront(loop, resp.NewTerms(c.Settings.Logic, c.Settings.Shards), size.clients, size.maxIdle, size.requests, log)
+	s.front = resp.NewFront(loop, resp.NewTerms(c.Settings.Scheduler, c.Settings.Shards), size.clients, size.maxIdle, size.requests, log)
 	s.front.RejectBeyond(size.overflow)
 	s.fronts = []drainer{s.front}
-	s.took(c.Settings.Logic)
+	s.took(c.Settings.Scheduler)
 	s.resize(1)
 	if c.Site.SFTP.Listen != "" {
 		options.Greet = sftp.Greet
@@ -115,7 +115,7 @@
 		go retire(running, p)
 	}
 	served := make(chan error, 2)
-	met := handover.Taken(c.Listen)
+	met := handover.AddressInUse(c.Listen)
 	ln, err := handover.Listen(c.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -217,9 +217,9 @@
 	fronts    []drainer
 	listeners []net.Listener
 
-	office  *handover.Office // nil if there can be no handover
-	beside  bool             // another process may serve beside this one, and would not be met
-	handed  *discovery.List  // the list that the old process handed over
+	office  *handover.Coordinator   // nil if there can be no handover
+	beside  bool                    // another process may serve beside this one, and would not be met
+	handed  *discovery.EndpointList // the list that the old process handed over
 	taking  atomic.Bool
 	classes atomic.Pointer[[]scheduler.Class] // as they are now
 	limited atomic.Bool                       // a plan has a limit
@@ -230,7 +230,7 @@
 func (s *service) renew(old *config.Config, load func() (*config.Config, error)) *config.Config {
 	c, err := load()
 	if err == nil {
-		err = old.Lacks(c)
+		err = old.CheckReloadKeys(c)
 	}
 	s.loop.Metrics.CountReload(err == nil)
 	if err != nil {
@@ -238,16 +238,16 @@
 		s.reporter.Notify(collectd.Notice{Severity: collectd.Failure, Instance: "reload", Text: "reload turned down: " + err.Error()})
 		return old
 	}
-	if keys := old.Fixed(c); len(keys) > 0 {
+	if keys := old.RestartOnlyChanges(c); len(keys) > 0 {
 		s.log.Warn("reload: some keys wait for the next start", "keys", strings.Join(keys, ", "))
 	}
 	if c.Discovery != old.Discovery {
-		s.watcher.Move(c.Discovery)
+		s.watcher.SetAddress(c.Discovery)
 	}
 	s.follow(c)
 	s.log.Info("reloaded", "discovery", c.Discovery)
 	renewed := *old
-	renewed.Renew(c)
+	renewed.ApplyReload(c)
 	return &renewed
 }
 
@@ -255,13 +255,13 @@
 // terms, the core knows.
 func (s *service) follow(c *config.Config) {
 	set := c.Settings
-	set.Logic.Balancer = s.config.Site.Spread.Options(s.config.Name) // as at the start
+	set.Scheduler.Balancer = s.config.Site.Balancer.Options(s.config.Name) // as at the start
 	if s.agreement != nil {
-		s.agreement.SettingsChanged(set.Logic)
+		s.agreement.SettingsChanged(set.Scheduler)
 	} else {
-		s.loop.Post(broker.SettingsChanged{Settings: set.Logic})
+		s.loop.Post(broker.SettingsChanged{Settings: set.Scheduler})
 	}
-	s.front.Retune(resp.NewTerms(set.Logic, set.Shards))
+	s.front.Retune(resp.NewTerms(set.Scheduler, set.Shards))
 	if s.files != nil && c.Site.SFTP.Listen != "" {
 		s.files.Retune(c.Site.SFTP.Plan())
 	}
@@ -273,9 +273,9 @@
 			s.log.Error("sources unchanged", "reason", err)
 		}
 	}
-	s.watcher.Retune(s.watch(c))
+	s.watcher.UpdateOptions(s.watch(c))
 	s.reporter.Retune(reportOf(c))
-	s.took(set.Logic)
+	s.took(set.Scheduler)
 }
 
 // took notes what the life of the process depends on in the settings that are in force.
@@ -286,7 +286,7 @@
 
 // reportOf is what a configuration says of sinks of figures.
 func reportOf(c *config.Config) metricsexport.Settings {
-	return metricsexport.Settings{Registry: c.Site.Telemetry.Options(c.Settings.Logic), Graphite: c.Site.Graphite, Collectd: c.Site.Collectd}
+	return metricsexport.Settings{Registry: c.Site.Telemetry.Options(c.Settings.Scheduler), Graphite: c.Site.Graphite, Collectd: c.Site.Collectd}
 }
 
 // timetable is what happens when after SIGTERM.
@@ -309,7 +309,7 @@
 func (s *service) finish() {
 	t, began := timesOf(*s.classes.Load()), time.Now()
 	left := func() bool { return s.loop.OpenRequests() > 0 || clients(s.fronts) > 0 }
-	if s.office != nil && s.office.Succeeded() {
+	if s.office != nil && s.office.HasSuccessor() {
 		s.log.Info("stopping", "successor", true)
 		s.leadAway()
 		s.drain()
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -222,7 +222,7 @@
 	load := func() (*config.Config, error) {
 		c, err := config.Load(os.Getenv)
 		if err == nil {
-			c.Site, err = config.LoadSite(site, c.Settings.Logic)
+			c.Site, err = config.LoadSite(site, c.Settings.Scheduler)
 		}
 		return c, err
 	}
@@ -372,14 +372,14 @@
 		t.Fatal(err)
 	}
 	var lines []string
-	log := logging.Func(func(line string) { lines = append(lines, line) })
-	state, err := broker.NewState(c.Settings.Logic, 1)
+	log := logging.ToFunc(func(line string) { lines = append(lines, line) })
+	state, err := broker.NewState(c.Settings.Scheduler, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Log: log})
 	k := &control{loop: loop, reporter: metricsexport.New(metricsexport.Options{}), config: c, watcher: discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}), log: log}
-	parts := &service{control: k, front: resp.NewFront(loop, resp.NewTerms(c.Settings.Logic, 0), 1, 1, 1, log)}
+	parts := &service{control: k, front: resp.NewFront(loop, resp.NewTerms(c.Settings.Scheduler, 0), 1, 1, 1, log)}
 	for _, fault := range []struct{ old, new, line string }{
 		{`"discovery":"127.0.0.1:2"`, `"discovery":"there"`, `discovery: "there" is no address:port`},
 		{`"name":"n1",`, ``, "name: missing"},
@@ -432,7 +432,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site, err := config.LoadSite("../../deploy/site.toml", set.Logic)
+	site, err := config.LoadSite("../../deploy/site.toml", set.Scheduler)
 	if err != nil || site.SFTP.Listen == "" || site.Graphite.Address != "" || site.Collectd.Address != "" {
 		t.Errorf("%+v, %v", site, err)
 	}
@@ -463,7 +463,7 @@
 	discovery := serveList(t)
 	address := free(t)
 	c := brokerConfig(t, address, discovery.Address())
-	c.NoHandover = true
+	c.HandoverDisabled = true
 	var lines lockedBuffer
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/daemon/succeed.go
+++ b/internal/daemon/succeed.go
@@ -13,13 +13,13 @@
 // join meets the process that this one replaces, if there is one, and waits for a successor from then on. Without a
 // place to meet, the broker serves all the same: its clients count for more than a smooth replacing.
 func (s *service) join() {
-	if s.config.NoHandover {
+	if s.config.HandoverDisabled {
 		s.beside = true
 		s.log.Info("handover off", "reason", "--handover=false: a process that starts beside this one serves beside it and takes nothing over")
 		return
 	}
-	path := handover.Path(os.TempDir(), s.config.Listen)
-	office, met, err := handover.Open(path, handover.Side{Meet: s.meet, Take: s.take, Part: s.parted})
+	path := handover.SocketPath(os.TempDir(), s.config.Listen)
+	office, met, err := handover.Open(path, handover.Callbacks{Connected: s.meet, Received: s.take, Disconnected: s.parted})
 	if err != nil {
 		s.beside = true
 		s.log.Warn("handover off", "reason", err)
@@ -28,9 +28,9 @@
 	s.office = office
 	s.front.Share(func(id string, opened bool) {
 		if opened {
-			office.Tell(handover.News{Opened: []string{id}})
+			office.Send(handover.StateMessage{OpenedRequests: []string{id}})
 		} else {
-			office.Tell(handover.News{Ended: []string{id}})
+			office.Send(handover.StateMessage{EndedRequests: []string{id}})
 		}
 	})
 	if met {
@@ -49,9 +49,9 @@
 		}
 		s.loop.Post(broker.ProcessesChanged{Processes: 1, Unseen: n})
 	}
-	known, over := make(chan handover.Company, 1), time.NewTimer(besideTime)
+	known, over := make(chan handover.Presence, 1), time.NewTimer(besideTime)
 	defer over.Stop()
-	go handover.NewWatch(s.config.Listen).Run(ctx, s.limited.Load, func(c handover.Company) {
+	go handover.NewPresenceWatcher(s.config.Listen).Run(ctx, s.limited.Load, func(c handover.Presence) {
 		select {
 		case known <- c:
 		case <-ctx.Done():
@@ -59,7 +59,7 @@
 	})
 	company := handover.Unknown
 	ends := false
-	for tell(met); ; tell(company == handover.Beside || company == handover.Unknown && (met || ends)) {
+	for tell(met); ; tell(company == handover.Present || company == handover.Unknown && (met || ends)) {
 		select {
 		case company = <-known:
 		case <-over.C:
@@ -82,20 +82,20 @@
 }
 
 // meet shares the limits and the rules with the other process.
-func (s *service) meet() handover.News {
+func (s *service) meet() handover.StateMessage {
 	s.resize(2)
 	s.loop.Post(broker.ProcessesChanged{Processes: 2})
-	return handover.News{List: s.watcher.Held(), Opened: s.front.Open()}
+	return handover.StateMessage{Endpoints: s.watcher.Current(), OpenedRequests: s.front.Open()}
 }
 
 // take takes what the other process tells.
-func (s *service) take(news handover.News) {
-	if news.List != nil {
-		s.handed = news.List
+func (s *service) take(news handover.StateMessage) {
+	if news.Endpoints != nil {
+		s.handed = news.Endpoints
 	}
-	s.front.Hear(news.Opened, news.Ended)
-	if news.Heard != nil {
-		s.loop.Post(broker.PeerMessage{From: news.From, Data: news.Heard})
+	s.front.Hear(news.OpenedRequests, news.EndedRequests)
+	if news.PeerMessage != nil {
+		s.loop.Post(broker.PeerMessage{From: news.PeerOrdinal, Data: news.PeerMessage})
 	}
 }
 
@@ -108,10 +108,10 @@
 }
 
 // known is the newest list that is held at the start.
-func (s *service) known() *discovery.List {
-	list := s.config.Known
-	if s.handed != nil && (list == nil || s.handed.Seq >= list.Seq) {
-		s.watcher.Start(s.handed)
+func (s *service) known() *discovery.EndpointList {
+	list := s.config.CachedEndpoints
+	if s.handed != nil && (list == nil || s.handed.Version >= list.Version) {
+		s.watcher.Resume(s.handed)
 		list = s.handed
 	}
 	return list
@@ -121,7 +121,7 @@
 func (s *service) hear(e broker.PeerMessage) {
 	s.loop.Post(e)
 	if s.office != nil {
-		s.office.Tell(handover.News{From: e.From, Heard: e.Data})
+		s.office.Send(handover.StateMessage{PeerOrdinal: e.From, PeerMessage: e.Data})
 	}
 }
 
@@ -131,7 +131,7 @@
 // leadAway has new connections go to the successor and takes those that wait in the listeners' queues.
 func (s *service) leadAway() {
 	for _, ln := range s.listeners {
-		if err := handover.LeadAway(ln); err != nil {
+		if err := handover.RedirectNewConnections(ln); err != nil {
 			s.log.Warn("handover failed", "reason", err)
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,25 +20,25 @@
 	"junctionwharf/scheduler"
 )
 
-// List is what discovery answers: the whole list, or changed entries. The tags are its keys in a handover's message, between two
+// EndpointList is what discovery answers: the whole list, or changed entries. The tags are its keys in a handover's message, between two
 // versions of the program; discovery's own keys are ParseList's.
-type List struct {
-	Seq   uint64 `json:"Seq"`
-	Whole bool   `json:"Whole"`
-	Hosts []Host `json:"Hosts"`
+type EndpointList struct {
+	Version   uint64     `json:"Seq"`
+	Full      bool       `json:"Whole"`
+	Endpoints []Endpoint `json:"Hosts"`
 }
 
-// Host is an entry of a List.
-type Host struct {
-	Host  string `json:"Host"`
-	Dial  string `json:"Dial"`
-	Site  string `json:"Site"`
-	Class string `json:"Class"`
+// Name is an entry of a EndpointList.
+type Endpoint struct {
+	Name    string `json:"Host"`
+	Address string `json:"Dial"`
+	Zone    string `json:"Site"`
+	Kind    string `json:"Class"`
 
-	Block  int                 `json:"Block"`
-	State  scheduler.NodeState `json:"State"`
-	Share  float64             `json:"Share"`
-	BornMS int64               `json:"BornMS"`
+	Shard       int                 `json:"Block"`
+	State       scheduler.NodeState `json:"State"`
+	Weight      float64             `json:"Share"`
+	StartedAtMS int64               `json:"BornMS"`
 }
 
 var states = map[string]scheduler.NodeState{
@@ -46,7 +46,7 @@
 }
 
 // ParseList reads a list's JSON.
-func ParseList(text []byte) (*List, error) {
+func ParseList(text []byte) (*EndpointList, error) {
 	var raw struct {
 		Seq   uint64 `json:"seq"`
 		Whole bool   `json:"whole"`
@@ -64,25 +64,25 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, err
 	}
-	list := &List{Seq: raw.Seq, Whole: raw.Whole}
+	list := &EndpointList{Version: raw.Seq, Full: raw.Whole}
 	for i, h := range raw.Hosts {
 		state, known := states[h.Health]
 		if !known || h.Host == "" {
 			return nil, fmt.Errorf("hosts[%d]: host %q has health %q", i, h.Host, h.Health)
 		}
-		list.Hosts = append(list.Hosts, Host{Host: h.Host, Dial: h.Dial, Site: h.Site, Class: h.Class,
-			Block: h.Block, State: state, Share: h.Share, BornMS: int64(h.BornMS)})
+		list.Endpoints = append(list.Endpoints, Endpoint{Name: h.Host, Address: h.Dial, Zone: h.Site, Kind: h.Class,
+			Shard: h.Block, State: state, Weight: h.Share, StartedAtMS: int64(h.BornMS)})
 	}
 	return list, nil
 }
 
 // Event turns a list into the core's event.
-func (l *List) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.NodesListed {
-	event := broker.NodesListed{Kind: kind, Version: l.Seq}
-	for _, h := range l.Hosts {
+func (l *EndpointList) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.NodesListed {
+	event := broker.NodesListed{Kind: kind, Version: l.Version}
+	for _, h := range l.Endpoints {
 		event.Nodes = append(event.Nodes, broker.Node{
-			Endpoint: scheduler.Endpoint{Name: h.Host, Zone: h.Site, Kind: h.Class, Shard: h.Block, State: h.State, Weight: h.Share},
-			Address:  h.Dial, LastStart: clock.FromUnixMilli(h.BornMS)})
+			Endpoint: scheduler.Endpoint{Name: h.Name, Zone: h.Zone, Kind: h.Kind, Shard: h.Shard, State: h.State, Weight: h.Weight},
+			Address:  h.Address, LastStart: clock.FromUnixMilli(h.StartedAtMS)})
 	}
 	return event
 }
@@ -107,11 +107,11 @@
 
 // Options says whom a Watcher works for.
 type Options struct {
-	Brokers int           // of the tier
-	Grace   time.Duration // within which sends to a node end that is told to drain; 0 for none
-	Asked   bool          // lists must be asked for, at a service that all brokers share; else an agent on this machine has them
-	Local   net.IP        // from which calls are made, nil for the system's choice
-	Log     *slog.Logger  // gets a line when the service falls silent and when it is back
+	Brokers       int           // of the tier
+	DrainGrace    time.Duration // within which sends to a node end that is told to drain; 0 for none
+	SharedService bool          // lists must be asked for, at a service that all brokers share; else an agent on this machine has them
+	Local         net.IP        // from which calls are made, nil for the system's choice
+	Log           *slog.Logger  // gets a line when the service falls silent and when it is back
 }
 
 // patience is how long a Watcher waits before it takes silence for loss.
@@ -128,11 +128,11 @@
 // that waits for news in vain, with the pause and the answer behind it.
 func (o Options) patience() patience {
 	hold := max(holdLeast, min(time.Duration(o.Brokers)*holdEach, holdMost))
-	within := toldAfter + o.Grace
+	within := toldAfter + o.DrainGrace
 	most := time.Duration(float64(within) / (3 + 2*spreadOf) * toldMargin)
 	p := patience{answer: min(slackAsked, most), again: min(againAsked, most)}
-	if !o.Asked && o.Grace > 0 {
-		p.answer, p.again = min(p.answer, o.Grace/3), min(p.again, o.Grace/4)
+	if !o.SharedService && o.DrainGrace > 0 {
+		p.answer, p.again = min(p.answer, o.DrainGrace/3), min(p.again, o.DrainGrace/4)
 	}
 	p.hold = min(hold, within-2*p.answer-time.Duration(spreadOf*float64(p.again))-holdMargin)
 	return p
@@ -154,7 +154,7 @@
 	heldAt  time.Time // when it was last confirmed
 
 	mu    sync.Mutex
-	whole List // what the lists so far come to
+	whole EndpointList // what the lists so far come to
 }
 
 // NewWatcher returns a watcher of the service at address.
@@ -166,52 +166,52 @@
 	transport := &http.Transport{DialContext: dialer.DialContext,
 		MaxIdleConns: 1, MaxConnsPerHost: 2, DisableCompression: true}
 	w := &Watcher{address: address, moves: make(chan string, 1), client: &http.Client{Transport: transport}, log: opt.Log}
-	w.Retune(opt)
+	w.UpdateOptions(opt)
 	return w
 }
 
-// Retune has the next call keep to another grace.
-func (w *Watcher) Retune(opt Options) {
+// UpdateOptions has the next call keep to another grace.
+func (w *Watcher) UpdateOptions(opt Options) {
 	p := opt.patience()
 	w.waits.Store(&p)
 }
 
-// Start has the watch go on from a list that was held before. It comes before Run.
-func (w *Watcher) Start(list *List) {
-	w.held, w.heldAt = list.Seq, time.Now()
+// Resume has the watch go on from a list that was held before. It comes before Run.
+func (w *Watcher) Resume(list *EndpointList) {
+	w.held, w.heldAt = list.Version, time.Now()
 	w.add(list)
 }
 
-// Held returns the whole list as it is now, nil before there is one.
-func (w *Watcher) Held() *List {
+// Current returns the whole list as it is now, nil before there is one.
+func (w *Watcher) Current() *EndpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.whole.Whole {
+	if !w.whole.Full {
 		return nil
 	}
 	held := w.whole
-	held.Hosts = slices.Clone(held.Hosts)
+	held.Endpoints = slices.Clone(held.Endpoints)
 	return &held
 }
 
 // add brings the whole list up to date.
-func (w *Watcher) add(news *List) {
+func (w *Watcher) add(news *EndpointList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if news.Whole {
-		w.whole.Hosts, w.whole.Whole = nil, true
+	if news.Full {
+		w.whole.Endpoints, w.whole.Full = nil, true
 	}
-	w.whole.Seq = news.Seq
-	for _, h := range news.Hosts {
-		w.whole.Hosts = slices.DeleteFunc(w.whole.Hosts, func(old Host) bool { return old.Host == h.Host })
+	w.whole.Version = news.Version
+	for _, h := range news.Endpoints {
+		w.whole.Endpoints = slices.DeleteFunc(w.whole.Endpoints, func(old Endpoint) bool { return old.Name == h.Name })
 		if h.State != scheduler.Removed {
-			w.whole.Hosts = append(w.whole.Hosts, h)
+			w.whole.Endpoints = append(w.whole.Endpoints, h)
 		}
 	}
 }
 
-// Move has the watch go on at another address, at once. It is for one caller at a time.
-func (w *Watcher) Move(address string) {
+// SetAddress has the watch go on at another address, at once. It is for one caller at a time.
+func (w *Watcher) SetAddress(address string) {
 	select {
 	case <-w.moves:
 	default:
@@ -242,27 +242,27 @@
 
 // order guards against a service that is behind the one asked before: its list would bring back nodes that are
 // known to drain. A list that stays older for long is of a new count and taken.
-func (w *Watcher) order(list *List) error {
+func (w *Watcher) order(list *EndpointList) error {
 	now := time.Now()
-	if list.Seq < w.held && (!list.Whole || now.Sub(w.heldAt) < behind) {
-		return fmt.Errorf("list %d is older than %d, which is held", list.Seq, w.held)
+	if list.Version < w.held && (!list.Full || now.Sub(w.heldAt) < behind) {
+		return fmt.Errorf("list %d is older than %d, which is held", list.Version, w.held)
 	}
-	w.held, w.heldAt = list.Seq, now
+	w.held, w.heldAt = list.Version, now
 	return nil
 }
 
 // leavers are the entries of a list that is not believed which name nodes as draining or gone that are held as serving. They
 // count all the same: it may be of a new count, and a node that is spared for a while costs less than a broken drain.
-func (w *Watcher) leavers(list *List) *List {
+func (w *Watcher) leavers(list *EndpointList) *EndpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	news := &List{Seq: w.whole.Seq}
-	for _, h := range list.Hosts {
-		at := slices.IndexFunc(w.whole.Hosts, func(held Host) bool { return held.Host == h.Host })
-		if h.State != scheduler.Ready && at >= 0 && w.whole.Hosts[at].State == scheduler.Ready {
-			leaver := w.whole.Hosts[at]
+	news := &EndpointList{Version: w.whole.Version}
+	for _, h := range list.Endpoints {
+		at := slices.IndexFunc(w.whole.Endpoints, func(held Endpoint) bool { return held.Name == h.Name })
+		if h.State != scheduler.Ready && at >= 0 && w.whole.Endpoints[at].State == scheduler.Ready {
+			leaver := w.whole.Endpoints[at]
 			leaver.State = scheduler.Draining
-			news.Hosts = append(news.Hosts, leaver)
+			news.Endpoints = append(news.Endpoints, leaver)
 		}
 	}
 	return news
@@ -299,24 +299,24 @@
 		if silent {
 			w.log.Info("discovery back")
 		}
-		silent, whole, seq = false, false, list.Seq
+		silent, whole, seq = false, false, list.Version
 		w.take(list, clock, post)
 	}
 }
 
 // take adds a list to what is held and posts it, unless it says nothing.
-func (w *Watcher) take(list *List, clock *broker.Clock, post func(broker.Event)) {
+func (w *Watcher) take(list *EndpointList, clock *broker.Clock, post func(broker.Event)) {
 	w.add(list)
-	if list.Whole {
+	if list.Full {
 		post(list.Event(scheduler.FullUpdate, clock))
-	} else if len(list.Hosts) > 0 {
+	} else if len(list.Endpoints) > 0 {
 		post(list.Event(scheduler.DeltaUpdate, clock))
 	}
 }
 
 var errStatus = errors.New("status")
 
-func (w *Watcher) call(ctx context.Context, seq uint64, whole bool) (*List, error) {
+func (w *Watcher) call(ctx context.Context, seq uint64, whole bool) (*EndpointList, error) {
 	waits := w.waits.Load()
 	url, wait := "http://"+w.address+"/registry/instances", waits.answer
 	if !whole {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,7 +21,7 @@
 
 func TestParseList(t *testing.T) {
 	l, err := ParseList([]byte(wholeText))
-	if err != nil || l.Seq != 41 || !l.Whole || len(l.Hosts) != 1 {
+	if err != nil || l.Version != 41 || !l.Full || len(l.Endpoints) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	e := l.Event(scheduler.FullUpdate, broker.NewClock())
@@ -59,7 +59,7 @@
 	defer server.Close()
 	defer cancel()
 	events := make(chan broker.Event, 16)
-	go NewWatcher(server.Listener.Addr().String(), Options{Brokers: 1, Log: logging.Func(func(line string) { t.Log(line) })}).Run(ctx, broker.NewClock(), func(e broker.Event) { events <- e })
+	go NewWatcher(server.Listener.Addr().String(), Options{Brokers: 1, Log: logging.ToFunc(func(line string) { t.Log(line) })}).Run(ctx, broker.NewClock(), func(e broker.Event) { events <- e })
 	for i, step := range []struct {
 		index, answer string
 		kind          scheduler.UpdateKind
@@ -96,7 +96,7 @@
 	defer server.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	NewWatcher(server.Listener.Addr().String(), Options{Brokers: 48, Asked: true, Log: logging.Discard()}).Run(ctx, broker.NewClock(), func(broker.Event) {})
+	NewWatcher(server.Listener.Addr().String(), Options{Brokers: 48, SharedService: true, Log: logging.Discard()}).Run(ctx, broker.NewClock(), func(broker.Event) {})
 	// Half of 50, 100, 200 and 400 ms at the least lie between the first five.
 	if n := len(calls); n < 2 || n > 7 {
 		t.Errorf("%d calls in a second", n)
@@ -130,12 +130,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	events, lines := make(chan broker.Event, 16), make(chan string, 16)
-	w := NewWatcher(serve("old", old), Options{Brokers: 1, Log: logging.Func(func(line string) { lines <- line })})
+	w := NewWatcher(serve("old", old), Options{Brokers: 1, Log: logging.ToFunc(func(line string) { lines <- line })})
 	go w.Run(ctx, broker.NewClock(), func(e broker.Event) { events <- e })
 	for range 3 {
 		<-asked // the third call waits
 	}
-	w.Move(serve("new", renewed))
+	w.SetAddress(serve("new", renewed))
 	<-ended
 	for _, want := range []string{"new", "new", "new44"} {
 		if got := <-asked; got != want {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -130,7 +130,7 @@
 		answerDrain(w, r)
 	})}
 	go server.Serve(ln)
-	w := NewWatcher("agent", Options{Brokers: brokers, Grace: grace, Log: logging.Discard()})
+	w := NewWatcher("agent", Options{Brokers: brokers, DrainGrace: grace, Log: logging.Discard()})
 	w.client.Transport = &http.Transport{DialContext: ln.dial}
 	at := drainKnown(w, server)
 	most := back
@@ -186,7 +186,7 @@
 		}
 	})}
 	go server.Serve(ln)
-	w := NewWatcher("agent", Options{Brokers: brokers, Grace: grace, Asked: asked, Log: logging.Discard()})
+	w := NewWatcher("agent", Options{Brokers: brokers, DrainGrace: grace, SharedService: asked, Log: logging.Discard()})
 	w.client.Transport = &http.Transport{DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		if now := time.Now(); how == 2 && !now.Before(fails) && now.Before(back) {
 			return nil, syscall.ECONNREFUSED
@@ -204,7 +204,7 @@
 	var posted []broker.NodesListed
 	post := func(e broker.Event) { posted = append(posted, e.(broker.NodesListed)) }
 	clock := broker.NewClock()
-	list := func(text string) *List {
+	list := func(text string) *EndpointList {
 		l, err := ParseList([]byte(text))
 		if err != nil {
 			t.Fatal(err)
@@ -227,7 +227,7 @@
 	if len(posted) != 2 || posted[1].Kind != scheduler.DeltaUpdate || len(posted[1].Nodes) != 1 || posted[1].Nodes[0].Name != "a" || posted[1].Nodes[0].State != scheduler.Draining {
 		t.Errorf("%+v", posted)
 	}
-	if held := w.Held(); held.Seq != 41 || len(held.Hosts) != 1 {
+	if held := w.Current(); held.Version != 41 || len(held.Endpoints) != 1 {
 		t.Errorf("%+v", held)
 	}
 	if err := w.order(list(strings.Replace(wholeText, "41", "42", 1))); err != nil {
--- a/internal/dnssrv/dnssrv_test.go
+++ b/internal/dnssrv/dnssrv_test.go
@@ -50,8 +50,8 @@
 
 func check(t *testing.T, got Answer, err error, n int) {
 	t.Helper()
-	if err != nil || len(got.Records) != n || len(got.Lost) > 0 {
-		t.Fatalf("%d records, lost %v, %v", len(got.Records), got.Lost, err)
+	if err != nil || len(got.Records) != n || len(got.Unresolved) > 0 {
+		t.Fatalf("%d records, lost %v, %v", len(got.Records), got.Unresolved, err)
 	}
 	for i, r := range got.Records {
 		if want := names(n)[i]; r.Target != want.Target || r.Priority != want.Priority || r.Weight != want.Weight || len(r.Addresses) != 2 || r.Addresses[0] != want.Addresses[0]+":6379" {
@@ -69,14 +69,14 @@
 		bad.Set(service, 5, names(3)...)
 		bad.Play(trick)
 		r := resolver(t, bad)
-		r.opt.Rounds = 3
+		r.opt.Attempts = 3
 		got, err := r.Lookup(context.Background(), service, false)
 		if ends == "" {
 			check(t, got, err, 3)
 		} else if err == nil || !strings.Contains(err.Error(), ends) {
 			t.Errorf("trick %d: %v, want %s", trick, err, ends)
 		}
-		if errors.Is(err, ErrNone) != (ends == "no such record") {
+		if errors.Is(err, ErrNoRecords) != (ends == "no such record") {
 			t.Errorf("trick %d: %v", trick, err)
 		}
 		if ends == "" || ends == "no such record" || ends == "circle" {
@@ -101,8 +101,8 @@
 	r := resolver(t, s)
 	got, err = r.Lookup(context.Background(), service, true)
 	check(t, got, err, 10)
-	if got.Records[7].Texts[0] != "shard=7 share=1.5" {
-		t.Errorf("%q", got.Records[7].Texts)
+	if got.Records[7].TXT[0] != "shard=7 share=1.5" {
+		t.Errorf("%q", got.Records[7].TXT)
 	}
 	before := s.Asked()
 	var wait sync.WaitGroup
@@ -170,14 +170,14 @@
 }
 
 func TestFacts(t *testing.T) {
-	f := Facts{Pattern: regexp.MustCompile(`^s(?P<shard>\d+)-(?P<zone>[a-z])\.`), Texts: true, Shard: -1, Kind: "m1"}
-	r := Record{Target: "s12-b.example.org", Addresses: []string{"10.0.0.1:1", "[::1]:1"}, Texts: []string{"share=0.5 other", "kind=m2"}}
+	f := Mapping{Pattern: regexp.MustCompile(`^s(?P<shard>\d+)-(?P<zone>[a-z])\.`), UseTXT: true, Shard: -1, Kind: "m1"}
+	r := Record{Target: "s12-b.example.org", Addresses: []string{"10.0.0.1:1", "[::1]:1"}, TXT: []string{"share=0.5 other", "kind=m2"}}
 	e, err := f.entry(r)
-	if err != nil || e.Shard != 12 || e.Zone != "b" || e.Kind != "m2" || e.Share != 0.5 || e.Address != "10.0.0.1:1" || len(e.Others) != 1 {
+	if err != nil || e.Shard != 12 || e.Zone != "b" || e.Kind != "m2" || e.Share != 0.5 || e.Address != "10.0.0.1:1" || len(e.OtherAddresses) != 1 {
 		t.Errorf("%+v, %v", e, err)
 	}
 	for _, texts := range [][]string{{"shard=x"}, {"share=0"}, {"share=NaN"}, {"shard=99999999999"}} {
-		r.Texts = texts
+		r.TXT = texts
 		if _, err := f.entry(r); err == nil {
 			t.Errorf("%q is taken", texts)
 		}
@@ -191,13 +191,13 @@
 func TestWatch(t *testing.T) {
 	s := server(t)
 	s.Set(service, 1, names(3)...)
-	w := &Watcher{Resolver: resolver(t, s), Name: service, Facts: Facts{Texts: true, Shard: -1}}
+	w := &Watcher{Resolver: resolver(t, s), Name: service, Facts: Mapping{UseTXT: true, Shard: -1}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	news := make(chan News, 100)
-	go w.Run(ctx, func(n News) { news <- n })
+	news := make(chan Update, 100)
+	go w.Run(ctx, func(n Update) { news <- n })
 	late := time.After(20 * time.Second)
-	await := func(what string, fits func(News) bool) News {
+	await := func(what string, fits func(Update) bool) Update {
 		t.Helper()
 		for {
 			select {
@@ -210,11 +210,11 @@
 			}
 		}
 	}
-	if n := await("list", func(n News) bool { return len(n.Entries) == 3 }); n.Entries[2].Shard != 2 || n.Entries[2].Share != 1.5 {
+	if n := await("list", func(n Update) bool { return len(n.Entries) == 3 }); n.Entries[2].Shard != 2 || n.Entries[2].Share != 1.5 {
 		t.Errorf("%+v", n)
 	}
 	s.Set(service, 1, names(2)...)
-	await("shorter list", func(n News) bool { return len(n.Entries) == 2 && n.Err == nil })
+	await("shorter list", func(n Update) bool { return len(n.Entries) == 2 && n.Err == nil })
 	s.Separate()
 	torn := names(2)
 	torn[1].Addresses = nil
@@ -222,11 +222,11 @@
 	w.Resolver.mu.Lock()
 	clear(w.Resolver.cache)
 	w.Resolver.mu.Unlock()
-	await("list with a target that keeps its address", func(n News) bool { return len(n.Entries) == 2 && len(n.Faults) == 1 })
+	await("list with a target that keeps its address", func(n Update) bool { return len(n.Entries) == 2 && len(n.Skipped) == 1 })
 	s.Play(fakes.Silent)
-	await("failure", func(n News) bool { return n.Err != nil })
+	await("failure", func(n Update) bool { return n.Err != nil })
 	s.Play(fakes.NoData)
-	await("empty list", func(n News) bool { return n.Err == nil && len(n.Entries) == 0 })
+	await("empty list", func(n Update) bool { return n.Err == nil && len(n.Entries) == 0 })
 }
 
 // No answer, however spoilt, is taken for one to another question, or ends in a panic.
--- a/internal/dnssrv/resolver.go
+++ b/internal/dnssrv/resolver.go
@@ -19,25 +19,25 @@
 type Options struct {
 	Servers  []string      // host:port, in order of preference
 	Timeout  time.Duration // of one try at one server; 1 s
-	Rounds   int           // how often all servers are tried for a question; 2
+	Attempts int           // how often all servers are tried for a question; 2
 	Rate     float64       // queries a second for the whole process; 50
 	Burst    int           // queries at once; 100
-	LeastTTL time.Duration // a shorter lifetime counts as this; 1 s
-	MostTTL  time.Duration // a longer one as this; 60 s
-	Stale    time.Duration // an address that cannot be asked for again is used for so long past its life (RFC 8767); 1 h
+	MinTTL   time.Duration // a shorter lifetime counts as this; 1 s
+	MaxTTL   time.Duration // a longer one as this; 60 s
+	MaxStale time.Duration // an address that cannot be asked for again is used for so long past its life (RFC 8767); 1 h
 }
 
 func (o *Options) complete() {
 	for _, d := range []struct {
 		value    *time.Duration
 		fallback time.Duration
-	}{{&o.Timeout, time.Second}, {&o.LeastTTL, time.Second}, {&o.MostTTL, time.Minute}, {&o.Stale, time.Hour}} {
+	}{{&o.Timeout, time.Second}, {&o.MinTTL, time.Second}, {&o.MaxTTL, time.Minute}, {&o.MaxStale, time.Hour}} {
 		if *d.value == 0 {
 			*d.value = d.fallback
 		}
 	}
-	if o.Rounds == 0 {
-		o.Rounds = 2
+	if o.Attempts == 0 {
+		o.Attempts = 2
 	}
 	if o.Rate == 0 {
 		o.Rate = 50
@@ -118,39 +118,39 @@
 	return r.queries
 }
 
-// ErrNone tells that a name has no such record: a server said so.
-var ErrNone = errors.New("no such record")
+// ErrNoRecords tells that a name has no such record: a server said so.
+var ErrNoRecords = errors.New("no such record")
 
 // Record is one SRV record with the addresses of its target, as host:port.
 type Record struct {
 	Target           string // without the last dot
 	Priority, Weight uint16
 	Addresses        []string
-	Texts            []string // TXT strings of the target, if they were asked for
+	TXT              []string // TXT strings of the target, if they were asked for
 }
 
 // Answer is what a name's SRV records come to.
 type Answer struct {
-	Records []Record
-	TTL     time.Duration // the least lifetime of all that went into it, within the bounds
-	Lost    []Lost        // targets whose addresses could not be had
+	Records    []Record
+	TTL        time.Duration // the least lifetime of all that went into it, within the bounds
+	Unresolved []Unresolved  // targets whose addresses could not be had
 }
 
-// Lost is a target without an address.
-type Lost struct {
+// Unresolved is a target without an address.
+type Unresolved struct {
 	Target string
 	Err    error
 }
 
 // Lookup asks for a name's SRV records, always anew; addresses and texts may come from what is kept. It fails if servers
-// do not answer, and with ErrNone if there are no records.
+// do not answer, and with ErrNoRecords if there are no records.
 func (r *Resolver) Lookup(ctx context.Context, name string, texts bool) (Answer, error) {
 	got, err := r.ask(ctx, question{dns.CanonicalName(dns.Fqdn(name)), dns.TypeSRV})
 	if err != nil {
 		return Answer{}, err
 	}
 	if got.none {
-		return Answer{TTL: got.ttl}, fmt.Errorf("%s: %w", name, ErrNone)
+		return Answer{TTL: got.ttl}, fmt.Errorf("%s: %w", name, ErrNoRecords)
 	}
 	answer := Answer{TTL: got.ttl}
 	extra := map[string][]dns.RR{}
@@ -173,7 +173,7 @@
 		all = append(all, s)
 	}
 	if len(all) == 0 {
-		return Answer{TTL: got.ttl}, fmt.Errorf("%s: %w", name, ErrNone)
+		return Answer{TTL: got.ttl}, fmt.Errorf("%s: %w", name, ErrNoRecords)
 	}
 	answer.Records = make([]Record, len(all))
 	faults := make([]error, len(all))
@@ -193,7 +193,7 @@
 	kept := answer.Records[:0]
 	for i, rec := range answer.Records {
 		if faults[i] != nil {
-			answer.Lost = append(answer.Lost, Lost{rec.Target, faults[i]})
+			answer.Unresolved = append(answer.Unresolved, Unresolved{rec.Target, faults[i]})
 			continue
 		}
 		answer.TTL = min(answer.TTL, lives[i])
@@ -207,7 +207,7 @@
 func (r *Resolver) record(ctx context.Context, s *dns.SRV, extra []dns.RR, texts bool) (Record, time.Duration, error) {
 	target := dns.CanonicalName(s.Target)
 	rec := Record{Target: strings.TrimSuffix(target, "."), Priority: s.Priority, Weight: s.Weight}
-	life := r.opt.MostTTL
+	life := r.opt.MaxTTL
 	var ips []net.IP
 	add := func(records []dns.RR) {
 		for _, rr := range records {
@@ -227,7 +227,7 @@
 		var fault error
 		for _, kind := range []uint16{dns.TypeA, dns.TypeAAAA} {
 			records, left, err := r.kept(ctx, question{target, kind})
-			if err != nil && !errors.Is(err, ErrNone) {
+			if err != nil && !errors.Is(err, ErrNoRecords) {
 				fault = err
 			}
 			if err == nil {
@@ -237,7 +237,7 @@
 		}
 		if len(ips) == 0 {
 			if fault == nil {
-				fault = ErrNone
+				fault = ErrNoRecords
 			}
 			return rec, 0, fault
 		}
@@ -247,12 +247,12 @@
 	}
 	if texts {
 		records, left, err := r.kept(ctx, question{target, dns.TypeTXT})
-		if err != nil && !errors.Is(err, ErrNone) {
+		if err != nil && !errors.Is(err, ErrNoRecords) {
 			return rec, 0, fmt.Errorf("its text: %w", err)
 		}
 		for _, rr := range records {
 			if txt, is := rr.(*dns.TXT); is {
-				rec.Texts = append(rec.Texts, txt.Txt...)
+				rec.TXT = append(rec.TXT, txt.Txt...)
 				life = min(life, left)
 			}
 		}
@@ -262,7 +262,7 @@
 
 // bound keeps a lifetime within the settings.
 func (r *Resolver) bound(ttl time.Duration) time.Duration {
-	return max(r.opt.LeastTTL, min(ttl, r.opt.MostTTL))
+	return max(r.opt.MinTTL, min(ttl, r.opt.MaxTTL))
 }
 
 // kept answers from what is kept, or asks; where servers fail, what is kept serves on for a while. One question is asked once
@@ -273,7 +273,7 @@
 	if c := r.cache[q]; c != nil && now.Before(c.expires) {
 		defer r.mu.Unlock()
 		if c.negative {
-			return nil, 0, ErrNone
+			return nil, 0, ErrNoRecords
 		}
 		return c.records, c.expires.Sub(now), nil
 	}
@@ -304,21 +304,21 @@
 	}
 	if err == nil {
 		if running.reply.none {
-			return nil, 0, ErrNone
+			return nil, 0, ErrNoRecords
 		}
 		return running.reply.records, running.reply.ttl, nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c := r.cache[q]; c != nil && !c.negative && r.clock().Before(c.expires.Add(r.opt.Stale)) {
-		return c.records, r.opt.LeastTTL, nil
+	if c := r.cache[q]; c != nil && !c.negative && r.clock().Before(c.expires.Add(r.opt.MaxStale)) {
+		return c.records, r.opt.MinTTL, nil
 	}
 	return nil, 0, err
 }
 
 // patience is how long a question may take over all servers.
 func (r *Resolver) patience() time.Duration {
-	return time.Duration(2*r.opt.Rounds*len(r.opt.Servers)+1) * r.opt.Timeout
+	return time.Duration(2*r.opt.Attempts*len(r.opt.Servers)+1) * r.opt.Timeout
 }
 
 func (r *Resolver) keep(q question, got reply) {
@@ -338,7 +338,7 @@
 
 // ask puts a question to servers and follows its chain of names.
 func (r *Resolver) ask(ctx context.Context, q question) (reply, error) {
-	ttl, chain := r.opt.MostTTL, map[string]bool{}
+	ttl, chain := r.opt.MaxTTL, map[string]bool{}
 	for name := q.name; ; {
 		if chain[name] {
 			return reply{}, fmt.Errorf("%s: its CNAMEs go in a circle", q.name)
@@ -399,13 +399,13 @@
 			return r.bound(time.Duration(min(soa.Minttl, soa.Hdr.Ttl)) * time.Second)
 		}
 	}
-	return r.opt.LeastTTL
+	return r.opt.MinTTL
 }
 
 // exchange asks servers in turn until one answers. Resting servers come last.
 func (r *Resolver) exchange(ctx context.Context, q question) (*dns.Msg, error) {
 	var faults []error
-	for range r.opt.Rounds {
+	for range r.opt.Attempts {
 		for _, i := range r.order() {
 			if err := r.take(ctx); err != nil {
 				return nil, errors.Join(append(faults, err)...)
--- a/internal/dnssrv/watch.go
+++ b/internal/dnssrv/watch.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// Entry is one node as DNS has it.
-type Entry struct {
+// Endpoint is one node as DNS has it.
+type Endpoint struct {
 	Target           string
 	Address          string
-	Others           []string // further addresses of the target
+	OtherAddresses   []string // further addresses of the target
 	Priority, Weight uint16
 	Shard            int
 	Zone, Kind       string
 	Share            float64 // 0: not told
 }
 
-// Facts say where an entry's shard, zone, kind and share come from.
-type Facts struct {
+// Mapping say where an entry's shard, zone, kind and share come from.
+type Mapping struct {
 	Pattern *regexp.Regexp // over the target, with groups shard, zone, kind and share; nil for none
-	Texts   bool           // TXT strings of the target such as "shard=3"
+	UseTXT  bool           // TXT strings of the target such as "shard=3"
 	Shard   int            // where neither tells; below 0: an entry without a shard is left out
 	Zone    string
 	Kind    string
 }
 
 // entry works out a record's entry.
-func (f Facts) entry(r Record) (Entry, error) {
-	e := Entry{Target: r.Target, Address: r.Addresses[0], Others: r.Addresses[1:], Priority: r.Priority, Weight: r.Weight, Shard: f.Shard, Zone: f.Zone, Kind: f.Kind}
+func (f Mapping) entry(r Record) (Endpoint, error) {
+	e := Endpoint{Target: r.Target, Address: r.Addresses[0], OtherAddresses: r.Addresses[1:], Priority: r.Priority, Weight: r.Weight, Shard: f.Shard, Zone: f.Zone, Kind: f.Kind}
 	set := func(key, value string) error {
 		var err error
 		switch key {
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	for _, text := range r.Texts {
+	for _, text := range r.TXT {
 		for pair := range strings.FieldsSeq(text) {
 			if key, value, is := strings.Cut(pair, "="); is {
 				if err := set(key, value); err != nil {
@@ -81,21 +81,21 @@
 	return e, nil
 }
 
-// News is what a Watcher tells: the whole list of a name, or that it could not be had.
-type News struct {
-	Asked   time.Time // when the question was asked
-	Entries []Entry
-	Faults  []string // entries that were left out, and why
-	Err     error
+// Update is what a Watcher tells: the whole list of a name, or that it could not be had.
+type Update struct {
+	QueriedAt time.Time // when the question was asked
+	Entries   []Endpoint
+	Skipped   []string // entries that were left out, and why
+	Err       error
 }
 
 // Watcher follows one name's SRV records.
 type Watcher struct {
 	Resolver *Resolver
 	Name     string
-	Facts    Facts
+	Facts    Mapping
 
-	held map[string]Entry // by target
+	held map[string]Endpoint // by target
 }
 
 const (
@@ -106,7 +106,7 @@
 
 // Run tells news until ctx ends: at once, then before each lifetime ends, and after a failure in growing waits. A name
 // without records is told as an empty list.
-func (w *Watcher) Run(ctx context.Context, tell func(News)) {
+func (w *Watcher) Run(ctx context.Context, tell func(Update)) {
 	retry := firstRetry
 	for ctx.Err() == nil {
 		news, ttl := w.once(ctx)
@@ -132,23 +132,23 @@
 }
 
 // once asks for the list. A target whose address could not be had is not one that was removed: it stays as it was.
-func (w *Watcher) once(ctx context.Context) (News, time.Duration) {
-	news := News{Asked: time.Now()}
-	answer, err := w.Resolver.Lookup(ctx, w.Name, w.Facts.Texts)
-	if errors.Is(err, ErrNone) {
+func (w *Watcher) once(ctx context.Context) (Update, time.Duration) {
+	news := Update{QueriedAt: time.Now()}
+	answer, err := w.Resolver.Lookup(ctx, w.Name, w.Facts.UseTXT)
+	if errors.Is(err, ErrNoRecords) {
 		return news, answer.TTL
 	}
 	if err != nil {
 		news.Err = err
 		return news, 0
 	}
-	here := map[string]Entry{}
-	add := func(e Entry) {
+	here := map[string]Endpoint{}
+	add := func(e Endpoint) {
 		news.Entries = append(news.Entries, e)
 		here[e.Target] = e
 	}
-	for _, lost := range answer.Lost {
-		news.Faults = append(news.Faults, fmt.Sprintf("%s: %v", lost.Target, lost.Err))
+	for _, lost := range answer.Unresolved {
+		news.Skipped = append(news.Skipped, fmt.Sprintf("%s: %v", lost.Target, lost.Err))
 		if e, held := w.held[lost.Target]; held {
 			add(e)
 		}
@@ -156,13 +156,13 @@
 	for _, r := range answer.Records {
 		e, err := w.Facts.entry(r)
 		if err != nil {
-			news.Faults = append(news.Faults, err.Error())
+			news.Skipped = append(news.Skipped, err.Error())
 			continue
 		}
 		add(e)
 	}
 	if len(news.Entries) == 0 {
-		news.Err = fmt.Errorf("none of %d records can be used: %s", len(news.Faults), news.Faults[0])
+		news.Err = fmt.Errorf("none of %d records can be used: %s", len(news.Skipped), news.Skipped[0])
 		return news, 0
 	}
 	w.held = here
--- a/internal/fleetharness/agreement.go
+++ b/internal/fleetharness/agreement.go
@@ -207,7 +207,7 @@
 
 // Agree asks a broker's console, and returns its answer without the last line.
 func (r *Rig) Agree(broker int, call string) (string, error) {
-	text, err := console.Ask(r.address(1, broker, 7001), "agree "+call, 10*time.Second)
+	text, err := console.Call(r.address(1, broker, 7001), "agree "+call, 10*time.Second)
 	return strings.TrimSuffix(strings.TrimSpace(string(text)), "\nEOT"), err
 }
 
--- a/internal/fleetharness/hollow.go
+++ b/internal/fleetharness/hollow.go
@@ -68,9 +68,9 @@
 
 // HollowBroker is what `brokerbench hollow` is told of one broker.
 type HollowBroker struct {
-	Config json.RawMessage `json:"config"`
-	Site   string          `json:"site"` // a path, empty for none
-	Demand daemon.Demand   `json:"demand"`
+	Config json.RawMessage      `json:"config"`
+	Site   string               `json:"site"` // a path, empty for none
+	Demand daemon.SyntheticLoad `json:"demand"`
 }
 
 // group is a process of hollow brokers.
@@ -92,7 +92,7 @@
 			if err != nil {
 				return err
 			}
-			all = append(all, HollowBroker{Config: text, Site: site, Demand: daemon.Demand{Rate: h.Rate, Volumes: h.Volumes, Answer: 20 * time.Millisecond,
+			all = append(all, HollowBroker{Config: text, Site: site, Demand: daemon.SyntheticLoad{Rate: h.Rate, Volumes: h.Volumes, ResponseTime: 20 * time.Millisecond,
 				Seed: r.scenario.Seed<<16 + uint64(p.number)}})
 		}
 		path := filepath.Join(r.dir, fmt.Sprintf("hollow-%d.json", first))
@@ -160,7 +160,7 @@
 				return fmt.Errorf("broker-%d ended at its start", p.number)
 			default:
 			}
-			text, err := console.Ask(r.address(1, p.number, 7001), "agree status", 5*time.Second)
+			text, err := console.Call(r.address(1, p.number, 7001), "agree status", 5*time.Second)
 			var s agreement.Status
 			if err == nil && (r.scenario.Agreement.Voters == 0 || json.Unmarshal([]byte(strings.TrimSuffix(strings.TrimSpace(string(text)), "\nEOT")), &s) == nil && !s.Restricted && s.Version > 0) {
 				return nil
@@ -238,7 +238,7 @@
 		if p.isDown() || command == nil {
 			return nil
 		}
-		text, err := console.Ask(r.address(1, p.number, 7001), "vars", 5*time.Second)
+		text, err := console.Call(r.address(1, p.number, 7001), "vars", 5*time.Second)
 		if err != nil {
 			return nil
 		}
--- a/internal/fleetharness/journal_golden_test.go
+++ b/internal/fleetharness/journal_golden_test.go
@@ -50,5 +50,5 @@
 	checkJournal(t, "line.json", Line{At: 1500 * time.Microsecond, Process: "broker-1", Text: "serving", Keys: map[string]string{"what": "clients"}}, &Line{})
 	checkJournal(t, "breach.json", Breach{Rule: "two attempts out", At: "0.001 s", Story: "seed 1"}, &Breach{})
 	checkJournal(t, "hollow.json", []HollowBroker{{Config: json.RawMessage(`{"name":"n1"}`), Site: "site.toml",
-		Demand: daemon.Demand{Rate: 1.5, Volumes: 40, Answer: 20 * time.Millisecond, Seed: 7}}}, &[]HollowBroker{})
+		Demand: daemon.SyntheticLoad{Rate: 1.5, Volumes: 40, ResponseTime: 20 * time.Millisecond, Seed: 7}}}, &[]HollowBroker{})
 }
--- a/internal/fleetharness/rig.go
+++ b/internal/fleetharness/rig.go
@@ -282,7 +282,7 @@
 func (r *Rig) ready(ctx context.Context, p *process) error {
 	for ctx.Err() == nil {
 		if r.controls(p.number) {
-			if text, err := console.Ask(r.address(1, p.number, 7001), "check", time.Second); err == nil && string(text) == "SUCCESS\n" {
+			if text, err := console.Call(r.address(1, p.number, 7001), "check", time.Second); err == nil && string(text) == "SUCCESS\n" {
 				return nil
 			}
 		} else if conn, err := net.DialTimeout("tcp4", p.address, time.Second); err == nil {
--- a/internal/handover/beside.go
+++ b/internal/handover/beside.go
@@ -22,31 +22,31 @@
 	listening  = "0A"
 )
 
-// Company is whether another process listens at the same address.
-type Company int
+// Presence is whether another process listens at the same address.
+type Presence int
 
 // What may be known of it.
 const (
-	Unknown Company = iota // the system's list cannot be read, or lacks this process's own listener
-	Beside                 // another process is there, or was a moment ago
-	Alone
+	Unknown Presence = iota // the system's list cannot be read, or lacks this process's own listener
+	Present                 // another process is there, or was a moment ago
+	Absent
 )
 
-// Watch tells, as far as the system's list of sockets shows, whether this process is the only one that listens at an address. It
+// PresenceWatcher tells, as far as the system's list of sockets shows, whether this process is the only one that listens at an address. It
 // needs no word from the other process, nor its good will: one that hangs still has its listener. It is not safe for concurrent use.
-type Watch struct {
+type PresenceWatcher struct {
 	address string
 	list    func() (io.ReadCloser, error)
 	since   time.Time // when another listener was last seen
 }
 
-// NewWatch watches an address that this process listens at.
-func NewWatch(address string) *Watch {
-	return &Watch{address: address, list: func() (io.ReadCloser, error) { return os.Open(socketList) }}
+// NewPresenceWatcher watches an address that this process listens at.
+func NewPresenceWatcher(address string) *PresenceWatcher {
+	return &PresenceWatcher{address: address, list: func() (io.ReadCloser, error) { return os.Open(socketList) }}
 }
 
-// Look tells what is known now.
-func (w *Watch) Look(now time.Time) Company {
+// Check tells what is known now.
+func (w *PresenceWatcher) Check(now time.Time) Presence {
 	count, err := 0, error(nil)
 	file, err := w.list()
 	if err == nil {
@@ -61,19 +61,19 @@
 		w.since = now
 	}
 	if now.Sub(w.since) < quietTime {
-		return Beside
+		return Present
 	}
-	return Alone
+	return Absent
 }
 
 // Run looks while it is asked to, and tells of each change until ctx ends. Before it tells anything, nothing is known.
-func (w *Watch) Run(ctx context.Context, asked func() bool, tell func(Company)) {
+func (w *PresenceWatcher) Run(ctx context.Context, asked func() bool, tell func(Presence)) {
 	tick := time.NewTicker(lookEach)
 	defer tick.Stop()
 	for told := Unknown; ; {
 		if !asked() {
 			w.since = time.Time{}
-		} else if now := w.Look(time.Now()); now != told {
+		} else if now := w.Check(time.Now()); now != told {
 			told = now
 			tell(now)
 		}
@@ -85,9 +85,9 @@
 	}
 }
 
-// Taken tells whether another process listens at an address, which this one does not yet, or that may not be told. It listens nowhere
+// AddressInUse tells whether another process listens at an address, which this one does not yet, or that may not be told. It listens nowhere
 // itself: no client meets it.
-func Taken(address string) bool {
+func AddressInUse(address string) bool {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return true
--- a/internal/handover/beside_test.go
+++ b/internal/handover/beside_test.go
@@ -19,7 +19,7 @@
 func TestAlone(t *testing.T) {
 	own, other, client := row("0204007F:18EB", listening), row("0204007F:18EC", listening), row("0204007F:18EB", "01")
 	text, broken := "", false
-	a := NewWatch("127.0.4.2:6379")
+	a := NewPresenceWatcher("127.0.4.2:6379")
 	a.list = func() (io.ReadCloser, error) {
 		if broken {
 			return nil, errors.New("no such file")
@@ -27,33 +27,33 @@
 		return io.NopCloser(strings.NewReader(heading + text)), nil
 	}
 	now := time.Unix(1000, 0)
-	look := func(what string, want Company) {
+	look := func(what string, want Presence) {
 		t.Helper()
-		if got := a.Look(now); got != want {
+		if got := a.Check(now); got != want {
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
 	text = own + other + client + own // what stands behind a connection is none that listens
-	look("at the start", Beside)
+	look("at the start", Present)
 	now = now.Add(quietTime - 1)
-	look("too soon", Beside)
+	look("too soon", Present)
 	now = now.Add(1)
-	look("in time", Alone)
+	look("in time", Absent)
 	text = own + own + other
-	look("with another", Beside)
+	look("with another", Present)
 	now = now.Add(quietTime)
-	look("still with another", Beside)
+	look("still with another", Present)
 	text = own
-	look("as it goes", Beside)
+	look("as it goes", Present)
 	now = now.Add(quietTime - 1)
-	look("soon after it went", Beside)
+	look("soon after it went", Present)
 	now = now.Add(1)
-	look("after it went", Alone)
+	look("after it went", Absent)
 	for _, spoil := range []func(){func() { text = other }, func() { text = "" }, func() { text, broken = own, true }} {
 		spoil()
 		look("without a list of its own listener", Unknown)
 	}
-	if NewWatch("[::1]:6379").Look(now) != Unknown || NewWatch("here").Look(now) != Unknown {
+	if NewPresenceWatcher("[::1]:6379").Check(now) != Unknown || NewPresenceWatcher("here").Check(now) != Unknown {
 		t.Error("something is known of an address that the list does not show")
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	defer first.Close()
 	count := func() int {
-		a := NewWatch(first.Addr().String())
+		a := NewPresenceWatcher(first.Addr().String())
 		file, err := a.list()
 		if err != nil {
 			t.Fatal(err)
@@ -81,7 +81,7 @@
 	if n := count(); n != 1 {
 		t.Errorf("%d listeners, want one", n)
 	}
-	if !Taken(first.Addr().String()) {
+	if !AddressInUse(first.Addr().String()) {
 		t.Error("an address at which somebody listens is free")
 	}
 	second, err := Listen(first.Addr().String())
@@ -96,7 +96,7 @@
 		t.Errorf("%d listeners after one went", n)
 	}
 	first.Close()
-	if Taken(first.Addr().String()) {
+	if AddressInUse(first.Addr().String()) {
 		t.Error("an address at which nobody listens is taken")
 	}
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,16 +15,16 @@
 var record = flag.Bool("record", false, "write the golden files anew")
 
 // fullMessage has every field set.
-var fullMessage = News{
-	List: &discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Host{
-		{Host: "a", Dial: "127.0.0.1:7001", Site: "z1", Class: "ssd", Block: 3, State: scheduler.Ready, Share: 0.5, BornMS: 1700000000123},
-		{Host: "b", Dial: "127.0.0.1:7002", State: scheduler.Draining, Share: 1},
-		{Host: "c", State: scheduler.Removed},
+var fullMessage = StateMessage{
+	Endpoints: &discovery.EndpointList{Version: 7, Full: true, Endpoints: []discovery.Endpoint{
+		{Name: "a", Address: "127.0.0.1:7001", Zone: "z1", Kind: "ssd", Shard: 3, State: scheduler.Ready, Weight: 0.5, StartedAtMS: 1700000000123},
+		{Name: "b", Address: "127.0.0.1:7002", State: scheduler.Draining, Weight: 1},
+		{Name: "c", State: scheduler.Removed},
 	}},
-	Opened: []string{"id-1", "id-2"},
-	Ended:  []string{"id-0"},
-	From:   2,
-	Heard:  []byte{0, 1, 254, 255},
+	OpenedRequests: []string{"id-1", "id-2"},
+	EndedRequests:  []string{"id-0"},
+	PeerOrdinal:    2,
+	PeerMessage:    []byte{0, 1, 254, 255},
 }
 
 // During an upgrade the two processes are of different versions: the message has the same bytes in both.
@@ -46,7 +46,7 @@
 	if !bytes.Equal(encoded.Bytes(), golden) {
 		t.Errorf("encoded:\n%s\nwant:\n%s", encoded.Bytes(), golden)
 	}
-	var decoded News
+	var decoded StateMessage
 	if err := json.Unmarshal(golden, &decoded); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 
 // A field without a value is left out of the message.
 func TestEmptyMessageBytes(t *testing.T) {
-	text, err := json.Marshal(News{})
+	text, err := json.Marshal(StateMessage{})
 	if err != nil || string(text) != "{}" {
 		t.Errorf("%s, %v", text, err)
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -22,48 +22,48 @@
 	backlog   = 4096                   // messages that wait for the other process
 )
 
-// News is what one process tells the other. Each field that is set counts.
-type News struct {
-	List   *discovery.List `json:"List,omitempty"`   // the whole list that the old process holds
-	Opened []string        `json:"Opened,omitempty"` // ids of requests that were taken
-	Ended  []string        `json:"Ended,omitempty"`  // ids of requests that are over
-	From   int             `json:"From,omitempty"`   // the peer that said Heard
-	Heard  []byte          `json:"Heard,omitempty"`
+// StateMessage is what one process tells the other. Each field that is set counts.
+type StateMessage struct {
+	Endpoints      *discovery.EndpointList `json:"List,omitempty"`   // the whole list that the old process holds
+	OpenedRequests []string                `json:"Opened,omitempty"` // ids of requests that were taken
+	EndedRequests  []string                `json:"Ended,omitempty"`  // ids of requests that are over
+	PeerOrdinal    int                     `json:"From,omitempty"`   // the peer that said PeerMessage
+	PeerMessage    []byte                  `json:"Heard,omitempty"`
 }
 
-// Side is what a process does about the other one. Its methods are called by one goroutine at a time.
-type Side struct {
-	Meet func() News // the other process came; what it is told first
-	Take func(News)  // it told something
-	Part func()      // it is gone
+// Callbacks is what a process does about the other one. Its methods are called by one goroutine at a time.
+type Callbacks struct {
+	Connected    func() StateMessage // the other process came; what it is told first
+	Received     func(StateMessage)  // it told something
+	Disconnected func()              // it is gone
 }
 
-// Office is where processes of one broker meet.
-type Office struct {
-	side Side
+// Coordinator is where processes of one broker meet.
+type Coordinator struct {
+	side Callbacks
 	ln   net.Listener
 
 	mu   sync.Mutex
 	line *line // to the other process, nil for none
 }
 
-// Path is where processes that listen at one address meet.
-func Path(dir, listen string) string {
+// SocketPath is where processes that listen at one address meet.
+func SocketPath(dir, listen string) string {
 	return filepath.Join(dir, "junctionwharf-"+strings.NewReplacer(":", "-", "/", "-").Replace(listen)+".sock")
 }
 
 // Open meets the process that answers at path, if there is one, and takes its place there. It returns whether it
-// met one; Side.Take has had all that it handed over by then.
-func Open(path string, side Side) (o *Office, met bool, err error) {
-	o = &Office{side: side}
+// met one; Callbacks.Received has had all that it handed over by then.
+func Open(path string, side Callbacks) (o *Coordinator, met bool, err error) {
+	o = &Coordinator{side: side}
 	if conn, err := net.DialTimeout("unix", path, greetTime); err == nil {
 		l := newLine(conn)
 		conn.SetReadDeadline(time.Now().Add(greetTime))
-		var first News
+		var first StateMessage
 		if l.in.Decode(&first) == nil {
 			conn.SetReadDeadline(time.Time{})
-			side.Meet()
-			side.Take(first)
+			side.Connected()
+			side.Received(first)
 			o.line, met = l, true
 		} else {
 			conn.Close()
@@ -94,7 +94,7 @@
 }
 
 // accept meets successors, one at a time.
-func (o *Office) accept() {
+func (o *Coordinator) accept() {
 	for {
 		conn, err := o.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -116,37 +116,37 @@
 			conn.Close()
 			continue
 		}
-		first := o.side.Meet()
+		first := o.side.Connected()
 		go l.write(&first)
 		o.read(l)
 	}
 }
 
 // follow keeps the line to the predecessor.
-func (o *Office) follow(l *line) {
+func (o *Coordinator) follow(l *line) {
 	go l.write(nil)
 	o.read(l)
 }
 
 // read takes what the other process tells until it is gone.
-func (o *Office) read(l *line) {
+func (o *Coordinator) read(l *line) {
 	for {
-		var news News
+		var news StateMessage
 		if l.in.Decode(&news) != nil {
 			break
 		}
-		o.side.Take(news)
+		o.side.Received(news)
 	}
 	l.conn.Close()
 	close(l.ended)
 	o.mu.Lock()
 	o.line = nil
 	o.mu.Unlock()
-	o.side.Part()
+	o.side.Disconnected()
 }
 
-// Tell tells the other process, if there is one. It does not block.
-func (o *Office) Tell(news News) {
+// Send tells the other process, if there is one. It does not block.
+func (o *Coordinator) Send(news StateMessage) {
 	o.mu.Lock()
 	l := o.line
 	o.mu.Unlock()
@@ -160,15 +160,15 @@
 	}
 }
 
-// Succeeded tells whether a successor is there.
-func (o *Office) Succeeded() bool {
+// HasSuccessor tells whether a successor is there.
+func (o *Coordinator) HasSuccessor() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.line != nil && o.line.successor
 }
 
 // Close parts. The socket file stays: it may be a successor's, and one that nobody answers at does no harm.
-func (o *Office) Close() {
+func (o *Coordinator) Close() {
 	o.ln.Close()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -182,15 +182,15 @@
 	conn      net.Conn
 	successor bool // the other process came later
 	in        *json.Decoder
-	out       chan News
+	out       chan StateMessage
 	ended     chan struct{}
 }
 
 func newLine(conn net.Conn) *line {
-	return &line{conn: conn, in: json.NewDecoder(conn), out: make(chan News, backlog), ended: make(chan struct{})}
+	return &line{conn: conn, in: json.NewDecoder(conn), out: make(chan StateMessage, backlog), ended: make(chan struct{})}
 }
 
-func (l *line) write(first *News) {
+func (l *line) write(first *StateMessage) {
 	out := json.NewEncoder(l.conn)
 	if first != nil {
 		l.conn.SetWriteDeadline(time.Now().Add(writeTime))
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,17 +13,17 @@
 
 // process stands for one process of a broker.
 type process struct {
-	*Office
+	*Coordinator
 	met   bool
-	takes chan News
+	takes chan StateMessage
 	parts chan struct{}
 }
 
-func start(t *testing.T, path string, first News) *process {
-	p := &process{takes: make(chan News, 8), parts: make(chan struct{}, 8)}
+func start(t *testing.T, path string, first StateMessage) *process {
+	p := &process{takes: make(chan StateMessage, 8), parts: make(chan struct{}, 8)}
 	var err error
-	p.Office, p.met, err = Open(path, Side{Meet: func() News { return first }, Take: func(n News) { p.takes <- n },
-		Part: func() { p.parts <- struct{}{} }})
+	p.Coordinator, p.met, err = Open(path, Callbacks{Connected: func() StateMessage { return first }, Received: func(n StateMessage) { p.takes <- n },
+		Disconnected: func() { p.parts <- struct{}{} }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,29 +34,29 @@
 // Two processes meet, tell each other what the rules ask for, and part; a third finds the second, whatever files the
 // others have left.
 func TestMeeting(t *testing.T) {
-	path := Path(t.TempDir(), "127.0.0.1:6379")
+	path := SocketPath(t.TempDir(), "127.0.0.1:6379")
 	if err := os.WriteFile(path, nil, 0o600); err != nil { // stale: nobody answers there
 		t.Fatal(err)
 	}
-	old := start(t, path, News{List: &discovery.List{Seq: 7, Whole: true}, Opened: []string{"a"}})
-	if old.met || old.Succeeded() {
+	old := start(t, path, StateMessage{Endpoints: &discovery.EndpointList{Version: 7, Full: true}, OpenedRequests: []string{"a"}})
+	if old.met || old.HasSuccessor() {
 		t.Fatal("met nobody")
 	}
-	young := start(t, path, News{})
-	if first := <-young.takes; !young.met || first.List.Seq != 7 || first.Opened[0] != "a" {
+	young := start(t, path, StateMessage{})
+	if first := <-young.takes; !young.met || first.Endpoints.Version != 7 || first.OpenedRequests[0] != "a" {
 		t.Errorf("handed over %+v", first)
 	}
-	if !old.Succeeded() || young.Succeeded() {
+	if !old.HasSuccessor() || young.HasSuccessor() {
 		t.Error("want the old one succeeded")
 	}
-	old.Tell(News{Ended: []string{"a"}})
-	if n := <-young.takes; n.Ended[0] != "a" {
+	old.Send(StateMessage{EndedRequests: []string{"a"}})
+	if n := <-young.takes; n.EndedRequests[0] != "a" {
 		t.Errorf("%+v", n)
 	}
-	young.Tell(News{From: 2, Heard: []byte{0, 255}})
+	young.Send(StateMessage{PeerOrdinal: 2, PeerMessage: []byte{0, 255}})
 	for n := range old.takes {
-		if n.Heard != nil {
-			if n.From != 2 || string(n.Heard) != "\x00\xff" {
+		if n.PeerMessage != nil {
+			if n.PeerOrdinal != 2 || string(n.PeerMessage) != "\x00\xff" {
 				t.Errorf("%+v", n)
 			}
 			break
@@ -64,20 +64,20 @@
 	}
 	old.Close()
 	<-young.parts
-	third := start(t, path, News{})
-	if <-third.takes; !third.met || !young.Succeeded() {
+	third := start(t, path, StateMessage{})
+	if <-third.takes; !third.met || !young.HasSuccessor() {
 		t.Error("the third did not meet the second")
 	}
 	third.Close() // as when the new process dies before it serves
 	<-young.parts
-	if young.Succeeded() {
+	if young.HasSuccessor() {
 		t.Error("a successor that died still counts")
 	}
 }
 
 // Where there is no place to meet, the error says so, and nothing else is harmed.
 func TestNoPlace(t *testing.T) {
-	if _, _, err := Open(filepath.Join(t.TempDir(), "none", "x.sock"), Side{}); err == nil {
+	if _, _, err := Open(filepath.Join(t.TempDir(), "none", "x.sock"), Callbacks{}); err == nil {
 		t.Error("no error")
 	}
 }
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	defer young.Close()
-	if err := LeadAway(old); err != nil {
+	if err := RedirectNewConnections(old); err != nil {
 		t.Fatal(err)
 	}
 	greet := func(ln net.Listener, word string, count int) {
--- a/internal/handover/listen_linux.go
+++ b/internal/handover/listen_linux.go
@@ -19,7 +19,7 @@
 }}
 
 // Listen listens for connections at an address that another process of this user may share. Multipath TCP, which Go
-// listens for by default, would not let LeadAway choose.
+// listens for by default, would not let RedirectNewConnections choose.
 func Listen(address string) (net.Listener, error) {
 	shared := shared
 	shared.SetMultipathTCP(false)
@@ -39,9 +39,9 @@
 // the first is closed there is no second, and the kernel goes back to its own choice.
 const second = 1
 
-// LeadAway has the kernel give all new connections to the successor's listener. What waits in the queue of ln
+// RedirectNewConnections has the kernel give all new connections to the successor's listener. What waits in the queue of ln
 // stays there.
-func LeadAway(ln net.Listener) error {
+func RedirectNewConnections(ln net.Listener) error {
 	raw, err := ln.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -21,15 +21,15 @@
 
 // Options of a logger.
 type Options struct {
-	Name   string     // the broker's, on every line as "broker"
-	Format string     // one of Formats; empty: human
-	Level  slog.Level // what is below is left out
-	Color  bool       // of human lines, for a terminal
-	Whole  bool       // no line is left out, however often it comes: for a checker that reads them
+	Name             string     // the broker's, on every line as "broker"
+	Format           string     // one of Formats; empty: human
+	Level            slog.Level // what is below is left out
+	Color            bool       // of human lines, for a terminal
+	SamplingDisabled bool       // no line is left out, however often it comes: for a checker that reads them
 }
 
-// Terminal tells whether a file is one: colour and progress are shown there alone.
-func Terminal(f *os.File) bool {
+// IsTerminal tells whether a file is one: colour and progress are shown there alone.
+func IsTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
@@ -45,7 +45,7 @@
 	default:
 		return nil, fmt.Errorf("%q is none of %s", o.Format, strings.Join(Formats, ", "))
 	}
-	if !o.Whole {
+	if !o.SamplingDisabled {
 		h = Sample(h, time.Now)
 	}
 	return slog.New(h).With("broker", o.Name), nil
@@ -155,9 +155,9 @@
 	return true, hidden
 }
 
-// Func returns a logger that hands each line to a function, as "message key=value ...": for tests, and for programs that
+// ToFunc returns a logger that hands each line to a function, as "message key=value ...": for tests, and for programs that
 // link the core and log in their own way.
-func Func(line func(string)) *slog.Logger { return slog.New(funcHandler{line: line}) }
+func ToFunc(line func(string)) *slog.Logger { return slog.New(funcHandler{line: line}) }
 
 type funcHandler struct {
 	line  func(string)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -39,7 +39,7 @@
 func TestSample(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var lines []string
-	l := slog.New(Sample(Func(func(line string) { lines = append(lines, line) }).Handler(), func() time.Time { return now })).With("broker", "n1")
+	l := slog.New(Sample(ToFunc(func(line string) { lines = append(lines, line) }).Handler(), func() time.Time { return now })).With("broker", "n1")
 	for i := range 100 {
 		l.Warn("again", "i", i)
 	}
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -38,7 +38,7 @@
 
 // running is a source that is being asked.
 type running struct {
-	set  config.MemberSource
+	set  config.EndpointSource
 	stop context.CancelFunc
 }
 
@@ -76,7 +76,7 @@
 	}
 	m.set = set
 	for name, r := range m.running {
-		if !slices.ContainsFunc(set.Sources, func(s config.MemberSource) bool { return same(s, r.set) }) {
+		if !slices.ContainsFunc(set.Sources, func(s config.EndpointSource) bool { return same(s, r.set) }) {
 			r.stop()
 			delete(m.running, name)
 		}
@@ -97,28 +97,28 @@
 }
 
 // same tells whether two sources ask alike; rights and times of the merging may differ.
-func same(a, b config.MemberSource) bool {
-	word := func(s config.MemberSource) string {
+func same(a, b config.EndpointSource) bool {
+	word := func(s config.EndpointSource) string {
 		shard := -1
 		if s.Shard != nil {
 			shard = *s.Shard
 		}
-		s.May, s.GoodS, s.Shard = nil, 0, nil
+		s.Allowed, s.FreshS, s.Shard = nil, 0, nil
 		return fmt.Sprintf("%+v %d", s, shard)
 	}
 	return word(a) == word(b)
 }
 
 // start asks a source from now on.
-func (m *Members) start(ctx context.Context, s config.MemberSource) error {
+func (m *Members) start(ctx context.Context, s config.EndpointSource) error {
 	switch s.Kind {
 	case "dns":
 		r, err := dnssrv.NewResolver(s.Resolver())
 		if err != nil {
 			return err
 		}
-		w := &dnssrv.Watcher{Resolver: r, Name: s.SRV, Facts: s.Facts()}
-		go w.Run(ctx, func(n dnssrv.News) { m.heard(ctx, s.Name, n) })
+		w := &dnssrv.Watcher{Resolver: r, Name: s.SRV, Facts: s.Mapping()}
+		go w.Run(ctx, func(n dnssrv.Update) { m.heard(ctx, s.Name, n) })
 	case "file":
 		go m.poll(ctx, s)
 	}
@@ -126,15 +126,15 @@
 }
 
 // heard takes what DNS said.
-func (m *Members) heard(ctx context.Context, name string, n dnssrv.News) {
-	for _, fault := range n.Faults {
+func (m *Members) heard(ctx context.Context, name string, n dnssrv.Update) {
+	for _, fault := range n.Skipped {
 		m.log.Warn("entry left out", "source", name, "reason", fault)
 	}
 	if n.Err != nil {
 		m.fail(ctx, name, n.Err)
 		return
 	}
-	a := membership.SourceAnswered{AskedAt: int64(m.clock.Now()) - time.Since(n.Asked).Microseconds(), Complete: true}
+	a := membership.SourceAnswered{AskedAt: int64(m.clock.Now()) - time.Since(n.QueriedAt).Microseconds(), Complete: true}
 	for _, e := range n.Entries {
 		a.Entries = append(a.Entries, membership.Entry{Name: e.Target, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Shard: e.Shard, Capacity: e.Share,
 			TrafficWeight: max(0.1, float64(e.Weight)), Priority: int(e.Priority), LastStart: membership.UnknownStart})
@@ -143,7 +143,7 @@
 }
 
 // poll reads a file whenever it changes.
-func (m *Members) poll(ctx context.Context, s config.MemberSource) {
+func (m *Members) poll(ctx context.Context, s config.EndpointSource) {
 	var seen time.Time
 	var size int64
 	tick := time.NewTicker(filePoll)
@@ -153,7 +153,7 @@
 			m.fail(ctx, s.Name, err)
 		} else if !info.ModTime().Equal(seen) || info.Size() != size {
 			asked := int64(m.clock.Now())
-			entries, err := config.LoadNodes(s.Path)
+			entries, err := config.LoadEndpoints(s.Path)
 			if err != nil {
 				m.fail(ctx, s.Name, err)
 			} else {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -32,7 +32,7 @@
 
 func newCore(t *testing.T) *core {
 	c := &core{t: t, nodes: map[string]broker.Node{}, news: make(chan struct{}, 1000), late: time.After(20 * time.Second)}
-	c.m = New(broker.NewClock(), c.post, logging.Func(func(line string) { t.Log(line) }))
+	c.m = New(broker.NewClock(), c.post, logging.ToFunc(func(line string) { t.Log(line) }))
 	t.Cleanup(c.m.Close)
 	return c
 }
@@ -113,8 +113,8 @@
 	return d
 }
 
-func source(d *fakes.DNS) config.MemberSource {
-	return config.MemberSource{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, TimeoutMS: 100, Texts: true, QueriesPerS: 1000}
+func source(d *fakes.DNS) config.EndpointSource {
+	return config.EndpointSource{Name: "dns", Kind: "dns", SRV: service, Resolvers: []string{d.Address()}, TimeoutMS: 100, UseTXT: true, QueriesPerS: 1000}
 }
 
 // The node set follows the script of a name server at each step, with discovery beside it.
@@ -122,7 +122,7 @@
 	d := dnsServer(t)
 	d.Set(service, 1, zone("a", "b", "c")...)
 	c := newCore(t)
-	if err := c.m.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "discovery", Kind: "discovery"}, source(d)}}); err != nil {
+	if err := c.m.ApplySettings(config.Membership{Sources: []config.EndpointSource{{Name: "discovery", Kind: "discovery"}, source(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b c")
@@ -165,7 +165,7 @@
 	path := filepath.Join(t.TempDir(), "nodes")
 	d := dnsServer(t)
 	d.Set(service, 1, zone("a", "b")...)
-	set := config.Membership{Snapshot: path, Sources: []config.MemberSource{source(d)}}
+	set := config.Membership{Snapshot: path, Sources: []config.EndpointSource{source(d)}}
 	c := newCore(t)
 	if err := c.m.ApplySettings(set); err != nil {
 		t.Fatal(err)
@@ -207,7 +207,7 @@
 	d := dnsServer(t)
 	d.Set(service, 1, zone("a", "b")...)
 	c := newCore(t)
-	if err := c.m.ApplySettings(config.Membership{Sources: []config.MemberSource{source(d)}}); err != nil {
+	if err := c.m.ApplySettings(config.Membership{Sources: []config.EndpointSource{source(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	c.await("a b")
@@ -218,8 +218,8 @@
 		}
 	}
 	write("[[node]]\nname = \"f\"\naddress = \"10.0.0.6:1\"\nshard = 1\n")
-	file := config.MemberSource{Name: "file", Kind: "file", Path: path}
-	if err := c.m.ApplySettings(config.Membership{Sources: []config.MemberSource{file}}); err != nil {
+	file := config.EndpointSource{Name: "file", Kind: "file", Path: path}
+	if err := c.m.ApplySettings(config.Membership{Sources: []config.EndpointSource{file}}); err != nil {
 		t.Fatal(err)
 	}
 	c.await("f")
--- a/internal/members/snapshot_golden_test.go
+++ b/internal/members/snapshot_golden_test.go
@@ -54,12 +54,12 @@
 
 // The console's answer and the series of a source are read by people and dashboards: their names stay.
 func TestConsoleNames(t *testing.T) {
-	m := New(broker.NewClock(), func(broker.Event) {}, logging.Func(func(line string) { t.Log(line) }))
+	m := New(broker.NewClock(), func(broker.Event) {}, logging.ToFunc(func(line string) { t.Log(line) }))
 	t.Cleanup(m.Close)
 	if text := string(m.Table()); text != "discovery alone is followed\n" {
 		t.Errorf("without settings: %q", text)
 	}
-	if err := m.ApplySettings(config.Membership{Sources: []config.MemberSource{{Name: "list", Kind: "discovery"}}}); err != nil {
+	if err := m.ApplySettings(config.Membership{Sources: []config.EndpointSource{{Name: "list", Kind: "discovery"}}}); err != nil {
 		t.Fatal(err)
 	}
 	m.HandleDiscovery(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n1", Zone: "z"}, Address: "192.0.2.1:1"}}})
--- a/internal/metricsexport/metricsexport_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -58,7 +58,7 @@
 	g := &rig{loop: &loop{}, t: t, stop: make(chan struct{})}
 	late := time.AfterFunc(20*time.Second, func() { close(g.stop) })
 	t.Cleanup(func() { late.Stop() })
-	g.r = New(Options{Name: "n1", Loop: g.loop, Log: logging.Func(func(line string) {
+	g.r = New(Options{Name: "n1", Loop: g.loop, Log: logging.ToFunc(func(line string) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if !strings.Contains(line, "clock") { // times are whole seconds, and run ahead at 20 ms an interval
--- a/internal/metricsexport/words.go
+++ b/internal/metricsexport/words.go
@@ -43,7 +43,7 @@
 			encode:  carbon(g)})
 	}
 	if c := set.Collectd; c.Address != "" {
-		e := &collectd.Encoder{Host: short(name), Plugin: plugin, Security: c.Guard(), Key: c.Key}
+		e := &collectd.Encoder{Host: short(name), Plugin: plugin, Security: c.SecurityLevel(), Key: c.Key}
 		all = append(all, target{name: "collectd", network: "udp", address: c.Address, interval: c.Interval(), sets: c,
 			options: telemetry.SinkOptions{QueueBytes: c.QueueBytes, PaceAll: true},
 			encode:  packets(e, c.Interval()), notice: e.Notify})
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -349,7 +349,7 @@
 // A panic in an exchange ends its attempt, which may have run, and nothing else.
 func TestPanic(t *testing.T) {
 	opt, lines := options(), make(chan string, 1)
-	opt.Log = logging.Func(func(line string) { lines <- line })
+	opt.Log = logging.ToFunc(func(line string) { lines <- line })
 	node, p := newPeer(t), New(opt)
 	_, results := start(p, node.address, func(s *Session) (broker.Result, error) {
 		s.Send(net.Buffers{[]byte("line\n")}, 5)
--- a/internal/resp/admission_test.go
+++ b/internal/resp/admission_test.go
@@ -30,7 +30,7 @@
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Admission: admission.New(admission.Settings{MaxOpen: most, Window: oneWindow}, set)})
 	terms := testTerms
 	terms.After = 150_000
-	f := NewFront(loop, terms, room, room, 1<<20, logging.Func(func(line string) { t.Log(line) }))
+	f := NewFront(loop, terms, room, room, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -80,7 +80,7 @@
 	t.Cleanup(cancel)
 	go e.loop.Run(ctx)
 	e.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
-	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logging.Func(func(line string) { t.Log(line) }))
+	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	if e.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -271,7 +271,7 @@
 
 // A client that sends nonsense gets an error behind its other answers, and its connection ends.
 func TestMalformedEndsConnection(t *testing.T) {
-	f := NewFront(nil, Terms{}, 4, 4, 1<<20, logging.Func(func(line string) { t.Log(line) }))
+	f := NewFront(nil, Terms{}, 4, 4, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -364,7 +364,7 @@
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
-	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.Func(func(line string) { t.Log(line) }))
+	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -376,7 +376,7 @@
 
 // A full front closes a connection without requests to let the next client in.
 func TestFullFrontMakesRoom(t *testing.T) {
-	f := NewFront(nil, Terms{}, 2, 2, 1<<20, logging.Func(func(line string) { t.Log(line) }))
+	f := NewFront(nil, Terms{}, 2, 2, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
-	f := NewFront(loop, nil, testPlan(t), 1, logging.Func(func(line string) { t.Error(line) }))
+	f := NewFront(loop, nil, testPlan(t), 1, logging.ToFunc(func(line string) { t.Error(line) }))
 	near, far := net.Pipe()
 	return f, newSession(f, near), far
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -372,5 +372,5 @@
 		f.fail("settings: %w", err)
 		return
 	}
-	*s = set.Logic
+	*s = set.Scheduler
 }
