--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -101,11 +101,11 @@
 	return &Table{log: log, maxIdle: maxIdle, limit: semaphore.New(most), entries: map[Connection]*entry{}, lnEnded: make(chan struct{})}
 }
 
-// RejectBeyond has connections beyond the limit, where nobody can be evicted, answered by reject, which ends them, up to so many
+// RejectOverLimit has connections beyond the limit, where nobody can be evicted, answered by reject, which ends them, up to so many
 // at a time. Without it they wait in the kernel's queue, past their clients' time. So many evicted connections may also be on
 // their way out beyond the limit. While the broker is overloaded those that asked lately are not evicted: they will ask
 // again, and it costs more to take a connection than to refuse on one that is there. It comes before Accept.
-func (t *Table) RejectBeyond(most int, reject func(net.Conn), overloaded func() bool) {
+func (t *Table) RejectOverLimit(most int, reject func(net.Conn), overloaded func() bool) {
 	t.reject, t.overflow, t.overloaded = reject, semaphore.New(most), overloaded
 }
 
@@ -285,8 +285,8 @@
 	return true
 }
 
-// Clients tells how many connections are open.
-func (t *Table) Clients() int {
+// Count tells how many connections are open.
+func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries)
@@ -303,9 +303,9 @@
 // request crossed the end of its connection sends it once more on a new one.
 func (t *Table) Drain() { t.proceed(draining) }
 
-// Shut takes no more connections but those that wait in the kernel's queue, which the end of the listener would reset.
+// StopAccepting takes no more connections but those that wait in the kernel's queue, which the end of the listener would reset.
 // Others must lead to another process by then. Without a deadline of its own a listener is closed at once.
-func (t *Table) Shut() {
+func (t *Table) StopAccepting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.shut(queueTime)
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Clients that ask once and keep their connection must not use up the few that they have: beyond maxIdle
+// Count that ask once and keep their connection must not use up the few that they have: beyond maxIdle
 // the idlest of them ends, long before the table is full. Who has not asked yet, or waits for an answer, stays.
 func TestMaxIdle(t *testing.T) {
 	h := NewTable(100, 2, logging.ToFunc(func(line string) { t.Log(line) }))
@@ -158,7 +158,7 @@
 	h.Remove(early)
 	h.Remove(early)
 	h.Close()
-	if h.Clients() != 1 || !h.ShouldEnd(true) || late.woken != 1 {
+	if h.Count() != 1 || !h.ShouldEnd(true) || late.woken != 1 {
 		t.Error("a closed table ends all")
 	}
 	if _, err := h.Accept(ln); err == nil {
@@ -203,7 +203,7 @@
 // A full table in which all wait for answers once left each further connection in the kernel's queue, past its client's time.
 func TestRejectBeyond(t *testing.T) {
 	h := NewTable(2, 2, logging.ToFunc(func(line string) { t.Log(line) }))
-	h.RejectBeyond(3, func(conn net.Conn) { conn.Write([]byte("busy")) }, func() bool { return false })
+	h.RejectOverLimit(3, func(conn net.Conn) { conn.Write([]byte("busy")) }, func() bool { return false })
 	first, second := &fakeConn{status: Busy}, &fakeConn{status: Busy}
 	enter(h, true, first, second)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -244,7 +244,7 @@
 func TestPlaceOfEvicted(t *testing.T) {
 	h := NewTable(3, 3, logging.ToFunc(func(line string) { t.Log(line) }))
 	overloaded := true
-	h.RejectBeyond(1, func(net.Conn) {}, func() bool { return overloaded })
+	h.RejectOverLimit(1, func(net.Conn) {}, func() bool { return overloaded })
 	conns := []*fakeConn{{status: Idle, idle: idleGrace - 1}, {status: Idle, idle: idleGrace - 1}, {status: Busy}}
 	enter(h, true, conns...)
 	ended := func() int { return conns[0].ended + conns[1].ended + conns[2].ended }
@@ -253,7 +253,7 @@
 	}
 	h.overflow.Release()
 	overloaded = false
-	if !h.admit() || ended() != 1 || h.Clients() != 3 {
+	if !h.admit() || ended() != 1 || h.Count() != 3 {
 		t.Fatalf("no place at once: %d ended", ended())
 	}
 	if h.overflow.TryAcquire() {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	p := s.SFTP.Plan()
-	if p.Commands["read"].WaitMS != 500 || p.Commands["write"].WaitMS != 1200 || p.Volumes[0].Hosts != 3 || s.SFTP.Connections != defaultConnections {
+	if p.Commands["read"].WaitMS != 500 || p.Commands["write"].WaitMS != 1200 || p.Volumes[0].Brokers != 3 || s.SFTP.Connections != defaultConnections {
 		t.Errorf("%+v", p)
 	}
 	for _, c := range []struct{ old, new, key string }{
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -88,18 +88,18 @@
 
 // SFTP is the second front, file commands.
 type SFTP struct {
-	Listen      string                      `toml:"listen"`    // empty: off
-	NodePort    int                         `toml:"node_port"` // where nodes take file commands; 0: the list's port
-	Connections int                         `toml:"connections"`
-	UnitBytes   int                         `toml:"unit_bytes"`
-	Commands    map[sftp.Command]sftp.Terms `toml:"command"`
-	Volumes     []sftp.Volume               `toml:"volume"`
-
-	plan sftp.Plan
+	Listen      string                                `toml:"listen"`    // empty: off
+	NodePort    int                                   `toml:"node_port"` // where nodes take file commands; 0: the list's port
+	Connections int                                   `toml:"connections"`
+	UnitBytes   int                                   `toml:"unit_bytes"`
+	Commands    map[sftp.Command]sftp.CommandSettings `toml:"command"`
+	Volumes     []sftp.Volume                         `toml:"volume"`
+
+	plan sftp.Mapping
 }
 
 // Plan maps file commands to the core's terms.
-func (s *SFTP) Plan() *sftp.Plan { return &s.plan }
+func (s *SFTP) Plan() *sftp.Mapping { return &s.plan }
 
 // LoadSite reads a site file and checks it against the settings.
 func LoadSite(path string, set scheduler.Settings) (Site, error) {
@@ -157,6 +157,6 @@
 	case s.Connections < 1 || s.Connections > maxConnections:
 		return fmt.Errorf("connections: %d is not within 1 to %d", s.Connections, maxConnections)
 	}
-	s.plan = sftp.Plan{UnitBytes: s.UnitBytes, Commands: s.Commands, Volumes: s.Volumes}
+	s.plan = sftp.Mapping{UnitBytes: s.UnitBytes, Commands: s.Commands, Volumes: s.Volumes}
 	return s.plan.Check(set)
 }
--- a/internal/conformance/leavers_test.go
+++ b/internal/conformance/leavers_test.go
@@ -34,13 +34,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes := pool.New(pool.Options{ConnectTimeout: 10 * time.Second, Idle: 30 * time.Second, Sockets: 64, Log: logging.Discard(),
-		Greet: func(net.Conn, *bufio.Reader) error {
+	nodes := pool.New(pool.Options{ConnectTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxConnections: 64, Logger: logging.Discard(),
+		Handshake: func(net.Conn, *bufio.Reader) error {
 			w.coming <- struct{}{}
 			<-w.up
 			return nil
 		}})
-	w.loop = broker.NewLoop(state, broker.NewClock(), resp.NewNodes(nodes), broker.Dependencies{})
+	w.loop = broker.NewLoop(state, broker.NewClock(), resp.NewTransport(nodes), broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go w.loop.Run(ctx)
@@ -61,7 +61,7 @@
 	w.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: node.Addr().String()}}})
 	ln := listen(t)
 	w.address = ln.Addr().String()
-	f := resp.NewFront(w.loop, resp.NewTerms(settings(), 0), 64, 64, budget, logging.Discard())
+	f := resp.NewServer(w.loop, resp.NewRequestLimits(settings(), 0), 64, 64, budget, logging.Discard())
 	go f.Serve(ln)
 	return w
 }
--- a/internal/conformance/resp_test.go
+++ b/internal/conformance/resp_test.go
@@ -23,15 +23,15 @@
 func (respProtocol) name() string { return "resp" }
 
 func (respProtocol) transport(opt pool.Options) broker.Transport {
-	return resp.NewNodes(pool.New(opt))
+	return resp.NewTransport(pool.New(opt))
 }
 
 func (respProtocol) front(loop *broker.Loop, _ broker.Transport, log *slog.Logger) front {
-	return resp.NewFront(loop, resp.NewTerms(settings(), 0), 64, 64, 1<<20, log)
+	return resp.NewServer(loop, resp.NewRequestLimits(settings(), 0), 64, 64, 1<<20, log)
 }
 
 func (respProtocol) retune(f front, c client, set scheduler.Settings, class string) {
-	f.(*resp.Front).Retune(resp.NewTerms(set, 0))
+	f.(*resp.Server).SetLimits(resp.NewRequestLimits(set, 0))
 	c.(*respClient).reads = class
 }
 
--- a/internal/conformance/sftp_test.go
+++ b/internal/conformance/sftp_test.go
@@ -25,27 +25,27 @@
 func (sftpProtocol) name() string { return "sftp" }
 
 func (sftpProtocol) transport(opt pool.Options) broker.Transport {
-	opt.Greet = sftp.Greet
-	return sftp.NewNodes(pool.New(opt), 0)
+	opt.Handshake = sftp.Handshake
+	return sftp.NewTransport(pool.New(opt), 0)
 }
 
 func (sftpProtocol) front(loop *broker.Loop, via broker.Transport, log *slog.Logger) front {
-	return sftp.NewFront(loop, via, plan(settings(), "read"), 64, log)
+	return sftp.NewServer(loop, via, plan(settings(), "read"), 64, log)
 }
 
 func (sftpProtocol) retune(f front, _ client, set scheduler.Settings, class string) {
-	f.(*sftp.Front).Retune(plan(set, class))
+	f.(*sftp.Server).SetMapping(plan(set, class))
 }
 
 // plan maps what reads to a class.
-func plan(set scheduler.Settings, class string) *sftp.Plan {
-	terms := map[sftp.Command]sftp.Terms{}
+func plan(set scheduler.Settings, class string) *sftp.Mapping {
+	terms := map[sftp.Command]sftp.CommandSettings{}
 	for _, c := range sftp.Commands {
-		terms[c] = sftp.Terms{Class: class}
+		terms[c] = sftp.CommandSettings{Class: class}
 	}
-	terms[sftp.OpenWrite], terms[sftp.Write] = sftp.Terms{Class: "write"}, sftp.Terms{Class: "write"}
-	terms[sftp.Remove], terms[sftp.List] = sftp.Terms{Class: "write"}, sftp.Terms{Class: "list"}
-	plan := &sftp.Plan{UnitBytes: 2, Commands: terms, Volumes: []sftp.Volume{{Prefix: "/d", Volume: "v", Plan: "plan"}}}
+	terms[sftp.OpenWrite], terms[sftp.Write] = sftp.CommandSettings{Class: "write"}, sftp.CommandSettings{Class: "write"}
+	terms[sftp.Remove], terms[sftp.List] = sftp.CommandSettings{Class: "write"}, sftp.CommandSettings{Class: "list"}
+	plan := &sftp.Mapping{UnitBytes: 2, Commands: terms, Volumes: []sftp.Volume{{Prefix: "/d", Volume: "v", Plan: "plan"}}}
 	if err := plan.Check(set); err != nil {
 		panic(err)
 	}
--- a/internal/conformance/suite_test.go
+++ b/internal/conformance/suite_test.go
@@ -58,7 +58,7 @@
 	Serve(net.Listener) error
 	Drain()
 	Close()
-	Clients() int
+	Count() int
 }
 
 type client interface {
@@ -98,8 +98,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	via := p.transport(pool.Options{ConnectTimeout: 500 * time.Millisecond, Idle: 30 * time.Second, Sockets: 64,
-		Log: logging.ToFunc(func(line string) { t.Error(line) })})
+	via := p.transport(pool.Options{ConnectTimeout: 500 * time.Millisecond, IdleTimeout: 30 * time.Second, MaxConnections: 64,
+		Logger: logging.ToFunc(func(line string) { t.Error(line) })})
 	b.loop = broker.NewLoop(state, b.clock, via, broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -277,7 +277,7 @@
 			}
 		}
 		b.want(b.run(read, "r2"), served)
-		eventually(b.T, "nothing of them is left", func() bool { return b.loop.OpenRequests() == 0 && b.front.Clients() == 1 })
+		eventually(b.T, "nothing of them is left", func() bool { return b.loop.OpenRequests() == 0 && b.front.Count() == 1 })
 	}},
 	{"a read that lost its answer is sent again", func(b *bench) {
 		b.client.prepare(b.T, "r")
@@ -408,7 +408,7 @@
 		b.client.send("r", read)
 		b.world.awaitVisits(b.T, "r", 1)
 		b.client.close()
-		eventually(b.T, "the request is forgotten", func() bool { return b.loop.OpenRequests() == 0 && b.front.Clients() == 0 })
+		eventually(b.T, "the request is forgotten", func() bool { return b.loop.OpenRequests() == 0 && b.front.Count() == 0 })
 	}},
 	{"what was taken before a stop is answered", func(b *bench) {
 		b.client.prepare(b.T, "w")
@@ -420,7 +420,7 @@
 		close(release)
 		v, err := b.client.receive()
 		b.world.check(b.T, []final{{id: "w", write: true, verdict: v, err: err, wait: waits[write]}})
-		eventually(b.T, "the connection is closed", func() bool { return b.front.Clients() == 0 })
+		eventually(b.T, "the connection is closed", func() bool { return b.front.Count() == 0 })
 		late := b.protocol.client(b.T, b.address) // its request crossed the end of its connection
 		b.world.play(first(serve))
 		if late.prepare(b.T, "r"); b.name() == "resp" { // to prepare is a file client's first command
@@ -429,7 +429,7 @@
 			b.world.check(b.T, []final{{id: "r", verdict: v, err: err, wait: waits[read]}})
 		}
 		b.front.Close()
-		eventually(b.T, "all connections are closed", func() bool { return b.front.Clients() == 0 })
+		eventually(b.T, "all connections are closed", func() bool { return b.front.Count() == 0 })
 		if _, err := net.Dial("tcp", b.address); err == nil {
 			b.Error("the front still listens")
 		}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -28,7 +28,7 @@
 	log       *slog.Logger
 	clock     *broker.Clock
 	loop      *broker.Loop
-	link      *peer.Link         // nil without peers
+	link      *peer.Endpoint     // nil without peers
 	agreement *agreement.Service // nil if off
 	members   *members.Members
 	watcher   *discovery.Watcher
@@ -55,11 +55,11 @@
 	}
 	outside := broker.Dependencies{Log: log, Admission: gate}
 	if c.PeerListen != "" && c.Settings.Scheduler.Capabilities.Peers {
-		if k.link, err = peer.Open(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Scheduler.Ordinal); err != nil {
+		if k.link, err = peer.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Scheduler.Ordinal); err != nil {
 			return nil, err
 		}
 		k.closes = append(k.closes, func() { k.link.Close() })
-		outside.SendToPeer = k.link.Tell
+		outside.SendToPeer = k.link.Send
 	}
 	calls := &loopCalls{}
 	if c.Site.Agreement.Enabled() {
@@ -90,7 +90,7 @@
 	}
 	k.console, err = console.Listen(k.config.Console, console.Handlers{Check: check,
 		Vars: func() []byte {
-			return metrics.Statsd(slices.Concat(k.loop.Metrics.Read(), k.reporter.Figures(), k.members.Metrics(), k.agreed(), spreadFigures(k.loop.NodeShares()), more()))
+			return metrics.FormatStatsD(slices.Concat(k.loop.Metrics.Read(), k.reporter.Figures(), k.members.Metrics(), k.agreed(), spreadFigures(k.loop.NodeShares()), more()))
 		}, Nodes: func() []byte { return append(k.members.Table(), spreadText(k.loop.NodeShares())...) }, Agree: k.agreeCall()}, k.log)
 	if err != nil {
 		return err
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -77,7 +77,7 @@
 
 // Start implements broker.Transport.
 func (nowhere) Start(_ broker.Attempt, done func(broker.Result)) broker.Handle {
-	return pool.Refuse(errors.New("a process for control sends nothing"), done)
+	return pool.FailAttempt(errors.New("a process for control sends nothing"), done)
 }
 
 // Probe implements broker.Transport.
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -73,10 +73,10 @@
 	local := net.ParseIP(c.LocalAddress)
 	size := sizesOf(c, 1)
 	options := pool.Options{ConnectTimeout: c.Settings.ConnectTimeout.Duration(),
-		Idle: c.Settings.ConnIdle.Duration(), Settle: settle, Sockets: size.nodes, Local: local, Log: log}
+		IdleTimeout: c.Settings.ConnIdle.Duration(), ReuseDelay: settle, MaxConnections: size.nodes, LocalIP: local, Logger: log}
 	nodes := pool.New(options)
 	gate := c.Site.Admission.Controller(c.Settings.Scheduler, size.crowd)
-	k, err := newControl(c, resp.NewNodes(nodes), gate, log)
+	k, err := newControl(c, resp.NewTransport(nodes), gate, log)
 	if err != nil {
 		return err
 	}
@@ -86,15 +86,15 @@
 		return slices.Concat(loop.Metrics.Read(), s.members.Metrics(), s.agreed(), []broker.Metric{{Name: "clients", Value: uint64(clients(s.fronts))}})
 	}
 	s.pools = []*pool.Pool{nodes}
-	s.front = resp.NewFront(loop, resp.NewTerms(c.Settings.Scheduler, c.Settings.Shards), size.clients, size.maxIdle, size.requests, log)
-	s.front.RejectBeyond(size.overflow)
+	s.front = resp.NewServer(loop, resp.NewRequestLimits(c.Settings.Scheduler, c.Settings.Shards), size.clients, size.maxIdle, size.requests, log)
+	s.front.RejectOverLimit(size.overflow)
 	s.fronts = []drainer{s.front}
 	s.took(c.Settings.Scheduler)
 	s.resize(1)
 	if c.Site.SFTP.Listen != "" {
-		options.Greet = sftp.Greet
+		options.Handshake = sftp.Handshake
 		filePool := pool.New(options)
-		s.files = sftp.NewFront(loop, sftp.NewNodes(filePool, c.Site.SFTP.NodePort), c.Site.SFTP.Plan(), c.Site.SFTP.Connections, log)
+		s.files = sftp.NewServer(loop, sftp.NewTransport(filePool, c.Site.SFTP.NodePort), c.Site.SFTP.Plan(), c.Site.SFTP.Connections, log)
 		s.fronts, s.pools = append(s.fronts, s.files), append(s.pools, filePool)
 	}
 
@@ -212,8 +212,8 @@
 type service struct {
 	*control
 	pools     []*pool.Pool
-	front     *resp.Front
-	files     *sftp.Front // nil if off
+	front     *resp.Server
+	files     *sftp.Server // nil if off
 	fronts    []drainer
 	listeners []net.Listener
 
@@ -261,12 +261,12 @@
 	} else {
 		s.loop.Post(broker.SettingsChanged{Settings: set.Scheduler})
 	}
-	s.front.Retune(resp.NewTerms(set.Scheduler, set.Shards))
+	s.front.SetLimits(resp.NewRequestLimits(set.Scheduler, set.Shards))
 	if s.files != nil && c.Site.SFTP.Listen != "" {
-		s.files.Retune(c.Site.SFTP.Plan())
+		s.files.SetMapping(c.Site.SFTP.Plan())
 	}
 	for _, p := range s.pools {
-		p.Retune(set.ConnectTimeout.Duration(), set.ConnIdle.Duration())
+		p.SetTimeouts(set.ConnectTimeout.Duration(), set.ConnIdle.Duration())
 	}
 	if len(s.config.Site.Membership.Sources) > 0 && len(c.Site.Membership.Sources) > 0 {
 		if err := s.members.ApplySettings(c.Site.Membership); err != nil { // guards against settings that nobody checked
@@ -344,15 +344,15 @@
 // drainer is a front that can hand its clients over.
 type drainer interface {
 	Drain()
-	Shut()
+	StopAccepting()
 	Close()
-	Clients() int
+	Count() int
 }
 
 func clients(fronts []drainer) int {
 	sum := 0
 	for _, front := range fronts {
-		sum += front.Clients()
+		sum += front.Count()
 	}
 	return sum
 }
@@ -368,7 +368,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			nodes.Retire(now)
+			nodes.CloseExpired(now)
 		}
 	}
 }
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -379,7 +379,7 @@
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Log: log})
 	k := &control{loop: loop, reporter: metricsexport.New(metricsexport.Options{}), config: c, watcher: discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}), log: log}
-	parts := &service{control: k, front: resp.NewFront(loop, resp.NewTerms(c.Settings.Scheduler, 0), 1, 1, 1, log)}
+	parts := &service{control: k, front: resp.NewServer(loop, resp.NewRequestLimits(c.Settings.Scheduler, 0), 1, 1, 1, log)}
 	for _, fault := range []struct{ old, new, line string }{
 		{`"discovery":"127.0.0.1:2"`, `"discovery":"there"`, `discovery: "there" is no address:port`},
 		{`"name":"n1",`, ``, "name: missing"},
@@ -411,7 +411,7 @@
 	}
 }
 
-// Clients of a planned restart are served for as long as answers can still come before SIGKILL.
+// Count of a planned restart are served for as long as answers can still come before SIGKILL.
 func TestTimetable(t *testing.T) {
 	for longest, want := range map[time.Duration]timetable{
 		2500 * time.Millisecond: {2800 * time.Millisecond, 2900 * time.Millisecond, 2950 * time.Millisecond, 3100 * time.Millisecond},
--- a/internal/daemon/succeed.go
+++ b/internal/daemon/succeed.go
@@ -26,7 +26,7 @@
 		return
 	}
 	s.office = office
-	s.front.Share(func(id string, opened bool) {
+	s.front.OnRequestChange(func(id string, opened bool) {
 		if opened {
 			office.Send(handover.StateMessage{OpenedRequests: []string{id}})
 		} else {
@@ -85,7 +85,7 @@
 func (s *service) meet() handover.StateMessage {
 	s.resize(2)
 	s.loop.Post(broker.ProcessesChanged{Processes: 2})
-	return handover.StateMessage{Endpoints: s.watcher.Current(), OpenedRequests: s.front.Open()}
+	return handover.StateMessage{Endpoints: s.watcher.Current(), OpenedRequests: s.front.OpenRequestIDs()}
 }
 
 // take takes what the other process tells.
@@ -93,7 +93,7 @@
 	if news.Endpoints != nil {
 		s.handed = news.Endpoints
 	}
-	s.front.Hear(news.OpenedRequests, news.EndedRequests)
+	s.front.UpdateRemoteRequests(news.OpenedRequests, news.EndedRequests)
 	if news.PeerMessage != nil {
 		s.loop.Post(broker.PeerMessage{From: news.PeerOrdinal, Data: news.PeerMessage})
 	}
@@ -101,7 +101,7 @@
 
 // parted follows the end of the other process: all is this one's again.
 func (s *service) parted() {
-	s.front.Part()
+	s.front.ForgetRemoteRequests()
 	s.resize(1)
 	s.loop.Post(broker.ProcessesChanged{Processes: 1})
 	s.log.Info("handover: the other process is gone")
@@ -137,6 +137,6 @@
 	}
 	time.Sleep(leadTime)
 	for _, front := range s.fronts {
-		front.Shut()
+		front.StopAccepting()
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -13,8 +13,8 @@
 // statsdPrefix stands before each name that the operators' door shows.
 const statsdPrefix = "edge_balancer"
 
-// Statsd words figures as StatsD lines.
-func Statsd(samples []Sample) []byte {
+// FormatStatsD words figures as StatsD lines.
+func FormatStatsD(samples []Sample) []byte {
 	var text []byte
 	for _, s := range samples {
 		kind := "g"
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,17 +15,17 @@
 // maxDatagram is the most that a message may hold; a longer one is dropped, never sent.
 const maxDatagram = 256
 
-// Link is this broker's end.
-type Link struct {
+// Endpoint is this broker's end.
+type Endpoint struct {
 	conn  *net.UDPConn
 	peers []netip.AddrPort
 	all   netip.AddrPort
 	own   int
 }
 
-// Open listens at an address. peers are those of the whole tier, own included, by their numbers.
-func Open(listen string, peers []string, all string, own int) (*Link, error) {
-	l := &Link{own: own}
+// Listen listens at an address. peers are those of the whole tier, own included, by their numbers.
+func Listen(listen string, peers []string, all string, own int) (*Endpoint, error) {
+	l := &Endpoint{own: own}
 	for i, p := range peers {
 		address, err := netip.ParseAddrPort(p)
 		if err != nil {
@@ -47,9 +47,9 @@
 	return l, nil
 }
 
-// Tell sends data to one peer or, with scheduler.AllPeers, to all others. What can't be sent is lost, as
+// Send sends data to one peer or, with scheduler.AllPeers, to all others. What can't be sent is lost, as
 // a datagram may be.
-func (l *Link) Tell(peer int, data []byte) {
+func (l *Endpoint) Send(peer int, data []byte) {
 	if len(data) > maxDatagram {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // Run posts what comes in until the link is closed. Datagrams from elsewhere or too long are dropped.
-func (l *Link) Run(post func(broker.PeerMessage)) {
+func (l *Endpoint) Run(post func(broker.PeerMessage)) {
 	buffer := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buffer)
@@ -83,4 +83,4 @@
 }
 
 // Close ends Run.
-func (l *Link) Close() error { return l.conn.Close() }
+func (l *Endpoint) Close() error { return l.conn.Close() }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,7 +22,7 @@
 	other, all, stranger, own := socket(), socket(), socket(), socket()
 	address := own.LocalAddr().String()
 	own.Close()
-	link, err := Open(address, []string{other.LocalAddr().String(), address}, all.LocalAddr().String(), 1)
+	link, err := Listen(address, []string{other.LocalAddr().String(), address}, all.LocalAddr().String(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,10 +37,10 @@
 		}
 		return string(b[:n])
 	}
-	link.Tell(0, make([]byte, maxDatagram+1))
-	link.Tell(1, []byte("self"))
-	link.Tell(0, []byte("one"))
-	link.Tell(scheduler.AllPeers, []byte("all"))
+	link.Send(0, make([]byte, maxDatagram+1))
+	link.Send(1, []byte("self"))
+	link.Send(0, []byte("one"))
+	link.Send(scheduler.AllPeers, []byte("all"))
 	if got := read(other) + read(all); got != "oneall" {
 		t.Errorf("%q", got)
 	}
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -128,8 +128,8 @@
 // open makes one connection, in a place that was taken for it.
 func (p *Pool) open(ctx context.Context, address string) (*link, error) {
 	dialer := net.Dialer{KeepAlive: -1}
-	if p.opt.Local != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: p.opt.Local}
+	if p.opt.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: p.opt.LocalIP}
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -137,9 +137,9 @@
 		return nil, err
 	}
 	l := &link{Conn: conn, in: bufio.NewReaderSize(conn, 4<<10), used: time.Now()}
-	if p.opt.Greet != nil {
+	if p.opt.Handshake != nil {
 		stop := context.AfterFunc(ctx, func() { conn.Close() })
-		err := p.opt.Greet(conn, l.in)
+		err := p.opt.Handshake(conn, l.in)
 		if !stop() || err != nil {
 			p.drop(l)
 			return nil, errors.Join(errors.New("no session"), err)
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -16,7 +16,7 @@
 // greetByNode makes a new connection come up only when the node sends a byte on it (see welcome). So the test decides
 // which of several connections comes up, whatever the order in which the pool's goroutines run.
 func greetByNode(opt *Options) {
-	opt.Greet = func(_ net.Conn, in *bufio.Reader) error {
+	opt.Handshake = func(_ net.Conn, in *bufio.Reader) error {
 		_, err := in.ReadByte()
 		return err
 	}
@@ -73,7 +73,7 @@
 // While both tries are late, a connection that its user gives back serves; what comes up later is kept.
 func TestGivenBackServes(t *testing.T) {
 	opt := options()
-	opt.Sockets = 3
+	opt.MaxConnections = 3
 	greetByNode(&opt)
 	node, p := newPeer(t), New(opt)
 	p.usual.tries = 0 // on a busy machine the user's own second try would come first and be taken for the other's
@@ -105,7 +105,7 @@
 // Where connections never come up, second tries are few, take no place that is wanted, and leave none behind.
 func TestSecondTriesAreBounded(t *testing.T) {
 	opt := options()
-	opt.ConnectTimeout, opt.Sockets = 30*time.Millisecond, 100
+	opt.ConnectTimeout, opt.MaxConnections = 30*time.Millisecond, 100
 	greetByNode(&opt)
 	node, p := newPeer(t), New(opt)
 	p.usual.tries = 0
@@ -130,7 +130,7 @@
 	for ; len(node.conns) > 0; tries++ {
 		<-node.conns
 	}
-	if p.Retire(time.Now()); len(p.news) > 0 {
+	if p.CloseExpired(time.Now()); len(p.news) > 0 {
 		t.Errorf("%d addresses are kept at which nobody waits", len(p.news))
 	}
 	if tries > attempts+attempts/2 {
@@ -143,7 +143,7 @@
 func TestNeitherTryStaysForNobody(t *testing.T) {
 	opt := options()
 	up, greeted := make(chan struct{}), make(chan struct{}, 2)
-	opt.Greet = func(net.Conn, *bufio.Reader) error {
+	opt.Handshake = func(net.Conn, *bufio.Reader) error {
 		greeted <- struct{}{}
 		<-up
 		return nil
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -21,15 +21,15 @@
 // Options bounds a pool.
 type Options struct {
 	ConnectTimeout time.Duration
-	Idle           time.Duration                       // the node closes a connection that stood idle for so long
-	Settle         time.Duration                       // how long a connection must have been silent before it is used again
-	Sockets        int                                 // connections at the most, idle ones included
-	Local          net.IP                              // from which connections are made, nil for the system's choice
-	Greet          func(net.Conn, *bufio.Reader) error // opens a session on a new connection, nil for none
-	Log            *slog.Logger
+	IdleTimeout    time.Duration                       // the node closes a connection that stood idle for so long
+	ReuseDelay     time.Duration                       // how long a connection must have been silent before it is used again
+	MaxConnections int                                 // connections at the most, idle ones included
+	LocalIP        net.IP                              // from which connections are made, nil for the system's choice
+	Handshake      func(net.Conn, *bufio.Reader) error // opens a session on a new connection, nil for none
+	Logger         *slog.Logger
 }
 
-// retireAt is the part of Options.Idle after which a connection is not used again: a request that
+// retireAt is the part of Options.IdleTimeout after which a connection is not used again: a request that
 // meets the node's own close ends as a reset, which for a write is final.
 const retireAt = 0.7
 
@@ -58,19 +58,19 @@
 
 // New returns an empty pool.
 func New(opt Options) *Pool {
-	p := &Pool{opt: opt, slots: semaphore.New(opt.Sockets), idle: map[string][]*link{}, news: map[string]chan struct{}{}, usual: usual{tries: secondMost}}
-	p.Retune(opt.ConnectTimeout, opt.Idle)
+	p := &Pool{opt: opt, slots: semaphore.New(opt.MaxConnections), idle: map[string][]*link{}, news: map[string]chan struct{}{}, usual: usual{tries: secondMost}}
+	p.SetTimeouts(opt.ConnectTimeout, opt.IdleTimeout)
 	return p
 }
 
-// Retune changes the times within which connections come up and may stand idle.
-func (p *Pool) Retune(connect, idle time.Duration) {
+// SetTimeouts changes the times within which connections come up and may stand idle.
+func (p *Pool) SetTimeouts(connect, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.connect, p.most = connect, time.Duration(retireAt*float64(idle))
 }
 
-// Resize changes how many connections there may be. Idle ones beyond that end.
+// Resize changes how many connections there may be. IdleTimeout ones beyond that end.
 func (p *Pool) Resize(sockets int) {
 	p.slots.Resize(sockets)
 	for p.slots.Exceeded() {
@@ -315,7 +315,7 @@
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("panic: %v", r)
-			p.opt.Log.Error("panic", "front", "nodes", "panic", r)
+			p.opt.Logger.Error("panic", "front", "nodes", "panic", r)
 		}
 	}()
 	return x(s)
@@ -398,7 +398,7 @@
 	links, now := p.idle[address], time.Now()
 	settles = time.Hour
 	for i := len(links) - 1; i >= 0; i-- {
-		if left := p.opt.Settle - now.Sub(links[i].used); left <= 0 {
+		if left := p.opt.ReuseDelay - now.Sub(links[i].used); left <= 0 {
 			l = links[i]
 			p.idle[address] = slices.Delete(links, i, i+1)
 			return l, 0, nil
@@ -462,9 +462,9 @@
 	}
 }
 
-// Retire closes connections that are too old to be used again, or that their node has closed, and forgets
+// CloseExpired closes connections that are too old to be used again, or that their node has closed, and forgets
 // addresses without connections: nodes are replaced by new ones at new addresses.
-func (p *Pool) Retire(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	_, most := p.times()
 	var old []*link
 	p.mu.Lock()
@@ -519,8 +519,8 @@
 	return err == nil && open
 }
 
-// Refuse returns the handle of an attempt that was never begun and tells why.
-func Refuse(err error, done func(broker.Result)) broker.Handle {
+// FailAttempt returns the handle of an attempt that was never begun and tells why.
+func FailAttempt(err error, done func(broker.Result)) broker.Handle {
 	go done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: err}})
 	return refused{}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -66,7 +66,7 @@
 }
 
 func options() Options {
-	return Options{ConnectTimeout: 2 * time.Second, Idle: time.Hour, Sockets: 2, Log: logging.Discard()}
+	return Options{ConnectTimeout: 2 * time.Second, IdleTimeout: time.Hour, MaxConnections: 2, Logger: logging.Discard()}
 }
 
 func (p *peer) serve(conn net.Conn) {
@@ -105,7 +105,7 @@
 // before it is used again, and one that was not is never used.
 func TestSettle(t *testing.T) {
 	opt := options()
-	opt.Settle = time.Hour
+	opt.ReuseDelay = time.Hour
 	node, p := newPeer(t), New(opt)
 	var conns []net.Conn
 	for range 2 { // the second exchange does not wait: it opens a connection of its own
@@ -118,7 +118,7 @@
 	for Silent(p.idle[node.address][1].Conn) {
 		time.Sleep(time.Millisecond) // it is on its way through the kernel
 	}
-	p.opt.Settle = 0
+	p.opt.ReuseDelay = 0
 	_, results := start(p, node.address, echo)
 	node.serve(conns[0])
 	if r := <-results; r.Err != nil || len(p.idle[node.address]) != 1 {
@@ -137,7 +137,7 @@
 		<-results
 		conn.Close()
 		for !p.empty(node.address) {
-			p.Retire(time.Now())
+			p.CloseExpired(time.Now())
 		}
 	}
 	if len(p.idle) != 0 || p.slots.Held() != 0 {
@@ -176,11 +176,11 @@
 	conn := node.next()
 	node.serve(conn)
 	<-results
-	p.Retire(time.Now().Add(40 * time.Minute))
+	p.CloseExpired(time.Now().Add(40 * time.Minute))
 	if len(p.idle) != 1 {
 		t.Fatal("retired too early")
 	}
-	p.Retire(time.Now().Add(43 * time.Minute))
+	p.CloseExpired(time.Now().Add(43 * time.Minute))
 	if len(p.idle) != 0 || p.slots.Held() != 0 {
 		t.Errorf("%d addresses idle, %d slots taken", len(p.idle), p.slots.Held())
 	}
@@ -305,7 +305,7 @@
 // node hears of it, and the answer still comes.
 func TestAbandon(t *testing.T) {
 	opt, up := options(), make(chan struct{})
-	opt.Greet = func(conn net.Conn, _ *bufio.Reader) error {
+	opt.Handshake = func(conn net.Conn, _ *bufio.Reader) error {
 		<-up
 		return nil
 	}
@@ -349,7 +349,7 @@
 // A panic in an exchange ends its attempt, which may have run, and nothing else.
 func TestPanic(t *testing.T) {
 	opt, lines := options(), make(chan string, 1)
-	opt.Log = logging.ToFunc(func(line string) { lines <- line })
+	opt.Logger = logging.ToFunc(func(line string) { lines <- line })
 	node, p := newPeer(t), New(opt)
 	_, results := start(p, node.address, func(s *Session) (broker.Result, error) {
 		s.Send(net.Buffers{[]byte("line\n")}, 5)
--- a/internal/resp/admission_test.go
+++ b/internal/resp/admission_test.go
@@ -19,7 +19,7 @@
 const oneWindow = int64(time.Hour / time.Microsecond)
 
 // admissionServer serves a front with room for so many connections, whose admission control lets so many requests wait, and whose loop is never turned.
-func admissionServer(t *testing.T, room, most int) (*Front, net.Conn) {
+func admissionServer(t *testing.T, room, most int) (*Server, net.Conn) {
 	t.Helper()
 	set := scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: 150 * time.Millisecond}},
 		Capabilities: scheduler.Capabilities{RetryAfter: true, MaxRetryAfter: time.Second}}
@@ -30,7 +30,7 @@
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Admission: admission.New(admission.Settings{MaxOpen: most, Window: oneWindow}, set)})
 	terms := testTerms
 	terms.After = 150_000
-	f := NewFront(loop, terms, room, room, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+	f := NewServer(loop, terms, room, room, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 	for _, want := range []string{"+PONG\r\n", "-BUSY 150\r\n", "+PONG\r\n", "-BUSY 150\r\n", "+PONG\r\n"} {
 		expect(want)
 	}
-	if open := f.Open(); len(open) > 1 {
+	if open := f.OpenRequestIDs(); len(open) > 1 {
 		t.Errorf("ids of refused requests stay open: %v", open)
 	}
 }
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -35,8 +35,8 @@
 
 var errForm = errors.New("malformed command")
 
-// Terms is what a request may ask for. It guards the core against figures that nobody could serve.
-type Terms struct {
+// RequestLimits is what a request may ask for. It guards the core against figures that nobody could serve.
+type RequestLimits struct {
 	Classes, Plans map[string]bool
 	MaxUnits       float64 // 0 for unknown
 	Shards         int     // 0 for unknown
@@ -46,9 +46,9 @@
 	busy           []byte        // the line of such a refusal
 }
 
-// NewTerms takes the terms from the settings.
-func NewTerms(set scheduler.Settings, shards int) Terms {
-	t := Terms{Classes: map[string]bool{}, Plans: map[string]bool{}, MaxUnits: set.MaxUnits, Shards: shards, Hosts: set.Brokers, MaxWait: time.Minute}
+// NewRequestLimits takes the terms from the settings.
+func NewRequestLimits(set scheduler.Settings, shards int) RequestLimits {
+	t := RequestLimits{Classes: map[string]bool{}, Plans: map[string]bool{}, MaxUnits: set.MaxUnits, Shards: shards, Hosts: set.Brokers, MaxWait: time.Minute}
 	if set.Capabilities.RetryAfter && len(set.Classes) > 0 {
 		aim := slices.MinFunc(set.Classes, func(a, b scheduler.Class) int { return cmp.Compare(a.LatencyObjective, b.LatencyObjective) }).LatencyObjective
 		t.After = broker.MicrosOf(min(aim, set.Capabilities.MaxRetryAfter))
@@ -64,7 +64,7 @@
 }
 
 // check names the figure of a request that is out of range.
-func (t *Terms) check(r *broker.Request) error {
+func (t *RequestLimits) check(r *broker.Request) error {
 	for _, c := range []struct {
 		sound bool
 		name  string
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -22,7 +22,7 @@
 // ending is a front over loopback sockets whose requests are answered, or not, as the test says.
 type ending struct {
 	*testing.T
-	front *Front
+	front *Server
 	loop  *broker.Loop
 	ln    net.Listener
 	via   *held
@@ -80,7 +80,7 @@
 	t.Cleanup(cancel)
 	go e.loop.Run(ctx)
 	e.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Weight: 1}, Address: "192.0.2.1:1"}}})
-	e.front = NewFront(e.loop, NewTerms(set, 0), 200, 200, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+	e.front = NewServer(e.loop, NewRequestLimits(set, 0), 200, 200, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	if e.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,7 @@
 	e.arrived(c)
 	go c.write()
 	go c.read()
-	e.until("it has left", func() bool { return e.front.Clients() == 0 })
+	e.until("it has left", func() bool { return e.front.Count() == 0 })
 	if got, err := io.ReadAll(peer); string(got) != "$1\r\nv\r\n-BUSY\r\n-BUSY\r\n" || err != nil {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -238,7 +238,7 @@
 		if got, err := io.ReadAll(peer); string(got) != end.want || err != nil {
 			t.Errorf("%d: %q, %v", end.how, got, err)
 		}
-		e.until("it has left", func() bool { return e.front.Clients() == 0 })
+		e.until("it has left", func() bool { return e.front.Count() == 0 })
 	}
 }
 
@@ -324,7 +324,7 @@
 			e.until("it is forgotten", func() bool {
 				e.front.mu.Lock()
 				defer e.front.mu.Unlock()
-				return e.loop.OpenRequests() == 0 && len(e.front.open) == 0 && e.front.Clients() == 0
+				return e.loop.OpenRequests() == 0 && len(e.front.open) == 0 && e.front.Count() == 0
 			})
 		}
 	}
--- a/internal/resp/figures_test.go
+++ b/internal/resp/figures_test.go
@@ -42,8 +42,8 @@
 			}()
 		}
 	}()
-	p := pool.New(pool.Options{ConnectTimeout: time.Second, Idle: time.Minute, Sockets: 4, Log: logging.ToFunc(func(line string) { t.Error(line) })})
-	nodes := NewNodes(p)
+	p := pool.New(pool.Options{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConnections: 4, Logger: logging.ToFunc(func(line string) { t.Error(line) })})
+	nodes := NewTransport(p)
 	all, _ := commands([]byte(bulk("BLK.READ", "7f3a9c21e0b4d655", "id", listText)), 1)
 	req, err := parse(all[0].Raw, all[0].Args)
 	if err != nil {
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -29,11 +29,11 @@
 	logEvery    = 10 * time.Second
 )
 
-// Front serves the platform's clients.
-type Front struct {
+// Server serves the platform's clients.
+type Server struct {
 	*clientconn.Table
 	loop   *broker.Loop
-	terms  atomic.Pointer[Terms]
+	terms  atomic.Pointer[RequestLimits]
 	log    *slog.Logger
 	budget *clientconn.Budget
 
@@ -45,28 +45,28 @@
 	faultAt time.Time // of that line
 }
 
-// NewFront returns a front that holds most connections, and bytes of requests and answers, at the most. Beyond maxIdle
+// NewServer returns a front that holds most connections, and bytes of requests and answers, at the most. Beyond maxIdle
 // connections idle ones end.
-func NewFront(loop *broker.Loop, terms Terms, most, maxIdle, bytes int, log *slog.Logger) *Front {
+func NewServer(loop *broker.Loop, terms RequestLimits, most, maxIdle, bytes int, log *slog.Logger) *Server {
 	log = log.With("front", "clients")
-	f := &Front{Table: clientconn.NewTable(most, maxIdle, log), loop: loop, log: log, budget: clientconn.NewBudget(bytes),
+	f := &Server{Table: clientconn.NewTable(most, maxIdle, log), loop: loop, log: log, budget: clientconn.NewBudget(bytes),
 		open: map[string]struct{}{}, others: map[string]struct{}{}, tell: func(string, bool) {}}
-	f.Retune(terms)
+	f.SetLimits(terms)
 	return f
 }
 
-// Share has each id that opens or ends told to the broker's other process. It comes before Serve; tell does not block.
-func (f *Front) Share(tell func(id string, opened bool)) { f.tell = tell }
+// OnRequestChange has each id that opens or ends told to the broker's other process. It comes before Serve; tell does not block.
+func (f *Server) OnRequestChange(tell func(id string, opened bool)) { f.tell = tell }
 
-// Open returns the ids of the requests that wait for their answer.
-func (f *Front) Open() []string {
+// OpenRequestIDs returns the ids of the requests that wait for their answer.
+func (f *Server) OpenRequestIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Keys(f.open))
 }
 
-// Hear takes what the other process tells of its requests.
-func (f *Front) Hear(opened, ended []string) {
+// UpdateRemoteRequests takes what the other process tells of its requests.
+func (f *Server) UpdateRemoteRequests(opened, ended []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range opened {
@@ -77,28 +77,30 @@
 	}
 }
 
-// Part forgets the other process, which is gone.
-func (f *Front) Part() {
+// ForgetRemoteRequests forgets the other process, which is gone.
+func (f *Server) ForgetRemoteRequests() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	clear(f.others)
 }
 
-// RejectBeyond has up to so many connections at a time beyond the limit answered and ended. It comes before Serve.
-func (f *Front) RejectBeyond(most int) { f.Table.RejectBeyond(most, f.reject, f.loop.SheddingLoad) }
+// RejectOverLimit has up to so many connections at a time beyond the limit answered and ended. It comes before Serve.
+func (f *Server) RejectOverLimit(most int) {
+	f.Table.RejectOverLimit(most, f.reject, f.loop.SheddingLoad)
+}
 
 // ResizeBudget changes how many bytes of requests and answers there may be.
-func (f *Front) ResizeBudget(bytes int) { f.budget.Resize(bytes) }
+func (f *Server) ResizeBudget(bytes int) { f.budget.Resize(bytes) }
 
-// Retune changes what requests may ask for from now on.
-func (f *Front) Retune(terms Terms) {
+// SetLimits changes what requests may ask for from now on.
+func (f *Server) SetLimits(terms RequestLimits) {
 	terms.busy = answer(broker.Response{Verdict: broker.Rejected, RetryAfter: terms.After})[0]
 	f.terms.Store(&terms)
 }
 
 // enter notes the id of a request. It guards the one final answer, and the rule on second attempts at nodes,
 // against an id that is open already.
-func (f *Front) enter(id string) error {
+func (f *Server) enter(id string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, here := f.open[id]
@@ -110,7 +112,7 @@
 	return nil
 }
 
-func (f *Front) leave(id string) {
+func (f *Server) leave(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, open := f.open[id]; open {
@@ -120,7 +122,7 @@
 }
 
 // fault logs what was turned away, now and then.
-func (f *Front) fault(err error) {
+func (f *Server) fault(err error) {
 	f.mu.Lock()
 	f.faults++
 	count, now := f.faults, time.Now()
@@ -135,7 +137,7 @@
 }
 
 // Serve serves ln until Close.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	l := &listener{Listener: ln, table: f.Table}
 	server := redcon.NewServerNetwork(ln.Addr().Network(), ln.Addr().String(), f.handle, nil, func(redcon.Conn, error) { l.handed.Done() })
 	return server.Serve(l)
@@ -144,7 +146,7 @@
 // reject answers a connection beyond the limit: a request gets its refusal at once, a greeting its answer, and
 // silence its end. It keeps no buffer of a request and knows no class. What comes behind the answer is read and dropped, so
 // that no reset overtakes the answer.
-func (f *Front) reject(conn net.Conn) {
+func (f *Server) reject(conn net.Conn) {
 	buffer := rejectBuffers.Get().(*[]byte)
 	defer rejectBuffers.Put(buffer)
 	conn.SetReadDeadline(time.Now().Add(rejectTime))
@@ -201,14 +203,14 @@
 
 // handle gets the guard's first command and takes the connection from redcon, whose own loop would read
 // nothing more before a request is answered.
-func (f *Front) handle(conn redcon.Conn, _ redcon.Command) {
+func (f *Server) handle(conn redcon.Conn, _ redcon.Command) {
 	c := newClient(f, conn.Detach(), conn.NetConn().(*guard))
 	c.fresh = f.Add(c)
 	go c.read()
 	go c.write()
 }
 
-func newClient(f *Front, in redcon.DetachedConn, g *guard) *client {
+func newClient(f *Server, in redcon.DetachedConn, g *guard) *client {
 	c := &client{front: f, in: in, conn: g, guard: g, wake: make(chan struct{}, 1)}
 	c.room = sync.NewCond(&c.mu)
 	if f.loop != nil {
@@ -225,7 +227,7 @@
 
 // client is one connection. Its slots are the answers owed, in the order of the commands.
 type client struct {
-	front *Front
+	front *Server
 	in    redcon.DetachedConn
 	conn  net.Conn
 	guard *guard
--- a/internal/resp/nodes.go
+++ b/internal/resp/nodes.go
@@ -12,17 +12,17 @@
 	"junctionwharf/scheduler"
 )
 
-// Nodes carries attempts to storage nodes, each alone on its connection.
-type Nodes struct{ pool *pool.Pool }
+// Transport carries attempts to storage nodes, each alone on its connection.
+type Transport struct{ pool *pool.Pool }
 
-// NewNodes returns a transport over connections from p.
-func NewNodes(p *pool.Pool) *Nodes { return &Nodes{pool: p} }
+// NewTransport returns a transport over connections from p.
+func NewTransport(p *pool.Pool) *Transport { return &Transport{pool: p} }
 
 // Start implements broker.Transport.
-func (n *Nodes) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
+func (n *Transport) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
 	m, ok := a.Request.Message.(*message)
 	if !ok {
-		return pool.Refuse(errors.New("not a RESP request"), done)
+		return pool.FailAttempt(errors.New("not a RESP request"), done)
 	}
 	return n.pool.Start(a.Address, func(s *pool.Session) (broker.Result, error) {
 		command := m.forward(a.Timeout - broker.MicrosOf(s.Waited()))
@@ -62,7 +62,7 @@
 }
 
 // Probe implements broker.Transport.
-func (n *Nodes) Probe(address string, done func(broker.Result)) {
+func (n *Transport) Probe(address string, done func(broker.Result)) {
 	n.pool.Start(address, func(s *pool.Session) (broker.Result, error) {
 		if err := s.Send(net.Buffers{[]byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")}, 0); err != nil {
 			return broker.Result{}, err
@@ -86,4 +86,4 @@
 }
 
 // CloseIdle implements broker.Transport.
-func (n *Nodes) CloseIdle(address string) { n.pool.CloseIdle(address) }
+func (n *Transport) CloseIdle(address string) { n.pool.CloseIdle(address) }
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -47,8 +47,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			terms := testTerms
 			terms.After = 150_000
-			f := NewFront(nil, terms, 0, 0, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
-			f.Table.RejectBeyond(1, f.reject, func() bool { return false })
+			f := NewServer(nil, terms, 0, 0, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+			f.Table.RejectOverLimit(1, f.reject, func() bool { return false })
 			ln := &pipes{queue: make(chan net.Conn, crowd+1)}
 			var clients []net.Conn
 			for range c.others + 1 {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-var testTerms = NewTerms(scheduler.Settings{Brokers: 3, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}, 6)
+var testTerms = NewRequestLimits(scheduler.Settings{Brokers: 3, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read"}}, Plans: []scheduler.Plan{{Name: "gold"}}}, 6)
 
 // What no settings allow is turned away before the core hears of it.
 func TestTerms(t *testing.T) {
@@ -271,7 +271,7 @@
 
 // A client that sends nonsense gets an error behind its other answers, and its connection ends.
 func TestMalformedEndsConnection(t *testing.T) {
-	f := NewFront(nil, Terms{}, 4, 4, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+	f := NewServer(nil, RequestLimits{}, 4, 4, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -358,13 +358,13 @@
 }
 
 // newServer serves a front whose loop is never turned, so that requests wait.
-func newServer(t *testing.T) (*Front, string) {
+func newServer(t *testing.T) (*Server, string) {
 	state, err := broker.NewState(scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
-	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+	f := NewServer(loop, testTerms, 8, 8, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -376,7 +376,7 @@
 
 // A full front closes a connection without requests to let the next client in.
 func TestFullFrontMakesRoom(t *testing.T) {
-	f := NewFront(nil, Terms{}, 2, 2, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+	f := NewServer(nil, RequestLimits{}, 2, 2, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -410,7 +410,7 @@
 
 // A connection must not hold its own lock while it waits for its table's: the table may be asking it.
 func TestDismissedHoldsNoLock(t *testing.T) {
-	f := NewFront(nil, Terms{}, 0, 1, 1, logging.Discard())
+	f := NewServer(nil, RequestLimits{}, 0, 1, 1, logging.Discard())
 	a := &asked{make(chan struct{}), make(chan struct{})}
 	f.Add(a)
 	f.Asked(a, false)
@@ -464,7 +464,7 @@
 // Without room for a connection a request gets its refusal at once, a greeting its answer and silence its end. A body that is
 // still on its way is read behind the refusal, or a reset would overtake it.
 func TestTurnedAway(t *testing.T) {
-	f := NewFront(nil, Terms{After: 150_000}, 0, 1, 1, logging.Discard())
+	f := NewServer(nil, RequestLimits{After: 150_000}, 0, 1, 1, logging.Discard())
 	command := "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n7f3a9c21e0b4d655\r\n$2\r\nid\r\n$3\r\nc=w\r\n$300000\r\n"
 	for _, c := range []struct{ sent, want string }{
 		{command + strings.Repeat("x", 300_000) + "\r\n", "-BUSY 150\r\n"}, {pingText, "+PONG\r\n"}, {"", ""},
@@ -551,7 +551,7 @@
 	}
 	controller := admission.New(admission.Settings{MaxOpenOverloaded: 1}, set)
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Admission: controller})
-	f := NewFront(loop, NewTerms(set, 0), 4, 4, 1<<20, logging.Discard())
+	f := NewServer(loop, NewRequestLimits(set, 0), 4, 4, 1<<20, logging.Discard())
 	near, far := net.Pipe()
 	c := &client{front: f, conn: near, wake: make(chan struct{}, 1)}
 	raw := []byte("*4\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n$1\r\ni\r\n$7\r\nc=w,t=p\r\n")
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -131,14 +131,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes := pool.New(pool.Options{ConnectTimeout: time.Second, Idle: time.Minute, Sockets: 8, Log: logging.ToFunc(func(line string) { t.Error(line) })})
-	loop := broker.NewLoop(state, broker.NewClock(), NewNodes(nodes), broker.Dependencies{})
+	nodes := pool.New(pool.Options{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConnections: 8, Logger: logging.ToFunc(func(line string) { t.Error(line) })})
+	loop := broker.NewLoop(state, broker.NewClock(), NewTransport(nodes), broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go loop.Run(ctx)
 	loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Shard: 5, Weight: 1},
 		Address: ln.Addr().String()}}})
-	f := NewFront(loop, testTerms, 8, 8, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
+	f := NewServer(loop, testTerms, 8, 8, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
 	door, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sftp/ends_test.go
+++ b/internal/sftp/ends_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	plan := testPlan(t)
-	s := newSession(NewFront(nil, nil, plan, 4, logging.Discard()), conn)
+	s := newSession(NewServer(nil, nil, plan, 4, logging.Discard()), conn)
 	s.ops = []*pending{{}}
 	if s.End() {
 		t.Error("it ends while a command waits")
--- a/internal/sftp/front.go
+++ b/internal/sftp/front.go
@@ -24,28 +24,28 @@
 	writeTime  = 5 * time.Second
 )
 
-// Front serves file commands.
-type Front struct {
+// Server serves file commands.
+type Server struct {
 	*clientconn.Table
 	loop *broker.Loop
 	via  broker.Transport
-	plan atomic.Pointer[Plan]
+	plan atomic.Pointer[Mapping]
 	log  *slog.Logger
 }
 
-// NewFront returns a front that holds most connections at the most. The plan has been checked.
-func NewFront(loop *broker.Loop, via broker.Transport, plan *Plan, most int, log *slog.Logger) *Front {
+// NewServer returns a front that holds most connections at the most. The plan has been checked.
+func NewServer(loop *broker.Loop, via broker.Transport, plan *Mapping, most int, log *slog.Logger) *Server {
 	log = log.With("front", "files")
-	f := &Front{Table: clientconn.NewTable(most, most, log), loop: loop, via: via, log: log}
-	f.Retune(plan)
+	f := &Server{Table: clientconn.NewTable(most, most, log), loop: loop, via: via, log: log}
+	f.SetMapping(plan)
 	return f
 }
 
-// Retune changes how commands are mapped from now on. The plan has been checked.
-func (f *Front) Retune(plan *Plan) { f.plan.Store(plan) }
+// SetMapping changes how commands are mapped from now on. The plan has been checked.
+func (f *Server) SetMapping(plan *Mapping) { f.plan.Store(plan) }
 
 // Serve serves ln until Close.
-func (f *Front) Serve(ln net.Listener) error {
+func (f *Server) Serve(ln net.Listener) error {
 	for {
 		conn, err := f.Accept(ln)
 		if err != nil {
@@ -69,7 +69,7 @@
 
 // session is one client connection.
 type session struct {
-	front *Front
+	front *Server
 	conn  net.Conn
 	wake  chan struct{}
 
@@ -86,7 +86,7 @@
 	gone    bool
 }
 
-func newSession(f *Front, conn net.Conn) *session {
+func newSession(f *Server, conn net.Conn) *session {
 	s := &session{front: f, conn: conn, wake: make(chan struct{}, 1),
 		handles: map[string]*handle{}}
 	s.room = sync.NewCond(&s.mu)
--- a/internal/sftp/nodes.go
+++ b/internal/sftp/nodes.go
@@ -20,17 +20,17 @@
 // maxListing bounds the bytes of a whole directory.
 const maxListing = 1 << 20
 
-// Nodes carries file commands to storage nodes.
-type Nodes struct {
+// Transport carries file commands to storage nodes.
+type Transport struct {
 	pool *pool.Pool
 	port int // where nodes listen for file commands; 0: at the list's own address
 }
 
-// NewNodes returns a transport over connections from p, which Greet must have opened.
-func NewNodes(p *pool.Pool, port int) *Nodes { return &Nodes{pool: p, port: port} }
+// NewTransport returns a transport over connections from p, which Handshake must have opened.
+func NewTransport(p *pool.Pool, port int) *Transport { return &Transport{pool: p, port: port} }
 
-// Greet opens a session on a new connection to a node.
-func Greet(conn net.Conn, in *bufio.Reader) error {
+// Handshake opens a session on a new connection to a node.
+func Handshake(conn net.Conn, in *bufio.Reader) error {
 	hello := message(typeInit, protocolVersion)
 	if _, err := hello.WriteTo(conn); err != nil {
 		return err
@@ -42,7 +42,7 @@
 	return err
 }
 
-func (n *Nodes) address(address string) string {
+func (n *Transport) address(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if n.port == 0 || err != nil {
 		return address
@@ -51,10 +51,10 @@
 }
 
 // Start implements broker.Transport.
-func (n *Nodes) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
+func (n *Transport) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
 	op, ok := a.Request.Message.(*operation)
 	if !ok {
-		return pool.Refuse(errors.New("not a file command"), done)
+		return pool.FailAttempt(errors.New("not a file command"), done)
 	}
 	return n.pool.Start(n.address(a.Address), func(s *pool.Session) (broker.Result, error) {
 		return (&exchange{Session: s}).run(op)
@@ -62,14 +62,14 @@
 }
 
 // Probe implements broker.Transport: a STAT of the root.
-func (n *Nodes) Probe(address string, done func(broker.Result)) {
+func (n *Transport) Probe(address string, done func(broker.Result)) {
 	n.pool.Start(n.address(address), func(s *pool.Session) (broker.Result, error) {
 		return (&exchange{Session: s}).run(&operation{command: Stat, path: "/"})
 	}, time.Second, nil, done)
 }
 
 // CloseIdle implements broker.Transport.
-func (n *Nodes) CloseIdle(address string) { n.pool.CloseIdle(n.address(address)) }
+func (n *Transport) CloseIdle(address string) { n.pool.CloseIdle(n.address(address)) }
 
 // exchange is one file command's talk with a node. A command that needs a handle opens one for itself and
 // closes it behind, so that no command depends on where an earlier one went.
--- a/internal/sftp/plan.go
+++ b/internal/sftp/plan.go
@@ -32,31 +32,31 @@
 // Commands lists all commands.
 var Commands = []Command{Open, OpenWrite, Read, Write, Stat, List, Remove}
 
-// Terms says how a command is treated.
-type Terms struct {
+// CommandSettings says how a command is treated.
+type CommandSettings struct {
 	Class  string `toml:"class"`
 	WaitMS int64  `toml:"wait_ms"` // 0: the class's deadline
 }
 
 // Volume maps the paths below a prefix to a volume.
 type Volume struct {
-	Prefix string `toml:"prefix"`
-	Volume string `toml:"volume"`
-	Plan   string `toml:"plan"`
-	Shard  int    `toml:"shard"`
-	Hosts  int    `toml:"hosts"` // brokers through which the volume's requests come; 0: all
+	Prefix  string `toml:"prefix"`
+	Volume  string `toml:"volume"`
+	Plan    string `toml:"plan"`
+	Shard   int    `toml:"shard"`
+	Brokers int    `toml:"hosts"` // brokers through which the volume's requests come; 0: all
 }
 
-// Plan maps file commands to classes, plans, volumes, units and shards.
-type Plan struct {
+// Mapping maps file commands to classes, plans, volumes, units and shards.
+type Mapping struct {
 	UnitBytes int
 	MaxUnits  float64
-	Commands  map[Command]Terms
+	Commands  map[Command]CommandSettings
 	Volumes   []Volume
 }
 
 // Check completes the plan from the settings and names the faulty key.
-func (p *Plan) Check(set scheduler.Settings) error {
+func (p *Mapping) Check(set scheduler.Settings) error {
 	if p.UnitBytes < 1 {
 		return fmt.Errorf("unit_bytes: %d is below 1", p.UnitBytes)
 	}
@@ -94,10 +94,10 @@
 			return fmt.Errorf("volume[%d].plan: no plan %q in the settings", i, v.Plan)
 		case v.Shard < 0:
 			return fmt.Errorf("volume[%d].shard: %d is below 0", i, v.Shard)
-		case v.Hosts < 0 || v.Hosts > set.Brokers:
-			return fmt.Errorf("volume[%d].hosts: %d is not within the %d brokers", i, v.Hosts, set.Brokers)
-		case v.Hosts == 0:
-			v.Hosts = set.Brokers
+		case v.Brokers < 0 || v.Brokers > set.Brokers:
+			return fmt.Errorf("volume[%d].hosts: %d is not within the %d brokers", i, v.Brokers, set.Brokers)
+		case v.Brokers == 0:
+			v.Brokers = set.Brokers
 		}
 	}
 	return nil
@@ -113,7 +113,7 @@
 }
 
 // volume returns the volume with the longest prefix of a clean path.
-func (p *Plan) volume(name string) *Volume {
+func (p *Mapping) volume(name string) *Volume {
 	var best *Volume
 	for i := range p.Volumes {
 		v := &p.Volumes[i]
@@ -126,7 +126,7 @@
 }
 
 // request makes the core's request of a command; nil if no volume holds the path.
-func (p *Plan) request(op *operation) *broker.Request {
+func (p *Mapping) request(op *operation) *broker.Request {
 	v := p.volume(op.path)
 	if v == nil {
 		return nil
@@ -138,7 +138,7 @@
 	hash.Write([]byte(op.path))
 	return &broker.Request{Class: terms.Class, Plan: v.Plan, Volume: v.Volume,
 		Key:   fmt.Sprintf("%016x", binary.BigEndian.Uint64(hash.Sum(nil))),
-		Units: min(max(1, units), p.MaxUnits), Shard: v.Shard, Brokers: v.Hosts,
+		Units: min(max(1, units), p.MaxUnits), Shard: v.Shard, Brokers: v.Brokers,
 		Write: changes[op.command], Timeout: broker.Micros(terms.WaitMS) * 1000, Message: op}
 }
 
--- a/internal/sftp/sftp_test.go
+++ b/internal/sftp/sftp_test.go
@@ -33,18 +33,18 @@
 	message(typeStat, 4, text("/d/f")), message(typeRemove, 5, text("/d/f")), message(200, 6, text("other")),
 	message(typeRead, 7, text("none"), offset(0), number(10)), message(typeClose, 8, text("\x00\x00\x00\x00\x00\x00\x00\x01")))
 
-func testPlan(t testing.TB) *Plan {
+func testPlan(t testing.TB) *Mapping {
 	set := scheduler.Settings{Brokers: 1, MaxUnits: 8, Plans: []scheduler.Plan{{Name: "plan"}}, Classes: []scheduler.Class{
 		{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second},
 		{Name: "write", LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: scheduler.NotIdempotent}}}
-	terms := map[Command]Terms{}
+	terms := map[Command]CommandSettings{}
 	for _, c := range Commands {
-		terms[c] = Terms{Class: "read"}
+		terms[c] = CommandSettings{Class: "read"}
 		if changes[c] {
-			terms[c] = Terms{Class: "write"}
+			terms[c] = CommandSettings{Class: "write"}
 		}
 	}
-	p := &Plan{UnitBytes: 10, Commands: terms, Volumes: []Volume{{Prefix: "/d", Volume: "v", Plan: "plan", Shard: 4},
+	p := &Mapping{UnitBytes: 10, Commands: terms, Volumes: []Volume{{Prefix: "/d", Volume: "v", Plan: "plan", Shard: 4},
 		{Prefix: "/d/deep", Volume: "w", Plan: "plan", Shard: 5}}}
 	if err := p.Check(set); err != nil {
 		t.Fatal(err)
@@ -53,13 +53,13 @@
 }
 
 // testFront serves one end of a pipe; its loop is never turned, so requests wait.
-func testFront(t testing.TB) (*Front, *session, net.Conn) {
+func testFront(t testing.TB) (*Server, *session, net.Conn) {
 	state, err := broker.NewState(scheduler.Settings{Brokers: 1, Classes: []scheduler.Class{{Name: "read", LatencyObjective: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{})
-	f := NewFront(loop, nil, testPlan(t), 1, logging.ToFunc(func(line string) { t.Error(line) }))
+	f := NewServer(loop, nil, testPlan(t), 1, logging.ToFunc(func(line string) { t.Error(line) }))
 	near, far := net.Pipe()
 	return f, newSession(f, near), far
 }
@@ -208,7 +208,7 @@
 // passes first it is refused, never sent.
 func TestOrderOnOneFile(t *testing.T) {
 	front, s, _ := testFront(t)
-	front.plan.Load().Commands[Write] = Terms{Class: "write", WaitMS: 60_000}
+	front.plan.Load().Commands[Write] = CommandSettings{Class: "write", WaitMS: 60_000}
 	submit := func(id uint32) *pending {
 		if err := s.submit(id, &operation{command: Write, path: "/d/f", data: []byte("x")}, pass(id)); err != nil {
 			t.Fatal(err)
