--- a/cmd/brokerbench/hollow.go
+++ b/cmd/brokerbench/hollow.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -198,7 +198,7 @@
 // kill ends the process at once.
 func (r *running) kill() {
 	_ = r.command.Process.Kill()
-	_ = <-r.ended // killed on purpose: how it ended says nothing
+	<-r.ended //nolint:errcheck // killed on purpose: how it ended says nothing
 }
 
 // stop ends it as the platform does, so that it tells its last interval.
