--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// BenchmarkTick is a tick of a gateway with few requests among many nodes. What it costs should not grow with the nodes.
+// BenchmarkTick is a tick of a gateway with few requests among many nodes. What it costs should not grow with
+// the nodes.
 func BenchmarkTick(b *testing.B) {
 	for _, count := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprint("nodes=", count), func(b *testing.B) {
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -18,8 +18,9 @@
 // decisionSeeds is how many streams are always played.
 const decisionSeeds = 10
 
-// record has the decisions written anew: only where a change of them is meant, and the commit says so. A change that is meant to
-// leave decisions alone is compared over 80 seeds besides, recorded by the version before it into a folder of their own.
+// record has the decisions written anew: only where a change of them is meant, and the commit says so. A
+// change that is meant to leave decisions alone is compared over 80 seeds besides, recorded by the version
+// before it into a folder of their own.
 var (
 	record     = flag.Bool("record", false, "record the decisions of this version")
 	moreSeeds  = flag.Int("seeds", decisionSeeds, "streams to play; no fewer than the usual")
@@ -29,9 +30,9 @@
 // seeds is how many streams are played: -seeds only raises it.
 func seeds() uint64 { return uint64(max(decisionSeeds, *moreSeeds)) }
 
-// decisionsOf plays a seeded stream against a gateway and returns a hash of all its actions. The stream reacts to the
-// actions as a deployment would: nodes of drawn speeds with pauses, full rooms and cuts; surges of some volumes; drains, replaced
-// nodes, new settings, peers' messages, clients that leave, and restarts.
+// decisionsOf plays a seeded stream against a gateway and returns a hash of all its actions. The stream
+// reacts to the actions as a deployment would: nodes of drawn speeds with pauses, full rooms and cuts; surges
+// of some volumes; drains, replaced nodes, new settings, peers' messages, clients that leave, and restarts.
 func decisionsOf(t testing.TB, seed uint64, off, single bool) (hash uint64, sends, refusals int) {
 	rng := rand.New(rand.NewPCG(seed, 0xdec1))
 	set := plain()
@@ -185,8 +186,8 @@
 	return sum.Sum64(), sends, refusals
 }
 
-// The decisions are those that were recorded: a change that is meant to leave them alone does. With spreading off they are those
-// of the version before it.
+// The decisions are those that were recorded: a change that is meant to leave them alone does. With spreading
+// off they are those of the version before it.
 func TestDecisions(t *testing.T) {
 	for name, off := range map[string]bool{"decisions.txt": true, "decisions-spread.txt": false} {
 		path := filepath.Join(*recordings, name)
--- /dev/null
+++ b/scheduler/events.go
@@ -0,0 +1,166 @@
+package scheduler
+
+import (
+	"time"
+)
+
+// Event is something that a Scheduler is told.
+type Event interface{ event() }
+
+// Request is a client's request, which is owed one final answer.
+type Request struct {
+	ID        uint64
+	Class     string
+	Plan      string
+	Key       string // the piece of data, empty for none
+	Remaining time.Duration
+	Volume    string
+	Units     float64
+	Shard     int // the shard that holds the data, -1 for a new object
+	Brokers   int // gateways through which the volume's requests come
+	Retry     bool
+	Write     bool
+}
+
+// TimerFired is a timer, set by SetTimer, that fell due.
+type TimerFired struct{ Token uint64 }
+
+// ClientGone says that a request is over because its client left.
+type ClientGone struct{ ID uint64 }
+
+// HealthCheckResult is the result of a HealthCheck.
+type HealthCheckResult struct {
+	Node    string
+	Latency time.Duration
+	Outcome Outcome
+	Load    LoadReport
+}
+
+// PeerMessage carries the bytes of another gateway's SendToPeer.
+type PeerMessage struct {
+	From int
+	Data []byte
+}
+
+// AttemptEnded says how one attempt of a request ended. Each Forward gets exactly one.
+type AttemptEnded struct {
+	ID              uint64
+	Attempt         int
+	Node            string
+	Outcome         Outcome
+	Latency         time.Duration
+	Finished        bool    // the request is over; if unset the final answer is still owed
+	RateUsed        int     // 1 + percent of the plan's rate served in a past period, 0 for unknown
+	ServedElsewhere float64 // units the shard served the volume through other hosts meanwhile
+	Load            LoadReport
+}
+
+// ResponseStarted says that a streamed answer has begun; its attempt now belongs to the client.
+type ResponseStarted struct {
+	ID      uint64
+	Attempt int
+	Node    string
+	Latency time.Duration
+}
+
+// EndpointUpdate is news of the list of nodes.
+type EndpointUpdate struct {
+	Kind      UpdateKind
+	Version   uint64
+	Endpoints []Endpoint
+}
+
+// SettingsChanged brings new settings, which passed Validate. Brokers and Ordinal count only when a Scheduler
+// starts.
+type SettingsChanged struct{ Settings Settings }
+
+// ProcessesChanged tells that so many processes are this host together, as while one replaces another, and
+// how many more may be without its being known.
+type ProcessesChanged struct{ Processes, Unseen int }
+
+// UpdateKind says how a EndpointUpdate is to be read.
+type UpdateKind int
+
+// The kinds of list news.
+const (
+	DeltaUpdate  UpdateKind = iota // changed entries only
+	FullUpdate                     // all entries; a node that is absent has been removed
+	CachedUpdate                   // all entries as last held before a restart, perhaps stale
+	FailedUpdate                   // a call failed or the subscription broke; no entries
+)
+
+// NodeState is what the list says of a node.
+type NodeState int
+
+// The states of a node.
+const (
+	Ready NodeState = iota
+	Draining
+	Removed
+)
+
+// Endpoint is one entry of the node list.
+type Endpoint struct {
+	Name      string
+	Zone      string
+	Kind      string
+	Shard     int
+	State     NodeState
+	Weight    float64
+	StartedAt Time // when it last started, 0 for long ago
+
+	Priority      int     // of the nodes of a shard, lower goes first while it has room
+	TrafficWeight float64 // of the load, against others of its priority; 0 counts as 1
+}
+
+// LoadReport is a node's report on itself; fields the node does not report are negative.
+type LoadReport struct {
+	InFlight    float64 // requests in hand
+	Queued      float64 // requests waiting
+	Utilization float64 // part of the processor that is busy
+	ServiceTime time.Duration
+	ServedRate  float64 // requests a second
+	ErrorRate   float64 // errors a second
+}
+
+// NoLoadReport is a report without any field.
+var NoLoadReport = LoadReport{InFlight: -1, Queued: -1, Utilization: -1,
+	ServiceTime: -1, ServedRate: -1, ErrorRate: -1}
+
+// Outcome says how an attempt or a probe ended.
+type Outcome int
+
+// The outcomes. Overloaded, Unreachable and NotSent prove that the attempt never ran.
+const (
+	Success Outcome = iota
+	Failure
+	Overloaded
+	TimedOut
+	Unreachable
+	ConnectionBroken
+	Canceled
+	NotSent
+)
+
+// MayHaveExecuted tells whether an attempt that ended so may have run.
+func (o Outcome) MayHaveExecuted() bool { return o != Overloaded && o != Unreachable && o != NotSent }
+
+func (Request) event() {}
+
+func (TimerFired) event() {}
+
+func (ClientGone) event() {}
+
+func (HealthCheckResult) event() {}
+
+func (PeerMessage) event() {}
+
+func (AttemptEnded) event() {}
+
+func (ResponseStarted) event() {}
+
+func (EndpointUpdate) event() {}
+
+func (SettingsChanged) event() {}
+
+func (ProcessesChanged) event() {}
--- a/scheduler/held_test.go
+++ b/scheduler/held_test.go
@@ -29,7 +29,8 @@
 	return last
 }
 
-// world has two gateways meet the same events: one spares itself looks, the other looks at all that is held in every step.
+// world has two gateways meet the same events: one spares itself looks, the other looks at all that is held
+// in every step.
 type world struct {
 	t            *testing.T
 	quick, plain *Scheduler
@@ -122,8 +123,9 @@
 	return list
 }
 
-// A look that spares itself what cannot have moved decides as one at all that is held, in queues that volumes without tokens
-// fill, with arrivals that are due earlier and later than what waits, and leavings from the middle.
+// A look that spares itself what cannot have moved decides as one at all that is held, in queues that volumes
+// without tokens fill, with arrivals that are due earlier and later than what waits, and leavings from the
+// middle.
 func TestLooksAgree(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -188,8 +190,8 @@
 	}
 }
 
-// 100,000 requests are held, and all fall due within one millisecond: each gets its one answer at once. A queue in a slice from
-// whose front each is moved away took seconds.
+// 100,000 requests are held, and all fall due within one millisecond: each gets its one answer at once. A
+// queue in a slice from whose front each is moved away took seconds.
 func TestAllDueAtOnce(t *testing.T) {
 	w := hundredThousand(t)
 	w.hold(100_000, nil)
@@ -215,8 +217,8 @@
 	}
 }
 
-// A node comes back to 10,000 waiting requests: it gets no more at once than its bound, and while it is cold never more than it
-// has saved up or served.
+// A node comes back to 10,000 waiting requests: it gets no more at once than its bound, and while it is cold
+// never more than it has saved up or served.
 func TestReturnToCrowd(t *testing.T) {
 	set := heldSettings()
 	set.Rules.WarmUpTime, set.Rules.OverloadWindow, set.Rules.OverloadMultiple, set.Rules.InitialCapacity, set.SlowStartUnits = 17*time.Second, 3*time.Second, 4, 0.18, 41
@@ -246,8 +248,8 @@
 	}
 }
 
-// The clock stands still for a while and then jumps by a second, classes vanish under what is held, and ids come again: each
-// request has one end.
+// The clock stands still for a while and then jumps by a second, classes vanish under what is held, and ids
+// come again: each request has one end.
 func TestClockJumpsAndClassesVanish(t *testing.T) {
 	w := newWorld(t, heldSettings(), 1)
 	w.list(2, 1)
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -9,7 +9,8 @@
 	"junctionwharf/scheduler"
 )
 
-// brokers is a tier of processes before one node that answers each request after a while. One host may have two processes.
+// brokers is a tier of processes before one node that answers each request after a while. One host may have
+// two processes.
 type brokers struct {
 	t     *testing.T
 	set   scheduler.Settings
@@ -90,8 +91,8 @@
 	}
 }
 
-// The limit of a volume holds over one, two and five brokers, each started beside itself, killed and back, or told new settings, with
-// nothing passing between processes; and its parts are used.
+// The limit of a volume holds over one, two and five brokers, each started beside itself, killed and back, or
+// told new settings, with nothing passing between processes; and its parts are used.
 func TestLimitOverBrokers(t *testing.T) {
 	plans := map[string]scheduler.Plan{
 		"units of 1 to 8": {Name: "low", Rate: 4.5, ReservedRate: 1.4, Limit: 36, LimitBurst: 48, LimitOverdraft: 8, Weight: 1, Price: 1},
--- a/scheduler/retune_test.go
+++ b/scheduler/retune_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// New settings change what comes; requests under way keep their class, and what clients of a vanished class were not
-// served must not fault later ticks.
+// New settings change what comes; requests under way keep their class, and what clients of a vanished class
+// were not served must not fault later ticks.
 func TestRetune(t *testing.T) {
 	class := func(name string, effect Idempotency) Class {
 		return Class{Name: name, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Idempotency: effect}
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -462,7 +462,8 @@
 	}
 }
 
-// An attempt that is only late was once called off and sent again, twice the work for a jammed node (i3a2b85).
+// An attempt that is only late was once called off and sent again, twice the work for a jammed node
+// (i3a2b85).
 func TestLateAttemptsAreNotRepeatedUnlessOvertaken(t *testing.T) {
 	set := plain()
 	set.Classes[0].LatencyObjective = 400 * ms
@@ -490,8 +491,8 @@
 	t.Error("an overtaken attempt is not called off")
 }
 
-// Endpoints in a crowd once worked for the most part at what was late already, and did half of what they could
-// (winterthur-main-later, a bad day at full size). At a quick node a late answer is still waited for.
+// Endpoints in a crowd once worked for the most part at what was late already, and did half of what they
+// could (winterthur-main-later, a bad day at full size). At a quick node a late answer is still waited for.
 func TestLateWorkIsCalledOffAtACrowdedNode(t *testing.T) {
 	after := func(took time.Duration) []scheduler.Action {
 		set := plain()
@@ -540,7 +541,8 @@
 	}
 }
 
-// A volume that leans on one host was once out of tokens there while its node was idle (quiet days at full size).
+// A volume that leans on one host was once out of tokens there while its node was idle (quiet days at full
+// size).
 func TestAVolumeThatLeansOnOneHostMayUseAnIdleNode(t *testing.T) {
 	set := plain()
 	set.Brokers = 10
@@ -559,9 +561,9 @@
 	}
 }
 
-// A lost or spoilt answer now and then says nothing of a node's room: its next request leaves at once. After two on end
-// the node rests, and an answer that serves clears the count. Errors that a node words itself never have it rest: it
-// answers, and no other node holds its shard.
+// A lost or spoilt answer now and then says nothing of a node's room: its next request leaves at once. After
+// two on end the node rests, and an answer that serves clears the count. Errors that a node words itself
+// never have it rest: it answers, and no other node holds its shard.
 func TestOneSpoiltAnswerDoesNotRestANode(t *testing.T) {
 	for _, outcome := range []scheduler.Outcome{scheduler.ConnectionBroken, scheduler.Failure} {
 		d := drive(t, plain(), oneNode)
--- a/scheduler/shared_test.go
+++ b/scheduler/shared_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Two processes that are one host together must not send a cold node more than one would: the newer one starts with
-// nothing saved, and each saves half as fast.
+// Two processes that are one host together must not send a cold node more than one would: the newer one
+// starts with nothing saved, and each saves half as fast.
 func TestSharedColdBudget(t *testing.T) {
 	sent := func(processes int, over time.Duration) float64 {
 		g, err := New(Settings{Brokers: 1, MeanUnits: 1, MaxUnits: 1, SlowStartUnits: 80,
--- a/scheduler/work_test.go
+++ b/scheduler/work_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Ticks work on the nodes that requests are at and on no others, the room of the others is known without a look at them, and whatever
-// comes and goes meanwhile, nodes that drain, leave and come back among it, no node is left out. A tick that goes through all
-// decides alike (TestLooksAgree).
+// Ticks work on the nodes that requests are at and on no others, the room of the others is known without a
+// look at them, and whatever comes and goes meanwhile, nodes that drain, leave and come back among it, no
+// node is left out. A tick that goes through all decides alike (TestLooksAgree).
 func TestNodesAtWork(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 8))
