--- a/broker/bench_test.go
+++ b/broker/bench_test.go
@@ -8,31 +8,58 @@
 	"junctionwharf/scheduler"
 )
 
-// benchState returns a new state with a class of such an aim, a plan that pays for all, and further ones.
-func benchState(b *testing.B, aim time.Duration, plans ...scheduler.Plan) *State {
+// benchState returns a new state with a class of such a latency objective, a plan that pays for all, and further ones.
+func benchState(b *testing.B, objective time.Duration, plans ...scheduler.Plan) *State {
 	b.Helper()
-	s, err := NewState(scheduler.Settings{Brokers: 1, MeanUnits: 2, MaxUnits: 8, Classes: []scheduler.Class{{Name: "read", LatencyObjective: aim, Deadline: 2 * aim, PriorityWeight: 1}},
-		Plans: append(plans, scheduler.Plan{Name: "plan", Rate: 1e6, ReservedRate: 1e6, Weight: 1, Price: 1}), Capabilities: scheduler.Capabilities{MaxAttempts: 3}}, 1)
-	if err != nil {
-		b.Fatal(err)
+	return newState(b, scheduler.Settings{
+		Brokers:   1,
+		MeanUnits: 2,
+		MaxUnits:  8,
+		Classes: []scheduler.Class{{
+			Name:             "read",
+			LatencyObjective: objective,
+			Deadline:         2 * objective,
+			PriorityWeight:   1,
+		}},
+		Plans:        append(plans, scheduler.Plan{Name: "plan", Rate: 1e6, ReservedRate: 1e6, Weight: 1, Price: 1}),
+		Capabilities: scheduler.Capabilities{MaxAttempts: 3},
+	})
+}
+
+// benchNodes are nodes with a shard of their own each.
+func benchNodes(prefix string, count int) []Node {
+	var nodes []Node
+	for i := range count {
+		nodes = append(nodes, Node{
+			Endpoint: scheduler.Endpoint{Name: fmt.Sprint(prefix, i), Shard: i},
+			Address:  fmt.Sprint("10.0.0.1:", i+1),
+		})
+	}
+	return nodes
+}
+
+func benchRequest(volume string, shard int, timeout Micros) *Request {
+	return &Request{
+		Class:   "read",
+		Plan:    "plan",
+		Volume:  volume,
+		Units:   1,
+		Shard:   shard,
+		Brokers: 1,
+		Timeout: timeout,
 	}
-	return s
 }
 
-// settled returns a state that knows so many nodes, each with a shard of its own, and holds so many requests that no node can
-// take.
-func settled(b *testing.B, nodes, held, volumes int) (*State, []Node) {
+// settledState returns a state that knows so many nodes, and queues so many requests that no node can take.
+func settledState(b *testing.B, nodes, queued, volumes int) (*State, []Node) {
 	b.Helper()
 	s := benchState(b, time.Minute)
-	var list []Node
-	for i := range nodes {
-		list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
-	}
-	s.Reduce(Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
+	list := benchNodes("n", nodes)
+	s.Reduce(Second, []Event{fullList(1, list...)})
 	var arrivals []Event
-	for i := range held + 40*min(held, nodes) { // some go out
-		arrivals = append(arrivals, Arrived{ID: uint64(1<<50 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i%max(1, volumes)),
-			Units: 1, Shard: i % nodes, Brokers: 1, Timeout: 60 * Second}})
+	for i := range queued + 40*min(queued, nodes) { // some are sent
+		request := benchRequest(fmt.Sprint("v", i%max(1, volumes)), i%nodes, 60*Second)
+		arrivals = append(arrivals, RequestArrived{ID: uint64(1<<50 + i), Request: request})
 	}
 	s.Reduce(Second, arrivals)
 	s.Reduce(Second+1, nil)
@@ -43,16 +70,17 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			s, _ := settled(b, nodes, 0, 1)
-			now, id := 2*Second, uint64(0)
+			s, _ := settledState(b, nodes, 0, 1)
+			now := 2 * Second
+			id := uint64(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 10
-				req := &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Brokers: 1, Timeout: 60 * Second}
-				for _, e := range s.Reduce(now, []Event{Arrived{ID: id, Request: req}}) {
-					if start, is := e.(Start); is {
-						s.Reduce(now, []Event{Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoadReport}}})
+				request := benchRequest("v", int(id)%nodes, 60*Second)
+				for _, e := range s.Reduce(now, []Event{RequestArrived{ID: id, Request: request}}) {
+					if start, is := e.(StartAttempt); is {
+						s.Reduce(now, []Event{AttemptEnded{ID: start.ID, Attempt: start.Number, Result: served(nil)}})
 					}
 				}
 			}
@@ -60,149 +88,167 @@
 	}
 }
 
-// BenchmarkList is a whole list of which one node has changed.
-func BenchmarkList(b *testing.B) {
+// BenchmarkFullList is a full list of which one node has changed.
+func BenchmarkFullList(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			s, list := settled(b, nodes, 0, 1)
+			s, list := settledState(b, nodes, 0, 1)
 			now := 2 * Second
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 10
 				list[nodes/2].Weight = float64(i)
-				s.Reduce(now, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: uint64(i), Nodes: list}})
+				s.Reduce(now, []Event{fullList(uint64(i), list...)})
 			}
 		})
 	}
 }
 
-// BenchmarkHeld is a turn with an arrival that is held, one with its leaving, and one with the end of an attempt elsewhere, while so many
-// requests wait for nodes that have no room.
-func BenchmarkHeld(b *testing.B) {
+// BenchmarkQueued is a turn with an arrival that is queued, and one with its cancellation, while so many requests
+// wait for nodes that have no capacity.
+func BenchmarkQueued(b *testing.B) {
 	for _, nodes := range []int{10, 1000} {
-		for _, held := range []int{10, 1000, 10_000, 100_000} {
-			b.Run(fmt.Sprintf("nodes=%d/held=%d", nodes, held), func(b *testing.B) {
-				s, _ := settled(b, nodes, held, 1)
-				now, id := 2*Second, uint64(1<<40)
+		for _, queued := range []int{10, 1000, 10_000, 100_000} {
+			b.Run(fmt.Sprintf("nodes=%d/queued=%d", nodes, queued), func(b *testing.B) {
+				s, _ := settledState(b, nodes, queued, 1)
+				now := 2 * Second
+				id := uint64(1 << 40)
 				b.ReportAllocs()
 				for b.Loop() {
 					id++
 					now += 10
-					s.Reduce(now, []Event{Arrived{ID: id, Request: &Request{Class: "read", Plan: "plan", Volume: "v", Units: 1, Shard: int(id) % nodes, Brokers: 1, Timeout: 60 * Second}}})
-					s.Reduce(now, []Event{Left{ID: id}})
+					request := benchRequest("v", int(id)%nodes, 60*Second)
+					s.Reduce(now, []Event{RequestArrived{ID: id, Request: request}})
+					s.Reduce(now, []Event{RequestCancelled{ID: id}})
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkVolumes is a turn with an arrival and its ending at a node that has room again, while so many requests wait of volumes that
-// can't pay: one volume holds nine of ten, so many others the rest.
+// BenchmarkVolumes is a turn with an arrival and its ending at a node that has capacity again, while so many requests
+// wait of volumes that have used up their tokens: one volume has nine of ten, so many others the rest.
 func BenchmarkVolumes(b *testing.B) {
-	for _, held := range []int{10, 1000, 10_000, 100_000} {
+	for _, queued := range []int{10, 1000, 10_000, 100_000} {
 		for _, volumes := range []int{10, 1000, 100_000} {
-			b.Run(fmt.Sprintf("held=%d/volumes=%d", held, volumes), func(b *testing.B) {
-				s := benchState(b, 10*time.Minute, scheduler.Plan{Name: "poor", Rate: 0.001, Weight: 1, Price: 1})
-				var list []Node
-				for i := range 10 {
-					list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint("n", i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
-				}
-				s.Reduce(Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: list}})
-				var arrivals []Event
-				for i := range volumes { // each volume goes into its debt, so that what follows waits
-					arrivals = append(arrivals, Arrived{ID: uint64(1<<41 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", i), Units: 8, Shard: i % 10, Brokers: 1, Timeout: 600 * Second}})
-				}
-				for i := range held {
-					volume := 0
-					if i%10 == 0 {
-						volume = i % volumes
-					}
-					arrivals = append(arrivals, Arrived{ID: uint64(1<<42 + i), Request: &Request{Class: "read", Plan: "poor", Volume: fmt.Sprint("v", volume), Units: 8, Shard: i % 10, Brokers: 1, Timeout: 600 * Second}})
-				}
-				end := func(now Micros, events []Event) { // and of each that is sent its ending
-					for len(events) > 0 {
-						effects := s.Reduce(now, events)
-						events = nil
-						for _, e := range effects {
-							if start, is := e.(Start); is {
-								events = append(events, Ended{ID: start.ID, Attempt: start.Number, Result: Result{Load: scheduler.NoLoadReport}})
-							}
-						}
-					}
-				}
-				end(Second+1, arrivals)
-				if waits := s.OpenRequests(); waits < held/2 {
-					b.Fatalf("%d wait", waits)
-				}
-				now, id := 2*Second, uint64(0)
+			b.Run(fmt.Sprintf("queued=%d/volumes=%d", queued, volumes), func(b *testing.B) {
+				s := overdrawnState(b, queued, volumes)
+				now := 2 * Second
+				id := uint64(0)
 				b.ReportAllocs()
 				for b.Loop() {
 					id++
 					now += 10
-					end(now, []Event{Arrived{ID: id, Request: &Request{Class: "read", Plan: "plan", Volume: "rich", Units: 1, Shard: int(id) % 10, Brokers: 1, Timeout: 600 * Second}}})
+					request := benchRequest("rich", int(id)%10, 600*Second)
+					reduceAndServe(s, now, []Event{RequestArrived{ID: id, Request: request}})
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkNews is a list's first coming whole, its replacement by as many others, and one change.
-func BenchmarkNews(b *testing.B) {
-	const nodes = 10_000
-	all := func(prefix string) (list []Node) {
-		for i := range nodes {
-			list = append(list, Node{Endpoint: scheduler.Endpoint{Name: fmt.Sprint(prefix, i), Shard: i}, Address: fmt.Sprint("10.0.0.1:", i+1)})
+// overdrawnState has each volume overdraw its tokens, so that what follows waits.
+func overdrawnState(b *testing.B, queued, volumes int) *State {
+	b.Helper()
+	s := benchState(b, 10*time.Minute, scheduler.Plan{Name: "poor", Rate: 0.001, Weight: 1, Price: 1})
+	s.Reduce(Second, []Event{fullList(1, benchNodes("n", 10)...)})
+	var arrivals []Event
+	add := func(id uint64, volume, shard int) {
+		request := benchRequest(fmt.Sprint("v", volume), shard, 600*Second)
+		request.Plan = "poor"
+		request.Units = 8
+		arrivals = append(arrivals, RequestArrived{ID: id, Request: request})
+	}
+	for i := range volumes {
+		add(uint64(1<<41+i), i, i%10)
+	}
+	for i := range queued {
+		volume := 0
+		if i%10 == 0 {
+			volume = i % volumes
+		}
+		add(uint64(1<<42+i), volume, i%10)
+	}
+	reduceAndServe(s, Second+1, arrivals)
+	if waits := s.OpenRequests(); waits < queued/2 {
+		b.Fatalf("%d wait", waits)
+	}
+	return s
+}
+
+// reduceAndServe takes events, and of each attempt that is sent its ending.
+func reduceAndServe(s *State, now Micros, events []Event) {
+	for len(events) > 0 {
+		effects := s.Reduce(now, events)
+		events = nil
+		for _, e := range effects {
+			if start, is := e.(StartAttempt); is {
+				events = append(events, AttemptEnded{ID: start.ID, Attempt: start.Number, Result: served(nil)})
+			}
 		}
-		return list
 	}
-	old, other := all("a"), all("b")
+}
+
+// BenchmarkListUpdate is a list's first coming, its replacement by as many others, and one change.
+func BenchmarkListUpdate(b *testing.B) {
+	const nodes = 10_000
+	old := benchNodes("a", nodes)
+	other := benchNodes("b", nodes)
 	b.Run("first", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
 			s := benchState(b, time.Minute)
 			b.StartTimer()
-			s.Reduce(2*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
+			s.Reduce(2*Second, []Event{fullList(2, old...)})
 		}
 	})
 	b.Run("replaced", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
-			s, _ := settled(b, 1, 0, 1)
-			s.Reduce(2*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
+			s, _ := settledState(b, 1, 0, 1)
+			s.Reduce(2*Second, []Event{fullList(2, old...)})
 			b.StartTimer()
-			s.Reduce(3*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 3, Nodes: other}})
+			s.Reduce(3*Second, []Event{fullList(3, other...)})
 		}
 	})
 	b.Run("change", func(b *testing.B) {
-		s, _ := settled(b, 1, 0, 1)
-		s.Reduce(2*Second, []Event{NodesListed{Kind: scheduler.FullUpdate, Version: 2, Nodes: old}})
+		s, _ := settledState(b, 1, 0, 1)
+		s.Reduce(2*Second, []Event{fullList(2, old...)})
 		now := 3 * Second
 		for i := 0; b.Loop(); i++ {
 			now += 10
 			old[7].Weight = float64(i)
-			s.Reduce(now, []Event{NodesListed{Kind: scheduler.DeltaUpdate, Version: uint64(i + 3), Nodes: old[7:8]}})
+			s.Reduce(now, []Event{changedNodes(uint64(i+3), old[7:8]...)})
 		}
 	})
 }
 
 // BenchmarkTick is the tick in which volumes get their tokens, while so many requests of so many volumes wait.
 func BenchmarkTick(b *testing.B) {
-	for _, c := range []struct{ nodes, held, volumes int }{{10, 10, 10}, {10, 10, 100_000}, {10, 10_000, 10}, {10, 100_000, 100_000}, {10_000, 10, 10}, {10_000, 100_000, 100_000}} {
-		b.Run(fmt.Sprintf("nodes=%d/held=%d/volumes=%d", c.nodes, c.held, c.volumes), func(b *testing.B) {
-			s, _ := settled(b, c.nodes, c.held, c.volumes)
+	for _, c := range []struct{ nodes, queued, volumes int }{
+		{10, 10, 10},
+		{10, 10, 100_000},
+		{10, 10_000, 10},
+		{10, 100_000, 100_000},
+		{10_000, 10, 10},
+		{10_000, 100_000, 100_000},
+	} {
+		b.Run(fmt.Sprintf("nodes=%d/queued=%d/volumes=%d", c.nodes, c.queued, c.volumes), func(b *testing.B) {
+			s, _ := settledState(b, c.nodes, c.queued, c.volumes)
 			var seen []Event
 			for i := range c.volumes { // volumes that were active
-				seen = append(seen, Arrived{ID: uint64(1<<43 + i), Request: &Request{Class: "read", Plan: "plan", Volume: fmt.Sprint("v", i), Units: 1, Shard: -1, Brokers: 1, Timeout: 60 * Second}})
+				request := benchRequest(fmt.Sprint("v", i), -1, 60*Second)
+				seen = append(seen, RequestArrived{ID: uint64(1<<43 + i), Request: request})
 			}
 			s.Reduce(Second+2, seen)
 			for i := range c.volumes {
-				s.Reduce(Second+3, []Event{Left{ID: uint64(1<<43 + i)}})
+				s.Reduce(Second+3, []Event{RequestCancelled{ID: uint64(1<<43 + i)}})
 			}
 			now := 2 * Second
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 100
-				s.news = append(s.news, scheduler.TimerFired{Token: 1})
+				s.schedulerEvents = append(s.schedulerEvents, scheduler.TimerFired{Token: 1})
 				s.Reduce(now, nil)
 			}
 		})
--- /dev/null
+++ b/broker/events.go
@@ -0,0 +1,99 @@
+package broker
+
+import "junctionwharf/scheduler"
+
+// Event is something that happened; State.Reduce takes it.
+type Event interface{ event() }
+
+// RequestArrived tells of a new request; its ID is new. Its client's time runs from At, 0 for the turn that hears of
+// it.
+type RequestArrived struct {
+	ID      uint64
+	Request *Request
+	At      Micros
+}
+
+// RequestCancelled tells that a client no longer waits.
+type RequestCancelled struct{ ID uint64 }
+
+// RequestExpedited tells that a client sends nothing more and may have gone, while it is owed its answer: that is
+// given now.
+type RequestExpedited struct{ ID uint64 }
+
+// AttemptEnded tells how an attempt ended by itself.
+type AttemptEnded struct {
+	ID      uint64
+	Attempt int
+	Result  Result
+}
+
+// AttemptStopped tells how far an attempt that StopAttempt ended had come.
+type AttemptStopped struct {
+	ID       uint64
+	Attempt  int
+	Progress Progress
+}
+
+// StreamEnded tells that a Streaming value was delivered to its client complete, or never will be.
+type StreamEnded struct {
+	ID       uint64
+	Complete bool
+}
+
+// ProbeEnded is the result of a probe.
+type ProbeEnded struct {
+	Node   string
+	Took   Micros
+	Result Result
+}
+
+// NodesListed is news of the list of storage nodes.
+type NodesListed struct {
+	Kind    scheduler.UpdateKind
+	Version uint64
+	Nodes   []Node
+}
+
+// Node is an entry of the list with the address at which this broker reaches it.
+type Node struct {
+	scheduler.Endpoint
+	Address   string
+	LastStart Micros // its last start on the loop's clock, 0 for long ago
+}
+
+// PeerMessage is a message of another broker.
+type PeerMessage struct {
+	From int
+	Data []byte
+}
+
+// SettingsChanged brings new settings, which were checked. Requests under way keep their class.
+type SettingsChanged struct{ Settings scheduler.Settings }
+
+// ProcessesChanged tells that so many processes are this broker together, as while one replaces another, and how many
+// more may be without its being known.
+type ProcessesChanged struct{ Processes, Unseen int }
+
+// LagMeasured tells how long whatever could run in this process has lately waited for a processor, in the mean. Unknown
+// tells that nobody measures any more.
+type LagMeasured struct {
+	Waited  Micros
+	Unknown bool
+}
+
+// ShuttingDown tells that the process ends: what is owed is to be answered now, and so is what still comes.
+type ShuttingDown struct{}
+
+func (RequestArrived) event()   {}
+func (RequestCancelled) event() {}
+func (RequestExpedited) event() {}
+func (AttemptEnded) event()     {}
+func (AttemptStopped) event()   {}
+func (StreamEnded) event()      {}
+func (ProbeEnded) event()       {}
+func (NodesListed) event()      {}
+func (PeerMessage) event()      {}
+func (SettingsChanged) event()  {}
+func (ProcessesChanged) event() {}
+func (LagMeasured) event()      {}
+func (ShuttingDown) event()     {}
--- /dev/null
+++ b/broker/execute.go
@@ -0,0 +1,111 @@
+package broker
+
+import (
+	"io"
+	"strings"
+)
+
+// execute carries out one effect; that of a StopAttempt is an event.
+func (l *Loop) execute(effect Effect, now Micros) Event {
+	switch e := effect.(type) {
+	case StartAttempt:
+		l.startAttempt(e)
+	case StopAttempt:
+		return l.stopAttempt(e)
+	case StopSending:
+		if h := l.handles[attemptKey{e.ID, e.Number}]; h != nil {
+			h.StopSending()
+		}
+	case CancelUnlessWritten:
+		if h := l.handles[attemptKey{e.ID, e.Number}]; h != nil {
+			h.CancelUnlessWritten()
+		}
+	case Respond:
+		l.respond(e)
+	case SendToPeer:
+		if l.dependencies.SendToPeer != nil {
+			l.Metrics.peerSent.Add(1)
+			l.dependencies.SendToPeer(e.Peer, e.Data)
+		}
+	case ProbeNode:
+		l.Metrics.probes.Add(1)
+		l.transport.Probe(e.Address, func(r Result) {
+			l.Post(ProbeEnded{Node: e.Node, Took: l.clock.Now() - now, Result: r})
+		})
+	case CloseIdle:
+		l.transport.CloseIdle(e.Address)
+	case DiscardValue:
+		closeValue(e.Value)
+	case Log:
+		l.log(e.Text)
+	}
+	return nil
+}
+
+func (l *Loop) startAttempt(e StartAttempt) {
+	e.Attempt.OnWritten = func() { l.Metrics.attempts.Add(1) }
+	transport := l.transport
+	if own := e.Attempt.Request.Transport; own != nil {
+		transport = own
+	}
+	l.handles[attemptKey{e.ID, e.Number}] = transport.Start(e.Attempt, func(r Result) {
+		l.Post(AttemptEnded{ID: e.ID, Attempt: e.Number, Result: r})
+	})
+}
+
+// stopAttempt ends an attempt. One without a handle, as after a panic in Transport.Start, counts as fully written: it
+// may have run, and nothing else is safe to say.
+func (l *Loop) stopAttempt(e StopAttempt) Event {
+	l.Metrics.stopped.Add(1)
+	progress := FullyWritten
+	if h := l.handles[attemptKey{e.ID, e.Number}]; h != nil {
+		progress = h.Stop()
+		delete(l.handles, attemptKey{e.ID, e.Number})
+	}
+	return AttemptStopped{ID: e.ID, Attempt: e.Number, Progress: progress}
+}
+
+// respond gives a client its answer. A request counts as open until a Streaming value was delivered.
+func (l *Loop) respond(e Respond) {
+	c, waits := l.clients[e.ID]
+	if !waits {
+		closeValue(e.Response.Value)
+		l.Post(StreamEnded{ID: e.ID})
+		return
+	}
+	if value, streams := e.Response.Value.(Streaming); streams {
+		delete(l.clients, e.ID)
+		value.OnEnd(func(complete bool) { l.streamEnded(e.ID, c.class, complete) })
+	} else {
+		l.forgetClient(e.ID)
+		l.Metrics.countResponse(c.class, e.Response.Verdict)
+	}
+	c.reply(e.Response)
+}
+
+func (l *Loop) streamEnded(id uint64, class string, complete bool) {
+	l.Metrics.open.Add(-1)
+	if complete {
+		l.Metrics.countResponse(class, Served)
+	} else {
+		l.Metrics.countResponse(class, Failed)
+	}
+	l.Post(StreamEnded{ID: id, Complete: complete})
+}
+
+// log writes a line of the scheduler: its kind, and what it is about.
+func (l *Loop) log(text string) {
+	if kind, detail, found := strings.Cut(text, ": "); found {
+		l.dependencies.Log.Info(kind, "detail", detail)
+	} else {
+		l.dependencies.Log.Info(text)
+	}
+}
+
+// closeValue closes a value that no client takes. A failed close has nobody to be told: the node's connection is
+// dropped either way.
+func closeValue(value any) {
+	if v, is := value.(io.Closer); is {
+		_ = v.Close()
+	}
+}
--- /dev/null
+++ b/broker/state.go
@@ -0,0 +1,181 @@
+package broker
+
+import (
+	"fmt"
+
+	"junctionwharf/scheduler"
+	"junctionwharf/telemetry"
+	"junctionwharf/timingwheel"
+)
+
+// State is all that the broker knows. It does no I/O and reads no clock. It is not safe for concurrent use: the loop
+// owns it.
+type State struct {
+	scheduler *scheduler.Scheduler
+	now       Micros // of the Reduce under way
+
+	requests     map[uint64]*requestState
+	freeRequests []*requestState           // that are over, for requests to come
+	streaming    map[uint64]telemetry.Fact // requests whose Streaming value is on its way to the client
+
+	nodes       map[string]*nodeState // by name
+	listUpdates uint64                // how many were applied
+
+	timers timingwheel.Wheel[timer]
+
+	schedulerEvents      []scheduler.Event // what the scheduler is told next
+	spareSchedulerEvents []scheduler.Event // memory for it
+
+	effects []Effect
+	facts   []telemetry.Fact
+
+	shuttingDown  bool
+	schedulingLag Micros // how long work waits for a processor here, smoothed
+}
+
+// NewState returns the state of a broker that has taken nothing yet.
+func NewState(settings scheduler.Settings, seed uint64) (*State, error) {
+	decider, err := scheduler.New(settings, seed)
+	if err != nil {
+		return nil, err
+	}
+	return &State{
+		scheduler: decider,
+		requests:  map[uint64]*requestState{},
+		nodes:     map[string]*nodeState{},
+		streaming: map[uint64]telemetry.Fact{},
+	}, nil
+}
+
+// maxSchedulerRounds bounds how often the scheduler may act on the results of its own actions within one turn. Were
+// it lower, attempts that turn out void would be placed again a turn later; were it unbounded, a fault in the
+// scheduler could hold up the loop for ever.
+const maxSchedulerRounds = 8
+
+// Reduce takes the events of one turn of the loop and returns what is to be done, in order. The slice is good until
+// the next Reduce.
+func (s *State) Reduce(now Micros, events []Event) []Effect {
+	s.now = now
+	clear(s.effects)
+	s.effects = s.effects[:0]
+	clear(s.facts)
+	s.facts = s.facts[:0]
+	for _, e := range events {
+		s.handle(e)
+	}
+	s.fireTimers()
+	for round := 0; round == 0 || len(s.schedulerEvents) > 0 && round < maxSchedulerRounds; round++ {
+		s.runScheduler()
+	}
+	return s.effects
+}
+
+// runScheduler tells the scheduler what has happened and applies its actions, which may give it further events.
+func (s *State) runScheduler() {
+	events := s.schedulerEvents
+	s.schedulerEvents = s.spareSchedulerEvents[:0]
+	s.spareSchedulerEvents = nil
+	for _, action := range s.scheduler.Reduce(s.now.Duration(), events) {
+		s.apply(action)
+	}
+	clear(events)
+	s.spareSchedulerEvents = events[:0]
+}
+
+// Facts returns what telemetry is to be told of the last Reduce, in order. It is good until the next.
+func (s *State) Facts() []telemetry.Fact { return s.facts }
+
+// Next tells when Reduce wants to be called again at the latest.
+func (s *State) Next() (at Micros, ok bool) {
+	if len(s.schedulerEvents) > 0 {
+		return s.now, true
+	}
+	next, ok := s.timers.Next()
+	return Micros(next), ok
+}
+
+// Knows tells whether a request has arrived and is not over.
+func (s *State) Knows(id uint64) bool { return s.requests[id] != nil }
+
+// OpenRequests tells how many requests still wait for their final answer.
+func (s *State) OpenRequests() int {
+	open := 0
+	for _, r := range s.requests {
+		if !r.answered {
+			open++
+		}
+	}
+	return open
+}
+
+func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
+
+func (s *State) notifyScheduler(e scheduler.Event) { s.schedulerEvents = append(s.schedulerEvents, e) }
+
+func (s *State) record(f telemetry.Fact) { s.facts = append(s.facts, f) }
+
+// handle takes one event.
+func (s *State) handle(event Event) {
+	switch e := event.(type) {
+	case RequestArrived:
+		s.handleArrival(e)
+	case RequestCancelled:
+		s.handleCancellation(e.ID)
+	case RequestExpedited:
+		s.expedite(e.ID)
+	case StreamEnded:
+		s.handleStreamEnd(e)
+	case AttemptEnded:
+		s.handleAttemptEnd(e)
+	case AttemptStopped:
+		s.handleAttemptStop(e)
+	case ProbeEnded:
+		s.notifyScheduler(scheduler.HealthCheckResult{
+			Node:    e.Node,
+			Latency: e.Took.Duration(),
+			Outcome: e.Result.outcome(),
+			Load:    e.Result.Load,
+		})
+	case NodesListed:
+		s.handleNodeList(e)
+	case PeerMessage:
+		s.notifyScheduler(scheduler.PeerMessage{From: e.From, Data: e.Data})
+	case SettingsChanged:
+		s.notifyScheduler(scheduler.SettingsChanged{Settings: e.Settings})
+	case ProcessesChanged:
+		s.notifyScheduler(scheduler.ProcessesChanged{Processes: e.Processes, Unseen: e.Unseen})
+	case LagMeasured:
+		s.handleLag(e)
+	case ShuttingDown:
+		s.handleShutdown()
+	}
+}
+
+// apply carries out one action of the scheduler.
+func (s *State) apply(action scheduler.Action) {
+	switch a := action.(type) {
+	case scheduler.Forward:
+		s.send(a)
+	case scheduler.Reject:
+		s.conclude(a.ID, Response{Verdict: Rejected, RetryAfter: MicrosOf(a.After)})
+	case scheduler.Fail:
+		s.conclude(a.ID, Response{Verdict: Failed})
+	case scheduler.Cancel:
+		if r := s.requests[a.ID]; r != nil && r.attempts-1 == a.Attempt {
+			s.stopAttempt(a.ID, r, scheduler.Canceled)
+		}
+	case scheduler.HealthCheck:
+		s.emit(ProbeNode{Node: a.Node, Address: s.address(a.Node)})
+	case scheduler.SendToPeer:
+		s.emit(SendToPeer{Peer: a.Peer, Data: a.Data})
+	case scheduler.SetTimer:
+		s.setTimer(s.now+MicrosOf(a.After), timer{kind: schedulerTimer, id: a.Token})
+	case scheduler.CloseIdleConnections:
+		s.emit(CloseIdle{Address: s.address(a.Node)})
+	case scheduler.Log:
+		s.emit(Log{a.Text})
+	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // discovery is always watched
+	default:
+		s.emit(Log{fmt.Sprintf("unknown action %T", action)})
+	}
+}
