--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -185,8 +185,8 @@
 	// read, and taken. Were it lower, a busy broker would take its own lag for slow nodes; were it higher, it would
 	// overlook them.
 	waitsPerAttempt = 4
-	// minNodeTimeDivisor leaves a node a tenth of the measured time, so that a lag that was measured too high never makes
-	// an attempt look as if it had taken no time.
+	// minNodeTimeDivisor leaves a node a tenth of the measured time, so that a lag that was measured too high never
+	// makes an attempt look as if it had taken no time.
 	minNodeTimeDivisor = 10
 	// lagSmoothing is the divisor of a new measurement's weight in the mean: four measurements, about 40 ms. Were it
 	// lower, a single pause would distort the latencies; were it higher, the first seconds of an overload would.
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -37,8 +37,9 @@
 }
 
 const (
-	// maxTurnEvents bounds a turn: deadlines, timers and cancellations are looked at between turns, and what came later
-	// waits. Were it higher, answers would come late after a burst; were it lower, the fixed cost of a turn would count.
+	// maxTurnEvents bounds a turn: deadlines, timers and cancellations are looked at between turns, and what came
+	// later waits. Were it higher, answers would come late after a burst; were it lower, the fixed cost of a turn
+	// would count.
 	maxTurnEvents = 1 << 10
 	// maxQueuedEvents bounds the events that wait for a turn before a protocol server reads no further request. Were it
 	// lower, short bursts would hold up connections; were it higher, a loop far behind would hold more requests that
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -20,8 +20,8 @@
 	Observe func(facts []telemetry.Fact)
 	// Log is for the people on call; nil for none.
 	Log *slog.Logger
-	// ConfigChanges returns what a turn has to apply before it decides anything, by the clock that it reads; nil where no
-	// configuration is replicated.
+	// ConfigChanges returns what a turn has to apply before it decides anything, by the clock that it reads; nil
+	// where no configuration is replicated.
 	ConfigChanges func(now Micros) []Event
 	// Admission decides who comes in at all, nil for everybody; the loop's own from now on.
 	Admission *admission.Controller
@@ -211,8 +211,8 @@
 }
 
 const (
-	// nodeCountInterval is how often the nodes that are avoided are counted: 25 ms. Were it lower, a broker with thousands
-	// of nodes would spend its turns on a look at each; were it higher, hosts_down would lag behind.
+	// nodeCountInterval is how often the nodes that are avoided are counted: 25 ms. Were it lower, a broker with
+	// thousands of nodes would spend its turns on a look at each; were it higher, hosts_down would lag behind.
 	nodeCountInterval = Second / 40
 	// sharesInterval is how often the shares of the nodes are taken for the console: a second, for people read them.
 	sharesInterval = Second
--- a/broker/overload_test.go
+++ b/broker/overload_test.go
@@ -61,7 +61,9 @@
 	state := newState(t, testSettings())
 	const bound = 6
 	settings := admission.Settings{MaxOpenOverloaded: bound, Window: 1}
-	loop := NewLoop(state, NewClock(), echoTransport{}, Dependencies{Admission: admission.New(settings, testSettings())})
+	loop := NewLoop(state, NewClock(), echoTransport{}, Dependencies{
+		Admission: admission.New(settings, testSettings()),
+	})
 	wanted := func() bool {
 		select {
 		case <-loop.LagMeasurementWanted():
