--- a/timingwheel/timingwheel.go
+++ b/timingwheel/timingwheel.go
@@ -1,6 +1,14 @@
-// Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, 1987): alarms are set and cancelled in constant time, and
-// come out in the order of their times. It keeps its entries in one slice, so that nothing is allocated for an alarm
-// once the wheel has grown to the number that wait at once.
+// Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, 1987).
+//
+// Rule: timers come out in the order of their times, and those of one time in the order in which they were set. To
+// set or to cancel one takes constant time.
+//
+// State: a Wheel keeps its timers in one slice, so that nothing is allocated for a timer once the wheel has grown to
+// the number that wait at once. They are lost with the process.
+//
+// Owner: a Wheel reads no clock and is not safe for concurrent use; broker.State owns the one that is in use.
+//
+// Units: times are whole microseconds, from any fixed start.
 package timingwheel
 
 import (
@@ -9,192 +17,221 @@
 	"slices"
 )
 
-// The geometry: each level has 64 slots; a slot of the lowest is 256 µs wide, one of each level above 64 times as wide as one
-// below. Five levels reach 76 hours; what is later waits in the last slot of the highest and is put there again.
+// The geometry. Each level has 64 slots. A slot of the lowest level is 256 µs wide, one of each level above 64 times
+// as wide as one below. Five levels reach 76 hours; what is later waits in the last slot of the highest and is
+// inserted there again.
 const (
-	slotBits  = 6
-	slots     = 1 << slotBits
-	levels    = 5
+	// slotBits makes a level's slots as many as the bits of a uint64, so that the next one in use is found by one
+	// instruction.
+	slotBits = 6
+	slots    = 1 << slotBits
+	// levels bounds how often a timer is moved before it comes out. Were it lower, timers of a day would be moved
+	// often.
+	levels = 5
+	// baseShift makes the lowest slots 256 µs wide. Were it lower, the same times would need a further level; were it
+	// higher, more timers would have to be sorted when their slot comes up.
 	baseShift = 8
+	lastShift = baseShift + (levels-1)*slotBits // of the highest level
 )
 
-// Handle names an alarm. The zero Handle names none. A handle whose alarm came out or was cancelled names none either,
-// however often its place was used again.
+// Handle names a timer. The zero Handle names none. A handle whose timer came out or was cancelled names none either,
+// however often its entry was used again.
 type Handle struct {
-	place int32 // plus 1
-	age   uint32
+	ref        int32
+	generation uint32
 }
 
-// Wheel holds alarms with a value of type T. Times are in µs; it reads no clock. The zero Wheel is empty.
+// Wheel holds timers with a value of type T. The zero Wheel is empty.
+//
+// A ref is the index of an entry plus 1, so that 0 is none.
 type Wheel[T any] struct {
-	entries []entry[T]
-	free    int32 // the first free place plus 1, chained by next
-	heads   [levels][slots]int32
-	used    [levels]uint64 // a bit for each slot that holds alarms
-	at      int64          // alarms before the end of the base slot of this time stand in due
-	due     []int32        // places, the last to come out first; those that were cancelled have no slot
-	count   int
-	order   uint64
+	entries  []entry[T]
+	freeRef  int32                // the first free entry, chained by next
+	heads    [levels][slots]int32 // refs of the first entry of each slot
+	occupied [levels]uint64       // a bit for each slot that holds timers
+	reached  int64                // timers before the end of the base slot of this time stand in due
+	due      []int32              // indexes; the last comes out first; those that were cancelled are nowhere
+	count    int
+	sequence uint64 // of the last timer that was set
 }
 
 type entry[T any] struct {
 	at         int64
-	order      uint64
+	sequence   uint64
 	value      T
-	next, prev int32 // places plus 1 in a slot's list
-	age        uint32
+	next       int32 // ref, in its slot's list or in the free list
+	prev       int32 // ref, in its slot's list
+	generation uint32
 	level      int8 // where it stands: a level, inDue or nowhere
 	slot       int8
 }
 
 const (
-	nowhere int8 = -1
+	nowhere int8 = -1 // free, or cancelled and still in due
 	inDue   int8 = -2
 )
 
-// Len tells how many alarms wait.
+// Len tells how many timers wait.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Set adds an alarm. One for a time that has passed comes out next.
+// Set adds a timer. One for a time that has passed comes out next.
 func (w *Wheel[T]) Set(at int64, value T) Handle {
-	place := w.free - 1
-	if place >= 0 {
-		w.free = w.entries[place].next
+	index := w.freeRef - 1
+	if index >= 0 {
+		w.freeRef = w.entries[index].next
 	} else {
-		place = int32(len(w.entries))
-		w.entries = append(w.entries, entry[T]{age: 1})
+		index = int32(len(w.entries))
+		w.entries = append(w.entries, entry[T]{generation: 1})
 	}
-	w.order++
-	e := &w.entries[place]
-	e.at, e.order, e.value = at, w.order, value
+	w.sequence++
+	e := &w.entries[index]
+	e.at = at
+	e.sequence = w.sequence
+	e.value = value
 	w.count++
-	w.put(place)
-	return Handle{place + 1, e.age}
+	w.insert(index)
+	return Handle{index + 1, e.generation}
 }
 
-// Cancel takes an alarm out and tells whether it still waited.
+// Cancel takes a timer out and tells whether it still waited.
 func (w *Wheel[T]) Cancel(h Handle) bool {
-	place := h.place - 1
-	if place < 0 || int(place) >= len(w.entries) || w.entries[place].age != h.age || w.entries[place].level == nowhere {
+	index := h.ref - 1
+	if index < 0 || int(index) >= len(w.entries) {
 		return false
 	}
-	e := &w.entries[place]
-	if e.level == inDue { // its place is given back when its turn comes
+	e := &w.entries[index]
+	if e.generation != h.generation || e.level == nowhere {
+		return false
+	}
+	if e.level == inDue { // trimDue gives the entry back once it stands first
 		e.level = nowhere
-		e.age++
+		e.generation++
 		w.count--
 		return true
 	}
-	w.unlink(place)
-	w.release(place)
+	w.unlink(index)
+	w.release(index)
 	return true
 }
 
-// Next tells when Pop is to be called again: when the next alarm is due, or earlier.
-func (w *Wheel[T]) Next() (at int64, any bool) {
-	w.trim()
+// Next tells when Pop is to be called again: when the next timer is due, or earlier.
+func (w *Wheel[T]) Next() (at int64, ok bool) {
+	w.trimDue()
 	if len(w.due) > 0 {
 		return w.entries[w.due[len(w.due)-1]].at, true
 	}
-	_, _, at, any = w.first()
-	return at, any
+	_, _, at, ok = w.nextSlot()
+	return at, ok
 }
 
-// Pop takes out the next alarm that is due at a point of time.
-func (w *Wheel[T]) Pop(now int64) (value T, at int64, any bool) {
+// Pop takes out the next timer that is due at a point of time.
+func (w *Wheel[T]) Pop(now int64) (value T, at int64, ok bool) {
 	for {
-		w.trim()
+		w.trimDue()
 		if last := len(w.due) - 1; last >= 0 {
-			place := w.due[last]
-			e := &w.entries[place]
+			index := w.due[last]
+			e := &w.entries[index]
 			if e.at > now {
 				return value, 0, false
 			}
 			w.due = w.due[:last]
-			value, at = e.value, e.at
-			w.release(place)
+			value = e.value
+			at = e.at
+			w.release(index)
 			return value, at, true
 		}
-		level, slot, start, found := w.first()
+		level, slot, start, found := w.nextSlot()
 		if !found || start > now {
 			return value, 0, false
 		}
-		w.open(level, slot, start)
+		w.openSlot(level, slot, start)
 	}
 }
 
-// first finds the slot that begins earliest; of those that begin together the widest, which is to be opened before.
-func (w *Wheel[T]) first() (level, slot int, start int64, found bool) {
+// nextSlot finds the slot that begins earliest; of those that begin together the widest, which is to be opened before.
+func (w *Wheel[T]) nextSlot() (level, slot int, start int64, found bool) {
 	for l := range levels {
-		if w.used[l] == 0 {
+		if w.occupied[l] == 0 {
 			continue
 		}
 		shift := baseShift + l*slotBits
-		now := w.at >> shift
-		ahead := bits.TrailingZeros64(bits.RotateLeft64(w.used[l], -int(now&(slots-1))))
-		if at := (now + int64(ahead)) << shift; !found || at <= start {
-			level, slot, start, found = l, int((now+int64(ahead))&(slots-1)), at, true
+		now := w.reached >> shift
+		ahead := bits.TrailingZeros64(bits.RotateLeft64(w.occupied[l], -int(now&(slots-1))))
+		next := now + int64(ahead)
+		at := next << shift
+		if !found || at <= start {
+			level = l
+			slot = int(next & (slots - 1))
+			start = at
+			found = true
 		}
 	}
-	return level, slot, max(start, w.at), found
+	return level, slot, max(start, w.reached), found
 }
 
-// open moves on to a slot and spreads what it holds: over the levels below, or in order of time as due.
-func (w *Wheel[T]) open(level, slot int, start int64) {
-	w.at = start
-	place := w.heads[level][slot] - 1
+// openSlot moves on to a slot and spreads what it holds: over the levels below, or in order of time as due.
+func (w *Wheel[T]) openSlot(level, slot int, start int64) {
+	w.reached = start
+	index := w.heads[level][slot] - 1
 	w.heads[level][slot] = 0
-	w.used[level] &^= 1 << slot
+	w.occupied[level] &^= 1 << slot
 	sorted := len(w.due)
-	for place >= 0 {
-		next := w.entries[place].next - 1
+	for index >= 0 {
+		next := w.entries[index].next - 1
 		if level == 0 {
-			w.entries[place].level = inDue
-			w.due = append(w.due, place)
+			w.entries[index].level = inDue
+			w.due = append(w.due, index)
 		} else {
-			w.put(place)
+			w.insert(index)
 		}
-		place = next
+		index = next
 	}
 	if level == 0 && len(w.due) > sorted {
 		slices.SortFunc(w.due, func(a, b int32) int { return w.compare(b, a) })
 	}
 }
 
+// compare orders entries by their times, and those of one time as they were set.
 func (w *Wheel[T]) compare(a, b int32) int {
-	x, y := &w.entries[a], &w.entries[b]
-	return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.order, y.order))
+	x := &w.entries[a]
+	y := &w.entries[b]
+	return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.sequence, y.sequence))
 }
 
-// put stands an entry where its time belongs.
-func (w *Wheel[T]) put(place int32) {
-	e := &w.entries[place]
-	if e.at>>baseShift <= w.at>>baseShift {
+// insert puts an entry where its time belongs: in due, or in the lowest level that reaches as far.
+func (w *Wheel[T]) insert(index int32) {
+	e := &w.entries[index]
+	if e.at>>baseShift <= w.reached>>baseShift {
 		e.level = inDue
-		at, _ := slices.BinarySearchFunc(w.due, place, func(a, b int32) int { return w.compare(b, a) })
-		w.due = slices.Insert(w.due, at, place)
+		position, _ := slices.BinarySearchFunc(w.due, index, func(a, b int32) int { return w.compare(b, a) })
+		w.due = slices.Insert(w.due, position, index)
 		return
 	}
-	level, slot := levels-1, (w.at>>(baseShift+(levels-1)*slotBits)+slots-1)&(slots-1)
+	level := levels - 1
+	slot := (w.reached>>lastShift + slots - 1) & (slots - 1) // of what is later than the wheel reaches
 	for l := range levels {
 		shift := baseShift + l*slotBits
-		if e.at>>shift-w.at>>shift < slots {
-			level, slot = l, e.at>>shift&(slots-1)
+		if e.at>>shift-w.reached>>shift < slots {
+			level = l
+			slot = e.at >> shift & (slots - 1)
 			break
 		}
 	}
-	e.level, e.slot = int8(level), int8(slot)
+	e.level = int8(level)
+	e.slot = int8(slot)
 	head := w.heads[level][slot]
-	e.prev, e.next = 0, head
+	e.prev = 0
+	e.next = head
 	if head > 0 {
-		w.entries[head-1].prev = place + 1
+		w.entries[head-1].prev = index + 1
 	}
-	w.heads[level][slot] = place + 1
-	w.used[level] |= 1 << slot
+	w.heads[level][slot] = index + 1
+	w.occupied[level] |= 1 << slot
 }
 
-func (w *Wheel[T]) unlink(place int32) {
-	e := &w.entries[place]
+// unlink takes an entry out of its slot's list.
+func (w *Wheel[T]) unlink(index int32) {
+	e := &w.entries[index]
 	if e.next > 0 {
 		w.entries[e.next-1].prev = e.prev
 	}
@@ -204,29 +241,36 @@
 	}
 	w.heads[e.level][e.slot] = e.next
 	if e.next == 0 {
-		w.used[e.level] &^= 1 << e.slot
+		w.occupied[e.level] &^= 1 << e.slot
 	}
 }
 
-// release gives an entry's place back.
-func (w *Wheel[T]) release(place int32) {
+// release gives back the entry of a timer that is over. Its handles name nothing from now on.
+func (w *Wheel[T]) release(index int32) {
 	w.count--
-	w.recycle(place)
-	w.entries[place].age++
+	w.recycle(index)
+	w.entries[index].generation++
 }
 
-func (w *Wheel[T]) recycle(place int32) {
-	e := &w.entries[place]
+// recycle puts an entry into the free list, and drops its value, which could keep memory alive.
+func (w *Wheel[T]) recycle(index int32) {
+	e := &w.entries[index]
 	var none T
-	e.value, e.level, e.next = none, nowhere, w.free
-	w.free = place + 1
+	e.value = none
+	e.level = nowhere
+	e.next = w.freeRef
+	w.freeRef = index + 1
 }
 
-// trim gives back what was cancelled at the front of due. What stands in the slot that was reached, from before it was, joins
-// due first.
-func (w *Wheel[T]) trim() {
-	if slot := int(w.at >> baseShift & (slots - 1)); w.used[0]>>slot&1 == 1 && w.entries[w.heads[0][slot]-1].at>>baseShift == w.at>>baseShift {
-		w.open(0, slot, w.at)
+// trimDue gives back the entries that were cancelled at the end of due that comes out first. What stands in the slot
+// that was reached, from before it was, joins due before that.
+func (w *Wheel[T]) trimDue() {
+	slot := int(w.reached >> baseShift & (slots - 1))
+	if w.occupied[0]>>slot&1 == 1 {
+		first := &w.entries[w.heads[0][slot]-1]
+		if first.at>>baseShift == w.reached>>baseShift {
+			w.openSlot(0, slot, w.reached)
+		}
 	}
 	for last := len(w.due) - 1; last >= 0 && w.entries[w.due[last]].level == nowhere; last-- {
 		w.recycle(w.due[last])
--- a/timingwheel/timingwheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -7,109 +7,162 @@
 	"testing"
 )
 
-// plain is the reference: a heap, in which cancelled alarms wait until they are due.
-type plain []alarm
+// heapTimers is the reference: a heap, in which cancelled timers wait until they are due.
+type heapTimers []heapTimer
 
-type alarm struct {
-	at    int64
-	order int
-	id    int
+type heapTimer struct {
+	at       int64
+	sequence int
+	id       int
 }
 
-func (h plain) Len() int { return len(h) }
-func (h plain) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (h heapTimers) Len() int { return len(h) }
+func (h heapTimers) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (h plain) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *plain) Push(x any)   { *h = append(*h, x.(alarm)) }
-func (h *plain) Pop() any {
+func (h heapTimers) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *heapTimers) Push(x any)   { *h = append(*h, x.(heapTimer)) }
+func (h *heapTimers) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// Whatever is set, cancelled and popped in whatever order, near and far, comes out as from the heap, and not before Next.
-func TestAgainstHeap(t *testing.T) {
+// comparison runs a wheel and the reference side by side.
+type comparison struct {
+	*testing.T
+	seed    uint64
+	random  *rand.Rand
+	wheel   Wheel[int]
+	heap    heapTimers
+	handles map[int]Handle
+	over    map[int]bool // by id: it came out or was cancelled
+	now     int64
+	lastID  int
+}
+
+func newComparison(t *testing.T, seed uint64) *comparison {
+	random := rand.New(rand.NewPCG(seed, 1))
+	return &comparison{
+		T:       t,
+		seed:    seed,
+		random:  random,
+		handles: map[int]Handle{},
+		over:    map[int]bool{},
+		now:     int64(random.IntN(1e9)),
+	}
+}
+
+// set adds a timer, near or far, or in the past.
+func (c *comparison) set() {
+	c.lastID++
+	id := c.lastID
+	at := c.now + int64(c.random.ExpFloat64()*float64(int64(1)<<c.random.IntN(40))) - int64(c.random.IntN(300))
+	c.handles[id] = c.wheel.Set(at, id)
+	heap.Push(&c.heap, heapTimer{at, id, id})
+}
+
+// cancel cancels any timer that was ever set.
+func (c *comparison) cancel() {
+	c.Helper()
+	if c.lastID == 0 {
+		return
+	}
+	id := 1 + c.random.IntN(c.lastID)
+	if got := c.wheel.Cancel(c.handles[id]); got == c.over[id] {
+		c.Fatalf("seed %d: cancelling gave %v, over is %v", c.seed, got, c.over[id])
+	}
+	c.over[id] = true
+}
+
+// pass lets time go by, and takes out all that is due.
+func (c *comparison) pass() {
+	c.Helper()
+	if next, ok := c.wheel.Next(); ok && c.random.IntN(3) > 0 {
+		c.now = max(c.now, next)
+	} else {
+		c.now += int64(c.random.IntN(1 << c.random.IntN(30)))
+	}
+	for more := true; more; {
+		more = c.pop()
+	}
+	for len(c.heap) > 0 && c.over[c.heap[0].id] {
+		heap.Pop(&c.heap)
+	}
+	if next, ok := c.wheel.Next(); ok != (len(c.heap) > 0) || ok && next > c.heap[0].at {
+		c.Fatalf("seed %d: next at %d, %v", c.seed, next, ok)
+	}
+}
+
+// pop takes one timer out of both, and tells whether one was due.
+func (c *comparison) pop() bool {
+	c.Helper()
+	got, at, ok := c.wheel.Pop(c.now)
+	want := 0
+	for len(c.heap) > 0 && (c.over[c.heap[0].id] || c.heap[0].at <= c.now) && want == 0 {
+		timer := heap.Pop(&c.heap).(heapTimer)
+		if c.over[timer.id] {
+			continue
+		}
+		want = timer.id
+		c.over[timer.id] = true
+		if ok && timer.at != at {
+			c.Fatalf("seed %d: at %d, want %d", c.seed, at, timer.at)
+		}
+	}
+	if got != want || ok != (want > 0) {
+		c.Fatalf("seed %d: %d came out, want %d", c.seed, got, want)
+	}
+	return ok
+}
+
+func (c *comparison) waiting() int {
+	waiting := 0
+	for id := 1; id <= c.lastID; id++ {
+		if !c.over[id] {
+			waiting++
+		}
+	}
+	return waiting
+}
+
+// Whatever is set, cancelled and popped in whatever order, near and far, comes out as from the heap, and not before
+// Next.
+func TestMatchesHeap(t *testing.T) {
 	for seed := range uint64(200) {
-		random := rand.New(rand.NewPCG(seed, 1))
-		var w Wheel[int]
-		var h plain
-		handles, over := map[int]Handle{}, map[int]bool{}
-		now, id := int64(random.IntN(1e9)), 0
+		c := newComparison(t, seed)
 		for range 2000 {
-			switch random.IntN(5) {
+			switch c.random.IntN(5) {
 			case 0, 1:
-				id++
-				at := now + int64(random.ExpFloat64()*float64(int64(1)<<random.IntN(40))) - int64(random.IntN(300))
-				handles[id] = w.Set(at, id)
-				heap.Push(&h, alarm{at, id, id})
+				c.set()
 			case 2:
-				if id > 0 {
-					one := 1 + random.IntN(id)
-					if got := w.Cancel(handles[one]); got == over[one] {
-						t.Fatalf("seed %d: cancelling gave %v, over is %v", seed, got, over[one])
-					}
-					over[one] = true
-				}
+				c.cancel()
 			default:
-				if next, any := w.Next(); any && random.IntN(3) > 0 {
-					now = max(now, next)
-				} else {
-					now += int64(random.IntN(1 << random.IntN(30)))
-				}
-				for {
-					got, at, any := w.Pop(now)
-					want := 0
-					for len(h) > 0 && (over[h[0].id] || h[0].at <= now) && want == 0 {
-						if a := heap.Pop(&h).(alarm); !over[a.id] {
-							want = a.id
-							over[a.id] = true
-							if any && a.at != at {
-								t.Fatalf("seed %d: at %d, want %d", seed, at, a.at)
-							}
-						}
-					}
-					if got != want || any != (want > 0) {
-						t.Fatalf("seed %d: %d came out, want %d", seed, got, want)
-					}
-					if !any {
-						break
-					}
-				}
-				for len(h) > 0 && over[h[0].id] {
-					heap.Pop(&h)
-				}
-				if next, any := w.Next(); any != (len(h) > 0) || any && next > h[0].at {
-					t.Fatalf("seed %d: next at %d, %v", seed, next, any)
-				}
+				c.pass()
 			}
 		}
-		waiting := 0
-		for one := 1; one <= id; one++ {
-			if !over[one] {
-				waiting++
-			}
-		}
-		if w.Len() != waiting {
-			t.Fatalf("seed %d: %d wait, want %d", seed, w.Len(), waiting)
+		if waiting := c.waiting(); c.wheel.Len() != waiting {
+			t.Fatalf("seed %d: %d wait, want %d", seed, c.wheel.Len(), waiting)
 		}
 	}
 }
 
-// A clock that stands still and then jumps, and 100,000 alarms of one millisecond.
-func TestJump(t *testing.T) {
+// The clock stands still, as while a machine is suspended, and then jumps by an hour, with 100,000 timers of one
+// millisecond waiting. None may come out early, none may be lost, and they come out in order; one that is set for a
+// time long past comes out next.
+func TestClockJump(t *testing.T) {
 	var w Wheel[int]
 	for i := range 100_000 {
 		w.Set(5_000_000+int64(i%1000), i)
 	}
-	if _, _, any := w.Pop(4_999_999); any {
+	if _, _, ok := w.Pop(4_999_999); ok {
 		t.Error("one came out early")
 	}
 	last := int64(0)
 	for i := range 100_000 {
-		_, at, any := w.Pop(3600e6)
-		if !any || at < last {
-			t.Fatalf("%d: at %d after %d, %v", i, at, last, any)
+		_, at, ok := w.Pop(3600e6)
+		if !ok || at < last {
+			t.Fatalf("%d: at %d after %d, %v", i, at, last, ok)
 		}
 		last = at
 	}
@@ -117,45 +170,49 @@
 		t.Errorf("%d are left", w.Len())
 	}
 	w.Set(1, 7) // long past
-	if v, _, any := w.Pop(3600e6); !any || v != 7 {
+	if v, _, ok := w.Pop(3600e6); !ok || v != 7 {
 		t.Error("a passed time does not come out")
 	}
 }
 
-// BenchmarkAlarm is one request's: set a deadline, cancel it soon after, with so many others waiting; against the heap,
-// which keeps what is over until it is due.
-func BenchmarkAlarm(b *testing.B) {
+// BenchmarkTimer is one request's: set a deadline, cancel it soon after, with so many others waiting; against the
+// heap, which keeps what is over until it is due.
+func BenchmarkTimer(b *testing.B) {
 	for _, waiting := range []int{10, 1000, 100_000} {
-		b.Run(fmt.Sprintf("wheel/waiting=%d", waiting), func(b *testing.B) {
-			var w Wheel[int]
-			handles := make([]Handle, waiting)
-			now := int64(0)
-			for i := range handles {
-				handles[i] = w.Set(now+2_500_000+int64(i), i)
-			}
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i++ {
-				now += 10
-				at := i % waiting
-				w.Cancel(handles[at])
-				handles[at] = w.Set(now+2_500_000, i)
-				w.Pop(now)
-			}
-		})
-		b.Run(fmt.Sprintf("heap/waiting=%d", waiting), func(b *testing.B) {
-			var h plain
-			now := int64(0)
-			for i := range waiting {
-				heap.Push(&h, alarm{at: now + 2_500_000 + int64(i)})
-			}
-			b.ReportAllocs()
-			for b.Loop() {
-				now += 10
-				heap.Push(&h, alarm{at: now + 10*int64(waiting)})
-				for h[0].at <= now {
-					heap.Pop(&h)
-				}
-			}
-		})
+		b.Run(fmt.Sprintf("wheel/waiting=%d", waiting), func(b *testing.B) { benchmarkWheel(b, waiting) })
+		b.Run(fmt.Sprintf("heap/waiting=%d", waiting), func(b *testing.B) { benchmarkHeap(b, waiting) })
+	}
+}
+
+func benchmarkWheel(b *testing.B, waiting int) {
+	var w Wheel[int]
+	handles := make([]Handle, waiting)
+	now := int64(0)
+	for i := range handles {
+		handles[i] = w.Set(now+2_500_000+int64(i), i)
+	}
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		now += 10
+		at := i % waiting
+		w.Cancel(handles[at])
+		handles[at] = w.Set(now+2_500_000, i)
+		w.Pop(now)
+	}
+}
+
+func benchmarkHeap(b *testing.B, waiting int) {
+	var h heapTimers
+	now := int64(0)
+	for i := range waiting {
+		heap.Push(&h, heapTimer{at: now + 2_500_000 + int64(i)})
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		now += 10
+		heap.Push(&h, heapTimer{at: now + 10*int64(waiting)})
+		for h[0].at <= now {
+			heap.Pop(&h)
+		}
 	}
 }
