--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -105,7 +105,7 @@
 		}
 		return nil
 	}
-	return m.Options().Check()
+	return m.Options().Validate()
 }
 
 func (s *EndpointSource) complete() error {
--- /dev/null
+++ b/internal/members/console.go
@@ -0,0 +1,108 @@
+package members
+
+import (
+	"fmt"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"junctionwharf/broker"
+	"junctionwharf/membership"
+)
+
+// The names of a source's metrics, as console and sinks give them: "source.NAME." and one of these. Dashboards know
+// them: they stay.
+const (
+	metricSourcePrefix = "source."
+	metricClaims       = "held"
+	metricSuspects     = "suspect"
+	metricAnswers      = "answers"
+	metricFailures     = "failures"
+	metricRejected     = "refused"
+	metricAge          = "age_s"
+)
+
+// The parts of the console's answer. Scripts read it: it stays.
+const (
+	textDiscoveryOnly = "discovery alone is followed\n"
+	textNodeHeader    = "node\taddress\tshard\tzone\tstate\tpriority\tpart\tup s\theld by\twhy"
+	textSourceHeader  = "\nsource\tholds\tsuspect\tlast answer\tanswers\tfailures\tnot believed\tlast fault"
+	textUpForLong     = "long"
+	textNeverAnswered = "never"
+)
+
+// healthWords are how the console words what is said of a node.
+var healthWords = [...]string{
+	membership.Ready:    "ready",
+	membership.Draining: "draining",
+	membership.Removed:  "gone",
+}
+
+// Metrics count per source, for console and sinks.
+func (m *Members) Metrics() []broker.Metric {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.state == nil {
+		return nil
+	}
+	var all []broker.Metric
+	for _, s := range m.state.Sources(int64(m.clock.Now())) {
+		prefix := metricSourcePrefix + s.Name + "."
+		all = append(all,
+			broker.Metric{Name: prefix + metricClaims, Value: uint64(s.Claims)},
+			broker.Metric{Name: prefix + metricSuspects, Value: uint64(s.Suspects)},
+			broker.Metric{Name: prefix + metricAnswers, Value: s.Answers, Counter: true},
+			broker.Metric{Name: prefix + metricFailures, Value: s.Failures, Counter: true},
+			broker.Metric{Name: prefix + metricRejected, Value: s.Rejected, Counter: true})
+		if s.Age >= 0 {
+			all = append(all, broker.Metric{Name: prefix + metricAge, Value: uint64(s.Age / time.Second)})
+		}
+	}
+	return all
+}
+
+// Table is the merged list for people: each node, who claims it, and why it is listed as it is; then the sources.
+func (m *Members) Table() []byte {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.state == nil {
+		return []byte(textDiscoveryOnly)
+	}
+	var text strings.Builder
+	table := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	now := int64(m.clock.Now())
+	writeNodes(table, m.state, now)
+	writeSources(table, m.state, now)
+	_ = table.Flush() // a strings.Builder takes all
+	return []byte(text.String())
+}
+
+func writeNodes(table *tabwriter.Writer, state *membership.State, now int64) {
+	nodes, claimedBy := state.List()
+	writeLine(table, textNodeHeader)
+	for i, n := range nodes {
+		up := textUpForLong
+		if n.LastStart > 0 {
+			up = fmt.Sprint((now - n.LastStart) / int64(broker.Second))
+		}
+		writeLine(table, fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%d\t%g\t%s\t%s\t%s", n.Name, n.Address, n.Shard, n.Zone,
+			healthWords[n.State], n.Priority, n.TrafficWeight, up, strings.Join(claimedBy[i], ","), n.Reason))
+	}
+}
+
+func writeSources(table *tabwriter.Writer, state *membership.State, now int64) {
+	writeLine(table, textSourceHeader)
+	for _, s := range state.Sources(now) {
+		age := textNeverAnswered
+		if s.Age >= 0 {
+			age = s.Age.Round(100*time.Millisecond).String() + " ago"
+		}
+		writeLine(table, fmt.Sprintf("%s\t%d\t%d\t%s\t%d\t%d\t%d\t%s", s.Name, s.Claims, s.Suspects, age, s.Answers,
+			s.Failures, s.Rejected, s.Reason))
+	}
+}
+
+// writeLine writes to memory, which takes all.
+func writeLine(table *tabwriter.Writer, line string) {
+	_, _ = fmt.Fprintln(table, line)
+}
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io/fs"
+	"log/slog"
 	"os"
 	"path/filepath"
 	"strings"
@@ -19,43 +20,56 @@
 
 // A snapshot is a line "junctionwharf nodes 1 CHECKSUM BYTES" and then JSON. The checksum is XXH64 of the JSON.
 const (
-	snapshotHead = "junctionwharf nodes 1"
-	snapshotMost = 64 << 20
-	writeEvery   = 2 * time.Second
+	// snapshotHeader names the format and its version.
+	snapshotHeader = "junctionwharf nodes 1"
+	// maxSnapshotBytes is 64 MiB, several times the largest list. Were it higher, a file of another kind could fill the
+	// memory.
+	maxSnapshotBytes = 64 << 20
+	// snapshotInterval is how often the file is written at most: every 2 s. Were it lower, a list that changes all the
+	// time would keep the disk busy; were it higher, a broker that dies would start again from an older list.
+	snapshotInterval = 2 * time.Second
 )
 
+// SnapshotError tells that a snapshot is of another kind, too large, cut or spoilt.
+type SnapshotError struct {
+	Path   string
+	Reason string
+}
+
+func (e *SnapshotError) Error() string { return e.Path + ": " + e.Reason }
+
 // savedNode is a node as the snapshot holds it. The tags are the names in files of earlier releases.
 type savedNode struct {
-	Name     string  `json:"Name"`
-	Address  string  `json:"Address"`
-	Zone     string  `json:"Zone"`
-	Kind     string  `json:"Kind"`
-	Shard    int     `json:"Shard"`
-	State    int     `json:"State"`
-	Share    float64 `json:"Share"`
-	Part     float64 `json:"Part"`
-	Priority int     `json:"Priority"`
-	Born     int64   `json:"Born"`   // on the clock of the process that wrote it: BornMS counts
-	BornMS   int64   `json:"BornMS"` // Unix time; 0 for long ago
+	Name          string  `json:"Name"`
+	Address       string  `json:"Address"`
+	Zone          string  `json:"Zone"`
+	Kind          string  `json:"Kind"`
+	Shard         int     `json:"Shard"`
+	State         int     `json:"State"`
+	Capacity      float64 `json:"Share"`
+	TrafficWeight float64 `json:"Part"`
+	Priority      int     `json:"Priority"`
+	LastStart     int64   `json:"Born"`   // on the clock of the process that wrote it: StartedAtMS counts
+	StartedAtMS   int64   `json:"BornMS"` // Unix time; 0 for long ago
 }
 
-func savedOf(e membership.Entry, startedMS int64) savedNode {
+func saveEntry(e membership.Entry, startedAtMS int64) savedNode {
 	return savedNode{
-		Name:     e.Name,
-		Address:  e.Address,
-		Zone:     e.Zone,
-		Kind:     e.Kind,
-		Shard:    e.Shard,
-		State:    int(e.State),
-		Share:    e.Capacity,
-		Part:     e.TrafficWeight,
-		Priority: e.Priority,
-		Born:     e.LastStart,
-		BornMS:   startedMS,
+		Name:          e.Name,
+		Address:       e.Address,
+		Zone:          e.Zone,
+		Kind:          e.Kind,
+		Shard:         e.Shard,
+		State:         int(e.State),
+		Capacity:      e.Capacity,
+		TrafficWeight: e.TrafficWeight,
+		Priority:      e.Priority,
+		LastStart:     e.LastStart,
+		StartedAtMS:   startedAtMS,
 	}
 }
 
-func (n savedNode) entry(started broker.Micros) membership.Entry {
+func (n savedNode) entry(lastStart broker.Micros) membership.Entry {
 	return membership.Entry{
 		Name:          n.Name,
 		Address:       n.Address,
@@ -63,63 +77,67 @@
 		Kind:          n.Kind,
 		Shard:         n.Shard,
 		State:         membership.Health(n.State),
-		Capacity:      n.Share,
-		TrafficWeight: n.Part,
+		Capacity:      n.Capacity,
+		TrafficWeight: n.TrafficWeight,
 		Priority:      n.Priority,
-		LastStart:     int64(started),
+		LastStart:     int64(lastStart),
 	}
 }
 
-type snapshot struct {
-	path  string
-	words func() ([]byte, error)
-	fail  func(error)
+// snapshotWriter writes the snapshot some time after each change. Its timer's goroutine ends with the write; close
+// waits for no write that is under way.
+type snapshotWriter struct {
+	path   string
+	encode func() ([]byte, error)
+	log    *slog.Logger
 
-	mu    sync.Mutex
-	timer *time.Timer // a write is owed
-	over  bool
+	mu     sync.Mutex
+	timer  *time.Timer // a write is owed
+	closed bool
 }
 
-// later has the list written soon, however often it changes.
-func (s *snapshot) later() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.timer == nil && !s.over {
-		s.timer = time.AfterFunc(writeEvery, s.write)
+// writeSoon has the list written soon, however often it changes.
+func (w *snapshotWriter) writeSoon() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer == nil && !w.closed {
+		w.timer = time.AfterFunc(snapshotInterval, w.write)
 	}
 }
 
-func (s *snapshot) close() {
-	s.mu.Lock()
-	owed := s.timer != nil && s.timer.Stop()
-	s.over = true
-	s.mu.Unlock()
+// close writes what is owed, and nothing after.
+func (w *snapshotWriter) close() {
+	w.mu.Lock()
+	owed := w.timer != nil && w.timer.Stop()
+	w.closed = true
+	w.mu.Unlock()
 	if owed {
-		s.write()
+		w.write()
 	}
 }
 
-func (s *snapshot) write() {
-	s.mu.Lock()
-	s.timer = nil
-	s.mu.Unlock()
-	body, err := s.words()
+func (w *snapshotWriter) write() {
+	w.mu.Lock()
+	w.timer = nil
+	w.mu.Unlock()
+	body, err := w.encode()
 	if err == nil {
-		err = writeSnapshot(s.path, body)
+		err = writeSnapshot(w.path, body)
 	}
 	if err != nil {
-		s.fail(err)
+		w.log.Warn("snapshot not written", "reason", err)
 	}
 }
 
-// writeSnapshot replaces the file whole or not at all.
+// writeSnapshot replaces the file whole or not at all. It guards against a process that dies, or a disk that fills,
+// while it writes: the next start would find half a list.
 func writeSnapshot(path string, body []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
-	_, err = fmt.Fprintf(f, "%s %016x %d\n", snapshotHead, xxhash.Sum64(body), len(body))
+	defer func() { _ = os.Remove(f.Name()) }() // once it was renamed there is nothing to remove
+	_, err = fmt.Fprintf(f, "%s %016x %d\n", snapshotHeader, xxhash.Sum64(body), len(body))
 	if err == nil {
 		_, err = f.Write(body)
 	}
@@ -132,34 +150,36 @@
 	return os.Rename(f.Name(), path)
 }
 
+// readSnapshot returns the JSON of a snapshot that is whole, else a SnapshotError or why the file can't be read.
 func readSnapshot(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > snapshotMost {
-		return nil, fmt.Errorf("%s: over %d bytes", path, snapshotMost)
+	if info.Size() > maxSnapshotBytes {
+		return nil, &SnapshotError{path, fmt.Sprintf("over %d bytes", maxSnapshotBytes)}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	head, body, found := strings.Cut(string(text), "\n")
-	rest, is := strings.CutPrefix(head, snapshotHead+" ")
+	header, body, found := strings.Cut(string(text), "\n")
+	fields, isSnapshot := strings.CutPrefix(header, snapshotHeader+" ")
 	var sum uint64
 	var size int
-	if _, err := fmt.Sscanf(rest, "%x %d", &sum, &size); err != nil || !found || !is {
-		return nil, fmt.Errorf("%s: line 1: not %q, a checksum and a size", path, snapshotHead)
+	if _, err := fmt.Sscanf(fields, "%x %d", &sum, &size); err != nil || !found || !isSnapshot {
+		return nil, &SnapshotError{path, fmt.Sprintf("line 1: not %q, a checksum and a size", snapshotHeader)}
 	}
 	if len(body) != size || xxhash.Sum64String(body) != sum {
-		return nil, fmt.Errorf("%s: %d bytes of %d, or its checksum is wrong", path, len(body), size)
+		return nil, &SnapshotError{path, fmt.Sprintf("%d bytes of %d, or its checksum is wrong", len(body), size)}
 	}
 	return []byte(body), nil
 }
 
-// load takes what was held before a restart, which stands until the sources have answered, and keeps it from now on.
-func (m *Members) load(now int64, path string) {
-	m.snapshot = &snapshot{path: path, words: m.saved, fail: func(err error) { m.log.Warn("snapshot not written", "reason", err) }}
+// loadSnapshot takes what was listed before a restart, which stands until the sources have answered, and keeps the
+// file up to date from now on. A file that can't be used is logged and replaced at the next change.
+func (m *Members) loadSnapshot(now int64, path string) {
+	m.snapshot = &snapshotWriter{path: path, encode: m.encodeSnapshot, log: m.log}
 	body, err := readSnapshot(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -174,24 +194,25 @@
 	}
 	var entries []membership.Entry
 	for _, n := range nodes {
-		entries = append(entries, n.entry(m.clock.FromUnixMilli(n.BornMS)))
+		entries = append(entries, n.entry(m.clock.FromUnixMilli(n.StartedAtMS)))
 	}
-	m.tell(m.state.Restore(now, kept, entries))
+	m.announce(m.state.Restore(now, sourceSnapshot, entries))
 	m.log.Info("snapshot read", "nodes", len(entries))
 }
 
-// saved words the list.
-func (m *Members) saved() ([]byte, error) {
+// encodeSnapshot words the list.
+func (m *Members) encodeSnapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	nodes, _ := m.state.List()
 	saved := make([]savedNode, 0, len(nodes))
 	for _, n := range nodes {
-		bornMS := int64(0)
+		startedAtMS := int64(0)
 		if n.LastStart > 0 {
-			bornMS = time.Now().Add(-(m.clock.Now() - broker.Micros(n.LastStart)).Duration()).UnixMilli()
+			age := m.clock.Now() - broker.Micros(n.LastStart)
+			startedAtMS = time.Now().Add(-age.Duration()).UnixMilli()
 		}
-		saved = append(saved, savedOf(n.Entry, bornMS))
+		saved = append(saved, saveEntry(n.Entry, startedAtMS))
 	}
 	return json.Marshal(saved)
 }
--- /dev/null
+++ b/internal/members/sources.go
@@ -0,0 +1,105 @@
+package members
+
+import (
+	"context"
+	"os"
+	"time"
+
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/dnssrv"
+	"junctionwharf/membership"
+)
+
+const (
+	// filePollInterval is between two looks at a file: a second. Were it higher, a change would be followed later.
+	filePollInterval = time.Second
+	// minTrafficWeight is for records of SRV weight 0, which are to get a little of the traffic (RFC 2782). Were it
+	// 0, it would count as not told, and such a node would get as much as one of weight 1.
+	minTrafficWeight = 0.1
+)
+
+// startSource asks a source from now on, until ctx ends.
+func (m *Members) startSource(ctx context.Context, s config.EndpointSource) error {
+	switch s.Kind {
+	case kindDNS:
+		resolver, err := dnssrv.NewResolver(s.Resolver())
+		if err != nil {
+			return err
+		}
+		w := &dnssrv.Watcher{Resolver: resolver, Name: s.SRV, Facts: s.Mapping()}
+		go w.Run(ctx, func(u dnssrv.Update) { m.handleDNS(ctx, s.Name, u) })
+	case kindFile:
+		go m.pollFile(ctx, s)
+	}
+	return nil
+}
+
+// handleDNS takes what DNS said.
+func (m *Members) handleDNS(ctx context.Context, name string, u dnssrv.Update) {
+	for _, reason := range u.Skipped {
+		m.log.Warn("entry skipped", "source", name, "reason", reason)
+	}
+	if u.Err != nil {
+		m.handleFailure(ctx, name, u.Err)
+		return
+	}
+	a := membership.SourceAnswered{
+		AskedAt:  int64(m.clock.Now()) - time.Since(u.QueriedAt).Microseconds(),
+		Complete: true,
+	}
+	for _, e := range u.Entries {
+		a.Entries = append(a.Entries, membership.Entry{
+			Name:          e.Target,
+			Address:       e.Address,
+			Zone:          e.Zone,
+			Kind:          e.Kind,
+			Shard:         e.Shard,
+			Capacity:      e.Share,
+			TrafficWeight: max(minTrafficWeight, float64(e.Weight)),
+			Priority:      int(e.Priority),
+			LastStart:     membership.UnknownStart,
+		})
+	}
+	m.handleAnswer(ctx, name, a)
+}
+
+// pollFile reads a file whenever it changes, until ctx ends.
+func (m *Members) pollFile(ctx context.Context, s config.EndpointSource) {
+	var seen fileVersion
+	tick := time.NewTicker(filePollInterval)
+	defer tick.Stop()
+	for {
+		seen = m.readIfChanged(ctx, s, seen)
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+	}
+}
+
+// fileVersion tells one content of a file from another.
+type fileVersion struct {
+	modified time.Time
+	size     int64
+}
+
+// readIfChanged reads a file unless it is as it was seen, and returns as what it is seen now.
+func (m *Members) readIfChanged(ctx context.Context, s config.EndpointSource, seen fileVersion) fileVersion {
+	info, err := os.Stat(s.Path)
+	if err != nil {
+		m.handleFailure(ctx, s.Name, err)
+		return seen
+	}
+	if info.ModTime().Equal(seen.modified) && info.Size() == seen.size {
+		return seen
+	}
+	asked := int64(m.clock.Now())
+	entries, err := config.LoadEndpoints(s.Path)
+	if err != nil {
+		m.handleFailure(ctx, s.Name, err)
+		return seen
+	}
+	m.handleAnswer(ctx, s.Name, membership.SourceAnswered{AskedAt: asked, Complete: true, Entries: entries})
+	return fileVersion{modified: info.ModTime(), size: info.Size()}
+}
--- /dev/null
+++ b/membership/rules_test.go
@@ -0,0 +1,197 @@
+package membership
+
+import "testing"
+
+// step is an event at a second, and the list after it.
+type step struct {
+	at    Micros // s
+	event Event
+	want  string
+}
+
+var (
+	drainA  = changes(discovery, 20e6, Entry{Name: "a", Address: "a:1", State: Draining, LastStart: UnknownStart})
+	removeA = changes(discovery, 20e6, Entry{Name: "a", State: Removed})
+)
+
+var ruleScripts = map[string][]step{
+	"any source adds": {
+		{1, snapshot(discovery, 1, "a"), "a"},
+		{2, snapshot(dns, 2, "b"), "a b"},
+	},
+	"failure takes nothing": {
+		{1, snapshot(dns, 1, "a", "b"), "a b"},
+		{2, SourceFailed{dns, "no answer"}, "a b"},
+		{3600, SourceFailed{dns, "no answer"}, "a b"},
+		{7200, nil, "a b"},
+	},
+	"nothing is never believed": {
+		{1, snapshot(dns, 1, "a"), "a"},
+		{2, snapshot(dns, 2), "a"},
+		{3600, snapshot(dns, 3600e6), "a"},
+	},
+	"removed from DNS alone": {
+		{1, snapshot(discovery, 1, "a", "b"), "a b"},
+		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
+		{3, snapshot(dns, 3e6, "b"), "b"},
+		{4, snapshot(discovery, 4e6, "a", "b"), "b"},
+	},
+	"removed from discovery": {
+		{1, snapshot(dns, 1, "a", "b"), "a b"},
+		{2, snapshot(discovery, 2e6, "a", "b"), "a b"},
+		{20, removeA, "b"},
+		{21, snapshot(dns, 21e6, "a", "b"), "b"},
+	},
+	"listed anew by the remover": {
+		{1, snapshot(discovery, 1, "a", "b"), "a b"},
+		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
+		{3, snapshot(dns, 3e6, "b"), "b"},
+		{9, snapshot(dns, 9e6, "a", "b"), "a b"},
+	},
+	"listed anew by another": {
+		{1, snapshot(discovery, 1, "b"), "b"},
+		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
+		{3, snapshot(dns, 3e6, "b"), "b"},
+		{4, snapshot(discovery, 4e6, "a", "b"), "a b"},
+	},
+	"a silent remover": {
+		{1, snapshot(discovery, 1, "a", "b"), "a b"},
+		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
+		{3, snapshot(dns, 3e6, "b"), "b"},
+		{602, SourceFailed{dns, "x"}, "b"},
+		{604, nil, "a b"},
+	},
+	"draining": {
+		{1, snapshot(discovery, 1, "a"), "a"},
+		{2, snapshot(dns, 2, "a"), "a"},
+		{20, drainA, "a!"},
+		{21, snapshot(dns, 21e6, "a"), "a!"},
+		{22, snapshot(discovery, 22e6, "a"), "a"},
+	},
+	"a sudden loss is deferred": {
+		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
+		{2, snapshot(dns, 2e6, "a"), "a b c d"},
+		{20, snapshot(dns, 20e6, "a"), "a b c d"},
+		{33, snapshot(dns, 33e6, "a"), "a"},
+	},
+	"a loss that was none": {
+		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
+		{2, snapshot(dns, 2e6, "a"), "a b c d"},
+		{3, snapshot(dns, 3e6, "a", "b", "c", "d"), "a b c d"},
+		{40, snapshot(dns, 40e6, "a"), "a b c d"},
+	},
+	"one that leaves, at once": {
+		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
+		{2, snapshot(dns, 2e6, "a", "b", "c"), "a b c"},
+	},
+	"named as removed, at once": {
+		{1, snapshot(discovery, 1, "a", "b", "c"), "a b c"},
+		{20, removeA, "b c"},
+	},
+	"an older answer": {
+		{1, snapshot(dns, 5e6, "a", "b"), "a b"},
+		{2, snapshot(dns, 4e6, "a"), "a b"},
+	},
+}
+
+// Each part of the rule, as a script.
+func TestRules(t *testing.T) {
+	for name, steps := range ruleScripts {
+		t.Run(name, func(t *testing.T) {
+			s := newState(t, Options{})
+			for i, step := range steps {
+				s.Reduce(step.at*second, step.event)
+				if got := listed(s); got != step.want {
+					t.Errorf("step %d: %q, want %q", i, got, step.want)
+				}
+			}
+		})
+	}
+}
+
+// Permissions bound what a source does: one that may only add neither removes nor drains what others claim.
+func TestPermissions(t *testing.T) {
+	const (
+		discovery Source = iota
+		file
+		watch
+	)
+	s := newState(t, Options{Sources: []SourceOptions{
+		{Name: "discovery", Permissions: allPermissions},
+		{Name: "file", Permissions: Permissions{Add: true}},
+		{Name: "watch", Permissions: Permissions{Remove: true, Drain: true}},
+	}})
+	s.Reduce(1*second, snapshot(discovery, 1, "a", "b"))
+	s.Reduce(2*second, snapshot(file, 2, "a", "c"))
+	s.Reduce(3*second, snapshotOf(file, 3, Entry{Name: "c", Address: "c:1", State: Draining}))
+	s.Reduce(4*second, snapshot(watch, 4, "b", "d", "e"))
+	if got := listed(s); got != "a b c" {
+		t.Errorf("%q", got)
+	}
+	s.Reduce(5*second, snapshot(watch, 5e6, "d", "e"))
+	if got := listed(s); got != "a c" {
+		t.Errorf("%q", got)
+	}
+}
+
+// One address is one node, under the first source's name; a name that moves is a new node, and the old one is removed
+// first.
+func TestNames(t *testing.T) {
+	s := newState(t, Options{})
+	x := Entry{Name: "x.example.org", Address: "10.0.0.1:1", LastStart: UnknownStart}
+	y := Entry{Name: "y.example.org", Address: "10.0.0.2:1", LastStart: UnknownStart}
+	s.Reduce(1*second, snapshotOf(dns, 1, x, y))
+	c := s.Reduce(2*second, snapshotOf(discovery, 2, Entry{Name: "s-1", Address: "10.0.0.1:1", LastStart: 7}))
+	if got := listed(s); got != "x.example.org y.example.org" || len(c.Nodes) != 1 || c.Nodes[0].LastStart != 7 {
+		t.Errorf("%q, %+v", got, c)
+	}
+	moved := y
+	moved.Address = "10.0.0.3:1"
+	c = s.Reduce(3*second, snapshotOf(dns, 3e6, x, moved))
+	if len(c.Nodes) != 2 {
+		t.Fatalf("%+v", c)
+	}
+	if removed := c.Nodes[0]; removed.State != Removed || removed.Address != "10.0.0.2:1" {
+		t.Errorf("%+v", removed)
+	}
+	if added := c.Nodes[1]; added.Address != "10.0.0.3:1" || added.LastStart != 3e6 {
+		t.Errorf("%+v", added)
+	}
+}
+
+// A node flaps: it is removed and listed anew every second. It returns as a new one, later and later, and is removed
+// at once.
+func TestFlappingNodeIsHeldBack(t *testing.T) {
+	s := newDNSState(t)
+	s.Reduce(1*second, snapshot(0, 1, "a", "b"))
+	nodes, _ := s.List()
+	if nodes[0].LastStart != 0 {
+		t.Errorf("started at %d", nodes[0].LastStart)
+	}
+	now := 1 * second
+	var waits []Micros
+	for range 6 {
+		now += second
+		if c := s.Reduce(now, snapshot(0, now, "b")); len(c.Nodes) != 1 || c.Nodes[0].State != Removed {
+			t.Fatalf("at %d it was not removed: %+v", now, c)
+		}
+		now += second
+		listedAt := now
+		c := s.Reduce(now, snapshot(0, now, "a", "b"))
+		for len(c.Nodes) == 0 {
+			at, ok := s.Next()
+			if !ok {
+				t.Fatal("it never returns")
+			}
+			now = at
+			c = s.Reduce(now, nil)
+		}
+		if c.Nodes[0].LastStart != now {
+			t.Errorf("started at %d, back at %d", c.Nodes[0].LastStart, now)
+		}
+		waits = append(waits, now-listedAt)
+	}
+	if waits[0] != 0 || waits[2] != 0 || waits[3] < 2e6 || waits[4] <= waits[3] || waits[5] > 60e6 {
+		t.Errorf("%v", waits)
+	}
+}
--- /dev/null
+++ b/membership/status.go
@@ -0,0 +1,64 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// SourceStatus is a source as operators see it.
+type SourceStatus struct {
+	Name     string
+	Claims   int           // nodes that it lists
+	Suspects int           // of these, nodes whose removal is deferred
+	Age      time.Duration // since its last answer; negative for none
+	Reason   string        // of its last failure
+	Answers  uint64
+	Failures uint64
+	Rejected uint64 // answers and entries that were not believed
+}
+
+// Sources tells of all sources at a point of time.
+func (s *State) Sources(now Micros) []SourceStatus {
+	var all []SourceStatus
+	for _, src := range s.sources {
+		status := SourceStatus{
+			Name:     src.Name,
+			Claims:   src.present,
+			Age:      -1,
+			Reason:   src.lastFailure,
+			Answers:  src.answers,
+			Failures: src.failures,
+			Rejected: src.rejected,
+		}
+		if src.answeredAt > 0 {
+			status.Age = time.Duration(now-src.answeredAt) * time.Microsecond
+		}
+		for _, c := range src.claims {
+			if c.suspect {
+				status.Suspects++
+			}
+		}
+		all = append(all, status)
+	}
+	return all
+}
+
+// List returns all listed nodes by address, each with the names of the sources that claim it.
+func (s *State) List() (nodes []Node, claimedBy [][]string) {
+	for _, address := range slices.Sorted(maps.Keys(s.nodes)) {
+		n := s.nodes[address]
+		if !n.listed {
+			continue
+		}
+		var names []string
+		for _, src := range s.sources {
+			if c, known := src.claims[address]; known && !c.removed {
+				names = append(names, src.Name)
+			}
+		}
+		nodes = append(nodes, n.announced)
+		claimedBy = append(claimedBy, names)
+	}
+	return nodes, claimedBy
+}
