--- a/clusterconfig/doc.go
+++ b/clusterconfig/doc.go
@@ -2,12 +2,12 @@
 // drains, tables of zones and quotas. The safety argument is in docs/agreement.md.
 //
 // Rule. Raft's leader leases the configuration to every broker. A change is committed as pending first; a broker that
-// has heard of it acts on what both versions allow. The change is activated once every lease holder has prepared it or
+// has received it acts on what both versions allow. The change is activated once every lease holder has prepared it or
 // has lost its lease. So from the first moment that any broker acts on version v+1, no broker acts on a value of
 // version v that v+1 forbids, except until the end of a scheduling turn that had already begun. This holds for
 // crashes, restarts, partitions in one or both directions, processes stopped for minutes, and clocks whose rates
-// differ by up to Timing.DriftPPM. A broker that hears nothing goes on serving, restricted to the bottom value of
-// each key, when its lease ends.
+// differ by up to Timing.DriftPPM. A broker that receives no grant goes on serving, restricted to the bottom
+// value of each key, when its lease ends.
 //
 // State. Document is the configuration at one version. State is what the raft log replicates between voters. Lessor
 // is the leader's side of leases and changes, LeaseHolder is every broker's side. Nothing here has to be stored by a
--- a/clusterconfig/lattice.go
+++ b/clusterconfig/lattice.go
@@ -117,8 +117,8 @@
 func (Exact) Bottom() string { return "" }
 
 // Drain is the lattice of a node that may have to drain. Draining a node is always allowed, so Yes is at most No. A
-// broker that has learned of a drain keeps to it without a lease: one that is cut off keeps what it heard last, and
-// Bottom is not used.
+// broker that has received a drain keeps to it without a lease: one that is partitioned keeps what it received last,
+// and Bottom is not used.
 type Drain struct{ Permission }
 
 // Meet implements Lattice: Yes if one of them is.
--- a/clusterconfig/lattice_test.go
+++ b/clusterconfig/lattice_test.go
@@ -34,6 +34,7 @@
 	})
 }
 
+// An operator proposes a value that cannot be used. The fault must name why.
 func TestLatticeCheckRejects(t *testing.T) {
 	for _, c := range []struct {
 		lattice Lattice
--- a/clusterconfig/lease.go
+++ b/clusterconfig/lease.go
@@ -8,9 +8,9 @@
 	DriftPPM Micros // the rates of two clocks differ by at most so many microseconds in a second
 }
 
-// DefaultTiming has a broker that is cut off restrict itself after a second, which is also about how long it can delay
-// a change. A shorter lease costs more renewals and restricts brokers in short network faults; a longer one makes
-// operators wait longer for a change while a broker is unreachable. Crystal clocks stay well below 500 ppm.
+// DefaultTiming has a broker that is partitioned restrict itself after a second, which is also about how long it can
+// delay a change. A shorter lease costs more renewals and restricts brokers in short network faults; a longer one
+// makes operators wait longer for a change while a broker is unreachable. Crystal clocks stay well below 500 ppm.
 var DefaultTiming = Timing{Lease: 1_000_000, DriftPPM: 500}
 
 // ExpiryBound returns a span after which, measured on one clock, a lease has ended on any other.
--- a/clusterconfig/lease_test.go
+++ b/clusterconfig/lease_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A holder sends two renewals and the second overtakes the first. The leader grants the second, begins a change, and
-// grants the first with it. The holder hears the grant with the change and reports that it has prepared it, so the
+// grants the first with it. The holder receives the grant with the change and reports that it has prepared it, so the
 // leader may activate. Then the older grant arrives, which knows nothing of the change: it must not count, or the
 // holder would act on the old version alone. (Found by seed 16568 of the cluster in internal/consensus.)
 func TestOvertakenGrantDoesNotUndoPreparation(t *testing.T) {
--- a/clusterconfig/sim_test.go
+++ b/clusterconfig/sim_test.go
@@ -72,13 +72,13 @@
 
 type simHolder struct {
 	*LeaseHolder
-	index       int
-	clock       simClock
-	incarnation uint64
-	stopped     bool
-	cutUntil    Micros // neither sends nor hears
-	deafUntil   Micros // hears nothing
-	waiting     []func()
+	index            int
+	clock            simClock
+	incarnation      uint64
+	stopped          bool
+	partitionedUntil Micros // neither sends nor receives
+	receivesFrom     Micros // receives nothing before
+	waiting          []func()
 }
 
 func simulate(seed uint64, fault plantedFault) *cluster {
@@ -224,7 +224,7 @@
 	}
 	r := h.Renew(h.clock.read(c.Now))
 	for range 1 + c.random.IntN(10)/9 { // some arrive twice
-		if d := c.drawDelay(); d >= 0 && c.Now >= h.cutUntil {
+		if d := c.drawDelay(); d >= 0 && c.Now >= h.partitionedUntil {
 			c.After(d, func() { c.grant(h, r) })
 		}
 	}
@@ -236,14 +236,14 @@
 	}
 	g := c.lessor.HandleRenewal(c.leaderClock.read(c.Now), r)
 	d := c.drawDelay()
-	if g != nil && d >= 0 && c.Now >= h.cutUntil && c.Now >= h.deafUntil {
-		c.After(d, func() { c.hear(h, *g) })
+	if g != nil && d >= 0 && c.Now >= h.partitionedUntil && c.Now >= h.receivesFrom {
+		c.After(d, func() { c.receive(h, *g) })
 	}
 }
 
-func (c *cluster) hear(h *simHolder, g Grant) {
+func (c *cluster) receive(h *simHolder, g Grant) {
 	if h.stopped { // the kernel keeps the message until the process runs
-		h.waiting = append(h.waiting, func() { c.hear(h, g) })
+		h.waiting = append(h.waiting, func() { c.receive(h, g) })
 		return
 	}
 	now := h.clock.read(c.Now)
@@ -291,9 +291,9 @@
 	case 0:
 		c.loseLeader()
 	case 1:
-		h.cutUntil = c.Now + span
+		h.partitionedUntil = c.Now + span
 	case 2:
-		h.deafUntil = c.Now + span
+		h.receivesFrom = c.Now + span
 	case 3:
 		c.suspend(h, span)
 	case 4:
@@ -311,7 +311,7 @@
 	c.After(max(0, c.nextElection-c.Now)+Micros(c.random.IntN(100_000)), c.elect)
 }
 
-// suspend stops a process; when it runs again it takes a turn before it hears what has arrived meanwhile.
+// suspend stops a process; when it runs again it takes a turn before it receives what has arrived meanwhile.
 func (c *cluster) suspend(h *simHolder, span Micros) {
 	if h.stopped {
 		return
@@ -320,8 +320,8 @@
 	c.After(span, func() {
 		h.stopped = false
 		c.turn(h)
-		for _, hear := range h.waiting {
-			hear()
+		for _, receive := range h.waiting {
+			receive()
 		}
 		h.waiting = nil
 	})
@@ -349,9 +349,9 @@
 	}
 }
 
-// Messages are lost, doubled, late and reordered; links are cut both ways or one way; processes stop for a while,
-// crash and restart; leaders change; clocks drift. No holder may ever act on what a version forbids that another
-// holder acts on. Changes must still be activated, and most turns must have a lease.
+// Messages are lost, doubled, late and reordered; links are partitioned both ways or one way; processes stop for a
+// while, crash and restart; leaders change; clocks drift. No holder may ever act on what a version forbids that
+// another holder acts on. Changes must still be activated, and most turns must have a lease.
 func TestNoContradiction(t *testing.T) {
 	activated, turns, leased := 0, 0, 0
 	for seed := range uint64(*seedCount) {
--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"slices"
 )
 
@@ -90,13 +89,3 @@
 		s.History = slices.Clone(s.History[len(s.History)-MaxHistory:])
 	}
 }
-
-// Clone returns a copy that changes independently.
-func (s *State) Clone() *State {
-	return &State{
-		Document: s.Document.Clone(),
-		Pending:  s.Pending,
-		History:  slices.Clone(s.History),
-		Members:  maps.Clone(s.Members),
-	}
-}
--- a/internal/agreement/bootstrap.go
+++ b/internal/agreement/bootstrap.go
@@ -7,7 +7,8 @@
 
 // In microseconds.
 const (
-	// bootstrapInterval is how often a voter looks whether a cluster is to be bootstrapped.
+	// bootstrapInterval is how often a voter looks whether a cluster is to be bootstrapped. Longer would delay the
+	// first start of a cluster.
 	bootstrapInterval = 100_000
 	// bootstrapTimeout is for how long a bootstrapped cluster may be without its first leader. After that, voters that
 	// took part are gone, and the others start over. Shorter than a few elections would start over needlessly.
@@ -87,7 +88,7 @@
 		s.options.Log.Error("storage not opened", "reason", err)
 		return
 	}
-	for _, c := range s.connections() { // others must hear of the new identity
+	for _, c := range s.connections() { // a new handshake tells others the new identity
 		c.close()
 	}
 }
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -32,7 +32,7 @@
 	callback(r)
 }
 
-// callLeader sends a call to the leader; callback is told the reply, if one comes.
+// callLeader sends a call to the leader; callback is called with the reply, if one comes.
 func (s *Service) callLeader(c operatorCall, callback func(operatorReply)) {
 	c.Broker = s.options.Name
 	c.Number = s.pendingCalls.add(callback)
--- a/internal/agreement/dialer.go
+++ b/internal/agreement/dialer.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// dialTimeout is how long a connection may take to come up.
+	// dialTimeout is how long a connection may take to come up. Longer would keep a broker without a lease at an
+	// address that does not answer, while another voter would.
 	dialTimeout = time.Second
-	// welcomeTimeout is how long the other side may take to answer a hello, its own wait included.
+	// welcomeTimeout is how long the other side may take to answer a hello. It must exceed handshakeTimeout there.
 	welcomeTimeout = 2 * time.Second
 
 	// The pause between attempts grows from minBackoff to maxBackoff, and half of it is random. Shorter would have
@@ -23,7 +24,8 @@
 	maxBackoff          = 2 * time.Second
 	maxBackoffDoublings = 10
 
-	// maxDescents bounds the steps down the tree while a broker looks for a parent: more than the depth of any tree.
+	// maxDescents bounds the steps down the tree while a broker looks for a parent. It is more than the depth of any
+	// tree; without it full brokers could name each other's children for ever.
 	maxDescents = 64
 	// After several rejections the pause grows by a step each attemptsPerBackoff attempts, up to maxParentDoublings.
 	attemptsPerBackoff = 3
--- a/internal/agreement/doc.go
+++ b/internal/agreement/doc.go
@@ -2,10 +2,11 @@
 // decisions of clusterconfig and internal/consensus by the clock, and has the broker's core act on the result.
 //
 // Rule. A few brokers vote; they replicate the configuration by raft, and their leader grants leases. Every other
-// broker attaches to a parent: a voter, or, where that has enough children, a child of it. This tree lets hundreds of
-// brokers hear of a leader that talks to a few. Renewals and operator calls go up in batches; grants fan out by the
-// way on which their renewals came. The promise rests on nothing here: a batch that is late, lost, or takes another way
-// only makes a lease end sooner. A broker that hears nothing goes on serving, restricted, when its lease ends.
+// broker attaches to a parent: a voter, or, where that has enough children, a child of it. This tree lets a leader
+// that has a few connections reach hundreds of brokers. Renewals and operator calls go up in batches; grants fan out
+// by the way on which their renewals came. The promise rests on nothing here: a batch that is late, lost, or takes
+// another way only makes a lease end sooner. A broker that receives no grant goes on serving, restricted, when its
+// lease ends.
 //
 // State and owner. Service.Run starts the service goroutine, which owns the voter, the tree, the batch, the pending
 // calls and the proposals; other goroutines reach these through Service.do. configuration is what the scheduling turn
--- a/internal/agreement/golden_answers_test.go
+++ b/internal/agreement/golden_answers_test.go
@@ -34,21 +34,28 @@
 	`propose {"changes":[{"key":5}]}`, `propose {"changes":[{"value":true}]}`, `propose {"changes":[{"key":{}}]}`,
 }
 
-// collectAnswers makes every answer anew.
-func collectAnswers(t *testing.T) answers {
+// goldenState has the first version active and the second pending.
+func goldenState(t *testing.T) *clusterconfig.State {
 	t.Helper()
 	document, next := goldenDocument()
 	state := clusterconfig.NewState(5, nil)
-	first := document.LastEntry
-	for _, c := range []clusterconfig.Command{{Begin: &first}, {Activate: 1}, {Begin: &next}} {
+	for _, c := range []clusterconfig.Command{{Begin: &document.LastEntry}, {Activate: 1}, {Begin: &next}} {
 		if err := state.Apply(c); err != nil {
 			t.Fatal(err)
 		}
 	}
+	return state
+}
+
+// collectAnswers makes every answer anew.
+func collectAnswers(t *testing.T) answers {
+	t.Helper()
+	document, next := goldenDocument()
+	state := goldenState(t)
 	a := answers{}
 	a.addJSON(t, "export", document)
 	a.addJSON(t, "export empty", &clusterconfig.Document{})
-	a.addJSON(t, "history", []clusterconfig.Entry{first, next})
+	a.addJSON(t, "history", []clusterconfig.Entry{document.LastEntry, next})
 	a.addStatus(t)
 	a["failure"] = strings.TrimSpace(string(failure(kindInvalid, "a \"fault\"")))
 	s := &Service{}
@@ -57,7 +64,7 @@
 	}
 	a.addProposalFaults(state.Document)
 	a.addCommandErrors(state, document, next)
-	a.addHistoryErrors(state)
+	a.addHistoryErrors(state, goldenState(t))
 	a.addLessorErrors(state, next)
 	return a
 }
@@ -126,10 +133,9 @@
 	}
 }
 
-func (a answers) addHistoryErrors(state *clusterconfig.State) {
+func (a answers) addHistoryErrors(state, truncated *clusterconfig.State) {
 	_, err := state.DocumentAt(2)
 	a.addError("version 2", err)
-	truncated := state.Clone()
 	truncated.Document.Version = 9
 	truncated.History[0].Version = 9
 	_, err = truncated.DocumentAt(3)
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -24,7 +24,7 @@
 
 const (
 	goldenFrames  = "testdata/frames.golden"  // one frame a line: name and hex
-	goldenAnswers = "testdata/answers.golden" // one text a line: name and what the console or a peer is told
+	goldenAnswers = "testdata/answers.golden" // one text a line: name and what the console or a peer receives
 	separator     = " => "
 	encodeTries   = 1000 // msgpack writes a map in the order of a Go range, which is random
 )
--- a/internal/agreement/listener.go
+++ b/internal/agreement/listener.go
@@ -13,11 +13,14 @@
 )
 
 const (
-	// handshakeTimeout is how long a connection may take to say who it is.
+	// handshakeTimeout is how long a connection may take to send its hello. Longer would let connections that send
+	// nothing hold slots; shorter would reject brokers on a slow path.
 	handshakeTimeout = time.Second
-	// spareConnections are for the handshakes of brokers that are rejected.
+	// spareConnections are for the handshakes of brokers that will be rejected. With fewer, a full broker could not
+	// name its children to several brokers at once.
 	spareConnections = 8
-	// acceptPause is the wait after a failed accept, as when there are no more file descriptors.
+	// acceptPause is the wait after a failed accept, as when there are no more file descriptors. Without it the loop
+	// would use a whole core.
 	acceptPause = 50 * time.Millisecond
 )
 
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -15,7 +15,7 @@
 // the longest change, which waits for the leases of brokers that are cut off; the console waits a little longer.
 const callTimeout = 6 * time.Second
 
-// defaultHistory is how many versions the history shows if none is asked for.
+// defaultHistory is how many versions the history shows if no number is given: about a screen.
 const defaultHistory = 20
 
 // The commands of an operator.
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -29,7 +29,8 @@
 )
 
 const (
-	// maxProposals bounds the proposals whose callers wait for an end.
+	// maxProposals bounds the proposals whose callers wait for an end. Beyond, a proposal is rejected as if another
+	// change were pending; each costs the leader one entry in a map.
 	maxProposals = 1024
 	// maxConfirmations bounds the confirmations in flight. Only the latest matter: one has to arrive within
 	// LeadershipLease, in which a leader asks for five.
@@ -58,7 +59,8 @@
 	nextReplace clusterconfig.Micros
 }
 
-// Outcome is told the end of a proposal: the entry once it is active, or why it was rejected, or ErrOutcomeUnknown.
+// Outcome is called with the end of a proposal: the entry once it is active, or why it was rejected, or
+// ErrOutcomeUnknown.
 type Outcome func(clusterconfig.Entry, error)
 
 func newLeadership() leadership {
@@ -81,7 +83,7 @@
 	}
 }
 
-// finish tells the caller of a proposal, if it was made here, of its end.
+// finish calls the outcome of a proposal, if it was made here.
 func (l *leadership) finish(hash string, e clusterconfig.Entry, err error) {
 	outcome := l.callers[hash]
 	if outcome == nil {
@@ -177,7 +179,7 @@
 // HasOffer reports whether a lease holder has brought a document of an earlier epoch.
 func (v *Voter) HasOffer() bool { return v.leadership.offer != nil }
 
-// Propose proposes a change. outcome is told its end, maybe before Propose returns.
+// Propose proposes a change. outcome is called with its end, maybe before Propose returns.
 func (v *Voter) Propose(now clusterconfig.Micros, p clusterconfig.Proposal, outcome Outcome) Effects {
 	e, err := v.prepareProposal(now, p)
 	if err == nil {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -11,6 +11,9 @@
 	"junctionwharf/clusterconfig"
 )
 
+// LogVersionActivated is logged by each voter that activates a version. The fleet harness finds it by its text.
+const LogVersionActivated = "version in force"
+
 // minCompactBytes is the size of the log below which it is not compacted. Smaller would write snapshots more often,
 // larger would have a restarted voter replay more.
 const minCompactBytes = 1 << 20
@@ -136,7 +139,7 @@
 	if err := v.leadership.activated(); err != nil {
 		return err
 	}
-	v.options.Logger.Info("version in force", "version", e.Version, "author", e.Proposal.Author,
+	v.options.Logger.Info(LogVersionActivated, "version", e.Version, "author", e.Proposal.Author,
 		"reason", e.Proposal.Reason, "keys", len(e.Proposal.Changes))
 	v.leadership.finish(e.Hash, e, nil)
 	return nil
--- a/internal/consensus/sim_faults_test.go
+++ b/internal/consensus/sim_faults_test.go
@@ -18,12 +18,12 @@
 	h := c.holders[index]
 	switch c.random.IntN(9) {
 	case 0:
-		v.deafUntil = c.Now + span
-		v.muteUntil = c.Now + span
+		v.receivesFrom = c.Now + span
+		v.sendsFrom = c.Now + span
 	case 1:
-		v.deafUntil = c.Now + span
+		v.receivesFrom = c.Now + span
 	case 2:
-		v.muteUntil = c.Now + span
+		v.sendsFrom = c.Now + span
 	case 3:
 		c.suspend(v, span)
 	case 4:
@@ -35,15 +35,15 @@
 		h.stopped = true
 		c.After(span, func() { h.stopped = false })
 	case 8:
-		h.cutUntil = c.Now + span
+		h.partitionedUntil = c.Now + span
 		if c.random.IntN(2) == 0 {
 			c.restartHolder(h, index)
 		}
 	}
 }
 
-// suspend stops a process; when it runs again it is read from before it hears anything, and hears what has arrived
-// meanwhile before its clock ticks.
+// suspend stops a process; when it runs again it is read from before it receives anything, and receives what
+// has arrived meanwhile before its clock ticks.
 func (c *cluster) suspend(v *simVoter, span clusterconfig.Micros) {
 	if v.stopped {
 		return
@@ -90,7 +90,7 @@
 // again: else a majority would be lost, and nothing would go on.
 func (c *cluster) othersComplete() bool {
 	for _, v := range c.voters {
-		if v.stopped || c.Now < v.deafUntil || c.Now < v.muteUntil || v.inJointConfig() {
+		if v.stopped || c.Now < v.receivesFrom || c.Now < v.sendsFrom || v.inJointConfig() {
 			return false
 		}
 		for _, other := range c.voters {
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -57,21 +57,21 @@
 
 type simVoter struct {
 	*Voter
-	name      string
-	clock     simClock
-	storage   Storage
-	stopped   bool
-	waiting   []func()
-	deafUntil clusterconfig.Micros // hears nothing
-	muteUntil clusterconfig.Micros // is heard by nobody
+	name         string
+	clock        simClock
+	storage      Storage
+	stopped      bool
+	waiting      []func()
+	receivesFrom clusterconfig.Micros // receives nothing before
+	sendsFrom    clusterconfig.Micros // what it sends before is lost
 }
 
 type simHolder struct {
 	*clusterconfig.LeaseHolder
-	clock       simClock
-	incarnation uint64
-	stopped     bool
-	cutUntil    clusterconfig.Micros
+	clock            simClock
+	incarnation      uint64
+	stopped          bool
+	partitionedUntil clusterconfig.Micros
 }
 
 // cluster simulates real voters and lease holders on one true time axis. Everything follows from the seed.
@@ -176,12 +176,12 @@
 	for _, m := range e.Messages {
 		m := proto.Clone(m).(*pb.Message) // as over a wire: the storage changes its snapshot in place
 		d := c.drawDelay()
-		if d < 0 || c.Now < from.muteUntil {
+		if d < 0 || c.Now < from.sendsFrom {
 			continue
 		}
 		c.After(d, func() {
 			for _, to := range c.voters {
-				if to.ID() == m.GetTo() && c.Now >= to.deafUntil {
+				if to.ID() == m.GetTo() && c.Now >= to.receivesFrom {
 					c.run(to, func() { c.send(to, to.Step(to.clock.read(c.Now), m)) })
 				}
 			}
@@ -221,8 +221,8 @@
 	}
 	c.run(v, func() { c.send(v, v.Tick(v.clock.read(c.Now))) })
 	for _, other := range c.voters { // a voter that lost its state asks to be taken in
-		heard := !other.stopped && c.Now >= v.deafUntil && c.Now >= other.muteUntil
-		if other != v && heard && c.fault != reusedIdentity {
+		reachable := !other.stopped && c.Now >= v.receivesFrom && c.Now >= other.sendsFrom
+		if other != v && reachable && c.fault != reusedIdentity {
 			m := clusterconfig.Member{Name: other.name, ID: other.ID()}
 			c.send(v, v.ReplaceMember(v.clock.read(c.Now), m))
 		}
@@ -242,7 +242,7 @@
 
 func (c *cluster) renew(h *simHolder) {
 	c.After(clusterconfig.Micros(50_000+c.random.IntN(60_000)), func() { c.renew(h) })
-	if h.stopped || c.Now < h.cutUntil {
+	if h.stopped || c.Now < h.partitionedUntil {
 		return
 	}
 	r := h.Renew(h.clock.read(c.Now))
@@ -256,11 +256,11 @@
 func (c *cluster) answerRenewal(v *simVoter, h *simHolder, r clusterconfig.Renewal) {
 	g := v.HandleRenewal(v.clock.read(c.Now), r)
 	d := c.drawDelay()
-	if g == nil || d < 0 || c.Now < h.cutUntil {
+	if g == nil || d < 0 || c.Now < h.partitionedUntil {
 		return
 	}
 	c.After(d, func() {
-		if !h.stopped && c.Now >= h.cutUntil {
+		if !h.stopped && c.Now >= h.partitionedUntil {
 			h.HandleGrant(h.clock.read(c.Now), *g)
 		}
 	})
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -10,7 +10,7 @@
 const retainedEntries = 64
 
 // Storage is where a voter keeps its state. Save and Compact return once the state is as durable as the storage makes
-// it: what a voter says to others rests on that.
+// it: the messages that a voter sends rest on that.
 type Storage interface {
 	raft.Storage
 	// Save stores what raft has to keep before its messages are sent. Each argument may be empty.
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -22,7 +22,7 @@
 	// heartbeatTicks has a follower miss several heartbeats before it stands for election.
 	heartbeatTicks = 2
 	// maxMissedTicks bounds the ticks that a voter that stood still makes up for: others may lead by now, and an
-	// election on old news would disturb them.
+	// election for a reason that has passed would disturb them.
 	maxMissedTicks = 2
 )
 
