--- /dev/null
+++ b/cmd/junctionwharf/agree_print_test.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+var record = flag.Bool("record", false, "write the golden files anew")
+
+// Operators read the answers of the agree calls as tables: they stay as they are.
+func TestPrintAnswers(t *testing.T) {
+	for _, c := range []struct{ call, answer string }{
+		{"status", "status"},
+		{"status", "status-least"},
+		{"members", "status"},
+		{"history", "history"},
+		{"diff", "diff"},
+		{"export", "export"},
+	} {
+		answer, err := os.ReadFile(filepath.Join("testdata", c.answer+".json"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		var printed bytes.Buffer
+		if err := printAgree(&printed, c.call, answer); err != nil {
+			t.Fatal(err)
+		}
+		golden := filepath.Join("testdata", c.call+"-of-"+c.answer+".txt")
+		if *record {
+			if err := os.WriteFile(golden, printed.Bytes(), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		want, err := os.ReadFile(golden)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if printed.String() != string(want) {
+			t.Errorf("%s of %s:\n%s\nwant:\n%s", c.call, c.answer, printed.String(), want)
+		}
+	}
+}
+
+// An answer that is not JSON is an error, not an empty table.
+func TestPrintFaultyAnswer(t *testing.T) {
+	for _, call := range []string{"status", "members", "history", "diff", "export"} {
+		if err := printAgree(&bytes.Buffer{}, call, []byte("{")); err == nil {
+			t.Errorf("%s: no error", call)
+		}
+	}
+}
