--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -17,7 +17,16 @@
 // fullMessage has every field set.
 var fullMessage = StateMessage{
 	Endpoints: &discovery.EndpointList{Version: 7, Full: true, Endpoints: []discovery.Endpoint{
-		{Name: "a", Address: "127.0.0.1:7001", Zone: "z1", Kind: "ssd", Shard: 3, State: scheduler.Ready, Weight: 0.5, StartedAtMS: 1700000000123},
+		{
+			Name:        "a",
+			Address:     "127.0.0.1:7001",
+			Zone:        "z1",
+			Kind:        "ssd",
+			Shard:       3,
+			State:       scheduler.Ready,
+			Weight:      0.5,
+			StartedAtMS: 1700000000123,
+		},
 		{Name: "b", Address: "127.0.0.1:7002", State: scheduler.Draining, Weight: 1},
 		{Name: "c", State: scheduler.Removed},
 	}},
--- /dev/null
+++ b/internal/handover/listen_test.go
@@ -0,0 +1,86 @@
+package handover
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// dialTest connects to an address.
+func dialTest(t *testing.T, address string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	return conn
+}
+
+// dialMany connects several times.
+func dialMany(t *testing.T, address string, count int) []net.Conn {
+	t.Helper()
+	var conns []net.Conn
+	for range count {
+		conns = append(conns, dialTest(t, address))
+	}
+	return conns
+}
+
+// answerAll accepts so many connections and answers each with a word.
+func answerAll(t *testing.T, listener net.Listener, word string, count int) {
+	t.Helper()
+	for range count {
+		conn, err := listener.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.WriteString(conn, word); err != nil {
+			t.Fatal(err)
+		}
+		_ = conn.Close()
+	}
+}
+
+// checkAnswers reads a word from each connection.
+func checkAnswers(t *testing.T, what string, conns []net.Conn, want string) {
+	t.Helper()
+	for _, conn := range conns {
+		if got, err := io.ReadAll(conn); string(got) != want {
+			t.Errorf("%s: %q, %v", what, got, err)
+		}
+	}
+}
+
+// Eight connections wait in the queue of the old process's listener when it redirects new ones to its successor. The
+// eight are still accepted by the old process; all later ones reach the successor, also once the old listener is
+// closed.
+func TestRedirectNewConnections(t *testing.T) {
+	oldListener, err := Listen("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = oldListener.Close() }()
+	address := oldListener.Addr().String()
+	queued := dialMany(t, address, 8)
+	newListener, err := Listen(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = newListener.Close() }()
+	if err := RedirectNewConnections(oldListener); err != nil {
+		t.Fatal(err)
+	}
+	redirected := dialMany(t, address, 16)
+	answerAll(t, oldListener, "old", len(queued))
+	answerAll(t, newListener, "new", len(redirected))
+	_ = oldListener.Close()
+	late := dialMany(t, address, 2)
+	answerAll(t, newListener, "new", len(late))
+	checkAnswers(t, "in the old queue", queued, "old")
+	checkAnswers(t, "redirected", append(redirected, late...), "new")
+}
