--- /dev/null
+++ b/internal/daemon/console_test.go
@@ -0,0 +1,109 @@
+package daemon
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/logging"
+	"junctionwharf/scheduler"
+)
+
+var record = flag.Bool("record", false, "write the golden files anew")
+
+// checkGolden compares an answer with a golden file.
+func checkGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *record {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// startConsoleOnly builds a control of which only the console runs.
+func startConsoleOnly(t *testing.T, check func() error, more func() []broker.Metric) *control {
+	t.Helper()
+	c := parseConfig(t, fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":"127.0.0.1:1","console":%q,"settings":%s}`,
+		unusedAddress(t), unusedAddress(t), settingsText))
+	k, err := newControl(c, noTransport{}, nil, logging.Discard())
+	if err != nil {
+		t.Fatal(err)
+	}
+	k.parts = k.ports()
+	t.Cleanup(func() { k.parts.stop() })
+	if err := k.openConsole(check, more); err != nil {
+		t.Fatal(err)
+	}
+	if err := k.parts.start(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	return k
+}
+
+// Operators' programs read the console's answers: those of a broker that has just started have the same bytes in each
+// version.
+func TestConsoleAnswers(t *testing.T) {
+	notAccepting := errors.New("no clients are taken")
+	check := func() error { return notAccepting }
+	more := func() []broker.Metric {
+		return []broker.Metric{{Name: "connections_turned_away", Value: 3, Counter: true}}
+	}
+	k := startConsoleOnly(t, check, more)
+	checkAnswer := func(golden, call string) {
+		t.Helper()
+		checkGolden(t, golden, callConsole(t, k.config.Console, call))
+	}
+	checkAnswer("check-failure.txt", "check")
+	notAccepting = nil
+	checkAnswer("check-success.txt", "check")
+	checkAnswer("vars.txt", "vars")
+	checkAnswer("nodes-discovery.txt", "nodes")
+	checkAnswer("agree-off.txt", "agree status")
+	checkAnswer("unknown.txt", "drop all")
+}
+
+// age is the only part of the list of nodes that depends on time.
+var age = regexp.MustCompile(`[0-9.]+m?s ago *`)
+
+// The same for a broker that merges lists of several sources.
+func TestMergedNodesAnswer(t *testing.T) {
+	const nodes = "[[node]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\nzone = \"z1\"\nshare = 1.0\n\n" +
+		"[[node]]\nname = \"b\"\naddress = \"127.0.0.1:7002\"\nshard = 3\nshare = 0.5\npriority = 2\ndraining = true\n"
+	source := config.EndpointSource{Name: "file", Kind: "file", Path: writeFile(t, t.TempDir(), "nodes.toml", nodes)}
+	k := startConsoleOnly(t, func() error { return nil }, func() []broker.Metric { return nil })
+	if err := k.endpoints.ApplySettings(config.Membership{Sources: []config.EndpointSource{source}}); err != nil {
+		t.Fatal(err)
+	}
+	var answer string
+	await(t, "the file's nodes are not listed", func() bool {
+		answer = callConsole(t, k.config.Console, "nodes")
+		return strings.Contains(answer, "127.0.0.1:7002")
+	})
+	checkGolden(t, "nodes-merged.txt", age.ReplaceAllString(answer, "(age) "))
+}
+
+// The same for what the console shows of load balancing.
+func TestNodeShareAnswers(t *testing.T) {
+	shares := []scheduler.NodeShare{
+		{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Share: 0.75},
+		{Node: "b", Shard: 1, Weight: 2, Factor: 0.25, Share: 0.25, Reason: "slow"},
+	}
+	checkGolden(t, "nodes-spread.txt", string(formatShares(shares)))
+	checkGolden(t, "vars-spread.txt", fmt.Sprintf("%v\n", shareMetrics(shares)))
+}
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -10,134 +10,117 @@
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
-	"junctionwharf/internal/pool"
 	"junctionwharf/scheduler"
 )
 
-// SyntheticLoad is what a hollow broker's clients and nodes are drawn to do.
+// The streams of random numbers of one seed.
+const (
+	requestStream = 1
+	answerStream  = 2
+)
+
+// errHollow is what the check of a hollow broker says.
+var errHollow = errors.New("no clients are taken: this broker is hollow")
+
+// SyntheticLoad is what the clients and nodes of a hollow broker are made up to do. It is JSON between the fleet
+// harness and its processes.
 type SyntheticLoad struct {
-	Rate         float64       `json:"Rate"`    // requests a second, each of its own time; 0 for none
+	Rate         float64       `json:"Rate"`    // requests a second, each at its own time; 0 for none
 	Volumes      int           `json:"Volumes"` // drawn from evenly, the same ones at all brokers; at least 1
-	ResponseTime time.Duration `json:"Answer"`  // a node's time for a request, in the mean; exponential
+	ResponseTime time.Duration `json:"Answer"`  // a node's, in the mean; exponential
 	Seed         uint64        `json:"Seed"`
 }
 
-// ServeHollow runs the side of a broker that carries no requests, as Serve builds it, until ctx ends: the watch of discovery, the agreed
-// document, messages between brokers, figures, and the decisions on requests that are drawn and never sent. Many may run in one process. It
-// measures what that side costs in a fleet larger than a machine could hold as processes.
-func ServeHollow(ctx context.Context, c *config.Config, demand SyntheticLoad, log *slog.Logger) error {
-	k, err := newControl(c, &drawn{random: rand.New(rand.NewPCG(demand.Seed, 2)), answer: demand.ResponseTime}, nil, log)
-	if err != nil {
-		return err
+// ServeHollow runs the part of a broker that carries no requests, as Serve builds it, until ctx ends: the watch of
+// discovery, the replicated configuration, messages between brokers, metrics, and the decisions on requests that are
+// made up and never sent. Many may run in one process. It measures what that part costs in a fleet larger than a
+// machine could hold as processes.
+func ServeHollow(ctx context.Context, c *config.Config, load SyntheticLoad, log *slog.Logger) error {
+	transport := &syntheticTransport{
+		random:       rand.New(rand.NewPCG(load.Seed, answerStream)),
+		responseTime: load.ResponseTime,
 	}
-	defer k.close()
-	if err := k.begin(ctx, func() error { return errors.New("no clients are taken: this broker is hollow") }); err != nil {
-		return err
-	}
-	k.demand(ctx, demand)
-	<-ctx.Done()
-	return nil
-}
-
-// ServeControl runs what a machine set aside for control does, until ctx ends: it votes on the agreed document, and feeds brokers that feed
-// nobody themselves. It takes no clients and sends nothing to storage nodes.
-func ServeControl(ctx context.Context, c *config.Config, log *slog.Logger) error {
-	if !c.Site.Agreement.Enabled() || c.Site.Agreement.Listen == "" {
-		return errors.New("agreement: no cluster and listen: a process for control has nothing else to do")
-	}
-	k, err := newControl(c, nowhere{}, nil, log)
+	k, err := newControl(c, transport, nil, log)
 	if err != nil {
 		return err
 	}
-	defer k.close()
-	if err := k.begin(ctx, func() error { return nil }); err != nil {
+	if err := k.startAlone(ctx, func() error { return errHollow }); err != nil {
 		return err
 	}
-	log.Info("serving", "what", "control", "address", c.Site.Agreement.Listen)
+	defer k.parts.stop()
+	k.submitRequests(ctx, load)
 	<-ctx.Done()
-	log.Info("stopped")
-	return nil
-}
-
-// begin has a control run by itself, without fronts and nodes.
-func (k *control) begin(ctx context.Context, check func() error) error {
-	if err := k.open(check, func() []broker.Metric { return nil }); err != nil {
-		return err
-	}
-	if err := k.run(ctx, k.config.CachedEndpoints, func(e broker.PeerMessage) { k.loop.Post(e) }); err != nil {
-		return err
-	}
-	k.reporter.Retune(reportOf(k.config))
-	go k.reporter.Run(ctx)
 	return nil
 }
 
-// nowhere is the transport of a process that has no requests: none is ever started.
-type nowhere struct{}
-
-// Start implements broker.Transport.
-func (nowhere) Start(_ broker.Attempt, done func(broker.Result)) broker.Handle {
-	return pool.FailAttempt(errors.New("a process for control sends nothing"), done)
-}
-
-// Probe implements broker.Transport.
-func (nowhere) Probe(_ string, done func(broker.Result)) {
-	go done(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: errors.New("a process for control sends nothing")}, Load: scheduler.NoLoadReport})
-}
-
-// CloseIdle implements broker.Transport.
-func (nowhere) CloseIdle(string) {}
-
-// demand has drawn requests come until ctx ends.
-func (k *control) demand(ctx context.Context, d SyntheticLoad) {
-	set := k.config.Settings.Scheduler
-	random := rand.New(rand.NewPCG(d.Seed, 1))
-	for d.Rate > 0 {
-		timer := time.NewTimer(time.Duration(random.ExpFloat64() / d.Rate * float64(time.Second)))
+// submitRequests has made-up requests come until ctx ends.
+func (k *control) submitRequests(ctx context.Context, load SyntheticLoad) {
+	random := rand.New(rand.NewPCG(load.Seed, requestStream))
+	for load.Rate > 0 {
+		timer := time.NewTimer(time.Duration(random.ExpFloat64() / load.Rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
 		}
-		class, volume := set.Classes[random.IntN(len(set.Classes))], random.IntN(max(1, d.Volumes))
-		k.loop.Submit(&broker.Request{Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprintf("%016x", volume), Units: 1,
-			Shard: random.IntN(max(1, k.config.Settings.Shards)), Brokers: set.Brokers, Timeout: broker.MicrosOf(class.Deadline), Write: class.Idempotency != scheduler.Idempotent}, func(broker.Response) {})
+		k.loop.Submit(k.drawRequest(random, load), func(broker.Response) {})
+	}
+}
+
+// drawRequest makes up a request. The order of the draws is part of a seed's meaning.
+func (k *control) drawRequest(random *rand.Rand, load SyntheticLoad) *broker.Request {
+	set := k.config.Settings.Scheduler
+	class := set.Classes[random.IntN(len(set.Classes))]
+	volume := random.IntN(max(1, load.Volumes))
+	shard := random.IntN(max(1, k.config.Settings.Shards))
+	return &broker.Request{
+		Class:   class.Name,
+		Plan:    set.Plans[volume%len(set.Plans)].Name,
+		Volume:  fmt.Sprintf("%016x", volume),
+		Units:   1,
+		Shard:   shard,
+		Brokers: set.Brokers,
+		Timeout: broker.MicrosOf(class.Deadline),
+		Write:   class.Idempotency != scheduler.Idempotent,
 	}
 }
 
-// drawn answers attempts after drawn times, without a node. The loop calls it from one goroutine.
-type drawn struct {
-	random *rand.Rand
-	answer time.Duration
+// syntheticTransport answers attempts after random times, without a node. The loop calls it from one goroutine.
+type syntheticTransport struct {
+	random       *rand.Rand
+	responseTime time.Duration
 }
 
 // Start implements broker.Transport.
-func (d *drawn) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
-	a.OnWritten()
-	took := time.Duration(d.random.ExpFloat64() * float64(d.answer))
-	return (*pending)(time.AfterFunc(took, func() { done(broker.Result{Load: scheduler.NoLoadReport}) }))
+func (t *syntheticTransport) Start(attempt broker.Attempt, done func(broker.Result)) broker.Handle {
+	attempt.OnWritten()
+	latency := time.Duration(t.random.ExpFloat64() * float64(t.responseTime))
+	timer := time.AfterFunc(latency, func() { done(broker.Result{Load: scheduler.NoLoadReport}) })
+	return &syntheticAttempt{timer: timer}
 }
 
 // Probe implements broker.Transport.
-func (d *drawn) Probe(_ string, done func(broker.Result)) {
+func (t *syntheticTransport) Probe(_ string, done func(broker.Result)) {
 	go done(broker.Result{Load: scheduler.NoLoadReport})
 }
 
 // CloseIdle implements broker.Transport.
-func (d *drawn) CloseIdle(string) {}
+func (t *syntheticTransport) CloseIdle(string) {}
 
-// pending is an attempt whose answer is drawn.
-type pending time.Timer
+// syntheticAttempt is an attempt whose answer is on its way.
+type syntheticAttempt struct {
+	timer *time.Timer
+}
 
 // Stop implements broker.Handle.
-func (p *pending) Stop() broker.Progress {
-	(*time.Timer)(p).Stop()
+func (a *syntheticAttempt) Stop() broker.Progress {
+	a.timer.Stop()
 	return broker.FullyWritten
 }
 
-// StopSending implements broker.Handle. What was written whole stays.
-func (p *pending) StopSending() {}
+// StopSending implements broker.Handle. What was fully written stays.
+func (a *syntheticAttempt) StopSending() {}
 
 // CancelUnlessWritten implements broker.Handle, as StopSending.
-func (p *pending) CancelUnlessWritten() {}
+func (a *syntheticAttempt) CancelUnlessWritten() {}
--- /dev/null
+++ b/internal/daemon/lifecycle_test.go
@@ -0,0 +1,163 @@
+package daemon
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/fakes"
+)
+
+// holdingNode is a node that answers one request only once it is told to.
+type holdingNode struct {
+	net.Listener
+	received chan string // the request's id
+	release  chan struct{}
+}
+
+func startHoldingNode(t *testing.T) *holdingNode {
+	t.Helper()
+	n := &holdingNode{Listener: listenLocally(t), received: make(chan string, 1), release: make(chan struct{})}
+	go n.serve(t)
+	return n
+}
+
+func (n *holdingNode) serve(t *testing.T) {
+	conn, err := n.Accept()
+	if err != nil {
+		return
+	}
+	defer func() { _ = conn.Close() }()
+	command, err := redcon.NewReader(conn).ReadCommand()
+	if err != nil {
+		return
+	}
+	n.received <- string(command.Args[2])
+	<-n.release
+	if _, err := io.WriteString(conn, "*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"); err != nil {
+		t.Error(err)
+	}
+}
+
+// startCarbon starts a fake Carbon receiver.
+func startCarbon(t *testing.T) *fakes.Carbon {
+	t.Helper()
+	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(carbon.Close)
+	return carbon
+}
+
+// awaitMetrics waits until so many series have a value.
+func awaitMetrics(t *testing.T, carbon *fakes.Carbon, want map[string]float64) {
+	t.Helper()
+	late := make(chan struct{})
+	timer := time.AfterFunc(testTimeout, func() { close(late) })
+	defer timer.Stop()
+	fits := func(latest map[string]fakes.Point, _ []string) bool {
+		for series, value := range want {
+			if latest[series].Value != value {
+				return false
+			}
+		}
+		return true
+	}
+	if !carbon.Await(late, fits) {
+		t.Errorf("%v, want %v", carbon.Latest(), want)
+	}
+}
+
+// The whole program starts, and is told to stop with a request under way. The request is answered, the last metrics
+// are exported, and nothing listens any more.
+func TestServe(t *testing.T) {
+	t.Setenv("TMPDIR", t.TempDir())
+	node := startHoldingNode(t)
+	discovery := startDiscovery(t, readyHost("a", node))
+	carbon := startCarbon(t)
+	address, files := unusedAddress(t), unusedAddress(t)
+	c := newConfig(t, address, discovery.Address(), settingsText)
+	c.Site.SFTP.Listen = files
+	c.Site.SFTP.Connections = 4
+	c.Site.Graphite = config.Graphite{
+		Receiver:  config.Receiver{Address: carbon.Address(), IntervalS: 1, QueueBytes: 1 << 20},
+		Prefix:    "wharf",
+		Transport: "tcp",
+	}
+	broker := startSimpleBroker(c)
+	client := dialClient(t, address)
+	client.ping(t)
+	client.write(t, testRequest{id: "id", units: 2}.encode())
+	if id := <-node.received; id != "id" {
+		t.Errorf("the node got %q", id)
+	}
+	checkFileServer(t, files)
+	awaitMetrics(t, carbon, map[string]float64{
+		"wharf.n1.taken":         1,
+		"wharf.n1.inflight":      1,
+		"wharf.n1.backend_calls": 1,
+	})
+	broker.stop()
+	close(node.release)
+	if got, err := io.ReadAll(client.reader); err != nil || string(got) != "$5\r\nvalue\r\n" {
+		t.Errorf("%q, %v", got, err)
+	}
+	broker.waitEnd(t)
+	if conn, err := net.Dial("tcp", address); err == nil {
+		_ = conn.Close()
+		t.Error("it still listens")
+	}
+	awaitMetrics(t, carbon, map[string]float64{"wharf.n1.all.served": 1})
+}
+
+// lockedBuffer takes log lines from several goroutines.
+type lockedBuffer struct {
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+// Write implements io.Writer.
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
+}
+
+// String is what was written so far.
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.String()
+}
+
+// Where the platform has no Unix sockets the handover stays off: the broker serves, says so once, and leaves no socket.
+func TestServeWithoutHandover(t *testing.T) {
+	dir := t.TempDir()
+	t.Setenv("TMPDIR", dir)
+	discovery := startDiscovery(t)
+	address := unusedAddress(t)
+	c := newConfig(t, address, discovery.Address(), settingsText)
+	c.HandoverDisabled = true
+	var lines lockedBuffer
+	broker := startBroker(c, slog.New(slog.NewTextHandler(&lines, nil)), nil, nil)
+	client := dialClient(t, address)
+	client.ping(t)
+	if files, err := filepath.Glob(filepath.Join(dir, "*.sock*")); err != nil || len(files) > 0 {
+		t.Errorf("a socket was made: %v, %v", files, err)
+	}
+	if !strings.Contains(lines.String(), "handover off") {
+		t.Errorf("the log does not say that the handover is off:\n%s", lines.String())
+	}
+	broker.stop()
+	_ = client.conn.Close()
+	broker.waitEnd(t)
+}
--- /dev/null
+++ b/internal/daemon/reload.go
@@ -0,0 +1,89 @@
+package daemon
+
+import (
+	"context"
+	"os"
+	"strings"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/collectd"
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/resp"
+)
+
+// runReloads loads the configuration again at each signal, until ctx ends.
+func (s *service) runReloads(ctx context.Context, reload <-chan os.Signal, load func() (*config.Config, error)) {
+	current := s.config
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-reload:
+			current = s.reload(current, load)
+		}
+	}
+}
+
+// reload loads the configuration and applies its discovery and settings; all else is in force from the next start on.
+// It returns the configuration in force. It guards against a faulty file, of which only a part would be applied: then
+// the old configuration stands as a whole.
+func (s *service) reload(old *config.Config, load func() (*config.Config, error)) *config.Config {
+	loaded, err := load()
+	if err == nil {
+		err = old.CheckReloadKeys(loaded)
+	}
+	s.loop.Metrics.CountReload(err == nil)
+	if err != nil {
+		s.log.Error("reload turned down, the old configuration stands", "reason", err)
+		s.exporter.Notify(collectd.Notice{
+			Severity: collectd.Failure,
+			Instance: "reload",
+			Text:     "reload turned down: " + err.Error(),
+		})
+		return old
+	}
+	if keys := old.RestartOnlyChanges(loaded); len(keys) > 0 {
+		s.log.Warn("reload: some keys wait for the next start", "keys", strings.Join(keys, ", "))
+	}
+	if loaded.Discovery != old.Discovery {
+		s.watcher.SetAddress(loaded.Discovery)
+	}
+	s.applySettings(loaded)
+	s.log.Info("reloaded", "discovery", loaded.Discovery)
+	current := *old
+	current.ApplyReload(loaded)
+	return &current
+}
+
+// applySettings applies the settings of a configuration. The core comes first: what a server then accepts by the new
+// limits, the core knows.
+func (s *service) applySettings(c *config.Config) {
+	set := c.Settings
+	set.Scheduler.Balancer = s.config.Site.Balancer.Options(s.config.Name) // as at the start
+	if s.agreement != nil {
+		s.agreement.SettingsChanged(set.Scheduler)
+	} else {
+		s.loop.Post(broker.SettingsChanged{Settings: set.Scheduler})
+	}
+	s.clients.SetLimits(resp.NewRequestLimits(set.Scheduler, set.Shards))
+	if s.files != nil && c.Site.SFTP.Listen != "" {
+		s.files.SetMapping(c.Site.SFTP.Plan())
+	}
+	for _, nodes := range s.pools {
+		nodes.SetTimeouts(set.ConnectTimeout.Duration(), set.ConnIdle.Duration())
+	}
+	s.applySources(c.Site.Membership)
+	s.watcher.UpdateOptions(s.watcherOptions(c))
+	s.exporter.Retune(exportSettings(c))
+	s.noteSettings(set.Scheduler)
+}
+
+// applySources applies the sources of the endpoint list. Whether there are any is fixed at the start.
+func (s *service) applySources(membership config.Membership) {
+	if !s.mergesSources() || len(membership.Sources) == 0 {
+		return
+	}
+	if err := s.endpoints.ApplySettings(membership); err != nil { // the configuration checks them before
+		s.log.Error("sources unchanged", "reason", err)
+	}
+}
--- /dev/null
+++ b/internal/daemon/reload_test.go
@@ -0,0 +1,175 @@
+package daemon
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/discovery"
+	"junctionwharf/internal/logging"
+	"junctionwharf/internal/metricsexport"
+	"junctionwharf/internal/resp"
+)
+
+// writeFile writes a file into a directory and returns its path.
+func writeFile(t *testing.T, dir, name, text string) string {
+	t.Helper()
+	path := filepath.Join(dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// fileServerSite is a site file with file commands at an address.
+func fileServerSite(address string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "[sftp]\nlisten = %q\n[sftp.command]\n", address)
+	for _, command := range []string{"open", "read", "stat", "list"} {
+		text.WriteString(command + ` = { class = "read" }` + "\n")
+	}
+	for _, command := range []string{"open_write", "write", "remove"} {
+		text.WriteString(command + ` = { class = "write" }` + "\n")
+	}
+	text.WriteString("[[sftp.volume]]\nprefix = \"/d\"\nvolume = \"v\"\nplan = \"plan\"\n")
+	return text.String()
+}
+
+// An operator moves discovery and sends SIGHUP. The broker asks the new one; neither the program nor a connection of
+// either server ends.
+func TestReloadMovesDiscovery(t *testing.T) {
+	t.Setenv("TMPDIR", t.TempDir())
+	var services [2]string
+	for i := range services {
+		node := startNode(t, func(string) string { return fmt.Sprint(i) })
+		services[i] = startDiscovery(t, readyHost(fmt.Sprint("n", i), node)).Address()
+	}
+	dir := t.TempDir()
+	address, files := unusedAddress(t), unusedAddress(t)
+	site := writeFile(t, dir, "site", fileServerSite(files))
+	configure := func(discovery string) string {
+		return writeFile(t, dir, "config", fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`,
+			address, discovery, withWriteClass(settingsText)))
+	}
+	t.Setenv("BALANCER_CONFIG", configure(services[0]))
+	load := func() (*config.Config, error) {
+		c, err := config.Load(os.Getenv)
+		if err == nil {
+			c.Site, err = config.LoadSite(site, c.Settings.Scheduler)
+		}
+		return c, err
+	}
+	c, err := load()
+	if err != nil {
+		t.Fatal(err)
+	}
+	reload := make(chan os.Signal, 1)
+	broker := startBroker(c, logging.Discard(), reload, load)
+	client, fileConn := dialClient(t, address), dial(t, files)
+	if got := client.ask(t, testRequest{id: "id", units: 2}); got != "0" {
+		t.Fatalf("served by %q", got)
+	}
+	configure(services[1])
+	reload <- syscall.SIGHUP
+	await(t, "discovery did not move", func() bool { return client.ask(t, testRequest{id: "id", units: 2}) == "1" })
+	checkFileConn(t, fileConn)
+	broker.stop()
+	broker.waitEnd(t)
+}
+
+// reloadFault is a change of a configuration that makes it faulty, and the reason in the log.
+type reloadFault struct{ old, new, reason string }
+
+// newReloadService is a service that can reload, but does not run.
+func newReloadService(t *testing.T, c *config.Config, logLine func(string)) *service {
+	t.Helper()
+	log := logging.ToFunc(logLine)
+	state, err := broker.NewState(c.Settings.Scheduler, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Log: log})
+	k := &control{
+		config:   c,
+		log:      log,
+		loop:     loop,
+		exporter: metricsexport.New(metricsexport.Options{}),
+		watcher:  discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}),
+	}
+	limits := resp.NewRequestLimits(c.Settings.Scheduler, 0)
+	return &service{control: k, clients: resp.NewServer(loop, limits, 1, 1, 1, log)}
+}
+
+// An operator reloads faulty files one after the other: each changes nothing and the log names the key. One that is
+// sound but for a key of the start is applied, and the log names that key.
+func TestReloadOfFaultyConfig(t *testing.T) {
+	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":%s}`, settingsText)
+	c := parseConfig(t, text)
+	var lines []string
+	s := newReloadService(t, c, func(line string) { lines = append(lines, line) })
+	loadChanged := func(old, changed string) func() (*config.Config, error) {
+		return func() (*config.Config, error) {
+			return config.Parse([]byte(strings.Replace(text, old, changed, 1)), emptyEnvironment)
+		}
+	}
+	faults := []reloadFault{
+		{`"discovery":"127.0.0.1:2"`, `"discovery":"there"`, `discovery: "there" is no address:port`},
+		{`"name":"n1",`, ``, "name: missing"},
+		{`"floorRate":100,`, ``, "settings.servicelevels.floorrate: missing"},
+		{`"importance":1`, `"importance":null`, "settings.classes.importance: missing"},
+		{`"deadline":6000000`, `"deadline":0`, "settings.classes[0].deadline: it is not above 0"},
+		{`"deadline":6000000`, `"deadline":"6"`, "settings.classes.deadline: a string is no value for it"},
+		{`"maxAttempts":3`, `"maxAttempts":0`, "settings.bounds.maxAttempts: 0 is not above 0"},
+		{text, ``, "unexpected end of JSON input"},
+		{text, text[:len(text)-1], "unexpected end of JSON input"},
+	}
+	for _, fault := range faults {
+		lines = nil
+		current := s.reload(c, loadChanged(fault.old, fault.new))
+		want := "reload turned down, the old configuration stands reason=" + fault.reason
+		if current != c || len(lines) != 1 || lines[0] != want {
+			t.Errorf("%s: %q", fault.new, lines)
+		}
+	}
+	lines = nil
+	moved := loadChanged(`"127.0.0.1:1","discovery":"127.0.0.1:2"`, `"127.0.0.1:3","discovery":"127.0.0.1:4"`)
+	current := s.reload(c, moved)
+	if current.Discovery != "127.0.0.1:4" || current.Listen != c.Listen {
+		t.Errorf("%+v", current)
+	}
+	if len(lines) != 2 || lines[0] != "reload: some keys wait for the next start keys=listen" {
+		t.Errorf("%q", lines)
+	}
+	counts := map[string]uint64{}
+	for _, metric := range s.loop.Metrics.Read() {
+		counts[metric.Name] = metric.Value
+	}
+	if counts["reconfig_ok"] != 1 || counts["reconfig_failed"] != uint64(len(faults)) {
+		t.Errorf("%v", counts)
+	}
+}
+
+// The file in deploy fits settings like the platform's.
+func TestSiteFile(t *testing.T) {
+	const moreClasses = `"importance":1},` +
+		`{"name":"record-write","aim":200000,"deadline":1200000,"effect":"unsafe"},` +
+		`{"name":"bulk-export","aim":750000,"deadline":2500000,"effect":"safe"}]`
+	text := strings.NewReplacer(
+		`"name":"read"`, `"name":"lesson-read"`,
+		`"name":"plan"`, `"name":"padrao"`,
+		`"importance":1}]`, moreClasses,
+	).Replace(settingsText)
+	set, err := config.ParseSettings([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	site, err := config.LoadSite("../../deploy/site.toml", set.Scheduler)
+	if err != nil || site.SFTP.Listen == "" || site.Graphite.Address != "" || site.Collectd.Address != "" {
+		t.Errorf("%+v, %v", site, err)
+	}
+}
--- /dev/null
+++ b/internal/daemon/sizing_test.go
@@ -0,0 +1,38 @@
+package daemon
+
+import (
+	"testing"
+
+	"junctionwharf/internal/config"
+)
+
+// Connections are bounded by memory as well as by sockets: 3,800 of them on 128 MB once left the collector no room,
+// and it took half of the processor while three quarters of the requests found no answer. A small machine keeps what
+// its sockets allow.
+func TestSizes(t *testing.T) {
+	for _, c := range []struct {
+		memoryMB float64
+		sockets  int
+		clients  int
+		maxOpen  int
+	}{
+		{48, 256, 152, 128},
+		{192, 1024, 728, 128},
+		{128, 4096, 2621, 128},
+		{2048, 4096, 3800, 128},
+	} {
+		var conf config.Config
+		conf.Limits = config.Limits{Cores: 2, MemoryMB: c.memoryMB, Sockets: c.sockets}
+		s := computeSizes(&conf, 1)
+		if s.clientSockets != c.clients || s.maxOpen != c.maxOpen {
+			t.Errorf("%v MB, %d sockets: %+v", c.memoryMB, c.sockets, s)
+		}
+		if float64(s.clientSockets*clientBytes) > clientHeapPart*float64(s.heapBytes) {
+			t.Errorf("%v MB: %d clients take over half of %d bytes", c.memoryMB, s.clientSockets, s.heapBytes)
+		}
+		used := s.clientSockets + s.nodeSockets + s.overflow + reservedSockets - minOverflow
+		if s.overflow < minOverflow || used > c.sockets {
+			t.Errorf("%d sockets: %+v", c.sockets, s)
+		}
+	}
+}
--- /dev/null
+++ b/internal/daemon/testkit_test.go
@@ -0,0 +1,325 @@
+package daemon
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/console"
+	"junctionwharf/internal/fakes"
+	"junctionwharf/internal/logging"
+)
+
+// testTimeout bounds all that a test waits for.
+const testTimeout = 10 * time.Second
+
+// settingsText are settings whose deadline no test reaches.
+const settingsText = `{"bounds":{"maxAttempts":3},"nInstances":1,"ordinal":0,"specifics":{"usualUnits":2,"maxUnits":8},
+ "classes":[{"name":"read","aim":5000000,"deadline":6000000,"effect":"safe","importance":1}],
+ "serviceLevels":[{"name":"plan","nominal":100,"floorRate":100,"parts":1,"price":1}],
+ "invariants":{"answerSlack":8000,"drainGrace":2000000}}`
+
+// writeClass is a class of writes, to be added to settingsText.
+const writeClass = `{"name":"write","aim":5000000,"deadline":6000000,"effect":"unsafe"}`
+
+// withWriteClass adds writeClass to settings.
+func withWriteClass(settings string) string {
+	return strings.Replace(settings, `"classes":[`, `"classes":[`+writeClass+`,`, 1)
+}
+
+func emptyEnvironment(string) string { return "" }
+
+// parseConfig reads a configuration's JSON.
+func parseConfig(t *testing.T, text string) *config.Config {
+	t.Helper()
+	c, err := config.Parse([]byte(text), emptyEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// newConfig is the configuration of one broker that listens at address and asks discovery there.
+func newConfig(t *testing.T, address, discovery, settings string) *config.Config {
+	t.Helper()
+	const text = `{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`
+	return parseConfig(t, fmt.Sprintf(text, address, discovery, settings))
+}
+
+func listenLocally(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
+}
+
+// unusedAddress returns an address at which nothing listens.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener := listenLocally(t)
+	_ = listener.Close()
+	return listener.Addr().String()
+}
+
+// dial waits until something listens.
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	for end := time.Now().Add(testTimeout / 2); ; time.Sleep(time.Millisecond) {
+		conn, err := net.Dial("tcp", address)
+		if err == nil {
+			t.Cleanup(func() { _ = conn.Close() })
+			setDeadline(t, conn, testTimeout)
+			return conn
+		}
+		if time.Now().After(end) {
+			t.Fatal(err)
+		}
+	}
+}
+
+func setDeadline(t *testing.T, conn net.Conn, timeout time.Duration) {
+	t.Helper()
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		t.Error(err)
+	}
+}
+
+// await waits until fits says so.
+func await(t *testing.T, what string, fits func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !fits(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("timed out: %s", what)
+		}
+	}
+}
+
+// callConsole makes one call.
+func callConsole(t *testing.T, address, call string) string {
+	t.Helper()
+	answer, err := console.Call(address, call, testTimeout)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(answer)
+}
+
+// testBroker is a broker that runs in this process.
+type testBroker struct {
+	stop  func()
+	ended chan error
+}
+
+// startBroker runs Serve, without reloads if load is nil.
+func startBroker(
+	c *config.Config, log *slog.Logger, reload chan os.Signal, load func() (*config.Config, error),
+) *testBroker {
+	ctx, stop := context.WithCancel(context.Background())
+	b := &testBroker{stop: stop, ended: make(chan error, 1)}
+	go func() { b.ended <- Serve(ctx, c, log, reload, load) }()
+	return b
+}
+
+// startSimpleBroker runs Serve without a log and reloads.
+func startSimpleBroker(c *config.Config) *testBroker {
+	return startBroker(c, logging.Discard(), nil, nil)
+}
+
+// waitEnd waits until the broker has ended without an error.
+func (b *testBroker) waitEnd(t *testing.T) {
+	t.Helper()
+	if err := <-b.ended; err != nil {
+		t.Error(err)
+	}
+}
+
+// startDiscovery starts a fake discovery service.
+func startDiscovery(t *testing.T, hosts ...fakes.Host) *fakes.Discovery {
+	t.Helper()
+	service, err := fakes.NewDiscovery("127.0.0.1:0", hosts...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(service.Close)
+	return service
+}
+
+// readyHost is a host of discovery's list.
+func readyHost(name string, node net.Listener) fakes.Host {
+	return fakes.Host{Host: name, Dial: node.Addr().String(), Health: "SERVING", Share: 1}
+}
+
+// startNode runs a fake node: it answers each request with the value that it has for its id, and says nothing where
+// that is empty.
+func startNode(t *testing.T, value func(id string) string) net.Listener {
+	t.Helper()
+	listener := listenLocally(t)
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serveNodeConn(conn, value)
+		}
+	}()
+	return listener
+}
+
+func serveNodeConn(conn net.Conn, value func(id string) string) {
+	defer func() { _ = conn.Close() }()
+	reader := redcon.NewReader(conn)
+	for {
+		command, err := reader.ReadCommand()
+		if err != nil {
+			return
+		}
+		answer := value(string(command.Args[2]))
+		if answer == "" {
+			continue
+		}
+		if _, err := fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(answer), answer); err != nil {
+			return
+		}
+	}
+}
+
+// testRequest is a request of a client. The zero value of a field but the id means the usual one.
+type testRequest struct {
+	id      string
+	class   string // "read"
+	body    string // of a write
+	wait    int    // milliseconds; 6000
+	volume  string
+	units   int // 1
+	brokers int // 1
+}
+
+// usualVolume is the volume of requests that name none.
+const usualVolume = "00000003b4d60021"
+
+func orDefault[T comparable](value, fallback T) T {
+	var zero T
+	if value == zero {
+		return fallback
+	}
+	return value
+}
+
+// encode is the request's bytes.
+func (r testRequest) encode() string {
+	list := fmt.Sprintf("c=%s,t=plan,d=%d,volume=%s,units=%d,shard=0,hosts=%d",
+		orDefault(r.class, "read"), orDefault(r.wait, 6000), orDefault(r.volume, usualVolume),
+		orDefault(r.units, 1), orDefault(r.brokers, 1))
+	const object = "7f3a9c21e0b4d655"
+	arguments := []string{"BLK.READ", object, r.id, list}
+	if r.body != "" {
+		arguments = []string{"BLK.WRITE", object, r.id, list, r.body}
+	}
+	return encodeCommand(arguments...)
+}
+
+// encodeCommand is a command in RESP2.
+func encodeCommand(arguments ...string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "*%d\r\n", len(arguments))
+	for _, argument := range arguments {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(argument), argument)
+	}
+	return text.String()
+}
+
+// testClient is a client's connection.
+type testClient struct {
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+// dialClient waits until the broker listens.
+func dialClient(t *testing.T, address string) *testClient {
+	t.Helper()
+	return newTestClient(dial(t, address))
+}
+
+func newTestClient(conn net.Conn) *testClient {
+	return &testClient{conn: conn, reader: bufio.NewReader(conn)}
+}
+
+// ping makes sure that the broker serves this connection.
+func (c *testClient) ping(t *testing.T) {
+	t.Helper()
+	c.write(t, encodeCommand("PING"))
+	if line, err := c.reader.ReadString('\n'); line != "+PONG\r\n" {
+		t.Fatal(line, err)
+	}
+}
+
+func (c *testClient) write(t *testing.T, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c.conn, text); err != nil {
+		t.Error(err)
+	}
+}
+
+// tryRequest makes a request and reads the first line of its answer. The broker may have ended.
+func (c *testClient) tryRequest(request testRequest) (string, error) {
+	if _, err := io.WriteString(c.conn, request.encode()); err != nil {
+		return "", err
+	}
+	first, _, err := c.answer()
+	return first, err
+}
+
+// answer reads one answer: its first line, and the value if that announces one.
+func (c *testClient) answer() (first, value string, err error) {
+	first, err = c.reader.ReadString('\n')
+	if err == nil && first[0] == '$' {
+		value, err = c.reader.ReadString('\n')
+	}
+	return first, strings.TrimSpace(value), err
+}
+
+// ask makes a request and reads its answer: the value, or an error's line.
+func (c *testClient) ask(t *testing.T, request testRequest) string {
+	t.Helper()
+	c.write(t, request.encode())
+	first, value, err := c.answer()
+	if err != nil {
+		t.Error(err)
+	}
+	if value == "" {
+		return strings.TrimSpace(first)
+	}
+	return value
+}
+
+// checkFileServer wants the file server to answer the opening of a session.
+func checkFileServer(t *testing.T, address string) {
+	t.Helper()
+	checkFileConn(t, dial(t, address))
+}
+
+// checkFileConn wants the answer to the opening of a session.
+func checkFileConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if _, err := io.WriteString(conn, "\x00\x00\x00\x05\x01\x00\x00\x00\x03"); err != nil {
+		t.Fatal(err)
+	}
+	version := make([]byte, 9)
+	if _, err := io.ReadFull(conn, version); err != nil || string(version) != "\x00\x00\x00\x05\x02\x00\x00\x00\x03" {
+		t.Errorf("the file server: %q, %v", version, err)
+	}
+}
--- /dev/null
+++ b/internal/daemon/transport.go
@@ -0,0 +1,24 @@
+package daemon
+
+import (
+	"junctionwharf/broker"
+	"junctionwharf/internal/pool"
+	"junctionwharf/scheduler"
+)
+
+// noTransport is the transport of a process that has no requests: an attempt fails before anything is sent.
+type noTransport struct{}
+
+// Start implements broker.Transport.
+func (noTransport) Start(_ broker.Attempt, done func(broker.Result)) broker.Handle {
+	return pool.FailAttempt(errSendsNothing, done)
+}
+
+// Probe implements broker.Transport.
+func (noTransport) Probe(_ string, done func(broker.Result)) {
+	err := &broker.AttemptError{Progress: broker.NotConnected, Err: errSendsNothing}
+	go done(broker.Result{Err: err, Load: scheduler.NoLoadReport})
+}
+
+// CloseIdle implements broker.Transport.
+func (noTransport) CloseIdle(string) {}
--- /dev/null
+++ b/internal/daemon/wiring.go
@@ -0,0 +1,125 @@
+package daemon
+
+import (
+	"log/slog"
+	"net"
+	"slices"
+	"sync/atomic"
+	"time"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/config"
+	"junctionwharf/internal/discovery"
+	"junctionwharf/internal/handover"
+	"junctionwharf/internal/pool"
+	"junctionwharf/internal/resp"
+	"junctionwharf/internal/sftp"
+	"junctionwharf/scheduler"
+)
+
+// reuseDelay is how long a connection to a node rests before its next request, so that the end of the last one is
+// seen. Higher, more connections are needed; lower, a request may be sent on a connection that the node is closing.
+const reuseDelay = 5 * time.Millisecond
+
+// clientServer is a server that can hand its clients over to a successor.
+type clientServer interface {
+	Drain()
+	StopAccepting()
+	Close()
+	Count() int
+}
+
+// service is a running broker: a control, and what carries requests.
+type service struct {
+	*control
+	pools   []*pool.Pool // of connections to nodes, one for each server
+	clients *resp.Server
+	files   *sftp.Server // nil if off
+	servers []clientServer
+
+	listeners []net.Listener // of the servers, in their order
+	failed    chan error     // gets the error of a server that ended by itself
+
+	coordinator     *handover.Coordinator   // nil if processes cannot connect
+	handoverOff     bool                    // another process may serve beside this one without a connection to it
+	addressWasInUse bool                    // another process listened at the address before this one did
+	handedOver      *discovery.EndpointList // the list of the old process
+	accepting       atomic.Bool             // clients are accepted
+	classes         atomic.Pointer[[]scheduler.Class]
+	plansHaveLimits atomic.Bool
+}
+
+// newService builds a broker; nothing runs yet, but ports other than the clients' are bound.
+func newService(c *config.Config, log *slog.Logger) (*service, error) {
+	size := computeSizes(c, 1)
+	poolOptions := pool.Options{
+		ConnectTimeout: c.Settings.ConnectTimeout.Duration(),
+		IdleTimeout:    c.Settings.ConnIdle.Duration(),
+		ReuseDelay:     reuseDelay,
+		MaxConnections: size.nodeSockets,
+		LocalIP:        net.ParseIP(c.LocalAddress),
+		Logger:         log,
+	}
+	nodes := pool.New(poolOptions)
+	gate := c.Site.Admission.Controller(c.Settings.Scheduler, size.maxOpen)
+	k, err := newControl(c, resp.NewTransport(nodes), gate, log)
+	if err != nil {
+		return nil, err
+	}
+	s := &service{control: k, failed: make(chan error, 2)}
+	k.handlePeerMessage = s.handlePeerDatagram
+	k.initialEndpoints = s.newestEndpoints
+	k.exportedMetrics = func() []broker.Metric { return append(k.ownMetrics(), s.clientMetric()) }
+	s.addClients(nodes, size)
+	s.noteSettings(c.Settings.Scheduler)
+	s.resize(1)
+	if c.Site.SFTP.Listen != "" {
+		s.addFiles(poolOptions)
+	}
+	return s, nil
+}
+
+// addClients adds the server for clients.
+func (s *service) addClients(nodes *pool.Pool, size sizes) {
+	limits := resp.NewRequestLimits(s.config.Settings.Scheduler, s.config.Settings.Shards)
+	s.clients = resp.NewServer(s.loop, limits, size.clientSockets, size.idleClients, size.requestBytes, s.log)
+	s.clients.RejectOverLimit(size.overflow)
+	s.servers = append(s.servers, s.clients)
+	s.pools = append(s.pools, nodes)
+}
+
+// addFiles adds the server for file commands, with connections of its own.
+func (s *service) addFiles(options pool.Options) {
+	settings := &s.config.Site.SFTP
+	options.Handshake = sftp.Handshake
+	nodes := pool.New(options)
+	transport := sftp.NewTransport(nodes, settings.NodePort)
+	s.files = sftp.NewServer(s.loop, transport, settings.Plan(), settings.Connections, s.log)
+	s.servers = append(s.servers, s.files)
+	s.pools = append(s.pools, nodes)
+}
+
+// clientMetric counts the clients of all servers.
+func (s *service) clientMetric() broker.Metric {
+	return broker.Metric{Name: "clients", Value: uint64(s.clientCount())}
+}
+
+// consoleOnlyMetrics are those that are not exported.
+func (s *service) consoleOnlyMetrics() []broker.Metric {
+	return []broker.Metric{{Name: "connections_turned_away", Value: s.clients.Rejected(), Counter: true}}
+}
+
+func (s *service) clientCount() int {
+	sum := 0
+	for _, server := range s.servers {
+		sum += server.Count()
+	}
+	return sum
+}
+
+// noteSettings notes what the life of the process depends on in the settings that are in force.
+func (s *service) noteSettings(set scheduler.Settings) {
+	s.classes.Store(&set.Classes)
+	hasLimit := func(plan scheduler.Plan) bool { return plan.Limit > 0 }
+	s.plansHaveLimits.Store(slices.ContainsFunc(set.Plans, hasLimit))
+}
