--- /dev/null
+++ b/internal/discovery/drain_test.go
@@ -0,0 +1,273 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/logging"
+	"junctionwharf/scheduler"
+)
+
+// memoryListener is a listener in memory, so that an agent's silence passes on a virtual clock.
+type memoryListener struct {
+	conns chan net.Conn
+	done  chan struct{}
+}
+
+func newMemoryListener() *memoryListener {
+	return &memoryListener{conns: make(chan net.Conn), done: make(chan struct{})}
+}
+
+func (l *memoryListener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.done:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *memoryListener) Close() error {
+	close(l.done)
+	return nil
+}
+
+func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (l *memoryListener) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	here, there := net.Pipe()
+	select {
+	case l.conns <- there:
+		return here, nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// startServer serves from a listener in memory.
+func startServer(t *testing.T, handler http.HandlerFunc) (*http.Server, *memoryListener) {
+	t.Helper()
+	listener := newMemoryListener()
+	server := &http.Server{Handler: handler}
+	go func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			t.Error(err)
+		}
+	}()
+	return server, listener
+}
+
+// answerDrain answers that the node drains, in full or as a change; a poll from that version is held.
+func answerDrain(w http.ResponseWriter, r *http.Request) {
+	answer := ""
+	switch r.URL.Query().Get("index") {
+	case "":
+		answer = strings.Replace(strings.Replace(fullText, "41", "42", 1), "SERVING", "DRAINING", 1)
+	case "41":
+		answer = strings.Replace(changeText, "43", "42", 1)
+	default:
+		<-r.Context().Done()
+	}
+	_, _ = fmt.Fprint(w, answer) // the poll may be given up
+}
+
+// answerFull answers with the full list, in which the node is ready.
+func answerFull(w http.ResponseWriter) {
+	_, _ = fmt.Fprint(w, fullText) // the poll may be given up
+}
+
+// hasDrain tells whether an event says that the node drains.
+func hasDrain(event broker.Event) bool {
+	list, isList := event.(broker.NodesListed)
+	return isList && len(list.Nodes) == 1 && list.Nodes[0].State == scheduler.Draining
+}
+
+// runUntilDrain runs a watcher until it knows of the drain, ends it and the server, and returns when that was.
+func runUntilDrain(w *Watcher, server *http.Server) time.Time {
+	ctx, cancel := context.WithCancel(context.Background())
+	known := make(chan time.Time, 1)
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		w.Run(ctx, broker.NewClock(), func(event broker.Event) {
+			if !hasDrain(event) {
+				return
+			}
+			select {
+			case known <- time.Now():
+			default:
+			}
+		})
+	}()
+	at := <-known
+	cancel()
+	<-ended
+	w.client.CloseIdleConnections()
+	_ = server.Close()
+	synctest.Wait()
+	return at
+}
+
+// notifiedAt is when the rules count what an agent has to say to a poll that fell silent as notified: 6 s after the
+// silence began, or 2 s after the poll's hold if that is later.
+func notifiedAt(poll, silence time.Time, hold time.Duration) time.Time {
+	afterSilence := silence.Add(6 * time.Second)
+	afterHold := poll.Add(hold + 2*time.Second)
+	if afterSilence.After(afterHold) {
+		return afterSilence
+	}
+	return afterHold
+}
+
+// silenceCase is an agent that falls silent for a time.
+type silenceCase struct {
+	grace   time.Duration
+	brokers int
+	before  time.Duration // of the watch before the silence
+	silent  time.Duration
+}
+
+// A watch falls silent at any moment of its life, before its first answer or later, and its agent stays silent for
+// any time. A drain that it learns of meanwhile is known within the settings' grace, counted from the agent's return
+// or from when the rules count the silent poll as notified.
+func TestDrainDuringSilence(t *testing.T) {
+	silences := []time.Duration{
+		0, 170 * time.Millisecond, 900 * time.Millisecond,
+		3100 * time.Millisecond, 11300 * time.Millisecond, 29700 * time.Millisecond,
+	}
+	for _, grace := range []time.Duration{400 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second} {
+		for _, brokers := range []int{1, 300} {
+			for before := time.Duration(0); before < 2*time.Second; before += 370 * time.Millisecond {
+				for _, silent := range silences {
+					c := silenceCase{grace: grace, brokers: brokers, before: before, silent: silent}
+					synctest.Test(t, func(t *testing.T) { checkDrainDuringSilence(t, c) })
+				}
+			}
+		}
+	}
+}
+
+func checkDrainDuringSilence(t *testing.T, c silenceCase) {
+	t.Helper()
+	silence := time.Now().Add(c.before)
+	back := silence.Add(c.silent)
+	var silentPoll time.Time // when the poll that fell silent began
+	server, listener := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+		poll := time.Now()
+		switch {
+		case poll.Before(silence) && r.URL.Query().Get("index") == "":
+			answerFull(w)
+		case poll.Before(back): // it says nothing any more, even after its return
+			if silentPoll.IsZero() {
+				silentPoll = poll
+			}
+			<-r.Context().Done()
+		default:
+			answerDrain(w, r)
+		}
+	})
+	watcher := NewWatcher("agent", Options{Brokers: c.brokers, DrainGrace: c.grace, Log: logging.Discard()})
+	watcher.client.Transport = &http.Transport{DialContext: listener.dial}
+	known := runUntilDrain(watcher, server)
+	notified := back
+	// A watch that is held is silent to who polled, whatever the agent does; a poll for the full list is no watch.
+	if !silentPoll.IsZero() && silentPoll.Before(silence) {
+		if at := notifiedAt(silentPoll, silence, watcher.timeouts.Load().hold); at.After(notified) {
+			notified = at
+		}
+	}
+	if late := known.Sub(notified); late > c.grace {
+		t.Errorf("%+v: known %v after it counts as notified", c, late)
+	}
+}
+
+// failure is a way in which polls fail.
+type failure int
+
+const (
+	pollsRejected  failure = iota // with status 503
+	pollsUnheard                  // no answer comes
+	dialsRefused                  // no connection
+	onePollUnheard                // only the poll that is held hangs; others would be answered
+	failures
+)
+
+// failureCase is a service whose polls fail for a time.
+type failureCase struct {
+	shared  bool
+	grace   time.Duration
+	brokers int
+	failure failure
+	down    time.Duration
+}
+
+// Whatever became of the polls before, rejected, not connected or given up, and whether or not all brokers poll one
+// service: a drain is known 6 s and the grace after discovery had it and could be reached.
+func TestDrainAfterFailedPolls(t *testing.T) {
+	graces := []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second}
+	const longestDown = 24 * time.Second
+	for _, shared := range []bool{false, true} {
+		for _, grace := range graces {
+			for _, brokers := range []int{1, 300} {
+				for kind := range failures {
+					for down := 100 * time.Millisecond; down < longestDown; down += down/3 + 700*time.Millisecond {
+						c := failureCase{shared: shared, grace: grace, brokers: brokers, failure: kind, down: down}
+						synctest.Test(t, func(t *testing.T) { checkDrainAfterFailedPolls(t, c) })
+					}
+				}
+			}
+		}
+	}
+}
+
+func checkDrainAfterFailedPolls(t *testing.T, c failureCase) {
+	t.Helper()
+	fails := time.Now().Add(400 * time.Millisecond)
+	back := fails.Add(c.down)
+	hadDrain := back
+	if c.failure == onePollUnheard {
+		hadDrain = fails.Add(c.down / 2)
+		back = fails
+	}
+	server, listener := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+		poll := time.Now()
+		switch {
+		case poll.Before(fails) && r.URL.Query().Get("index") == "":
+			answerFull(w)
+		case poll.Before(fails) && c.failure != onePollUnheard: // the held poll ends as polls begin to fail
+			time.Sleep(time.Until(fails))
+			http.Error(w, "busy", http.StatusServiceUnavailable)
+		case poll.Before(back) && c.failure == pollsRejected:
+			http.Error(w, "busy", http.StatusServiceUnavailable)
+		case poll.Before(back): // also the held poll of onePollUnheard, which hangs from before
+			<-r.Context().Done()
+		default:
+			answerDrain(w, r)
+		}
+	})
+	watcher := NewWatcher("agent", Options{
+		Brokers:       c.brokers,
+		DrainGrace:    c.grace,
+		SharedService: c.shared,
+		Log:           logging.Discard(),
+	})
+	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
+		if now := time.Now(); c.failure == dialsRefused && !now.Before(fails) && now.Before(back) {
+			return nil, syscall.ECONNREFUSED
+		}
+		return listener.dial(ctx, network, address)
+	}
+	watcher.client.Transport = &http.Transport{DialContext: dial}
+	if late := runUntilDrain(watcher, server).Sub(hadDrain.Add(notifiedAfter)); late > c.grace {
+		t.Errorf("%+v: known %v after it counts as notified", c, late)
+	}
+}
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,101 @@
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"junctionwharf/broker"
+	"junctionwharf/scheduler"
+)
+
+// EndpointList is what discovery answers: the full list, or changed entries. The tags are its keys in a handover's
+// message, between two versions of the program; discovery's own keys are those of wireList.
+type EndpointList struct {
+	Version   uint64     `json:"Seq"`
+	Full      bool       `json:"Whole"`
+	Endpoints []Endpoint `json:"Hosts"`
+}
+
+// Endpoint is a storage node in an EndpointList.
+type Endpoint struct {
+	Name    string `json:"Host"`
+	Address string `json:"Dial"`
+	Zone    string `json:"Site"`
+	Kind    string `json:"Class"`
+
+	Shard       int                 `json:"Block"`
+	State       scheduler.NodeState `json:"State"`
+	Weight      float64             `json:"Share"`  // of the shard's requests, relative to its other nodes
+	StartedAtMS int64               `json:"BornMS"` // milliseconds
+}
+
+// wireList is a list in discovery's protocol.
+type wireList struct {
+	Version   uint64         `json:"seq"`
+	Full      bool           `json:"whole"`
+	Endpoints []wireEndpoint `json:"hosts"`
+}
+
+type wireEndpoint struct {
+	Name        string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
+	Kind        string  `json:"class"`
+	Shard       int     `json:"block"`
+	Health      string  `json:"health"`
+	Weight      float64 `json:"share"`
+	StartedAtMS float64 `json:"born_ms"`
+}
+
+// nodeStates are the values of "health" in discovery's protocol.
+var nodeStates = map[string]scheduler.NodeState{
+	"SERVING":  scheduler.Ready,
+	"DRAINING": scheduler.Draining,
+	"DELETED":  scheduler.Removed,
+}
+
+// ParseList reads a list's JSON.
+func ParseList(text []byte) (*EndpointList, error) {
+	var wire wireList
+	if err := json.Unmarshal(text, &wire); err != nil {
+		return nil, err
+	}
+	list := &EndpointList{Version: wire.Version, Full: wire.Full}
+	for i, entry := range wire.Endpoints {
+		state, known := nodeStates[entry.Health]
+		if !known || entry.Name == "" {
+			return nil, fmt.Errorf("hosts[%d]: host %q has health %q", i, entry.Name, entry.Health)
+		}
+		list.Endpoints = append(list.Endpoints, Endpoint{
+			Name:        entry.Name,
+			Address:     entry.Address,
+			Zone:        entry.Zone,
+			Kind:        entry.Kind,
+			Shard:       entry.Shard,
+			State:       state,
+			Weight:      entry.Weight,
+			StartedAtMS: int64(entry.StartedAtMS),
+		})
+	}
+	return list, nil
+}
+
+// Event turns a list into the core's event.
+func (l *EndpointList) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.NodesListed {
+	event := broker.NodesListed{Kind: kind, Version: l.Version}
+	for _, endpoint := range l.Endpoints {
+		event.Nodes = append(event.Nodes, broker.Node{
+			Endpoint: scheduler.Endpoint{
+				Name:   endpoint.Name,
+				Zone:   endpoint.Zone,
+				Kind:   endpoint.Kind,
+				Shard:  endpoint.Shard,
+				State:  endpoint.State,
+				Weight: endpoint.Weight,
+			},
+			Address:   endpoint.Address,
+			LastStart: clock.FromUnixMilli(endpoint.StartedAtMS),
+		})
+	}
+	return event
+}
