--- a/internal/clientconn/clientconn.go
+++ b/internal/clientconn/clientconn.go
@@ -294,7 +294,7 @@
 
 // Awaited tells whether a connection waits in the kernel's queue because all places are taken, those of connections that are
 // rejected or on their way out among them.
-func (t *Table) Awaited() bool { return t.overflow != nil && t.overflow.Awaited() }
+func (t *Table) Awaited() bool { return t.overflow != nil && t.overflow.HasWaiters() }
 
 // Rejected tells how many connections were beyond the limit and were answered and ended at once.
 func (t *Table) Rejected() uint64 { return t.rejected.Load() }
--- a/internal/clientconn/clientconn_test.go
+++ b/internal/clientconn/clientconn_test.go
@@ -262,7 +262,7 @@
 	for _, g := range conns {
 		h.Remove(g)
 	}
-	if h.limit.Held() != 1 || h.overflow.Held() != 0 {
-		t.Errorf("%d and %d places stay taken", h.limit.Held(), h.overflow.Held())
+	if h.limit.InUse() != 1 || h.overflow.InUse() != 0 {
+		t.Errorf("%d and %d places stay taken", h.limit.InUse(), h.overflow.InUse())
 	}
 }
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -1,7 +1,6 @@
 package pool
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"net"
@@ -9,52 +8,70 @@
 	"time"
 )
 
-// dial is a new connection that comes up for one attempt, in two tries at the most: some connections come up late, or never, on paths
-// on which the next comes up at once. The try that is second has its connection kept for others.
+// errHandshake is the error of a connection on which the handshake failed.
+var errHandshake = errors.New("handshake failed")
+
+// dial brings up a new connection for one attempt. Some connections come up late or never on paths on which the next
+// one comes up at once, so a second dial attempt, the hedge, starts when the first is late. The slower of the two is
+// kept for other attempts.
 type dial struct {
 	pool    *Pool
 	address string
-	waits   context.Context // of who waits for it
-	ctx     context.Context // its own
-	end     func()
-	up      chan upped // the first of the tries to come up, or the last error
+	waiter  context.Context // of the attempt that waits for the connection
+	ctx     context.Context // of the dial itself, bounded by the connect timeout
+	cancel  context.CancelFunc
+	results chan dialResult // the first connection to come up, or the last error
 
 	mu       sync.Mutex
-	released bool // nobody waits for it any more
+	released bool // the attempt does not wait any more
 }
 
-type upped struct {
-	link *link
+// dialResult is how a dial, or one of its attempts, ended: with a connection or an error.
+type dialResult struct {
+	conn *connection
 	err  error
 }
 
-// dial begins to connect. It ends with ctx unless it is released before.
-func (p *Pool) dial(ctx context.Context, address string) *dial {
-	connect, _ := p.times()
-	d := &dial{pool: p, address: address, waits: ctx, up: make(chan upped, 1)}
-	d.ctx, d.end = context.WithTimeout(context.Background(), connect)
+// startDial begins to dial. The dial ends with ctx unless it is released before.
+func (p *Pool) startDial(ctx context.Context, address string) *dial {
+	timeout, _ := p.timeouts()
+	d := &dial{pool: p, address: address, waiter: ctx, results: make(chan dialResult, 1)}
+	d.ctx, d.cancel = context.WithTimeout(context.Background(), timeout)
 	stop := context.AfterFunc(ctx, func() {
-		if !d.isReleased() { // who waits has gone
-			d.end()
+		if !d.isReleased() { // the attempt has ended without a connection
+			d.cancel()
 		}
 	})
 	go func() {
 		defer stop()
-		defer d.end()
+		defer d.cancel()
 		d.run()
 	}()
 	return d
 }
 
-// release leaves what comes up to others: it has cost its node the work already.
+// wait returns the dial's result if it comes before changed is closed and the time is over.
+func (d *dial) wait(timeout time.Duration, changed <-chan struct{}) (result dialResult, ended bool) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case result = <-d.results:
+		return result, true
+	case <-changed:
+	case <-timer.C:
+	}
+	return dialResult{}, false
+}
+
+// release leaves what comes up to other attempts: the node has had the work of accepting it already.
 func (d *dial) release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.released = true
 	select {
-	case came := <-d.up:
-		if came.link != nil {
-			d.pool.put(d.address, came.link)
+	case result := <-d.results:
+		if result.conn != nil {
+			d.pool.putIdle(d.address, result.conn)
 		}
 	default:
 	}
@@ -66,128 +83,91 @@
 	return d.released
 }
 
-// run makes the tries.
+// run makes the dial attempts and returns when all of them have ended.
 func (d *dial) run() {
 	p := d.pool
-	if err := p.slot(d.ctx); err != nil {
-		d.up <- upped{err: err}
+	if err := p.acquireSlot(d.ctx); err != nil {
+		d.results <- dialResult{err: err}
 		return
 	}
 	if d.isReleased() { // before anything was sent
 		p.slots.Release()
 		return
 	}
-	began, tries := time.Now(), make(chan upped, 2)
-	try := func() { l, err := p.open(d.ctx, d.address); tries <- upped{l, err} }
-	go try()
-	again := time.NewTimer(p.patience())
-	defer again.Stop()
-	given := false
-	for out := 1; out > 0; {
+	started := time.Now()
+	attempts := make(chan dialResult, 2)
+	go d.attempt(attempts)
+	hedge := time.NewTimer(p.hedgeDelay())
+	defer hedge.Stop()
+	connected := false
+	for pending := 1; pending > 0; {
 		select {
-		case t := <-tries:
-			out--
-			switch {
-			case t.err == nil:
-				if !given {
-					given = true
-					p.came(time.Since(began))
+		case result := <-attempts:
+			pending--
+			if result.err == nil {
+				if !connected {
+					connected = true
+					p.recordDialTime(time.Since(started))
 				}
-				d.give(t.link)
-			case out == 0 && !given:
-				d.up <- upped{err: t.err}
+				d.deliver(result.conn)
+			} else if pending == 0 && !connected {
+				d.results <- result
 			}
-		case <-again.C:
-			if !given && p.second() {
-				out++
-				go try()
+		case <-hedge.C:
+			if !connected && p.takeHedge() {
+				pending++
+				go d.attempt(attempts)
 			}
 		}
 	}
 }
 
-// give hands a connection to who waits for it, or to others once that has one. Where who waited has gone, each ends.
-func (d *dial) give(l *link) {
+// attempt makes one connection in a slot that was taken for it.
+func (d *dial) attempt(results chan<- dialResult) {
+	conn, err := d.pool.connect(d.ctx, d.address)
+	results <- dialResult{conn: conn, err: err}
+}
+
+// deliver hands a connection to the attempt that waits, or keeps it for others once that one has a connection. If the
+// attempt has ended without one, nobody needs the connection and it is closed.
+func (d *dial) deliver(conn *connection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case d.released:
-		d.pool.put(d.address, l)
-	case d.waits.Err() != nil:
-		d.pool.drop(l)
+		d.pool.putIdle(d.address, conn)
+	case d.waiter.Err() != nil:
+		d.pool.drop(conn)
 		select {
-		case d.up <- upped{err: d.waits.Err()}:
-		default: // the other try has said so
+		case d.results <- dialResult{err: d.waiter.Err()}:
+		default: // the other dial attempt has said so
 		}
 	default:
-		d.up <- upped{link: l}
-		d.released = true // the end of its use does not end the other try
+		d.results <- dialResult{conn: conn}
+		d.released = true // the end of the attempt does not end the other dial attempt
 	}
 }
 
-// open makes one connection, in a place that was taken for it.
-func (p *Pool) open(ctx context.Context, address string) (*link, error) {
+// connect makes one connection, its handshake included. It frees the slot if it fails.
+func (p *Pool) connect(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{KeepAlive: -1}
-	if p.opt.LocalIP != nil {
-		dialer.LocalAddr = &net.TCPAddr{IP: p.opt.LocalIP}
+	if p.options.LocalIP != nil {
+		dialer.LocalAddr = &net.TCPAddr{IP: p.options.LocalIP}
 	}
-	conn, err := dialer.DialContext(ctx, "tcp", address)
+	tcp, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		p.slots.Release()
 		return nil, err
 	}
-	l := &link{Conn: conn, in: bufio.NewReaderSize(conn, 4<<10), used: time.Now()}
-	if p.opt.Handshake != nil {
-		stop := context.AfterFunc(ctx, func() { conn.Close() })
-		err := p.opt.Handshake(conn, l.in)
-		if !stop() || err != nil {
-			p.drop(l)
-			return nil, errors.Join(errors.New("no session"), err)
-		}
+	conn := newConnection(tcp)
+	if p.options.Handshake == nil {
+		return conn, nil
 	}
-	return l, nil
-}
-
-// usual is how long connections usually take to come up, and how many second tries there may be.
-type usual struct {
-	took  time.Duration // about the median: late ones, be they a third, do not move it much
-	tries float64       // second tries that may be made
-}
-
-const (
-	leastPatience = 5 * time.Millisecond // before a second try: less is a moment in which this process did not run
-	usualTimes    = 8                    // times the usual, after which a connection is late
-	usualStep     = 0.05                 // of the usual, by which each connection moves it
-	secondPart    = 0.5                  // second tries for each first one: while none comes up they add up to no more
-	secondMost    = 8
-)
-
-// patience is how long a connection may take before a second try, and counts the first.
-func (p *Pool) patience() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.usual.tries = min(secondMost, p.usual.tries+secondPart)
-	return max(leastPatience, min(usualTimes*p.usual.took, p.connect/2))
-}
-
-// came notes how long a connection took.
-func (p *Pool) came(took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if took < p.usual.took {
-		p.usual.took -= time.Duration(usualStep * float64(p.usual.took))
-	} else {
-		p.usual.took += max(time.Duration(usualStep*float64(p.usual.took)), 50*time.Microsecond)
-	}
-}
-
-// second tells whether a second try may be made, and takes its place.
-func (p *Pool) second() bool {
-	p.mu.Lock()
-	may := p.usual.tries >= 1
-	if may {
-		p.usual.tries--
+	stop := context.AfterFunc(ctx, func() { _ = tcp.Close() }) // ends the handshake
+	err = p.options.Handshake(tcp, conn.reader)
+	if !stop() || err != nil {
+		p.drop(conn)
+		return nil, errors.Join(errHandshake, err)
 	}
-	p.mu.Unlock()
-	return may && p.slots.TryAcquire()
+	return conn, nil
 }
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"io"
 	"net"
 	"runtime"
 	"testing"
@@ -13,157 +12,157 @@
 	"junctionwharf/broker"
 )
 
-// greetByNode makes a new connection come up only when the node sends a byte on it (see welcome). So the test decides
+// handshakeByNode makes a connection come up only when the node sends a byte on it (see welcome). So the test decides
 // which of several connections comes up, whatever the order in which the pool's goroutines run.
-func greetByNode(opt *Options) {
-	opt.Handshake = func(_ net.Conn, in *bufio.Reader) error {
-		_, err := in.ReadByte()
+func handshakeByNode(options *Options) {
+	options.Handshake = func(_ net.Conn, reader *bufio.Reader) error {
+		_, err := reader.ReadByte()
 		return err
 	}
 }
 
-// welcome lets a connection come up that was made with greetByNode.
-func (p *peer) welcome(conn net.Conn) {
-	p.Helper()
-	if _, err := conn.Write([]byte{0}); err != nil {
-		p.Fatal(err)
-	}
+// welcome lets a connection come up that was made with handshakeByNode.
+func (n *testNode) welcome(conn net.Conn) {
+	n.Helper()
+	n.write(conn, "\x00")
 }
 
-// awaitIdle waits until so many connections to an address are idle.
-func awaitIdle(t *testing.T, p *Pool, address string, want int) {
+// expectIdle waits until so many connections are idle.
+func expectIdle(t *testing.T, p *Pool, address string, want int) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		p.mu.Lock()
-		idle := len(p.idle[address])
-		p.mu.Unlock()
+	for deadline := time.Now().Add(waitLimit); ; time.Sleep(time.Millisecond) {
+		idle := idleCount(p, address)
 		if idle == want {
 			return
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d connections are idle, want %d", idle, want)
 		}
 	}
 }
 
-// A connection comes up late: the second try serves the attempt, and what comes up then is kept and serves the next.
-func TestSecondTry(t *testing.T) {
-	opt := options()
-	greetByNode(&opt)
-	node, p := newPeer(t), New(opt)
+// A connection comes up late. The hedge serves the attempt, and the late connection is kept and serves the next one.
+func TestHedgeServesWhereTheFirstDialIsLate(t *testing.T) {
+	options := testOptions()
+	handshakeByNode(&options)
+	node := newTestNode(t)
+	p := New(options)
 	_, results := start(p, node.address, echo)
-	first, second := node.next(), node.next()
+	first := node.accept()
+	second := node.accept()
 	node.welcome(second)
 	node.serve(second)
-	if r := <-results; r.Err != nil || r.Value != "answer\n" {
-		t.Fatalf("%+v", r)
-	}
+	expectAnswer(t, results)
 	node.welcome(first)
-	awaitIdle(t, p, node.address, 2)
+	expectIdle(t, p, node.address, 2)
 	_, results = start(p, node.address, echo)
-	node.serve(first) // the latest used
+	node.serve(first) // the most recently used
 	if r := <-results; r.Err != nil {
 		t.Error(r.Err)
 	}
-	if p.slots.Held() != 2 {
-		t.Errorf("%d places are taken", p.slots.Held())
+	if p.slots.InUse() != 2 {
+		t.Errorf("%d slots are taken", p.slots.InUse())
 	}
 }
 
-// While both tries are late, a connection that its user gives back serves; what comes up later is kept.
-func TestGivenBackServes(t *testing.T) {
-	opt := options()
-	opt.MaxConnections = 3
-	greetByNode(&opt)
-	node, p := newPeer(t), New(opt)
-	p.usual.tries = 0 // on a busy machine the user's own second try would come first and be taken for the other's
-	_, user := start(p, node.address, echo)
-	conn := node.next()
+// While a dial and its hedge are late, another attempt gives its connection back. That serves the attempt that waits,
+// and the late connections are kept.
+func TestConnectionGivenBackServesWhileDialling(t *testing.T) {
+	options := testOptions()
+	options.MaxConnections = 3
+	handshakeByNode(&options)
+	node := newTestNode(t)
+	p := New(options)
+	p.dialTimes.hedgeTokens = 0 // on a busy machine the first attempt's own hedge would come before the second attempt
+	_, firstResults := start(p, node.address, echo)
+	conn := node.accept()
 	node.welcome(conn)
-	node.expectLine(conn) // the user has its connection and makes no further try
+	node.expectRequest(conn) // the first attempt has its connection and makes no hedge any more
 	p.mu.Lock()
-	p.usual.tries = secondMost
+	p.dialTimes.hedgeTokens = maxHedgeTokens
 	p.mu.Unlock()
-	_, waits := start(p, node.address, echo)
-	late := []net.Conn{node.next(), node.next()}
-	io.WriteString(conn, "answer\n")
-	node.serve(conn) // the one that waits has it now
-	for _, results := range []chan broker.Result{user, waits} {
-		if r := <-results; r.Err != nil || r.Value != "answer\n" {
+	_, secondResults := start(p, node.address, echo)
+	late := []net.Conn{node.accept(), node.accept()}
+	node.write(conn, echoAnswer)
+	node.serve(conn) // of the second attempt
+	for _, results := range []chan broker.Result{firstResults, secondResults} {
+		if r := <-results; r.Err != nil || r.Value != echoAnswer {
 			t.Errorf("%+v", r)
 		}
 	}
 	for _, conn := range late {
 		node.welcome(conn)
 	}
-	awaitIdle(t, p, node.address, 3)
-	if p.slots.Held() != 3 {
-		t.Errorf("%d places are taken", p.slots.Held())
+	expectIdle(t, p, node.address, 3)
+	if p.slots.InUse() != 3 {
+		t.Errorf("%d slots are taken", p.slots.InUse())
 	}
 }
 
-// Where connections never come up, second tries are few, take no place that is wanted, and leave none behind.
-func TestSecondTriesAreBounded(t *testing.T) {
-	opt := options()
-	opt.ConnectTimeout, opt.MaxConnections = 30*time.Millisecond, 100
-	greetByNode(&opt)
-	node, p := newPeer(t), New(opt)
-	p.usual.tries = 0
+// Where connections never come up, hedges are few, take no slot that is wanted, and leave none taken.
+func TestHedgesAreBounded(t *testing.T) {
 	const attempts = 20
-	var all []chan broker.Result
+	options := testOptions()
+	options.ConnectTimeout = 30 * time.Millisecond
+	options.MaxConnections = 100
+	handshakeByNode(&options)
+	node := newTestNode(t)
+	p := New(options)
+	p.dialTimes.hedgeTokens = 0
+	var pending []chan broker.Result
 	for range attempts {
 		_, results := start(p, node.address, echo)
-		all = append(all, results)
+		pending = append(pending, results)
 	}
-	tries := 0
-	for done := 0; done < attempts; {
+	dials := 0
+	for ended := 0; ended < attempts; {
 		select {
 		case <-node.conns:
-			tries++
-		case r := <-all[done]:
+			dials++
+		case r := <-pending[ended]:
 			if r.Err == nil {
 				t.Error("served by nobody")
 			}
-			done++
+			ended++
 		}
 	}
-	for ; len(node.conns) > 0; tries++ {
+	for len(node.conns) > 0 {
 		<-node.conns
+		dials++
 	}
-	if p.CloseExpired(time.Now()); len(p.news) > 0 {
-		t.Errorf("%d addresses are kept at which nobody waits", len(p.news))
+	p.CloseExpired(time.Now())
+	if len(p.idleChanged) > 0 {
+		t.Errorf("%d addresses are kept for which nobody waits", len(p.idleChanged))
 	}
-	if tries > attempts+attempts/2 {
-		t.Errorf("%d tries for %d attempts", tries, attempts)
+	if dials > attempts+attempts/2 {
+		t.Errorf("%d dials for %d attempts", dials, attempts)
 	}
 }
 
-// Who waited for a connection is gone by the time that both tries come up: neither stays up for nobody. Either was once kept, where
-// the other had ended.
-func TestNeitherTryStaysForNobody(t *testing.T) {
-	opt := options()
-	up, greeted := make(chan struct{}), make(chan struct{}, 2)
-	opt.Handshake = func(net.Conn, *bufio.Reader) error {
-		greeted <- struct{}{}
-		<-up
+// An attempt is gone by the time that its dial and its hedge both come up. Neither connection stays up for nobody: one
+// of them was once kept where the other had ended.
+func TestNoConnectionStaysForAnAttemptThatIsGone(t *testing.T) {
+	options := testOptions()
+	connected := make(chan struct{})
+	dialled := make(chan struct{}, 2)
+	options.Handshake = func(net.Conn, *bufio.Reader) error {
+		dialled <- struct{}{}
+		<-connected
 		return nil
 	}
-	node, p := newPeer(t), New(opt)
-	waits, gone := context.WithCancel(context.Background())
-	d := p.dial(waits, node.address)
-	<-greeted
-	<-greeted
-	d.mu.Lock() // nothing hears that it has gone before both are up
-	gone()
-	close(up)
+	node := newTestNode(t)
+	p := New(options)
+	attempt, leave := context.WithCancel(context.Background())
+	d := p.startDial(attempt, node.address)
+	<-dialled
+	<-dialled
+	d.mu.Lock() // nothing notices that it has gone before both are up
+	leave()
+	close(connected)
 	runtime.Gosched()
 	d.mu.Unlock()
-	if came := <-d.up; came.link != nil || !errors.Is(came.err, context.Canceled) {
-		t.Errorf("%+v", came)
-	}
-	for end := time.Now().Add(5 * time.Second); p.slots.Held() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%d connections stay up", p.slots.Held())
-		}
+	if result := <-d.results; result.conn != nil || !errors.Is(result.err, context.Canceled) {
+		t.Errorf("%+v", result)
 	}
+	eventually(t, "no connection stays up", func() bool { return p.slots.InUse() == 0 })
 }
--- /dev/null
+++ b/internal/pool/exchange_test.go
@@ -0,0 +1,199 @@
+package pool
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"testing"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/logging"
+)
+
+// An exchange fails before it has a connection, before its decisive message, or behind it. Its error tells which, for
+// only what was fully written may have been executed.
+func TestErrorTellsProgress(t *testing.T) {
+	t.Run("not connected", func(t *testing.T) {
+		unused, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = unused.Close()
+		_, results := start(New(testOptions()), unused.Addr().String(), echo)
+		expectProgress(t, results, broker.NotConnected)
+	})
+	t.Run("answer lost", func(t *testing.T) {
+		node := newTestNode(t)
+		_, results := start(New(testOptions()), node.address, echo)
+		conn := node.accept()
+		node.expectRequest(conn)
+		_ = conn.Close()
+		expectProgress(t, results, broker.FullyWritten)
+	})
+	t.Run("before the decisive message", func(t *testing.T) {
+		node := newTestNode(t)
+		_, results := start(New(testOptions()), node.address, func(e *Exchange) (broker.Result, error) {
+			if err := e.Send(net.Buffers{[]byte(echoRequest)}, 0); err != nil {
+				return broker.Result{}, err
+			}
+			_, err := e.Reader.ReadString('\n')
+			return broker.Result{}, err
+		})
+		conn := node.accept()
+		node.expectRequest(conn)
+		_ = conn.Close()
+		expectProgress(t, results, broker.PartiallyWritten)
+	})
+}
+
+// An attempt is stopped. Its sending must have ended when Stop returns, and no result may follow.
+func TestStopEndsSending(t *testing.T) {
+	node := newTestNode(t)
+	p := New(testOptions())
+	handle, results := start(p, node.address, echo)
+	conn := node.accept()
+	node.expectRequest(conn)
+	if progress := handle.Stop(); progress != broker.FullyWritten {
+		t.Errorf("stopped %v", progress)
+	}
+	node.expectEnd(conn)
+	for decisive, want := range map[int]broker.Progress{
+		largeMessage: broker.PartiallyWritten,
+		0:            broker.PartiallyWritten,
+		1:            broker.FullyWritten,
+	} {
+		handle, _ = start(p, node.address, sendLarge(decisive))
+		node.expectBytes(node.accept(), 1)
+		if progress := handle.Stop(); progress != want {
+			t.Errorf("stopped %v in the middle of a write of which %d bytes are decisive", progress, decisive)
+		}
+	}
+	select {
+	case r := <-results:
+		t.Errorf("a result after Stop: %+v", r)
+	default:
+	}
+}
+
+// expectBytes reads so many bytes of a message.
+func (n *testNode) expectBytes(conn net.Conn, count int) {
+	n.Helper()
+	if _, err := io.ReadFull(conn, make([]byte, count)); err != nil {
+		n.Fatal(err)
+	}
+}
+
+// StopSending lets a fully written message have its answer, and forbids the next one.
+func TestStopSendingKeepsTheAnswer(t *testing.T) {
+	node := newTestNode(t)
+	p := New(testOptions())
+	handle, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
+		r, err := echo(e)
+		if err == nil && !errors.Is(e.Send(net.Buffers{[]byte("more\n")}, 0), errSendingStopped) {
+			t.Error("it may still send")
+		}
+		return r, err
+	})
+	conn := node.accept()
+	node.expectRequest(conn)
+	handle.StopSending()
+	node.write(conn, echoAnswer)
+	if r := <-results; r.Err != nil {
+		t.Errorf("%+v", r)
+	}
+	node.expectEnd(conn)
+}
+
+// StopSending leaves a write that is under way: the node may have the whole message already.
+func TestStopSendingDuringWrite(t *testing.T) {
+	node := newTestNode(t)
+	p := New(testOptions())
+	large := sendLarge(largeMessage)
+	handle, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
+		if _, err := large(e); err != nil {
+			return broker.Result{}, err
+		}
+		line, err := e.Reader.ReadString('\n')
+		return broker.Result{Value: line}, err
+	})
+	conn := node.accept()
+	node.expectBytes(conn, 1)
+	handle.StopSending()
+	node.expectBytes(conn, largeMessage-1)
+	node.write(conn, echoAnswer)
+	expectAnswer(t, results)
+}
+
+// The client of an attempt has gone. Its message is not sent, or cut if it is being sent; only if it was fully written
+// the node hears of it, and its answer still comes.
+func TestCancelUnlessWritten(t *testing.T) {
+	t.Run("while dialling", cancelWhileDialling)
+	t.Run("during a write", cancelDuringWrite)
+	t.Run("fully written", cancelWhenWritten)
+}
+
+func cancelWhileDialling(t *testing.T) {
+	options := testOptions()
+	connected := make(chan struct{})
+	options.Handshake = func(net.Conn, *bufio.Reader) error {
+		<-connected
+		return nil
+	}
+	node := newTestNode(t)
+	handle, results := start(New(options), node.address, echo)
+	conn := node.accept()
+	handle.CancelUnlessWritten()
+	close(connected)
+	expectProgress(t, results, broker.NotConnected)
+	node.expectEnd(conn)
+}
+
+func cancelDuringWrite(t *testing.T) {
+	node := newTestNode(t)
+	handle, results := start(New(testOptions()), node.address, sendLarge(largeMessage))
+	conn := node.accept()
+	node.expectBytes(conn, 1)
+	handle.CancelUnlessWritten()
+	expectProgress(t, results, broker.PartiallyWritten)
+	if count, err := io.Copy(io.Discard, conn); count >= largeMessage-1 {
+		t.Errorf("the message came whole: %v", err)
+	}
+}
+
+func cancelWhenWritten(t *testing.T) {
+	node := newTestNode(t)
+	p := New(testOptions())
+	results := make(chan broker.Result, 1)
+	written := make(chan struct{}) // the node may have the whole message before its writer knows
+	handle := p.Start(node.address, echo, 0, func() { close(written) }, func(r broker.Result) { results <- r })
+	conn := node.accept()
+	node.expectRequest(conn)
+	<-written
+	handle.(*Exchange).currentProgress() // waits until the writer has recorded its progress
+	handle.CancelUnlessWritten()
+	node.write(conn, echoAnswer)
+	expectAnswer(t, results)
+}
+
+// An exchange panics. That ends its attempt, which may have been executed, and nothing else.
+func TestPanicEndsOneExchange(t *testing.T) {
+	options := testOptions()
+	lines := make(chan string, 1)
+	options.Logger = logging.ToFunc(func(line string) { lines <- line })
+	node := newTestNode(t)
+	p := New(options)
+	_, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
+		if err := e.Send(net.Buffers{[]byte(echoRequest)}, len(echoRequest)); err != nil {
+			return broker.Result{}, err
+		}
+		panic("fault")
+	})
+	expectProgress(t, results, broker.FullyWritten)
+	if line := <-lines; line != "panic front=nodes panic=fault" {
+		t.Error(line)
+	}
+	if p.slots.InUse() != 0 {
+		t.Error("the connection is kept")
+	}
+}
--- /dev/null
+++ b/internal/pool/helpers_test.go
@@ -0,0 +1,169 @@
+package pool
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/logging"
+)
+
+// waitLimit is how long a test waits for what must happen before it fails.
+const waitLimit = 5 * time.Second
+
+// largeMessage is more bytes than the socket buffers of a loopback connection hold, so that a write of it blocks.
+const largeMessage = 64 << 20
+
+const (
+	echoRequest = "line\n"
+	echoAnswer  = "answer\n"
+)
+
+// testNode is a node that hands its connections to the test.
+type testNode struct {
+	*testing.T
+	address string
+	conns   chan net.Conn
+}
+
+func newTestNode(t *testing.T) *testNode {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	node := &testNode{T: t, address: listener.Addr().String(), conns: make(chan net.Conn, 16)}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			node.conns <- conn
+		}
+	}()
+	return node
+}
+
+// accept returns the node's next connection.
+func (n *testNode) accept() net.Conn {
+	n.Helper()
+	select {
+	case conn := <-n.conns:
+		n.Cleanup(func() { _ = conn.Close() })
+		if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
+			n.Fatal(err)
+		}
+		return conn
+	case <-time.After(waitLimit):
+		n.Fatal("no connection came")
+		return nil
+	}
+}
+
+// write sends text on a connection of the node.
+func (n *testNode) write(conn net.Conn, text string) {
+	n.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		n.Fatal(err)
+	}
+}
+
+// expectRequest reads the request that echo sends.
+func (n *testNode) expectRequest(conn net.Conn) {
+	n.Helper()
+	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != echoRequest {
+		n.Fatalf("%q, %v", line, err)
+	}
+}
+
+// serve answers one request of echo.
+func (n *testNode) serve(conn net.Conn) {
+	n.Helper()
+	n.expectRequest(conn)
+	n.write(conn, echoAnswer)
+}
+
+// expectEnd checks that the pool ends a connection without sending anything more.
+func (n *testNode) expectEnd(conn net.Conn) {
+	n.Helper()
+	if count, err := conn.Read(make([]byte, 1)); count > 0 || !errors.Is(err, io.EOF) {
+		n.Errorf("%d bytes, %v: want the end of the connection", count, err)
+	}
+}
+
+// echo sends a line in two parts and reads one.
+func echo(e *Exchange) (broker.Result, error) {
+	if err := e.Send(net.Buffers{[]byte("li"), []byte("ne\n")}, len(echoRequest)); err != nil {
+		return broker.Result{}, err
+	}
+	line, err := e.Reader.ReadString('\n')
+	return broker.Result{Value: line}, err
+}
+
+// sendLarge returns an exchange that sends a message which blocks until the node reads.
+func sendLarge(decisive int) ExchangeFunc {
+	message := make([]byte, largeMessage)
+	return func(e *Exchange) (broker.Result, error) {
+		return broker.Result{}, e.Send(net.Buffers{message}, decisive)
+	}
+}
+
+// start begins an exchange whose results come over a channel.
+func start(p *Pool, address string, call ExchangeFunc) (broker.Handle, chan broker.Result) {
+	results := make(chan broker.Result, 2)
+	handle := p.Start(address, call, 0, nil, func(r broker.Result) { results <- r })
+	return handle, results
+}
+
+// expectAnswer checks that an exchange of echo was answered.
+func expectAnswer(t *testing.T, results <-chan broker.Result) {
+	t.Helper()
+	if r := <-results; r.Err != nil || r.Value != echoAnswer {
+		t.Fatalf("%+v", r)
+	}
+}
+
+// expectProgress checks how far an exchange had come when it failed, and that it names a cause.
+func expectProgress(t *testing.T, results <-chan broker.Result, want broker.Progress) {
+	t.Helper()
+	r := <-results
+	var failed *broker.AttemptError
+	if r.Err == nil || !errors.As(error(r.Err), &failed) || failed.Unwrap() == nil {
+		t.Fatalf("%+v: want an error with its cause", r)
+	}
+	if failed.Progress != want {
+		t.Errorf("%v (%v), want %v", failed.Progress, failed, want)
+	}
+}
+
+func testOptions() Options {
+	return Options{
+		ConnectTimeout: 2 * time.Second,
+		IdleTimeout:    time.Hour,
+		MaxConnections: 2,
+		Logger:         logging.Discard(),
+	}
+}
+
+// idleCount is the number of idle connections to an address.
+func idleCount(p *Pool, address string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.idle[address])
+}
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(waitLimit); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -187,7 +187,7 @@
 // arrived waits until what a peer wrote stands unread in a client's socket.
 func (e *ending) arrived(c *client) {
 	e.Helper()
-	e.until("it has come", func() bool { return !pool.Silent(c.guard.Conn) })
+	e.until("it has come", func() bool { return !pool.IsQuiet(c.guard.Conn) })
 }
 
 // The place of a connection is wanted behind an answer that its client has not read yet, and other requests cross the end. The answer
--- a/internal/resp/figures_test.go
+++ b/internal/resp/figures_test.go
@@ -64,7 +64,7 @@
 		answered <- struct{}{}
 	}
 	ask()
-	for end := time.Now().Add(5 * time.Second); !p.Rests(ln.Addr().String()); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); !p.HasIdle(ln.Addr().String()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection was not kept")
 		}
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -311,7 +311,7 @@
 		return false
 	}
 	phase := c.guard.phase.Load()
-	if phase == working || phase == halfWay && how == gently || !pool.Silent(c.guard.Conn) {
+	if phase == working || phase == halfWay && how == gently || !pool.IsQuiet(c.guard.Conn) {
 		return false
 	}
 	c.leave = how
@@ -333,7 +333,7 @@
 	case how == stays:
 		c.mu.Unlock()
 		return false, false
-	case c.owes() || how == gently && (came || half || !pool.Silent(c.guard.Conn)):
+	case c.owes() || how == gently && (came || half || !pool.IsQuiet(c.guard.Conn)):
 		c.leave = stays
 		c.guard.rest()
 		c.mu.Unlock()
@@ -343,7 +343,7 @@
 		c.mu.Unlock()
 		c.busy()
 		return false, true
-	case !pool.Silent(c.guard.Conn):
+	case !pool.IsQuiet(c.guard.Conn):
 		c.guard.rest()
 		c.mu.Unlock()
 		return false, true
@@ -386,7 +386,7 @@
 			}
 		}
 		switch {
-		case idle && (c.owed() || c.guard.woken() || !pool.Silent(c.guard.Conn)):
+		case idle && (c.owed() || c.guard.woken() || !pool.IsQuiet(c.guard.Conn)):
 			continue // it says nothing because it waits, it was asked to leave and stays, or a request has begun to come
 		case errors.Is(err, errProtocol) || errors.Is(err, errSlow):
 			c.refuse(err)
@@ -706,7 +706,7 @@
 // linger waits, not for long, until who reads has dropped what came behind a malformed command, so that the close is no reset. It
 // is no longer than that takes: a whole request that came on the open connection meanwhile would be taken, by the protocol.
 func (c *client) linger() {
-	for end := time.Now().Add(partTime); !pool.Silent(c.guard.Conn) && time.Now().Before(end); {
+	for end := time.Now().Add(partTime); !pool.IsQuiet(c.guard.Conn) && time.Now().Before(end); {
 		time.Sleep(partTime / 10)
 	}
 }
--- a/internal/resp/nodes.go
+++ b/internal/resp/nodes.go
@@ -24,12 +24,12 @@
 	if !ok {
 		return pool.FailAttempt(errors.New("not a RESP request"), done)
 	}
-	return n.pool.Start(a.Address, func(s *pool.Session) (broker.Result, error) {
-		command := m.forward(a.Timeout - broker.MicrosOf(s.Waited()))
-		if err := s.Send(command, pool.Size(command)); err != nil {
+	return n.pool.Start(a.Address, func(s *pool.Exchange) (broker.Result, error) {
+		command := m.forward(a.Timeout - broker.MicrosOf(s.Elapsed()))
+		if err := s.Send(command, pool.MessageSize(command)); err != nil {
 			return broker.Result{}, err
 		}
-		result, left, err := readReply(s.In)
+		result, left, err := readReply(s.Reader)
 		if err == nil && left.long > 0 {
 			err = pass(s, left.long, result)
 		}
@@ -42,20 +42,20 @@
 
 // finish reads what follows a value. The client waits for it only where all of it has come: figures may be late, or
 // so spoilt that they never end.
-func finish(s *pool.Session, left rest, result *broker.Result) {
-	at, _ := s.In.Peek(s.In.Buffered())
+func finish(s *pool.Exchange, left rest, result *broker.Result) {
+	at, _ := s.Reader.Peek(s.Reader.Buffered())
 	trial := *result
 	if left.long == 0 && readRest(bufio.NewReaderSize(bytes.NewReader(at), 2*maxLine), left.parts, &trial) != nil {
-		s.Hand(*result)
+		s.Deliver(*result)
 	}
-	s.Tidy(func() error { return readRest(s.In, left.parts, result) })
+	s.ReadTrailer(func() error { return readRest(s.Reader, left.parts, result) })
 }
 
 // pass hands a long value to whoever waits for it and returns when that has taken it whole.
-func pass(s *pool.Session, size int, result broker.Result) error {
-	value := newStream(size, s.In, s.Await)
+func pass(s *pool.Exchange, size int, result broker.Result) error {
+	value := newStream(size, s.Reader, s.SetReadTimeout)
 	result.Value = value
-	if !s.Hand(result) {
+	if !s.Deliver(result) {
 		return errDropped
 	}
 	return value.wait(s.Stopped())
@@ -63,11 +63,11 @@
 
 // Probe implements broker.Transport.
 func (n *Transport) Probe(address string, done func(broker.Result)) {
-	n.pool.Start(address, func(s *pool.Session) (broker.Result, error) {
+	n.pool.Start(address, func(s *pool.Exchange) (broker.Result, error) {
 		if err := s.Send(net.Buffers{[]byte("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n")}, 0); err != nil {
 			return broker.Result{}, err
 		}
-		return readProbe(s.In)
+		return readProbe(s.Reader)
 	}, probeTime, nil, done)
 }
 
--- a/internal/semaphore/semaphore.go
+++ b/internal/semaphore/semaphore.go
@@ -1,4 +1,7 @@
 // Package semaphore is a counting semaphore whose size can change, as for descriptors that several processes share.
+//
+// A Semaphore guards itself and starts no goroutine. Its size is a number of slots. A smaller size takes no slot away:
+// what is held beyond it is held until it is released.
 package semaphore
 
 import (
@@ -6,47 +9,41 @@
 	"sync"
 )
 
-// Semaphore is a number of places, of which so many are held.
+// Semaphore is a number of slots, some of which are in use.
 type Semaphore struct {
-	mu      sync.Mutex
-	held    int
-	most    int
-	waiting int           // calls of Acquire that wait
-	changed chan struct{} // closed when a place may have come free, nil if nobody has waited since
+	mu      sync.Mutex // guards what follows
+	inUse   int
+	size    int
+	waiters int           // calls of Acquire that wait
+	changed chan struct{} // closed when a slot may have become free, nil if nobody has waited since
 }
 
-// New returns a semaphore of so many places.
-func New(most int) *Semaphore { return &Semaphore{most: most} }
+// New returns a semaphore of so many slots.
+func New(size int) *Semaphore { return &Semaphore{size: size} }
 
-// TryAcquire takes a place if there is one.
+// TryAcquire takes a slot if one is free.
 func (s *Semaphore) TryAcquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.take()
+	return s.acquire()
 }
 
-func (s *Semaphore) take() bool {
-	if s.held >= s.most {
+// acquire takes a slot if one is free; the caller holds s.mu.
+func (s *Semaphore) acquire() bool {
+	if s.inUse >= s.size {
 		return false
 	}
-	s.held++
+	s.inUse++
 	return true
 }
 
-// Acquire waits for a place.
+// Acquire waits for a slot and takes it. It returns the error of ctx if that ends first.
 func (s *Semaphore) Acquire(ctx context.Context) error {
 	for {
-		s.mu.Lock()
-		if s.take() {
-			s.mu.Unlock()
+		changed, acquired := s.acquireOrWait()
+		if acquired {
 			return nil
 		}
-		if s.changed == nil {
-			s.changed = make(chan struct{})
-		}
-		changed := s.changed
-		s.waiting++
-		s.mu.Unlock()
 		var err error
 		select {
 		case <-changed:
@@ -54,7 +51,7 @@
 			err = ctx.Err()
 		}
 		s.mu.Lock()
-		s.waiting--
+		s.waiters--
 		s.mu.Unlock()
 		if err != nil {
 			return err
@@ -62,44 +59,59 @@
 	}
 }
 
-// Release gives a place back.
+// acquireOrWait takes a slot, or counts a waiter and returns the channel that it has to wait for.
+func (s *Semaphore) acquireOrWait() (changed <-chan struct{}, acquired bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.acquire() {
+		return nil, true
+	}
+	if s.changed == nil {
+		s.changed = make(chan struct{})
+	}
+	s.waiters++
+	return s.changed, false
+}
+
+// Release frees a slot.
 func (s *Semaphore) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held--
-	s.tell()
+	s.inUse--
+	s.wakeWaiters()
 }
 
-// Resize changes the number of places. Those held beyond it stay so until they are given back.
-func (s *Semaphore) Resize(most int) {
+// Resize changes the number of slots. Those in use beyond it stay so until they are released.
+func (s *Semaphore) Resize(size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
-	s.tell()
+	s.size = size
+	s.wakeWaiters()
 }
 
-// Exceeded tells whether more places are held than there are.
-func (s *Semaphore) Exceeded() bool {
+// OverLimit tells whether more slots are in use than there are.
+func (s *Semaphore) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held > s.most
+	return s.inUse > s.size
 }
 
-// Awaited tells whether somebody waits for a place.
-func (s *Semaphore) Awaited() bool {
+// HasWaiters tells whether a call of Acquire waits for a slot.
+func (s *Semaphore) HasWaiters() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.waiting > 0
+	return s.waiters > 0
 }
 
-// Held tells how many places are held.
-func (s *Semaphore) Held() int {
+// InUse is the number of slots in use.
+func (s *Semaphore) InUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.inUse
 }
 
-func (s *Semaphore) tell() {
+// wakeWaiters has all waiters try again; the caller holds s.mu.
+func (s *Semaphore) wakeWaiters() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
--- a/internal/semaphore/semaphore_test.go
+++ b/internal/semaphore/semaphore_test.go
@@ -7,35 +7,38 @@
 	"testing"
 )
 
-// A smaller semaphore takes nobody until enough have left; a larger one wakes who waits.
+// A semaphore is made smaller while all slots are in use. It gives none out until enough are released; made larger
+// again, it wakes a waiter.
 func TestResize(t *testing.T) {
 	s := New(2)
-	if !s.TryAcquire() || !s.TryAcquire() || s.TryAcquire() {
-		t.Fatal("want two places")
+	for slot, want := range []bool{true, true, false} {
+		if s.TryAcquire() != want {
+			t.Fatalf("slot %d: want %v", slot, want)
+		}
 	}
 	s.Resize(1)
-	if !s.Exceeded() {
-		t.Error("two of one are held, and it is not over")
+	if !s.OverLimit() {
+		t.Error("two of one slots are in use, and it is not over its limit")
 	}
 	s.Release()
-	if s.TryAcquire() || s.Exceeded() {
-		t.Error("want no place after one of two was given back")
+	if s.TryAcquire() || s.OverLimit() {
+		t.Error("want no free slot after one of two was released")
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := s.Acquire(ended); !errors.Is(err, context.Canceled) {
+	if err := s.Acquire(cancelled); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
-	if s.Awaited() {
-		t.Error("awaited by one that gave up")
+	if s.HasWaiters() {
+		t.Error("a waiter that has given up is counted")
 	}
-	got := make(chan error)
-	go func() { got <- s.Acquire(context.Background()) }()
-	for !s.Awaited() {
+	acquired := make(chan error)
+	go func() { acquired <- s.Acquire(context.Background()) }()
+	for !s.HasWaiters() {
 		runtime.Gosched()
 	}
 	s.Resize(2)
-	if err := <-got; err != nil {
+	if err := <-acquired; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/sftp/ends_test.go
+++ b/internal/sftp/ends_test.go
@@ -41,7 +41,7 @@
 	}
 	s.reading(false)
 	io.WriteString(peer, "x")
-	for end := time.Now().Add(5 * time.Second); pool.Silent(conn) && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); pool.IsQuiet(conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if s.End() {
--- a/internal/sftp/front.go
+++ b/internal/sftp/front.go
@@ -134,7 +134,7 @@
 func (s *session) leave() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.ops) > 0 || s.writing || len(s.out) > 0 || s.partly || !pool.Silent(s.conn) {
+	if len(s.ops) > 0 || s.writing || len(s.out) > 0 || s.partly || !pool.IsQuiet(s.conn) {
 		return false
 	}
 	s.gone = true
--- a/internal/sftp/nodes.go
+++ b/internal/sftp/nodes.go
@@ -56,15 +56,15 @@
 	if !ok {
 		return pool.FailAttempt(errors.New("not a file command"), done)
 	}
-	return n.pool.Start(n.address(a.Address), func(s *pool.Session) (broker.Result, error) {
-		return (&exchange{Session: s}).run(op)
+	return n.pool.Start(n.address(a.Address), func(s *pool.Exchange) (broker.Result, error) {
+		return (&exchange{Exchange: s}).run(op)
 	}, 0, a.OnWritten, done)
 }
 
 // Probe implements broker.Transport: a STAT of the root.
 func (n *Transport) Probe(address string, done func(broker.Result)) {
-	n.pool.Start(n.address(address), func(s *pool.Session) (broker.Result, error) {
-		return (&exchange{Session: s}).run(&operation{command: Stat, path: "/"})
+	n.pool.Start(n.address(address), func(s *pool.Exchange) (broker.Result, error) {
+		return (&exchange{Exchange: s}).run(&operation{command: Stat, path: "/"})
 	}, time.Second, nil, done)
 }
 
@@ -74,7 +74,7 @@
 // exchange is one file command's talk with a node. A command that needs a handle opens one for itself and
 // closes it behind, so that no command depends on where an earlier one went.
 type exchange struct {
-	*pool.Session
+	*pool.Exchange
 	id uint32
 }
 
@@ -83,7 +83,7 @@
 	x.id++
 	m, decides := message(kind, x.id, parts...), 0
 	if deciding {
-		decides = pool.Size(m)
+		decides = pool.MessageSize(m)
 	}
 	if err := x.Send(m, decides); err != nil {
 		return packet{}, err
@@ -92,7 +92,7 @@
 }
 
 func (x *exchange) answer(id uint32) (packet, error) {
-	p, err := readPacket(x.In)
+	p, err := readPacket(x.Reader)
 	if err == nil && p.id != id {
 		err = fmt.Errorf("%w: answer to %d, not %d", errPacket, p.id, id)
 	}
@@ -122,7 +122,7 @@
 		return result(p, err)
 	}
 	handle := p.handle()
-	x.Tidy(func() error {
+	x.ReadTrailer(func() error {
 		_, err := x.ask(true, typeClose, text(handle))
 		return err
 	})
@@ -146,13 +146,13 @@
 	if op.command == Write {
 		m = message(typeWrite, x.id-1, text(handle), offset(op.offset), number(uint32(len(op.data))), op.data)
 	}
-	decides := pool.Size(m) // a CLOSE that is cut behind it changes nothing
+	decides := pool.MessageSize(m) // a CLOSE that is cut behind it changes nothing
 	if err := x.Send(append(m, message(typeClose, x.id, text(handle))...), decides); err != nil {
 		return broker.Result{}, err
 	}
 	r, err := result(x.answer(x.id - 1))
 	if err == nil {
-		x.Tidy(func() error {
+		x.ReadTrailer(func() error {
 			_, err := x.answer(x.id)
 			return err
 		})
@@ -185,7 +185,7 @@
 		if err != nil || p.kind != typeStatus || code(p) != statusEOF {
 			return r, err
 		}
-		x.Tidy(func() error {
+		x.ReadTrailer(func() error {
 			_, err := x.ask(false, typeClose, text(handle))
 			return err
 		})
