--- a/internal/clientconn/budget.go
+++ b/internal/clientconn/budget.go
@@ -2,75 +2,76 @@
 
 import "sync"
 
-// Budget bounds the bytes that a front holds for its connections.
-type Budget struct {
-	mu   sync.Mutex
-	free *sync.Cond
-	held int
-	most int
+// ByteBudget bounds the bytes that a server buffers for its connections.
+type ByteBudget struct {
+	mu       sync.Mutex // guards what follows
+	changed  *sync.Cond // signalled when bytes are released, or on Recheck
+	reserved int
+	limit    int
 }
 
-// NewBudget returns a budget of so many bytes.
-func NewBudget(most int) *Budget {
-	b := &Budget{most: most}
-	b.free = sync.NewCond(&b.mu)
+// NewByteBudget returns a budget of so many bytes.
+func NewByteBudget(limit int) *ByteBudget {
+	b := &ByteBudget{limit: limit}
+	b.changed = sync.NewCond(&b.mu)
 	return b
 }
 
-// TryTake takes n bytes if they fit. What is larger than the whole budget fits when nothing else is held.
-func (b *Budget) TryTake(n int) bool {
+// TryReserve reserves n bytes if they fit. What is larger than the whole budget fits when nothing else is reserved.
+func (b *ByteBudget) TryReserve(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.take(n)
+	return b.reserve(n)
 }
 
-func (b *Budget) take(n int) bool {
-	fits := b.held == 0 || b.held+n <= b.most
+func (b *ByteBudget) reserve(n int) bool {
+	fits := b.reserved == 0 || b.reserved+n <= b.limit
 	if fits {
-		b.held += n
+		b.reserved += n
 	}
 	return fits
 }
 
-// Take waits until n bytes fit, and takes them unless given up is true by then, which is looked at after each Look, too.
-func (b *Budget) Take(n int, givenUp func() bool) bool {
+// Reserve waits until n bytes fit and reserves them, unless cancelled returns true before. It asks cancelled when bytes
+// are released and on Recheck.
+func (b *ByteBudget) Reserve(n int, cancelled func() bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for !givenUp() {
-		if b.take(n) {
+	for !cancelled() {
+		if b.reserve(n) {
 			return true
 		}
-		b.free.Wait()
+		b.changed.Wait()
 	}
 	return false
 }
 
-// Look has all that wait look again whether they gave up.
-func (b *Budget) Look() {
+// Recheck has all calls of Reserve that wait ask whether they are cancelled.
+func (b *ByteBudget) Recheck() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.free.Broadcast()
+	b.changed.Broadcast()
 }
 
-// Add takes n bytes that are held already.
-func (b *Budget) Add(n int) {
+// ForceReserve reserves n bytes that are buffered already, whether they fit or not.
+func (b *ByteBudget) ForceReserve(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held += n
+	b.reserved += n
 }
 
 // Resize changes the budget.
-func (b *Budget) Resize(most int) {
+func (b *ByteBudget) Resize(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = most
-	b.free.Broadcast()
+	b.limit = limit
+	b.changed.Broadcast()
 }
 
-// Give gives n bytes back.
-func (b *Budget) Give(n int) {
+// Release gives n bytes back.
+func (b *ByteBudget) Release(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held -= n
-	b.free.Broadcast()
+	b.reserved -= n
+	b.changed.Broadcast()
 }
--- /dev/null
+++ b/internal/clientconn/budget_test.go
@@ -0,0 +1,45 @@
+package clientconn
+
+import (
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// A full budget holds up a reader until bytes are released or the reader is cancelled.
+func TestByteBudget(t *testing.T) {
+	budget := NewByteBudget(10)
+	never := func() bool { return false }
+	budget.Reserve(25, never) // alone, anything fits
+	var cancelled atomic.Bool
+	var readers sync.WaitGroup
+	reserved := make(chan struct{}, 2)
+	for range 2 {
+		readers.Go(func() {
+			budget.Reserve(5, never)
+			reserved <- struct{}{}
+		})
+	}
+	readers.Go(func() {
+		if budget.Reserve(1, cancelled.Load) {
+			t.Error("reserved by one that is cancelled")
+		}
+	})
+	cancelled.Store(true)
+	budget.Recheck()
+	if budget.TryReserve(1) {
+		t.Error("reserved over the limit at once")
+	}
+	select {
+	case <-reserved:
+		t.Error("reserved over the limit")
+	case <-time.After(waitToBlock):
+	}
+	budget.Release(25)
+	readers.Wait()
+	budget.ForceReserve(3)
+	if budget.reserved != 13 || budget.TryReserve(1) {
+		t.Errorf("%d reserved", budget.reserved)
+	}
+}
--- /dev/null
+++ b/internal/clientconn/evict_test.go
@@ -0,0 +1,119 @@
+package clientconn
+
+import (
+	"testing"
+	"time"
+)
+
+// A crowd of silent connections fills the table. It must not push out ordinary clients, slow writers among them. So
+// those that have only greeted go first, then those that have sent nothing, then the ones that have been idle for
+// longest, then those that stand half way in a first command. A connection that waits for an answer stays, and so
+// does a newcomer.
+func TestEvictionOrder(t *testing.T) {
+	table := NewTable(10, 10, testLogger(t))
+	busy := &fakeConn{state: Busy}
+	oldRequest := &fakeConn{state: Idle}
+	recentRequest := &fakeConn{state: Idle}
+	slow := &fakeConn{state: PartialCommand}
+	silent := &fakeConn{state: Idle}
+	alsoSilent := &fakeConn{state: Idle}
+	greeted := &fakeConn{state: Idle}
+	newcomer := &fakeConn{state: Idle}
+	addConnsWithRequests(table, busy, recentRequest, oldRequest)
+	table.RequestReceived(recentRequest, false) // again
+	addConns(table, slow, silent, alsoSilent, greeted, newcomer)
+	table.entries[newcomer].addedAt = time.Now()
+	table.GreetingReceived(greeted)
+	table.GreetingReceived(oldRequest) // a greeting after a request changes nothing
+	all := []*fakeConn{busy, oldRequest, recentRequest, slow, silent, alsoSilent, greeted, newcomer}
+	for i, next := range []*fakeConn{greeted, silent, alsoSilent, oldRequest, recentRequest, slow} {
+		before := evictionsOf(all...)
+		table.evict()
+		if next.evictions != 1 || evictionsOf(all...) != before+1 {
+			t.Fatalf("step %d: another connection was evicted than was wanted", i)
+		}
+	}
+	before := evictionsOf(all...)
+	table.evict()
+	if evictionsOf(all...) != before {
+		t.Error("a connection was evicted that may not be")
+	}
+	if evictionsOf(busy, newcomer) != 0 {
+		t.Error("a busy connection or a newcomer was evicted")
+	}
+}
+
+// Clients that send one request and keep their connection must not use up the few connections that they have. Beyond
+// maxIdle the one that has been idle for longest ends, long before the table is full. A connection that has sent no
+// request yet stays, and so does one that waits for an answer.
+func TestIdleConnectionsAreBounded(t *testing.T) {
+	table := NewTable(100, 2, testLogger(t))
+	busy := &fakeConn{state: Busy}
+	idle := &fakeConn{state: Idle, idleFor: time.Second}
+	silent := &fakeConn{state: Idle}
+	other := &fakeConn{state: Idle}
+	addConns(table, silent)
+	addConnsWithRequests(table, busy, idle)
+	if idle.evictions != 0 {
+		t.Fatal("evicted too early")
+	}
+	addConnsWithRequests(table, other)
+	if idle.evictions != 1 {
+		t.Error("the idle connection stays")
+	}
+	if evictionsOf(busy, silent, other) != 0 {
+		t.Errorf("evicted: busy %d, silent %d, other %d", busy.evictions, silent.evictions, other.evictions)
+	}
+}
+
+// Under load the front of the list is full of busy connections and of ones that were just answered and will send
+// their next request. Neither kind is evicted, and each request checks two connections at most. When each request
+// checked all connections and evicted any idle one, a broker that fell behind spent its time on checks and new
+// connections and served a tenth of what it could.
+func TestIdleChecksAreBoundedUnderLoad(t *testing.T) {
+	table := NewTable(10_000, 10, testLogger(t))
+	var conns []*fakeConn
+	for i := range 3000 {
+		conn := &fakeConn{state: Busy}
+		if i%2 == 0 {
+			conn.state = Idle
+			conn.idleFor = minIdleTime - 1
+		}
+		conns = append(conns, conn)
+	}
+	addConnsWithRequests(table, conns...)
+	counting := &countingConn{}
+	table.limit.TryAcquire()
+	table.Add(counting)
+	for _, conn := range conns {
+		table.RequestReceived(conn, false)
+		table.RequestReceived(counting, false)
+	}
+	if counting.checks > 2*len(conns) {
+		t.Errorf("one connection was checked %d times", counting.checks)
+	}
+	for i, conn := range conns {
+		if conn.evictions > 0 {
+			t.Fatalf("connection %d was evicted", i)
+		}
+	}
+	conns[7].state = Idle
+	conns[7].idleFor = minIdleTime
+	for range len(conns) {
+		table.RequestReceived(conns[1], false)
+	}
+	if conns[7].evictions != 1 {
+		t.Error("an idle connection among busy ones is never found")
+	}
+}
+
+// countingConn counts how often the table checks it.
+type countingConn struct {
+	fakeConn
+	checks int
+}
+
+func (c *countingConn) State() (State, time.Duration) {
+	c.checks++
+	return Busy, 0
+}
--- /dev/null
+++ b/internal/clientconn/socket.go
@@ -0,0 +1,66 @@
+package clientconn
+
+import (
+	"errors"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// discardBufferSize is the size in bytes of the buffer of one read that discards input.
+const discardBufferSize = 4 << 10
+
+// CloseWrite has the peer read an end of file, while what it sends can still be read.
+func CloseWrite(conn net.Conn) {
+	if half, ok := conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite() // fails only if the connection has ended
+	}
+}
+
+// DiscardInput reads and discards what comes until the connection ends, maxBytes have come, or the deadline is
+// reached (the zero time for none). Without it, closing the connection with unread input would reset the peer and may
+// destroy an answer that was already written. It tells whether the peer ended the connection.
+func DiscardInput(conn net.Conn, deadline time.Time, maxBytes int) (peerClosed bool) {
+	_ = conn.SetReadDeadline(deadline) // fails only if the connection has ended, as the read then does
+	buffer := make([]byte, discardBufferSize)
+	for discarded := 0; discarded < maxBytes; {
+		n, err := conn.Read(buffer)
+		if err != nil {
+			return !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed)
+		}
+		discarded += n
+	}
+	return false
+}
+
+// PeerClosed tells whether the peer has ended its side of a connection, even if bytes stand unread before that.
+func PeerClosed(conn net.Conn) bool {
+	peerClosed := false
+	err := control(conn, func(fd int) error {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		ready, err := unix.Poll(fds, 0)
+		peerClosed = ready == 1 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		return err
+	})
+	return err == nil && peerClosed
+}
+
+// control calls a function with the descriptor of a connection or a listener, and returns its error.
+func control(socket any, call func(fd int) error) error {
+	sys, ok := socket.(syscall.Conn)
+	if !ok {
+		return errors.ErrUnsupported
+	}
+	raw, err := sys.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var callErr error
+	if err := raw.Control(func(fd uintptr) { callErr = call(int(fd)) }); err != nil {
+		return err
+	}
+	return callErr
+}
--- a/internal/resp/ends_test.go
+++ b/internal/resp/ends_test.go
@@ -197,7 +197,7 @@
 	c, peer := e.accept(nil)
 	c.asked = true
 	io.WriteString(c.guard.Conn, "$1\r\nv\r\n")
-	if !c.End() {
+	if !c.Evict() {
 		t.Fatal("it does not end")
 	}
 	io.WriteString(peer, askFor("x")+askFor("y"))
@@ -251,11 +251,11 @@
 	c.fresh, c.asked = false, true
 	io.WriteString(peer, askFor("x"))
 	e.arrived(c)
-	if c.End() || c.endIfIdle() {
+	if c.Evict() || c.endIfIdle() {
 		t.Error("it ends with a request unread")
 	}
 	c.guard.phase.Store(working)
-	if _, err := io.ReadFull(c.guard.Conn, make([]byte, len(askFor("x")))); err != nil || c.End() || c.endIfIdle() {
+	if _, err := io.ReadFull(c.guard.Conn, make([]byte, len(askFor("x")))); err != nil || c.Evict() || c.endIfIdle() {
 		t.Errorf("it ends while a request is taken (%v)", err)
 	}
 	c.guard.phase.Store(resting)
--- a/internal/resp/front.go
+++ b/internal/resp/front.go
@@ -35,7 +35,7 @@
 	loop   *broker.Loop
 	terms  atomic.Pointer[RequestLimits]
 	log    *slog.Logger
-	budget *clientconn.Budget
+	budget *clientconn.ByteBudget
 
 	mu      sync.Mutex
 	open    map[string]struct{} // ids of requests that wait for their answer
@@ -49,7 +49,7 @@
 // connections idle ones end.
 func NewServer(loop *broker.Loop, terms RequestLimits, most, maxIdle, bytes int, log *slog.Logger) *Server {
 	log = log.With("front", "clients")
-	f := &Server{Table: clientconn.NewTable(most, maxIdle, log), loop: loop, log: log, budget: clientconn.NewBudget(bytes),
+	f := &Server{Table: clientconn.NewTable(most, maxIdle, log), loop: loop, log: log, budget: clientconn.NewByteBudget(bytes),
 		open: map[string]struct{}{}, others: map[string]struct{}{}, tell: func(string, bool) {}}
 	f.SetLimits(terms)
 	return f
@@ -162,7 +162,7 @@
 	if _, err := conn.Write(text); err != nil {
 		return
 	}
-	clientconn.EndOfFile(conn)
+	clientconn.CloseWrite(conn)
 	for end, silent := time.Now().Add(lingerTime), time.Duration(0); time.Now().Before(end); {
 		conn.SetReadDeadline(time.Now().Add(lingerStep))
 		switch _, err = conn.Read(*buffer); {
@@ -171,7 +171,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded):
 			return
 		default:
-			if silent += lingerStep; silent >= partTime || f.Awaited() {
+			if silent += lingerStep; silent >= partTime || f.HasWaiters() {
 				return
 			}
 		}
@@ -269,7 +269,7 @@
 }
 
 // Look implements front.Connection.
-func (c *client) Look() (clientconn.Status, time.Duration) {
+func (c *client) State() (clientconn.State, time.Duration) {
 	c.mu.Lock()
 	owed, used := c.owes(), c.used
 	c.mu.Unlock()
@@ -283,7 +283,7 @@
 	case resting:
 		return clientconn.Idle, time.Since(used)
 	case halfWay:
-		return clientconn.HalfWay, 0
+		return clientconn.PartialCommand, 0
 	}
 	return clientconn.Busy, 0
 }
@@ -299,7 +299,7 @@
 )
 
 // End implements front.Connection.
-func (c *client) End() bool { return c.part(evicted) }
+func (c *client) Evict() bool { return c.part(evicted) }
 
 // part has the connection end unless an answer is owed or a request has come. It only asks: the goroutine that reads is woken and
 // does it, since no other can tell that nothing was read at this moment. Of a crowd that has asked for nothing each is closed at
@@ -352,8 +352,8 @@
 	c.mu.Unlock()
 	if half {
 		c.busy()
-		clientconn.EndOfFile(c.guard.Conn)
-		clientconn.Drop(c.guard.Conn, time.Now().Add(partTime), dropMost) // the rest of what was refused
+		clientconn.CloseWrite(c.guard.Conn)
+		clientconn.DiscardInput(c.guard.Conn, time.Now().Add(partTime), dropMost) // the rest of what was refused
 	}
 	c.conn.Close()
 	return true, true
@@ -409,7 +409,7 @@
 // drop reads what comes behind the last that counts and drops it: the end of a connection with unread input would be a reset,
 // which overtakes the answers. It ends with the connection, or past a bound. Where the client sends its end of file while requests wait it has left, or it waits for its answers still: these are given at once.
 func (c *client) drop() {
-	if !clientconn.Drop(c.guard.Conn, time.Time{}, dropMost) {
+	if !clientconn.DiscardInput(c.guard.Conn, time.Time{}, dropMost) {
 		return
 	}
 	c.mu.Lock()
@@ -467,9 +467,9 @@
 		c.refuse(err)
 		return false
 	}
-	if budget := c.front.budget; !budget.TryTake(s.size) {
+	if budget := c.front.budget; !budget.TryReserve(s.size) {
 		took := false
-		if c.watching(func() { took = budget.Take(s.size, c.away.Load) }); !took {
+		if c.watching(func() { took = budget.Reserve(s.size, c.away.Load) }); !took {
 			c.front.leave(s.name)
 			return false
 		}
@@ -485,7 +485,7 @@
 		long, _ := final.Value.(*stream)
 		c.mu.Lock()
 		if !c.released {
-			c.front.budget.Add(len(value))
+			c.front.budget.ForceReserve(len(value))
 			s.ready, s.text, s.long, s.size = true, text, long, s.size+len(value)
 		} else if long != nil {
 			long.Close()
@@ -546,7 +546,7 @@
 
 // sayDirect writes such an answer and tells whether the connection is of further use.
 func (c *client) sayDirect(text []byte, overloaded bool) bool {
-	c.front.Asked(c, overloaded)
+	c.front.RequestReceived(c, overloaded)
 	_, err := c.socket().Write(text)
 	c.mu.Lock()
 	c.writing, c.direct, c.used = false, false, time.Now()
@@ -577,7 +577,7 @@
 	}
 	released := c.released
 	if released { // the writer has ended, so nobody would give the slot back
-		c.front.budget.Give(s.size)
+		c.front.budget.Release(s.size)
 	} else {
 		c.slots = append(c.slots, s)
 	}
@@ -585,9 +585,9 @@
 	c.asked = c.asked || s.name != "" || s.refusal
 	c.mu.Unlock()
 	if s.name == "" && !s.refusal {
-		c.front.Greeted(c)
+		c.front.GreetingReceived(c)
 	} else {
-		c.front.Asked(c, c.front.loop.SheddingLoad())
+		c.front.RequestReceived(c, c.front.loop.SheddingLoad())
 	}
 	if s.ready {
 		c.Wake()
@@ -612,14 +612,14 @@
 				return
 			case <-tick.C:
 			}
-			if clientconn.PeerLeft(c.socket()) {
+			if clientconn.PeerClosed(c.socket()) {
 				c.away.Store(true)
 				c.mu.Lock()
 				c.gone = true
 				c.mu.Unlock()
 				c.conn.Close()
 				c.Wake() // the writer releases who waits for room
-				c.front.budget.Look()
+				c.front.budget.Recheck()
 				c.leaveAll()
 				return
 			}
@@ -689,7 +689,7 @@
 // writeOut writes answers and tells whether the connection is of further use.
 func (c *client) writeOut(socket net.Conn, next batch) bool {
 	err := writeAll(socket, next.out)
-	c.front.budget.Give(next.size)
+	c.front.budget.Release(next.size)
 	if next.long != nil {
 		if err != nil {
 			next.long.Close()
@@ -746,7 +746,7 @@
 	c.mu.Lock()
 	idle, fresh := len(c.slots) == 0 && !c.direct, c.fresh
 	c.mu.Unlock() // the table asks its connections under its own lock
-	return idle && c.front.ShouldEnd(fresh) && c.part(gently)
+	return idle && c.front.ShouldClose(fresh) && c.part(gently)
 }
 
 // release gives back what the connection held.
@@ -755,7 +755,7 @@
 	defer c.mu.Unlock()
 	c.released = true
 	for _, s := range c.slots {
-		c.front.budget.Give(s.size)
+		c.front.budget.Release(s.size)
 		if s.long != nil {
 			s.long.Close()
 		}
--- a/internal/resp/guard.go
+++ b/internal/resp/guard.go
@@ -141,9 +141,9 @@
 		g.due = time.Time{}
 		return now.Add(idleTime)
 	case g.due.IsZero() && g.asked:
-		g.due = now.Add(clientconn.CommandTime)
+		g.due = now.Add(clientconn.CommandTimeout)
 	case g.due.IsZero():
-		g.due = now.Add(clientconn.FirstTime)
+		g.due = now.Add(clientconn.FirstCommandTimeout)
 	}
 	return g.due
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -400,9 +400,9 @@
 // asked is a connection that keeps its table's lock while it is asked.
 type asked struct{ began, end chan struct{} }
 
-func (a *asked) Wake()     {}
-func (a *asked) End() bool { return true }
-func (a *asked) Look() (clientconn.Status, time.Duration) {
+func (a *asked) Wake()       {}
+func (a *asked) Evict() bool { return true }
+func (a *asked) State() (clientconn.State, time.Duration) {
 	a.began <- struct{}{}
 	<-a.end
 	return clientconn.Busy, 0
@@ -413,7 +413,7 @@
 	f := NewServer(nil, RequestLimits{}, 0, 1, 1, logging.Discard())
 	a := &asked{make(chan struct{}), make(chan struct{})}
 	f.Add(a)
-	f.Asked(a, false)
+	f.RequestReceived(a, false)
 	go f.Accept(nil) // no room: it asks, and never comes to accept
 	<-a.began
 	c := &client{front: f}
--- a/internal/sftp/ends_test.go
+++ b/internal/sftp/ends_test.go
@@ -31,7 +31,7 @@
 	plan := testPlan(t)
 	s := newSession(NewServer(nil, nil, plan, 4, logging.Discard()), conn)
 	s.ops = []*pending{{}}
-	if s.End() {
+	if s.Evict() {
 		t.Error("it ends while a command waits")
 	}
 	s.ops = nil
@@ -44,11 +44,11 @@
 	for end := time.Now().Add(5 * time.Second); pool.IsQuiet(conn) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if s.End() {
+	if s.Evict() {
 		t.Error("it ends with bytes unread")
 	}
 	io.ReadFull(conn, make([]byte, 1)) // a command is read now
-	if !s.End() {
+	if !s.Evict() {
 		t.Error("it stays")
 	}
 	if err := s.submit(1, &operation{command: Stat, path: "/d/f"}, pass(1)); !errors.Is(err, net.ErrClosed) {
--- a/internal/sftp/front.go
+++ b/internal/sftp/front.go
@@ -114,20 +114,20 @@
 }
 
 // Look implements front.Connection.
-func (s *session) Look() (clientconn.Status, time.Duration) {
+func (s *session) State() (clientconn.State, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case len(s.ops) > 0 || s.writing:
 		return clientconn.Busy, 0
 	case s.partly:
-		return clientconn.HalfWay, 0
+		return clientconn.PartialCommand, 0
 	}
 	return clientconn.Idle, 0 // all of this front's may stay
 }
 
 // End implements front.Connection.
-func (s *session) End() bool { return s.leave() && s.conn.Close() == nil }
+func (s *session) Evict() bool { return s.leave() && s.conn.Close() == nil }
 
 // leave has nothing more taken, unless an answer is owed or something has come. Both are one step under the session's lock: a
 // command may be read at this moment, and would be sent on for nobody.
@@ -153,7 +153,7 @@
 	defer s.end()
 	defer s.stopPanic()
 	in := bufio.NewReader(s.conn)
-	s.conn.SetReadDeadline(time.Now().Add(clientconn.FirstTime))
+	s.conn.SetReadDeadline(time.Now().Add(clientconn.FirstCommandTimeout))
 	p, err := readPacket(in)
 	if err != nil || p.kind != typeInit {
 		return
@@ -162,7 +162,7 @@
 	for {
 		p, err := s.next(in)
 		if err == nil {
-			s.front.Asked(s, false)
+			s.front.RequestReceived(s, false)
 			err = s.take(p)
 		}
 		if err != nil {
@@ -183,7 +183,7 @@
 	if _, err := in.Peek(1); err != nil {
 		return packet{}, err
 	}
-	s.conn.SetReadDeadline(time.Now().Add(clientconn.CommandTime))
+	s.conn.SetReadDeadline(time.Now().Add(clientconn.CommandTimeout))
 	s.reading(true)
 	p, err := readPacket(in)
 	s.reading(false)
@@ -239,7 +239,7 @@
 			s.writing = false
 			s.mu.Unlock()
 		}
-		if stop || idle && s.front.ShouldEnd(fresh) && s.leave() {
+		if stop || idle && s.front.ShouldClose(fresh) && s.leave() {
 			return
 		}
 	}
