--- /dev/null
+++ b/internal/resp/helpers_test.go
@@ -0,0 +1,174 @@
+package resp
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"junctionwharf/internal/logging"
+	"junctionwharf/scheduler"
+)
+
+// waitLimit is how long a test waits for what must happen before it fails.
+const waitLimit = 10 * time.Second
+
+const (
+	testKey     = "7f3a9c21e0b4d655"
+	testOptions = "c=read,t=gold,d=480,volume=00000003b4d60021,units=2,shard=5,hosts=3"
+)
+
+var (
+	readText  = bulk(commandRead, testKey, "9b1f03aa5c7e2d41", testOptions)
+	writeText = bulk(commandWrite, testKey, "9b1f03aa5c7e2d41", testOptions+",k=7", "BODY\r\n*$")
+	pingText  = bulk(commandPing)
+)
+
+// testLimits allow what testOptions ask for.
+var testLimits = NewRequestLimits(scheduler.Settings{
+	Brokers:  3,
+	MaxUnits: 8,
+	Classes:  []scheduler.Class{{Name: "read"}},
+	Plans:    []scheduler.Plan{{Name: "gold"}},
+}, 6)
+
+// bulk encodes a command.
+func bulk(words ...string) string {
+	text := fmt.Sprintf("*%d\r\n", len(words))
+	for _, word := range words {
+		text += fmt.Sprintf("$%d\r\n%s\r\n", len(word), word)
+	}
+	return text
+}
+
+// readWithID encodes a read with an id of its own.
+func readWithID(id int) string { return bulk(commandRead, testKey, fmt.Sprint("id", id), testOptions) }
+
+// cutConn is a connection whose reads end where a seeded source of chance says.
+type cutConn struct {
+	net.Conn
+	in  io.Reader
+	rng *rand.Rand
+}
+
+func (c *cutConn) Read(p []byte) (int, error) { return c.in.Read(p[:1+c.rng.IntN(min(len(p), 40))]) }
+
+func (c *cutConn) SetReadDeadline(time.Time) error { return nil }
+
+// readCommands reads all of a client's text through the input guard and redcon's reader.
+func readCommands(text []byte, seed uint64) ([]redcon.Command, error) {
+	rng := rand.New(rand.NewPCG(seed, 1))
+	conn := &cutConn{in: bytes.NewReader(text), rng: rng}
+	reader := redcon.NewReader(&inputGuard{Conn: conn, detached: true})
+	var all []redcon.Command
+	for {
+		cmd, err := reader.ReadCommand()
+		if err != nil {
+			return all, err
+		}
+		all = append(all, cmd)
+	}
+}
+
+// readOne reads a text that is one command.
+func readOne(t *testing.T, text string) redcon.Command {
+	t.Helper()
+	all, err := readCommands([]byte(text), 1)
+	if !errors.Is(err, io.EOF) || len(all) != 1 {
+		t.Fatalf("%q: %d commands, %v", text, len(all), err)
+	}
+	return all[0]
+}
+
+func testLogger(t *testing.T) *slog.Logger {
+	t.Helper()
+	return logging.ToFunc(func(line string) { t.Log(line) })
+}
+
+// failOnLog fails the test for each line that is logged.
+func failOnLog(t *testing.T) *slog.Logger {
+	t.Helper()
+	return logging.ToFunc(func(line string) { t.Error(line) })
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = ln.Close() })
+	return ln
+}
+
+// serve serves a listener of its own until the test ends, and returns its address.
+func serve(t *testing.T, server *Server) string {
+	t.Helper()
+	ln := listen(t)
+	go func() { _ = server.Serve(ln) }() // it ends with the listener
+	return ln.Addr().String()
+}
+
+func dial(t *testing.T, address string) *net.TCPConn {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
+		t.Fatal(err)
+	}
+	return conn.(*net.TCPConn)
+}
+
+func write(t *testing.T, conn io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// expectLine reads a line and compares it.
+func expectLine(t *testing.T, reader *bufio.Reader, want string) {
+	t.Helper()
+	if line, err := reader.ReadString('\n'); err != nil || line != want {
+		t.Fatalf("%q, %v, want %q", line, err, want)
+	}
+}
+
+// eventually waits until a condition holds.
+func eventually(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(waitLimit); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// exchangeText sends text on a new connection and returns what comes until its end, and how long that took.
+func exchangeText(t *testing.T, address, text string) (string, time.Duration) {
+	t.Helper()
+	began := time.Now()
+	conn := dial(t, address)
+	write(t, conn, text)
+	got, err := io.ReadAll(conn)
+	_ = conn.Close()
+	if err != nil {
+		t.Errorf("%.40q: %v", text, err)
+	}
+	return string(got), time.Since(began)
+}
+
+// option replaces one option of testOptions.
+func option(old, replacement string) string { return strings.Replace(testOptions, old, replacement, 1) }
--- /dev/null
+++ b/internal/resp/inputguard_test.go
@@ -0,0 +1,83 @@
+package resp
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+)
+
+// sendParts writes texts one by one and ends the connection.
+func sendParts(t *testing.T, conn net.Conn, parts ...string) {
+	for _, part := range parts {
+		if _, err := io.WriteString(conn, part); err != nil {
+			t.Error(err)
+		}
+	}
+	_ = conn.Close()
+}
+
+// A connection is asked to end while it takes a command. It must check again once it waits for the next command, and
+// only then: nobody else wakes it.
+func TestGuardTellsThatItWaits(t *testing.T) {
+	near, far := net.Pipe()
+	phases := make(chan readPhase, 8)
+	guard := &inputGuard{Conn: near, detached: true}
+	guard.onWait = func() { phases <- guard.phase.Load() }
+	go sendParts(t, far, pingText[:5], pingText[5:])
+	for buffer := make([]byte, 64); ; {
+		if _, err := guard.Read(buffer); err != nil {
+			break
+		}
+		if guard.phase.Load() != takingCommand {
+			t.Error("it waits with what it has read")
+		}
+	}
+	close(phases)
+	count := 0
+	for phase := range phases {
+		count++
+		if phase != waitingForCommand {
+			t.Errorf("phase %d", phase)
+		}
+	}
+	if count != 2 { // before the command and behind it, not inside
+		t.Errorf("it waited %d times", count)
+	}
+}
+
+// While too many requests wait for the processor, a request that comes whole and alone is rejected as it is read. What
+// comes in parts, behind another, or is no request, goes its usual way, whole.
+func TestWholeRequestMayBeAnsweredUnread(t *testing.T) {
+	request := "*2\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n"
+	for _, test := range []struct {
+		name     string
+		parts    []string
+		rejected int
+		passed   string
+	}{
+		{"one", []string{request}, 1, ""},
+		{"two, apart", []string{request, request}, 2, ""},
+		{"two at once", []string{request + request}, 0, request + request},
+		{"half", []string{request[:9], request[9:]}, 0, request},
+		{"a greeting", []string{pingText}, 0, pingText},
+		{"one, and half of another", []string{request + request[:7], request[7:], request}, 1, request + request},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			near, far := net.Pipe()
+			rejected := 0
+			guard := &inputGuard{Conn: near, detached: true, onCommand: func(raw []byte) bool {
+				if !strings.Contains(string(raw), "BLK.") {
+					return false
+				}
+				rejected++
+				return true
+			}}
+			go sendParts(t, far, test.parts...)
+			passed, err := io.ReadAll(guard)
+			if rejected != test.rejected || string(passed) != test.passed || err != nil {
+				t.Errorf("%d rejected, %q passed, %v", rejected, passed, err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/resp/read.go
@@ -0,0 +1,213 @@
+package resp
+
+import (
+	"errors"
+	"net"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/tidwall/redcon"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/clientconn"
+	"junctionwharf/internal/pool"
+)
+
+// peerCheckInterval is how often a connection from which nothing is read is asked whether its client has gone. Higher,
+// requests of clients that have gone would be forwarded for longer; lower, waiting connections would cost more.
+const peerCheckInterval = 50 * time.Millisecond
+
+// read takes commands until the connection ends. It runs in a goroutine of its own.
+func (c *client) read() {
+	defer c.handleInputEnd()
+	defer c.recoverPanic()
+	for {
+		cmd, err := c.reader.ReadCommand()
+		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
+		if err == nil || timedOut {
+			ended, rejected := c.closeAsRequested(err == nil)
+			if ended {
+				return
+			}
+			if rejected {
+				continue
+			}
+		}
+		if timedOut && c.mayBeSilent() {
+			continue
+		}
+		if errors.Is(err, errProtocol) || errors.Is(err, errSlowCommand) {
+			c.failMalformed(err)
+			c.discardInput()
+			return
+		}
+		if err != nil {
+			return
+		}
+		if !c.take(cmd) {
+			c.discardInput()
+			return
+		}
+		c.input.commandDone()
+	}
+}
+
+// mayBeSilent tells whether a connection whose read timed out goes on: its client waits for an answer, the read was
+// interrupted and the connection stays, or a command has begun to come.
+func (c *client) mayBeSilent() bool {
+	return c.waitsForReply() || c.input.wasInterrupted() || !pool.IsQuiet(c.socket)
+}
+
+// failMalformed answers malformed input and ends the connection behind the answer.
+func (c *client) failMalformed(err error) {
+	c.server.malformed.record(err)
+	c.mu.Lock()
+	c.inputEnded = true
+	c.mu.Unlock()
+	line := []byte(errorPrefix + err.Error() + lineEnd)
+	c.push(&pendingReply{ready: true, last: true, text: net.Buffers{line}})
+}
+
+// take takes one command and tells whether to read on.
+func (c *client) take(cmd redcon.Command) bool {
+	if len(cmd.Args) == 1 && strings.EqualFold(string(cmd.Args[0]), commandPing) {
+		return c.push(&pendingReply{ready: true, text: net.Buffers{[]byte(pongLine)}})
+	}
+	request, err := parseCommand(cmd.Raw, cmd.Args)
+	if err == nil {
+		err = c.server.limits.Load().check(request)
+	}
+	if err != nil {
+		c.failMalformed(err)
+		return false
+	}
+	loop := c.server.loop
+	if loop.Backlogged() {
+		c.whileWatchingPeer(func() { loop.WaitForCapacity(c.peerClosed.Load) })
+	}
+	if rejection := loop.Admit(request); rejection != nil {
+		return c.replyRejection(rejection)
+	}
+	reply := &pendingReply{reserved: len(cmd.Raw), requestID: string(cmd.Args[argID])}
+	if err := c.server.ids.add(reply.requestID); err != nil {
+		c.failMalformed(err)
+		return false
+	}
+	if !c.reserve(reply.reserved) || !c.push(reply) {
+		c.server.ids.remove(reply.requestID)
+		return false
+	}
+	c.submit(request, reply)
+	return true
+}
+
+// reserve takes bytes from the server's budget. It waits while that is full, and fails if the client goes meanwhile.
+func (c *client) reserve(size int) bool {
+	budget := c.server.budget
+	if budget.TryReserve(size) {
+		return true
+	}
+	reserved := false
+	c.whileWatchingPeer(func() { reserved = budget.Reserve(size, c.peerClosed.Load) })
+	return reserved
+}
+
+// submit hands an admitted request to the loop and fills its reply with the response.
+func (c *client) submit(request *broker.Request, reply *pendingReply) {
+	id := c.server.loop.SubmitAdmitted(request, func(response broker.Response) {
+		c.server.ids.remove(reply.requestID)
+		c.complete(reply, response)
+		c.Wake()
+	})
+	c.mu.Lock()
+	reply.loopID = id
+	c.mu.Unlock()
+}
+
+// complete fills a reply with its response. A response that nobody takes any more is dropped.
+func (c *client) complete(reply *pendingReply, response broker.Response) {
+	text := encodeResponse(response)
+	value, _ := response.Value.([]byte)
+	long, _ := response.Value.(*stream)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.released {
+		if long != nil {
+			long.abandon()
+		}
+		return
+	}
+	c.server.budget.ForceReserve(len(value))
+	reply.reserved += len(value)
+	reply.text = text
+	reply.value = long
+	reply.ready = true
+}
+
+// push queues an answer that is owed, and tells whether it will be written. It waits while too many are owed.
+func (c *client) push(reply *pendingReply) bool {
+	c.mu.Lock()
+	if len(c.pending) >= maxPipeline && !c.released {
+		c.whileWatchingPeer(func() {
+			for len(c.pending) >= maxPipeline && !c.released {
+				c.hasSpace.Wait()
+			}
+		})
+	}
+	released := c.released
+	if released { // the writer has ended, so that nobody else would release the bytes
+		c.server.budget.Release(reply.reserved)
+	} else {
+		c.pending = append(c.pending, reply)
+	}
+	isRequest := reply.requestID != "" || reply.rejection
+	c.awaitingFirst = false
+	c.hasRequest = c.hasRequest || isRequest
+	c.mu.Unlock()
+	if isRequest {
+		c.server.RequestReceived(c, c.server.loop.SheddingLoad())
+	} else {
+		c.server.GreetingReceived(c)
+	}
+	if reply.ready {
+		c.Wake()
+	}
+	return !released
+}
+
+// whileWatchingPeer runs a call that blocks the reader, and cancels the connection's requests if the client goes
+// meanwhile: an end of file that stands behind unread input cannot be read, and the requests would be forwarded for
+// nobody.
+func (c *client) whileWatchingPeer(wait func()) {
+	done := make(chan struct{})
+	defer close(done)
+	go func() {
+		ticker := time.NewTicker(peerCheckInterval)
+		defer ticker.Stop()
+		for {
+			select {
+			case <-done:
+				return
+			case <-ticker.C:
+			}
+			if clientconn.PeerClosed(c.socket) {
+				c.handlePeerClosed()
+				return
+			}
+		}
+	}()
+	wait()
+}
+
+// handlePeerClosed ends the connection of a client that has gone, and whatever its reader waits for.
+func (c *client) handlePeerClosed() {
+	c.peerClosed.Store(true)
+	c.mu.Lock()
+	c.gone = true
+	c.mu.Unlock()
+	c.close()
+	c.Wake() // the writer ends and wakes a reader that waits for space
+	c.server.budget.Recheck()
+	c.cancelPending()
+}
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"io"
 	"net"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -11,13 +12,13 @@
 	"junctionwharf/internal/logging"
 )
 
-// pipes is a listener whose kernel's queue is a channel.
-type pipes struct {
+// pipeListener is a listener whose accept queue is a channel.
+type pipeListener struct {
 	net.Listener
 	queue chan net.Conn
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	conn, open := <-p.queue
 	if !open {
 		return nil, net.ErrClosed
@@ -25,71 +26,118 @@
 	return conn, nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
-func (p *pipes) Close() error   { return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { return nil }
 
-// Where all places are taken, clients that keep their connection open behind a refusal must not hold up the queue behind them: a
-// broker of 1,024 sockets has sixteen such places, and with 10 ms each what waited beyond 1,600 a second was answered late or
-// never. Without a queue a refused connection stays for 10 ms, for what crosses its end; while its client goes on sending it
-// stays with one, too, up to half a second, so that no reset overtakes the refusal. On a virtual clock.
-func TestRefusedConnectionsMakeWay(t *testing.T) {
-	const crowd = 50
-	for name, c := range map[string]struct {
-		others     int           // in the queue behind it
-		sends      time.Duration // its client goes on sending for so long
-		least, end time.Duration
-	}{
-		"alone":          {0, 0, partTime, partTime + lingerStep},
-		"before a queue": {crowd, 0, lingerStep, 2 * lingerStep},
-		"sending":        {crowd, 100 * time.Millisecond, 100 * time.Millisecond, 102 * time.Millisecond},
-		"sending on":     {crowd, time.Second, lingerTime, lingerTime + lingerStep},
+// lingerCase is how long a rejected connection stays.
+type lingerCase struct {
+	name     string
+	others   int           // connections in the accept queue behind it
+	sendsFor time.Duration // its client goes on sending for so long
+	min, max time.Duration
+}
+
+// Clients keep their connections open behind a rejection. Where all slots are taken they must not hold up the queue
+// behind them: a broker of 1,024 sockets has sixteen such slots, and with 10 ms each what waited beyond 1,600 a
+// second was answered late or never. Without a queue a rejected connection stays for 10 ms, for what crosses its end.
+// While its client goes on sending it stays with a queue, too, up to half a second, so that no reset overtakes the
+// rejection. On a virtual clock.
+func TestRejectedConnectionsMakeRoom(t *testing.T) {
+	const queued = 50
+	for _, test := range []lingerCase{
+		{"alone", 0, 0, inputGrace, inputGrace + lingerStep},
+		{"before a queue", queued, 0, lingerStep, 2 * lingerStep},
+		{"sending", queued, 100 * time.Millisecond, 100 * time.Millisecond, 102 * time.Millisecond},
+		{"sending on", queued, time.Second, maxLingerTime, maxLingerTime + lingerStep},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			terms := testTerms
-			terms.After = 150_000
-			f := NewServer(nil, terms, 0, 0, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
-			f.Table.RejectOverLimit(1, f.reject, func() bool { return false })
-			ln := &pipes{queue: make(chan net.Conn, crowd+1)}
-			var clients []net.Conn
-			for range c.others + 1 {
-				near, far := net.Pipe()
-				clients = append(clients, near)
-				ln.queue <- far
-			}
-			go f.Table.Accept(ln)
-			began := time.Now()
-			refused := func(conn net.Conn) {
-				t.Helper()
-				if _, err := io.WriteString(conn, ask(1)); err != nil {
-					t.Error(err)
-				}
-				if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "-BUSY 150\r\n" {
-					t.Errorf("%s: %q, %v", name, line, err)
-				}
-			}
-			refused(clients[0])
-			for time.Since(began) < c.sends {
-				if _, err := io.WriteString(clients[0], "x"); err != nil {
-					break
+		t.Run(test.name, func(t *testing.T) { synctest.Test(t, test.run) })
+	}
+}
+
+func (test lingerCase) run(t *testing.T) {
+	limits := testLimits
+	limits.RetryAfter = 150_000
+	server := NewServer(nil, limits, 0, 0, 1<<20, testLogger(t))
+	server.Table.RejectOverLimit(1, server.reject, func() bool { return false })
+	ln := &pipeListener{queue: make(chan net.Conn, test.others+1)}
+	var clients []net.Conn
+	for range test.others + 1 {
+		near, far := net.Pipe()
+		clients = append(clients, near)
+		ln.queue <- far
+	}
+	go func() { _, _ = server.Accept(ln) }() // it returns when the queue is closed
+	began := time.Now()
+	expectRejection(t, clients[0])
+	for time.Since(began) < test.sendsFor {
+		if _, err := io.WriteString(clients[0], "x"); err != nil {
+			break
+		}
+		time.Sleep(lingerStep / 2)
+	}
+	_, _ = io.Copy(io.Discard, clients[0]) // to its end
+	if took := time.Since(began); took < test.min || took > test.max {
+		t.Errorf("ended after %v, not within %v and %v", took, test.min, test.max)
+	}
+	began = time.Now()
+	for _, conn := range clients[1:] {
+		expectRejection(t, conn)
+	}
+	bound := time.Duration(test.others) * 2 * lingerStep
+	if took := time.Since(began); test.others > 0 && took > bound {
+		t.Errorf("%d behind it took %v", test.others, took)
+	}
+	close(ln.queue)
+	for _, conn := range clients {
+		_ = conn.Close()
+	}
+	synctest.Wait()
+}
+
+// expectRejection sends a request and checks that it is rejected.
+func expectRejection(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if _, err := io.WriteString(conn, readWithID(1)); err != nil {
+		t.Error(err)
+	}
+	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "-BUSY 150\r\n" {
+		t.Errorf("%q, %v", line, err)
+	}
+}
+
+// There is no slot for a connection. A request on it gets its rejection at once, a greeting its answer, and silence
+// its end. A body that is still on its way is read behind the rejection, or a reset would overtake that.
+func TestRejectAnswers(t *testing.T) {
+	server := NewServer(nil, RequestLimits{RetryAfter: 150_000}, 0, 1, 1, logging.Discard())
+	header := "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n7f3a9c21e0b4d655\r\n$2\r\nid\r\n$3\r\nc=w\r\n$300000\r\n"
+	for _, test := range []struct{ name, sent, want string }{
+		{"request", header + strings.Repeat("x", 300_000) + "\r\n", "-BUSY 150\r\n"},
+		{"greeting", pingText, pongLine},
+		{"silence", "", ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			ln := listen(t)
+			ended := make(chan struct{})
+			go func() {
+				defer close(ended)
+				conn, err := ln.Accept()
+				if err != nil {
+					return
 				}
-				time.Sleep(lingerStep / 2)
-			}
-			io.Copy(io.Discard, clients[0])
-			if took := time.Since(began); took < c.least || took > c.end {
-				t.Errorf("%s: ended after %v, not within %v and %v", name, took, c.least, c.end)
-			}
-			began = time.Now()
-			for _, conn := range clients[1:] {
-				refused(conn)
-			}
-			if took := time.Since(began); c.others > 0 && took > crowd*2*lingerStep {
-				t.Errorf("%s: %d behind it took %v", name, crowd, took)
+				server.reject(conn)
+				_ = conn.Close()
+			}()
+			conn := dial(t, ln.Addr().String())
+			write(t, conn, test.sent)
+			if test.sent == "" {
+				_ = conn.CloseWrite()
 			}
-			close(ln.queue)
-			for _, conn := range clients {
-				conn.Close()
+			got, err := io.ReadAll(conn)
+			_ = conn.Close()
+			<-ended
+			if string(got) != test.want || err != nil {
+				t.Errorf("%q, %v", got, err)
 			}
-			synctest.Wait()
 		})
 	}
 }
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -6,165 +6,166 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"strconv"
-	"time"
 
 	"junctionwharf/broker"
 	"junctionwharf/scheduler"
 )
 
 const (
-	maxLine     = 512 // bytes of a line of a reply
-	maxElements = 8
+	// maxLineBytes bounds a line of a node's reply, and the figures and load reports behind its value. The protocol
+	// sets it.
+	maxLineBytes = 512
+	// maxReplyParts bounds the parts of a node's reply. The protocol has three; later versions may have more.
+	maxReplyParts = 8
+	// nullLength is the length of a null bulk string.
+	nullLength = -1
 )
 
+// nodeBusy is the first word of an error by which a node rejects a request without executing it.
+const nodeBusy = "BUSY"
+
+// errReply is the error of a node's reply that cannot be read. The connection is of no more use.
 var errReply = errors.New("malformed reply")
 
-// readLine returns a line without its end. It lies in the reader's buffer until the next read.
-func readLine(r *bufio.Reader) ([]byte, error) {
-	line, err := r.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) || len(line) > maxLine {
-		return nil, fmt.Errorf("%w: a line is too long", errReply)
-	}
-	if err != nil {
-		return nil, err
-	}
-	if len(line) < 3 || line[len(line)-2] != '\r' {
-		return nil, fmt.Errorf("%w: a line ends without CR LF", errReply)
-	}
-	return line[:len(line)-2], nil
+// replyRest is what of a reply is still to be read.
+type replyRest struct {
+	streamed int // bytes of a value that is too long to be buffered, 0 if it was read
+	parts    int // bulk strings behind the value
 }
 
-// readLength reads the head of a bulk string of most bytes at the most: -1 if it is null.
-func readLength(r *bufio.Reader, most int) (int, error) {
+// readReply reads a node's reply up to its value, or up to the header of a long one, and returns what stands behind
+// that.
+func readReply(r *bufio.Reader) (result broker.Result, rest replyRest, err error) {
+	result = broker.Result{Load: scheduler.NoLoadReport}
 	line, err := readLine(r)
 	if err != nil {
-		return 0, err
+		return result, rest, err
 	}
-	n, err := strconv.Atoi(string(line[1:]))
-	if line[0] != '$' || err != nil || n < -1 || n > most {
-		return 0, fmt.Errorf("%w: %.20q is no bulk string", errReply, line)
+	switch line[0] {
+	case '-':
+		readError(line[1:], &result)
+		return result, rest, nil
+	case '*':
+		err = readArray(r, line, &result, &rest)
+		return result, rest, err
 	}
-	return n, nil
+	return result, rest, fmt.Errorf("%w: %.20q is no array", errReply, line)
 }
 
-// readBytes reads a bulk string of n bytes behind its head: nil if it is null.
-func readBytes(r *bufio.Reader, n int) ([]byte, error) {
-	if n == -1 {
-		return nil, nil
-	}
-	text := make([]byte, n+2)
-	if _, err := io.ReadFull(r, text); err != nil {
-		return nil, err
+// readError reads an error line of a node. It may hold figures among its words.
+func readError(line []byte, result *broker.Result) {
+	words := bytes.Fields(line)
+	result.Reply = broker.ReplyError
+	if len(words) > 0 && string(words[0]) == nodeBusy {
+		result.Reply = broker.ReplyRejected
 	}
-	if text[n] != '\r' || text[n+1] != '\n' {
-		return nil, fmt.Errorf("%w: a bulk string ends without CR LF", errReply)
+	for _, word := range words {
+		readFigures(word, result)
 	}
-	return text[:n:n], nil
 }
 
-func readBulk(r *bufio.Reader, most int) ([]byte, error) {
-	n, err := readLength(r, most)
+// readArray reads the value of a reply behind its first line.
+func readArray(r *bufio.Reader, line []byte, result *broker.Result, rest *replyRest) error {
+	parts, err := strconv.Atoi(string(line[1:]))
+	if err != nil || parts < 1 || parts > maxReplyParts {
+		return fmt.Errorf("%w: %.20q is no array of 1 to %d", errReply, line, maxReplyParts)
+	}
+	rest.parts = parts - 1
+	size, err := readBulkHeader(r, maxNodeValueBytes)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	return readBytes(r, n)
-}
-
-// rest is what of an answer is still to come.
-type rest struct {
-	long  int // bytes of a value that is too long to be held, 0 if it was read
-	parts int // behind the value
-}
-
-// readReply reads a node's answer to a command up to its value, or up to the head of a long one, and tells what
-// stands behind that. An error means that the connection is of no more use.
-func readReply(r *bufio.Reader) (result broker.Result, left rest, err error) {
-	result = broker.Result{Load: scheduler.NoLoadReport}
-	line, err := readLine(r)
+	if size > maxValueBytes {
+		rest.streamed = size
+		return nil
+	}
+	value, err := readBulkContents(r, size)
 	if err != nil {
-		return result, left, err
+		return err
 	}
-	switch line[0] {
-	case '-':
-		words := bytes.Fields(line[1:])
+	if value == nil { // a null value serves nothing
 		result.Reply = broker.ReplyError
-		if len(words) > 0 && string(words[0]) == "BUSY" {
-			result.Reply = broker.ReplyRejected
-		}
-		for _, word := range words {
-			readFigures(word, &result)
+		return nil
+	}
+	result.Value = value
+	return nil
+}
+
+// readTrailer reads the parts behind a value: the figures on use and the load report. They may be spoilt where the
+// value is good, so an error spoils the connection only.
+func readTrailer(r *bufio.Reader, parts int, result *broker.Result) error {
+	for range parts {
+		part, err := readBulk(r, maxLineBytes)
+		if err != nil {
+			return err
 		}
-		return result, left, nil
-	case '*':
-	default:
-		return result, left, fmt.Errorf("%w: %.20q is no array", errReply, line)
+		readFigures(part, result)
 	}
-	n, err := strconv.Atoi(string(line[1:]))
-	if err != nil || n < 1 || n > maxElements {
-		return result, left, fmt.Errorf("%w: %.20q is no array of 1 to %d", errReply, line, maxElements)
+	return nil
+}
+
+// readHealthCheck reads the reply to a health check, a load report in a bulk string.
+func readHealthCheck(r *bufio.Reader) (broker.Result, error) {
+	if next, err := r.Peek(1); err != nil || next[0] != '$' {
+		result, _, err := readReply(r)
+		return result, err
+	}
+	result := broker.Result{Load: scheduler.NoLoadReport}
+	text, err := readBulk(r, maxLineBytes)
+	readFigures(text, &result)
+	return result, err
+}
+
+// readLine returns a line without its end. It lies in the reader's buffer until the next read.
+func readLine(r *bufio.Reader) ([]byte, error) {
+	line, err := r.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) || len(line) > maxLineBytes {
+		return nil, fmt.Errorf("%w: a line is too long", errReply)
 	}
-	left.parts = n - 1
-	size, err := readLength(r, maxAnswer)
 	if err != nil {
-		return result, left, err
+		return nil, err
 	}
-	if size > maxValue {
-		left.long = size
-		return result, left, nil
+	if len(line) <= len(lineEnd) || !bytes.HasSuffix(line, []byte(lineEnd)) {
+		return nil, fmt.Errorf("%w: a line ends without CR LF", errReply)
 	}
-	value, err := readBytes(r, size)
+	return line[:len(line)-len(lineEnd)], nil
+}
+
+// readBulk reads a bulk string of at most limit bytes; nil if it is null.
+func readBulk(r *bufio.Reader, limit int) ([]byte, error) {
+	size, err := readBulkHeader(r, limit)
 	if err != nil {
-		return result, left, err
-	}
-	if result.Value = value; value == nil {
-		result.Value, result.Reply = nil, broker.ReplyError // a null value serves nothing
+		return nil, err
 	}
-	return result, left, nil
+	return readBulkContents(r, size)
 }
 
-// readRest reads so many parts behind the value: the figures on use and the load report. They may be spoilt where
-// the value is good, so an error spoils the connection only.
-func readRest(r *bufio.Reader, parts int, result *broker.Result) error {
-	for range parts {
-		part, err := readBulk(r, maxLine)
-		if err != nil {
-			return err
-		}
-		readFigures(part, result)
+// readBulkHeader reads the header of a bulk string of at most limit bytes and returns its length, nullLength if it is
+// null.
+func readBulkHeader(r *bufio.Reader, limit int) (int, error) {
+	line, err := readLine(r)
+	if err != nil {
+		return 0, err
 	}
-	return nil
+	size, err := strconv.Atoi(string(line[1:]))
+	if line[0] != '$' || err != nil || size < nullLength || size > limit {
+		return 0, fmt.Errorf("%w: %.20q is no bulk string", errReply, line)
+	}
+	return size, nil
 }
 
-// readFigures reads the figures on use and the load report: names and values such as used=37,cost=4.
-func readFigures(text []byte, result *broker.Result) {
-	for len(text) > 0 {
-		var pair []byte
-		pair, text, _ = bytes.Cut(text, []byte{','})
-		name, value, ok := bytes.Cut(pair, []byte{'='})
-		x, err := strconv.ParseFloat(string(value), 64)
-		if !ok || err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-			continue
-		}
-		load := &result.Load
-		switch string(name) {
-		case "used":
-			result.RateUsed = 1 + int(max(0, min(x, 1e9)))
-		case "cost":
-			result.ServedElsewhere = x
-		case "inflight", "busy_reqs":
-			load.InFlight = x
-		case "queue", "pending":
-			load.Queued = x
-		case "util", "cpu_share":
-			load.Utilization = x
-		case "latency_ms", "svc_ms":
-			load.ServiceTime = time.Duration(min(x, 1e9) * float64(time.Millisecond))
-		case "qps", "served_ps":
-			load.ServedRate = x
-		case "eps", "failed_ps":
-			load.ErrorRate = x
-		}
+// readBulkContents reads a bulk string behind its header; nil if it is null.
+func readBulkContents(r *bufio.Reader, size int) ([]byte, error) {
+	if size == nullLength {
+		return nil, nil
+	}
+	text := make([]byte, size+len(lineEnd))
+	if _, err := io.ReadFull(r, text); err != nil {
+		return nil, err
+	}
+	if string(text[size:]) != lineEnd {
+		return nil, fmt.Errorf("%w: a bulk string ends without CR LF", errReply)
 	}
+	return text[:size:size], nil
 }
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,43 +16,47 @@
 	"github.com/tidwall/redcon"
 
 	"junctionwharf/broker"
-	"junctionwharf/internal/logging"
 	"junctionwharf/internal/pool"
 	"junctionwharf/scheduler"
 )
 
-// counted counts what its writer got rid of.
-type counted struct {
+// countingConn counts the bytes that its writer got rid of.
+type countingConn struct {
 	net.Conn
 	sent atomic.Int64
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-// Guards memory: a client that reads nothing holds up its node, and no more than a piece lies in between.
-func TestStreamHoldsOnePiece(t *testing.T) {
+// A client reads nothing of a long value. It holds up the node, and no more than a piece is buffered in between.
+func TestStreamBuffersOnePiece(t *testing.T) {
 	const size = 1 << 20
+	const chunkSize = 512
 	node, fromNode := net.Pipe()
 	toClient, client := net.Pipe()
-	in := bufio.NewReaderSize(fromNode, 4<<10)
-	v := newStream(size, in, func(time.Duration) {})
-	from := &counted{Conn: node}
+	s := newStream(size, bufio.NewReaderSize(fromNode, 4<<10), func(time.Duration) {})
+	counting := &countingConn{Conn: node}
 	go func() {
-		for range size / 512 {
-			from.Write(make([]byte, 512))
+		for range size / chunkSize {
+			if _, err := counting.Write(make([]byte, chunkSize)); err != nil {
+				t.Error(err)
+				return
+			}
+		}
+		if _, err := io.WriteString(node, lineEnd); err != nil {
+			t.Error(err)
 		}
-		io.WriteString(node, "\r\n")
 	}()
 	passed := make(chan error, 1)
-	go func() { passed <- v.passTo(toClient) }()
-	const between = pieceBytes + 4<<10 + 512 // a piece, the reader's buffer and what the node is writing
+	go func() { passed <- s.passTo(toClient) }()
+	const between = pieceBytes + 4<<10 + chunkSize // a piece, the reader's buffer and what the node is writing
 	chunk := make([]byte, 2<<10)
 	for read := int64(0); read < size; {
-		if sent := from.sent.Load(); sent > read+between+int64(len(chunk)) {
+		if sent := counting.sent.Load(); sent > read+between+int64(len(chunk)) {
 			t.Fatalf("%d bytes were taken from the node while the client had %d", sent, read)
 		}
 		n, err := client.Read(chunk)
@@ -60,132 +65,140 @@
 		}
 		read += int64(n)
 	}
-	if _, err := io.ReadFull(client, chunk[:2]); err != nil || string(chunk[:2]) != "\r\n" {
+	if _, err := io.ReadFull(client, chunk[:2]); err != nil || string(chunk[:2]) != lineEnd {
 		t.Errorf("%q, %v", chunk[:2], err)
 	}
 	if err := <-passed; err != nil {
 		t.Error(err)
 	}
-	if err := v.wait(nil); err != nil {
+	if err := s.wait(nil); err != nil {
 		t.Error(err)
 	}
 }
 
-// A value that nobody takes frees its node's connection at once.
-func TestStreamDropped(t *testing.T) {
-	v := newStream(1, nil, nil)
-	v.Close()
-	if err := v.wait(nil); err != errDropped {
+// Nobody takes a value. Its node's connection is free at once.
+func TestAbandonedStreamFreesItsNode(t *testing.T) {
+	s := newStream(1, nil, nil)
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+	if err := s.wait(nil); !errors.Is(err, errStreamAbandoned) {
 		t.Error(err)
 	}
 	stopped := make(chan struct{})
 	close(stopped)
-	if err := newStream(1, nil, nil).wait(stopped); err != errDropped {
+	if err := newStream(1, nil, nil).wait(stopped); !errors.Is(err, errStreamAbandoned) {
 		t.Error(err)
 	}
 }
 
-// TestLongValues sends values through the whole broker: whole ones come whole and leave the connections of use, broken
-// ones end the client's connection before their end.
-func TestLongValues(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	long := strings.Repeat("lesson audio ", 3<<20/13)
-	var connections atomic.Int64
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			connections.Add(1)
-			go func() {
-				defer conn.Close()
-				for in := redcon.NewReader(conn); ; {
-					cmd, err := in.ReadCommand()
-					if err != nil {
-						return
-					}
-					switch id := string(cmd.Args[2]); id {
-					case "cut":
-						fmt.Fprintf(conn, "*3\r\n$%d\r\n%s", len(long), long[:len(long)/2])
-						return
-					case "spoilt":
-						fmt.Fprintf(conn, "*3\r\n$%d\r\n%sno end", len(long), long)
-						return
-					case "short":
-						io.WriteString(conn, "*3\r\n$5\r\nshort\r\n$-1\r\n$-1\r\n")
-					default:
-						fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$6\r\nused=1\r\n$-1\r\n", len(long), long)
-					}
-				}
-			}()
-		}
-	}()
-	state, err := broker.NewState(scheduler.Settings{Brokers: 3, MaxUnits: 8, MeanUnits: 2, Capabilities: scheduler.Capabilities{MaxAttempts: 1},
-		Classes: []scheduler.Class{{Name: "read", LatencyObjective: 5 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1}},
-		Plans:   []scheduler.Plan{{Name: "gold", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}}}, 1)
+// The ids by which a test tells its node how to answer.
+const (
+	idCut    = "cut"    // the connection ends inside the value
+	idSpoilt = "spoilt" // the value has no line end
+	idShort  = "short"
+)
+
+const (
+	shortValue  = "$5\r\nshort\r\n"
+	longSize    = 3 << 20
+	longPattern = "long value "
+)
+
+var longValue = strings.Repeat(longPattern, longSize/len(longPattern))
+
+// answerByID is a node that answers as a request's id says.
+func answerByID(conn net.Conn, cmd redcon.Command) bool {
+	var err error
+	switch string(cmd.Args[argID]) {
+	case idCut:
+		_, _ = fmt.Fprintf(conn, "*3\r\n$%d\r\n%s", len(longValue), longValue[:len(longValue)/2])
+		return false
+	case idSpoilt:
+		_, _ = fmt.Fprintf(conn, "*3\r\n$%d\r\n%sno end", len(longValue), longValue)
+		return false
+	case idShort:
+		_, err = io.WriteString(conn, "*3\r\n"+shortValue+"$-1\r\n$-1\r\n")
+	default:
+		_, err = fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$6\r\nused=1\r\n$-1\r\n", len(longValue), longValue)
+	}
+	return err == nil
+}
+
+// newLoopTo runs a loop whose one node listens at an address.
+func newLoopTo(t *testing.T, address string) *broker.Loop {
+	t.Helper()
+	state, err := broker.NewState(scheduler.Settings{
+		Brokers:      3,
+		MaxUnits:     8,
+		MeanUnits:    2,
+		Capabilities: scheduler.Capabilities{MaxAttempts: 1},
+		Classes: []scheduler.Class{
+			{Name: "read", LatencyObjective: 5 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1},
+		},
+		Plans: []scheduler.Plan{{Name: "gold", Rate: 100, ReservedRate: 100, Weight: 1, Price: 1}},
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes := pool.New(pool.Options{ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxConnections: 8, Logger: logging.ToFunc(func(line string) { t.Error(line) })})
+	nodes := pool.New(pool.Options{
+		ConnectTimeout: time.Second,
+		IdleTimeout:    time.Minute,
+		MaxConnections: 8,
+		Logger:         failOnLog(t),
+	})
 	loop := broker.NewLoop(state, broker.NewClock(), NewTransport(nodes), broker.Dependencies{})
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	t.Cleanup(cancel)
 	go loop.Run(ctx)
-	loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{{Endpoint: scheduler.Endpoint{Name: "n", Shard: 5, Weight: 1},
-		Address: ln.Addr().String()}}})
-	f := NewServer(loop, testTerms, 8, 8, 1<<20, logging.ToFunc(func(line string) { t.Log(line) }))
-	door, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	go f.Serve(door)
-	defer f.Close()
-	list := strings.Replace(listText, "d=480", "d=6000", 1)
-	ask := func(most int64, ids ...string) []byte {
-		conn, err := net.Dial("tcp", door.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(10 * time.Second))
+	node := broker.Node{Endpoint: scheduler.Endpoint{Name: "n", Shard: 5, Weight: 1}, Address: address}
+	loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{node}})
+	return loop
+}
+
+// Long values go through the whole broker. Whole ones come whole and leave the connections of use, broken ones end the
+// client's connection before their end. A value counts as served once it was passed on whole, and as open until then.
+func TestLongValues(t *testing.T) {
+	nodeListener := listen(t)
+	var connections atomic.Int64
+	go serveCommands(nodeListener, func() { connections.Add(1) }, answerByID)
+	loop := newLoopTo(t, nodeListener.Addr().String())
+	server := NewServer(loop, testLimits, 8, 8, 1<<20, testLogger(t))
+	address := serve(t, server)
+	t.Cleanup(server.Close)
+	options := option("d=480", "d=6000")
+	read := func(maxBytes int, ids ...string) []byte {
+		t.Helper()
+		conn := dial(t, address)
+		defer func() { _ = conn.Close() }()
 		for _, id := range ids {
-			io.WriteString(conn, bulk("BLK.READ", "7f3a9c21e0b4d655", id, list))
+			write(t, conn, bulk(commandRead, testKey, id, options))
 		}
 		var got bytes.Buffer
-		io.CopyN(&got, conn, most)
+		_, _ = io.CopyN(&got, conn, int64(maxBytes)) // less comes if the connection ends
 		return got.Bytes()
 	}
-	whole := fmt.Sprintf("$%d\r\n%s\r\n", len(long), long)
-	short := "$5\r\nshort\r\n"
-	if got := ask(int64(len(whole+short)), "long", "short"); string(got) != whole+short {
+	whole := fmt.Sprintf("$%d\r\n%s\r\n", len(longValue), longValue)
+	if got := read(len(whole+shortValue), "long", idShort); string(got) != whole+shortValue {
 		t.Errorf("%d bytes", len(got))
 	}
 	before := connections.Load()
-	if got := ask(int64(len(whole+whole+short)), "long1", "long2", "short"); string(got) != whole+whole+short {
+	if got := read(len(whole+whole+shortValue), "long1", "long2", idShort); string(got) != whole+whole+shortValue {
 		t.Errorf("%d bytes", len(got))
 	}
 	if now := connections.Load(); now > before+2 {
 		t.Errorf("%d connections, %d before: none was used again", now, before)
 	}
-	for _, id := range []string{"cut", "spoilt"} {
-		if got := ask(1<<30, id); len(got) >= len(whole) || !bytes.HasPrefix(got, []byte("$")) {
+	for _, id := range []string{idCut, idSpoilt} {
+		if got := read(1<<30, id); len(got) >= len(whole) || !bytes.HasPrefix(got, []byte("$")) {
 			t.Errorf("%s: %d bytes of %d", id, len(got), len(whole))
 		}
 	}
-	// A value counts as served once it was given whole, and as open until then.
-	for end := time.Now().Add(5 * time.Second); loop.OpenRequests() > 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%d open", loop.OpenRequests())
-		}
-	}
-	for _, figure := range loop.Metrics.Read() {
-		if want, checked := map[string]uint64{"success.read": 5, "failure.read": 2}[figure.Name]; checked && figure.Value != want {
-			t.Errorf("%s: %d, want %d", figure.Name, figure.Value, want)
+	eventually(t, "no request is open", func() bool { return loop.OpenRequests() == 0 })
+	want := map[string]uint64{"success.read": 5, "failure.read": 2}
+	for _, metric := range loop.Metrics.Read() {
+		if value, checked := want[metric.Name]; checked && metric.Value != value {
+			t.Errorf("%s: %d, want %d", metric.Name, metric.Value, value)
 		}
 	}
 }
