--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -9,48 +9,79 @@
 	"junctionwharf/scheduler"
 )
 
-// Only peers are heard, by the number of their address, and no datagram exceeds 256 bytes.
-func TestLink(t *testing.T) {
-	socket := func() *net.UDPConn {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c
-	}
-	other, all, stranger, own := socket(), socket(), socket(), socket()
+// waitLimit is how long a test waits for a datagram before it fails.
+const waitLimit = 5 * time.Second
+
+func listenUDP(t *testing.T) *net.UDPConn {
+	t.Helper()
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	return conn
+}
+
+// receive reads a datagram.
+func receive(t *testing.T, conn *net.UDPConn) string {
+	t.Helper()
+	if err := conn.SetReadDeadline(time.Now().Add(waitLimit)); err != nil {
+		t.Fatal(err)
+	}
+	buffer := make([]byte, 2*maxDatagramBytes)
+	n, _, err := conn.ReadFromUDPAddrPort(buffer)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(buffer[:n])
+}
+
+func send(t *testing.T, from *net.UDPConn, data []byte, to *net.UDPAddr) {
+	t.Helper()
+	if _, err := from.WriteToUDP(data, to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Only peers are heard, by the number of their address; a broker sends nothing to itself; and no datagram exceeds 256
+// bytes in either direction.
+func TestEndpoint(t *testing.T) {
+	other := listenUDP(t)
+	all := listenUDP(t)
+	stranger := listenUDP(t)
+	own := listenUDP(t)
 	address := own.LocalAddr().String()
-	own.Close()
-	link, err := Listen(address, []string{other.LocalAddr().String(), address}, all.LocalAddr().String(), 1)
+	if err := own.Close(); err != nil {
+		t.Fatal(err)
+	}
+	peers := []string{other.LocalAddr().String(), address}
+	endpoint, err := Listen(address, peers, all.LocalAddr().String(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard, done := make(chan broker.Event, 8), make(chan struct{})
-	go func() { link.Run(func(e broker.PeerMessage) { heard <- e }); close(done) }()
-	read := func(c *net.UDPConn) string {
-		b := make([]byte, 512)
-		c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		n, _, err := c.ReadFromUDP(b)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return string(b[:n])
-	}
-	link.Send(0, make([]byte, maxDatagram+1))
-	link.Send(1, []byte("self"))
-	link.Send(0, []byte("one"))
-	link.Send(scheduler.AllPeers, []byte("all"))
-	if got := read(other) + read(all); got != "oneall" {
+	messages := make(chan broker.PeerMessage, 8)
+	ended := make(chan struct{})
+	go func() {
+		endpoint.Run(func(m broker.PeerMessage) { messages <- m })
+		close(ended)
+	}()
+	tooLong := make([]byte, maxDatagramBytes+1)
+	endpoint.Send(0, tooLong)
+	endpoint.Send(1, []byte("self"))
+	endpoint.Send(0, []byte("one"))
+	endpoint.Send(scheduler.AllPeers, []byte("all"))
+	if got := receive(t, other) + receive(t, all); got != "oneall" {
 		t.Errorf("%q", got)
 	}
-	to := net.UDPAddrFromAddrPort(link.conn.LocalAddr().(*net.UDPAddr).AddrPort())
-	stranger.WriteToUDP([]byte("x"), to)
-	other.WriteToUDP(make([]byte, maxDatagram+1), to)
-	other.WriteToUDP([]byte("news"), to)
-	if e := (<-heard).(broker.PeerMessage); e.From != 0 || string(e.Data) != "news" {
-		t.Errorf("%+v", e)
+	to := endpoint.conn.LocalAddr().(*net.UDPAddr)
+	send(t, stranger, []byte("x"), to)
+	send(t, other, tooLong, to)
+	send(t, other, []byte("message"), to)
+	if m := <-messages; m.From != 0 || string(m.Data) != "message" {
+		t.Errorf("%+v", m)
+	}
+	if err := endpoint.Close(); err != nil {
+		t.Error(err)
 	}
-	link.Close()
-	<-done
+	<-ended
 }
