--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,7 @@
-// Package metrics words the broker's figures as StatsD lines for the operators' door.
+// Package metrics formats the broker's metrics as StatsD lines for the admin console.
+//
+// It keeps no state. Counters have the StatsD type c, gauges the type g; values are whole numbers in the unit that the
+// metric's name says.
 package metrics
 
 import (
@@ -7,21 +10,24 @@
 	"junctionwharf/broker"
 )
 
-// Sample is one figure.
-type Sample = broker.Metric
-
-// statsdPrefix stands before each name that the operators' door shows.
+// statsdPrefix stands before each name. Operators' tools know the series by it.
 const statsdPrefix = "edge_balancer"
 
-// FormatStatsD words figures as StatsD lines.
-func FormatStatsD(samples []Sample) []byte {
+// The StatsD types.
+const (
+	statsdCounter = "c"
+	statsdGauge   = "g"
+)
+
+// FormatStatsD formats metrics as StatsD lines.
+func FormatStatsD(metrics []broker.Metric) []byte {
 	var text []byte
-	for _, s := range samples {
-		kind := "g"
-		if s.Counter {
-			kind = "c"
+	for _, metric := range metrics {
+		kind := statsdGauge
+		if metric.Counter {
+			kind = statsdCounter
 		}
-		text = fmt.Appendf(text, "%s.%s:%d|%s\n", statsdPrefix, s.Name, s.Value, kind)
+		text = fmt.Appendf(text, "%s.%s:%d|%s\n", statsdPrefix, metric.Name, metric.Value, kind)
 	}
 	return text
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -1,11 +1,19 @@
 package metrics
 
-import "testing"
+import (
+	"testing"
 
-// The operators' tools read StatsD lines.
-func TestStatsd(t *testing.T) {
-	got := string(FormatStatsD([]Sample{{Name: "success.lesson-read", Value: 812, Counter: true}, {Name: "inflight", Value: 14, Counter: false}}))
-	if got != "edge_balancer.success.lesson-read:812|c\nedge_balancer.inflight:14|g\n" {
-		t.Errorf("%q", got)
+	"junctionwharf/broker"
+)
+
+// Operators' tools read StatsD lines.
+func TestFormatStatsD(t *testing.T) {
+	got := string(FormatStatsD([]broker.Metric{
+		{Name: "success.lesson-read", Value: 812, Counter: true},
+		{Name: "inflight", Value: 14},
+	}))
+	want := "edge_balancer.success.lesson-read:812|c\nedge_balancer.inflight:14|g\n"
+	if got != want {
+		t.Errorf("%q, want %q", got, want)
 	}
 }
