--- /dev/null
+++ b/internal/sftp/exchange.go
@@ -0,0 +1,180 @@
+package sftp
+
+import (
+	"fmt"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/pool"
+	"junctionwharf/scheduler"
+)
+
+// maxListingBytes bounds a whole directory. Higher, a listing could take more memory; a larger directory is an error.
+const maxListingBytes = 1 << 20
+
+// effect is whether a node executes something once it has a whole packet.
+type effect bool
+
+const (
+	harmless effect = false
+	decisive effect = true
+)
+
+// exchange is one operation's talk with a node. An operation that needs a handle opens one for itself and closes it
+// behind.
+type exchange struct {
+	*pool.Exchange
+	id uint32 // of the last packet sent
+}
+
+// run carries an operation out.
+func (x *exchange) run(op *operation) (broker.Result, error) {
+	switch op.command {
+	case Open, OpenWrite:
+		return x.open(op)
+	case Read, Write:
+		return x.transfer(op)
+	case List:
+		return x.list(op)
+	case Remove:
+		return x.simple(typeRemove, op)
+	case Stat:
+	}
+	return x.simple(typeStat, op)
+}
+
+// request sends a packet and reads its answer.
+func (x *exchange) request(has effect, kind byte, parts ...[]byte) (packet, error) {
+	x.id++
+	message := encodePacket(kind, x.id, parts...)
+	decisiveBytes := 0
+	if has == decisive {
+		decisiveBytes = pool.MessageSize(message)
+	}
+	if err := x.Send(message, decisiveBytes); err != nil {
+		return packet{}, err
+	}
+	return x.readAnswer(x.id)
+}
+
+// readAnswer reads the answer to the packet with an id.
+func (x *exchange) readAnswer(id uint32) (packet, error) {
+	p, err := readPacket(x.Reader)
+	if err == nil && p.id != id {
+		err = fmt.Errorf("%w: answer to %d, not %d", errPacket, p.id, id)
+	}
+	return p, err
+}
+
+// simple carries an operation out that is one packet.
+func (x *exchange) simple(kind byte, op *operation) (broker.Result, error) {
+	p, err := x.request(decisive, kind, encodeString(op.path))
+	if err != nil {
+		return broker.Result{Load: scheduler.NoLoadReport}, err
+	}
+	return resultOf(p)
+}
+
+// openHandle opens a handle at the node. Without one it returns the result of the operation.
+func (x *exchange) openHandle(has effect, kind byte, parts ...[]byte) (handle []byte, result broker.Result, err error) {
+	p, err := x.request(has, kind, parts...)
+	if err != nil {
+		return nil, broker.Result{Load: scheduler.NoLoadReport}, err
+	}
+	if handle = p.handle(); handle != nil {
+		return handle, broker.Result{}, nil
+	}
+	result, err = resultOf(p)
+	return nil, result, err
+}
+
+// closeHandle closes a handle at the node behind the answer.
+func (x *exchange) closeHandle(has effect, handle []byte) {
+	x.ReadTrailer(func() error {
+		_, err := x.request(has, typeClose, encodeString(handle))
+		return err
+	})
+}
+
+// open opens the file and closes it again: the client's handle is the server's own.
+func (x *exchange) open(op *operation) (broker.Result, error) {
+	handle, result, err := x.openHandle(decisive, typeOpen, encodeString(op.path), encodeUint32(op.flags), op.attrs)
+	if handle == nil {
+		return result, err
+	}
+	x.closeHandle(decisive, handle)
+	return broker.Result{Value: answer{kind: typeHandle}, Load: scheduler.NoLoadReport}, nil
+}
+
+// transfer reads or writes. Opening the file has no effect of its own, since OPEN as the client sent it was answered
+// before: only the READ or WRITE is decisive, and until its last byte is written nothing has been executed.
+func (x *exchange) transfer(op *operation) (broker.Result, error) {
+	flags := uint32(flagRead)
+	if op.command == Write {
+		flags = op.flags & (flagWrite | flagAppend)
+	}
+	noAttrs := encodeUint32(0)
+	handle, result, err := x.openHandle(harmless, typeOpen, encodeString(op.path), encodeUint32(flags), noAttrs)
+	if handle == nil {
+		return result, err
+	}
+	transferID := x.id + 1
+	closeID := x.id + 2
+	x.id = closeID
+	handleField := encodeString(handle)
+	message := encodePacket(typeRead, transferID, handleField, encodeUint64(op.offset), encodeUint32(op.length))
+	if op.command == Write {
+		length := encodeUint32(uint32(len(op.data)))
+		message = encodePacket(typeWrite, transferID, handleField, encodeUint64(op.offset), length, op.data)
+	}
+	decisiveBytes := pool.MessageSize(message) // a CLOSE that is cut behind it changes nothing
+	message = append(message, encodePacket(typeClose, closeID, handleField)...)
+	if err := x.Send(message, decisiveBytes); err != nil {
+		return broker.Result{}, err
+	}
+	p, err := x.readAnswer(transferID)
+	if err != nil {
+		return broker.Result{Load: scheduler.NoLoadReport}, err
+	}
+	result, err = resultOf(p)
+	if err == nil {
+		x.ReadTrailer(func() error {
+			_, err := x.readAnswer(closeID)
+			return err
+		})
+	}
+	return result, err
+}
+
+// list reads a whole directory. It sends packet after packet, so that a drain of the node must end it: after
+// StopSending the next one fails.
+func (x *exchange) list(op *operation) (broker.Result, error) {
+	handle, result, err := x.openHandle(harmless, typeOpendir, encodeString(op.path))
+	if handle == nil {
+		return result, err
+	}
+	var names [][]byte
+	for size := 0; ; {
+		p, err := x.request(harmless, typeReaddir, encodeString(handle))
+		if err != nil {
+			return broker.Result{}, err
+		}
+		if p.kind != typeName {
+			return x.endListing(p, handle, names)
+		}
+		size += len(p.body)
+		if size > maxListingBytes {
+			return broker.Result{}, fmt.Errorf("%w: a directory of over %d bytes", errPacket, maxListingBytes)
+		}
+		names = append(names, p.body)
+	}
+}
+
+// endListing judges the packet behind the last names of a directory.
+func (x *exchange) endListing(p packet, handle []byte, names [][]byte) (broker.Result, error) {
+	result, err := resultOf(p)
+	if err != nil || p.kind != typeStatus || p.statusCode() != statusEOF {
+		return result, err
+	}
+	x.closeHandle(harmless, handle)
+	return broker.Result{Value: answer{kind: typeName, names: names}, Load: scheduler.NoLoadReport}, nil
+}
--- /dev/null
+++ b/internal/sftp/handles.go
@@ -0,0 +1,128 @@
+package sftp
+
+import (
+	"encoding/binary"
+	"net"
+)
+
+// maxHandles bounds the open handles of one connection. Higher, one client could take more memory.
+const maxHandles = 256
+
+// handle is what a client has opened. It lives in the server only; session.mu guards it.
+type handle struct {
+	path   string
+	flags  uint32
+	isDir  bool
+	listed bool
+	names  [][]byte // of a listed directory: bodies of NAME packets still to be handed out
+}
+
+// addHandle names a handle and encodes the answer; the caller holds s.mu.
+func (s *session) addHandle(id uint32, h *handle) net.Buffers {
+	if len(s.handles) >= maxHandles {
+		return encodeStatus(id, statusFailure, "too many open handles")
+	}
+	s.handlesOpened++
+	name := binary.BigEndian.AppendUint64(nil, s.handlesOpened)
+	s.handles[string(name)] = h
+	return encodePacket(typeHandle, id, encodeString(name))
+}
+
+// findHandle returns a handle by its name, nil if there is none, and closes it if that is asked for.
+func (s *session) findHandle(name []byte, closeIt bool) *handle {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	h := s.handles[string(name)]
+	if closeIt {
+		delete(s.handles, string(name))
+	}
+	return h
+}
+
+// takeOnHandle takes a packet that names an open handle.
+func (s *session) takeOnHandle(p packet, f *fields) error {
+	name := f.string(maxHandleBytes)
+	if f.err != nil {
+		return f.err
+	}
+	h := s.findHandle(name, p.kind == typeClose)
+	if h == nil {
+		s.sendStatus(p.id, statusFailure, "no such handle")
+		return nil
+	}
+	switch p.kind {
+	case typeRead:
+		return s.takeRead(p.id, h, f)
+	case typeWrite:
+		return s.takeWrite(p.id, h, f)
+	case typeReaddir:
+		return s.takeReaddir(p.id, h)
+	case typeFstat:
+		return s.submit(p.id, &operation{command: Stat, path: h.path, flags: h.flags}, passOn(p.id))
+	}
+	s.sendStatus(p.id, statusOK, "closed")
+	return nil
+}
+
+func (s *session) takeRead(id uint32, h *handle, f *fields) error {
+	op := &operation{command: Read, path: h.path, flags: h.flags}
+	op.offset = f.uint64()
+	op.length = min(f.uint32(), maxDataBytes)
+	if f.err != nil {
+		return f.err
+	}
+	if h.isDir || h.flags&flagRead == 0 {
+		s.sendStatus(id, statusDenied, "not open for reading")
+		return nil
+	}
+	return s.submit(id, op, passOn(id))
+}
+
+func (s *session) takeWrite(id uint32, h *handle, f *fields) error {
+	op := &operation{command: Write, path: h.path, flags: h.flags}
+	op.offset = f.uint64()
+	op.data = f.string(maxDataBytes)
+	if f.err != nil {
+		return f.err
+	}
+	if h.isDir || h.flags&(flagWrite|flagAppend) == 0 {
+		s.sendStatus(id, statusDenied, "not open for writing")
+		return nil
+	}
+	return s.submit(id, op, passOn(id))
+}
+
+// takeReaddir hands out a directory. The first call lists it whole, so that no listing goes on at a node from one
+// call to the next.
+func (s *session) takeReaddir(id uint32, h *handle) error {
+	if !h.isDir {
+		s.sendStatus(id, statusFailure, "not a directory")
+		return nil
+	}
+	s.mu.Lock()
+	listed := h.listed
+	m := nextNames(id, h)
+	s.mu.Unlock()
+	if listed {
+		s.send(m)
+		return nil
+	}
+	return s.submit(id, &operation{command: List, path: h.path}, func(a answer) net.Buffers {
+		if a.kind != typeName {
+			return a.packet(id)
+		}
+		h.listed = true
+		h.names = a.names
+		return nextNames(id, h)
+	})
+}
+
+// nextNames encodes the next part of a listed directory; the caller holds session.mu.
+func nextNames(id uint32, h *handle) net.Buffers {
+	if len(h.names) == 0 {
+		return encodeStatus(id, statusEOF, "end of directory")
+	}
+	body := h.names[0]
+	h.names = h.names[1:]
+	return encodePacket(typeName, id, body)
+}
--- /dev/null
+++ b/internal/sftp/mapping_test.go
@@ -0,0 +1,66 @@
+package sftp
+
+import (
+	"testing"
+
+	"junctionwharf/broker"
+)
+
+func TestMappingOfRequests(t *testing.T) {
+	m := testMapping(t)
+	for _, test := range []struct {
+		op     operation
+		volume string // empty for none
+		units  float64
+		write  bool
+	}{
+		{operation{command: Read, path: "/d/f", length: 25}, "v", 3, false},
+		{operation{command: Write, path: "/d/deep/f", data: make([]byte, 500)}, "w", 8, true},
+		{operation{command: Stat, path: "/d"}, "v", 1, false},
+		{operation{command: Remove, path: "/deep/f"}, "", 0, false},
+		{operation{command: List, path: "/dx"}, "", 0, false},
+	} {
+		request := m.request(&test.op)
+		if request == nil {
+			if test.volume != "" {
+				t.Errorf("%s has no volume", test.op.path)
+			}
+			continue
+		}
+		if request.Volume != test.volume || request.Units != test.units || request.Write != test.write ||
+			request.Timeout != 2*broker.Second || len(request.Key) != 16 {
+			t.Errorf("%+v", request)
+		}
+	}
+}
+
+// Commands on one file keep their order only where that can be seen.
+func TestConflicts(t *testing.T) {
+	read := func(at uint64) *operation { return &operation{command: Read, path: "/d/f", offset: at, length: 10} }
+	write := func(at uint64) *operation {
+		return &operation{command: Write, path: "/d/f", offset: at, data: make([]byte, 10)}
+	}
+	remove := &operation{command: Remove, path: "/d/f"}
+	removeOther := &operation{command: Remove, path: "/d/g"}
+	appending := &operation{command: Write, path: "/d/f", flags: flagAppend, data: make([]byte, 1)}
+	for _, test := range []struct {
+		name string
+		a, b *operation
+		want bool
+	}{
+		{"two reads", read(0), read(5), false},
+		{"a write and a read of the same range", write(0), read(5), true},
+		{"writes that overlap", write(0), write(9), true},
+		{"writes side by side", write(0), write(10), false},
+		{"another file", write(0), removeOther, false},
+		{"a removal", remove, read(900), true},
+		{"an append", appending, write(100), true},
+		{"the end of the largest file", write(1<<64 - 5), read(1<<64 - 3), true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if test.a.conflicts(test.b) != test.want || test.b.conflicts(test.a) != test.want {
+				t.Errorf("want %v", test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/sftp/operation.go
@@ -0,0 +1,43 @@
+package sftp
+
+import "math"
+
+// operation is a file command as the broker carries it.
+type operation struct {
+	command Command
+	path    string
+	flags   uint32 // of OPEN
+	attrs   []byte // of OPEN, as they came
+	offset  uint64
+	length  uint32 // bytes to be read
+	data    []byte // to be written
+}
+
+// size is the number of bytes that the operation reads or writes.
+func (op *operation) size() int { return max(len(op.data), int(op.length)) }
+
+// conflicts tells whether two operations of one connection must keep their order: they touch the same file, at least
+// one changes it, and they do not touch separate ranges of it.
+func (op *operation) conflicts(other *operation) bool {
+	if op.path != other.path || !op.command.mutates() && !other.command.mutates() {
+		return false
+	}
+	if !op.hasRange() || !other.hasRange() {
+		return true
+	}
+	return op.offset < other.end() && other.offset < op.end()
+}
+
+// hasRange tells whether the operation touches no more than a range of the file.
+func (op *operation) hasRange() bool {
+	return (op.command == Read || op.command == Write) && op.flags&flagAppend == 0
+}
+
+// end is the offset behind the operation's range.
+func (op *operation) end() uint64 {
+	n := uint64(op.size())
+	if op.offset > math.MaxUint64-n {
+		return math.MaxUint64
+	}
+	return op.offset + n
+}
--- /dev/null
+++ b/internal/sftp/ordering.go
@@ -0,0 +1,136 @@
+package sftp
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"time"
+
+	"junctionwharf/broker"
+)
+
+// pendingCommand is a command that waits for its answer, or for an earlier one on the same file.
+type pendingCommand struct {
+	*operation
+	id        uint32
+	deadline  time.Time
+	timer     *time.Timer // rejects it at its deadline while it waits for an earlier one
+	request   *broker.Request
+	submitted bool   // to the loop
+	loopID    uint64 // of the request in the loop
+	served    func(answer) net.Buffers
+}
+
+// submit takes a command. Its deadline runs from here, also while it waits for an earlier command on the same file.
+// served encodes the answer of a node; it is called with s.mu held.
+func (s *session) submit(id uint32, op *operation, served func(answer) net.Buffers) error {
+	request := s.server.mapping.Load().request(op)
+	if request == nil {
+		s.sendStatus(id, statusNoSuchFile, "no volume holds this path")
+		return nil
+	}
+	request.Transport = s.server.transport
+	timeout := request.Timeout.Duration()
+	command := &pendingCommand{
+		operation: op,
+		id:        id,
+		request:   request,
+		deadline:  time.Now().Add(timeout),
+		served:    served,
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.queue(command); err != nil {
+		return err
+	}
+	if s.mayStart(command) {
+		s.start(command)
+		return nil
+	}
+	command.timer = time.AfterFunc(timeout, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if !command.submitted { // it was never sent, so that trying again is harmless
+			s.complete(command, broker.Response{Verdict: broker.Rejected})
+		}
+	})
+	return nil
+}
+
+// queue adds a command to those that wait. It waits itself while these are too many. The caller holds s.mu.
+func (s *session) queue(command *pendingCommand) error {
+	for len(s.pending) >= maxPending && !s.gone {
+		s.hasSpace.Wait()
+	}
+	if s.gone {
+		return net.ErrClosed
+	}
+	for _, other := range s.pending { // two answers could not be told apart
+		if other.id == command.id {
+			return fmt.Errorf("%w: a command with id %d is open", errPacket, command.id)
+		}
+	}
+	s.awaitingFirst = false
+	s.pending = append(s.pending, command)
+	return nil
+}
+
+// mayStart tells whether no earlier command must be answered before this one; the caller holds s.mu.
+func (s *session) mayStart(command *pendingCommand) bool {
+	for _, earlier := range s.pending {
+		if earlier == command {
+			return true
+		}
+		if earlier.conflicts(command.operation) {
+			return false
+		}
+	}
+	return false
+}
+
+// start hands a command to the loop; the caller holds s.mu.
+func (s *session) start(command *pendingCommand) {
+	if command.timer != nil {
+		command.timer.Stop()
+	}
+	command.submitted = true
+	command.request.Timeout = max(0, broker.MicrosOf(time.Until(command.deadline)))
+	command.loopID = s.server.loop.Submit(command.request, func(response broker.Response) {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.complete(command, response)
+	})
+}
+
+// complete answers a command and starts those that waited for it; the caller holds s.mu.
+func (s *session) complete(command *pendingCommand, response broker.Response) {
+	index := slices.Index(s.pending, command)
+	if index < 0 {
+		return
+	}
+	s.pending = append(s.pending[:index:index], s.pending[index+1:]...)
+	if s.gone {
+		return
+	}
+	s.out = append(s.out, encodeResponse(command.id, response, command.served)...)
+	for _, next := range s.pending {
+		if !next.submitted && s.mayStart(next) {
+			s.start(next)
+		}
+	}
+	s.hasSpace.Signal()
+	s.Wake()
+}
+
+// encodeResponse encodes the final answer to a command.
+func encodeResponse(id uint32, response broker.Response, served func(answer) net.Buffers) net.Buffers {
+	switch response.Verdict {
+	case broker.Served:
+		a, _ := response.Value.(answer)
+		return served(a)
+	case broker.Rejected:
+		return encodeRejection(id, response.RetryAfter)
+	case broker.Failed:
+	}
+	return encodeFailure(id)
+}
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -1,5 +1,3 @@
-// Package sftp speaks the packets of SFTP version 3 (draft-ietf-secsh-filexfer-02) over plain TCP: a
-// front for file commands and the side of the storage nodes. There is no SSH underneath.
 package sftp
 
 import (
@@ -54,45 +52,63 @@
 
 const (
 	protocolVersion = 3
-	maxData         = 64 << 10       // bytes read or written by one command
-	maxPacket       = maxData + 4096 // bytes of a packet
-	maxPath         = 2048
-	maxHandle       = 256
+	// languageTag is the language of a status's text.
+	languageTag = "en"
+
+	lengthBytes = 4 // of a packet's or a string's length
+	headerBytes = 5 // of a packet behind its length: type and id
+
+	// maxDataBytes bounds what one command reads or writes. Higher, each command could take more memory; lower, clients
+	// would need more commands.
+	maxDataBytes = 64 << 10
+	// maxPacketBytes bounds a packet: the data and room for its other fields.
+	maxPacketBytes = maxDataBytes + 4096
+	// maxPathBytes and maxHandleBytes bound what a client or node names. The draft allows handles of 256 bytes.
+	maxPathBytes   = 2048
+	maxHandleBytes = 256
 )
 
+// errPacket is the error of a packet that cannot be read. Its text, and those of the errors that wrap it, go to the
+// client.
 var errPacket = errors.New("malformed packet")
 
 // packet is one message without its length. Fields read from it lie in its bytes.
 type packet struct {
 	kind byte
-	id   uint32
+	id   uint32 // in INIT and VERSION packets the version
 	body []byte // what follows the id
 }
 
-// readPacket reads a packet into memory of its own. INIT and VERSION carry their version as id.
+// readPacket reads a packet into memory of its own.
 func readPacket(r *bufio.Reader) (packet, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [lengthBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return packet{}, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < 5 || n > maxPacket {
-		return packet{}, fmt.Errorf("%w: length %d", errPacket, n)
+	length := binary.BigEndian.Uint32(header[:])
+	if length < headerBytes || length > maxPacketBytes {
+		return packet{}, fmt.Errorf("%w: length %d", errPacket, length)
 	}
-	text := make([]byte, n)
+	text := make([]byte, length)
 	if _, err := io.ReadFull(r, text); err != nil {
 		return packet{}, err
 	}
-	return packet{kind: text[0], id: binary.BigEndian.Uint32(text[1:]), body: text[5:]}, nil
+	return packet{kind: text[0], id: binary.BigEndian.Uint32(text[1:]), body: text[headerBytes:]}, nil
 }
 
-// handle is the handle that a HANDLE packet carries; nil for any other or a malformed one.
+// handle is the handle that a HANDLE packet carries; nil for any other packet or a malformed one.
 func (p packet) handle() []byte {
 	if p.kind != typeHandle {
 		return nil
 	}
 	f := fields{rest: p.body}
-	return f.string(maxHandle)
+	return f.string(maxHandleBytes)
+}
+
+// statusCode is the code that a STATUS packet carries.
+func (p packet) statusCode() uint32 {
+	f := fields{rest: p.body}
+	return f.uint32()
 }
 
 // fields takes the fields of a packet's body in place and keeps the first error.
@@ -125,34 +141,47 @@
 	return 0
 }
 
-func (f *fields) string(most int) []byte {
+// string takes a string of at most limit bytes.
+func (f *fields) string(limit int) []byte {
 	n := f.uint32()
-	if f.err == nil && n > uint32(most) {
+	if f.err == nil && n > uint32(limit) {
 		f.err = fmt.Errorf("%w: a string of %d bytes", errPacket, n)
 	}
 	return f.take(int(n))
 }
 
-// message gathers a packet from parts: its length is written before them.
-func message(kind byte, id uint32, parts ...[]byte) net.Buffers {
-	n := 5
-	for _, p := range parts {
-		n += len(p)
+// encodePacket gathers a packet from the parts of its body: its length is written before them.
+func encodePacket(kind byte, id uint32, parts ...[]byte) net.Buffers {
+	length := headerBytes
+	for _, part := range parts {
+		length += len(part)
 	}
-	head := binary.BigEndian.AppendUint32(make([]byte, 0, 9), uint32(n))
-	head = binary.BigEndian.AppendUint32(append(head, kind), id)
-	return append(net.Buffers{head}, parts...)
+	header := make([]byte, 0, lengthBytes+headerBytes)
+	header = binary.BigEndian.AppendUint32(header, uint32(length))
+	header = append(header, kind)
+	header = binary.BigEndian.AppendUint32(header, id)
+	return append(net.Buffers{header}, parts...)
 }
 
-func text[T string | []byte](s T) []byte {
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(s)), uint32(len(s))), s...)
+// encodeString encodes a string with its length.
+func encodeString[T string | []byte](s T) []byte {
+	text := make([]byte, 0, lengthBytes+len(s))
+	text = binary.BigEndian.AppendUint32(text, uint32(len(s)))
+	return append(text, s...)
 }
 
-func number(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
+func encodeUint32(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 
-func offset(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+
+// encodeStatus encodes a STATUS packet.
+func encodeStatus(id, code uint32, text string) net.Buffers {
+	return encodePacket(typeStatus, id, statusBody(code, text))
+}
 
-// status words a STATUS packet's body.
-func status(code uint32, words string) []byte {
-	return append(append(number(code), text(words)...), text("en")...)
+// statusBody encodes the body of a STATUS packet.
+func statusBody(code uint32, text string) []byte {
+	body := encodeUint32(code)
+	body = append(body, encodeString(text)...)
+	return append(body, encodeString(languageTag)...)
 }
--- /dev/null
+++ b/internal/sftp/session_test.go
@@ -0,0 +1,140 @@
+package sftp
+
+import (
+	"errors"
+	"io"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"junctionwharf/broker"
+	"junctionwharf/internal/logging"
+	"junctionwharf/internal/pool"
+)
+
+// waitLimit is how long a test waits for what must happen before it fails.
+const waitLimit = 5 * time.Second
+
+// FuzzServer sends anything, cut anywhere: there is no panic, and the connection ends when its client does.
+func FuzzServer(f *testing.F) {
+	f.Add(allCommands, uint64(1))
+	f.Add(allCommands[:50], uint64(2))
+	f.Add([]byte("\x00\x00\x00\x05\x01\x00\x00\x00\x03\xff\xff\xff\xff"), uint64(3))
+	hugeWrite := encodePacket(typeWrite, 1, encodeString("h"), encodeUint64(1<<63), encodeUint32(1<<31))
+	f.Add(join(encodePacket(typeInit, protocolVersion), hugeWrite), uint64(4))
+	f.Fuzz(func(t *testing.T, input []byte, seed uint64) {
+		s, client := newTestSession(t)
+		rng := rand.New(rand.NewPCG(seed, 1))
+		ended := make(chan struct{})
+		go func() {
+			s.write()
+			close(ended)
+		}()
+		go func() { _, _ = io.Copy(io.Discard, client) }() // to the end of the connection
+		go func() {
+			defer func() { _ = client.Close() }()
+			for rest := input; len(rest) > 0; {
+				n := 1 + rng.IntN(len(rest))
+				if _, err := client.Write(rest[:n]); err != nil {
+					return
+				}
+				rest = rest[n:]
+			}
+		}()
+		s.read()
+		select {
+		case <-ended:
+		case <-time.After(waitLimit):
+			t.Fatal("the connection did not end")
+		}
+	})
+}
+
+// newConnectedSession returns a session over a loopback connection whose goroutines do not run, and its client.
+func newConnectedSession(t *testing.T) (s *session, client net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = ln.Close() }()
+	client, err = net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = client.Close() })
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return newSession(NewServer(nil, nil, testMapping(t), 4, logging.Discard()), conn), client
+}
+
+// A connection is evicted, or the server drains. The connection stays while a command waits, has come in part, or
+// stands unread. Once it is to end, a command that was being read is not taken.
+func TestEndingConnectionTakesNoCommand(t *testing.T) {
+	s, client := newConnectedSession(t)
+	s.pending = []*pendingCommand{{}}
+	if s.Evict() {
+		t.Error("it ends while a command waits")
+	}
+	s.pending = nil
+	s.setInsidePacket(true)
+	if s.stopTaking() {
+		t.Error("it ends inside a command")
+	}
+	s.setInsidePacket(false)
+	if _, err := io.WriteString(client, "x"); err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(waitLimit); pool.IsQuiet(s.conn) && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+	if s.Evict() {
+		t.Error("it ends with bytes unread")
+	}
+	if _, err := io.ReadFull(s.conn, make([]byte, 1)); err != nil { // a command is read now
+		t.Fatal(err)
+	}
+	if !s.Evict() {
+		t.Error("it stays")
+	}
+	err := s.submit(1, &operation{command: Stat, path: "/d/f"}, passOn(1))
+	if !errors.Is(err, net.ErrClosed) {
+		t.Errorf("a command is taken: %v", err)
+	}
+}
+
+// A write waits for an earlier one on its file. It is sent only after that is answered, and if its deadline passes
+// first it is rejected, never sent.
+func TestWritesOfOneFileKeepTheirOrder(t *testing.T) {
+	s, _ := newTestSession(t)
+	s.server.mapping.Load().Commands[Write] = CommandSettings{Class: "write", WaitMS: 60_000}
+	submit := func(id uint32) *pendingCommand {
+		t.Helper()
+		op := &operation{command: Write, path: "/d/f", data: []byte("x")}
+		if err := s.submit(id, op, passOn(id)); err != nil {
+			t.Fatal(err)
+		}
+		return s.pending[len(s.pending)-1]
+	}
+	first := submit(1)
+	second := submit(2)
+	third := submit(3)
+	if !first.submitted || second.submitted || third.submitted {
+		t.Fatal("the order is lost")
+	}
+	third.timer.Reset(0) // its deadline has passed
+	<-s.wake
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if out := string(join(s.out)); !strings.Contains(out, busyText) || third.submitted {
+		t.Errorf("%q, submitted %v", out, third.submitted)
+	}
+	s.complete(first, broker.Response{Verdict: broker.Failed})
+	if !second.submitted || len(s.pending) != 1 {
+		t.Error("the second did not follow")
+	}
+}
