--- a/admission/controller.go
+++ b/admission/controller.go
@@ -39,7 +39,7 @@
 	plans         map[string]scheduler.Plan
 	maxUnits      float64 // of a request
 	minObjective  Micros  // the shortest latency objective of a class
-	maxRetryAfter Micros  // 0 for not told
+	maxRetryAfter Micros  // 0 for no advice
 
 	// Reserved capacity.
 	volumes    map[string]*reservedCapacity
@@ -85,7 +85,7 @@
 	return c
 }
 
-// ApplySettings goes over to other classes and plans. Classes that vanished count least from now on.
+// ApplySettings switches to other classes and plans. Classes that vanished count least from now on.
 func (c *Controller) ApplySettings(deployment scheduler.Settings) {
 	lastRank := c.rankClasses(deployment.Classes)
 	c.plans = map[string]scheduler.Plan{}
@@ -140,8 +140,8 @@
 	return rank
 }
 
-// Admit tells whether a request is admitted while so many wait for their answers, else why not and when it may come
-// back (0: not told).
+// Admit reports whether a request is admitted while so many wait for their answers, else why not and when it may come
+// back (0: no advice).
 func (c *Controller) Admit(now Micros, open int, r *Request) (reason Reason, retryAfter Micros) {
 	c.advance(now)
 	rank := 0
@@ -175,7 +175,7 @@
 	return !reserved && float64(open) >= unreservedOpenShare*float64(c.settings.MaxOpen)
 }
 
-// admitsRank tells whether the allowance has a share for a request of a rank.
+// admitsRank reports whether the allowance has a share for a request of a rank.
 func (c *Controller) admitsRank(rank int) bool {
 	if rank != c.marginalRank {
 		return rank < c.marginalRank
@@ -193,21 +193,21 @@
 	return min(c.maxRetryAfter, Micros(float64(c.minObjective)*max(1, c.excess)))
 }
 
-// RecordLag tells for how long work has waited since the last call.
+// RecordLag reports how long work has waited since the last call.
 func (c *Controller) RecordLag(now, lag Micros) {
 	c.lagSamples++
 	c.windowLag += (lag - c.windowLag) / Micros(c.lagSamples)
 	c.advance(now)
 }
 
-// RecordOverload tells that requests were rejected for Settings.MaxOpenOverloaded before they came here.
+// RecordOverload reports that requests were rejected for Settings.MaxOpenOverloaded before they came here.
 func (c *Controller) RecordOverload() { c.tooMany = true }
 
 // MaxOpenOverloaded is the bound of that name in the settings.
 func (c *Controller) MaxOpenOverloaded() int { return c.settings.MaxOpenOverloaded }
 
-// Overloaded tells whether the lag is above OverloadLag.
+// Overloaded reports whether the lag is above OverloadLag.
 func (c *Controller) Overloaded() bool { return c.smoothedLag > OverloadLag }
 
-// Shedding tells whether requests are rejected now for want of the broker's own processor.
+// Shedding reports whether requests are rejected now for want of the broker's own processor.
 func (c *Controller) Shedding() bool { return c.shedding || c.tooMany || c.tooManyWindows > 0 }
--- a/admission/reserve.go
+++ b/admission/reserve.go
@@ -6,7 +6,7 @@
 	updatedAt Micros
 }
 
-// takeReserved tells whether a request is within its volume's reserved capacity, and takes it from there.
+// takeReserved reports whether a request is within its volume's reserved capacity, and takes it from there.
 func (c *Controller) takeReserved(now Micros, r *Request) bool {
 	rate := c.plans[r.Plan].ReservedRate / float64(max(1, r.Brokers))
 	if rate <= 0 {
--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -5,7 +5,7 @@
 	"junctionwharf/telemetry"
 )
 
-// send starts an attempt, or tells the scheduler at once that it is void, which means never sent.
+// send starts an attempt, or reports to the scheduler at once that it was not sent.
 func (s *State) send(a scheduler.Forward) {
 	r := s.requests[a.ID]
 	if r == nil {
@@ -77,7 +77,7 @@
 	r.idempotencyTimer = s.setTimer(at, timer{kind: idempotencyTimer, id: id, attempt: r.attempts - 1})
 }
 
-// idempotencyEnd tells until when a further attempt of a request may be sent, if its class limits that.
+// idempotencyEnd reports until when a further attempt of a request may be sent, if its class limits that.
 func (s *State) idempotencyEnd(r *requestState) (at Micros, limited bool) {
 	if !r.mayHaveRun {
 		return 0, false
@@ -100,8 +100,8 @@
 	s.emit(StopAttempt{ID: id, Number: r.attempts - 1})
 }
 
-// handleAttemptEnd takes the result of an attempt that ended by itself. One that comes after a stop, or after its
-// request is over, finds nobody.
+// handleAttemptEnd handles the result of an attempt that ended by itself. One that comes after a stop, or after its
+// request is over, is discarded.
 func (s *State) handleAttemptEnd(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || !r.awaits(e.Attempt) || r.stopped {
@@ -109,7 +109,7 @@
 		return
 	}
 	outcome := e.Result.outcome()
-	if r.answered && e.Result.Err != nil { // cancelled for its client has gone: that it broke says nothing of the node
+	if r.answered && e.Result.Err != nil { // cancelled with its request: that it broke says nothing about the node
 		outcome = scheduler.NotSent
 		if e.Result.Err.Progress == FullyWritten {
 			outcome = scheduler.Canceled
@@ -118,7 +118,7 @@
 	s.endAttempt(e.ID, r, outcome, e.Result)
 }
 
-// handleAttemptStop takes how far an attempt came that was stopped.
+// handleAttemptStop handles how far an attempt came that was stopped.
 func (s *State) handleAttemptStop(e AttemptStopped) {
 	r := s.requests[e.ID]
 	if r == nil || !r.awaits(e.Attempt) {
@@ -131,7 +131,7 @@
 	s.endAttempt(e.ID, r, outcome, Result{Load: scheduler.NoLoadReport})
 }
 
-// endAttempt tells the scheduler of an attempt's one outcome and passes a served answer on.
+// endAttempt reports an attempt's one outcome to the scheduler and passes a served answer on.
 func (s *State) endAttempt(id uint64, r *requestState, outcome scheduler.Outcome, result Result) {
 	r.inFlight = false
 	r.stopped = false
@@ -168,7 +168,7 @@
 	s.forget(id, r)
 }
 
-// telemetryOutcomes words an attempt's outcome for telemetry. Void is one that was cancelled before it was sent.
+// telemetryOutcomes maps an attempt's outcome to telemetry's. NotSent is one that was cancelled before it was sent.
 var telemetryOutcomes = [...]telemetry.Outcome{
 	scheduler.Success:          telemetry.Success,
 	scheduler.Failure:          telemetry.Failure,
@@ -182,14 +182,14 @@
 
 const (
 	// waitsPerAttempt is how often an attempt waits for a processor here: to be written, for its answer to be seen,
-	// read, and taken. Were it lower, a busy broker would take its own lag for slow nodes; were it higher, it would
-	// overlook them.
+	// read, and taken. If it were lower, a busy broker would take its own lag for slow nodes; if it were higher, it
+	// would overlook them.
 	waitsPerAttempt = 4
 	// minNodeTimeDivisor leaves a node a tenth of the measured time, so that a lag that was measured too high never
 	// makes an attempt look as if it had taken no time.
 	minNodeTimeDivisor = 10
-	// lagSmoothing is the divisor of a new measurement's weight in the mean: four measurements, about 40 ms. Were it
-	// lower, a single pause would distort the latencies; were it higher, the first seconds of an overload would.
+	// lagSmoothing is the divisor of a new measurement's weight in the mean: four measurements, about 40 ms. If it were
+	// lower, a single pause would distort the latencies; if it were higher, the start of an overload would.
 	lagSmoothing = 4
 )
 
--- a/broker/attempts_test.go
+++ b/broker/attempts_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// A client goes while the connection for its request comes up. What it asked for is not sent on, however late that
-// is, and the attempt's end says nothing of the node: the next request goes there at once. The attempt may be fully
-// written as it is cancelled.
+// A client disconnects while the connection for its request comes up. What it asked for is not sent on, however late
+// that is, and the attempt's end says nothing of the node: the next request goes there at once. The attempt may be
+// fully written as it is cancelled.
 func TestCancelledBeforeItIsSent(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
--- a/broker/clock.go
+++ b/broker/clock.go
@@ -18,8 +18,9 @@
 // shortly before this process have a start above 0 too.
 type Clock struct{ start time.Time }
 
-// clockStart is what a new Clock shows: one hour, longer than any slow start. Were it lower, a node that started before
-// the broker would count as one that has been up for ever, and would get full load while it is still warming up.
+// clockStart is what a new Clock shows: one hour, longer than any slow start. If it were lower, a node that started
+// before the broker would count as one that has been up for ever, and would get full load while it is still warming
+// up.
 const clockStart = 3600 * Second
 
 // NewClock starts a clock.
--- a/broker/doc.go
+++ b/broker/doc.go
@@ -20,7 +20,7 @@
 // # Owner
 //
 // One goroutine, that of Loop.Run, owns State, the waiting clients and the transport handles. Other goroutines reach
-// them by events only; what they share with the loop (the inbox) is guarded by Loop.mu, and metrics are atomics.
+// them by events only; what they share with the loop (the inbox) is guarded by inbox.mu, and metrics are atomics.
 //
 // # Units
 //
--- a/broker/effects.go
+++ b/broker/effects.go
@@ -22,8 +22,8 @@
 	Number int
 }
 
-// CancelUnlessWritten ends an attempt whose client has gone, or which came too late to its node, unless it was fully
-// written.
+// CancelUnlessWritten ends an attempt whose client has disconnected, or which came too late to its node, unless it
+// was fully written.
 type CancelUnlessWritten struct {
 	ID     uint64
 	Number int
@@ -50,10 +50,10 @@
 // CloseIdle asks to close idle connections.
 type CloseIdle struct{ Address string }
 
-// DiscardValue gives up a value that no client takes any more.
+// DiscardValue releases a value that no client receives any more.
 type DiscardValue struct{ Value any }
 
-// Log is a line for the people on call.
+// Log is a line for the engineers on call.
 type Log struct{ Text string }
 
 func (StartAttempt) effect()        {}
--- a/broker/events.go
+++ b/broker/events.go
@@ -5,36 +5,35 @@
 // Event is something that happened; State.Reduce takes it.
 type Event interface{ event() }
 
-// RequestArrived tells of a new request; its ID is new. Its client's time runs from At, 0 for the turn that hears of
-// it.
+// RequestArrived reports a new request; its ID is new. Its client's time runs from At, 0 for the time of the turn.
 type RequestArrived struct {
 	ID      uint64
 	Request *Request
 	At      Micros
 }
 
-// RequestCancelled tells that a client no longer waits.
+// RequestCancelled reports that a client no longer waits.
 type RequestCancelled struct{ ID uint64 }
 
-// RequestExpedited tells that a client sends nothing more and may have gone, while it is owed its answer: that is
-// given now.
+// RequestExpedited reports that a client sends nothing more and may have disconnected, while it is still due an
+// answer: that is given now.
 type RequestExpedited struct{ ID uint64 }
 
-// AttemptEnded tells how an attempt ended by itself.
+// AttemptEnded reports how an attempt ended by itself.
 type AttemptEnded struct {
 	ID      uint64
 	Attempt int
 	Result  Result
 }
 
-// AttemptStopped tells how far an attempt that StopAttempt ended had come.
+// AttemptStopped reports how far an attempt that StopAttempt ended had come.
 type AttemptStopped struct {
 	ID       uint64
 	Attempt  int
 	Progress Progress
 }
 
-// StreamEnded tells that a Streaming value was delivered to its client complete, or never will be.
+// StreamEnded reports that a Streaming value was delivered to its client complete, or never will be.
 type StreamEnded struct {
 	ID       uint64
 	Complete bool
@@ -47,7 +46,7 @@
 	Result Result
 }
 
-// NodesListed is news of the list of storage nodes.
+// NodesListed is an update of the list of storage nodes.
 type NodesListed struct {
 	Kind    scheduler.UpdateKind
 	Version uint64
@@ -70,18 +69,18 @@
 // SettingsChanged brings new settings, which were checked. Requests under way keep their class.
 type SettingsChanged struct{ Settings scheduler.Settings }
 
-// ProcessesChanged tells that so many processes are this broker together, as while one replaces another, and how many
-// more may be without its being known.
+// ProcessesChanged reports that so many processes are this broker together, as while one replaces another, and how many
+// more there may be that are not known.
 type ProcessesChanged struct{ Processes, Unseen int }
 
-// LagMeasured tells how long whatever could run in this process has lately waited for a processor, in the mean. Unknown
-// tells that nobody measures any more.
+// LagMeasured reports how long whatever could run in this process has lately waited for a processor, in the mean.
+// Unknown says that nobody measures any more.
 type LagMeasured struct {
 	Waited  Micros
 	Unknown bool
 }
 
-// ShuttingDown tells that the process ends: what is owed is to be answered now, and so is what still comes.
+// ShuttingDown reports that the process ends: what is still due is to be answered now, and so is what still comes.
 type ShuttingDown struct{}
 
 func (RequestArrived) event()   {}
--- a/broker/execute.go
+++ b/broker/execute.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// closeValue closes a value that no client takes. A failed close has nobody to be told: the node's connection is
-// dropped either way.
+// closeValue closes a value that no client receives. An error of Close is ignored: the node's connection is dropped
+// either way.
 func closeValue(value any) {
 	if v, is := value.(io.Closer); is {
 		_ = v.Close()
--- a/broker/idempotency_test.go
+++ b/broker/idempotency_test.go
@@ -65,7 +65,7 @@
 
 // A request with an idempotency key may have run as its connection breaks. It is retried inside its window and its
 // group of nodes or not at all: when that is decided, when the second connection comes up late, and when a list, new
-// settings or a restart come between. Were it written past the window, the nodes would run it twice.
+// settings or a restart come between. If it were written past the window, the nodes would run it twice.
 func TestRetryWithinIdempotencyWindow(t *testing.T) {
 	for _, keyed := range keyedClasses {
 		for _, c := range retryCases {
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -6,7 +6,7 @@
 	"junctionwharf/telemetry"
 )
 
-// inbox is what other goroutines hand to the loop. mu guards all fields but wakeUp.
+// inbox holds what other goroutines hand to the loop. mu guards all fields but wakeUp.
 type inbox struct {
 	mu sync.Mutex
 	// events wait for their turn, in the order in which they came.
@@ -23,7 +23,7 @@
 	since Micros
 	// lag is the longest that one waited since RecordSchedulingLag.
 	lag Micros
-	// hasCapacity is told when events has become shorter, or the loop has ended.
+	// hasCapacity is signalled when events has become shorter, or the loop has ended.
 	hasCapacity *sync.Cond
 	ended       bool // the loop turns no more
 
@@ -38,15 +38,16 @@
 
 const (
 	// maxTurnEvents bounds a turn: deadlines, timers and cancellations are looked at between turns, and what came
-	// later waits. Were it higher, answers would come late after a burst; were it lower, the fixed cost of a turn
+	// later waits. If it were higher, answers would come late after a burst; if it were lower, the fixed cost of a turn
 	// would count.
 	maxTurnEvents = 1 << 10
-	// maxQueuedEvents bounds the events that wait for a turn before a protocol server reads no further request. Were it
-	// lower, short bursts would hold up connections; were it higher, a loop far behind would hold more requests that
-	// cannot be in time.
+	// maxQueuedEvents bounds the events that wait for a turn before a protocol server reads no further request. If it
+	// were lower, short bursts would hold up connections; if it were higher, a loop far behind would hold more
+	// requests that cannot be in time.
 	maxQueuedEvents = 16 * maxTurnEvents
-	// maxQueuedRejections bounds the facts of rejections that wait for the loop; metrics count the others too. Were it
-	// lower, telemetry would miss rejections of an overload; were it higher, an overload would take more memory.
+	// maxQueuedRejections bounds the facts of rejections that wait for the loop; metrics count the others too. If it
+	// were lower, telemetry would miss rejections of an overload; if it were higher, an overload would take more
+	// memory.
 	maxQueuedRejections = 1 << 12
 )
 
@@ -60,7 +61,7 @@
 	return l.SubmitAdmitted(request, reply)
 }
 
-// SubmitAdmitted is Submit for a request that Admit has let in.
+// SubmitAdmitted is Submit for a request that Admit has admitted.
 func (l *Loop) SubmitAdmitted(request *Request, reply func(Response)) uint64 {
 	id := l.nextID.Add(1)
 	at := l.clock.Now()
@@ -73,13 +74,13 @@
 	return id
 }
 
-// Cancel tells that the client of a request no longer waits.
+// Cancel reports that the client of a request no longer waits.
 func (l *Loop) Cancel(id uint64) { l.Post(RequestCancelled{ID: id}) }
 
-// Expedite tells that the client of a request may have gone, but wants an answer if it has not.
+// Expedite reports that the client of a request may have disconnected, but wants an answer if it has not.
 func (l *Loop) Expedite(id uint64) { l.Post(RequestExpedited{ID: id}) }
 
-// OpenRequests tells how many requests wait for their final answer.
+// OpenRequests reports how many requests wait for their final answer.
 func (l *Loop) OpenRequests() int { return int(l.Metrics.open.Load()) }
 
 // Post hands an event to the loop.
@@ -98,7 +99,7 @@
 	l.Wake()
 }
 
-// Wake has the loop turn now, though nothing may have come.
+// Wake has the loop run a turn now, even without an event.
 func (l *Loop) Wake() {
 	select {
 	case l.inbox.wakeUp <- struct{}{}:
@@ -121,7 +122,7 @@
 	l.inbox.events = append(l.inbox.events, e)
 }
 
-// Backlogged tells whether the loop is far behind, so that WaitForCapacity would wait.
+// Backlogged reports whether the loop is far behind, so that WaitForCapacity would wait.
 func (l *Loop) Backlogged() bool {
 	l.inbox.mu.Lock()
 	defer l.inbox.mu.Unlock()
@@ -139,7 +140,7 @@
 	}
 }
 
-// end lets those go that wait for capacity.
+// end releases those that wait for capacity.
 func (l *Loop) end() {
 	l.inbox.mu.Lock()
 	defer l.inbox.mu.Unlock()
@@ -148,7 +149,7 @@
 }
 
 // collect takes what came since the last turn, up to the bound, in memory that the inbox gets back by spare. more
-// tells that events are left.
+// reports that events are left.
 func (l *Loop) collect(now Micros, spare []Event) (events []Event, calls []func(), more bool) {
 	clear(spare)
 	l.inbox.mu.Lock()
@@ -171,7 +172,7 @@
 	return events, calls, more
 }
 
-// takeEvents takes the events of one turn and tells whether some are left; the caller holds mu.
+// takeEvents takes the events of one turn and reports whether some are left; the caller holds mu.
 func (b *inbox) takeEvents(spare []Event) (events []Event, more bool) {
 	events = b.events
 	b.events = spare[:0]
@@ -185,7 +186,7 @@
 
 // insertCancellations puts cancellations before all else, and behind the arrival of a request that is not known yet:
 // so none waits for as long as the loop is behind, and no request is sent to a storage node for a client that has
-// gone.
+// disconnected.
 func (l *Loop) insertCancellations(cancellations, events []Event) []Event {
 	if len(cancellations) == 0 && len(l.cancelledBeforeArrival) == 0 {
 		return events
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -16,9 +16,9 @@
 type Dependencies struct {
 	// SendToPeer sends bytes to another broker; nil without peers.
 	SendToPeer func(peer int, data []byte)
-	// Observe is told facts for telemetry, and does not keep the slice; nil for none.
+	// Observe receives facts for telemetry, and does not keep the slice; nil for none.
 	Observe func(facts []telemetry.Fact)
-	// Log is for the people on call; nil for none.
+	// Log is for the engineers on call; nil for none.
 	Log *slog.Logger
 	// ConfigChanges returns what a turn has to apply before it decides anything, by the clock that it reads; nil
 	// where no configuration is replicated.
@@ -27,7 +27,7 @@
 	Admission *admission.Controller
 }
 
-// Loop is the driver of a State: it queues events, reads the clock once a turn and carries out the effects. Its
+// Loop drives a State: it queues events, reads the clock once a turn and carries out the effects. Its
 // methods may be called from any goroutine unless they say otherwise; Run's goroutine alone touches the fields of the
 // second group.
 type Loop struct {
@@ -47,7 +47,7 @@
 	nodesCountedAt Micros           // when nodes are to be counted again
 	sharesTakenAt  Micros           // when shares are to be taken again
 	rejections     []telemetry.Fact // of admission control, taken from the inbox
-	// cancelledBeforeArrival holds requests whose clients have gone while the arrival still waits in the inbox.
+	// cancelledBeforeArrival holds requests whose clients have disconnected while the arrival still waits in the inbox.
 	cancelledBeforeArrival map[uint64]struct{}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-// applyConfigChanges has the core go over to what the replicated configuration says as of now, before it decides
+// applyConfigChanges has the core switch to what the replicated configuration says as of now, before it decides
 // anything else.
 func (l *Loop) applyConfigChanges(now Micros) {
 	if l.dependencies.ConfigChanges == nil {
@@ -211,14 +211,15 @@
 }
 
 const (
-	// nodeCountInterval is how often the nodes that are avoided are counted: 25 ms. Were it lower, a broker with
-	// thousands of nodes would spend its turns on a look at each; were it higher, hosts_down would lag behind.
+	// nodeCountInterval is how often the nodes that are avoided are counted: 25 ms. If it were lower, a broker with
+	// thousands of nodes would spend its turns on a look at each; if it were higher, hosts_down would lag behind.
 	nodeCountInterval = Second / 40
-	// sharesInterval is how often the shares of the nodes are taken for the console: a second, for people read them.
+	// sharesInterval is how often the shares of the nodes are taken for the console: a second. If it were lower, each
+	// turn would cost more; if it were higher, the console would lag behind.
 	sharesInterval = Second
 )
 
-// countNodes keeps the metrics of the list: at once when it changes, else now and then.
+// countNodes keeps the metrics of the list: at once when it changes, else from time to time.
 func (l *Loop) countNodes(now Micros, events []Event) {
 	if now < l.nodesCountedAt && !slices.ContainsFunc(events, isNodeList) {
 		return
@@ -240,7 +241,7 @@
 	return is
 }
 
-// NodeShares tells how requests are spread over the nodes of shards that have several, as of up to a second ago.
+// NodeShares reports how requests are spread over the nodes of shards that have several, as of up to a second ago.
 func (l *Loop) NodeShares() []scheduler.NodeShare {
 	if shares := l.shares.Load(); shares != nil {
 		return *shares
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -158,9 +158,9 @@
 	<-waited
 }
 
-// The loop is far behind. Clients that go are heard of in the next turn, before all that came earlier: one whose
-// request is queued in the scheduler, one whose request stands far back in the inbox, and one whose request is next.
-// None of their requests is started, then or later, and the others are.
+// The loop is far behind. Clients that disconnect are heard of in the next turn, before all that came earlier: one
+// whose request is queued in the scheduler, one whose request stands far back in the inbox, and one whose request is
+// next. None of their requests is started, then or later, and the others are.
 func TestCancellationsOvertake(t *testing.T) {
 	transport := recordingTransport{started: map[string]bool{}}
 	loop := NewLoop(newState(t, testSettings()), NewClock(), transport, Dependencies{})
--- a/broker/metrics.go
+++ b/broker/metrics.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// The names of the metrics, as the console and the sinks give them. Dashboards know them: they stay.
+// The names of the metrics, as the console and the sinks give them. Dashboards use them: they must not change.
 const (
 	metricSuccessPrefix    = "success."
 	metricBusyPrefix       = "busy."
--- a/broker/nodes.go
+++ b/broker/nodes.go
@@ -9,14 +9,14 @@
 
 // nodeState is what the list says of a node.
 type nodeState struct {
-	address    string // empty until one was told
+	address    string // empty until a list has named one
 	shard      int
 	leaving    bool   // it was listed as draining or gone
 	lastListed uint64 // State.listUpdates when a list last named it
 }
 
 // handleNodeList applies a list: connections to nodes that leave are closed, attempts under way there send no more,
-// and the scheduler is told of it all.
+// and the scheduler gets the list.
 func (s *State) handleNodeList(e NodesListed) {
 	s.listUpdates++
 	infos := make([]scheduler.Endpoint, 0, len(e.Nodes))
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -8,7 +8,7 @@
 )
 
 // overload is what the loop knows of its own overload without a lock. Admission control itself is guarded by
-// inbox.mu, since goroutines of clients ask it.
+// inbox.mu, since goroutines of clients call it.
 type overload struct {
 	maxOpen        int64         // admission.Settings.MaxOpenOverloaded, 0 for none
 	lagWanted      chan struct{} // holds one token, so that telling never blocks
@@ -24,7 +24,7 @@
 	o.lagWanted = make(chan struct{}, 1)
 }
 
-// manyOpen is how many open requests are worth measuring the lag for: half of those from which on it decides.
+// manyOpen is how many open requests are worth measuring the lag for: half of the bound that depends on it.
 func (o *overload) manyOpen() int64 { return max(1, o.maxOpen/2) }
 
 // noteOpen asks for measurements when the open requests have become many.
@@ -76,7 +76,7 @@
 	return &Response{Verdict: Rejected, RetryAfter: Micros(retryAfter)}
 }
 
-// Overloaded tells whether more requests wait than the processor can do, so that a protocol server may reject one
+// Overloaded reports whether more requests wait than the processor can do, so that a protocol server may reject one
 // before it reads it. It takes no lock.
 func (l *Loop) Overloaded() bool {
 	return l.overload.maxOpen > 0 && l.overload.lagging.Load() && l.Metrics.open.Load() >= l.overload.maxOpen
@@ -92,12 +92,12 @@
 	}
 }
 
-// SheddingLoad tells whether admission control rejects requests.
+// SheddingLoad reports whether admission control rejects requests.
 func (l *Loop) SheddingLoad() bool { return l.overload.shedding.Load() }
 
-// RecordSchedulingLag tells admission control, now and then, for how long whatever could run waited for a processor
-// meanwhile. The loop's own queue says less: Go runs next what was woken last, which may be the loop, while hundreds
-// wait to read what has come.
+// RecordSchedulingLag tells admission control, from time to time, for how long whatever could run waited for a
+// processor meanwhile. The loop's own queue says less: Go runs next what was woken last, which may be the loop, while
+// hundreds wait to read what has come.
 func (l *Loop) RecordSchedulingLag(waited Micros) {
 	l.inbox.mu.Lock()
 	if controller := l.dependencies.Admission; controller != nil {
@@ -114,17 +114,17 @@
 	l.Post(LagMeasured{Waited: waited})
 }
 
-// LagMeasurementWanted tells each time that many requests have come to be open at once, so that somebody may begin to
+// LagMeasurementWanted signals each time many requests have come to be open at once, so that somebody may begin to
 // measure.
 func (l *Loop) LagMeasurementWanted() <-chan struct{} { return l.overload.lagWanted }
 
-// KeepMeasuringLag tells whether it is worth measuring on: many requests are open, or work lately waited for a
+// KeepMeasuringLag reports whether it is worth measuring on: many requests are open, or work lately waited for a
 // processor.
 func (l *Loop) KeepMeasuringLag() bool {
 	return l.Metrics.open.Load() >= l.overload.manyOpen() || l.overload.lagging.Load() || l.overload.shedding.Load()
 }
 
-// SetLagMeasured tells that RecordSchedulingLag will be called from now on, or not any more: what was known before
+// SetLagMeasured reports that RecordSchedulingLag will be called from now on, or not any more: what was known before
 // counts no longer.
 func (l *Loop) SetLagMeasured(begins bool) {
 	l.inbox.mu.Lock()
--- a/broker/requests.go
+++ b/broker/requests.go
@@ -14,14 +14,14 @@
 	request   *Request
 	arrivedAt Micros
 	deadline  Micros
-	answered  bool // the final answer was given, or the client has gone
+	answered  bool // the final answer was given, or the client has disconnected
 
 	attempts    int    // sent so far; the last one's number is one less
 	node        string // where the last attempt was sent
 	firstSentAt Micros // when the first attempt was sent, 0 before
 	sentAt      Micros // when the last one was
 	inFlight    bool   // the last attempt has not ended
-	stopped     bool   // it was told to stop, and how far it came is not known yet
+	stopped     bool   // it is being stopped, and how far it came is not known yet
 	stopReason  scheduler.Outcome
 
 	mayHaveRun   bool
@@ -32,11 +32,12 @@
 	idempotencyTimer timingwheel.Handle
 }
 
-// awaits tells whether the outcome of this attempt is still to come.
+// awaits reports whether the outcome of this attempt is still to come.
 func (r *requestState) awaits(attempt int) bool { return r.inFlight && r.attempts-1 == attempt }
 
-// maxFreeRequests bounds the request states that are kept for later requests: about half a megabyte. Were it lower, a
-// busy broker would allocate one for each request; were it higher, memory of one peak would never be given back.
+// maxFreeRequests bounds the request states that are kept for later requests: about half a megabyte. If it were
+// lower, a busy broker would allocate one for each request; if it were higher, memory of one peak would never be
+// given back.
 const maxFreeRequests = 1 << 12
 
 func (s *State) handleArrival(e RequestArrived) {
@@ -83,8 +84,8 @@
 	return r
 }
 
-// handleCancellation ends a request whose client has gone. Its attempt's connection may come up later: what nobody
-// waits for is not sent on.
+// handleCancellation ends a request whose client has disconnected. Its attempt's connection may come up later: what
+// nobody waits for is not sent on.
 func (s *State) handleCancellation(id uint64) {
 	r := s.requests[id]
 	if r == nil || r.answered {
@@ -99,7 +100,7 @@
 	s.forget(id, r)
 }
 
-// handleShutdown answers all that is still owed, for the process ends.
+// handleShutdown answers all that is still due, for the process ends.
 func (s *State) handleShutdown() {
 	s.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
@@ -135,8 +136,8 @@
 	}
 }
 
-// respond gives the final answer. Every answer passes here, and r.answered is set nowhere else but where the client
-// has gone: so there is one.
+// respond gives the final answer. It guards the promise of one answer a request: every answer passes here, answered is
+// set nowhere else but for a client that has disconnected, and all callers check it first.
 func (s *State) respond(id uint64, r *requestState, response Response) {
 	r.answered = true
 	fact := s.requestFact(r, verdictEnds[response.Verdict])
@@ -148,7 +149,7 @@
 	s.emit(Respond{ID: id, Response: response})
 }
 
-// handleStreamEnd tells telemetry how a request ended whose value took its time.
+// handleStreamEnd records how a request with a Streaming value ended.
 func (s *State) handleStreamEnd(e StreamEnded) {
 	fact, streams := s.streaming[e.ID]
 	if !streams {
@@ -178,21 +179,21 @@
 	}
 }
 
-// discard gives up what a value holds, such as a node's connection, where nobody takes it.
+// discard releases what a value holds, such as a node's connection, when no client receives it.
 func (s *State) discard(value any) {
 	if value != nil {
 		s.emit(DiscardValue{Value: value})
 	}
 }
 
-// verdictEnds words a verdict for telemetry.
+// verdictEnds maps a verdict to telemetry's.
 var verdictEnds = [...]telemetry.End{
 	Served:   telemetry.Served,
 	Rejected: telemetry.Busy,
 	Failed:   telemetry.Failed,
 }
 
-// requestFact is what telemetry is told of a request that ends now.
+// requestFact is the telemetry fact of a request that ends now.
 func (s *State) requestFact(r *requestState, end telemetry.End) telemetry.Fact {
 	firstSentAt := r.firstSentAt
 	if r.attempts == 0 || firstSentAt == 0 {
--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// A busy loop hears of a request late. It has that much less time: the attempt is told what is left, and the answer
-// is owed as long after the request came as its client waits. One whose time was up by then is answered at once and
+// A busy loop hears of a request late. It has that much less time: the attempt is told what is left, and the answer is
+// due as long after the request came as its client waits. One whose time was up by then is answered at once and
 // never sent.
 func TestTimeRunsFromArrival(t *testing.T) {
 	h := newHarness(t)
--- a/broker/state.go
+++ b/broker/state.go
@@ -23,7 +23,7 @@
 
 	timers timingwheel.Wheel[timer]
 
-	schedulerEvents      []scheduler.Event // what the scheduler is told next
+	schedulerEvents      []scheduler.Event // for the next round of the scheduler
 	spareSchedulerEvents []scheduler.Event // memory for it
 
 	effects []Effect
@@ -33,7 +33,7 @@
 	schedulingLag Micros // how long work waits for a processor here, smoothed
 }
 
-// NewState returns the state of a broker that has taken nothing yet.
+// NewState returns the state of a broker that has no requests and knows no nodes.
 func NewState(settings scheduler.Settings, seed uint64) (*State, error) {
 	decider, err := scheduler.New(settings, seed)
 	if err != nil {
@@ -47,9 +47,9 @@
 	}, nil
 }
 
-// maxSchedulerRounds bounds how often the scheduler may act on the results of its own actions within one turn. Were
-// it lower, attempts that turn out void would be placed again a turn later; were it unbounded, a fault in the
-// scheduler could hold up the loop for ever.
+// maxSchedulerRounds bounds how often the scheduler may act on the results of its own actions within one turn. If it
+// were lower, attempts that could not be sent would be placed again a turn later; if it were unbounded, a fault in
+// the scheduler could hold up the loop for ever.
 const maxSchedulerRounds = 8
 
 // Reduce takes the events of one turn of the loop and returns what is to be done, in order. The slice is good until
@@ -70,7 +70,7 @@
 	return s.effects
 }
 
-// runScheduler tells the scheduler what has happened and applies its actions, which may give it further events.
+// runScheduler hands the scheduler its events and applies its actions, which may cause further events.
 func (s *State) runScheduler() {
 	events := s.schedulerEvents
 	s.schedulerEvents = s.spareSchedulerEvents[:0]
@@ -82,10 +82,10 @@
 	s.spareSchedulerEvents = events[:0]
 }
 
-// Facts returns what telemetry is to be told of the last Reduce, in order. It is good until the next.
+// Facts returns the facts of the last Reduce for telemetry, in order. The slice is good until the next Reduce.
 func (s *State) Facts() []telemetry.Fact { return s.facts }
 
-// Next tells when Reduce wants to be called again at the latest.
+// Next reports when Reduce wants to be called again at the latest.
 func (s *State) Next() (at Micros, ok bool) {
 	if len(s.schedulerEvents) > 0 {
 		return s.now, true
@@ -94,10 +94,10 @@
 	return Micros(next), ok
 }
 
-// Knows tells whether a request has arrived and is not over.
+// Knows reports whether a request has arrived and is not over.
 func (s *State) Knows(id uint64) bool { return s.requests[id] != nil }
 
-// OpenRequests tells how many requests still wait for their final answer.
+// OpenRequests reports how many requests still wait for their final answer.
 func (s *State) OpenRequests() int {
 	open := 0
 	for _, r := range s.requests {
@@ -114,7 +114,7 @@
 
 func (s *State) record(f telemetry.Fact) { s.facts = append(s.facts, f) }
 
-// handle takes one event.
+// handle applies one event.
 func (s *State) handle(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -21,7 +21,7 @@
 }
 
 // answerGrace is how long past a deadline the outcome of a stopped attempt may take to come before the request fails
-// without it: 5 ms. Were it lower, requests whose attempt never ran would fail instead of being rejected; were it
+// without it: 5 ms. If it were lower, requests whose attempt never ran would fail instead of being rejected; if it were
 // higher, clients would wait past their deadline for longer.
 const answerGrace Micros = 5000
 
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -70,7 +70,7 @@
 
 // Handle stands for an attempt in flight. Its methods are called from the loop's goroutine.
 type Handle interface {
-	// Stop ends the attempt before it returns and tells how far it came; done is not called after.
+	// Stop ends the attempt before it returns and reports how far it came; done is not called after.
 	Stop() Progress
 	// StopSending bars further sending. An attempt that was not fully written yet ends by it.
 	StopSending()
@@ -79,7 +79,7 @@
 	CancelUnlessWritten()
 }
 
-// outcome is what the scheduler is told; it follows from the result alone.
+// outcome is what is reported to the scheduler; it follows from the result alone.
 func (r Result) outcome() scheduler.Outcome {
 	if r.Err == nil {
 		return replyOutcomes[r.Reply]
--- a/internal/members/console.go
+++ b/internal/members/console.go
@@ -10,8 +10,8 @@
 	"junctionwharf/membership"
 )
 
-// The names of a source's metrics, as console and sinks give them: "source.NAME." and one of these. Dashboards know
-// them: they stay.
+// The names of a source's metrics, as console and sinks give them: "source.NAME." and one of these. Dashboards use
+// them: they must not change.
 const (
 	metricSourcePrefix = "source."
 	metricClaims       = "held"
@@ -22,7 +22,7 @@
 	metricAge          = "age_s"
 )
 
-// The parts of the console's answer. Scripts read it: it stays.
+// The parts of the console's answer. Scripts read it: it must not change.
 const (
 	textDiscoveryOnly = "discovery alone is followed\n"
 	textNodeHeader    = "node\taddress\tshard\tzone\tstate\tpriority\tpart\tup s\theld by\twhy"
@@ -31,7 +31,7 @@
 	textNeverAnswered = "never"
 )
 
-// healthWords are how the console words what is said of a node.
+// healthWords are the console's words for a node's state.
 var healthWords = [...]string{
 	membership.Ready:    "ready",
 	membership.Draining: "draining",
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Table is the merged list for people: each node, who claims it, and why it is listed as it is; then the sources.
+// Table is the merged list for operators: each node, who claims it, and why it is listed as it is; then the sources.
 func (m *Members) Table() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -54,7 +54,7 @@
 	return &Members{clock: clock, post: post, log: log, running: map[string]runningSource{}}
 }
 
-// ApplySettings goes over to settings, which were checked: sources that stay as they are go on, others end and begin.
+// ApplySettings switches to settings, which were checked: sources that stay as they are go on, others end and begin.
 // What ended sources listed stays until the new ones have answered.
 func (m *Members) ApplySettings(settings config.Membership) error {
 	m.mu.Lock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// sameQuestion tells whether two sources ask alike; permissions and times of the merging may differ.
+// sameQuestion reports whether two sources ask alike; permissions and times of the merging may differ.
 func sameQuestion(a, b config.EndpointSource) bool {
 	question := func(s config.EndpointSource) string {
 		shard := -1
@@ -134,8 +134,7 @@
 	m.announce(m.state.Restore(int64(m.clock.Now()), sourceKnown, entriesOf(l)))
 }
 
-// HandleDiscovery takes what discovery's watch posts, in place of the core. Where discovery is no source its word
-// does not count.
+// HandleDiscovery takes what discovery's watch posts, in place of the core. Where discovery is no source it is ignored.
 func (m *Members) HandleDiscovery(e broker.Event) {
 	l, is := e.(broker.NodesListed)
 	if !is {
@@ -182,7 +181,7 @@
 	return all
 }
 
-// handleAnswer takes what a source says, unless it was stopped meanwhile.
+// handleAnswer handles an answer of a source, unless the source was stopped meanwhile.
 func (m *Members) handleAnswer(ctx context.Context, name string, a membership.SourceAnswered) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -192,7 +191,7 @@
 	}
 }
 
-// handleFailure takes that a source did not answer, unless it was stopped meanwhile.
+// handleFailure handles that a source did not answer, unless the source was stopped meanwhile.
 func (m *Members) handleFailure(ctx context.Context, name string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,7 +257,7 @@
 	})
 }
 
-// Close ends all sources, and writes the snapshot if one is owed.
+// Close ends all sources, and writes the snapshot if a write is pending.
 func (m *Members) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -22,15 +22,15 @@
 const (
 	// snapshotHeader names the format and its version.
 	snapshotHeader = "junctionwharf nodes 1"
-	// maxSnapshotBytes is 64 MiB, several times the largest list. Were it higher, a file of another kind could fill the
-	// memory.
+	// maxSnapshotBytes is 64 MiB, several times the largest list. If it were higher, a file of another kind could
+	// fill the memory.
 	maxSnapshotBytes = 64 << 20
-	// snapshotInterval is how often the file is written at most: every 2 s. Were it lower, a list that changes all the
-	// time would keep the disk busy; were it higher, a broker that dies would start again from an older list.
+	// snapshotInterval is how often the file is written at most: every 2 s. If it were lower, a list that changes all
+	// the time would keep the disk busy; if it were higher, a broker that dies would start again from an older list.
 	snapshotInterval = 2 * time.Second
 )
 
-// SnapshotError tells that a snapshot is of another kind, too large, cut or spoilt.
+// SnapshotError reports that a snapshot is of another kind, too large, cut or spoilt.
 type SnapshotError struct {
 	Path   string
 	Reason string
@@ -92,7 +92,7 @@
 	log    *slog.Logger
 
 	mu     sync.Mutex
-	timer  *time.Timer // a write is owed
+	timer  *time.Timer // a write is pending
 	closed bool
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// close writes what is owed, and nothing after.
+// close performs the pending write, if any, and allows none after.
 func (w *snapshotWriter) close() {
 	w.mu.Lock()
 	owed := w.timer != nil && w.timer.Stop()
@@ -200,7 +200,7 @@
 	m.log.Info("snapshot read", "nodes", len(entries))
 }
 
-// encodeSnapshot words the list.
+// encodeSnapshot encodes the list.
 func (m *Members) encodeSnapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// filePollInterval is between two looks at a file: a second. Were it higher, a change would be followed later.
+	// filePollInterval is between two looks at a file: a second. If it were lower, the disk would be read more often;
+	// if it were higher, a change would be followed later.
 	filePollInterval = time.Second
-	// minTrafficWeight is for records of SRV weight 0, which are to get a little of the traffic (RFC 2782). Were it
+	// minTrafficWeight is for records of SRV weight 0, which are to get a little of the traffic (RFC 2782). If it were
 	// 0, it would count as not told, and such a node would get as much as one of weight 1.
 	minTrafficWeight = 0.1
 )
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// handleDNS takes what DNS said.
+// handleDNS handles an update of DNS.
 func (m *Members) handleDNS(ctx context.Context, name string, u dnssrv.Update) {
 	for _, reason := range u.Skipped {
 		m.log.Warn("entry skipped", "source", name, "reason", reason)
--- a/membership/decide.go
+++ b/membership/decide.go
@@ -10,7 +10,7 @@
 	reasonSuspectedSuffix = ", suspect: its latest answers lack it"
 )
 
-// decide works out one address by rules 1 to 4 and 7, and tells whether the core is to hear of it.
+// decide works out one address by rules 1 to 4 and 7, and reports whether that is a change for the core.
 func (s *State) decide(address string) (Node, bool) {
 	removedBy, removedAt := s.latestRemoval(address)
 	m := s.merge(address, removedBy != "", removedAt)
@@ -87,7 +87,7 @@
 	return m
 }
 
-// remove takes an address off the list, and tells whether it was on it.
+// remove takes an address off the list, and reports whether it was on it.
 func (s *State) remove(address, removedBy string) (Node, bool) {
 	n := s.nodes[address]
 	if s.heldBack[address] { // it was removed before it was let back
@@ -110,7 +110,7 @@
 	return removed, true
 }
 
-// list puts an address on the list, or keeps it there, and tells whether that is news.
+// list puts an address on the list, or keeps it there, and reports whether that is a change.
 func (s *State) list(address string, m merged) (Node, bool) {
 	n := s.nodes[address]
 	if n == nil {
@@ -158,9 +158,9 @@
 }
 
 const (
-	// firstHold is how long a flapping node is held back first: 2 s, doubled with each further return. Were it lower,
-	// the node would be given requests more often only to lose them; were it higher, three restarts would keep it out
-	// long.
+	// firstHold is how long a flapping node is held back first: 2 s, doubled with each further return. If it were
+	// lower, the node would be given requests more often only to lose them; if it were higher, three restarts would
+	// keep it out long.
 	firstHold Micros = 2e6
 	// maxHoldDoublings keeps the doubling within 64 bits; Options.MaxHold bounds it long before.
 	maxHoldDoublings = 20
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership merges what several sources say of storage nodes into the one list that the core is told. It
+// Package membership merges what several sources say of storage nodes into the one list that the core works with. It
 // does no I/O and reads no clock.
 //
 // # Rule
@@ -16,13 +16,13 @@
 //     what the source claimed, and at least three nodes, is suspect: what it drops stays for a stated time and goes
 //     when the source still says so after it. A node that an answer names as draining or removed is believed at once.
 //  6. An answer to a question that was asked before the one of the present claims was asked is not taken.
-//  7. A node that returns is new, and so warming up, unless the source tells that it started before it was removed.
+//  7. A node that returns is new, and so warming up, unless the source reports that it started before it was removed.
 //     One that has come and gone three times within a minute returns later each time, up to a minute; removal is
 //     never delayed.
 //
 // # State and owner
 //
-// State holds it all, in memory. It takes events and the time as arguments, returns what the core is to be told, and
+// State holds it all, in memory. It takes events and the time as arguments, returns the changes for the core, and
 // is not safe for concurrent use: members.Members owns it and guards it by its lock.
 //
 // # Units
--- a/membership/events.go
+++ b/membership/events.go
@@ -24,10 +24,10 @@
 	Capacity      float64 // its size, as discovery tells it; 0 counts as 1
 	TrafficWeight float64 // against others of its shard and priority, as SRV weights tell it; 0 counts as 1
 	Priority      int     // lower goes first
-	LastStart     Micros  // on the given clock; 0 for long ago, UnknownStart if the source does not tell
+	LastStart     Micros  // on the given clock; 0 for long ago, UnknownStart if the source does not say
 }
 
-// UnknownStart is the LastStart of an entry whose source does not tell.
+// UnknownStart is the LastStart of an entry whose source does not say.
 const UnknownStart Micros = -1
 
 // Event is something that happened; State.Reduce takes it.
@@ -41,7 +41,7 @@
 	Entries  []Entry
 }
 
-// SourceFailed tells that a source could not be asked, or did not answer.
+// SourceFailed reports that a source could not be asked, or did not answer.
 type SourceFailed struct {
 	Source Source
 	Reason string
@@ -50,12 +50,12 @@
 func (SourceAnswered) event() {}
 func (SourceFailed) event()   {}
 
-// Node is a node as the core is told of it.
+// Node is a node as announced to the core.
 type Node struct {
 	Entry
 	Reason string // why it is listed as it is
 }
 
-// Change is what the core is to be told: nodes that are new or changed, and, with State Removed, those that were
+// Change is what is announced to the core: nodes that are new or changed, and, with State Removed, those that were
 // removed.
 type Change struct{ Nodes []Node }
--- a/membership/options.go
+++ b/membership/options.go
@@ -34,21 +34,21 @@
 
 // The defaults of Options.
 const (
-	// DefaultRemovalTTL is 10 min. Were it lower, a node that was removed would come back when its source has a short
-	// outage; were it higher, a wrong removal by a source that is lost would last longer.
+	// DefaultRemovalTTL is 10 min. If it were lower, a node that was removed would come back when its source has a
+	// short outage; if it were higher, a wrong removal by a source that is lost would last longer.
 	DefaultRemovalTTL Micros = 600e6
-	// DefaultSuspectHold is 30 s. Were it lower, a discovery service that restarts with half a list would take nodes
-	// away; were it higher, a real loss of half the nodes would be followed later.
+	// DefaultSuspectHold is 30 s. If it were lower, a discovery service that restarts with half a list would take nodes
+	// away; if it were higher, a real loss of half the nodes would be followed later.
 	DefaultSuspectHold Micros = 30e6
-	// DefaultFlapWindow is a minute. Were it lower, a node that flaps slowly would not be held back.
+	// DefaultFlapWindow is a minute. If it were lower, a node that flaps slowly would not be held back.
 	DefaultFlapWindow Micros = 60e6
-	// DefaultMaxReturns is in returns a window. Were it lower, two quick restarts would keep a node out; were it
+	// DefaultMaxReturns is in returns a window. If it were lower, two quick restarts would keep a node out; if it were
 	// higher, a flapping node would be given requests more often only to lose them.
 	DefaultMaxReturns = 3
-	// DefaultMaxHold is a minute. Were it higher, a node that flapped and is well again would stay out for longer.
+	// DefaultMaxHold is a minute. If it were higher, a node that flapped and is well again would stay out for longer.
 	DefaultMaxHold Micros = 60e6
-	// DefaultMaxNodes is in nodes. Were it lower, nodes of a larger fleet would be left out; were it higher, a faulty
-	// source could take more memory.
+	// DefaultMaxNodes is in nodes. If it were lower, nodes of a larger fleet would be left out; if it were higher, a
+	// faulty source could take more memory.
 	DefaultMaxNodes = 50_000
 )
 
--- a/membership/source.go
+++ b/membership/source.go
@@ -22,7 +22,7 @@
 	return &source{SourceOptions: options, claims: map[string]claim{}, names: map[string]string{}}
 }
 
-// claim is a source's word on an address.
+// claim is what a source says of an address.
 type claim struct {
 	Entry
 	suspect     bool   // deferred removal: the latest answers lack it
@@ -32,21 +32,21 @@
 }
 
 const (
-	// minSuspectLoss is in nodes. Were it lower, a small fleet that loses one of two nodes would be told late; were it
-	// higher, a small fleet would lose all its nodes to a faulty answer at once.
+	// minSuspectLoss is in nodes. If it were lower, a small fleet that loses one of two nodes would be noticed late;
+	// if it were higher, a small fleet would lose all its nodes to a faulty answer at once.
 	minSuspectLoss = 3
-	// suspectLossDivisor makes a loss of more than half suspect. Were it higher, an ordinary roll-out would be
+	// suspectLossDivisor makes a loss of more than half suspect. If it were higher, an ordinary roll-out would be
 	// deferred.
 	suspectLossDivisor = 2
-	// claimsPerMaxNodes bounds claims, removed ones included, by a multiple of Options.MaxNodes. Were it 1, a fleet of
-	// that size could not be replaced without entries being left out.
+	// claimsPerMaxNodes bounds claims, removed ones included, by a multiple of Options.MaxNodes. If it were 1, a
+	// fleet of that size could not be replaced without entries being left out.
 	claimsPerMaxNodes = 2
 )
 
 // emptyAnswerReason is what operators see as the last fault of a source whose answer named no node.
 const emptyAnswerReason = "an answer without entries"
 
-// handleAnswer takes what a source says. Rules 5 and 6 stand here.
+// handleAnswer applies what a source says. Rules 5 and 6 stand here.
 func (s *State) handleAnswer(src *source, e SourceAnswered) {
 	if e.AskedAt < src.askedAt {
 		src.rejected++
@@ -107,7 +107,7 @@
 	}
 }
 
-// deferLoss tells whether the removal of what a full snapshot lacks is deferred, and marks it as suspect. It guards
+// deferLoss reports whether the removal of what a full snapshot lacks is deferred, and marks it as suspect. It guards
 // against a source that answers with a part of its list, as while it restarts: without it most nodes would be removed
 // at once, and those that are left would be overloaded.
 func (s *State) deferLoss(src *source, missing []string, present int) bool {
--- a/membership/state.go
+++ b/membership/state.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// State merges. Use New.
+// State merges what the sources say. Use New.
 type State struct {
 	options  Options
 	now      Micros
@@ -23,7 +23,7 @@
 	at      Micros
 }
 
-// node is an address, with what the core was told of it.
+// node is an address, with what was announced to the core.
 type node struct {
 	listed    bool
 	announced Node
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// Reduce takes an event, or nil for the passing of time alone, and returns what the core is to be told.
+// Reduce takes an event, or nil for the passing of time alone, and returns the changes for the core.
 func (s *State) Reduce(now Micros, event Event) Change {
 	s.now = now
 	switch e := event.(type) {
@@ -73,7 +73,7 @@
 	return Source(i), i >= 0
 }
 
-// ApplyOptions goes over to other options. A source that keeps its name keeps what it claims; one that is gone is
+// ApplyOptions switches to other options. A source that keeps its name keeps what it claims; one that is gone is
 // retired, and what it claimed stays without its permissions until all others have answered: there is no gap. Options
 // that make no sense change nothing.
 func (s *State) ApplyOptions(now Micros, options Options) (Change, error) {
@@ -123,7 +123,7 @@
 	return s.Reduce(now, nil)
 }
 
-// Next tells when Reduce wants to be called again at the latest.
+// Next reports when Reduce wants to be called again at the latest.
 func (s *State) Next() (at Micros, ok bool) {
 	sooner := func(t Micros) {
 		if !ok || t < at {
--- a/membership/status.go
+++ b/membership/status.go
@@ -18,7 +18,7 @@
 	Rejected uint64 // answers and entries that were not believed
 }
 
-// Sources tells of all sources at a point of time.
+// Sources reports all sources at a point of time.
 func (s *State) Sources(now Micros) []SourceStatus {
 	var all []SourceStatus
 	for _, src := range s.sources {
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -8,7 +8,7 @@
 // State: body and recorded answer of each request, in memory, as long as the request is open.
 //
 // Owner: the goroutine of the HTTP server owns a request; each attempt has a goroutine of its own, which ends with
-// its handler. The attempt's context is cancelled when the core stops it, and when the client goes.
+// its handler. The attempt's context is cancelled when the core stops it, and when the client disconnects.
 //
 // Units: bodies are bytes; Retry-After is whole seconds, rounded up.
 package middleware
@@ -24,11 +24,11 @@
 )
 
 const (
-	// maxBody is in bytes, held for a retry. Were it lower, larger requests would be answered 413; were it higher,
-	// clients could make the broker hold more memory.
+	// maxBody is in bytes, held for a retry. If it were lower, larger requests would be answered 413; if it were
+	// higher, clients could make the broker hold more memory.
 	maxBody = 64 << 10
-	// maxAnswer is in bytes of a handler's answer, held until it is final. Were it lower, larger answers would fail
-	// with 502; were it higher, a burst of them would take more memory.
+	// maxAnswer is in bytes of a handler's answer, held until it is final. If it were lower, larger answers would fail
+	// with 502; if it were higher, a burst of them would take more memory.
 	maxAnswer = 1 << 20
 )
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// writeResponse words a final answer.
+// writeResponse writes a final answer.
 func writeResponse(w http.ResponseWriter, response broker.Response, late bool) {
 	switch {
 	case response.Verdict == broker.Served:
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// A client goes away while its handler runs. The core is told, and the handler's context ends: were it not, the
+// A client disconnects while its handler runs. The core is told, and the handler's context ends: without that, the
 // handler would go on working for nobody, and the request would count as open until its deadline.
 func TestClientGone(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
--- a/middleware/transport.go
+++ b/middleware/transport.go
@@ -91,7 +91,7 @@
 // CloseIdle implements broker.Transport.
 func (t *handlerTransport) CloseIdle(string) {}
 
-// begin tells whether the handler is to be called: not once the attempt was stopped.
+// begin reports whether the handler is to be called: not once the attempt was stopped.
 func (a *attempt) begin() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,7 +99,7 @@
 	return a.begun
 }
 
-// finish tells whether the result counts: not once the attempt was stopped.
+// finish reports whether the result counts: not once the attempt was stopped.
 func (a *attempt) finish() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/timingwheel/timingwheel.go
+++ b/timingwheel/timingwheel.go
@@ -25,11 +25,11 @@
 	// instruction.
 	slotBits = 6
 	slots    = 1 << slotBits
-	// levels bounds how often a timer is moved before it comes out. Were it lower, timers of a day would be moved
-	// often.
+	// levels makes the wheel reach 76 hours. If it were lower, timers beyond the reach would be inserted again and
+	// again; if it were higher, each search for the next slot would cost more.
 	levels = 5
-	// baseShift makes the lowest slots 256 µs wide. Were it lower, the same times would need a further level; were it
-	// higher, more timers would have to be sorted when their slot comes up.
+	// baseShift makes the lowest slots 256 µs wide. If it were lower, the same times would need a further level; if
+	// it were higher, more timers would have to be sorted when their slot comes up.
 	baseShift = 8
 	lastShift = baseShift + (levels-1)*slotBits // of the highest level
 )
@@ -71,7 +71,7 @@
 	inDue   int8 = -2
 )
 
-// Len tells how many timers wait.
+// Len reports how many timers wait.
 func (w *Wheel[T]) Len() int { return w.count }
 
 // Set adds a timer. One for a time that has passed comes out next.
@@ -93,7 +93,7 @@
 	return Handle{index + 1, e.generation}
 }
 
-// Cancel takes a timer out and tells whether it still waited.
+// Cancel takes a timer out and reports whether it still waited.
 func (w *Wheel[T]) Cancel(h Handle) bool {
 	index := h.ref - 1
 	if index < 0 || int(index) >= len(w.entries) {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// Next tells when Pop is to be called again: when the next timer is due, or earlier.
+// Next reports when Pop is to be called again: when the next timer is due, or earlier.
 func (w *Wheel[T]) Next() (at int64, ok bool) {
 	w.trimDue()
 	if len(w.due) > 0 {
--- a/timingwheel/timingwheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// pop takes one timer out of both, and tells whether one was due.
+// pop takes one timer out of both, and reports whether one was due.
 func (c *comparison) pop() bool {
 	c.Helper()
 	got, at, ok := c.wheel.Pop(c.now)
