--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -9,186 +9,240 @@
 	"pgregory.net/rapid"
 )
 
+// step is the time between two steps of a play.
 const step = 10 * time.Millisecond
 
+// rounding is by how many units sums may be off.
+const rounding = 1e-6
+
 // store is the one store that the rule is about: it starts full, and units are taken from it as they arrive.
 type store struct {
-	limit Limit
-	level float64
-	least float64
-	late  map[Time]float64 // units that arrive, by when
+	limit    Limit
+	level    float64
+	lowest   float64
+	arriving map[Time]float64 // units, by when they arrive
+}
+
+func newStore(limit Limit) *store {
+	return &store{limit: limit, level: limit.Burst, arriving: map[Time]float64{}}
 }
 
-func (s *store) pass(now Time) {
+func (s *store) advance(now Time) {
 	s.level = min(s.limit.Burst, s.level+s.limit.Rate*step.Seconds())
-	s.level -= s.late[now]
-	delete(s.late, now)
-	s.least = min(s.least, s.level)
+	s.level -= s.arriving[now]
+	delete(s.arriving, now)
+	s.lowest = min(s.lowest, s.level)
 }
 
-// process is one that sends as much as its part bears.
+// process takes as much as its quota allows.
 type process struct {
-	part Quota
-	out  map[uint64]Time // when what a request took arrives
+	quota    Quota
+	arrivals map[uint64]Time // when what a request took arrives
 }
 
 func newProcess(now Time) *process { return &process{New(now), map[uint64]Time{}} }
 
-// play has hosts send all they may for a while: each has a process, beside which another may start at any time and after which one
-// or the other ends, killed with units on their way. delay draws how late units arrive, and limit may change on the way.
-func play(steps, hosts int, limits []Limit, next func(host int) (begin, kill bool, delay time.Duration, units float64)) (least, sent float64) {
-	s := &store{limit: limits[0], level: limits[0].Burst, late: map[Time]float64{}}
+// settleArrived settles the requests whose units have arrived.
+func (p *process) settleArrived(now Time) {
+	for id, at := range p.arrivals {
+		if at <= now {
+			p.quota.Settle(id)
+			delete(p.arrivals, id)
+		}
+	}
+}
+
+// move is what happens to a broker in one step of a play.
+type move struct {
+	start bool          // another process starts beside it
+	kill  bool          // its oldest process is killed
+	delay time.Duration // after which units that it takes now arrive
+	units float64       // of each request
+}
+
+// play has brokers take all that they may for some steps. Each has a process, beside which another may start
+// and of which either may be killed with units in transit. next draws what happens to a broker; limits are in
+// force one after the other.
+func play(steps, brokers int, limits []Limit, next func() move) (lowest, taken float64) {
+	s := newStore(limits[0])
 	now, id := Time(0), uint64(0)
-	live := make([][]*process, hosts)
-	for i := range live {
-		live[i] = []*process{newProcess(now)}
+	running := make([][]*process, brokers)
+	for i := range running {
+		running[i] = []*process{newProcess(now)}
 	}
-	share := 1 / float64(hosts) / 2
+	share := 1 / float64(brokers) / 2
 	for n := range steps {
 		now += step
 		s.limit = limits[n*len(limits)/steps]
-		s.pass(now)
-		for host := range live {
-			begin, kill, delay, units := next(host)
-			if begin && len(live[host]) < 2 {
-				live[host] = append(live[host], newProcess(now))
+		s.advance(now)
+		for i := range running {
+			m := next()
+			if m.start && len(running[i]) < 2 {
+				running[i] = append(running[i], newProcess(now))
 			}
-			if kill && len(live[host]) > 0 { // what is on its way arrives in the next step, or never
-				for id, at := range live[host][0].out {
-					units := live[host][0].part.each[id]
-					if at <= now {
-						continue // it has arrived, in this step
-					}
-					if s.late[at] -= units; n%2 == 0 {
-						s.late[now+step] += units
-					}
-				}
-				live[host] = live[host][1:]
+			if m.kill && len(running[i]) > 0 {
+				s.lose(now, running[i][0], n%2 == 0)
+				running[i] = running[i][1:]
 			}
-			for _, p := range live[host] {
-				for id, at := range p.out {
-					if at <= now {
-						p.part.Settle(id)
-						delete(p.out, id)
-					}
-				}
-				p.part.Refill(now, s.limit, share)
-				for p.part.Allows(units) {
+			for _, p := range running[i] {
+				p.settleArrived(now)
+				p.quota.Refill(now, s.limit, share)
+				for p.quota.Allows(m.units) {
 					id++
-					p.part.Take(id, units)
-					at := now + step + delay.Truncate(step)
-					p.out[id], s.late[at], sent = at, s.late[at]+units, sent+units
+					p.quota.Take(id, m.units)
+					at := now + step + m.delay.Truncate(step)
+					p.arrivals[id] = at
+					s.arriving[at] += m.units
+					taken += m.units
 				}
 			}
 		}
 	}
-	return s.least, sent
+	return s.lowest, taken
+}
+
+// lose has what a killed process has in transit arrive in the next step, or never.
+func (s *store) lose(now Time, p *process, arrives bool) {
+	for id, at := range p.arrivals {
+		if at <= now {
+			continue // it has arrived, in this step
+		}
+		units := p.quota.requests[id]
+		s.arriving[at] -= units
+		if arrives {
+			s.arriving[now+step] += units
+		}
+	}
 }
 
-// Whoever starts beside whom, dies or is late: the sum over all processes keeps to the limit at each moment.
+// Processes start beside others, are killed with requests in transit, or see their requests arrive late,
+// while all send as much as they may. The sum over all of them must keep to the limit at each moment.
 func TestSumKeepsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := Limit{Rate: rapid.Float64Range(1, 60).Draw(t, "rate"), Burst: rapid.Float64Range(1, 90).Draw(t, "burst")}
+		first := Limit{
+			Rate:  rapid.Float64Range(1, 60).Draw(t, "rate"),
+			Burst: rapid.Float64Range(1, 90).Draw(t, "burst"),
+		}
 		limits := []Limit{first}
-		if rapid.Bool().Draw(t, "retuned") { // by SIGHUP, to more of all: less would find the store drawn by what was right before
+		// New settings raise the limit: a lower one would find the store emptied by what was right before.
+		if rapid.Bool().Draw(t, "settings change") {
 			limits = append(limits, Limit{Rate: 2 * first.Rate, Burst: 2 * first.Burst})
 		}
-		hosts := rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "hosts")
-		lates := rapid.SliceOfN(rapid.IntRange(0, 300), 64, 64).Draw(t, "delays in steps")
-		acts := rapid.SliceOfN(rapid.IntRange(0, 12), 64, 64).Draw(t, "acts")
+		brokers := rapid.SampledFrom([]int{1, 2, 5}).Draw(t, "brokers")
+		delays := rapid.SliceOfN(rapid.IntRange(0, 300), 64, 64).Draw(t, "delays in steps")
+		events := rapid.SliceOfN(rapid.IntRange(0, 12), 64, 64).Draw(t, "events")
 		n := 0
-		least, _ := play(1500, hosts, limits, func(int) (begin, kill bool, delay time.Duration, units float64) {
+		lowest, _ := play(1500, brokers, limits, func() move {
 			n++
-			act := acts[n*7%64]
-			return act == 0, act == 1 && n%3 == 0, time.Duration(lates[n%64]) * step, 1 + float64(lates[n%64]%8)
+			event, delay := events[n*7%64], delays[n%64]
+			return move{
+				start: event == 0,
+				kill:  event == 1 && n%3 == 0,
+				delay: time.Duration(delay) * step,
+				units: 1 + float64(delay%8),
+			}
 		})
-		if least < -1e-6 {
-			t.Fatalf("the store fell to %v", least)
+		if lowest < -rounding {
+			t.Fatalf("the store fell to %v", lowest)
 		}
 	})
 }
 
-// A process that dies right after it has spent its part, again and again, and whose successor starts at once: the store has nothing for it yet.
-func TestRestartsStartEmpty(t *testing.T) {
-	for _, hosts := range []int{1, 2, 5} {
-		n := 0
-		least, sent := play(1500, hosts, []Limit{{Rate: 36, Burst: 56}}, func(int) (begin, kill bool, delay time.Duration, units float64) {
-			n++
-			step := n / hosts
-			return step > 200, step > 200 && step%40 == 0, 0, 1
+// A process dies right after it has spent its quota, again and again, and its successor starts at once. The
+// store has nothing for the successor yet, so its quota starts empty.
+func TestSuccessorsStartEmpty(t *testing.T) {
+	for _, brokers := range []int{1, 2, 5} {
+		t.Run(fmt.Sprint("brokers=", brokers), func(t *testing.T) {
+			n := 0
+			lowest, taken := play(1500, brokers, []Limit{{Rate: 36, Burst: 56}}, func() move {
+				n++
+				step := n / brokers
+				return move{start: step > 200, kill: step > 200 && step%40 == 0, units: 1}
+			})
+			if lowest < -rounding || taken < 36.0/2*15/2 {
+				t.Errorf("the store fell to %v with %v units taken", lowest, taken)
+			}
 		})
-		if least < -1e-6 || sent < 36.0/2*15/2 {
-			t.Errorf("%d hosts: the store fell to %v with %v units sent", hosts, least, sent)
-		}
 	}
 }
 
-// The same play sees it when each of two processes takes the whole of its host's part: the check can fail.
-func TestSumSeesWholeParts(t *testing.T) {
+// The check of these plays can fail: where each of two processes takes the whole of its broker's share, the
+// store falls far below empty.
+func TestCheckSeesSharesAboveOne(t *testing.T) {
 	limit := Limit{Rate: 36, Burst: 56}
-	s := &store{limit: limit, level: limit.Burst, late: map[Time]float64{}}
-	two := []Quota{New(0), New(0)}
+	s := newStore(limit)
+	quotas := []Quota{New(0), New(0)}
 	for now := Time(0); now < 10*time.Second; now += step {
-		s.pass(now)
-		for i := range two {
-			two[i].Refill(now, limit, 1)
-			for two[i].Allows(1) {
-				two[i].Take(uint64(now), 1)
-				two[i].Settle(uint64(now))
-				s.late[now+step]++
+		s.advance(now)
+		for i := range quotas {
+			quotas[i].Refill(now, limit, 1)
+			for quotas[i].Allows(1) {
+				quotas[i].Take(uint64(now), 1)
+				quotas[i].Settle(uint64(now))
+				s.arriving[now+step]++
 			}
 		}
 	}
-	if s.least > -8 {
-		t.Errorf("the store fell to %v only", s.least)
+	if s.lowest > -8 {
+		t.Errorf("the store fell to %v only", s.lowest)
 	}
 }
 
-// What a part may send at a steady rate is its share, also while what it took needs a while to arrive.
-func TestPartIsUsed(t *testing.T) {
+// What a process may take at a steady rate is its share, also while what it took needs a while to arrive.
+func TestQuotaIsUsed(t *testing.T) {
 	for _, c := range []struct {
-		hosts   int
-		delay   time.Duration
-		units   float64
-		atLeast float64 // of the share
+		brokers  int
+		delay    time.Duration
+		units    float64
+		minShare float64 // of the quota that must be used
 	}{
-		{1, 0, 1, 0.95}, {1, 500 * time.Millisecond, 1, 0.95}, {1, time.Second, 8, 0.9}, {3, 300 * time.Millisecond, 8, 0.9}, {5, 0, 1, 0.95},
+		{1, 0, 1, 0.95},
+		{1, 500 * time.Millisecond, 1, 0.95},
+		{1, time.Second, 8, 0.9},
+		{3, 300 * time.Millisecond, 8, 0.9},
+		{5, 0, 1, 0.95},
 	} {
-		t.Run(fmt.Sprint(c.hosts, c.delay, c.units), func(t *testing.T) {
+		t.Run(fmt.Sprintf("brokers=%d/delay=%v/units=%v", c.brokers, c.delay, c.units), func(t *testing.T) {
 			limit := Limit{Rate: 36, Burst: 56}
-			_, sent := play(3000, c.hosts, []Limit{limit}, func(int) (bool, bool, time.Duration, float64) { return false, false, c.delay, c.units })
-			if want := limit.Rate / 2 * 30 * c.atLeast; sent < want {
-				t.Errorf("%v units in 30 s, want %v", sent, want)
+			steady := move{delay: c.delay, units: c.units}
+			_, taken := play(3000, c.brokers, []Limit{limit}, func() move { return steady })
+			if want := limit.Rate / 2 * 30 * c.minShare; taken < want {
+				t.Errorf("%v units in 30 s, want %v", taken, want)
 			}
 		})
 	}
 }
 
-// A share or a rate that rises gives nothing for the time before; one that falls counts at once. What is given back was never taken.
-func TestRefillFollowsWhatHeld(t *testing.T) {
-	p := New(0)
+// A share or a rate that rises gives nothing for the time before; one that falls counts at once.
+func TestRefillByLimitInForce(t *testing.T) {
+	q := New(0)
 	low, high := Limit{Rate: 10, Burst: 100}, Limit{Rate: 1000, Burst: 100}
-	p.Refill(0, low, 0.5)
-	p.Refill(time.Second, high, 1)
-	if math.Abs(p.level-5) > 1e-9 {
-		t.Errorf("%v units after a second at 5 a second", p.level)
+	q.Refill(0, low, 0.5)
+	q.Refill(time.Second, high, 1)
+	if math.Abs(q.tokens-5) > 1e-9 {
+		t.Errorf("%v tokens after a second at 5 a second", q.tokens)
 	}
-	p.Refill(2*time.Second, high, 0.25)
-	if p.level != 25 {
-		t.Errorf("%v units in a quarter of 100", p.level)
+	q.Refill(2*time.Second, high, 0.25)
+	if q.tokens != 25 {
+		t.Errorf("%v tokens in a quarter of 100", q.tokens)
 	}
-	p.Take(1, 20)
-	p.Take(2, 5)
-	p.Refund(1)
-	p.Refund(1)
-	p.Settle(2)
-	if p.level != 20 || p.aloft != 0 {
-		t.Errorf("%v units and %v on their way, want 20 and 0", p.level, p.aloft)
+	// what is refunded counts as never taken, and once only
+	q.Take(1, 20)
+	q.Take(2, 5)
+	q.Refund(1)
+	q.Refund(1)
+	q.Settle(2)
+	if q.tokens != 20 || q.inTransit != 0 {
+		t.Errorf("%v tokens and %v in transit, want 20 and 0", q.tokens, q.inTransit)
 	}
-	free := New(0)
-	free.Refill(time.Second, Limit{}, 1)
-	free.Take(1, 1e9)
-	if !free.Allows(1e9) || free.each != nil {
+}
+
+// A volume without a rate limit is held to none, and costs no memory for its requests.
+func TestNoLimit(t *testing.T) {
+	q := New(0)
+	q.Refill(time.Second, Limit{}, 1)
+	q.Take(1, 1e9)
+	if !q.Allows(1e9) || q.requests != nil {
 		t.Error("a volume without a limit is held to one")
 	}
 }
