--- a/broker/reducer.go
+++ b/broker/reducer.go
@@ -602,7 +602,7 @@
 	case scheduler.CloseIdleConnections:
 		s.do(CloseIdle{Address: s.address(a.Node)})
 	case scheduler.Log:
-		s.do(Log{a.Text})
+		s.do(Log{a.Text()})
 	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // discovery is always watched
 	default:
 		s.log("unknown action %T", action)
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -81,7 +81,7 @@
 	case scheduler.CloseIdleConnections:
 		return fmt.Sprintf("FREE_LINKS %s %s", who, a.Node)
 	case scheduler.Log:
-		return fmt.Sprintf("NOTE_DOWN %s %s", who, oneLine(a.Text))
+		return fmt.Sprintf("NOTE_DOWN %s %s", who, oneLine(a.Text()))
 	default:
 		return fmt.Sprintf("FATAL %s unknown action %T", who, action)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -121,7 +121,7 @@
 		scheduler.Reject{ID: 2, After: time.Second}, scheduler.Reject{ID: 2}, scheduler.Fail{ID: 3}, scheduler.Cancel{ID: 4, Attempt: 2},
 		scheduler.HealthCheck{Node: "a:1"}, scheduler.SendToPeer{Peer: scheduler.AllPeers, Data: []byte("hi 7")}, scheduler.SendToPeer{Peer: 2},
 		scheduler.SetTimer{Token: 7, After: time.Millisecond}, scheduler.WatchEndpoints{On: true}, scheduler.WatchEndpoints{}, scheduler.FetchEndpoints{},
-		scheduler.CloseIdleConnections{Node: "a:1"}, scheduler.Log{Text: "one\nline"},
+		scheduler.CloseIdleConnections{Node: "a:1"}, scheduler.Log{Message: "one\nline"},
 	} {
 		if err := w.Act("g", action); err != nil {
 			t.Fatal(err)
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -1,23 +1,25 @@
 package scheduler
 
 import (
+	"log/slog"
+	"strings"
 	"time"
 )
 
 // Action is something that a Scheduler wants done.
 type Action interface{ action() }
 
-// Forward begins an attempt. A Timeout of 0 waits as long as the client does.
+// Forward begins an attempt of a request at a node. A Timeout of 0 waits as long as the client does.
 type Forward struct {
 	ID      uint64
 	Node    string
 	Timeout time.Duration
 }
 
-// Reject is a final answer that says a further try is harmless, with an optional hint when to come.
+// Reject is a final answer that says that repeating the request is harmless, with an optional hint when.
 type Reject struct {
 	ID    uint64
-	After time.Duration
+	After time.Duration // 0 for no hint
 }
 
 // Fail is a final answer that promises nothing.
@@ -26,7 +28,7 @@
 // Cancel stops waiting for an attempt.
 type Cancel struct {
 	ID      uint64
-	Attempt int
+	Attempt int // from 0
 }
 
 // HealthCheck checks a node.
@@ -38,7 +40,7 @@
 	Data []byte
 }
 
-// AllPeers addresses every other gateway of the tier.
+// AllPeers addresses every other broker of the tier.
 const AllPeers = -1
 
 // SetTimer asks for a TimerFired event after a delay.
@@ -47,36 +49,39 @@
 	After time.Duration
 }
 
-// WatchEndpoints opens or closes the subscription to the node list.
+// WatchEndpoints opens or closes the subscription to the endpoint list.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks for the whole node list once.
+// FetchEndpoints asks for the whole endpoint list once.
 type FetchEndpoints struct{}
 
-// CloseIdleConnections gives back idle connections to a node.
+// CloseIdleConnections closes idle connections to a node.
 type CloseIdleConnections struct{ Node string }
 
-// Log is a line for the people on call.
-type Log struct{ Text string }
-
-func (Forward) action() {}
-
-func (Reject) action() {}
-
-func (Fail) action() {}
-
-func (Cancel) action() {}
-
-func (HealthCheck) action() {}
-
-func (SendToPeer) action() {}
-
-func (SetTimer) action() {}
-
-func (WatchEndpoints) action() {}
+// Log is a line for the engineers on call: a fixed message, and what differs as attributes.
+type Log struct {
+	Message    string
+	Attributes []slog.Attr
+}
 
-func (FetchEndpoints) action() {}
+// Text is the line in one string, for a sink without attributes.
+func (l Log) Text() string {
+	var text strings.Builder
+	text.WriteString(l.Message)
+	for _, a := range l.Attributes {
+		text.WriteString(" " + a.Key + "=" + a.Value.String())
+	}
+	return text.String()
+}
 
+func (Forward) action()              {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
+func (Cancel) action()               {}
+func (HealthCheck) action()          {}
+func (SendToPeer) action()           {}
+func (SetTimer) action()             {}
+func (WatchEndpoints) action()       {}
+func (FetchEndpoints) action()       {}
 func (CloseIdleConnections) action() {}
-
-func (Log) action() {}
+func (Log) action()                  {}
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -1,54 +1,65 @@
 package scheduler
 
-func (g *Scheduler) takeRequest(e Request) {
-	if g.requests[e.ID] != nil {
+import "log/slog"
+
+// admit takes a request: it works out since when its client waits, by when it is due and what it is worth,
+// and queues it. A request of an unknown class or plan fails at once.
+func (s *Scheduler) admit(e Request) {
+	if s.requests[e.ID] != nil {
 		return
 	}
-	g.taken = append(g.taken, g.now)
-	class, plan := g.classes[e.Class], g.plans[e.Plan]
+	s.budget.recordRequest(s.now)
+	class, plan := s.classes[e.Class], s.plans[e.Plan]
 	if class == nil || plan == nil {
-		g.log("unknown class or plan", "%s, %s", e.Class, e.Plan)
-		g.act(Fail{ID: e.ID})
+		s.log(messageUnknownClass, slog.String("class", e.Class), slog.String("plan", e.Plan))
+		s.emit(Fail{ID: e.ID})
 		return
 	}
-	r := &request{Request: e, class: class, deadline: g.now + e.Remaining}
-	g.requests[e.ID] = r
-	r.from = g.firstAsked(e, class)
-	r.due = min(r.from+class.LatencyObjective, r.deadline)
-	r.volume = g.volumeOf(e, plan)
-	r.volume.arrived += e.Units
-	r.part = g.due(r.volume, e.Units)
-	r.value = class.PriorityWeight * plan.Price * r.part
-	g.queueTurn(r)
-	g.hold(r)
+	r := &request{Request: e, class: class, deadline: s.now + e.Remaining}
+	s.requests[e.ID] = r
+	earlier, known := s.unserved[retryKey{e.Class, e.Volume, e.Key, e.Units}]
+	r.firstArrival = firstArrival(s.now, e, class.Deadline, earlier, known)
+	r.softDeadline = min(r.firstArrival+class.LatencyObjective, r.deadline)
+	r.volume = s.volumeFor(e, plan)
+	r.volume.arrivedUnits += e.Units
+	r.valueShare = s.valueShare(r.volume, e.Units)
+	r.value = class.PriorityWeight * plan.Price * r.valueShare
+	s.joinKeyQueue(r)
+	s.enqueue(r)
 }
 
-// try is what the tries of a client for one thing have in common.
-type try struct {
+// retryKey is what the requests of a client for one thing have in common.
+type retryKey struct {
 	class, volume, key string
 	units              float64
 }
 
-// patience is since when a client waits, and until when it may.
-type patience struct{ from, till Time }
+// unservedRecord remembers a request that was not served, so that the client's retry keeps its first arrival
+// time.
+type unservedRecord struct {
+	firstArrival Time
+	expires      Time // the client gives up
+}
 
-// firstAsked tells since when a client waits: the aim runs from its first try. A request like one that
-// was not served, within the patience left of that, is its next try; any other with little time left
-// comes from an impatient client. It errs where other clients ask for the same at once.
-func (g *Scheduler) firstAsked(e Request, class *Class) Time {
-	p, known := g.unserved[try{e.Class, e.Volume, e.Key, e.Units}]
-	if known && g.now+e.Remaining <= p.till {
-		return p.from
-	} else if e.Retry {
-		return min(g.now, g.now+e.Remaining-class.Deadline)
+// firstArrival is when a client first asked: the latency objective runs from there. A request like an
+// unserved one, within the time that its client had left, is taken for its retry; the last request that says
+// it is a retry has used up what is missing of its class's deadline. Any other with little time left comes
+// from an impatient client. It errs where two clients ask for the same thing at once.
+func firstArrival(now Time, e Request, deadline Time, earlier unservedRecord, known bool) Time {
+	if known && now+e.Remaining <= earlier.expires {
+		return earlier.firstArrival
+	}
+	if e.Retry {
+		return min(now, now+e.Remaining-deadline)
 	}
-	return g.now
+	return now
 }
 
-func (g *Scheduler) hold(r *request) {
+// enqueue queues a request at its shard, or for a new object at the shard where it will wait least.
+func (s *Scheduler) enqueue(r *request) {
 	id := r.Shard
 	if id < 0 {
-		id = g.placeNew(r)
+		id = s.placeNewObject(r)
 	}
-	g.shardOf(id).hold(g, r)
+	s.enqueueAt(s.shardByID(id), r)
 }
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -5,79 +5,98 @@
 	"slices"
 )
 
-// room is W of equation 11: what ready nodes finished for this host plus what they may still take.
-func (g *Scheduler) room() float64 {
-	room := g.idleBound * g.set.MeanUnits
-	for _, n := range g.atWork {
-		if n.state == Ready && !n.silent(g) {
-			room += n.finished + max(0, n.bound-float64(n.out))*g.set.MeanUnits
-		}
-		n.finished = 0
-	}
-	return room
-}
+// recountTicks is how many ticks the sum of idle nodes' limits is carried on before it is made anew. With
+// more, rounding errors pile up in the capacity that tokens are granted from; with fewer, a broker of a large
+// fleet spends its ticks on idle nodes.
+const recountTicks = 1024
 
-// A tick works on the nodes that have attempts out or had answers since the last one. Nothing happens to the
-// others but that their bounds count as room, which is kept as a sum. So what a tick costs grows with a
-// broker's own requests and not with the fleet's nodes: with 1,600 of them, a tick that went through all cost
-// a broker over one hundredth of a core.
-
-// working is what a gateway keeps of this.
-type working struct {
-	atWork    []*node // in the order in which they were first seen
-	joined    bool    // some came since they were put in order
-	idleBound float64 // sum of the bounds of the other ready nodes
-	resum     bool    // a list, new settings or a shard came: this and who is gone is looked at anew
-	resumAt   int     // tick in which it is looked at anyway: a sum of many additions drifts
-	nodesSeen int
+// nodeTable holds the nodes of the endpoint list. A tick works on the active nodes, those with attempts in
+// flight or answers since the last one; the idle ones only count with their limits, which are kept as a sum.
+// So what a tick costs follows this broker's requests and not the fleet: with 1,600 nodes, a tick over all
+// took over a hundredth of a core.
+type nodeTable struct {
+	byName       map[string]*node
+	list         []*node // in the order in which they were first seen
+	active       []*node // in that order, once sorted
+	unsorted     bool    // some came to active since it was sorted
+	idleLimitSum float64 // limits of the other ready nodes
+	recount      bool    // list, settings or shards changed: active and the sum are made anew
+	recountTick  int     // in which that is done anyway
+	seen         int
 }
 
-// resumTicks is how many ticks a sum is kept up before it is made anew.
-const resumTicks = 1024
+// availableCapacity is W(t) of equation 11 in units: what ready nodes finished for this broker in this tick
+// plus what they may still take.
+func (s *Scheduler) availableCapacity() float64 {
+	capacity := s.nodes.idleLimitSum * s.settings.MeanUnits
+	for _, n := range s.nodes.active {
+		if n.state == Ready && !n.unresponsive(s.now, s.minObjective) {
+			capacity += n.finishedUnits + max(0, n.limit.value-float64(n.inFlight))*s.settings.MeanUnits
+		}
+		n.finishedUnits = 0
+	}
+	return capacity
+}
 
-// work has ticks work on a node from now on.
-func (n *node) work(g *Scheduler) {
-	if n.works {
+// activate has ticks work on a node from now on.
+func (t *nodeTable) activate(n *node) {
+	if n.active {
 		return
 	}
-	n.works, g.joined = true, true
-	g.atWork = append(g.atWork, n)
+	n.active = true
+	t.unsorted = true
+	t.active = append(t.active, n)
 	if n.state == Ready {
-		g.idleBound -= n.bound
+		t.idleLimitSum -= n.limit.value
 	}
 }
 
-// idle tells whether a tick would do nothing to a node: no attempt is out, no answer has come, and old news
-// of a jam has faded.
-func (n *node) idle(g *Scheduler) bool {
-	return len(n.flight) == 0 && n.out == 0 && n.answers == 0 && n.finished == 0 &&
-		n.took <= queueShare*g.aim.Seconds()
+// isIdle tells whether a tick would do nothing to a node: no attempt is in flight, no answer came, and its
+// latency is no longer that of a congestion.
+func (n *node) isIdle(targetLatency float64) bool {
+	quiet := len(n.attempts) == 0 && n.inFlight == 0 && n.latency.answers == 0 && n.finishedUnits == 0
+	return quiet && n.latency.smoothed <= targetLatency
+}
+
+// sortActiveNodes puts the active nodes in the order in which they were first seen, since sums over them are
+// rounded. After a change of the list it finds anew which are active.
+func (s *Scheduler) sortActiveNodes() {
+	t := &s.nodes
+	switch {
+	case t.recount || s.scans.exhaustive || s.ticks >= t.recountTick:
+		s.recountNodes()
+	case t.unsorted:
+		slices.SortFunc(t.active, func(a, b *node) int { return cmp.Compare(a.sequence, b.sequence) })
+	}
+	t.unsorted = false
 }
 
-// orderNodes puts those at work in the order in which they were first seen, and after news looks at all which
-// they are.
-func (g *Scheduler) orderNodes() {
-	if g.resum || g.plain || g.ticks >= g.resumAt {
-		g.atWork, g.idleBound, g.resumAt = g.atWork[:0], 0, g.ticks+resumTicks
-		for _, n := range g.nodeList {
-			if n.works = g.plain || !n.idle(g); n.works {
-				g.atWork = append(g.atWork, n)
-			} else if n.state == Ready {
-				g.idleBound += n.bound
-			}
+func (s *Scheduler) recountNodes() {
+	t := &s.nodes
+	t.active = t.active[:0]
+	t.idleLimitSum = 0
+	t.recountTick = s.ticks + recountTicks
+	target := targetLatency(s.minObjective)
+	for _, n := range t.list {
+		n.active = s.scans.exhaustive || !n.isIdle(target)
+		switch {
+		case n.active:
+			t.active = append(t.active, n)
+		case n.state == Ready:
+			t.idleLimitSum += n.limit.value
 		}
-	} else if g.joined {
-		slices.SortFunc(g.atWork, func(a, b *node) int { return cmp.Compare(a.number, b.number) })
 	}
-	g.joined = false
 }
 
-// restNodes takes those out that a tick would do nothing to.
-func (g *Scheduler) restNodes() {
-	g.atWork = slices.DeleteFunc(g.atWork, func(n *node) bool {
-		if n.works = g.plain || !n.idle(g); !n.works && n.state == Ready {
-			g.idleBound += n.bound
+// retireNodes takes the nodes out of the active ones that a tick would do nothing to.
+func (s *Scheduler) retireNodes() {
+	t := &s.nodes
+	target := targetLatency(s.minObjective)
+	t.active = slices.DeleteFunc(t.active, func(n *node) bool {
+		n.active = s.scans.exhaustive || !n.isIdle(target)
+		if !n.active && n.state == Ready {
+			t.idleLimitSum += n.limit.value
 		}
-		return !n.works
+		return !n.active
 	})
 }
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -43,7 +43,7 @@
 	set.Brokers, set.Capabilities.Peers, set.Capabilities.RetryAfter, set.Capabilities.Cancel = 1+rng.IntN(4), true, rng.IntN(2) == 0, true
 	sum := fnv.New64a()
 	var q fleetQueue
-	var now scheduler.Time = 100 * second
+	now := 100 * second
 	count, id := 0, uint64(0)
 	later := func(after time.Duration, e scheduler.Event) {
 		count++
@@ -79,7 +79,7 @@
 	attempts := map[uint64]int{}
 	step := func(events ...scheduler.Event) {
 		for _, action := range g.Reduce(now, events) {
-			fmt.Fprintf(sum, "%d %s\n", now, actionText(t, action))
+			_, _ = fmt.Fprintf(sum, "%d %s\n", now, actionText(t, action))
 			switch a := action.(type) {
 			case scheduler.SetTimer:
 				later(a.After, scheduler.TimerFired{Token: a.Token})
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -1,8 +1,6 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
 // Event is something that a Scheduler is told.
 type Event interface{ event() }
@@ -12,17 +10,17 @@
 	ID        uint64
 	Class     string
 	Plan      string
-	Key       string // the piece of data, empty for none
-	Remaining time.Duration
+	Key       string        // the piece of data, empty for none
+	Remaining time.Duration // until its deadline
 	Volume    string
 	Units     float64
-	Shard     int // the shard that holds the data, -1 for a new object
-	Brokers   int // gateways through which the volume's requests come
-	Retry     bool
+	Shard     int  // that holds the data, -1 for a new object
+	Brokers   int  // through which the volume's requests come
+	Retry     bool // the client says that it asked before
 	Write     bool
 }
 
-// TimerFired is a timer, set by SetTimer, that fell due.
+// TimerFired says that a timer, set by SetTimer, is due.
 type TimerFired struct{ Token uint64 }
 
 // ClientGone says that a request is over because its client left.
@@ -36,26 +34,26 @@
 	Load    LoadReport
 }
 
-// PeerMessage carries the bytes of another gateway's SendToPeer.
+// PeerMessage carries the bytes of another broker's SendToPeer.
 type PeerMessage struct {
-	From int
+	From int // ordinal of the sender
 	Data []byte
 }
 
 // AttemptEnded says how one attempt of a request ended. Each Forward gets exactly one.
 type AttemptEnded struct {
 	ID              uint64
-	Attempt         int
+	Attempt         int // from 0
 	Node            string
 	Outcome         Outcome
 	Latency         time.Duration
 	Finished        bool    // the request is over; if unset the final answer is still owed
 	RateUsed        int     // 1 + percent of the plan's rate served in a past period, 0 for unknown
-	ServedElsewhere float64 // units the shard served the volume through other hosts meanwhile
+	ServedElsewhere float64 // units that the shard served the volume through other brokers meanwhile
 	Load            LoadReport
 }
 
-// ResponseStarted says that a streamed answer has begun; its attempt now belongs to the client.
+// ResponseStarted says that a streamed response has begun; its attempt now belongs to the client.
 type ResponseStarted struct {
 	ID      uint64
 	Attempt int
@@ -63,7 +61,7 @@
 	Latency time.Duration
 }
 
-// EndpointUpdate is news of the list of nodes.
+// EndpointUpdate is news of the endpoint list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Version   uint64
@@ -74,22 +72,33 @@
 // starts.
 type SettingsChanged struct{ Settings Settings }
 
-// ProcessesChanged tells that so many processes are this host together, as while one replaces another, and
-// how many more may be without its being known.
+// ProcessesChanged says how many processes are this broker together, as while one replaces another, and how
+// many more may run without being known.
 type ProcessesChanged struct{ Processes, Unseen int }
 
-// UpdateKind says how a EndpointUpdate is to be read.
+func (Request) event()           {}
+func (TimerFired) event()        {}
+func (ClientGone) event()        {}
+func (HealthCheckResult) event() {}
+func (PeerMessage) event()       {}
+func (AttemptEnded) event()      {}
+func (ResponseStarted) event()   {}
+func (EndpointUpdate) event()    {}
+func (SettingsChanged) event()   {}
+func (ProcessesChanged) event()  {}
+
+// UpdateKind says how an EndpointUpdate is to be read.
 type UpdateKind int
 
-// The kinds of list news.
+// The kinds of endpoint updates.
 const (
 	DeltaUpdate  UpdateKind = iota // changed entries only
 	FullUpdate                     // all entries; a node that is absent has been removed
-	CachedUpdate                   // all entries as last held before a restart, perhaps stale
+	CachedUpdate                   // all entries as last known before a restart, perhaps stale
 	FailedUpdate                   // a call failed or the subscription broke; no entries
 )
 
-// NodeState is what the list says of a node.
+// NodeState is what the endpoint list says of a node.
 type NodeState int
 
 // The states of a node.
@@ -99,9 +108,9 @@
 	Removed
 )
 
-// Endpoint is one entry of the node list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Name      string
+	Name      string // of the node
 	Zone      string
 	Kind      string
 	Shard     int
@@ -109,14 +118,14 @@
 	Weight    float64
 	StartedAt Time // when it last started, 0 for long ago
 
-	Priority      int     // of the nodes of a shard, lower goes first while it has room
+	Priority      int     // of the nodes of a shard, lower goes first while it has a free slot
 	TrafficWeight float64 // of the load, against others of its priority; 0 counts as 1
 }
 
-// LoadReport is a node's report on itself; fields the node does not report are negative.
+// LoadReport is a node's report on itself; fields that the node does not report are negative.
 type LoadReport struct {
-	InFlight    float64 // requests in hand
-	Queued      float64 // requests waiting
+	InFlight    float64 // requests
+	Queued      float64 // requests
 	Utilization float64 // part of the processor that is busy
 	ServiceTime time.Duration
 	ServedRate  float64 // requests a second
@@ -124,43 +133,29 @@
 }
 
 // NoLoadReport is a report without any field.
-var NoLoadReport = LoadReport{InFlight: -1, Queued: -1, Utilization: -1,
-	ServiceTime: -1, ServedRate: -1, ErrorRate: -1}
+var NoLoadReport = LoadReport{
+	InFlight:    -1,
+	Queued:      -1,
+	Utilization: -1,
+	ServiceTime: -1,
+	ServedRate:  -1,
+	ErrorRate:   -1,
+}
 
-// Outcome says how an attempt or a probe ended.
+// Outcome says how an attempt or a health check ended.
 type Outcome int
 
-// The outcomes. Overloaded, Unreachable and NotSent prove that the attempt never ran.
+// The outcomes. Overloaded, Unreachable and NotSent prove that the attempt never executed.
 const (
-	Success Outcome = iota
-	Failure
-	Overloaded
-	TimedOut
-	Unreachable
-	ConnectionBroken
-	Canceled
-	NotSent
+	Success          Outcome = iota
+	Failure                  // the node answered with an error
+	Overloaded               // the node turned it away
+	TimedOut                 // no answer in time
+	Unreachable              // no connection
+	ConnectionBroken         // the connection broke before the answer
+	Canceled                 // by a Cancel
+	NotSent                  // it was over before it left
 )
 
-// MayHaveExecuted tells whether an attempt that ended so may have run.
+// MayHaveExecuted tells whether an attempt that ended so may have executed.
 func (o Outcome) MayHaveExecuted() bool { return o != Overloaded && o != Unreachable && o != NotSent }
-
-func (Request) event() {}
-
-func (TimerFired) event() {}
-
-func (ClientGone) event() {}
-
-func (HealthCheckResult) event() {}
-
-func (PeerMessage) event() {}
-
-func (AttemptEnded) event() {}
-
-func (ResponseStarted) event() {}
-
-func (EndpointUpdate) event() {}
-
-func (SettingsChanged) event() {}
-
-func (ProcessesChanged) event() {}
--- a/scheduler/giveup.go
+++ b/scheduler/giveup.go
@@ -1,58 +1,67 @@
 package scheduler
 
-import (
-	"time"
-)
+import "time"
 
-// giveUpLate answers requests that can no longer be served within their aim, at once.
-func (g *Scheduler) giveUpLate(s *shard) {
-	service := s.service()
-	if s.inTime(g, service) {
+// giveUpExpired gives up, at once, the requests of a shard that can no longer be served within their latency
+// objective, or not before their clients leave.
+func (s *Scheduler) giveUpExpired(sh *shard) {
+	serviceTime := sh.serviceTime()
+	if s.nothingExpires(sh, serviceTime) {
 		return
 	}
-	s.seen = 0 // the next to be given up is looked for anew
-	for i := 0; i < len(s.held); {
-		r := s.held[i]
-		if service <= (r.due-g.now).Seconds() && g.now+2*g.tick < r.deadline {
+	sh.summary.generation = 0 // the next to be given up is looked for anew
+	for i := 0; i < len(sh.queue); {
+		r := sh.queue[i]
+		inTime := serviceTime <= (r.softDeadline - s.now).Seconds()
+		if inTime && s.now+answerTicks*s.tickPeriod < r.deadline {
 			i++
-		} else {
-			g.giveUp(r)
+			continue
 		}
+		s.giveUp(r)
 	}
 }
 
-// giveUp gives the final answer: a refusal where that is true, else a failure.
-func (g *Scheduler) giveUp(r *request) {
-	ran := r.ranAt != nil || r.outAt != nil
-	harmless := !ran || r.harmless()
-	hint := time.Duration(0)
-	if g.set.Capabilities.RetryAfter {
-		hint = min(g.aim, g.set.Capabilities.MaxRetryAfter)
-	}
-	if harmless && g.now < r.deadline {
-		g.act(Reject{ID: r.ID, After: hint})
+// giveUp gives the final answer: a rejection where the client may safely repeat the request, else a failure.
+func (s *Scheduler) giveUp(r *request) {
+	mayHaveExecuted := r.executedOn != nil || r.inFlightAt != nil
+	safe := !mayHaveExecuted || r.safeToRepeat()
+	if safe && s.now < r.deadline {
+		s.emit(Reject{ID: r.ID, After: s.retryAfter()})
 	} else {
-		g.act(Fail{ID: r.ID})
+		s.emit(Fail{ID: r.ID})
 	}
-	g.leaveUnserved(r)
+	s.endUnserved(r)
 }
 
-func (g *Scheduler) leaveUnserved(r *request) {
-	if !r.over {
-		g.unserved[try{r.Class, r.Volume, r.Key, r.Units}] = patience{r.from, r.from + r.class.Deadline}
+// retryAfter is when a rejected client is told to come back, 0 where it is told nothing.
+func (s *Scheduler) retryAfter() time.Duration {
+	if !s.settings.Capabilities.RetryAfter {
+		return 0
+	}
+	return min(s.minObjective, s.settings.Capabilities.MaxRetryAfter)
+}
+
+// endUnserved ends a request that was not served, and remembers it for the client's retry.
+func (s *Scheduler) endUnserved(r *request) {
+	if !r.answered {
+		key := retryKey{r.Class, r.Volume, r.Key, r.Units}
+		s.unserved[key] = unservedRecord{
+			firstArrival: r.firstArrival,
+			expires:      r.firstArrival + r.class.Deadline,
+		}
 	}
-	g.finish(r)
+	s.finish(r)
 }
 
-// finish ends what is owed for a request; it is forgotten when no attempt is out either.
-func (g *Scheduler) finish(r *request) {
-	r.over = true
-	if r.lane != nil {
-		r.lane.drop(r)
+// finish ends what is owed for a request. It is forgotten when no attempt is in flight either.
+func (s *Scheduler) finish(r *request) {
+	r.answered = true
+	if r.queuedAt != nil {
+		r.queuedAt.dequeue(r)
 	}
-	if r.outAt == nil {
-		r.volume.limit.Settle(r.ID)
-		delete(g.requests, r.ID)
-		g.leaveTurn(r)
+	if r.inFlightAt == nil {
+		r.volume.quota.Settle(r.ID)
+		delete(s.requests, r.ID)
+		r.leaveKeyQueue()
 	}
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -1,119 +1,143 @@
 package scheduler
 
 import (
+	"log/slog"
 	"math"
 	"time"
 )
 
-// silent tells whether a node with work out has said nothing for long, be it dead, cut off or stuck.
-func (n *node) silent(g *Scheduler) bool {
-	return len(n.flight) > 0 && g.now-max(n.heard, n.lastSent) > time.Duration(silenceAims*float64(g.aim))
+const (
+	// unresponsiveObjectives is how many of the smallest latency objectives a node with attempts in flight
+	// may say nothing before it counts as unresponsive. Higher, requests pile up at a dead node for longer;
+	// lower, a pause of a sound node takes it out of the capacity that tokens are granted from.
+	unresponsiveObjectives = 3.0
+	// faultsToRest is how many connections in a row must break before the node rests. Higher, a node that
+	// closes all of them is asked for longer; lower, one lost answer among good ones makes the requests of
+	// its shard wait.
+	faultsToRest = 2
+)
+
+// nodeHealth is what a node's outcomes show of it.
+type nodeHealth struct {
+	lastAnswer          Time          // of any kind
+	waitingSince        Time          // the last outcome, or a later forward with nothing in flight
+	restUntil           Time          // nothing is forwarded before: it turned attempts away
+	restPeriod          time.Duration // doubles with each fault up to the smallest latency objective
+	faults              int           // since the last success
+	canceledSinceAnswer bool          // a late attempt was canceled since the last success
+}
+
+// unresponsive tells whether a node with attempts in flight has said nothing for long, be it dead, cut off or
+// stuck.
+func (n *node) unresponsive(now Time, objective time.Duration) bool {
+	if len(n.attempts) == 0 {
+		return false
+	}
+	quiet := now - max(n.health.lastAnswer, n.health.waitingSince)
+	return quiet > time.Duration(unresponsiveObjectives*float64(objective))
 }
 
-// learn takes what an outcome shows of its node. Only answers that served count as service.
-func (g *Scheduler) learn(n *node, r *request, e AttemptEnded) {
-	if e.Outcome != TimedOut && e.Outcome != Canceled && e.Outcome != Unreachable && e.Outcome != NotSent {
-		n.heard = g.now
+// recordOutcome takes what an outcome shows of its node.
+func (s *Scheduler) recordOutcome(n *node, r *request, e AttemptEnded) {
+	if e.Outcome.provesAlive() {
+		n.health.lastAnswer = s.now
 	}
-	n.lastSent = g.now
+	n.health.waitingSince = s.now
 	switch e.Outcome {
 	case Success:
-		n.finished += r.Units
-		s, span := g.shards[n.Shard], g.set.Rules.WarmUpTime.Seconds()
-		if n.cold && r.sentAt >= n.bornAt {
-			n.savings += r.Units
-		} else if !n.cold && span > 0 {
-			s.served, s.servedAt = s.served*math.Exp(-(g.now-s.servedAt).Seconds()/span)+r.Units/span, g.now
-		}
-		n.answers++
-		n.waited += e.Latency.Seconds()
-		n.rest, n.futile, n.faults = 0, false, 0
-		for _, other := range n.flight {
-			if other.sentAt < r.sentAt {
-				other.passed++
-			}
-		}
-		if n.took == 0 {
-			n.took = e.Latency.Seconds()
-		}
-	case NotSent: // it never reached the node, which bears it still
-		n.savings += r.Units
-		if v := r.volume; r.over && r.attempts == 1 { // nor took anything of what its volume has
-			v.level += r.Units
-			v.limit.Refund(r.ID)
-		}
+		s.recordSuccess(n, r, e)
+	case NotSent:
+		s.recordNotSent(n, r)
 	case Overloaded, Unreachable, ConnectionBroken:
-		// One lost answer among good ones shows nothing of the node's room, two on end may. An error never
-		// does: a shard has no other node, and what waits while that rests is given up.
-		if n.faults++; n.faults < 2 && e.Outcome == ConnectionBroken {
-			return
-		}
-		n.bound = max(min(1, n.bound), n.bound*boundCut)
-		n.rest = min(max(2*n.rest, g.tick), g.aim)
-		n.restTill = g.now + n.rest
+		s.recordFault(n, e.Outcome)
 	}
 }
 
-// observe tells the shard's group what an outcome shows of its node.
-func (g *Scheduler) observe(n *node, r *request, e AttemptEnded) {
-	group := n.home.group
-	if group == nil || n.member == nil {
-		return
+// provesAlive tells whether an outcome came from the node itself.
+func (o Outcome) provesAlive() bool {
+	return o != TimedOut && o != Canceled && o != Unreachable && o != NotSent
+}
+
+func (s *Scheduler) recordSuccess(n *node, r *request, e AttemptEnded) {
+	n.finishedUnits += r.Units
+	warmUp := s.settings.Rules.WarmUpTime.Seconds()
+	if n.slowStart.warmingUp && r.sentAt >= n.slowStart.startedAt {
+		n.slowStart.tokens += r.Units
+	} else if !n.slowStart.warmingUp && warmUp > 0 {
+		s.shards.byID[n.Shard].recordServed(s.now, r.Units, warmUp)
 	}
-	switch e.Outcome {
-	case Success:
-		if from := r.moved.from; from != nil && from != n && from.heard < r.moved.at && from.member != nil {
-			g.foundSilent(from) // it has said nothing, and another answered
+	n.latency.answers++
+	n.latency.sum += e.Latency.Seconds()
+	n.health.restPeriod = 0
+	n.health.canceledSinceAnswer = false
+	n.health.faults = 0
+	for _, other := range n.attempts {
+		if other.sentAt < r.sentAt {
+			other.overtaken++
 		}
-		group.RecordAnswer(g.now, n.member,
-			time.Duration(float64(e.Latency)*max(1, g.set.MeanUnits)/max(1, r.Units)))
-	case Failure, Overloaded:
-		group.RecordFailure(g.now, n.member, true)
-	case Unreachable, ConnectionBroken:
-		group.RecordFailure(g.now, n.member, false)
+	}
+	if n.latency.smoothed == 0 {
+		n.latency.smoothed = e.Latency.Seconds()
 	}
 }
 
-// service is how many seconds an attempt takes.
-func (s *shard) service() float64 {
-	if n := s.quickest(); n != nil {
-		return n.took
-	}
-	return 0
+// recordServed takes units into the rate that warm nodes served this broker, in the mean over a span in
+// seconds.
+func (sh *shard) recordServed(now Time, units, span float64) {
+	sh.servedRate = sh.servedRate*math.Exp(-(now-sh.servedAt).Seconds()/span) + units/span
+	sh.servedAt = now
 }
 
-// quickest is the ready node by which the time to serve is judged: of several, the least time among those
-// that are not silent, since that is where a request goes next.
-func (s *shard) quickest() *node {
-	first := s.readyNode()
-	if first == nil || s.group == nil {
-		return first
+// recordNotSent undoes a forward that never left: the node can still bear its units, and a request that is
+// over used up nothing of its volume's tokens and quota.
+func (s *Scheduler) recordNotSent(n *node, r *request) {
+	n.slowStart.tokens += r.Units
+	if r.answered && r.attempts == 1 {
+		r.volume.tokens += r.Units
+		r.volume.quota.Refund(r.ID)
 	}
-	best := first
-	for _, n := range s.nodes {
-		if n.state != Ready || n.member == nil || n.member.Unresponsive() || n.took <= 0 {
-			continue
-		}
-		if best.member == nil || best.member.Unresponsive() || best.took <= 0 || n.took < best.took {
-			best = n
-		}
+}
+
+// recordFault has a node rest that turned an attempt away, can't be reached, or broke connections repeatedly.
+// An error that the node answers with is no fault in this sense: a shard may have no other node, and what
+// waits while that one rests is given up.
+func (s *Scheduler) recordFault(n *node, outcome Outcome) {
+	n.health.faults++
+	if n.health.faults < faultsToRest && outcome == ConnectionBroken {
+		return
 	}
-	return best
+	n.limit.value = max(min(1, n.limit.value), n.limit.value*limitDecrease)
+	n.health.restPeriod = min(max(2*n.health.restPeriod, s.tickPeriod), s.minObjective)
+	n.health.restUntil = s.now + n.health.restPeriod
 }
 
-// elsewhere finds the node of a shard, besides one, that may be asked and answered last.
-func (n *node) elsewhere() *node {
-	var last *node
-	for _, other := range n.home.nodes {
-		if other != n && other.state == Ready && other.member != nil && !other.member.Unresponsive() &&
-			(last == nil || other.heard > last.heard) {
-			last = other
+// reportToBalancer tells the shard's balancer what an outcome shows of its node.
+func (s *Scheduler) reportToBalancer(n *node, r *request, e AttemptEnded) {
+	replicas := n.shard.balancer
+	if replicas == nil || n.replica == nil {
+		return
+	}
+	switch e.Outcome {
+	case Success:
+		from := r.failover.from
+		if from != nil && from != n && from.health.lastAnswer < r.failover.sentAt && from.replica != nil {
+			s.reportUnresponsive(from) // it has said nothing since, and another answered
 		}
+		replicas.RecordAnswer(s.now, n.replica, s.latencyOfMeanRequest(e.Latency, r.Units))
+	case Failure, Overloaded:
+		replicas.RecordFailure(s.now, n.replica, true)
+	case Unreachable, ConnectionBroken:
+		replicas.RecordFailure(s.now, n.replica, false)
 	}
-	return last
 }
 
-func (g *Scheduler) foundSilent(n *node) {
-	n.home.group.RecordUnresponsive(g.now, n.member)
-	g.log("node found silent", "%s of shard %d, others answer", n.Name, n.Shard)
+// latencyOfMeanRequest scales the latency of a request of so many units to that of a request of mean size.
+func (s *Scheduler) latencyOfMeanRequest(latency time.Duration, units float64) time.Duration {
+	return time.Duration(float64(latency) * max(1, s.settings.MeanUnits) / max(1, units))
+}
+
+// reportUnresponsive tells the balancer of a node's shard that it said nothing while others answered.
+func (s *Scheduler) reportUnresponsive(n *node) {
+	n.shard.balancer.RecordUnresponsive(s.now, n.replica)
+	s.log(messageUnresponsivePeer, slog.String("node", n.Name), slog.Int("shard", n.Shard))
 }
--- a/scheduler/log.go
+++ b/scheduler/log.go
@@ -1,14 +1,40 @@
 package scheduler
 
-import (
-	"fmt"
+import "log/slog"
+
+// logIntervalTicks is the fewest ticks between two log lines with one message. With fewer, an outage of a
+// node fills the log with a line for each of its requests; with more, a second fault of the same kind stays
+// unseen for longer.
+const logIntervalTicks = 100
+
+// The messages of log lines. They are fixed, since the limit counts by message; what differs is in the
+// attributes.
+const (
+	messageUnknownClass     = "unknown class or plan"
+	messageAttemptLost      = "attempt lost"
+	messageUnresponsive     = "node unresponsive"
+	messageUnresponsivePeer = "node unresponsive while others of its shard answer"
+	messageUpdateFailed     = "endpoint update failed"
+	messageNodeLeaves       = "node leaves"
 )
 
-// log writes a line for the people on call, each kind at most once in logTicks.
-func (g *Scheduler) log(kind, format string, args ...any) {
-	if last, seen := g.logged[kind]; seen && g.ticks-last < logTicks {
-		return
+// logLimiter bounds log lines: a message is written at most once in logIntervalTicks.
+type logLimiter struct {
+	lastTick map[string]int // tick of the last line, by message
+}
+
+// allow tells whether a message may be written in a tick, and notes it if so.
+func (l *logLimiter) allow(message string, tick int) bool {
+	if last, seen := l.lastTick[message]; seen && tick-last < logIntervalTicks {
+		return false
+	}
+	l.lastTick[message] = tick
+	return true
+}
+
+// log emits a log line for the engineers on call.
+func (s *Scheduler) log(message string, attributes ...slog.Attr) {
+	if s.logs.allow(message, s.ticks) {
+		s.emit(Log{Message: message, Attributes: attributes})
 	}
-	g.logged[kind] = g.ticks
-	g.act(Log{Text: kind + ": " + fmt.Sprintf(format, args...)})
 }
--- a/scheduler/lost.go
+++ b/scheduler/lost.go
@@ -1,100 +1,191 @@
 package scheduler
 
-// callOff calls off an attempt that is of no use.
-func (g *Scheduler) callOff(n *node, r *request) bool { return g.moveOn(n, r) || g.callOffLate(n, r) }
+import (
+	"log/slog"
+	"math"
+)
 
-// callOffLate guards a jammed node against work that earns next to nothing: what is late already is called
-// off and answered, so that the node does what can still be in time. It should catch any jam, whoever filled
-// the node. Where nodes go on with what was called off it would hide how long they take, so without an
-// answer between the next attempt runs to its end. It hurts where late answers earn much.
-func (g *Scheduler) callOffLate(n *node, r *request) bool {
-	if r.over || g.now <= r.due || !n.jammed(g) || n.futile || !g.set.Capabilities.Cancel {
-		return false
+const (
+	// overtakesToLose is how many later attempts a node must answer before an earlier one is presumed lost.
+	// Higher, a lost answer holds its slot for longer; lower, a node that serves out of order loses sound
+	// attempts.
+	overtakesToLose = 4
+	// lateFactor is how many times its usual latency an attempt must be in flight before it may be presumed
+	// lost. Higher, clients wait longer behind lost answers; lower, large requests are cut off.
+	lateFactor = 3.0
+	// failoverTicks is the least time in flight before an attempt is moved to another node of its shard, in
+	// ticks. Higher, clients wait longer behind a dead node; lower, short pauses double the work of a shard.
+	failoverTicks = 4
+	// suspicionEarned is how many attempts may be moved for each forward where no node of the shard has
+	// answered since. Higher, retries add to the load of a shard that is slow as a whole; lower, a dead node
+	// blocks a quiet shard.
+	suspicionEarned = 0.1
+	// suspicionMax is how many such moves may be made in a row. Higher or lower as with suspicionEarned.
+	suspicionMax = 5.0
+	// stallTicks is how many ticks late a tick comes when this broker itself stood still. Higher, a starved
+	// broker blames nodes for answers that it did not read; lower, it looks for dead nodes late on a busy
+	// machine.
+	stallTicks = 3
+	// settleTicks is how long a broker that stood still judges nobody, in ticks, while it reads what came
+	// meanwhile. Higher, dead nodes are found later; lower, answers already received count as missing.
+	settleTicks = 2
+)
+
+// failover says that a request was moved to another node on suspicion alone.
+type failover struct {
+	from   *node // nil for none
+	sentAt Time  // when its attempt there was sent
+}
+
+// failoverGuard bounds what failOver does on suspicion, and by a broker that stood still.
+type failoverGuard struct {
+	lastTick       int // in which attempts were last looked at, and its time
+	lastTickAt     Time
+	stalledUntil   Time
+	suspicionSpent float64 // moves on suspicion, less what forwards have earned
+}
+
+// observeTick notes a tick, and whether it came so late that this broker itself stood still.
+func (f *failoverGuard) observeTick(s *Scheduler) {
+	if s.ticks == f.lastTick {
+		return
 	}
-	n.futile = true
-	n.answers++ // it would have taken this long at least
-	n.waited += (g.now - r.sentAt).Seconds()
-	g.act(Cancel{ID: r.ID, Attempt: r.attempts - 1})
-	g.giveUp(r)
-	return true
+	if f.lastTick > 0 && s.now-f.lastTickAt > stallTicks*s.tickPeriod {
+		f.stalledUntil = s.now + settleTicks*s.tickPeriod
+	}
+	f.lastTick = s.ticks
+	f.lastTickAt = s.now
 }
 
-// findLost guards against answers that never come: lost messages, a stuck request, a silent node, a
-// half-dead path. An attempt that later ones overtook, or that is out past any likely answer, gives its
-// room back; unless it is just late it is called off and tried again where the rules allow. It hurts
-// where a node serves out of turn or has become slower at one stroke.
-func (g *Scheduler) findLost(n *node) {
-	for _, r := range n.flight {
-		out := (g.now - r.sentAt).Seconds()
-		usual := overtime * n.took * max(1, r.Units/max(1, g.set.MeanUnits))
-		if g.callOff(n, r) || r.lost || out < usual || r.passed < overtakes && out < g.aim.Seconds() {
+// recordForward earns part of a move on suspicion.
+func (f *failoverGuard) recordForward() { f.suspicionSpent = max(0, f.suspicionSpent-suspicionEarned) }
+
+// exhausted tells whether another move on suspicion would be one too many.
+func (f *failoverGuard) exhausted() bool { return f.suspicionSpent > suspicionMax-1 }
+
+// detectLost finds attempts at a node whose answers will not come: a lost message, a stuck request, a dead
+// node or path. It shows as an attempt that later ones overtook, or that is in flight for far longer than any
+// answer takes. Such an attempt gives its slot back; unless it is just late it is canceled and retried where
+// the rules allow. The guard holds since each attempt is looked at in each tick. It costs nodes that serve
+// out of order, or became slower at one stroke, some retries.
+func (s *Scheduler) detectLost(n *node) {
+	for _, r := range n.attempts {
+		inFlight := (s.now - r.sentAt).Seconds()
+		usual := lateFactor * n.latency.smoothed * s.relativeSize(r.Units)
+		if s.cancelUseless(n, r) || r.lost || inFlight < usual {
 			continue
 		}
-		r.lost = true
-		n.out--
-		if r.passed < overtakes { // as far as seen the node is that slow
-			n.answers++
-			n.waited += out
-		}
-		g.log("attempt lost", "%s after %.0f ms", n.Name, out*1000)
-		again := !r.over && (r.passed >= overtakes || n.silent(g)) // a repeat of a late one is twice the work
-		again = again && g.set.Capabilities.Cancel && r.class.Idempotency == Idempotent
-		if again && g.now < r.due && g.mayTryAgain(r) {
-			g.act(Cancel{ID: r.ID, Attempt: r.attempts - 1})
+		if r.overtaken < overtakesToLose && inFlight < s.minObjective.Seconds() {
+			continue
 		}
+		s.presumeLost(n, r, inFlight)
 	}
 }
 
-// moveOn guards the requests of a shard with several nodes against one that says nothing: an attempt that is
-// out for far longer than usual, while others of the shard answered and this one did not, shows it silent;
-// where it may run twice it is called off and tried at another. Whatever was written to the node stays its
-// own. It hurts where a sound node pauses for as long. A broker that stood still itself, stopped or starved,
-// judges nobody until it has read what came meanwhile.
-func (g *Scheduler) moveOn(n *node, r *request) bool {
-	if g.ticks != g.lookTick {
-		if g.lookTick > 0 && g.now-g.lookAt > 3*g.tick {
-			g.stoodTill = g.now + 2*g.tick
-		}
-		g.lookTick, g.lookAt = g.ticks, g.now
+// relativeSize is how many times larger than the mean a request is, at least 1.
+func (s *Scheduler) relativeSize(units float64) float64 {
+	return max(1, units/max(1, s.settings.MeanUnits))
+}
+
+// presumeLost gives an attempt's slot back after so many seconds in flight, and cancels it where a retry is
+// allowed and is no second run of what is only late.
+func (s *Scheduler) presumeLost(n *node, r *request, inFlight float64) {
+	r.lost = true
+	n.inFlight--
+	if r.overtaken < overtakesToLose { // as far as seen, the node is that slow
+		n.latency.answers++
+		n.latency.sum += inFlight
+	}
+	milliseconds := math.RoundToEven(inFlight * 1000)
+	s.log(messageAttemptLost, slog.String("node", n.Name), slog.Float64("after_ms", milliseconds))
+	retry := !r.answered && (r.overtaken >= overtakesToLose || n.unresponsive(s.now, s.minObjective))
+	retry = retry && s.settings.Capabilities.Cancel && r.class.Idempotency == Idempotent
+	if retry && s.now < r.softDeadline && s.mayRetry(r) {
+		s.cancelAttempt(r)
+	}
+}
+
+// cancelUseless cancels an attempt that is better made elsewhere or not at all, and tells whether it did.
+func (s *Scheduler) cancelUseless(n *node, r *request) bool {
+	return s.failOver(n, r) || s.cancelLate(n, r)
+}
+
+// cancelLate frees a congested node from work that earns next to nothing: an attempt after its soft deadline
+// is canceled and the request answered, so that the node serves what can still be in time. A node that goes
+// on with what was canceled would hide how slow it is: so after one cancellation the next attempt runs to its
+// end. It costs classes whose late answers earn much.
+func (s *Scheduler) cancelLate(n *node, r *request) bool {
+	if r.answered || s.now <= r.softDeadline || !n.congested(s.minObjective) {
+		return false
+	}
+	if n.health.canceledSinceAnswer || !s.settings.Capabilities.Cancel {
+		return false
 	}
-	if n.member == nil || n.home.group == nil || r.over || g.now < g.stoodTill ||
-		g.now-r.sentAt < overdueTicks*g.tick || n.heard > r.sentAt {
+	n.health.canceledSinceAnswer = true
+	n.latency.answers++ // it would have taken this long at least
+	n.latency.sum += (s.now - r.sentAt).Seconds()
+	s.cancelAttempt(r)
+	s.giveUp(r)
+	return true
+}
+
+// cancelAttempt cancels a request's last attempt.
+func (s *Scheduler) cancelAttempt(r *request) {
+	s.emit(Cancel{ID: r.ID, Attempt: r.attempts - 1})
+}
+
+// failOver moves a request of a shard with several nodes away from a node that says nothing, and tells
+// whether it did. It shows as an attempt that is in flight for far longer than usual while others of the
+// shard answer. The attempt is canceled and made at another node where it may run twice; what was written to
+// the first node stays its own. Where no other has answered since, the moves are bounded: were all nodes
+// slow, they would only add to it. A broker that stood still itself judges nobody until it has read what came
+// meanwhile. It costs a sound node that pauses for as long some of its requests.
+func (s *Scheduler) failOver(n *node, r *request) bool {
+	s.failovers.observeTick(s)
+	if n.replica == nil || n.shard.balancer == nil || r.answered || s.now < s.failovers.stalledUntil {
 		return false
 	}
-	other := n.elsewhere()
-	if other == nil ||
-		(g.now-r.sentAt).Seconds() < overtime*other.took*max(1, r.Units/max(1, g.set.MeanUnits)) {
+	if s.now-r.sentAt < failoverTicks*s.tickPeriod || n.health.lastAnswer > r.sentAt {
 		return false
 	}
-	shown := other.heard > r.sentAt || n.member.Unresponsive()
-	if shown {
-		g.foundSilent(n)
+	other := n.alternative()
+	if other == nil {
+		return false
 	}
-	if !shown && g.spent > movesMost-1 || !g.set.Capabilities.Cancel || !r.harmless() ||
-		!g.mayTryAgain(r) || g.now+2*g.tick >= r.deadline {
+	usual := lateFactor * other.latency.smoothed * s.relativeSize(r.Units)
+	if (s.now - r.sentAt).Seconds() < usual {
 		return false
 	}
-	if !shown {
-		g.spent++
-		r.moved = moved{n, r.sentAt}
+	proven := other.health.lastAnswer > r.sentAt || n.replica.Unresponsive()
+	if proven {
+		s.reportUnresponsive(n)
+	}
+	if !proven && s.failovers.exhausted() || !s.settings.Capabilities.Cancel {
+		return false
 	}
-	r.late(g)
-	g.act(Cancel{ID: r.ID, Attempt: r.attempts - 1})
+	if !r.safeToRepeat() || !s.mayRetry(r) || s.now+answerTicks*s.tickPeriod >= r.deadline {
+		return false
+	}
+	if !proven {
+		s.failovers.suspicionSpent++
+		r.failover = failover{n, r.sentAt}
+	}
+	s.extendSoftDeadline(r)
+	s.cancelAttempt(r)
 	return true
 }
 
-// moved tells from which node a request was tried elsewhere on suspicion, and when it had been sent there.
-type moved struct {
-	from *node
-	at   Time
+// alternative is the node of the same shard, besides this one, that may be asked and answered last; nil for
+// none.
+func (n *node) alternative() *node {
+	var latest *node
+	for _, other := range n.shard.nodes {
+		if other == n || other.state != Ready || other.replica == nil || other.replica.Unresponsive() {
+			continue
+		}
+		if latest == nil || other.health.lastAnswer > latest.health.lastAnswer {
+			latest = other
+		}
+	}
+	return latest
 }
-
-// Where no node has answered since an attempt went out, it is tried elsewhere on suspicion alone, for so many
-// of the sends: were all nodes slow, more would only add to it.
-const (
-	movesEach = 0.1
-	movesMost = 5.0
-)
-
-// overdueTicks is for how long an attempt is out at least before it is tried at another node.
-const overdueTicks = 4
--- a/scheduler/nodes.go
+++ b/scheduler/nodes.go
@@ -3,60 +3,60 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	"junctionwharf/balancer"
 )
 
+// node is what is known of one node of the endpoint list.
 type node struct {
 	Endpoint
-	state    NodeState
-	out      int     // attempts out
-	bound    float64 // most attempts out
-	full     bool    // the bound held something back since it was judged
-	judged   int     // tick in which answers last moved the bound
-	pacedAt  Time    // last send, from which a bound below one paces the next
-	finished float64 // units served for this host in this tick
-	took     float64 // running mean of seconds from send to answer
-	standing float64 // least of the recent times, which rises slowly
-	futile   bool    // an attempt was called off since its last answer
-	answers  int     // answers in this tick
-	waited   float64 // seconds that they took together
-	lastSent Time    // first send since the last outcome
-	heard    Time    // last answer of any kind
-	restTill Time    // nothing is sent before: it turned attempts away
-	rest     time.Duration
-	faults   int  // attempts that failed since its last answer that served
-	bornAt   Time // earliest start that fits what is known, for the cold guard
-	cold     bool
-	savings  float64 // units that may be sent to it while it is cold
-	savedAt  Time
-	flight   []*request // attempts out, in the order sent
-	home     *shard     // among whose nodes it stands
-	member   *balancer.Replica
-	listed   uint64 // Scheduler.stirred when a list last named it
-	number   int    // of its first coming
-	works    bool   // it stands among those at work
+	state            NodeState // as listed, Removed also once a full list no longer has it
+	listedGeneration uint64    // scanSchedule.generation when a list last had it
+	sequence         int       // in the order in which nodes were first seen
+	shard            *shard    // that it was first listed with
+	replica          *balancer.Replica
+
+	active        bool       // ticks work on it
+	attempts      []*request // in flight, in the order sent
+	inFlight      int        // of them those that are not presumed lost
+	finishedUnits float64    // answered in this tick
+
+	limit     concurrencyLimit
+	latency   latencyStats
+	health    nodeHealth
+	slowStart slowStart
 }
 
-func (g *Scheduler) shardOf(id int) *shard {
-	s := g.shards[id]
-	if s == nil {
-		s = &shard{id: id}
-		g.shards[id], g.resum = s, true
-		at, _ := slices.BinarySearch(g.shardIDs, id)
-		g.shardIDs = slices.Insert(g.shardIDs, at, id)
+// shardTable holds the shards by id.
+type shardTable struct {
+	byID     map[int]*shard
+	ids      []int    // in order
+	balanced []*shard // those with a balancer, by id
+}
+
+// shardByID returns a shard, which it makes where it is new.
+func (s *Scheduler) shardByID(id int) *shard {
+	sh := s.shards.byID[id]
+	if sh == nil {
+		sh = &shard{id: id}
+		s.shards.byID[id] = sh
+		s.nodes.recount = true
+		at, _ := slices.BinarySearch(s.shards.ids, id)
+		s.shards.ids = slices.Insert(s.shards.ids, at, id)
 	}
-	return s
+	return sh
 }
 
-func (s *shard) add(n *node) {
-	s.nodes = append(s.nodes, n)
-	n.home = s
+// compareShardID orders shards by their ids.
+func compareShardID(sh *shard, id int) int { return cmp.Compare(sh.id, id) }
+
+func (sh *shard) addNode(n *node) {
+	sh.nodes = append(sh.nodes, n)
+	n.shard = sh
 }
 
-func (s *shard) readyNode() *node {
-	for _, n := range s.nodes {
+func (sh *shard) firstReady() *node {
+	for _, n := range sh.nodes {
 		if n.state == Ready {
 			return n
 		}
@@ -64,10 +64,10 @@
 	return nil
 }
 
-// several tells whether a shard has more than one node that could serve.
-func (s *shard) several() bool {
+// hasSeveralReady tells whether more than one node could serve the shard.
+func (sh *shard) hasSeveralReady() bool {
 	ready := 0
-	for _, n := range s.nodes {
+	for _, n := range sh.nodes {
 		if n.state == Ready {
 			if ready++; ready > 1 {
 				return true
@@ -77,5 +77,44 @@
 	return false
 }
 
-// byShard orders shards by their ids.
-func byShard(s *shard, id int) int { return cmp.Compare(s.id, id) }
+// fastest is the ready node by which the shard's service time is estimated: of several, the least latency
+// among those that are not unresponsive, since that is where a request goes next.
+func (sh *shard) fastest() *node {
+	first := sh.firstReady()
+	if first == nil || sh.balancer == nil {
+		return first
+	}
+	best := first
+	for _, n := range sh.nodes {
+		if n.state != Ready || n.replica == nil || n.replica.Unresponsive() || n.latency.smoothed <= 0 {
+			continue
+		}
+		unknown := best.replica == nil || best.replica.Unresponsive() || best.latency.smoothed <= 0
+		if unknown || n.latency.smoothed < best.latency.smoothed {
+			best = n
+		}
+	}
+	return best
+}
+
+// serviceTime is how many seconds an attempt at the shard takes, 0 where that is not known.
+func (sh *shard) serviceTime() float64 {
+	if n := sh.fastest(); n != nil {
+		return n.latency.smoothed
+	}
+	return 0
+}
+
+// workingNodes is how many nodes work at the shard's queue.
+func (sh *shard) workingNodes() float64 {
+	if sh.balancer == nil {
+		return 1
+	}
+	count := 0
+	for _, n := range sh.nodes {
+		if n.state == Ready && n.replica != nil && !n.replica.Unresponsive() {
+			count++
+		}
+	}
+	return float64(max(1, min(count, sh.balancer.SubsetSize())))
+}
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -1,34 +1,39 @@
 package scheduler
 
-import (
-	"slices"
-)
+import "slices"
 
-// turn keeps requests of ordered classes with one key in the order of arrival.
-type turn struct {
-	waiting []*request
-	restTo  Time
+// keyQueue keeps the requests of ordered classes with one key in the order of arrival.
+type keyQueue struct {
+	waiting    []*request // the first is the next to run
+	quietUntil Time       // an earlier attempt may still run until then
 }
 
-func (g *Scheduler) queueTurn(r *request) {
+// joinKeyQueue puts a request of an ordered class behind the others with its key.
+func (s *Scheduler) joinKeyQueue(r *request) {
 	if !r.class.Ordered || r.Key == "" {
 		return
 	}
-	if r.turn = g.turns[r.Key]; r.turn == nil {
-		r.turn = &turn{}
-		g.turns[r.Key] = r.turn
+	r.keyQueue = s.keyQueues[r.Key]
+	if r.keyQueue == nil {
+		r.keyQueue = &keyQueue{}
+		s.keyQueues[r.Key] = r.keyQueue
 	}
-	r.turn.waiting = append(r.turn.waiting, r)
+	r.keyQueue.waiting = append(r.keyQueue.waiting, r)
 }
 
-func (g *Scheduler) hasTurn(r *request) bool {
-	return r.turn == nil || r.turn.waiting[0] == r && (g.now >= r.turn.restTo || r.attempts > 0)
+// isNextOfKey tells whether a request may run as far as others with its key go. A retry need not wait for its
+// own earlier attempt.
+func (r *request) isNextOfKey(now Time) bool {
+	if r.keyQueue == nil {
+		return true
+	}
+	return r.keyQueue.waiting[0] == r && (now >= r.keyQueue.quietUntil || r.attempts > 0)
 }
 
-func (g *Scheduler) leaveTurn(r *request) {
-	if r.turn == nil {
+func (r *request) leaveKeyQueue() {
+	if r.keyQueue == nil {
 		return
 	}
-	at := slices.Index(r.turn.waiting, r)
-	r.turn.waiting = slices.Delete(r.turn.waiting, at, at+1)
+	at := slices.Index(r.keyQueue.waiting, r)
+	r.keyQueue.waiting = slices.Delete(r.keyQueue.waiting, at, at+1)
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -1,36 +1,48 @@
 package scheduler
 
-import (
-	"math"
-)
+import "math"
 
-// placeNew chooses the shard of a new object: of a few sound nodes, drawn so that hosts do not all take the
-// same, the one where it will wait least. A cold node is one of them as far as it surely bears the object,
-// else after many restarts all new work crowds the old ones; one that is not known counts as no quicker than
-// the usual. It hurts when reads of new objects follow to a node that is still cold.
-func (g *Scheduler) placeNew(r *request) int {
-	best, least, left := -1, math.Inf(1), newChoices
-	start := g.rng.IntN(max(1, len(g.nodeList)))
-	for i := 0; i < len(g.nodeList) && left > 0; i++ {
-		n := g.nodeList[(start+i)%len(g.nodeList)]
-		sound := n.state == Ready && !n.silent(g) && g.now >= n.restTill
-		if !sound || !inScope(r, n) || !g.coldRoom(n, r.Units) {
+// placementChoices is how many nodes are looked at for a new object. Higher, all brokers choose the same few
+// idle nodes; lower, new objects wait at busy nodes while others idle.
+const placementChoices = 8
+
+// placeNewObject chooses the shard of a new object: of a few sound nodes, from a random one on so that
+// brokers do not all take the same, the one where it will wait least. A node that is warming up counts as far
+// as it surely bears the object: else after many restarts all new objects would crowd the old nodes. A node
+// whose latency is not known counts as no quicker than the target. It costs reads that follow to a node that
+// is still warming up. It returns -1 where no node is sound.
+func (s *Scheduler) placeNewObject(r *request) int {
+	best := -1
+	leastWait := math.Inf(1)
+	choices := placementChoices
+	target := targetLatency(s.minObjective)
+	nodes := s.nodes.list
+	start := s.rng.IntN(max(1, len(nodes)))
+	for i := 0; i < len(nodes) && choices > 0; i++ {
+		n := nodes[(start+i)%len(nodes)]
+		sound := n.state == Ready && !n.unresponsive(s.now, s.minObjective) && s.now >= n.health.restUntil
+		if !sound || !inScope(r, n) || !s.slowStartAllows(n, r.Units) {
 			continue
 		}
-		left--
-		took := max(n.took, queueShare*g.aim.Seconds())
-		wait := float64(n.out+len(g.shards[n.Shard].held)+1) / n.bound * took
-		if wait < least {
-			best, least = n.Shard, wait
+		choices--
+		queued := n.inFlight + len(s.shards.byID[n.Shard].queue)
+		wait := float64(queued+1) / n.limit.value * max(n.latency.smoothed, target)
+		if wait < leastWait {
+			best = n.Shard
+			leastWait = wait
 		}
 	}
 	return best
 }
 
-// inScope keeps a keyed request that may have run with the nodes that drop its repeats.
+// inScope tells whether a node drops repeats of a request: one with an idempotency key that may have executed
+// stays with the nodes that know its key.
 func inScope(r *request, n *node) bool {
-	if r.ranAt == nil || r.class.Idempotency != IdempotentWithKey || r.class.Scope == ScopeAll {
+	if r.executedOn == nil || r.class.Idempotency != IdempotentWithKey || r.class.Scope == ScopeAll {
+		return true
+	}
+	if n.Shard == r.executedOn.Shard {
 		return true
 	}
-	return n.Shard == r.ranAt.Shard || r.class.Scope == ScopeZone && n.Zone == r.ranAt.Zone
+	return r.class.Scope == ScopeZone && n.Zone == r.executedOn.Zone
 }
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -9,158 +9,167 @@
 	"junctionwharf/balancer"
 )
 
-// shard holds the nodes of one shard and the requests held for it, earliest due first.
+// endOfTime is later than any request is given up.
+const endOfTime = Time(math.MaxInt64)
+
+// shard holds the nodes of one shard and its queue of requests, earliest soft deadline first.
 type shard struct {
-	id       int
-	nodes    []*node
-	held     []*request
-	fresh    []*request // those that came since the last look, in the same order
-	late     []*request // and since marks were set
-	marks    [3]mark    // of each pass
-	marked   uint64     // Scheduler.stirred when they were set, plus 1
-	way      look
-	waits    bool    // it stands among the waiting
-	holds    bool    // and among the holding
-	served   float64 // units a second that warm nodes served this host, in the mean over WarmUpTime
-	servedAt Time
-	group    *balancer.Balancer // of its nodes, nil until there are several
-	grouped  uint64             // Scheduler.lists when that was brought up to date
-
-	// Where the last look moved nothing, another is spared until something happened that could: at the shard
-	// itself (touch), to all shards (Scheduler.stirred), or by the passing of time.
-	moved  bool
-	seen   uint64  // Scheduler.stirred at the last look, plus 1; 0 before there was one
-	fickle int     // requests held that time alone may let go, as at the last look and since
-	wakeAt Time    // when the first of those held then and since is given up
-	took   float64 // the time to serve that wakeAt counts with
-	sleeps Time    // the earliest time at which it stands among the sleepers, 0 for none
+	id             int
+	nodes          []*node
+	balancer       *balancer.Balancer // of its nodes, nil until there are several
+	balancerUpdate uint64             // endpointWatch.updates when the balancer last got the nodes
+	servedRate     float64            // units a second that warm nodes served here, over WarmUpTime
+	servedAt       Time               // of the last of them
+
+	queue        []*request
+	unscanned    []*request // of them those that came since the last scan
+	lateArrivals []*request // and those that came since the marks were set
+	marks        [passes]scanMark
+	marksSet     uint64 // scanSchedule.generation when the marks were set, plus 1
+	scan         scan   // memory for the scan under way
+	summary      queueSummary
+	changed      bool // the last scan moved a request, or something happened here since that could
+	pending      bool // it is among scanSchedule.pending
+	queued       bool // it is among scanSchedule.queued
+	wakeupAt     Time // of its earliest wake-up, 0 for none
 }
 
-func (g *Scheduler) dispatchAll() {
-	g.awaken()
-	g.waiting = slices.DeleteFunc(g.waiting, func(s *shard) bool {
-		if len(s.held) > 0 && !s.still(g) {
-			before := len(s.held)
-			g.dispatch(s, s.look(g))
-			g.giveUpLate(s)
-			s.settle(g, before)
-		}
-		s.waits = len(s.held) > 0 && !s.sleep(g)
-		return !s.waits
-	})
+// queueSummary is what is known of all that is queued at a shard. It holds for one generation and one service
+// time.
+type queueSummary struct {
+	generation    uint64  // scanSchedule.generation plus 1, 0 for none
+	serviceTime   float64 // seconds
+	timeDependent int     // requests that time alone may make forwardable
+	giveUpAt      Time    // when the first is given up, a little early
 }
 
-// hold keeps a request until it is sent or given up.
-func (s *shard) hold(g *Scheduler, r *request) {
-	if !s.holds {
-		s.holds = true
-		at, _ := slices.BinarySearchFunc(g.holding, s.id, byShard)
-		g.holding = slices.Insert(g.holding, at, s)
+// enqueueAt queues a request at a shard until it is forwarded or given up.
+func (s *Scheduler) enqueueAt(sh *shard, r *request) {
+	if !sh.queued {
+		sh.queued = true
+		at, _ := slices.BinarySearchFunc(s.scans.queued, sh.id, compareShardID)
+		s.scans.queued = slices.Insert(s.scans.queued, at, sh)
 	}
-	s.held, s.fresh, s.late = insert(s.held, r), insert(s.fresh, r), insert(s.late, r)
-	r.lane = s
-	s.count(g, r)
-	s.wake(g)
+	sh.queue = insertByDeadline(sh.queue, r)
+	sh.unscanned = insertByDeadline(sh.unscanned, r)
+	sh.lateArrivals = insertByDeadline(sh.lateArrivals, r)
+	r.queuedAt = sh
+	sh.summary.add(r, s.tickPeriod)
+	s.scans.wake(sh)
 }
 
-func (s *shard) drop(r *request) {
-	s.held, s.fresh, s.late = remove(s.held, r), remove(s.fresh, r), remove(s.late, r)
-	if r.fickle {
-		s.fickle--
+// dequeue takes a request out of its shard's queue.
+func (sh *shard) dequeue(r *request) {
+	sh.queue = removeByDeadline(sh.queue, r)
+	sh.unscanned = removeByDeadline(sh.unscanned, r)
+	sh.lateArrivals = removeByDeadline(sh.lateArrivals, r)
+	if r.timeDependent {
+		sh.summary.timeDependent--
 	}
-	r.lane = nil
+	r.queuedAt = nil
 }
 
-func earlier(a, b *request) int { return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.ID, b.ID)) }
+// compareSoftDeadline orders requests by their soft deadlines, and equal ones by their ids.
+func compareSoftDeadline(a, b *request) int {
+	return cmp.Or(cmp.Compare(a.softDeadline, b.softDeadline), cmp.Compare(a.ID, b.ID))
+}
 
-// insert and remove keep a list in the order of what is held.
-func insert(list []*request, r *request) []*request {
-	at, _ := slices.BinarySearchFunc(list, r, earlier)
+func insertByDeadline(list []*request, r *request) []*request {
+	at, _ := slices.BinarySearchFunc(list, r, compareSoftDeadline)
 	return slices.Insert(list, at, r)
 }
 
-func remove(list []*request, r *request) []*request {
-	at, found := slices.BinarySearchFunc(list, r, earlier)
+// removeByDeadline takes a request out of a list, if it is there. Most are first: those are cut off in front,
+// since moving the others up took seconds where all of a queue of 100,000 left at once. The guard is
+// TestAllDueAtOnce.
+func removeByDeadline(list []*request, r *request) []*request {
+	at, found := slices.BinarySearchFunc(list, r, compareSoftDeadline)
 	switch {
 	case !found:
 		return list
 	case len(list) == 1:
 		list[0] = nil
-		return list[:0] // its memory is for the next
-	case at == 0: // most leave in front; all of a long queue may at once
+		return list[:0] // keeps the memory for the next
+	case at == 0:
 		list[0] = nil
 		return list[1:]
 	}
 	return slices.Delete(list, at, at+1)
 }
 
-// touch tells that something happened at the shard which may move what it holds.
-func (s *shard) touch(g *Scheduler) {
-	s.moved = true
-	if len(s.held) > 0 {
-		s.wake(g)
+// add takes one more queued request into the summary. A request depends on time alone if it waits for its
+// key, its retry budget or its quota. giveUpAt is a microsecond early, since the service time is rounded.
+func (q *queueSummary) add(r *request, tickPeriod time.Duration) {
+	r.timeDependent = r.keyQueue != nil || r.attempts > 0 || r.volume.plan.Limit > 0
+	if r.timeDependent {
+		q.timeDependent++
 	}
+	serviceTime := time.Duration(q.serviceTime * float64(time.Second))
+	lastStart := r.softDeadline - serviceTime - time.Microsecond
+	q.giveUpAt = min(q.giveUpAt, lastStart, r.deadline-answerTicks*tickPeriod)
 }
 
-// still tells whether another look at what is held would move nothing.
-func (s *shard) still(g *Scheduler) bool {
-	return !g.plain && !s.moved && len(s.fresh) == 0 && s.inTime(g, s.service()) && s.alike(g)
+// summarize brings a shard's summary up to date.
+func (s *Scheduler) summarize(sh *shard) {
+	serviceTime := sh.serviceTime()
+	if sh.summary.generation == s.scans.generation+1 && sh.summary.serviceTime == serviceTime {
+		return
+	}
+	sh.summary = queueSummary{
+		generation:  s.scans.generation + 1,
+		serviceTime: serviceTime,
+		giveUpAt:    endOfTime,
+	}
+	for _, r := range sh.queue {
+		sh.summary.add(r, s.tickPeriod)
+	}
 }
 
-// settle notes a look at a shard that held so many requests before: one that moved something is followed by
-// another.
-func (s *shard) settle(g *Scheduler, before int) {
-	clear(s.fresh)
-	s.fresh = s.fresh[:0]
-	s.moved = len(s.held) != before ||
-		slices.ContainsFunc(s.nodes, func(n *node) bool { return g.now < n.restTill })
-	s.recount(g)
+// nothingExpires tells whether no queued request is to be given up now, by a summary that still holds.
+func (s *Scheduler) nothingExpires(sh *shard, serviceTime float64) bool {
+	current := sh.summary.generation == s.scans.generation+1 && sh.summary.serviceTime == serviceTime
+	return current && s.now < sh.summary.giveUpAt
 }
 
-// count takes a request into what is known of all that are held.
-func (s *shard) count(g *Scheduler, r *request) {
-	r.fickle = r.turn != nil || r.attempts > 0 || r.volume.plan.Limit > 0
-	if r.fickle {
-		s.fickle++
+// isUniform tells whether the shard's nodes may take either all that is queued or none of it: no request is
+// bound to some of them, and none of them is paced or warming up.
+func (s *Scheduler) isUniform(sh *shard) bool {
+	s.summarize(sh)
+	if sh.summary.timeDependent != 0 {
+		return false
 	}
-	// What giveUpLate waits for, a little early.
-	s.wakeAt = min(s.wakeAt,
-		r.due-time.Duration(s.took*float64(time.Second))-time.Microsecond, r.deadline-2*g.tick)
+	return !slices.ContainsFunc(sh.nodes, func(n *node) bool {
+		return n.slowStart.warmingUp || n.limit.value < 1 || n.congested(s.minObjective)
+	})
 }
 
-// recount brings what is known of all that are held up to date.
-func (s *shard) recount(g *Scheduler) {
-	if took := s.service(); s.seen != g.stirred+1 || s.took != took {
-		s.seen, s.took, s.wakeAt, s.fickle = g.stirred+1, took, 1<<63-1, 0
-		for _, r := range s.held {
-			s.count(g, r)
+// isSaturated tells whether none of the shard's nodes may take anything now: each has in flight what its
+// limit allows, rests, or is paced and got something too lately even for a request of the highest value.
+func (s *Scheduler) isSaturated(sh *shard) bool {
+	return !slices.ContainsFunc(sh.nodes, func(n *node) bool {
+		if n.state != Ready || s.now < n.health.restUntil || !n.hasFreeSlot() {
+			return false
 		}
-	}
+		return n.limit.value >= 1 || !n.isPaced(s.now, s.settings.maxValueShare())
+	})
 }
 
-// inTime tells whether nothing that is held is to be given up yet.
-func (s *shard) inTime(g *Scheduler, service float64) bool {
-	return s.seen == g.stirred+1 && s.took == service && g.now < s.wakeAt
-}
+// maxValueShare is the largest part of its value that a request may earn.
+func (set *Settings) maxValueShare() float64 { return max(1, set.SpareWeight, set.ShareWeight) }
 
-// alike tells whether the shard's nodes have room for all that is held or for none of it: no request is bound
-// to some of them, none of them is paced or cold.
-func (s *shard) alike(g *Scheduler) bool {
-	s.recount(g)
-	return s.fickle == 0 && !slices.ContainsFunc(s.nodes, func(n *node) bool {
-		return n.cold || n.bound < 1 || n.jammed(g)
-	})
+// markChanged notes that something happened at the shard that may make its requests forwardable.
+func (s *Scheduler) markChanged(sh *shard) {
+	sh.changed = true
+	if len(sh.queue) > 0 {
+		s.scans.wake(sh)
+	}
 }
 
-// packed tells whether none of the shard's nodes has room, whatever is to be sent: each has out what its
-// bound allows, rests, or is paced and was sent to too lately even for what counts most.
-func (s *shard) packed(g *Scheduler) bool {
-	return !slices.ContainsFunc(s.nodes, func(n *node) bool {
-		return n.state == Ready && g.now >= n.restTill && float64(n.out) < max(1, math.Floor(n.bound)) &&
-			len(n.flight) < 2*boundMost &&
-			(n.bound >= 1 || (g.now-n.pacedAt).Seconds()*g.mostPart() >= n.took/n.bound)
-	})
+// isSettled tells whether another scan of the queue would move nothing: nothing happened since the last one
+// that could, at this shard, to all shards or by the passing of time.
+func (s *Scheduler) isSettled(sh *shard) bool {
+	if s.scans.exhaustive || sh.changed || len(sh.unscanned) > 0 {
+		return false
+	}
+	return s.nothingExpires(sh, sh.serviceTime()) && s.isUniform(sh)
 }
-
-// mostPart is the largest part of its worth that a request may be due.
-func (g *Scheduler) mostPart() float64 { return max(1, g.set.SpareWeight, g.set.ShareWeight) }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -1,80 +1,130 @@
 package scheduler
 
-import (
-	"slices"
-)
+import "slices"
 
-func (g *Scheduler) endAttempt(e AttemptEnded) {
-	r := g.requests[e.ID]
-	if r == nil || r.outAt == nil || r.outAt.Name != e.Node || e.Attempt != r.attempts-1 {
-		return
-	}
-	n := r.outAt
-	r.outAt = nil
-	n.home.touch(g)
-	if at := slices.Index(n.flight, r); at >= 0 {
-		n.flight = slices.Delete(n.flight, at, at+1)
-	}
-	if !r.lost {
-		n.out--
+// answerTicks is how many ticks before its deadline a request is answered at the latest, and no longer
+// retried. Higher, requests that could still be served are given up; lower, answers come after the client has
+// left.
+const answerTicks = 2
+
+// retryBudget bounds retries against requests over a sliding window.
+type retryBudget struct {
+	requests []Time // arrivals within the window, in order
+	retries  []Time // and forwards beyond a request's first
+}
+
+func (b *retryBudget) recordRequest(now Time) { b.requests = append(b.requests, now) }
+
+func (b *retryBudget) recordRetry(now Time) { b.retries = append(b.retries, now) }
+
+// trim forgets what is older than the window: requests a moment early and retries a moment late, so that a
+// count at the window's edge is on the safe side.
+func (b *retryBudget) trim(now, window Time) {
+	for len(b.requests) > 0 && now-b.requests[0] >= window {
+		b.requests = b.requests[1:]
 	}
-	g.learn(n, r, e)
-	g.observe(n, r, e)
-	if e.Outcome.MayHaveExecuted() && r.ranAt == nil {
-		r.ranAt, r.firstRun = n, r.sentAt
-		r.volume.limit.Settle(r.ID)
+	for len(b.retries) > 0 && now-b.retries[0] > window {
+		b.retries = b.retries[1:]
 	}
-	if r.turn != nil && (e.Outcome == TimedOut || e.Outcome == ConnectionBroken || e.Outcome == Canceled) {
-		r.turn.restTo = g.now + g.set.Rules.QuietPeriod + 1
+}
+
+// allows tells whether one more retry stays in the budget. A window of 0 is no budget.
+func (b *retryBudget) allows(now Time, rules *Rules) bool {
+	if rules.RetryBudgetWindow <= 0 {
+		return true
 	}
-	if e.Finished || r.over || e.Outcome == Success {
-		g.finish(r)
-		return
+	b.trim(now, rules.RetryBudgetWindow)
+	budget := rules.RetryBudgetMin + rules.RetryBudgetRatio*float64(len(b.requests))
+	return float64(len(b.retries)+1) <= budget
+}
+
+// mayRetry tells whether a request may run again: by its attempts, by what a second execution would do, and
+// by the budget.
+func (s *Scheduler) mayRetry(r *request) bool {
+	limit := s.settings.Capabilities.MaxAttempts
+	if limit > 0 && r.attempts >= limit {
+		return false
 	}
-	if e.Outcome == TimedOut || !g.mayTryAgain(r) || g.now+2*g.tick >= r.deadline {
-		g.giveUp(r)
-		return
+	if r.executedOn != nil && !r.mayExecuteAgain(s.now) {
+		return false
 	}
-	g.holdAgain(r, n)
+	return s.budget.allows(s.now, &s.settings.Rules)
 }
 
-// mayTryAgain holds the rules on effects, attempts and the budget.
-func (g *Scheduler) mayTryAgain(r *request) bool {
-	rules, most := g.set.Rules, g.set.Capabilities.MaxAttempts
-	late := r.class.Idempotency == IdempotentWithKey && g.now > r.firstRun+r.class.DedupWindow
-	if most > 0 && r.attempts >= most || r.ranAt != nil && (late || r.class.Idempotency == NotIdempotent) {
+// mayExecuteAgain tells whether a request that may have executed does no harm if it does so again: its nodes
+// drop repeats of an idempotency key for a while.
+func (r *request) mayExecuteAgain(now Time) bool {
+	switch r.class.Idempotency {
+	case IdempotentWithKey:
+		return now <= r.firstExecution+r.class.DedupWindow
+	case NotIdempotent:
 		return false
-	}
-	if rules.RetryBudgetWindow <= 0 {
+	default:
 		return true
 	}
-	g.trimBudget()
-	return float64(len(g.extras)+1) <= rules.RetryBudgetMin+rules.RetryBudgetRatio*float64(len(g.taken))
 }
 
-// trimBudget forgets requests a little early and further attempts a little late, to be safe at the edge.
-func (g *Scheduler) trimBudget() {
-	span := g.set.Rules.RetryBudgetWindow
-	for ; len(g.taken) > 0 && g.now-g.taken[0] >= span; g.taken = g.taken[1:] {
-	}
-	for ; len(g.extras) > 0 && g.now-g.extras[0] > span; g.extras = g.extras[1:] {
+// safeToRepeat tells whether a client may repeat a request that may have executed.
+func (r *request) safeToRepeat() bool {
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case IdempotentWithKey:
+		return r.class.Scope == ScopeAll
+	default:
+		return false
 	}
 }
 
-// harmless tells whether a request may run twice.
-func (r *request) harmless() bool {
-	return r.class.Idempotency == Idempotent ||
-		r.class.Idempotency == IdempotentWithKey && r.class.Scope == ScopeAll
+// onAttemptEnded takes the outcome of an attempt: the request is over, is retried, or gets its final answer.
+func (s *Scheduler) onAttemptEnded(e AttemptEnded) {
+	r := s.requests[e.ID]
+	if r == nil || r.inFlightAt == nil || r.inFlightAt.Name != e.Node || e.Attempt != r.attempts-1 {
+		return // of an attempt that is not in flight
+	}
+	n := r.inFlightAt
+	r.inFlightAt = nil
+	s.markChanged(n.shard)
+	if at := slices.Index(n.attempts, r); at >= 0 {
+		n.attempts = slices.Delete(n.attempts, at, at+1)
+	}
+	if !r.lost {
+		n.inFlight--
+	}
+	s.recordOutcome(n, r, e)
+	s.reportToBalancer(n, r, e)
+	if e.Outcome.MayHaveExecuted() && r.executedOn == nil {
+		r.executedOn = n
+		r.firstExecution = r.sentAt
+		r.volume.quota.Settle(r.ID)
+	}
+	if r.keyQueue != nil && e.Outcome.mayStillRun() {
+		r.keyQueue.quietUntil = s.now + s.settings.Rules.QuietPeriod + 1
+	}
+	switch {
+	case e.Finished || r.answered || e.Outcome == Success:
+		s.finish(r)
+	case e.Outcome == TimedOut || !s.mayRetry(r) || s.now+answerTicks*s.tickPeriod >= r.deadline:
+		s.giveUp(r)
+	default:
+		s.requeue(r, n)
+	}
 }
 
-// late gives a request that is tried at another node its time there: its aim may be over, and a late answer
-// is worth more than none.
-func (r *request) late(g *Scheduler) { r.due = min(r.deadline-2*g.tick, max(r.due, g.now+g.aim)) }
+// mayStillRun tells whether the node may still be at work on an attempt that ended so.
+func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionBroken || o == Canceled }
 
-// holdAgain holds a request whose attempt has ended without an answer.
-func (g *Scheduler) holdAgain(r *request, n *node) {
-	if n.home.group != nil && n.home.several() {
-		r.late(g)
+// requeue queues a request again whose attempt at a node ended without an answer.
+func (s *Scheduler) requeue(r *request, n *node) {
+	if n.shard.balancer != nil && n.shard.hasSeveralReady() {
+		s.extendSoftDeadline(r)
 	}
-	g.hold(r)
+	s.enqueue(r)
+}
+
+// extendSoftDeadline gives a request that is retried at another node its time there: its latency objective
+// may be missed, and a late answer is worth more than none.
+func (s *Scheduler) extendSoftDeadline(r *request) {
+	extended := max(r.softDeadline, s.now+s.minObjective)
+	r.softDeadline = min(r.deadline-answerTicks*s.tickPeriod, extended)
 }
--- a/scheduler/scan.go
+++ b/scheduler/scan.go
@@ -2,97 +2,228 @@
 
 import (
 	"cmp"
+	"container/heap"
 	"slices"
 )
 
-// dispatch sends what may leave of those held, each time earliest due first: paid requests, then unpaid
-// ones into debt, then those that were shed.
-func (g *Scheduler) dispatch(s *shard, l *look) {
-	for l.pass = range 3 {
-		l.begin()
-		for r := l.now(); r != nil; r = l.now() {
-			if r.shed != (l.pass == 2) || !g.pays(r, l.pass > 0) {
-				l.skip(r)
-			} else if n := g.pick(s, r); n != nil {
-				s.drop(r)
-				g.send(r, n)
-			} else if s.alike(g) || s.packed(g) {
-				return // nor will any other find room
+// The passes of a scan.
+const (
+	paidPass      = iota // requests whose volume has the tokens
+	overdraftPass        // and those whose volume goes into overdraft
+	shedPass             // and those that were shed
+	passes
+)
+
+// scanSchedule says which shards are to be scanned. It spares those in which nothing can have changed: with
+// 10,000 shards a scan of all in each call took most of a core.
+type scanSchedule struct {
+	generation uint64     // counts what may make requests of any shard forwardable
+	woken      uint64     // generation when all shards were last woken, plus 1
+	pending    []*shard   // to be scanned in this call, by id
+	queued     []*shard   // those with a queue, by id, and some that had one
+	wakeups    wakeupHeap // those in which time alone changes something
+	exhaustive bool       // each scan goes through all, as a reference for tests
+}
+
+// wakeup has a shard scanned at a time. A shard may have an early one, and is then put off, or two, of which
+// the second finds it awake.
+type wakeup struct {
+	at    Time
+	shard *shard
+}
+
+// wakeupHeap is a heap of wake-ups, the earliest first.
+type wakeupHeap []wakeup
+
+func (h wakeupHeap) Len() int           { return len(h) }
+func (h wakeupHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h wakeupHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+
+// Push adds a wakeup, for container/heap.
+func (h *wakeupHeap) Push(x any) { *h = append(*h, x.(wakeup)) }
+
+// Pop takes the last element, for container/heap.
+func (h *wakeupHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
+}
+
+// wake has a shard scanned in this call.
+func (c *scanSchedule) wake(sh *shard) {
+	if sh.pending {
+		return
+	}
+	sh.pending = true
+	at, _ := slices.BinarySearchFunc(c.pending, sh.id, compareShardID)
+	c.pending = slices.Insert(c.pending, at, sh)
+}
+
+// wakeDue wakes the shards in which something may have changed since the last call: all with a queue in a new
+// generation, else those whose time has come.
+func (c *scanSchedule) wakeDue(now Time) {
+	if c.woken != c.generation+1 {
+		c.woken = c.generation + 1
+		c.wakeAll()
+	}
+	for len(c.wakeups) > 0 && c.wakeups[0].at <= now {
+		due := heap.Pop(&c.wakeups).(wakeup)
+		if due.at == due.shard.wakeupAt {
+			due.shard.wakeupAt = 0
+		}
+		if len(due.shard.queue) > 0 {
+			c.wake(due.shard)
+		}
+	}
+}
+
+func (c *scanSchedule) wakeAll() {
+	c.pending = c.pending[:0]
+	c.queued = slices.DeleteFunc(c.queued, func(sh *shard) bool {
+		sh.queued = len(sh.queue) > 0
+		sh.pending = sh.queued
+		if sh.pending {
+			c.pending = append(c.pending, sh)
+		}
+		return !sh.queued
+	})
+}
+
+// sleep spares a shard further scans until something can have changed in it, and tells whether that may be.
+func (s *Scheduler) sleep(sh *shard) bool {
+	if !s.isSettled(sh) {
+		return false
+	}
+	giveUpAt := sh.summary.giveUpAt
+	if sh.wakeupAt == 0 || giveUpAt < sh.wakeupAt {
+		sh.wakeupAt = giveUpAt
+		heap.Push(&s.scans.wakeups, wakeup{giveUpAt, sh})
+	}
+	return true
+}
+
+// dispatchPending scans the pending shards and gives up what can no longer be in time.
+func (s *Scheduler) dispatchPending() {
+	s.scans.wakeDue(s.now)
+	s.scans.pending = slices.DeleteFunc(s.scans.pending, func(sh *shard) bool {
+		if len(sh.queue) > 0 && !s.isSettled(sh) {
+			before := len(sh.queue)
+			s.dispatch(sh, s.beginScan(sh))
+			s.giveUpExpired(sh)
+			s.finishScan(sh, before)
+		}
+		sh.pending = len(sh.queue) > 0 && !s.sleep(sh)
+		return !sh.pending
+	})
+}
+
+// dispatch forwards what may leave a shard's queue, each pass by earliest soft deadline.
+func (s *Scheduler) dispatch(sh *shard, scan *scan) {
+	for scan.pass = range passes {
+		scan.beginPass()
+		for r := scan.current(); r != nil; r = scan.current() {
+			if r.shed != (scan.pass == shedPass) || !s.mayForward(r, scan.pass > paidPass) {
+				scan.skipUnpaid(r)
+			} else if n := s.selectNode(sh, r); n != nil {
+				sh.dequeue(r)
+				s.forward(r, n)
+			} else if s.isUniform(sh) || s.isSaturated(sh) {
+				return // no other request would find a node
 			} else {
-				l.stay()
+				scan.skipUnplaced()
 			}
 		}
 	}
 }
 
-// look is one way through what a shard holds, earliest due first, in up to three passes with rules of their
-// own. Between two points at which all shards are stirred the levels of volumes only fall: who could not pay,
-// still can't. So each pass begins behind those that it passed by before, and with those that came there
-// since.
-type look struct {
-	s      *shard
-	only   bool // those that came since the last look
-	pass   int
-	late   bool // among those that came before the mark
-	i      int
-	stayed bool // one that could pay was passed by
+// scan is one way through a shard's queue. Within a generation the tokens of volumes only fall: who could not
+// pay still can't. So each pass begins at its mark, behind those that it found unable to pay, and with those
+// that came before the mark since.
+type scan struct {
+	shard          *shard
+	unscannedOnly  bool // only those that came since the last scan
+	pass           int
+	lateArrivals   bool // among those that came before the mark
+	index          int
+	skippedPayable bool // one that could pay found no node
 }
 
-// mark is a place in the order of what is held: all before it could not pay, but for those that came since.
-type mark struct {
-	due Time
-	id  uint64
+// scanMark is a place in the order of the queue: all before it could not pay, but for those that came since.
+type scanMark struct {
+	softDeadline Time
+	id           uint64
 }
 
-func atMark(r *request, m mark) int {
-	return cmp.Or(cmp.Compare(r.due, m.due), cmp.Compare(r.ID, m.id))
+func compareMark(r *request, mark scanMark) int {
+	return cmp.Or(cmp.Compare(r.softDeadline, mark.softDeadline), cmp.Compare(r.ID, mark.id))
 }
 
-// look begins a look, at all that is held or, if the last one moved nothing and nothing happened since that
-// could move what it saw, at what came since.
-func (s *shard) look(g *Scheduler) *look {
-	s.way = look{s: s, only: !g.plain && !s.moved && s.inTime(g, s.service()) && s.alike(g)}
-	if !s.way.only && (s.marked != g.stirred+1 || s.fickle > 0 || g.plain) {
-		s.marked, s.marks = g.stirred+1, [3]mark{}
-		clear(s.late)
-		s.late = s.late[:0]
+// beginScan begins a scan of all that is queued, or of what came since the last scan if that moved nothing
+// and nothing happened since that could change what it saw.
+func (s *Scheduler) beginScan(sh *shard) *scan {
+	nothingChanged := !s.scans.exhaustive && !sh.changed &&
+		s.nothingExpires(sh, sh.serviceTime()) && s.isUniform(sh)
+	sh.scan = scan{shard: sh, unscannedOnly: nothingChanged}
+	if nothingChanged {
+		return &sh.scan
 	}
-	return &s.way
+	if sh.marksSet != s.scans.generation+1 || sh.summary.timeDependent > 0 || s.scans.exhaustive {
+		sh.marksSet = s.scans.generation + 1
+		sh.marks = [passes]scanMark{}
+		clear(sh.lateArrivals)
+		sh.lateArrivals = sh.lateArrivals[:0]
+	}
+	return &sh.scan
 }
 
-func (l *look) begin() { l.late, l.i, l.stayed = !l.only, 0, false }
+func (l *scan) beginPass() {
+	l.lateArrivals = !l.unscannedOnly
+	l.index = 0
+	l.skippedPayable = false
+}
 
-// now is the request that is looked at, nil behind the last. It is gone through skip, stay, or by being
-// dropped.
-func (l *look) now() *request {
-	s := l.s
-	list := s.held
+// current is the request that the scan is at, nil behind the last. The scan leaves it by skipUnpaid, by
+// skipUnplaced, or by its being dequeued.
+func (l *scan) current() *request {
+	sh := l.shard
+	list := sh.queue
 	switch {
-	case l.only:
-		list = s.fresh
-	case l.late:
-		if l.i < len(s.late) && atMark(s.late[l.i], s.marks[l.pass]) < 0 {
-			return s.late[l.i]
+	case l.unscannedOnly:
+		list = sh.unscanned
+	case l.lateArrivals:
+		mark := sh.marks[l.pass]
+		if l.index < len(sh.lateArrivals) && compareMark(sh.lateArrivals[l.index], mark) < 0 {
+			return sh.lateArrivals[l.index]
 		}
-		l.late = false
-		l.i, _ = slices.BinarySearchFunc(s.held, s.marks[l.pass], atMark)
+		l.lateArrivals = false
+		l.index, _ = slices.BinarySearchFunc(sh.queue, mark, compareMark)
 	}
-	if l.i < len(list) {
-		return list[l.i]
+	if l.index < len(list) {
+		return list[l.index]
 	}
 	return nil
 }
 
-// skip passes by one that can't pay in this pass.
-func (l *look) skip(r *request) {
-	l.i++
-	if !l.only && !l.late && !l.stayed {
-		l.s.marks[l.pass] = mark{r.due, r.ID + 1}
+// skipUnpaid passes by a request that can't pay in this pass.
+func (l *scan) skipUnpaid(r *request) {
+	l.index++
+	if !l.unscannedOnly && !l.lateArrivals && !l.skippedPayable {
+		l.shard.marks[l.pass] = scanMark{r.softDeadline, r.ID + 1}
 	}
 }
 
-// stay passes by one that can pay, and found no node.
-func (l *look) stay() {
-	l.i++
-	l.stayed = l.stayed || !l.late
+// skipUnplaced passes by a request that can pay and found no node.
+func (l *scan) skipUnplaced() {
+	l.index++
+	l.skippedPayable = l.skippedPayable || !l.lateArrivals
+}
+
+// finishScan notes a scan of a shard that had so many requests before: one that moved something is followed
+// by another, as is one beside a resting node.
+func (s *Scheduler) finishScan(sh *shard, before int) {
+	clear(sh.unscanned)
+	sh.unscanned = sh.unscanned[:0]
+	resting := func(n *node) bool { return s.now < n.health.restUntil }
+	sh.changed = len(sh.queue) != before || slices.ContainsFunc(sh.nodes, resting)
+	s.summarize(sh)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -2,225 +2,228 @@
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// Scheduler decides for one host. It is not safe for concurrent use.
+// ticksPerObjective is how many ticks there are in the smallest latency objective. With fewer, tokens and
+// limits follow a surge late and more answers miss the objective; with more, ticks and gossip cost more
+// processor time.
+const ticksPerObjective = 6.0
+
+// tickTimer is the token of the timer that ends a tick, the only timer that is set.
+const tickTimer = 1
+
+// Scheduler decides for one broker. It is not safe for concurrent use: one goroutine calls it.
 type Scheduler struct {
-	set           Settings
-	processes     float64 // that are this host together: while one replaces another, 2
-	unseen        float64 // others that may be this host too without being known
-	classes       map[string]*Class
-	plans         map[string]*Plan
-	rng           *rand.Rand
-	started       bool
-	listed        bool          // a list has named nodes
-	aim, tick     time.Duration // the smallest aim of a class, and a part of it
-	now, lastTick Time
-	ticks         int
-	out           []Action
-
-	requests      map[uint64]*request
-	volumes       map[string]*volume
-	inOrder       []*volume // volumes in the order in which they were first seen, but for gaps
-	active        []*volume // those that a tick works on; the others wait until they are looked at
-	volumesSeen   int
-	swept         int // how far forgetVolumes came
-	nodes         map[string]*node
-	nodeList      []*node // nodes in the order in which they were first seen
-	working               // those of them that a tick works on
-	shards        map[int]*shard
-	shardIDs      []int
-	waiting       []*shard // those to be looked at, by id
-	holding       []*shard // those that hold requests, by id, and some that did
-	asleep        sleepers // those that only time can move
-	plain         bool     // each look goes through all that is held, as a reference for tests
-	worths        byWorth  // memory for shed
-	stirred, woke uint64   // what may move held requests of any shard, and the last that woke all
-	turns         map[string]*turn
-	byID          map[uint32]*volume
-	kept          map[uint32][]news // what peers told of the volumes this host keeps
-	unserved      map[try]patience  // since when clients wait for what they were not served
-	taken, extras []Time            // requests taken and further attempts made in the budget's span
-	logged        map[string]int    // tick of the last log line of a kind
-
-	spreading
-	watching  bool
-	askAt     Time // not before is the list asked for again
-	watchWait time.Duration
+	settings     Settings
+	classes      map[string]*Class
+	plans        map[string]*Plan
+	minObjective time.Duration // the smallest latency objective of a class
+	tickPeriod   time.Duration
+	processes    processCount
+	rng          *rand.Rand
+
+	started    bool
+	now        Time
+	lastTickAt Time
+	ticks      int
+	actions    []Action // of this call of Reduce
+	logs       logLimiter
+
+	requests  map[uint64]*request
+	unserved  map[retryKey]unservedRecord
+	keyQueues map[string]*keyQueue
+	volumes   volumeTable
+	nodes     nodeTable
+	shards    shardTable
+	scans     scanSchedule
+	shedding  lowestValueFirst // memory for shedLoad
+
+	demand    demandAggregator
+	budget    retryBudget
+	failovers failoverGuard
+	endpoints endpointWatch
 }
 
-// request is one client request from its arrival until its final answer and last outcome.
+// processCount says how many processes are this broker together, as while one replaces another.
+type processCount struct {
+	known  float64 // this one included
+	unseen float64 // that may run without being known
+}
+
+// request is one client request from its arrival until its final answer and its last outcome.
 type request struct {
 	Request
-	class    *Class
-	volume   *volume
-	turn     *turn // the order it keeps, nil for none
-	from     Time  // when its client first asked
-	due      Time  // when its aim ends or its client leaves
-	deadline Time
-	lane     *shard // where it is held, nil if it is not
-	fickle   bool   // while it is held, time alone may let it go
-	attempts int
-	outAt    *node // where an attempt is out
-	sentAt   Time
-	firstRun Time    // send of the first attempt that may have run
-	ranAt    *node   // and its node, nil if none may have run
-	counted  bool    // its units were taken from the limit
-	part     float64 // part of its worth that its volume is still due
-	value    float64 // worth of a unit, by class, plan, and what its volume is still due
-	shed     bool    // not all held can be in time, and this one counts least
-	over     bool    // the final answer is out
-	passed   int     // answers to later sends since this attempt went out
-	lost     bool    // its attempt is presumed lost and holds no room at the node
-	moved    moved
+	class        *Class
+	volume       *volume
+	keyQueue     *keyQueue // the order that it keeps, nil for none
+	firstArrival Time      // when its client first asked
+	softDeadline Time      // when its latency objective ends or its client leaves
+	deadline     Time
+
+	queuedAt      *shard // nil while it is not queued
+	timeDependent bool   // while it is queued, time alone may make it forwardable
+	shed          bool   // not all that is queued can be in time, and this one is worth least
+
+	valueShare float64 // part of its value that its volume still earns, 0 to 1
+	value      float64 // of a unit, by class, plan and valueShare
+
+	attempts       int
+	inFlightAt     *node // where an attempt is in flight, nil for none
+	sentAt         Time  // of the last attempt
+	overtaken      int   // answers to later attempts at that node
+	lost           bool  // its attempt is presumed lost and takes no place in the node's limit
+	failover       failover
+	executedOn     *node // of the first attempt that may have executed, nil for none
+	firstExecution Time  // when that was sent
+	limitCharged   bool  // its units were taken from the quota of its volume's rate limit
+	answered       bool  // the final answer is out
 }
 
-// New starts a gateway that knows nothing but its settings.
-func New(set Settings, seed uint64) (*Scheduler, error) {
-	if err := set.Validate(); err != nil {
+// New returns a scheduler that knows nothing but its settings. Equal seeds and events give equal actions.
+func New(settings Settings, seed uint64) (*Scheduler, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	g := &Scheduler{processes: 1, rng: rand.New(rand.NewPCG(seed, uint64(set.Ordinal))),
-		requests: map[uint64]*request{},
-		volumes:  map[string]*volume{}, nodes: map[string]*node{}, shards: map[int]*shard{},
-		turns: map[string]*turn{}, byID: map[uint32]*volume{}, kept: map[uint32][]news{},
-		unserved: map[try]patience{}, logged: map[string]int{}}
-	g.follow(set)
-	return g, nil
+	s := &Scheduler{
+		processes: processCount{known: 1},
+		rng:       rand.New(rand.NewPCG(seed, uint64(settings.Ordinal))),
+		logs:      logLimiter{lastTick: map[string]int{}},
+		requests:  map[uint64]*request{},
+		unserved:  map[retryKey]unservedRecord{},
+		keyQueues: map[string]*keyQueue{},
+		volumes:   newVolumeTable(),
+		nodes:     nodeTable{byName: map[string]*node{}},
+		shards:    shardTable{byID: map[int]*shard{}},
+		demand:    demandAggregator{reports: map[uint32][]demandReport{}},
+	}
+	s.applySettings(settings)
+	return s, nil
 }
 
-// follow takes settings, at the start or later. Requests that are under way keep their class.
-func (g *Scheduler) follow(set Settings) {
-	g.set, g.classes, g.plans, g.resum = set, map[string]*Class{}, map[string]*Plan{}, true
-	g.stirred++
-	for _, c := range set.Classes {
-		g.classes[c.Name] = &c
+// applySettings takes settings, at the start or later. Requests that are under way keep their class.
+func (s *Scheduler) applySettings(settings Settings) {
+	s.settings = settings
+	s.classes = map[string]*Class{}
+	s.plans = map[string]*Plan{}
+	s.nodes.recount = true
+	s.scans.generation++
+	for _, class := range settings.Classes {
+		s.classes[class.Name] = &class
 	}
-	for _, p := range set.Plans {
-		g.plans[p.Name] = &p
+	for _, plan := range settings.Plans {
+		s.plans[plan.Name] = &plan
 	}
-	for _, v := range g.inOrder {
-		v.catchUp(g)
-		if p := g.plans[v.plan.Name]; p != nil {
-			v.plan, v.size = p, max(p.Rate, p.ReservedRate)+set.MaxUnits
-			v.level = min(v.level, v.size)
+	for _, v := range s.volumes.list {
+		v.catchUp(s.ticks, s.lastTickAt)
+		if plan := s.plans[v.plan.Name]; plan != nil {
+			v.applyPlan(plan, settings.MaxUnits)
 		}
 	}
 	shorter := func(a, b Class) int { return int(a.LatencyObjective - b.LatencyObjective) }
-	g.aim = slices.MinFunc(set.Classes, shorter).LatencyObjective
-	g.tick = time.Duration(float64(g.aim) / ticksPerAim)
+	s.minObjective = slices.MinFunc(settings.Classes, shorter).LatencyObjective
+	s.tickPeriod = time.Duration(float64(s.minObjective) / ticksPerObjective)
 }
 
-// Classes are the classes of requests that it knows.
-func (g *Scheduler) Classes() []Class { return g.set.Classes }
-
-// Endpoints counts the nodes in the list, and those of them that are avoided now: they drain, are silent or
-// rest for long.
-func (g *Scheduler) Nodes() (listed, avoided int) {
-	for _, n := range g.nodeList {
-		if n.state != Removed {
-			listed++
-			if n.state != Ready || n.silent(g) || g.now < n.restTill && n.rest >= g.aim {
-				avoided++
-			}
+// Classes returns the classes of requests that it knows.
+func (s *Scheduler) Classes() []Class { return s.settings.Classes }
+
+// Nodes counts the listed nodes, and those of them that get nothing now: draining, unresponsive, or resting
+// for long.
+func (s *Scheduler) Nodes() (listed, avoided int) {
+	for _, n := range s.nodes.list {
+		if n.state == Removed {
+			continue
+		}
+		listed++
+		resting := s.now < n.health.restUntil && n.health.restPeriod >= s.minObjective
+		if n.state != Ready || n.unresponsive(s.now, s.minObjective) || resting {
+			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-// Reduce takes the events of one point of the clock and returns what is to be done. The slice is good until
-// the next Reduce.
-func (g *Scheduler) Reduce(now Time, events []Event) []Action {
-	clear(g.out)
-	g.now, g.out = now, g.out[:0]
-	if !g.started {
-		g.started, g.lastTick = true, now
-		g.act(SetTimer{Token: timerTick, After: g.tick})
-		g.ask()
+// Reduce takes the events of one point in time and returns what is to be done. The slice is good until the
+// next call.
+func (s *Scheduler) Reduce(now Time, events []Event) []Action {
+	clear(s.actions)
+	s.now = now
+	s.actions = s.actions[:0]
+	if !s.started {
+		s.started = true
+		s.lastTickAt = now
+		s.emit(SetTimer{Token: tickTimer, After: s.tickPeriod})
+		s.subscribe()
 	}
 	for _, event := range events {
-		g.take(event)
+		s.handle(event)
 	}
-	g.dispatchAll()
-	return g.out
+	s.dispatchPending()
+	return s.actions
 }
 
-func (g *Scheduler) take(event Event) {
+func (s *Scheduler) handle(event Event) {
 	switch e := event.(type) {
 	case Request:
-		g.takeRequest(e)
+		s.admit(e)
 	case AttemptEnded:
-		g.endAttempt(e)
+		s.onAttemptEnded(e)
 	case ResponseStarted:
-		if r := g.requests[e.ID]; r != nil {
-			r.over = true
+		if r := s.requests[e.ID]; r != nil {
+			r.answered = true
 		}
 	case ClientGone:
-		if r := g.requests[e.ID]; r != nil {
-			g.leaveUnserved(r)
+		if r := s.requests[e.ID]; r != nil {
+			s.endUnserved(r)
 		}
 	case TimerFired:
-		if e.Token == timerTick {
-			g.endTick()
+		if e.Token == tickTimer {
+			s.onTick()
 		}
 	case PeerMessage:
-		g.hear(e)
+		s.receivePeerMessage(e)
 	case EndpointUpdate:
-		g.takeList(e)
+		s.applyUpdate(e)
 	case SettingsChanged:
-		e.Settings.Brokers, e.Settings.Ordinal = g.set.Brokers, g.set.Ordinal // peers know this host by them
-		g.follow(e.Settings)
+		// peers know this broker by its ordinal
+		e.Settings.Brokers = s.settings.Brokers
+		e.Settings.Ordinal = s.settings.Ordinal
+		s.applySettings(e.Settings)
 	case ProcessesChanged:
-		g.stirred++
-		g.processes, g.unseen = float64(max(1, e.Processes)), float64(max(0, e.Unseen))
+		s.scans.generation++
+		s.processes.known = float64(max(1, e.Processes))
+		s.processes.unseen = float64(max(0, e.Unseen))
 	}
 }
 
-func (g *Scheduler) act(a Action) { g.out = append(g.out, a) }
-
-const timerTick = 1
-
-// endTick grants tokens by equation 12 of the paper and tells peers this host's demand.
-func (g *Scheduler) endTick() {
-	g.order()
-	g.orderNodes()
-	g.ticks++
-	g.stirred++
-	now, span := g.now, (g.now - g.lastTick).Seconds()
-	g.lastTick = now
-	room := g.room()
-	total := 0.0
-	for _, v := range g.active {
-		total += v.arrived + g.heard(v.told)
-	}
-	for _, v := range g.active {
-		grant := v.plan.ReservedRate / v.hosts * span
-		if total > 0 {
-			grant += max(0, v.arrived/total*(room-v.level))
-		}
-		v.level = min(v.level+grant, v.size)
-		v.demand += smoothing * (v.arrived - v.demand)
-		v.arrived = 0
-		v.excess *= math.Exp(-span)
-		v.tick, v.tickAt = g.ticks, now
-	}
-	g.tellAll()
-	g.rest()
-	g.ask()
-	for _, n := range g.atWork {
-		g.findLost(n)
-		g.judge(n)
+// emit adds an action to those that Reduce returns.
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
+
+// onTick ends a tick. The order of its steps is part of the decisions.
+func (s *Scheduler) onTick() {
+	s.volumes.sortActive()
+	s.sortActiveNodes()
+	s.ticks++
+	s.scans.generation++
+	elapsed := (s.now - s.lastTickAt).Seconds()
+	s.lastTickAt = s.now
+	s.refillTokens(elapsed)
+	s.gossip()
+	s.retireVolumes()
+	s.subscribe()
+	for _, n := range s.nodes.active {
+		s.detectLost(n)
+		s.adjustLimit(n)
 	}
-	g.restNodes()
-	for _, s := range g.holding {
-		g.shed(s)
+	s.retireNodes()
+	for _, sh := range s.scans.queued {
+		s.shedLoad(sh)
 	}
-	g.trimBudget()
-	g.forget()
-	g.clean()
-	g.act(SetTimer{Token: timerTick, After: g.tick})
+	s.budget.trim(s.now, s.settings.Rules.RetryBudgetWindow)
+	s.forget()
+	s.forgetExpired()
+	s.emit(SetTimer{Token: tickTimer, After: s.tickPeriod})
 }
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -97,23 +97,6 @@
 
 var oneNode = scheduler.Endpoint{Name: "n:1"}
 
-func TestNewRefusesSettingsWithoutSense(t *testing.T) {
-	for name, spoil := range map[string]func(*scheduler.Settings){
-		"no hosts":      func(s *scheduler.Settings) { s.Brokers = 0 },
-		"ordinal":       func(s *scheduler.Settings) { s.Ordinal = 1 },
-		"no classes":    func(s *scheduler.Settings) { s.Classes = nil },
-		"no aim":        func(s *scheduler.Settings) { s.Classes[0].LatencyObjective = 0 },
-		"negative rate": func(s *scheduler.Settings) { s.Plans[0].Limit = -1 },
-		"negative rule": func(s *scheduler.Settings) { s.Rules.OverloadWindow = -1 },
-	} {
-		set := plain()
-		spoil(&set)
-		if _, err := scheduler.New(set, 1); err == nil {
-			t.Errorf("%s: no error", name)
-		}
-	}
-}
-
 func TestHeldRequestsLeaveEarliestDueFirst(t *testing.T) {
 	set := plain()
 	set.Classes = append(set.Classes, scheduler.Class{Name: "soon", LatencyObjective: 150 * ms, Deadline: 2000 * ms, PriorityWeight: 1})
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -8,153 +8,138 @@
 	"junctionwharf/balancer"
 )
 
-// pick takes the first of the nodes, in the order that package balancer gives, that may serve a request now.
-func (g *Scheduler) pick(s *shard, r *request) *node {
-	for n := range g.preferred(s, r) {
-		if n.state == Ready && g.hasRoom(n, r) && inScope(r, n) && g.coldRoom(n, r.Units) {
+// selectNode is the first of a shard's nodes, in the balancer's order, that may serve a request now; nil for
+// none.
+func (s *Scheduler) selectNode(sh *shard, r *request) *node {
+	for n := range s.candidates(sh, r) {
+		if s.mayServe(n, r) {
 			return n
 		}
 	}
 	return nil
 }
 
-func (g *Scheduler) send(r *request, n *node) {
-	if r.attempts == 0 {
-		r.volume.level -= r.Units
-	} else {
-		g.extras = append(g.extras, g.now)
-	}
-	if !r.counted {
-		r.volume.limit.Take(r.ID, r.Units)
-	}
-	r.attempts++
-	r.counted, r.outAt, r.sentAt = true, n, g.now
-	if n.out == 0 {
-		n.lastSent = g.now
-	}
-	r.passed, r.lost, n.flight = 0, false, append(n.flight, r)
-	n.savings, n.pacedAt = n.savings-r.Units, g.now
-	n.leave(g)
-	g.act(Forward{ID: r.ID, Node: n.Name})
-}
-
-// leave counts a send.
-func (n *node) leave(g *Scheduler) {
-	n.work(g)
-	n.out++
-	g.spent = max(0, g.spent-movesEach)
-	if n.member != nil && n.home.group != nil {
-		n.home.group.RecordSent(g.now, n.member)
-	}
+// mayServe tells whether a request may be forwarded to a node now.
+func (s *Scheduler) mayServe(n *node, r *request) bool {
+	return n.state == Ready && s.belowLimit(n, r) && inScope(r, n) && s.slowStartAllows(n, r.Units)
 }
 
-// members brings the shard's group up to date with the list.
-func (g *Scheduler) members(s *shard) *balancer.Balancer {
-	if s.group != nil && s.grouped == g.lists {
-		return s.group
-	}
-	if s.group == nil {
-		opt := g.set.Balancer
-		opt.Name, opt.Ordinal = cmp.Or(opt.Name, string(rune(g.set.Ordinal))), g.set.Ordinal
-		opt.Brokers = g.set.Brokers
-		s.group = balancer.New(opt)
-		at, _ := slices.BinarySearchFunc(g.groups, s.id, byShard)
-		g.groups = slices.Insert(g.groups, at, s)
-	}
-	s.grouped = g.lists
-	var ready []*balancer.Replica
-	for _, n := range s.nodes {
-		if n.state != Ready {
-			continue
-		}
-		if n.member == nil {
-			n.member = &balancer.Replica{Name: n.Name, Ref: n}
-		}
-		n.member.Priority, n.member.Weight, n.member.CapacityShare = n.Priority, max(n.Weight, 0), 1
-		if n.TrafficWeight > 0 {
-			n.member.Weight = max(n.member.Weight, 1) * n.TrafficWeight
-		}
-		ready = append(ready, n.member)
-	}
-	s.group.SetReplicas(g.now, ready)
-	return s.group
-}
-
-// preferred yields a shard's nodes, the best choice first.
-func (g *Scheduler) preferred(s *shard, r *request) iter.Seq[*node] {
-	if len(s.nodes) < 2 || g.set.Balancer.Disabled || !s.several() {
-		return g.leastOut(s, r)
-	}
-	group := g.members(s)
-	for _, n := range s.nodes {
-		if n.member != nil {
-			n.member.InFlight, n.member.CapacityShare = n.out, g.warmth(n)
+// candidates yields a shard's nodes, the best choice first. Where only one is ready there is nothing to
+// choose, and the balancer is not asked.
+func (s *Scheduler) candidates(sh *shard, r *request) iter.Seq[*node] {
+	if len(sh.nodes) < 2 || s.settings.Balancer.Disabled || !sh.hasSeveralReady() {
+		return s.leastLoaded(sh, r)
+	}
+	replicas := s.balancerOf(sh)
+	for _, n := range sh.nodes {
+		if n.replica != nil {
+			n.replica.InFlight = n.inFlight
+			n.replica.CapacityShare = n.slowStart.capacityShare(s.now, &s.settings.Rules)
 		}
 	}
+	proven := !r.safeToRepeat() || r.attempts > 0
 	return func(yield func(*node) bool) {
-		for m := range group.Candidates(g.now, !r.harmless() || r.attempts > 0) {
-			if !yield(m.Ref.(*node)) {
+		for replica := range replicas.Candidates(s.now, proven) {
+			if !yield(replica.Ref.(*node)) {
 				return
 			}
 		}
 	}
 }
 
-// leastOut yields the one node with the fewest attempts out, against its part, that may be sent to: the first
-// listed of equals.
-func (g *Scheduler) leastOut(s *shard, r *request) iter.Seq[*node] {
-	if len(s.nodes) < 2 {
-		return slices.Values(s.nodes)
+// leastLoaded yields the one node that may serve with the fewest attempts in flight against its traffic
+// weight: the first listed of equals.
+func (s *Scheduler) leastLoaded(sh *shard, r *request) iter.Seq[*node] {
+	if len(sh.nodes) < 2 {
+		return slices.Values(sh.nodes)
 	}
 	var best []*node
-	for _, n := range s.nodes {
-		if n.state == Ready && (best == nil || n.before(best[0])) && g.hasRoom(n, r) &&
-			inScope(r, n) && g.coldRoom(n, r.Units) {
+	for _, n := range sh.nodes {
+		if n.state == Ready && (best == nil || n.isLessLoaded(best[0])) && s.mayServe(n, r) {
 			best = append(best[:0], n)
 		}
 	}
 	return slices.Values(best)
 }
 
-// before tells whether n would be loaded less than other, against its part, with a request on top.
-func (n *node) before(other *node) bool {
+// isLessLoaded tells whether a node with one more request would be loaded less than another, against their
+// weights.
+func (n *node) isLessLoaded(other *node) bool {
 	if n.Priority != other.Priority {
 		return n.Priority < other.Priority
 	}
-	part := func(n *node) float64 { return cmp.Or(max(n.TrafficWeight, 0), 1) }
-	return float64(n.out+1)*part(other) < float64(other.out+1)*part(n)
+	weight := func(n *node) float64 { return cmp.Or(max(n.TrafficWeight, 0), 1) }
+	return float64(n.inFlight+1)*weight(other) < float64(other.inFlight+1)*weight(n)
 }
 
-// warmth is the part of its capacity that a node that has just started surely has.
-func (g *Scheduler) warmth(n *node) float64 {
-	rules := g.set.Rules
-	if !n.cold || rules.WarmUpTime <= 0 || rules.InitialCapacity <= 0 {
-		return 1
-	}
-	return min(1, rules.InitialCapacity+
-		(1-rules.InitialCapacity)*max(0, (g.now-n.bornAt).Seconds())/rules.WarmUpTime.Seconds())
+// balancerOf returns a shard's balancer with the nodes of the last endpoint update.
+func (s *Scheduler) balancerOf(sh *shard) *balancer.Balancer {
+	if sh.balancer != nil && sh.balancerUpdate == s.endpoints.updates {
+		return sh.balancer
+	}
+	if sh.balancer == nil {
+		options := s.settings.Balancer
+		options.Name = cmp.Or(options.Name, string(rune(s.settings.Ordinal)))
+		options.Ordinal = s.settings.Ordinal
+		options.Brokers = s.settings.Brokers
+		sh.balancer = balancer.New(options)
+		at, _ := slices.BinarySearchFunc(s.shards.balanced, sh.id, compareShardID)
+		s.shards.balanced = slices.Insert(s.shards.balanced, at, sh)
+	}
+	sh.balancerUpdate = s.endpoints.updates
+	sh.balancer.SetReplicas(s.now, sh.readyReplicas())
+	return sh.balancer
 }
 
-// spreading is what a gateway keeps of this.
-type spreading struct {
-	lists     uint64 // counts news of the list
-	lookTick  int    // the last tick in which attempts were looked at, and its time
-	lookAt    Time
-	stoodTill Time     // this gateway stood still and judges nobody before
-	spent     float64  // attempts called off on suspicion alone, less what sends have earned
-	groups    []*shard // shards with a group, by id
+// readyReplicas is the shard's ready nodes as the balancer sees them.
+func (sh *shard) readyReplicas() []*balancer.Replica {
+	var ready []*balancer.Replica
+	for _, n := range sh.nodes {
+		if n.state != Ready {
+			continue
+		}
+		if n.replica == nil {
+			n.replica = &balancer.Replica{Name: n.Name, Ref: n}
+		}
+		n.replica.Priority = n.Priority
+		n.replica.Weight = max(n.Weight, 0)
+		n.replica.CapacityShare = 1
+		if n.TrafficWeight > 0 {
+			n.replica.Weight = max(n.replica.Weight, 1) * n.TrafficWeight
+		}
+		ready = append(ready, n.replica)
+	}
+	return ready
 }
 
-// width is how many nodes work at what a shard holds.
-func (s *shard) width() float64 {
-	if s.group == nil {
-		return 1
+// forward sends a request to a node. Its first attempt is paid with tokens, a retry counts against the retry
+// budget; the quota of the rate limit is charged once.
+func (s *Scheduler) forward(r *request, n *node) {
+	if r.attempts == 0 {
+		r.volume.tokens -= r.Units
+	} else {
+		s.budget.recordRetry(s.now)
 	}
-	count := 0
-	for _, n := range s.nodes {
-		if n.state == Ready && n.member != nil && !n.member.Unresponsive() {
-			count++
-		}
+	if !r.limitCharged {
+		r.volume.quota.Take(r.ID, r.Units)
 	}
-	return float64(max(1, min(count, s.group.SubsetSize())))
+	r.attempts++
+	r.limitCharged = true
+	r.inFlightAt = n
+	r.sentAt = s.now
+	r.overtaken = 0
+	r.lost = false
+	if n.inFlight == 0 {
+		n.health.waitingSince = s.now
+	}
+	n.attempts = append(n.attempts, r)
+	n.slowStart.tokens -= r.Units
+	n.limit.lastForward = s.now
+	s.nodes.activate(n)
+	n.inFlight++
+	s.failovers.recordForward()
+	if n.replica != nil && n.shard.balancer != nil {
+		n.shard.balancer.RecordSent(s.now, n.replica)
+	}
+	s.emit(Forward{ID: r.ID, Node: n.Name})
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -12,60 +12,80 @@
 type Time = time.Duration
 
 // Settings is what a Scheduler is told when it starts, and again by SettingsChanged. The zero value of a
-// field means that the deployment has no such thing (no limit, no reports, no peers).
+// field means that the deployment has no such thing: no limit, no load reports, no peers.
 type Settings struct {
-	Brokers        int    // gateways in the tier, this one included
-	Ordinal        int    // the number of this gateway among them, from 0
-	Zone           string // where this gateway stands
+	Brokers        int    // in the tier, this one included
+	Ordinal        int    // the number of this broker among them, from 0
+	Zone           string // where this broker stands
 	Classes        []Class
 	Plans          []Plan
 	Capabilities   Capabilities
 	Rules          Rules
-	Subscribe      bool          // the node list is sent only to a gateway that asks for it
+	Subscribe      bool          // the endpoint list is sent only to a broker that asks for it
 	MeanUnits      float64       // mean size of a request
 	MaxUnits       float64       // largest size of a request
-	SlowStartUnits float64       // what a cold node bears from all hosts within Rules.OverloadWindow
+	SlowStartUnits float64       // what a starting node bears from all brokers within an OverloadWindow
 	MeterPeriod    time.Duration // period of the meter behind AttemptEnded.RateUsed, 0 for none
-	ShareWeight    float64       // part of the worth earned beyond the reserve, inside the share
-	SpareWeight    float64       // part of the worth earned beyond reserve and share
+	ShareWeight    float64       // part of the value earned beyond the reserved rate, inside the usual rate
+	SpareWeight    float64       // part of the value earned beyond both
 	Balancer       balancer.Options
 }
 
+// Errors of Validate.
+var (
+	ErrTopology = errors.New("brokers, ordinal or classes out of range")
+	ErrClass    = errors.New("class out of range")
+	ErrPlan     = errors.New("plan out of range")
+	ErrRule     = errors.New("a rule has a negative time")
+)
+
 // Validate names settings that make no sense.
 func (set Settings) Validate() error {
 	if set.Brokers < 1 || set.Ordinal < 0 || set.Ordinal >= set.Brokers || len(set.Classes) == 0 {
-		return fmt.Errorf("host %d of %d with %d classes", set.Ordinal, set.Brokers, len(set.Classes))
+		text := fmt.Sprintf("host %d of %d with %d classes", set.Ordinal, set.Brokers, len(set.Classes))
+		return &settingsError{ErrTopology, text}
 	}
-	for _, c := range set.Classes {
-		if c.LatencyObjective <= 0 || min(c.Deadline, c.DedupWindow) < 0 {
-			return fmt.Errorf("class %q has a time out of range", c.Name)
+	for _, class := range set.Classes {
+		if class.LatencyObjective <= 0 || min(class.Deadline, class.DedupWindow) < 0 {
+			return &settingsError{ErrClass, fmt.Sprintf("class %q has a time out of range", class.Name)}
 		}
 	}
-	for _, p := range set.Plans {
-		if min(p.Rate, p.ReservedRate, p.Limit, p.LimitBurst, p.LimitOverdraft, p.Weight) < 0 {
-			return fmt.Errorf("plan %q has a negative figure", p.Name)
+	for _, plan := range set.Plans {
+		lowestRate := min(plan.Rate, plan.ReservedRate, plan.Limit)
+		if min(lowestRate, plan.LimitBurst, plan.LimitOverdraft, plan.Weight) < 0 {
+			return &settingsError{ErrPlan, fmt.Sprintf("plan %q has a negative figure", plan.Name)}
 		}
 	}
-	if r := set.Rules; min(r.OverloadWindow, r.WarmUpTime, r.RetryBudgetWindow, r.QuietPeriod) < 0 {
-		return errors.New("a rule has a negative time")
+	rules := set.Rules
+	if min(rules.OverloadWindow, rules.WarmUpTime, rules.RetryBudgetWindow, rules.QuietPeriod) < 0 {
+		return ErrRule
 	}
 	return nil
 }
 
-// Idempotency says what happens when a request runs twice.
+// settingsError is an error of Validate with the text that operators know.
+type settingsError struct {
+	kind error
+	text string
+}
+
+func (e *settingsError) Error() string { return e.text }
+func (e *settingsError) Unwrap() error { return e.kind }
+
+// Idempotency says what happens when a request executes twice.
 type Idempotency int
 
-// The effects a class may have.
+// The kinds of idempotency that a class may have.
 const (
-	Idempotent        Idempotency = iota // running again does no harm
-	IdempotentWithKey                    // repeats are dropped inside a scope, for a while
-	NotIdempotent                        // must not run twice
+	Idempotent        Idempotency = iota // a second execution does no harm
+	IdempotentWithKey                    // nodes of a scope drop repeats of its key for a while
+	NotIdempotent                        // must not execute twice
 )
 
-// Scope names the group of nodes that drops repeats of a keyed request.
+// Scope names the group of nodes that drops repeats of an idempotency key.
 type Scope int
 
-// The scopes of a keyed class.
+// The scopes of an idempotency key.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
@@ -75,52 +95,52 @@
 // Class is a kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within it earns full worth
-	ObjectiveStretch float64       // further aim, as a multiple of the request's work
-	Deadline         time.Duration // the client's patience over all its tries
-	PriorityWeight   float64
-	LateWeight       float64 // part of the worth earned after the aim
+	LatencyObjective time.Duration // an answer within it earns its full value
+	ObjectiveStretch float64       // further objective, as a multiple of the request's work
+	Deadline         time.Duration // how long the client waits over all its attempts
+	PriorityWeight   float64       // value of a unit answered in time
+	LateWeight       float64       // part of the value earned after the objective
 	Idempotency      Idempotency
 	Scope            Scope
-	DedupWindow      time.Duration // how long repeats of a keyed request are dropped
+	DedupWindow      time.Duration // how long repeats of an idempotency key are dropped
 	Ordered          bool          // requests with one key run in the order of arrival
-	Stream           bool
+	Stream           bool          // the answer is streamed
 }
 
-// Plan is the contract of a volume. Rates are units a second over all hosts and nodes.
+// Plan is the contract of a volume. Rates are units a second over all brokers and nodes.
 type Plan struct {
 	Name           string
 	Rate           float64 // usual rate
 	ReservedRate   float64
-	Limit          float64 // 0 for none
-	LimitBurst     float64 // units the limit's store holds
-	LimitOverdraft float64 // units that store may fall below zero
+	Limit          float64 // rate limit, 0 for none
+	LimitBurst     float64 // units that the limit's store holds
+	LimitOverdraft float64 // units that the store may fall below zero
 	Weight         float64
-	Price          float64 // multiplies worth
+	Price          float64 // multiplies the value
 }
 
 // Capabilities is what the deployment allows.
 type Capabilities struct {
-	MaxAttempts    int // attempts of one request, 0 for no bound
-	MaxRetryAfter  time.Duration
-	RetryAfter     bool // clients are told when to come back
-	Cancel         bool
-	Peers          bool
+	MaxAttempts    int           // of one request, 0 for no bound
+	MaxRetryAfter  time.Duration // the longest that a client is told to wait
+	RetryAfter     bool          // clients are told when to come back
+	Cancel         bool          // attempts may be canceled
+	Peers          bool          // brokers exchange messages
 	HealthChecks   bool
-	HedgedRequests bool // two attempts of a request may be out at once
+	HedgedRequests bool // two attempts of a request may be in flight at once
 }
 
 // Rules holds the figures of the rules that no run may break.
 type Rules struct {
-	AnswerSlack       time.Duration
-	DrainGrace        time.Duration
-	WarmUpTime        time.Duration // a started node is warm after this
-	InitialCapacity   float64       // the part of its capacity it starts with, at least
-	OverloadWindow    time.Duration
-	OverloadMultiple  float64
-	PollDeadline      time.Duration
+	AnswerSlack       time.Duration // by which a final answer may come after the deadline
+	DrainGrace        time.Duration // in which forwards to a draining node must end
+	WarmUpTime        time.Duration // a node that has started is warm after this
+	InitialCapacity   float64       // part of its capacity that it starts with, at least
+	OverloadWindow    time.Duration // a node goes down that gets too much within it; 0 for no such rule
+	OverloadMultiple  float64       // too much, as a multiple of its present capacity
+	PollDeadline      time.Duration // the endpoint list must be asked for within it
 	QuietPeriod       time.Duration // rest of a key after an attempt that may still run
-	RetryBudgetMin    float64       // further attempts that need no request
-	RetryBudgetRatio  float64       // further attempts for each request taken
+	RetryBudgetMin    float64       // retries that need no request
+	RetryBudgetRatio  float64       // retries for each request
 	RetryBudgetWindow time.Duration // 0 where no budget holds
 }
--- /dev/null
+++ b/scheduler/settings_test.go
@@ -0,0 +1,109 @@
+package scheduler
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+// countKinds counts forwards and failures.
+func countKinds(actions []Action) (forwards, failures int) {
+	for _, action := range actions {
+		switch action.(type) {
+		case Forward:
+			forwards++
+		case Fail:
+			failures++
+		}
+	}
+	return forwards, failures
+}
+
+// New settings change what comes; requests under way keep their class, and what clients of a vanished class
+// were not served must not fault later ticks.
+func TestSettingsChange(t *testing.T) {
+	class := func(name string, idempotency Idempotency) Class {
+		return Class{
+			Name: name, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
+			Idempotency: idempotency,
+		}
+	}
+	request := func(id uint64, class, volume string) Request {
+		return Request{ID: id, Class: class, Plan: "plan", Volume: volume, Units: 1, Brokers: 1, Remaining: time.Second}
+	}
+	settings := Settings{
+		Brokers: 2, Ordinal: 1, MeanUnits: 2, MaxUnits: 8, Capabilities: Capabilities{MaxAttempts: 3},
+		Classes: []Class{class("kept", Idempotent), class("vanishes", Idempotent)},
+		Plans:   []Plan{{Name: "plan", Rate: 50, ReservedRate: 50, Weight: 1, Price: 1}},
+	}
+	s := newScheduler(t, settings, 1)
+	now := time.Hour
+	forwards, _ := countKinds(s.Reduce(now, []Event{
+		EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Name: "n"}}},
+		request(1, "vanishes", "v"),
+		request(2, "vanishes", "v"),
+	}))
+	if forwards != 2 {
+		t.Fatalf("%d forwards, want 2", forwards)
+	}
+	s.Reduce(now, []Event{request(9, "kept", "idle"), ClientGone{ID: 9}})
+
+	changed := settings
+	changed.Ordinal = 0
+	changed.Capabilities.MaxAttempts = 1
+	changed.Classes = []Class{class("kept", NotIdempotent), class("new", NotIdempotent)}
+	changed.Plans = []Plan{{Name: "plan", Rate: 5, ReservedRate: 5, Weight: 1, Price: 1}}
+	now += time.Millisecond
+	forwards, failures := countKinds(s.Reduce(now, []Event{
+		SettingsChanged{changed},
+		request(3, "new", "v"),
+		request(4, "vanishes", "v"),
+		ClientGone{ID: 1},
+		AttemptEnded{ID: 2, Node: "n", Outcome: ConnectionBroken},
+	}))
+	if forwards != 1 || failures != 1 {
+		t.Errorf("%d forwards, %d failures; want 1 of the new class, 1 of the vanished one", forwards, failures)
+	}
+	if s.settings.Ordinal != 1 {
+		t.Error("the ordinal changed while running")
+	}
+	if s.requests[3].class.Idempotency != NotIdempotent || s.requests[1].class.Idempotency != Idempotent {
+		t.Error("a request has not the class that it came with")
+	}
+	if s.volumes.byName["v"].plan.Rate != 5 {
+		t.Error("the plan in force is not the new one")
+	}
+	// The tokens of a volume without requests must not jump with the new plan.
+	if v := s.volumes.byName["idle"]; v.brokers != 1 || v.capacity != 13 || v.tokens >= v.capacity {
+		t.Errorf("an idle volume has %v brokers, %v of %v tokens", v.brokers, v.tokens, v.capacity)
+	}
+	for range 400 {
+		now += s.tickPeriod
+		s.Reduce(now, []Event{TimerFired{Token: tickTimer}})
+	}
+	if len(s.unserved) != 0 {
+		t.Errorf("%d unserved requests remembered", len(s.unserved))
+	}
+}
+
+func TestValidateNamesWhatIsWrong(t *testing.T) {
+	for name, c := range map[string]struct {
+		spoil func(*Settings)
+		want  error
+	}{
+		"no brokers":              {func(s *Settings) { s.Brokers = 0 }, ErrTopology},
+		"ordinal out of range":    {func(s *Settings) { s.Ordinal = 1 }, ErrTopology},
+		"no classes":              {func(s *Settings) { s.Classes = nil }, ErrTopology},
+		"no latency objective":    {func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, ErrClass},
+		"negative limit":          {func(s *Settings) { s.Plans[0].Limit = -1 }, ErrPlan},
+		"negative window of rule": {func(s *Settings) { s.Rules.OverloadWindow = -1 }, ErrRule},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := queueSettings()
+			c.spoil(&settings)
+			if _, err := New(settings, 1); !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+		})
+	}
+}
--- a/scheduler/shares.go
+++ b/scheduler/shares.go
@@ -1,30 +1,35 @@
 package scheduler
 
-import (
-	"cmp"
-)
+import "cmp"
 
-// Share is what a node gets of this gateway's requests to its shard.
+// NodeShare is what a node gets of this broker's requests to its shard.
 type NodeShare struct {
-	Node           string
-	Shard          int
-	Weight, Factor float64 // its size against others, and what judging leaves of it
-	Share          float64 // of the requests, 0 where this gateway does not use it
-	Reason         string
+	Node   string
+	Shard  int
+	Weight float64 // its size against others
+	Factor float64 // what outlier detection leaves of the weight, 0 to 1
+	Share  float64 // of the requests, 0 where this broker does not use the node
+	Reason string  // of the factor
 }
 
-// NodeShares tells how requests are spread over the nodes of shards that have several.
-func (g *Scheduler) NodeShares() []NodeShare {
-	var parts []NodeShare
-	for _, id := range g.shardIDs {
-		s := g.shards[id]
-		if s.group == nil || !s.several() {
+// NodeShares tells how requests are spread over the nodes of the shards that have several.
+func (s *Scheduler) NodeShares() []NodeShare {
+	var shares []NodeShare
+	for _, id := range s.shards.ids {
+		sh := s.shards.byID[id]
+		if sh.balancer == nil || !sh.hasSeveralReady() {
 			continue
 		}
-		for _, m := range s.group.Replicas() {
-			parts = append(parts, NodeShare{m.Name, id, cmp.Or(m.Weight, 1), m.Factor(),
-				m.Share(), m.Reason()})
+		for _, replica := range sh.balancer.Replicas() {
+			shares = append(shares, NodeShare{
+				Node:   replica.Name,
+				Shard:  id,
+				Weight: cmp.Or(replica.Weight, 1),
+				Factor: replica.Factor(),
+				Share:  replica.Share(),
+				Reason: replica.Reason(),
+			})
 		}
 	}
-	return parts
+	return shares
 }
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -5,76 +5,87 @@
 	"container/heap"
 )
 
-// shed guards against overload of one node, from a surge, slowness or lost room: where earliest due
-// first would make many requests late, the least worthy yield to those that can be in time and leave
-// only on spare room. It hurts where the time to serve is judged too long.
-func (g *Scheduler) shed(s *shard) {
-	n := s.quickest()
-	if n == nil || len(s.held) < 2 {
+// shedLoad marks which requests of a shard can't all be in time. Under overload of a node, by a surge or by
+// slowness, earliest soft deadline first would make many requests late: those of the least value yield to
+// those that can still be in time, and leave only where a node has a free slot for them. It costs requests
+// where the service time is estimated too long.
+func (s *Scheduler) shedLoad(sh *shard) {
+	n := sh.fastest()
+	if n == nil || len(sh.queue) < 2 {
 		return
 	}
-	unit := n.took / max(1, g.set.MeanUnits) / n.bound / s.width()
-	wait, kept := n.took, worths{list: g.worths[:0]}
-	for _, r := range s.held {
-		late := wait+r.Units*unit > (r.due - g.now).Seconds()
-		if r.shed = late && kept.leaves(r); r.shed {
+	// seconds that the shard's nodes take for one unit
+	perUnit := n.latency.smoothed / max(1, s.settings.MeanUnits) / n.limit.value / sh.workingNodes()
+	wait := n.latency.smoothed
+	kept := sheddingSet{requests: s.shedding[:0]}
+	for _, r := range sh.queue {
+		remaining := (r.softDeadline - s.now).Seconds()
+		late := wait+r.Units*perUnit > remaining
+		r.shed = late && kept.wouldYieldFirst(r)
+		if r.shed {
 			continue
 		}
 		kept.add(r)
-		for wait += r.Units * unit; len(kept.list) > 0 && wait > (r.due-g.now).Seconds(); {
+		wait += r.Units * perUnit
+		for len(kept.requests) > 0 && wait > remaining {
 			least := kept.pop()
 			least.shed = true
-			wait -= least.Units * unit
+			wait -= least.Units * perUnit
 		}
 	}
-	g.worths = kept.list
+	s.shedding = kept.requests
 }
 
-func leastWorthy(a, b *request) int { return cmp.Or(cmp.Compare(a.value, b.value), earlier(b, a)) }
+// compareValue orders requests by their value, and of equals the later due first.
+func compareValue(a, b *request) int {
+	return cmp.Or(cmp.Compare(a.value, b.value), compareSoftDeadline(b, a))
+}
 
-// worths is those that can be in time, the least worthy first out. It is a heap from when one must leave: in
-// a queue of thousands an ordered slice made a tick take seconds, and mostly none must.
-type worths struct {
-	list  byWorth
-	built bool
+// sheddingSet is the requests that can be in time, the one of the least value first out. It becomes a heap
+// when one must yield: in a queue of thousands an ordered slice made a tick take seconds, and mostly none
+// must.
+type sheddingSet struct {
+	requests lowestValueFirst
+	isHeap   bool
 }
 
-// leaves tells whether one that came would be the first to leave.
-func (w *worths) leaves(r *request) bool {
-	w.build()
-	return len(w.list) == 0 || leastWorthy(r, w.list[0]) < 0
+// wouldYieldFirst tells whether a request, once added, would be the first to yield.
+func (set *sheddingSet) wouldYieldFirst(r *request) bool {
+	set.build()
+	return len(set.requests) == 0 || compareValue(r, set.requests[0]) < 0
 }
 
-func (w *worths) add(r *request) {
-	w.list = append(w.list, r)
-	if w.built {
-		heap.Fix(&w.list, len(w.list)-1)
+func (set *sheddingSet) add(r *request) {
+	set.requests = append(set.requests, r)
+	if set.isHeap {
+		heap.Fix(&set.requests, len(set.requests)-1)
 	}
 }
 
-func (w *worths) pop() *request {
-	w.build()
-	return heap.Pop(&w.list).(*request)
+func (set *sheddingSet) pop() *request {
+	set.build()
+	return heap.Pop(&set.requests).(*request)
 }
 
-func (w *worths) build() {
-	if !w.built {
-		w.built = true
-		heap.Init(&w.list)
+func (set *sheddingSet) build() {
+	if !set.isHeap {
+		set.isHeap = true
+		heap.Init(&set.requests)
 	}
 }
 
-type byWorth []*request
-
-func (h byWorth) Len() int { return len(h) }
-
-func (h byWorth) Less(i, j int) bool { return leastWorthy(h[i], h[j]) < 0 }
+// lowestValueFirst is a heap of requests.
+type lowestValueFirst []*request
 
-func (h byWorth) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h lowestValueFirst) Len() int           { return len(h) }
+func (h lowestValueFirst) Less(i, j int) bool { return compareValue(h[i], h[j]) < 0 }
+func (h lowestValueFirst) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-func (h *byWorth) Push(x any) { *h = append(*h, x.(*request)) }
+// Push adds a request, for container/heap.
+func (h *lowestValueFirst) Push(x any) { *h = append(*h, x.(*request)) }
 
-func (h *byWorth) Pop() any {
+// Pop takes the last element, for container/heap.
+func (h *lowestValueFirst) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
--- a/scheduler/tokens.go
+++ b/scheduler/tokens.go
@@ -1,123 +1,97 @@
 package scheduler
 
-import (
-	"cmp"
-	"hash/fnv"
-	"math"
-	"slices"
+import "math"
 
-	"junctionwharf/quota"
-)
+// smoothing is the weight of the newest measurement in a running mean, from 0 to 1. Higher, demand and node
+// latency jump with a single burst or pause; lower, they follow an outage several ticks late.
+const smoothing = 0.2
 
-// volume holds the accounts of one volume. Units are the size of requests.
-type volume struct {
-	name    string
-	id      uint32 // short name in peer messages
-	plan    *Plan
-	hosts   float64 // gateways through which it works
-	level   float64 // tokens; below zero is debt
-	size    float64 // bucket size: a second of the whole rate, since a volume may lean on one host
-	arrived float64 // units that arrived in this tick: V
-	demand  float64 // V of the last tick, smoothed
-	due     float64 // units of the reserve that are due here by news of peers
-	dueAt   Time    // when due was last filled
-	excess  float64 // units beyond the reserve, smoothed over ticks
-	told    news    // demand at all peers
-	limit   quota.Quota
-	asked   int  // tick of the last request
-	number  int  // of its first coming
-	tick    int  // up to which level, demand and excess are brought
-	tickAt  Time // when that was
-	stirs   bool // it stands among the active
+// bucketCapacity is how many units a volume's token bucket holds: a second of its whole rate, since a volume
+// may send all its requests through one broker, and one largest request.
+func bucketCapacity(plan *Plan, maxUnits float64) float64 {
+	return max(plan.Rate, plan.ReservedRate) + maxUnits
 }
 
-func (g *Scheduler) volumeOf(e Request, plan *Plan) *volume {
-	v, h := g.volumes[e.Volume], fnv.New32a()
-	if v == nil {
-		h.Write([]byte(e.Volume))
-		v = &volume{name: e.Volume, id: h.Sum32(), plan: plan, limit: quota.New(g.now)}
-		g.volumes[e.Volume], g.byID[v.id] = v, v
-		g.inOrder = append(g.inOrder, v)
-		v.number, v.tick, v.tickAt = g.volumesSeen, g.ticks, g.lastTick
-		g.volumesSeen++
+// refillTokens grants tokens to the active volumes by equation 12 of the paper, with what peers reported in
+// the sum of demand. elapsed is the time since the last tick in seconds.
+func (s *Scheduler) refillTokens(elapsed float64) {
+	capacity := s.availableCapacity()
+	totalDemand := 0.0
+	for _, v := range s.volumes.active {
+		totalDemand += v.arrivedUnits + v.peerDemand.current(s.ticks)
 	}
-	v.asked = g.ticks
-	v.stir(g)
-	hosts := float64(max(1, min(e.Brokers, g.set.Brokers)))
-	if hosts != v.hosts {
-		v.hosts = hosts
-		v.size = max(plan.Rate, plan.ReservedRate) + max(g.set.MaxUnits, e.Units)
-		v.level = min(v.level, v.size)
-		g.stirred++
+	decay := math.Exp(-elapsed)
+	for _, v := range s.volumes.active {
+		v.tokens = min(v.tokens+v.grant(elapsed, totalDemand, capacity), v.capacity)
+		v.demand += smoothing * (v.arrivedUnits - v.demand)
+		v.arrivedUnits = 0
+		v.excess *= decay
+		v.caughtUpTick = s.ticks
+		v.caughtUpAt = s.lastTickAt
 	}
-	return v
 }
 
-// due tells what part of its worth a unit earns: all inside the reserve, less the more the volume asks
-// beyond it against its weight. The reserve counts here by where the volume's demand is.
-func (g *Scheduler) due(v *volume, units float64) float64 {
-	part := 1 / v.hosts
-	if told := g.heard(v.told); told > 0 || v.demand > 0 {
-		part = max(part, (v.demand+1)/(v.demand+told+v.hosts))
+// grant is u(t) of equation 12, in units:
+//
+//	u(t) = guarantee + V(t) / sum of V(t) * (W(t) - tokens)
+//
+// The guarantee is this broker's even part of the volume's reserved rate over elapsed seconds. capacity is
+// W(t) of equation 11. The demand share counts only where it adds something.
+func (v *volume) grant(elapsed, totalDemand, capacity float64) float64 {
+	grant := v.plan.ReservedRate / v.brokers * elapsed
+	if totalDemand > 0 {
+		grant += max(0, v.arrivedUnits/totalDemand*(capacity-v.tokens))
 	}
-	most := v.plan.ReservedRate*part + g.set.MaxUnits
-	v.due, v.dueAt = min(most, v.due+v.plan.ReservedRate*part*(g.now-v.dueAt).Seconds()), g.now
-	if v.plan.ReservedRate > 0 && v.due >= units {
-		v.due -= units
+	return grant
+}
+
+// valueShare is the part of its value that a request of so many units earns: all of it inside the volume's
+// reserved rate, and less beyond the more the volume asks against its usual rate. The reserved rate counts
+// here by where the volume's demand is.
+func (s *Scheduler) valueShare(v *volume, units float64) float64 {
+	rate := v.plan.ReservedRate * v.demandShare(v.peerDemand.current(s.ticks))
+	v.reserved.refill(s.now, rate, rate+s.settings.MaxUnits)
+	if v.plan.ReservedRate > 0 && v.reserved.tokens >= units {
+		v.reserved.tokens -= units
 		return 1
 	}
 	v.excess += units
-	usual := max(v.plan.Rate, v.plan.ReservedRate) / v.hosts
-	return g.set.SpareWeight + (g.set.ShareWeight-g.set.SpareWeight)/(1+v.excess/max(1, usual))
+	usual := max(v.plan.Rate, v.plan.ReservedRate) / v.brokers
+	spare, share := s.settings.SpareWeight, s.settings.ShareWeight
+	return spare + (share-spare)/(1+v.excess/max(1, usual))
 }
 
-// stir has the next tick work on a volume.
-func (v *volume) stir(g *Scheduler) {
-	v.catchUp(g)
-	if !v.stirs {
-		v.stirs = true
-		g.active = append(g.active, v)
-	}
+// refill adds what a rate in units a second gave since the last refill, up to a capacity in units.
+func (b *reservedBucket) refill(now Time, rate, capacity float64) {
+	b.tokens = min(capacity, b.tokens+rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// catchUp makes up for the ticks that a volume was idle in.
-func (v *volume) catchUp(g *Scheduler) {
-	missed := g.ticks - v.tick
-	if missed <= 0 {
-		return
+// demandShare is the part of a volume's demand that is at this broker, and at least its even part. peerDemand
+// is in units a tick.
+func (v *volume) demandShare(peerDemand float64) float64 {
+	share := 1 / v.brokers
+	if peerDemand > 0 || v.demand > 0 {
+		share = max(share, (v.demand+1)/(v.demand+peerDemand+v.brokers))
 	}
-	span := (g.lastTick - v.tickAt).Seconds()
-	v.level = min(v.level+v.plan.ReservedRate/v.hosts*span, v.size)
-	v.demand *= math.Pow(1-smoothing, float64(missed))
-	v.excess *= math.Exp(-span)
-	v.tick, v.tickAt = g.ticks, g.lastTick
-}
-
-// order puts the active volumes in the order in which they first came: sums must not depend on who was idle.
-func (g *Scheduler) order() {
-	slices.SortFunc(g.active, func(a, b *volume) int { return cmp.Compare(a.number, b.number) })
+	return share
 }
 
-// rest takes those out of the active volumes that nothing happens to.
-func (g *Scheduler) rest() {
-	if g.plain {
-		return
+// mayForward tells whether a request's volume has the tokens and the quota for it, whether it is the next of
+// its key, and whether it may run again if it was sent before. With overdraft its tokens may fall below zero
+// by a whole bucket. A retry has paid already.
+func (s *Scheduler) mayForward(r *request, overdraft bool) bool {
+	v := r.volume
+	v.catchUp(s.ticks, s.lastTickAt)
+	floor := 0.0
+	if overdraft {
+		floor = -v.capacity
 	}
-	g.active = slices.DeleteFunc(g.active, func(v *volume) bool {
-		v.stirs = g.ticks-v.asked < 2 || v.demand*newsScale >= 1 || g.heard(v.told) > 0
-		return !v.stirs
-	})
-}
-
-// pays tells whether a request's volume can pay for it, or go into debt for it.
-func (g *Scheduler) pays(r *request, unpaid bool) bool {
-	v, floor := r.volume, 0.0
-	v.catchUp(g)
-	if unpaid {
-		floor = -v.size
+	if r.attempts == 0 && v.tokens-r.Units < floor {
+		return false
 	}
-	if r.attempts == 0 && v.level-r.Units < floor || !r.counted && !g.limit(v).Allows(r.Units) {
+	if !r.limitCharged && !s.refillQuota(v).Allows(r.Units) {
 		return false
 	}
-	return g.hasTurn(r) && (r.attempts == 0 || g.mayTryAgain(r))
+	return r.isNextOfKey(s.now) && (r.attempts == 0 || s.mayRetry(r))
 }
