--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -1,6 +1,9 @@
 package scheduler
 
-import "log/slog"
+import (
+	"log/slog"
+	"time"
+)
 
 // admit takes a request: it works out since when its client waits, by when it is due and what it is worth,
 // and queues it. A request of an unknown class or plan fails at once.
@@ -18,9 +21,9 @@
 	r := &request{Request: e, class: class, deadline: s.now + e.Remaining}
 	s.requests[e.ID] = r
 	earlier, known := s.unserved[retryKey{e.Class, e.Volume, e.Key, e.Units}]
-	r.firstArrival = firstArrival(s.now, e, class.Deadline, earlier, known)
+	r.firstArrival = firstArrival(s.now, &r.Request, class.Deadline, earlier, known)
 	r.softDeadline = min(r.firstArrival+class.LatencyObjective, r.deadline)
-	r.volume = s.volumeFor(e, plan)
+	r.volume = s.volumeFor(&r.Request, plan)
 	r.volume.arrivedUnits += e.Units
 	r.valueShare = s.valueShare(r.volume, e.Units)
 	r.value = class.PriorityWeight * plan.Price * r.valueShare
@@ -42,10 +45,10 @@
 }
 
 // firstArrival is when a client first asked: the latency objective runs from there. A request like an
-// unserved one, within the time that its client had left, is taken for its retry; the last request that says
+// unserved one, within the time that its client had left, is taken for its retry; one that only says
 // it is a retry has used up what is missing of its class's deadline. Any other with little time left comes
 // from an impatient client. It errs where two clients ask for the same thing at once.
-func firstArrival(now Time, e Request, deadline Time, earlier unservedRecord, known bool) Time {
+func firstArrival(now Time, e *Request, deadline time.Duration, earlier unservedRecord, known bool) Time {
 	if known && now+e.Remaining <= earlier.expires {
 		return earlier.firstArrival
 	}
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -38,18 +38,18 @@
 }
 
 // recordOutcome takes what an outcome shows of its node.
-func (s *Scheduler) recordOutcome(n *node, r *request, e AttemptEnded) {
-	if e.Outcome.provesAlive() {
+func (s *Scheduler) recordOutcome(n *node, r *request, outcome Outcome, latency time.Duration) {
+	if outcome.provesAlive() {
 		n.health.lastAnswer = s.now
 	}
 	n.health.waitingSince = s.now
-	switch e.Outcome {
+	switch outcome {
 	case Success:
-		s.recordSuccess(n, r, e)
+		s.recordSuccess(n, r, latency)
 	case NotSent:
 		s.recordNotSent(n, r)
 	case Overloaded, Unreachable, ConnectionBroken:
-		s.recordFault(n, e.Outcome)
+		s.recordFault(n, outcome)
 	}
 }
 
@@ -58,7 +58,7 @@
 	return o != TimedOut && o != Canceled && o != Unreachable && o != NotSent
 }
 
-func (s *Scheduler) recordSuccess(n *node, r *request, e AttemptEnded) {
+func (s *Scheduler) recordSuccess(n *node, r *request, latency time.Duration) {
 	n.finishedUnits += r.Units
 	warmUp := s.settings.Rules.WarmUpTime.Seconds()
 	if n.slowStart.warmingUp && r.sentAt >= n.slowStart.startedAt {
@@ -67,7 +67,7 @@
 		s.shards.byID[n.Shard].recordServed(s.now, r.Units, warmUp)
 	}
 	n.latency.answers++
-	n.latency.sum += e.Latency.Seconds()
+	n.latency.sum += latency.Seconds()
 	n.health.restPeriod = 0
 	n.health.canceledSinceAnswer = false
 	n.health.faults = 0
@@ -77,7 +77,7 @@
 		}
 	}
 	if n.latency.smoothed == 0 {
-		n.latency.smoothed = e.Latency.Seconds()
+		n.latency.smoothed = latency.Seconds()
 	}
 }
 
@@ -112,18 +112,18 @@
 }
 
 // reportToBalancer tells the shard's balancer what an outcome shows of its node.
-func (s *Scheduler) reportToBalancer(n *node, r *request, e AttemptEnded) {
+func (s *Scheduler) reportToBalancer(n *node, r *request, outcome Outcome, latency time.Duration) {
 	replicas := n.shard.balancer
 	if replicas == nil || n.replica == nil {
 		return
 	}
-	switch e.Outcome {
+	switch outcome {
 	case Success:
 		from := r.failover.from
 		if from != nil && from != n && from.health.lastAnswer < r.failover.sentAt && from.replica != nil {
 			s.reportUnresponsive(from) // it has said nothing since, and another answered
 		}
-		replicas.RecordAnswer(s.now, n.replica, s.latencyOfMeanRequest(e.Latency, r.Units))
+		replicas.RecordAnswer(s.now, n.replica, s.latencyOfMeanRequest(latency, r.Units))
 	case Failure, Overloaded:
 		replicas.RecordFailure(s.now, n.replica, true)
 	case Unreachable, ConnectionBroken:
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -91,8 +91,8 @@
 	if !r.lost {
 		n.inFlight--
 	}
-	s.recordOutcome(n, r, e)
-	s.reportToBalancer(n, r, e)
+	s.recordOutcome(n, r, e.Outcome, e.Latency)
+	s.reportToBalancer(n, r, e.Outcome, e.Latency)
 	if e.Outcome.MayHaveExecuted() && r.executedOn == nil {
 		r.executedOn = n
 		r.firstExecution = r.sentAt
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -61,7 +61,7 @@
 
 // volumeFor returns a request's volume, which it makes where it is new, and has it count the request's
 // brokers.
-func (s *Scheduler) volumeFor(e Request, plan *Plan) *volume {
+func (s *Scheduler) volumeFor(e *Request, plan *Plan) *volume {
 	v := s.volumes.byName[e.Volume]
 	if v == nil {
 		v = s.addVolume(e.Volume, plan)
