--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -10,24 +10,34 @@
 )
 
 const (
+	// defaultBoundMS is how long brokers that are cut off may hold up a change; half of it is their lease. Higher, an
+	// operator waits longer for a change beside an outage; lower, a short loss of messages restricts brokers to the
+	// safe values.
 	defaultBoundMS = 2000
-	leastBoundMS   = 400
-	mostBoundMS    = 60_000
-	defaultFeeds   = 16
-	mostFeeds      = 256
-	leastVoters    = 3
-	mostVoters     = 7
+	// minBoundMS keeps a lease above the usual delays of a machine, maxBoundMS a change within an operator's patience.
+	minBoundMS = 400
+	maxBoundMS = 60_000
+	// defaultMaxChildren is the fan-out of the tree over which a configuration spreads. Higher, a parent has more to
+	// send; lower, the tree is deeper and a change takes longer to reach all brokers.
+	defaultMaxChildren = 16
+	minMaxChildren     = 2
+	maxMaxChildren     = 256
+	// Between these many voters a quorum outlives one to three of them. More cost each change more messages.
+	minVoters = 3
+	maxVoters = 7
 )
 
-// Agreement is how brokers agree on settings and lists with versions. Disabled without a cluster.
+// Agreement is how brokers agree on a replicated, versioned configuration. It is off without a cluster.
 type Agreement struct {
-	Cluster     string             `toml:"cluster"`  // its name: brokers of another are turned away
-	Listen      string             `toml:"listen"`   // of this broker; empty: it feeds nobody, and can't vote
-	Members     []Voter            `toml:"members"`  // the brokers that vote, the same for all
-	Dir         string             `toml:"dir"`      // of a disk that lasts, for a voter's state; empty: a restarted voter is a new one
-	BoundMS     float64            `toml:"bound_ms"` // how long brokers that are cut off may hold up a change; half of it is a lease
-	MaxChildren int                `toml:"feeds"`    // brokers that hear from this one, at the most
-	Limits      map[string]float64 `toml:"limits"`   // plans whose limit is agreed on: the figure below which it can't be set, and on which brokers without a lease act
+	Cluster     string  `toml:"cluster"`  // its name: brokers of another are rejected
+	Listen      string  `toml:"listen"`   // of this broker; empty: it has no children and cannot vote
+	Members     []Voter `toml:"members"`  // the brokers that vote, the same for all
+	Dir         string  `toml:"dir"`      // a voter's state, on a lasting disk; empty: a restarted voter is a new one
+	BoundMS     float64 `toml:"bound_ms"` // how long brokers that are cut off may delay a change; half of it is a lease
+	MaxChildren int     `toml:"feeds"`    // brokers that get the configuration from this one
+	// Limits are the plans whose rate limit is agreed on, with the figure below which it cannot be set, and on which
+	// brokers without a lease act.
+	Limits map[string]float64 `toml:"limits"`
 }
 
 // Voter is a broker that votes.
@@ -37,62 +47,100 @@
 }
 
 // Enabled tells whether there is anything to agree on.
-func (a Agreement) Enabled() bool { return a.Cluster != "" }
+func (a Agreement) Enabled() bool {
+	return a.Cluster != ""
+}
 
-// Timing is that of package clusterconfig.
+// Timing is the lease, and how far clocks may drift apart meanwhile.
 func (a Agreement) Timing() clusterconfig.Timing {
-	return clusterconfig.Timing{Lease: int64(a.BoundMS * 1000 / 2), DriftPPM: clusterconfig.DefaultTiming.DriftPPM}
+	const microsPerMilli = 1000
+	lease := a.BoundMS * microsPerMilli / 2
+	return clusterconfig.Timing{Lease: int64(lease), DriftPPM: clusterconfig.DefaultTiming.DriftPPM}
 }
 
 func (a *Agreement) complete(set scheduler.Settings) error {
 	if !a.Enabled() {
-		if a.Listen != "" || len(a.Members) > 0 || a.Dir != "" || len(a.Limits) > 0 || a.BoundMS != 0 || a.MaxChildren != 0 {
-			return errors.New("cluster: missing, though other keys are there")
-		}
-		return nil
+		return a.checkUnset()
 	}
 	if a.BoundMS == 0 {
 		a.BoundMS = defaultBoundMS
 	}
 	if a.MaxChildren == 0 {
-		a.MaxChildren = defaultFeeds
+		a.MaxChildren = defaultMaxChildren
 	}
 	if err := checkAddress(a.Listen, false); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
+	if err := a.checkFigures(); err != nil {
+		return err
+	}
+	if err := a.checkMembers(); err != nil {
+		return err
+	}
+	if err := a.checkDir(); err != nil {
+		return err
+	}
+	return a.checkLimits(set)
+}
+
+// checkUnset guards against a cluster's name that was lost: the other keys would silently have no effect.
+func (a *Agreement) checkUnset() error {
+	set := a.Listen != "" || a.Dir != "" || a.BoundMS != 0 || a.MaxChildren != 0
+	if set || len(a.Members) > 0 || len(a.Limits) > 0 {
+		return errors.New("cluster: missing, though other keys are there")
+	}
+	return nil
+}
+
+func (a *Agreement) checkFigures() error {
+	voters := len(a.Members)
 	switch {
-	case len(a.Members) < leastVoters || len(a.Members) > mostVoters || len(a.Members)%2 == 0:
-		return fmt.Errorf("members: %d, 3, 5 or 7 are wanted", len(a.Members))
-	case !(a.BoundMS >= leastBoundMS && a.BoundMS <= mostBoundMS):
-		return fmt.Errorf("bound_ms: %v is not within %d to %d", a.BoundMS, leastBoundMS, mostBoundMS)
-	case a.MaxChildren < 2 || a.MaxChildren > mostFeeds:
-		return fmt.Errorf("feeds: %d is not within 2 to %d", a.MaxChildren, mostFeeds)
+	case voters < minVoters || voters > maxVoters || voters%2 == 0:
+		return fmt.Errorf("members: %d, 3, 5 or 7 are wanted", voters)
+	case !(a.BoundMS >= minBoundMS && a.BoundMS <= maxBoundMS):
+		return fmt.Errorf("bound_ms: %v is not within %d to %d", a.BoundMS, minBoundMS, maxBoundMS)
+	case a.MaxChildren < minMaxChildren || a.MaxChildren > maxMaxChildren:
+		return fmt.Errorf("feeds: %d is not within %d to %d", a.MaxChildren, minMaxChildren, maxMaxChildren)
 	}
+	return nil
+}
+
+func (a *Agreement) checkMembers() error {
 	seen := map[string]bool{}
-	for i, m := range a.Members {
-		if err := checkAddress(m.Address, true); err != nil {
+	for i, member := range a.Members {
+		if err := checkAddress(member.Address, true); err != nil {
 			return fmt.Errorf("members[%d].address: %w", i, err)
 		}
-		if m.Name == "" || seen[m.Name] {
-			return fmt.Errorf("members[%d].name: %q is missing or stands twice", i, m.Name)
+		if member.Name == "" || seen[member.Name] {
+			return fmt.Errorf("members[%d].name: %q is missing or stands twice", i, member.Name)
 		}
-		seen[m.Name] = true
+		seen[member.Name] = true
 	}
-	if a.Dir != "" {
-		if info, err := os.Stat(a.Dir); err != nil || !info.IsDir() {
-			return fmt.Errorf("dir: %q is no directory", a.Dir)
-		}
+	return nil
+}
+
+func (a *Agreement) checkDir() error {
+	if a.Dir == "" {
+		return nil
+	}
+	if info, err := os.Stat(a.Dir); err != nil || !info.IsDir() {
+		return fmt.Errorf("dir: %q is no directory", a.Dir)
 	}
+	return nil
+}
+
+func (a *Agreement) checkLimits(set scheduler.Settings) error {
 	plans := map[string]scheduler.Plan{}
-	for _, p := range set.Plans {
-		plans[p.Name] = p
+	for _, plan := range set.Plans {
+		plans[plan.Name] = plan
 	}
 	for name, floor := range a.Limits {
-		switch p, known := plans[name]; {
-		case !known:
+		plan, known := plans[name]
+		if !known {
 			return fmt.Errorf("limits.%s: no such plan", name)
-		case !(floor > 0) || p.Limit > 0 && floor > p.Limit:
-			return fmt.Errorf("limits.%s: %v is not above 0, or above the plan's limit of %v", name, floor, p.Limit)
+		}
+		if !(floor > 0) || plan.Limit > 0 && floor > plan.Limit {
+			return fmt.Errorf("limits.%s: %v is not above 0, or above the plan's limit of %v", name, floor, plan.Limit)
 		}
 	}
 	return nil
--- a/internal/config/sinks.go
+++ b/internal/config/metrics.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"net"
-	"strconv"
 	"time"
 
 	"junctionwharf/internal/collectd"
@@ -12,34 +10,47 @@
 	"junctionwharf/telemetry"
 )
 
-// The defaults and bounds of what a site file says of figures.
 const (
-	defaultIntervalS  = 10
-	maxIntervalS      = 3600
-	defaultPrefix     = "junctionwharf"
+	// defaultIntervalS is the time between two exports, in seconds. Higher, graphs are coarser; lower, the receiver
+	// has more to store.
+	defaultIntervalS = 10
+	maxIntervalS     = 3600
+	// defaultPrefix begins the names of series.
+	defaultPrefix = "junctionwharf"
+	// defaultQueueBytes bounds the intervals that wait for a receiver. Higher, an outage costs more memory; lower,
+	// more of it is lost.
 	defaultQueueBytes = 4 << 20
 	minQueueBytes     = 64 << 10
 	maxQueueBytes     = 1 << 30
-	fixedSeries       = 100 // the core's own figures and those of the sinks, at the most, besides three a class
+	// fixedSeries is how many series the core and the exporters have at the most, besides those of each class. Lower,
+	// a figure of theirs would be left out of the exports.
+	fixedSeries = 100
+	// seriesPerClass is how many series each class has.
+	seriesPerClass = 3
 )
 
-// Telemetry bounds what the sinks are told.
+// Telemetry bounds what is exported.
 type Telemetry struct {
 	MaxSeries     int `toml:"max_series"`
 	MaxBytes      int `toml:"max_bytes"`      // memory of all rows of series
-	IdleIntervals int `toml:"idle_intervals"` // a volume without requests for so long leaves
+	IdleIntervals int `toml:"idle_intervals"` // a volume without requests for so long is left out
 }
 
 // Options are those of a registry for a broker with such settings.
 func (t Telemetry) Options(set scheduler.Settings) telemetry.Options {
-	o := telemetry.Options{MaxSeries: t.MaxSeries, MaxBytes: t.MaxBytes, Idle: t.IdleIntervals, Fixed: fixedSeries + 3*len(set.Classes)}
-	for _, c := range set.Classes {
-		o.Classes = append(o.Classes, c.Name)
+	options := telemetry.Options{
+		MaxSeries: t.MaxSeries,
+		MaxBytes:  t.MaxBytes,
+		Idle:      t.IdleIntervals,
+		Fixed:     fixedSeries + seriesPerClass*len(set.Classes),
 	}
-	for _, p := range set.Plans {
-		o.Plans = append(o.Plans, p.Name)
+	for _, class := range set.Classes {
+		options.Classes = append(options.Classes, class.Name)
 	}
-	return o
+	for _, plan := range set.Plans {
+		options.Plans = append(options.Plans, plan.Name)
+	}
+	return options
 }
 
 func (t Telemetry) check(set scheduler.Settings) error {
@@ -55,15 +66,17 @@
 	return t.Options(set).Check()
 }
 
-// Receiver is what sinks of figures have in common.
+// Receiver is what receivers of metrics have in common.
 type Receiver struct {
 	Address    string `toml:"address"` // host:port; empty: off
 	IntervalS  int    `toml:"interval_s"`
-	QueueBytes int    `toml:"queue_bytes"` // intervals that wait for the sink
+	QueueBytes int    `toml:"queue_bytes"` // intervals that wait for the receiver
 }
 
-// Interval is the time between two pushes.
-func (r Receiver) Interval() time.Duration { return time.Duration(r.IntervalS) * time.Second }
+// Interval is the time between two exports.
+func (r Receiver) Interval() time.Duration {
+	return time.Duration(r.IntervalS) * time.Second
+}
 
 func (r *Receiver) complete() error {
 	if err := checkHostPort(r.Address); err != nil {
@@ -84,20 +97,15 @@
 	return nil
 }
 
-// checkHostPort takes a name too: a sink may be looked up, which the platform's own addresses may not.
-func checkHostPort(address string) error {
-	if address == "" {
-		return nil
-	}
-	host, port, err := net.SplitHostPort(address)
-	if err != nil || host == "" {
-		return fmt.Errorf("%q is no host:port", address)
-	}
-	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return fmt.Errorf("%q has no port within 1 to 65535", address)
-	}
-	return nil
-}
+// The values of a Graphite receiver's keys.
+const (
+	protocolPlaintext = "plaintext"
+	protocolPickle    = "pickle"
+	transportTCP      = "tcp"
+	transportUDP      = "udp"
+	namesDotted       = "dotted"
+	namesTagged       = "tagged"
+)
 
 // Graphite is a Carbon receiver.
 type Graphite struct {
@@ -110,7 +118,7 @@
 
 // Naming is the way names are written.
 func (g Graphite) Naming() graphite.Naming {
-	if g.Names == "tagged" {
+	if g.Names == namesTagged {
 		return graphite.Tagged
 	}
 	return graphite.Dotted
@@ -120,20 +128,24 @@
 	if err := g.Receiver.complete(); err != nil {
 		return err
 	}
-	for _, c := range []struct {
-		key   string
-		value *string
-		words [2]string // the first is the default
-	}{{"protocol", &g.Protocol, [2]string{"plaintext", "pickle"}}, {"transport", &g.Transport, [2]string{"tcp", "udp"}},
-		{"names", &g.Names, [2]string{"dotted", "tagged"}}} {
-		if *c.value == "" {
-			*c.value = c.words[0]
+	for _, choice := range []struct {
+		key      string
+		value    *string
+		fallback string
+		other    string
+	}{
+		{"protocol", &g.Protocol, protocolPlaintext, protocolPickle},
+		{"transport", &g.Transport, transportTCP, transportUDP},
+		{"names", &g.Names, namesDotted, namesTagged},
+	} {
+		if *choice.value == "" {
+			*choice.value = choice.fallback
 		}
-		if *c.value != c.words[0] && *c.value != c.words[1] {
-			return fmt.Errorf("%s: %q is neither %q nor %q", c.key, *c.value, c.words[0], c.words[1])
+		if *choice.value != choice.fallback && *choice.value != choice.other {
+			return fmt.Errorf("%s: %q is neither %q nor %q", choice.key, *choice.value, choice.fallback, choice.other)
 		}
 	}
-	if g.Protocol == "pickle" && g.Transport == "udp" {
+	if g.Protocol == protocolPickle && g.Transport == transportUDP {
 		return fmt.Errorf("transport: pickles go over tcp only")
 	}
 	if g.Prefix == "" {
@@ -155,31 +167,40 @@
 	Key collectd.Key `toml:"-"` // read from the key file
 }
 
-var securities = map[string]collectd.Security{"none": collectd.Open, "sign": collectd.Signed, "encrypt": collectd.Encrypted}
+const securityNone = "none"
 
-// SecurityLevel is how packets are guarded.
-func (c Collectd) SecurityLevel() collectd.Security { return securities[c.Security] }
+var securityLevels = map[string]collectd.Security{
+	securityNone: collectd.Open,
+	"sign":       collectd.Signed,
+	"encrypt":    collectd.Encrypted,
+}
+
+// SecurityLevel is how packets are protected.
+func (c Collectd) SecurityLevel() collectd.Security {
+	return securityLevels[c.Security]
+}
 
 func (c *Collectd) complete() error {
 	if err := c.Receiver.complete(); err != nil {
 		return err
 	}
 	if c.Security == "" {
-		c.Security = "none"
+		c.Security = securityNone
 	}
-	guard, known := securities[c.Security]
+	level, known := securityLevels[c.Security]
 	if !known {
 		return fmt.Errorf("security: %q is neither \"none\", \"sign\" nor \"encrypt\"", c.Security)
 	}
-	if c.Address == "" || guard == collectd.Open {
+	if c.Address == "" || level == collectd.Open {
 		return nil
 	}
 	if c.KeyFile == "" {
 		return fmt.Errorf("key_file: missing, and security is %q", c.Security)
 	}
-	var err error
-	if c.Key, err = collectd.ReadKey(c.KeyFile, c.User); err != nil {
+	key, err := collectd.ReadKey(c.KeyFile, c.User)
+	if err != nil {
 		return fmt.Errorf("key_file: %w", err)
 	}
+	c.Key = key
 	return nil
 }
--- /dev/null
+++ b/internal/config/settings_check.go
@@ -0,0 +1,163 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+
+	"junctionwharf/broker"
+	"junctionwharf/scheduler"
+)
+
+const (
+	// defaultConnIdle is when idle connections to nodes end. Higher, they take sockets that other nodes need; lower,
+	// requests after a pause wait for a connection.
+	defaultConnIdle = 30 * broker.Second
+	// defaultConnectTimeout bounds a connection to a node. Higher, a request to a node that is gone is retried later;
+	// lower, a busy node counts as gone.
+	defaultConnectTimeout = broker.Second / 4
+)
+
+// complete checks the settings and sets what they leave out.
+func (s *Settings) complete() error {
+	if err := s.completeConnections(); err != nil {
+		return err
+	}
+	if err := checkClasses(s.Scheduler.Classes); err != nil {
+		return err
+	}
+	if err := checkPlans(s.Scheduler.Plans); err != nil {
+		return err
+	}
+	if err := checkNotNegative(s.figures()); err != nil {
+		return err
+	}
+	if s.Scheduler.Capabilities.MaxAttempts < 1 {
+		return fmt.Errorf("bounds.maxAttempts: %d is not above 0", s.Scheduler.Capabilities.MaxAttempts)
+	}
+	if s.Scheduler.Brokers < 1 {
+		return fmt.Errorf("nInstances: %d is below 1", s.Scheduler.Brokers)
+	}
+	if s.Scheduler.Ordinal < 0 || s.Scheduler.Ordinal >= s.Scheduler.Brokers {
+		return fmt.Errorf("ordinal: %d is not below nInstances (%d)", s.Scheduler.Ordinal, s.Scheduler.Brokers)
+	}
+	return s.Scheduler.Validate()
+}
+
+func (s *Settings) completeConnections() error {
+	if s.ConnIdle < 0 {
+		return fmt.Errorf("bounds.connIdle: %d is below 0", s.ConnIdle)
+	}
+	if s.ConnectTimeout < 0 {
+		return fmt.Errorf("bounds.connectTimeout: %d is below 0", s.ConnectTimeout)
+	}
+	if s.Shards < 0 {
+		return fmt.Errorf("specifics.nShards: %d is below 0", s.Shards)
+	}
+	if s.ConnIdle == 0 {
+		s.ConnIdle = defaultConnIdle
+	}
+	if s.ConnectTimeout == 0 {
+		s.ConnectTimeout = defaultConnectTimeout
+	}
+	return nil
+}
+
+func checkClasses(classes []scheduler.Class) error {
+	if len(classes) == 0 {
+		return errors.New("classes: none")
+	}
+	names := map[string]bool{}
+	for i, class := range classes {
+		if class.Name == "" || names[class.Name] {
+			return fmt.Errorf("classes[%d].name: %q is missing or stands twice", i, class.Name)
+		}
+		names[class.Name] = true
+		if class.Deadline <= 0 {
+			return fmt.Errorf("classes[%d].deadline: it is not above 0", i)
+		}
+		if class.LatencyObjective <= 0 {
+			return fmt.Errorf("classes[%d].aim: it is not above 0", i)
+		}
+	}
+	return nil
+}
+
+func checkPlans(plans []scheduler.Plan) error {
+	names := map[string]bool{}
+	for i, plan := range plans {
+		if plan.Name == "" || names[plan.Name] {
+			return fmt.Errorf("serviceLevels[%d].name: %q is missing or stands twice", i, plan.Name)
+		}
+		names[plan.Name] = true
+	}
+	return nil
+}
+
+// figure is a number with its key.
+type figure struct {
+	key   string
+	value float64
+}
+
+// checkNotNegative names the key whose figure is below 0, before anything is served by it.
+func checkNotNegative(figures []figure) error {
+	for _, f := range figures {
+		if f.value < 0 {
+			return fmt.Errorf("%s: it is below 0", f.key)
+		}
+	}
+	return nil
+}
+
+// figures are those of the settings that must not be below 0.
+func (s *Settings) figures() []figure {
+	set := &s.Scheduler
+	figures := []figure{
+		{"invariants.answerSlack", float64(set.Rules.AnswerSlack)},
+		{"invariants.drainGrace", float64(set.Rules.DrainGrace)},
+		{"invariants.cold", float64(set.Rules.WarmUpTime)},
+		{"invariants.coldShare", set.Rules.InitialCapacity},
+		{"invariants.fall", float64(set.Rules.OverloadWindow)},
+		{"invariants.fallMultiple", set.Rules.OverloadMultiple},
+		{"invariants.mustAskIn", float64(set.Rules.PollDeadline)},
+		{"invariants.keyQuiet", float64(set.Rules.QuietPeriod)},
+		{"invariants.extraFloor", set.Rules.RetryBudgetMin},
+		{"invariants.resendRatio", set.Rules.RetryBudgetRatio},
+		{"invariants.ratioSpan", float64(set.Rules.RetryBudgetWindow)},
+		{"bounds.maxRetryAfter", float64(set.Capabilities.MaxRetryAfter)},
+		{"specifics.usualUnits", set.MeanUnits},
+		{"specifics.maxUnits", set.MaxUnits},
+		{"specifics.youngLimit", set.SlowStartUnits},
+		{"specifics.usePeriod", float64(set.MeterPeriod)},
+		{"specifics.withinShare", set.ShareWeight},
+		{"specifics.idleWorth", set.SpareWeight},
+	}
+	for i, class := range set.Classes {
+		figures = append(figures, classFigures(fmt.Sprintf("classes[%d].", i), class)...)
+	}
+	for i, plan := range set.Plans {
+		figures = append(figures, planFigures(fmt.Sprintf("serviceLevels[%d].", i), plan)...)
+	}
+	return figures
+}
+
+func classFigures(prefix string, class scheduler.Class) []figure {
+	return []figure{
+		{prefix + "window", float64(class.DedupWindow)},
+		{prefix + "importance", class.PriorityWeight},
+		{prefix + "lateWorth", class.LateWeight},
+		{prefix + "aimStretch", class.ObjectiveStretch},
+	}
+}
+
+func planFigures(prefix string, plan scheduler.Plan) []figure {
+	return []figure{
+		{prefix + "nominal", plan.Rate},
+		{prefix + "floorRate", plan.ReservedRate},
+		{prefix + "ceilingRate", plan.Limit},
+		{prefix + "capDepth", plan.LimitBurst},
+		{prefix + "tolerance", plan.LimitOverdraft},
+		{prefix + "parts", plan.Weight},
+		{prefix + "price", plan.Price},
+	}
+}
