--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -125,7 +125,7 @@
 		return fmt.Errorf("source: discovery stands %d times", discoveries)
 	}
 	if len(m.Sources) > 0 {
-		return m.Options().Check()
+		return m.Options().Validate()
 	}
 	if m.Snapshot != "" {
 		return errors.New("snapshot: it needs a source")
