--- a/internal/dnssrv/dnssrv_test.go
+++ b/internal/dnssrv/dnssrv_test.go
@@ -191,7 +191,7 @@
 func TestWatch(t *testing.T) {
 	s := server(t)
 	s.Set(service, 1, names(3)...)
-	w := &Watcher{Resolver: resolver(t, s), Name: service, Facts: Mapping{UseTXT: true, Shard: -1}}
+	w := &Watcher{Resolver: resolver(t, s), Name: service, Mapping: Mapping{UseTXT: true, Shard: -1}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	news := make(chan Update, 100)
@@ -210,11 +210,11 @@
 			}
 		}
 	}
-	if n := await("list", func(n Update) bool { return len(n.Entries) == 3 }); n.Entries[2].Shard != 2 || n.Entries[2].Share != 1.5 {
+	if n := await("list", func(n Update) bool { return len(n.Endpoints) == 3 }); n.Endpoints[2].Shard != 2 || n.Endpoints[2].Share != 1.5 {
 		t.Errorf("%+v", n)
 	}
 	s.Set(service, 1, names(2)...)
-	await("shorter list", func(n Update) bool { return len(n.Entries) == 2 && n.Err == nil })
+	await("shorter list", func(n Update) bool { return len(n.Endpoints) == 2 && n.Err == nil })
 	s.Separate()
 	torn := names(2)
 	torn[1].Addresses = nil
@@ -222,11 +222,11 @@
 	w.Resolver.mu.Lock()
 	clear(w.Resolver.cache)
 	w.Resolver.mu.Unlock()
-	await("list with a target that keeps its address", func(n Update) bool { return len(n.Entries) == 2 && len(n.Skipped) == 1 })
+	await("list with a target that keeps its address", func(n Update) bool { return len(n.Endpoints) == 2 && len(n.Skipped) == 1 })
 	s.Play(fakes.Silent)
 	await("failure", func(n Update) bool { return n.Err != nil })
 	s.Play(fakes.NoData)
-	await("empty list", func(n Update) bool { return n.Err == nil && len(n.Entries) == 0 })
+	await("empty list", func(n Update) bool { return n.Err == nil && len(n.Endpoints) == 0 })
 }
 
 // No answer, however spoilt, is taken for one to another question, or ends in a panic.
--- a/internal/dnssrv/watch.go
+++ b/internal/dnssrv/watch.go
@@ -84,7 +84,7 @@
 // Update is what a Watcher tells: the whole list of a name, or that it could not be had.
 type Update struct {
 	QueriedAt time.Time // when the question was asked
-	Entries   []Endpoint
+	Endpoints []Endpoint
 	Skipped   []string // entries that were left out, and why
 	Err       error
 }
@@ -93,7 +93,7 @@
 type Watcher struct {
 	Resolver *Resolver
 	Name     string
-	Facts    Mapping
+	Mapping  Mapping
 
 	held map[string]Endpoint // by target
 }
@@ -134,7 +134,7 @@
 // once asks for the list. A target whose address could not be had is not one that was removed: it stays as it was.
 func (w *Watcher) once(ctx context.Context) (Update, time.Duration) {
 	news := Update{QueriedAt: time.Now()}
-	answer, err := w.Resolver.Lookup(ctx, w.Name, w.Facts.UseTXT)
+	answer, err := w.Resolver.Lookup(ctx, w.Name, w.Mapping.UseTXT)
 	if errors.Is(err, ErrNoRecords) {
 		return news, answer.TTL
 	}
@@ -144,7 +144,7 @@
 	}
 	here := map[string]Endpoint{}
 	add := func(e Endpoint) {
-		news.Entries = append(news.Entries, e)
+		news.Endpoints = append(news.Endpoints, e)
 		here[e.Target] = e
 	}
 	for _, lost := range answer.Unresolved {
@@ -154,14 +154,14 @@
 		}
 	}
 	for _, r := range answer.Records {
-		e, err := w.Facts.entry(r)
+		e, err := w.Mapping.entry(r)
 		if err != nil {
 			news.Skipped = append(news.Skipped, err.Error())
 			continue
 		}
 		add(e)
 	}
-	if len(news.Entries) == 0 {
+	if len(news.Endpoints) == 0 {
 		news.Err = fmt.Errorf("none of %d records can be used: %s", len(news.Skipped), news.Skipped[0])
 		return news, 0
 	}
--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		w := &dnssrv.Watcher{Resolver: resolver, Name: s.SRV, Facts: s.Mapping()}
+		w := &dnssrv.Watcher{Resolver: resolver, Name: s.SRV, Mapping: s.Mapping()}
 		go w.Run(ctx, func(u dnssrv.Update) { m.handleDNS(ctx, s.Name, u) })
 	case kindFile:
 		go m.pollFile(ctx, s)
@@ -47,7 +47,7 @@
 		AskedAt:  int64(m.clock.Now()) - time.Since(u.QueriedAt).Microseconds(),
 		Complete: true,
 	}
-	for _, e := range u.Entries {
+	for _, e := range u.Endpoints {
 		a.Entries = append(a.Entries, membership.Entry{
 			Name:          e.Target,
 			Address:       e.Address,
