--- /dev/null
+++ b/internal/dnssrv/resolver_test.go
@@ -0,0 +1,236 @@
+package dnssrv
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/miekg/dns"
+
+	"junctionwharf/internal/fakes"
+)
+
+const service = "_resp._tcp.storage.example.org"
+
+func startServer(t *testing.T) *fakes.DNS {
+	t.Helper()
+	server, err := fakes.NewDNS("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.Close)
+	return server
+}
+
+// newTestResolver asks servers without a bound on queries, and soon gives one up.
+func newTestResolver(t *testing.T, servers ...*fakes.DNS) *Resolver {
+	t.Helper()
+	options := Options{Timeout: 150 * time.Millisecond, Rate: 1e6, Burst: 1e6}
+	for _, server := range servers {
+		options.Servers = append(options.Servers, server.Address())
+	}
+	resolver, err := NewResolver(options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resolver
+}
+
+// testNames are so many targets with an IPv4 and an IPv6 address each.
+func testNames(count int) []fakes.Name {
+	var names []fakes.Name
+	for i := range count {
+		names = append(names, fakes.Name{
+			Target:    fmt.Sprintf("s%d-a.storage.example.org", i),
+			Port:      6379,
+			Priority:  uint16(i % 2),
+			Weight:    uint16(i),
+			Addresses: []string{fmt.Sprintf("10.0.%d.%d", i/250, i%250), fmt.Sprintf("fd00::%x", i+1)},
+			Text:      fmt.Sprintf("shard=%d share=1.5", i),
+		})
+	}
+	return names
+}
+
+// checkAnswerOf wants an answer that holds testNames.
+func checkAnswerOf(t *testing.T, count int, got Answer, err error) {
+	t.Helper()
+	if err != nil || len(got.Records) != count || len(got.Unresolved) > 0 {
+		t.Fatalf("%d records, unresolved %v, %v", len(got.Records), got.Unresolved, err)
+	}
+	for i, want := range testNames(count) {
+		record := got.Records[i]
+		same := record.Target == want.Target && record.Priority == want.Priority && record.Weight == want.Weight
+		if !same || len(record.Addresses) != 2 || record.Addresses[0] != want.Addresses[0]+":6379" {
+			t.Fatalf("%+v, want %+v", record, want)
+		}
+	}
+}
+
+// A name server misbehaves in each way that the fake knows, first alone and then with a sound one behind it. The
+// resolver answers, or fails with an error that says how, and asks the next server.
+func TestMisbehavingServers(t *testing.T) {
+	const noRecords = "no such record"
+	for trick, want := range map[fakes.Trick]string{
+		fakes.Honest:     "",
+		fakes.Truncated:  "",
+		fakes.Spoofed:    "",
+		fakes.ThirdOnly:  "",
+		fakes.Late:       "timeout",
+		fakes.Silent:     "timeout",
+		fakes.ServFail:   "SERVFAIL",
+		fakes.RefusedAll: "REFUSED",
+		fakes.NoName:     noRecords,
+		fakes.NoData:     noRecords,
+		fakes.TornTCP:    "EOF",
+		fakes.WrongID:    "another id",
+		fakes.Rubbish:    "dns",
+		fakes.Looping:    "circle",
+	} {
+		bad := startServer(t)
+		bad.Set(service, 5, testNames(3)...)
+		bad.Play(trick)
+		resolver := newTestResolver(t, bad)
+		resolver.options.Attempts = 3
+		got, err := resolver.Lookup(context.Background(), service, false)
+		if want == "" {
+			checkAnswerOf(t, 3, got, err)
+		} else if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("trick %d: %v, want %s", trick, err, want)
+		}
+		if errors.Is(err, ErrNoRecords) != (want == noRecords) {
+			t.Errorf("trick %d: %v", trick, err)
+		}
+		if want == "" || want == noRecords || want == "circle" {
+			continue
+		}
+		good := startServer(t)
+		good.Set(service, 5, testNames(3)...)
+		got, err = newTestResolver(t, bad, good).Lookup(context.Background(), service, false)
+		checkAnswerOf(t, 3, got, err)
+	}
+}
+
+// Five hundred records do not fit into a datagram.
+func TestManyRecords(t *testing.T) {
+	server := startServer(t)
+	server.Set(service, 30, testNames(500)...)
+	got, err := newTestResolver(t, server).Lookup(context.Background(), service, false)
+	checkAnswerOf(t, 500, got, err)
+}
+
+// Addresses and texts that do not come with the SRV records are asked for and cached. When the server falls silent
+// they serve on past their lifetime, but not for hours.
+func TestCache(t *testing.T) {
+	server := startServer(t)
+	server.Separate()
+	server.Set(service, 30, testNames(10)...)
+	resolver := newTestResolver(t, server)
+	got, err := resolver.Lookup(context.Background(), service, true)
+	checkAnswerOf(t, 10, got, err)
+	if got.Records[7].TXT[0] != "shard=7 share=1.5" {
+		t.Errorf("%q", got.Records[7].TXT)
+	}
+	before := server.Asked()
+	var lookups sync.WaitGroup
+	for range 10 {
+		lookups.Go(func() {
+			if _, err := resolver.Lookup(context.Background(), service, true); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	lookups.Wait()
+	if asked := server.Asked() - before; asked != 10 {
+		t.Errorf("%d questions for 10 lists", asked)
+	}
+	server.Play(fakes.Silent)
+	address := question{name: "s1-a.storage.example.org.", kind: dns.TypeA}
+	resolver.now = func() time.Time { return time.Now().Add(10 * time.Minute) }
+	if records, _, err := resolver.cached(context.Background(), address); err != nil || len(records) != 1 {
+		t.Errorf("%v, %v", records, err)
+	}
+	resolver.now = func() time.Time { return time.Now().Add(3 * time.Hour) }
+	if _, _, err := resolver.cached(context.Background(), address); err == nil {
+		t.Error("an address is used three hours past its lifetime")
+	}
+}
+
+// Lifetimes are kept within the options.
+func TestLifetimes(t *testing.T) {
+	server := startServer(t)
+	resolver := newTestResolver(t, server)
+	for ttl, want := range map[uint32]time.Duration{0: time.Second, 7: 7 * time.Second, 7 * 86400: time.Minute} {
+		server.Set(service, ttl, testNames(2)...)
+		got, err := resolver.Lookup(context.Background(), service, false)
+		if err != nil || got.TTL != want {
+			t.Errorf("a lifetime of %d counts as %v, %v", ttl, got.TTL, err)
+		}
+	}
+}
+
+// Aliases are followed a bounded way.
+func TestAliases(t *testing.T) {
+	server := startServer(t)
+	resolver := newTestResolver(t, server)
+	server.Set(service, 7, testNames(2)...)
+	server.Alias("a.example.org", "b.example.org")
+	server.Alias("b.example.org", service)
+	got, err := resolver.Lookup(context.Background(), "a.example.org", false)
+	checkAnswerOf(t, 2, got, err)
+	for i := range 12 {
+		server.Alias(fmt.Sprintf("c%d.example.org", i), fmt.Sprintf("c%d.example.org", i+1))
+	}
+	if _, err := resolver.Lookup(context.Background(), "c0.example.org", false); !errors.Is(err, errLongChain) {
+		t.Errorf("a chain of 12: %v", err)
+	}
+}
+
+// The bound on queries holds for the process, whatever is asked.
+func TestRate(t *testing.T) {
+	server := startServer(t)
+	server.Set(service, 1, testNames(1)...)
+	resolver := newTestResolver(t, server)
+	resolver.options.Rate = 0.001
+	resolver.options.Burst = 3
+	resolver.tokens = 3
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+	defer cancel()
+	failed := 0
+	for range 5 {
+		if _, err := resolver.Lookup(ctx, service, false); err != nil {
+			failed++
+		}
+	}
+	if failed != 2 || server.Asked() != 3 || resolver.Queries() != 3 {
+		t.Errorf("%d failed, %d asked, %d counted", failed, server.Asked(), resolver.Queries())
+	}
+}
+
+// No answer, however spoilt, counts as one to another question, or ends in a panic.
+func FuzzCheckAnswer(f *testing.F) {
+	query := new(dns.Msg)
+	query.SetQuestion("a.example.org.", dns.TypeSRV)
+	query.Id = 7
+	answer := new(dns.Msg)
+	answer.SetReply(query)
+	packed, err := answer.Pack()
+	if err != nil {
+		f.Fatal(err)
+	}
+	f.Add(packed)
+	f.Add(packed[:12])
+	f.Fuzz(func(t *testing.T, b []byte) {
+		msg := new(dns.Msg)
+		if msg.Unpack(b) != nil || checkAnswer(query, msg) != nil {
+			return
+		}
+		if msg.Id != 7 || len(msg.Question) != 1 || !strings.EqualFold(msg.Question[0].Name, "a.example.org.") {
+			t.Fatalf("%v", msg)
+		}
+	})
+}
--- /dev/null
+++ b/internal/dnssrv/watcher_test.go
@@ -0,0 +1,69 @@
+package dnssrv
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"junctionwharf/internal/fakes"
+)
+
+// updateReader waits for updates of a watcher.
+type updateReader struct {
+	updates chan Update
+	timeout <-chan time.Time
+}
+
+// await returns the first update that fits.
+func (r *updateReader) await(t *testing.T, what string, fits func(Update) bool) Update {
+	t.Helper()
+	for {
+		select {
+		case update := <-r.updates:
+			if fits(update) {
+				return update
+			}
+		case <-r.timeout:
+			t.Fatalf("no %s", what)
+		}
+	}
+}
+
+// A list gets shorter, a target loses its address, the server falls silent, and then there are no records. The
+// watcher passes on each list, an empty one where there is no record, and failures; the target without an address
+// stays.
+func TestWatch(t *testing.T) {
+	server := startServer(t)
+	server.Set(service, 1, testNames(3)...)
+	watcher := &Watcher{
+		Resolver: newTestResolver(t, server),
+		Name:     service,
+		Mapping:  Mapping{UseTXT: true, Shard: -1},
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	reader := &updateReader{updates: make(chan Update, 100), timeout: time.After(20 * time.Second)}
+	go watcher.Run(ctx, func(update Update) { reader.updates <- update })
+
+	full := reader.await(t, "list", func(u Update) bool { return len(u.Endpoints) == 3 })
+	if full.Endpoints[2].Shard != 2 || full.Endpoints[2].Share != 1.5 {
+		t.Errorf("%+v", full)
+	}
+	server.Set(service, 1, testNames(2)...)
+	reader.await(t, "shorter list", func(u Update) bool { return len(u.Endpoints) == 2 && u.Err == nil })
+
+	server.Separate()
+	names := testNames(2)
+	names[1].Addresses = nil
+	server.Set(service, 1, names...)
+	watcher.Resolver.mu.Lock()
+	clear(watcher.Resolver.cache)
+	watcher.Resolver.mu.Unlock()
+	reader.await(t, "list with a target that keeps its address", func(u Update) bool {
+		return len(u.Endpoints) == 2 && len(u.Skipped) == 1
+	})
+	server.Play(fakes.Silent)
+	reader.await(t, "failure", func(u Update) bool { return u.Err != nil })
+	server.Play(fakes.NoData)
+	reader.await(t, "empty list", func(u Update) bool { return u.Err == nil && len(u.Endpoints) == 0 })
+}
