--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -3,54 +3,96 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"strings"
 	"testing"
 	"time"
 )
 
-func TestFormats(t *testing.T) {
-	var b bytes.Buffer
-	l, err := New(&b, Options{Name: "n1", Format: "json"})
+// A JSON line has its keys and values whatever stands in them.
+func TestJSONFormat(t *testing.T) {
+	var output bytes.Buffer
+	log, err := New(&output, Options{Name: "n1", Format: formatJSON})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Debug("hidden")
-	l.Warn("sink lost", "sink", "graphite", "reason", "a \"quoted\"\nreason")
+	const reason = "a \"quoted\"\nreason"
+	log.Debug("hidden")
+	log.Warn("sink lost", "sink", "graphite", "reason", reason)
 	var line map[string]any
-	if err := json.Unmarshal(b.Bytes(), &line); err != nil || line["msg"] != "sink lost" || line["broker"] != "n1" || line["reason"] != "a \"quoted\"\nreason" {
-		t.Errorf("%s: %v", b.String(), err)
+	if err := json.Unmarshal(output.Bytes(), &line); err != nil {
+		t.Fatalf("%s: %v", output.String(), err)
 	}
-	b.Reset()
-	if l, err = New(&b, Options{Name: "n1", Level: slog.LevelWarn}); err != nil {
+	if line["msg"] != "sink lost" || line["broker"] != "n1" || line["reason"] != reason {
+		t.Errorf("%s", output.String())
+	}
+	if _, hasClock := line["mono_us"].(float64); !hasClock {
+		t.Errorf("no monotonic clock in %s", output.String())
+	}
+}
+
+// A human line is one line, without colours in a file.
+func TestHumanFormat(t *testing.T) {
+	var output bytes.Buffer
+	log, err := New(&output, Options{Name: "n1", Level: slog.LevelWarn})
+	if err != nil {
 		t.Fatal(err)
 	}
-	l.Info("hidden")
-	l.Warn("sink lost", "reason", "two\nlines")
-	if text := b.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, "WRN sink lost broker=n1") || strings.Contains(text, "\x1b") {
+	log.Info("hidden")
+	log.Warn("sink lost", "reason", "two\nlines")
+	text := output.String()
+	if strings.Count(text, "\n") != 1 || strings.Contains(text, "\x1b") {
 		t.Errorf("%q", text)
 	}
-	if _, err := New(&b, Options{Format: "xml"}); err == nil {
-		t.Error("a format that there is not is taken")
+	if !strings.Contains(text, "WRN sink lost broker=n1") {
+		t.Errorf("%q", text)
 	}
 }
 
-// Lines that repeat are sampled, others are not, and what was left out is said.
+// An unknown format is an error that names the known ones.
+func TestUnknownFormat(t *testing.T) {
+	_, err := New(&bytes.Buffer{}, Options{Format: "xml"})
+	if !errors.Is(err, ErrFormat) || err.Error() != `"xml" is none of human, json` {
+		t.Error(err)
+	}
+}
+
+// A fault repeats itself a hundred times while other lines come. Its lines are sampled, others are not, and the next
+// line says how many were left out.
 func TestSample(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var lines []string
-	l := slog.New(Sample(ToFunc(func(line string) { lines = append(lines, line) }).Handler(), func() time.Time { return now })).With("broker", "n1")
+	handler := ToFunc(func(line string) { lines = append(lines, line) }).Handler()
+	log := slog.New(Sample(handler, func() time.Time { return now })).With("broker", "n1")
 	for i := range 100 {
-		l.Warn("again", "i", i)
+		log.Warn("again", "i", i)
 	}
-	l.Error("again")
-	l.Warn("other")
+	log.Error("again")
+	log.Warn("other")
 	now = now.Add(sampleWindow)
-	l.Warn("again", "i", 100)
-	if len(lines) != sampleLines+3 || lines[0] != "again broker=n1 i=0" || lines[sampleLines+2] != "again broker=n1 i=100 left_out=95" {
-		t.Errorf("%q", lines)
+	log.Warn("again", "i", 100)
+	if len(lines) != maxLinesPerWindow+3 {
+		t.Fatalf("%q", lines)
+	}
+	if first := lines[0]; first != "again broker=n1 i=0" {
+		t.Errorf("%q", first)
+	}
+	if last := lines[len(lines)-1]; last != "again broker=n1 i=100 left_out=95" {
+		t.Errorf("%q", last)
+	}
+}
+
+// More messages than the sampler tells apart do not make its table grow.
+func TestSampleTableIsBounded(t *testing.T) {
+	handler, isSampling := Sample(slog.DiscardHandler, time.Now).(*samplingHandler)
+	if !isSampling {
+		t.Fatal("no sampling handler")
+	}
+	for i := range 3 * maxMessageKinds {
+		handler.sampler.sample(messageKind{message: strings.Repeat("x", i)})
 	}
-	for i := range 3 * sampleKinds {
-		l.Info(strings.Repeat("x", i%700))
+	if n := len(handler.sampler.windows); n > maxMessageKinds {
+		t.Errorf("%d kinds are held", n)
 	}
 }
