--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -14,7 +14,7 @@
 	// operator waits longer for a change beside an outage; lower, a short loss of messages restricts brokers to the
 	// safe values.
 	defaultBoundMS = 2000
-	// minBoundMS keeps a lease above the usual delays of a machine, maxBoundMS a change within an operator's patience.
+	// minBoundMS keeps a lease above the usual delays of a machine, maxBoundMS a change within an acceptable wait.
 	minBoundMS = 400
 	maxBoundMS = 60_000
 	// defaultMaxChildren is the fan-out of the tree over which a configuration spreads. Higher, a parent has more to
@@ -46,7 +46,7 @@
 	Address string `toml:"address"`
 }
 
-// Enabled tells whether there is anything to agree on.
+// Enabled reports whether there is anything to agree on.
 func (a Agreement) Enabled() bool {
 	return a.Cluster != ""
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,7 +22,7 @@
 // errNoConfig is of an environment that names no file.
 var errNoConfig = errors.New(configVariable + " is not set")
 
-// Config is all that a broker is told.
+// Config is the whole configuration of a broker.
 type Config struct {
 	Name             string
 	Listen           string // host:port for clients
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -23,7 +23,7 @@
 	// than a small machine spares; lower, a large change must be proposed in parts.
 	maxAgreementLineBytes = 256 << 10
 	// AgreementTimeout bounds the answer to an agree call: it waits for the leader and for the brokers that take
-	// part. Lower, an operator is told nothing about a change that then comes into force; higher, an outage is seen
+	// part. Lower, an operator learns nothing about a change that then comes into force; higher, an outage is seen
 	// later.
 	AgreementTimeout = 8 * time.Second
 	// callTimeout bounds the arrival of a call. Lower, an operator who types by hand is cut off; higher, idle
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -137,7 +137,7 @@
 	return err
 }
 
-// openConsole opens the admin server, where there is one. check tells whether clients are accepted, more are further
+// openConsole opens the admin server, where there is one. check reports whether clients are accepted, more are further
 // metrics.
 func (k *control) openConsole(check func() error, more func() []broker.Metric) error {
 	if k.config.Console == "" {
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// mergesSources tells whether the endpoint list comes from several sources, of which discovery may be one.
+// mergesSources reports whether the endpoint list comes from several sources, of which discovery may be one.
 func (k *control) mergesSources() bool {
 	return len(k.config.Site.Membership.Sources) > 0
 }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -6,7 +6,7 @@
 //	subsystems.go   the list in which parts are started, and stopped in reverse
 //	lifecycle.go    Serve: start, wait for SIGTERM or a failure, stop
 //	reload.go       SIGHUP: which settings change while the broker runs
-//	handover.go     two processes of one broker beside each other
+//	handover.go     two processes of one broker during an upgrade
 //	shutdown.go     SIGTERM: who gets an answer until when
 //	control.go      the part of a broker that carries no requests; ServeControl and ServeHollow run it alone
 //
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -13,7 +13,7 @@
 const (
 	// maxOverlap is how long a process that is replaced may live beside the one that replaces it: until SIGTERM
 	// comes, and then SIGKILL. Higher, the new one keeps to half of a plan's limit for longer where the list of
-	// sockets does not tell; lower, both together may exceed it.
+	// sockets cannot be read; lower, both together may exceed it.
 	maxOverlap = time.Second + maxWait + killDelay
 	// redirectTime is how long the successor's listener has had all new connections before the old one closes. Lower,
 	// a connection that the kernel is just setting up is reset.
@@ -27,7 +27,7 @@
 	if s.config.HandoverDisabled {
 		s.handoverOff = true
 		s.log.Info("handover off", "reason",
-			"--handover=false: a process that starts beside this one serves beside it and takes nothing over")
+			"--handover=false: a process that starts beside this one shares nothing with it")
 		return nil
 	}
 	path := handover.SocketPath(os.TempDir(), s.config.Listen)
@@ -50,7 +50,7 @@
 		}
 	})
 	if found {
-		s.log.Info("handover: replacing the process that serves now")
+		s.log.Info("handover: connected to the predecessor")
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	s.clients.ForgetRemoteRequests()
 	s.resize(1)
 	s.loop.Post(broker.ProcessesChanged{Processes: 1})
-	s.log.Info("handover: the other process is gone")
+	s.log.Info("handover: the other process disconnected")
 }
 
 // newestEndpoints is the newest list that is held at the start: the configuration's or the old process's.
@@ -112,7 +112,7 @@
 func (s *service) redirectClients() {
 	for _, listener := range s.listeners {
 		if err := handover.RedirectNewConnections(listener); err != nil {
-			s.log.Warn("handover failed", "reason", err)
+			s.log.Warn("handover: redirecting new connections failed", "reason", err)
 		}
 	}
 	time.Sleep(redirectTime)
@@ -136,19 +136,19 @@
 	terminated bool // SIGTERM came: a successor may be there
 }
 
-// beside tells whether another process has to be counted. Where the list of sockets does not tell, one that may be
-// there is.
-func (p presence) beside() bool {
+// otherMayRun reports whether another process has to be counted. Where the system's list of sockets cannot be read, one
+// that may run is counted.
+func (p presence) otherMayRun() bool {
 	if p.observed == handover.Unknown {
 		return p.atStart || p.terminated
 	}
 	return p.observed == handover.Present
 }
 
-// watchPresence has the core keep to what it may do beside another process that would not connect to it: one that it
-// replaces, or that replaces it. Nobody looks where no plan has a limit. Where the system's list of sockets does not
-// tell, one that was there at the start counts as there until it must have ended, and one may be there from SIGTERM
-// on. It runs until ctx ends.
+// watchPresence has the core share the plans' limits with another process that does not connect to it: one that it
+// replaces, or that replaces it. Without this both would use a whole limit. Where no plan has a limit nothing is
+// watched. Where the system's list of sockets cannot be read, a process that listened at the start counts until it must
+// have ended, and a successor counts from SIGTERM on. It runs until ctx ends.
 func (s *service) watchPresence(ctx, ending context.Context) {
 	observed := make(chan handover.Presence, 1)
 	post := func(state handover.Presence) {
@@ -174,14 +174,14 @@
 		case <-ctx.Done():
 			return
 		}
-		s.postPresence(state.beside())
+		s.postPresence(state.otherMayRun())
 	}
 }
 
-// postPresence tells the core whether another process has to be counted beside this one.
-func (s *service) postPresence(beside bool) {
+// postPresence informs the core whether another process has to be counted.
+func (s *service) postPresence(otherMayRun bool) {
 	unseen := 0
-	if beside {
+	if otherMayRun {
 		unseen = 1
 	}
 	s.loop.Post(broker.ProcessesChanged{Processes: 1, Unseen: unseen})
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// Where the list of sockets does not tell, another process counts while one may be there: from the start on beside
+// Where the list of sockets cannot be read, another process counts while one may run: from the start on after
 // one that listened before, and from SIGTERM on.
-func TestPresenceBeside(t *testing.T) {
+func TestOtherMayRun(t *testing.T) {
 	for _, c := range []struct {
 		presence presence
 		want     bool
@@ -182,7 +182,7 @@
 		{presence{observed: handover.Present}, true},
 		{presence{observed: handover.Absent, atStart: true, terminated: true}, false},
 	} {
-		if got := c.presence.beside(); got != c.want {
+		if got := c.presence.otherMayRun(); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.presence, got, c.want)
 		}
 	}
--- a/internal/daemon/lag.go
+++ b/internal/daemon/lag.go
@@ -25,7 +25,7 @@
 	}
 	metrics.Read(m.sample)
 	if m.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
-		return 0 // this runtime does not tell
+		return 0 // this runtime has no such metric
 	}
 	histogram := m.sample[0].Value.Float64Histogram()
 	if m.before == nil {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,6 +11,9 @@
 	"junctionwharf/internal/resp"
 )
 
+// noticeReloadRejected begins the notification of collectd; operators' rules on it know the words.
+const noticeReloadRejected = "reload turned down: "
+
 // runReloads loads the configuration again at each signal, until ctx ends.
 func (s *service) runReloads(ctx context.Context, reload <-chan os.Signal, load func() (*config.Config, error)) {
 	current := s.config
@@ -26,7 +29,7 @@
 
 // reload loads the configuration and applies its discovery and settings; all else is in force from the next start on.
 // It returns the configuration in force. It guards against a faulty file, of which only a part would be applied: then
-// the old configuration stands as a whole.
+// the old configuration stays in force as a whole.
 func (s *service) reload(old *config.Config, load func() (*config.Config, error)) *config.Config {
 	loaded, err := load()
 	if err == nil {
@@ -34,16 +37,16 @@
 	}
 	s.loop.Metrics.CountReload(err == nil)
 	if err != nil {
-		s.log.Error("reload turned down, the old configuration stands", "reason", err)
+		s.log.Error("reload rejected, the old configuration stays in force", "reason", err)
 		s.exporter.Notify(collectd.Notice{
 			Severity: collectd.Failure,
 			Instance: "reload",
-			Text:     "reload turned down: " + err.Error(),
+			Text:     noticeReloadRejected + err.Error(),
 		})
 		return old
 	}
 	if keys := old.RestartOnlyChanges(loaded); len(keys) > 0 {
-		s.log.Warn("reload: some keys wait for the next start", "keys", strings.Join(keys, ", "))
+		s.log.Warn("reload: some keys need a restart", "keys", strings.Join(keys, ", "))
 	}
 	if loaded.Discovery != old.Discovery {
 		s.watcher.SetAddress(loaded.Discovery)
@@ -84,6 +87,6 @@
 		return
 	}
 	if err := s.endpoints.ApplySettings(membership); err != nil { // the configuration checks them before
-		s.log.Error("sources unchanged", "reason", err)
+		s.log.Error("endpoint sources unchanged", "reason", err)
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -131,7 +131,7 @@
 	for _, fault := range faults {
 		lines = nil
 		current := s.reload(c, loadChanged(fault.old, fault.new))
-		want := "reload turned down, the old configuration stands reason=" + fault.reason
+		want := "reload rejected, the old configuration stays in force reason=" + fault.reason
 		if current != c || len(lines) != 1 || lines[0] != want {
 			t.Errorf("%s: %q", fault.new, lines)
 		}
@@ -142,7 +142,7 @@
 	if current.Discovery != "127.0.0.1:4" || current.Listen != c.Listen {
 		t.Errorf("%+v", current)
 	}
-	if len(lines) != 2 || lines[0] != "reload: some keys wait for the next start keys=listen" {
+	if len(lines) != 2 || lines[0] != "reload: some keys need a restart keys=listen" {
 		t.Errorf("%q", lines)
 	}
 	counts := map[string]uint64{}
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// owesAnswers tells whether a request is open or a client connected.
+// owesAnswers reports whether a request is open or a client connected.
 func (s *service) owesAnswers() bool {
 	return s.loop.OpenRequests() > 0 || s.clientCount() > 0
 }
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -11,7 +11,7 @@
 // Memory. The limit is the whole process's, which the platform ends when it is over.
 const (
 	// heapPart is the part of the memory limit for Go's heap; the rest is for the program itself, sockets and late
-	// collections. Higher, the process is killed in a crowd; lower, fewer clients fit.
+	// collections. Higher, the process is killed under overload; lower, fewer clients fit.
 	heapPart = 0.6
 	// plentyMB is the limit from which memory is plenty, with a greater part for the heap.
 	plentyMB       = 128
@@ -34,7 +34,7 @@
 // Sockets and requests.
 const (
 	// reservedSockets are for all that is neither a client nor a node: peers, discovery, the console, metrics. Lower,
-	// one of these fails in a crowd.
+	// one of these fails under overload.
 	reservedSockets = 40
 	// nodeSocketDivisor gives nodes a quarter of the sockets, up to maxNodeSockets. Fewer, requests wait for
 	// connections; more, clients are rejected.
--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -85,7 +85,7 @@
 	_, _ = fmt.Fprint(w, fullText) // the poll may be given up
 }
 
-// hasDrain tells whether an event says that the node drains.
+// hasDrain reports whether an event says that the node drains.
 func hasDrain(event broker.Event) bool {
 	list, isList := event.(broker.NodesListed)
 	return isList && len(list.Nodes) == 1 && list.Nodes[0].State == scheduler.Draining
--- a/internal/dnssrv/ask.go
+++ b/internal/dnssrv/ask.go
@@ -35,7 +35,7 @@
 	ttl      time.Duration   // the shortest lifetime so far
 }
 
-// check tells whether the chain may go on at a name.
+// check reports whether the chain may go on at a name.
 func (c *chain) check(next string) error {
 	if c.seen[next] {
 		return fmt.Errorf("%s: %w", c.question.name, errCircle)
@@ -111,7 +111,7 @@
 	return records, nil
 }
 
-// continues tells whether an answer leads to another name without saying what stands there.
+// continues reports whether an answer leads to another name without saying what stands there.
 func (c *chain) continues(msg *dns.Msg) bool {
 	return c.name != dns.CanonicalName(msg.Question[0].Name) && len(msg.Answer) > 0
 }
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// HasSuccessor tells whether a successor is connected.
+// HasSuccessor reports whether a successor is connected.
 func (c *Coordinator) HasSuccessor() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/handover/listen_linux.go
+++ b/internal/handover/listen_linux.go
@@ -74,7 +74,7 @@
 	})
 }
 
-// AddressInUse tells whether another process listens at an address, which this one does not yet, or that cannot be
+// AddressInUse reports whether another process listens at an address, which this one does not yet, or that cannot be
 // known. It only binds and does not listen: no client reaches it.
 func AddressInUse(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
--- a/internal/handover/presence.go
+++ b/internal/handover/presence.go
@@ -41,7 +41,7 @@
 	Absent
 )
 
-// PresenceWatcher tells, as far as the system's list of sockets shows, whether this process is the only one that
+// PresenceWatcher reports, as far as the system's list of sockets shows, whether this process is the only one that
 // listens at an address. It needs no message from the other process, nor its good will: one that hangs still has its
 // listener. It is not safe for concurrent use.
 type PresenceWatcher struct {
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -52,7 +52,7 @@
 	SamplingDisabled bool       // no line is left out, however often it comes: for a checker that reads them
 }
 
-// IsTerminal tells whether a file is a terminal: colour and progress are shown there alone.
+// IsTerminal reports whether a file is a terminal: colour and progress are shown there alone.
 func IsTerminal(file *os.File) bool {
 	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/internal/logging/sampler.go
+++ b/internal/logging/sampler.go
@@ -76,7 +76,7 @@
 	windows map[messageKind]*window
 }
 
-// sample counts a line, and tells whether it passes and how many were left out before.
+// sample counts a line, and reports whether it passes and how many were left out before.
 func (s *sampler) sample(kind messageKind) (pass bool, leftOut int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
