--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -7,9 +7,10 @@
 	"junctionwharf/scheduler"
 )
 
-// Bounds of the section, far above any machine: beyond them a figure is a slip of the pen.
+// Bounds of the section, far above any machine: a higher figure is a slip of the pen, by which load would never be
+// shed.
 const (
-	maxLagMS = 10_000
+	maxLagMS = 10_000     // milliseconds
 	maxOpen  = 10_000_000 // requests
 )
 
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -10,20 +10,26 @@
 )
 
 const (
-	// defaultBoundMS is how long brokers that are cut off may hold up a change; half of it is their lease. Higher, an
-	// operator waits longer for a change beside an outage; lower, a short loss of messages restricts brokers to the
-	// safe values.
+	// defaultBoundMS is, in milliseconds, how long brokers that are cut off may hold up a change; half of it is their
+	// lease. Higher, an operator waits longer for a change during an outage; lower, a short loss of messages restricts
+	// brokers to the safe values.
 	defaultBoundMS = 2000
-	// minBoundMS keeps a lease above the usual delays of a machine, maxBoundMS a change within an acceptable wait.
+	// minBoundMS, in milliseconds, keeps a lease above the usual delays of a machine. Lower, a busy broker is
+	// restricted though nothing failed.
 	minBoundMS = 400
+	// maxBoundMS is in milliseconds. Higher, one broker that is cut off would hold up a change for minutes.
 	maxBoundMS = 60_000
 	// defaultMaxChildren is the fan-out of the tree over which a configuration spreads. Higher, a parent has more to
 	// send; lower, the tree is deeper and a change takes longer to reach all brokers.
 	defaultMaxChildren = 16
-	minMaxChildren     = 2
-	maxMaxChildren     = 256
-	// Between these many voters a quorum outlives one to three of them. More cost each change more messages.
+	// minMaxChildren is the least fan-out of a tree: with one child each it would be a chain.
+	minMaxChildren = 2
+	// maxMaxChildren bounds the connections of a parent. Higher, they take sockets from clients.
+	maxMaxChildren = 256
+	// minVoters is the least number of which a quorum outlives one. Lower, one restart stops all changes.
 	minVoters = 3
+	// maxVoters bounds the cost of a change, each of which goes to all voters. Higher, changes take longer, though no
+	// deployment loses more than three voters at once.
 	maxVoters = 7
 )
 
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -5,18 +5,24 @@
 	"math"
 )
 
-// What a process may use where the configuration does not say: a small machine. Higher, a broker on one is killed for
-// its memory; lower, one on a larger machine rejects clients that it could serve.
+// What a process may use where the configuration does not say: a small machine.
 const (
-	defaultCores    = 1.0
+	// defaultCores is in processors. Higher, Go's runtime starts more threads than the machine runs, and requests are
+	// late; lower, a broker on a larger machine sheds load too early.
+	defaultCores = 1.0
+	// defaultMemoryMB is in MiB. Higher, the platform kills a broker on a small machine; lower, clients are rejected.
 	defaultMemoryMB = 192
-	defaultSockets  = 1024
+	// defaultSockets is in file descriptors. Higher, accepting fails for want of them; lower, clients are rejected.
+	defaultSockets = 1024
 )
 
-// Below these no broker runs: the program itself and its connections to discovery and peers take about as much.
+// Below these no broker runs.
 const (
+	// minMemoryMB is in MiB: the program itself takes about as much. Lower, a start is killed instead of refused.
 	minMemoryMB = 32
-	minSockets  = 64
+	// minSockets is in file descriptors: discovery, peers and the console take most of them. Lower, a start accepts
+	// hardly any client instead of being refused.
+	minSockets = 64
 )
 
 // Limits is what the process may use.
--- a/internal/config/metrics.go
+++ b/internal/config/metrics.go
@@ -14,14 +14,18 @@
 	// defaultIntervalS is the time between two exports, in seconds. Higher, graphs are coarser; lower, the receiver
 	// has more to store.
 	defaultIntervalS = 10
-	maxIntervalS     = 3600
+	// maxIntervalS is in seconds. Higher, a slip of the pen leaves graphs empty for days.
+	maxIntervalS = 3600
 	// defaultPrefix begins the names of series.
 	defaultPrefix = "junctionwharf"
 	// defaultQueueBytes bounds the intervals that wait for a receiver. Higher, an outage costs more memory; lower,
 	// more of it is lost.
 	defaultQueueBytes = 4 << 20
-	minQueueBytes     = 64 << 10
-	maxQueueBytes     = 1 << 30
+	// minQueueBytes is one interval of a small broker: below it each interval would be lost while the one before is
+	// sent.
+	minQueueBytes = 64 << 10
+	// maxQueueBytes is more than any machine spares for metrics; a higher figure is a slip of the pen.
+	maxQueueBytes = 1 << 30
 	// fixedSeries is how many series the core and the exporters have at the most, besides those of each class. Lower,
 	// a figure of theirs would be left out of the exports.
 	fixedSeries = 100
@@ -167,6 +171,7 @@
 	Key collectd.Key `toml:"-"` // read from the key file
 }
 
+// securityNone is the default of a collectd receiver.
 const securityNone = "none"
 
 var securityLevels = map[string]collectd.Security{
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -16,7 +16,8 @@
 	// defaultUnitBytes is how many bytes of a file count as one unit of a request's cost. Higher, file commands cost
 	// less of a volume's rate than they load the nodes; lower, more.
 	defaultUnitBytes = 16 << 10
-	maxPort          = 65535
+	// maxPort is the highest TCP port.
+	maxPort = 65535
 )
 
 // SFTP is the listener for file commands.
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -54,6 +54,7 @@
 	return siteFault{old: "[sftp]", new: section + "\n[sftp]", key: key}
 }
 
+// checkSiteFaults wants each change of siteText to be an error that names the key.
 func checkSiteFaults(t *testing.T, faults []siteFault) {
 	t.Helper()
 	for _, fault := range faults {
@@ -79,6 +80,7 @@
 	}
 }
 
+// A fault in [sftp] is an error that names the key.
 func TestSFTPFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		{`listen = "127`, `listen = "x`, "sftp.listen"},
@@ -91,6 +93,7 @@
 	})
 }
 
+// A fault in [graphite], [collectd] and [telemetry] is an error that names the key.
 func TestMetricsFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		withSection("[graphite]\naddress = \"x\"", "graphite.address"),
@@ -110,6 +113,7 @@
 	})
 }
 
+// A fault in [agreement] is an error that names the key.
 func TestAgreementFaults(t *testing.T) {
 	const members = "members = [{name=\"a\",address=\"127.0.0.1:1\"},{name=\"b\",address=\"127.0.0.1:2\"}," +
 		"{name=\"c\",address=\"127.0.0.1:3\"}]\n"
@@ -127,6 +131,7 @@
 	})
 }
 
+// A fault in [admission] is an error that names the key.
 func TestAdmissionFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		withSection("[admission]\nlag_ms = -1", "admission.lag_ms"),
@@ -134,6 +139,7 @@
 	})
 }
 
+// A fault in [spread] is an error that names the key.
 func TestBalancerFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		withSection("[spread]\nnodes = 10001", "spread.nodes: 10001 is not within 0 to 10000"),
@@ -142,6 +148,7 @@
 	})
 }
 
+// A fault in [membership] is an error that names the key.
 func TestMembershipFaults(t *testing.T) {
 	const source = "[[membership.source]]\n"
 	const dns = source + "kind = \"dns\"\n"
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -13,7 +13,7 @@
 	"junctionwharf/scheduler"
 )
 
-// The streams of random numbers of one seed.
+// The streams of random numbers of one seed: requests do not change with what the answers draw.
 const (
 	requestStream = 1
 	answerStream  = 2
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -13,8 +13,10 @@
 	// heapPart is the part of the memory limit for Go's heap; the rest is for the program itself, sockets and late
 	// collections. Higher, the process is killed under overload; lower, fewer clients fit.
 	heapPart = 0.6
-	// plentyMB is the limit from which memory is plenty, with a greater part for the heap.
-	plentyMB       = 128
+	// plentyMB is the limit, in MiB, from which the program itself takes a small part of the memory. Lower, a small
+	// machine gets plentyHeapPart and its process is killed under overload; higher, a larger one rejects clients.
+	plentyMB = 128
+	// plentyHeapPart is heapPart from plentyMB on.
 	plentyHeapPart = 0.8
 	// requestPart is the part of the limit for requests and answers that wait. Higher, they push connections out of
 	// memory; lower, large values are rejected.
@@ -24,7 +26,8 @@
 	// connections.
 	gcPercent       = 100
 	plentyGCPercent = 400
-	// clientBytes is a client's connection with a request: buffers, stacks, and what the core holds of it.
+	// clientBytes is a client's connection with a request: buffers, stacks, and what the core holds of it. Higher,
+	// clients are rejected that would fit; lower, they fill the heap.
 	clientBytes = 20 << 10
 	// clientHeapPart is the part of the heap that clients may fill. Higher, live memory comes near the limit and
 	// collections take the processor; lower, clients are rejected that could be served.
@@ -40,7 +43,8 @@
 	// connections; more, clients are rejected.
 	nodeSocketDivisor = 4
 	maxNodeSockets    = 256
-	// idleSocketDivisor is how many sockets idle clients may hold: beyond a quarter the oldest are closed.
+	// idleSocketDivisor gives idle clients a quarter of the sockets; beyond it the oldest are closed. Fewer, clients
+	// have to connect anew for each request; more, forgotten connections keep others out.
 	idleSocketDivisor = 4
 	// overflowDivisor and minOverflow bound the connections beyond the clients' that are being rejected or closed.
 	// Fewer, clients see a connection refused in place of an answer; more, they take sockets from clients.
