--- a/broker/state.go
+++ b/broker/state.go
@@ -173,7 +173,7 @@
 	case scheduler.CloseIdleConnections:
 		s.emit(CloseIdle{Address: s.address(a.Node)})
 	case scheduler.Log:
-		s.emit(Log{a.Text})
+		s.emit(Log{a.Text()})
 	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // discovery is always watched
 	default:
 		s.emit(Log{fmt.Sprintf("unknown action %T", action)})
