--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -139,15 +139,15 @@
 		r.mayHaveRun = true
 		r.mayHaveRunAt = r.sentAt
 	}
-	s.record(telemetry.Fact{
-		Kind:    telemetry.AttemptEnded,
-		Outcome: telemetryOutcomes[outcome],
-		Class:   r.request.Class,
-		Plan:    r.request.Plan,
-		Volume:  r.request.Volume,
-		Node:    r.node,
-		Units:   r.request.Units,
-		AtNode:  int64(s.now - r.sentAt),
+	s.record(telemetry.Observation{
+		Kind:           telemetry.AttemptEnded,
+		AttemptOutcome: telemetryOutcomes[outcome],
+		Class:          r.request.Class,
+		Plan:           r.request.Plan,
+		Volume:         r.request.Volume,
+		Node:           r.node,
+		Units:          r.request.Units,
+		AttemptMicros:  int64(s.now - r.sentAt),
 	})
 	if outcome == scheduler.Success && !r.answered {
 		s.respond(id, r, Response{Verdict: Served, Value: result.Value})
@@ -169,15 +169,15 @@
 }
 
 // telemetryOutcomes maps an attempt's outcome to telemetry's. NotSent is one that was cancelled before it was sent.
-var telemetryOutcomes = [...]telemetry.Outcome{
+var telemetryOutcomes = [...]telemetry.AttemptOutcome{
 	scheduler.Success:          telemetry.Success,
 	scheduler.Failure:          telemetry.Failure,
 	scheduler.Overloaded:       telemetry.Overloaded,
 	scheduler.TimedOut:         telemetry.TimedOut,
 	scheduler.Unreachable:      telemetry.Unreachable,
-	scheduler.ConnectionBroken: telemetry.Broken,
-	scheduler.Canceled:         telemetry.Withdrawn,
-	scheduler.NotSent:          telemetry.Withdrawn,
+	scheduler.ConnectionBroken: telemetry.ConnectionBroken,
+	scheduler.Canceled:         telemetry.Canceled,
+	scheduler.NotSent:          telemetry.Canceled,
 }
 
 const (
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -18,7 +18,7 @@
 	// newClients are those of the requests in events.
 	newClients map[uint64]client
 	// rejections are what admission control rejected, for telemetry.
-	rejections []telemetry.Fact
+	rejections []telemetry.Observation
 	// since is when the first of events came; kept only where admission control wants to know.
 	since Micros
 	// lag is the longest that one waited since RecordSchedulingLag.
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -17,7 +17,7 @@
 	// SendToPeer sends bytes to another broker; nil without peers.
 	SendToPeer func(peer int, data []byte)
 	// Observe receives facts for telemetry, and does not keep the slice; nil for none.
-	Observe func(facts []telemetry.Fact)
+	Observe func(facts []telemetry.Observation)
 	// Log is for the engineers on call; nil for none.
 	Log *slog.Logger
 	// ConfigChanges returns what a turn has to apply before it decides anything, by the clock that it reads; nil
@@ -44,9 +44,9 @@
 	state          *State
 	clients        map[uint64]client
 	handles        map[attemptKey]Handle
-	nodesCountedAt Micros           // when nodes are to be counted again
-	sharesTakenAt  Micros           // when shares are to be taken again
-	rejections     []telemetry.Fact // of admission control, taken from the inbox
+	nodesCountedAt Micros                  // when nodes are to be counted again
+	sharesTakenAt  Micros                  // when shares are to be taken again
+	rejections     []telemetry.Observation // of admission control, taken from the inbox
 	// cancelledBeforeArrival holds requests whose clients have disconnected while the arrival still waits in the inbox.
 	cancelledBeforeArrival map[uint64]struct{}
 }
--- a/broker/nodes.go
+++ b/broker/nodes.go
@@ -50,7 +50,7 @@
 	if node == nil {
 		node = &nodeState{}
 		s.nodes[n.Name] = node
-		s.record(telemetry.Fact{Kind: telemetry.NodeListed, Node: n.Name})
+		s.record(telemetry.Observation{Kind: telemetry.NodeListed, Node: n.Name})
 	}
 	if n.Address != "" {
 		node.address = n.Address
@@ -67,7 +67,7 @@
 			set = map[string]bool{}
 		}
 		set[name] = true
-		s.record(telemetry.Fact{Kind: telemetry.NodeLeaving, Node: name})
+		s.record(telemetry.Observation{Kind: telemetry.NodeDraining, Node: name})
 		s.emit(CloseIdle{Address: node.address})
 	}
 	node.leaving = leaves
@@ -78,7 +78,7 @@
 // that was ever replaced: each replacement comes under a new name.
 func (s *State) removeNode(name string, node *nodeState) {
 	s.emit(CloseIdle{Address: node.address})
-	s.record(telemetry.Fact{Kind: telemetry.NodeUnlisted, Node: name})
+	s.record(telemetry.Observation{Kind: telemetry.NodeUnlisted, Node: name})
 	delete(s.nodes, name)
 }
 
--- a/broker/nodes_test.go
+++ b/broker/nodes_test.go
@@ -80,7 +80,7 @@
 	}
 	leaving := 0
 	for _, f := range h.state.Facts() {
-		if f.Kind == telemetry.NodeLeaving {
+		if f.Kind == telemetry.NodeDraining {
 			leaving++
 		}
 	}
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -57,13 +57,13 @@
 	l.inbox.mu.Lock()
 	reason, retryAfter := l.dependencies.Admission.Admit(now, open, &asked)
 	if reason != admission.Admitted && len(l.inbox.rejections) < maxQueuedRejections && l.dependencies.Observe != nil {
-		l.inbox.rejections = append(l.inbox.rejections, telemetry.Fact{
-			Kind:   telemetry.RequestEnded,
-			End:    telemetry.Busy,
-			Class:  request.Class,
-			Plan:   request.Plan,
-			Volume: request.Volume,
-			Units:  request.Units,
+		l.inbox.rejections = append(l.inbox.rejections, telemetry.Observation{
+			Kind:           telemetry.RequestEnded,
+			RequestOutcome: telemetry.Rejected,
+			Class:          request.Class,
+			Plan:           request.Plan,
+			Volume:         request.Volume,
+			Units:          request.Units,
 		})
 	}
 	l.inbox.mu.Unlock()
--- a/broker/overload_test.go
+++ b/broker/overload_test.go
@@ -13,10 +13,10 @@
 // Admission control is at its bound of open requests. What it rejects has one answer, through Submit as through
 // Admit, is counted, told to telemetry, and never reaches the scheduler.
 func TestAdmissionRejects(t *testing.T) {
-	facts := make(chan telemetry.Fact, 8)
+	facts := make(chan telemetry.Observation, 8)
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{
 		Admission: admission.New(admission.Settings{MaxOpen: 1}, testSettings()),
-		Observe: func(all []telemetry.Fact) {
+		Observe: func(all []telemetry.Observation) {
 			for _, f := range all {
 				if f.Kind == telemetry.RequestEnded {
 					facts <- f
@@ -43,7 +43,7 @@
 		t.Errorf("%+v", r)
 	}
 	for range 2 {
-		if f := <-facts; f.End != telemetry.Busy {
+		if f := <-facts; f.RequestOutcome != telemetry.Rejected {
 			t.Errorf("%+v", f)
 		}
 	}
--- a/broker/requests.go
+++ b/broker/requests.go
@@ -92,7 +92,7 @@
 		return
 	}
 	r.answered = true
-	s.record(s.requestFact(r, telemetry.Left))
+	s.record(s.requestFact(r, telemetry.Abandoned))
 	s.notifyScheduler(scheduler.ClientGone{ID: id})
 	if r.inFlight && !r.stopped {
 		s.emit(CancelUnlessWritten{ID: id, Number: r.attempts - 1})
@@ -157,7 +157,7 @@
 	}
 	delete(s.streaming, e.ID)
 	if !e.Complete {
-		fact.End = telemetry.Failed
+		fact.RequestOutcome = telemetry.Failed
 	}
 	s.record(fact)
 }
@@ -187,27 +187,27 @@
 }
 
 // verdictEnds maps a verdict to telemetry's.
-var verdictEnds = [...]telemetry.End{
+var verdictEnds = [...]telemetry.RequestOutcome{
 	Served:   telemetry.Served,
-	Rejected: telemetry.Busy,
+	Rejected: telemetry.Rejected,
 	Failed:   telemetry.Failed,
 }
 
 // requestFact is the telemetry fact of a request that ends now.
-func (s *State) requestFact(r *requestState, end telemetry.End) telemetry.Fact {
+func (s *State) requestFact(r *requestState, end telemetry.RequestOutcome) telemetry.Observation {
 	firstSentAt := r.firstSentAt
 	if r.attempts == 0 || firstSentAt == 0 {
 		firstSentAt = s.now
 	}
-	return telemetry.Fact{
-		Kind:    telemetry.RequestEnded,
-		End:     end,
-		Class:   r.request.Class,
-		Plan:    r.request.Plan,
-		Volume:  r.request.Volume,
-		Node:    r.node,
-		Units:   r.request.Units,
-		Whole:   int64(s.now - r.arrivedAt),
-		Waiting: int64(firstSentAt - r.arrivedAt),
+	return telemetry.Observation{
+		Kind:           telemetry.RequestEnded,
+		RequestOutcome: end,
+		Class:          r.request.Class,
+		Plan:           r.request.Plan,
+		Volume:         r.request.Volume,
+		Node:           r.node,
+		Units:          r.request.Units,
+		TotalMicros:    int64(s.now - r.arrivedAt),
+		QueueMicros:    int64(firstSentAt - r.arrivedAt),
 	}
 }
--- a/broker/state.go
+++ b/broker/state.go
@@ -15,8 +15,8 @@
 	now       Micros // of the Reduce under way
 
 	requests     map[uint64]*requestState
-	freeRequests []*requestState           // that are over, for requests to come
-	streaming    map[uint64]telemetry.Fact // requests whose Streaming value is on its way to the client
+	freeRequests []*requestState                  // that are over, for requests to come
+	streaming    map[uint64]telemetry.Observation // requests whose Streaming value is on its way to the client
 
 	nodes       map[string]*nodeState // by name
 	listUpdates uint64                // how many were applied
@@ -27,7 +27,7 @@
 	spareSchedulerEvents []scheduler.Event // memory for it
 
 	effects []Effect
-	facts   []telemetry.Fact
+	facts   []telemetry.Observation
 
 	shuttingDown  bool
 	schedulingLag Micros // how long work waits for a processor here, smoothed
@@ -43,7 +43,7 @@
 		scheduler: decider,
 		requests:  map[uint64]*requestState{},
 		nodes:     map[string]*nodeState{},
-		streaming: map[uint64]telemetry.Fact{},
+		streaming: map[uint64]telemetry.Observation{},
 	}, nil
 }
 
@@ -83,7 +83,7 @@
 }
 
 // Facts returns the facts of the last Reduce for telemetry, in order. The slice is good until the next Reduce.
-func (s *State) Facts() []telemetry.Fact { return s.facts }
+func (s *State) Facts() []telemetry.Observation { return s.facts }
 
 // Next reports when Reduce wants to be called again at the latest.
 func (s *State) Next() (at Micros, ok bool) {
@@ -112,7 +112,7 @@
 
 func (s *State) notifyScheduler(e scheduler.Event) { s.schedulerEvents = append(s.schedulerEvents, e) }
 
-func (s *State) record(f telemetry.Fact) { s.facts = append(s.facts, f) }
+func (s *State) record(f telemetry.Observation) { s.facts = append(s.facts, f) }
 
 // handle applies one event.
 func (s *State) handle(event Event) {
--- a/cmd/brokerbench/capacity.go
+++ b/cmd/brokerbench/capacity.go
@@ -69,7 +69,7 @@
 	if cmd.Bool("whole") && len(missing) > 0 {
 		return fmt.Errorf("%s: there is no run of it", missing[0])
 	}
-	held, err := capacity.LoadHoldings(cmd.String("raw"))
+	held, err := capacity.LoadConnectionCosts(cmd.String("raw"))
 	if err != nil {
 		return err
 	}
--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -63,7 +63,7 @@
 	}
 	defer f.close()
 	f.memory, f.sockets = cmd.Float("memory"), cmd.Int("sockets")
-	var all []capacity.Holding
+	var all []capacity.ConnectionCost
 	for _, count := range append([]float64{0}, counts...) {
 		for _, rate := range rates {
 			h, err := f.holdConnections(ctx, cmd, int(count), rate)
@@ -78,8 +78,8 @@
 }
 
 // holdConnections has a new broker hold connections that had a request each, and meet a load on others.
-func (f *fleet) holdConnections(ctx context.Context, cmd *cli.Command, count int, rate float64) (capacity.Holding, error) {
-	h := capacity.Holding{Connections: count, Rate: rate}
+func (f *fleet) holdConnections(ctx context.Context, cmd *cli.Command, count int, rate float64) (capacity.ConnectionCost, error) {
+	h := capacity.ConnectionCost{Connections: count, Rate: rate}
 	r, err := f.start(ctx, "", "", 10)
 	if err != nil {
 		return h, err
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -249,7 +249,7 @@
 	Cells   []string
 	Missing []string
 	Error   string
-	Held    []Holding
+	Held    []ConnectionCost
 }
 
 // A law is named over so many sizes at least, and where it explains most of what differs.
@@ -360,7 +360,7 @@
 }
 
 // Render makes the section of the page.
-func Render(runs Runs, missing []string, held []Holding) (string, error) {
+func Render(runs Runs, missing []string, held []ConnectionCost) (string, error) {
 	v := view{Missing: missing, Held: held}
 	planned := plannedRuns(runs, false)
 	if len(planned) == 0 {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -46,7 +46,7 @@
 		runs[c.Name()] = report(500, 10*float64(c.Brokers))
 	}
 	runs[Grid[4].Name()] = report(600, 9300)
-	text, err := Render(runs, []string{"the-other"}, []Holding{{Connections: 77, Open: 76, Rate: 5, Sent: 9, Served: 8, P99: 4200, MemoryMB: 31.04, CPU: 0.25}, {Connections: 78}})
+	text, err := Render(runs, []string{"the-other"}, []ConnectionCost{{Connections: 77, Open: 76, Rate: 5, Sent: 9, Served: 8, P99: 4200, MemoryMB: 31.04, CPU: 0.25}, {Connections: 78}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, err := LoadHoldings("../../docs/measurements/capacity")
+	held, err := LoadConnectionCosts("../../docs/measurements/capacity")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,14 +102,14 @@
 	if err != nil || len(runs) != 0 || len(missing) != len(Grid) {
 		t.Fatalf("%v, %d missing, %v", runs, len(missing), err)
 	}
-	if held, err := LoadHoldings(dir); err != nil || held != nil {
+	if held, err := LoadConnectionCosts(dir); err != nil || held != nil {
 		t.Errorf("%v, %v", held, err)
 	}
 	for _, text := range []string{"{", "[]"} {
 		if err := os.WriteFile(filepath.Join(dir, "connections.json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadHoldings(dir); err == nil || !strings.Contains(err.Error(), "connections.json") {
+		if _, err := LoadConnectionCosts(dir); err == nil || !strings.Contains(err.Error(), "connections.json") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/capacity/holding.go
+++ b/internal/capacity/holding.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Holding is what one broker cost that held so many clients' connections.
-type Holding struct {
+// ConnectionCost is what one broker cost that held so many clients' connections.
+type ConnectionCost struct {
 	Connections int     `json:"connections"`
 	Rate        float64 `json:"rate"` // requests a second beside them
 	Open        int     `json:"open"` // of the connections, at the end
@@ -15,15 +15,15 @@
 }
 
 // Milliseconds is P99 for the page.
-func (h Holding) Milliseconds() string {
+func (h ConnectionCost) Milliseconds() string {
 	if h.Sent == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%.1f", float64(h.P99)/1000)
 }
 
-// LoadHoldings reads the raw figures of connections that a directory has, none if it lacks them.
-func LoadHoldings(dir string) (all []Holding, err error) {
+// LoadConnectionCosts reads the raw figures of connections that a directory has, none if it lacks them.
+func LoadConnectionCosts(dir string) (all []ConnectionCost, err error) {
 	if _, err := readRaw(dir, "connections.json", &all, func() bool { return len(all) > 0 }); err != nil {
 		return nil, err
 	}
--- a/internal/collectd/collectd.go
+++ b/internal/collectd/collectd.go
@@ -56,8 +56,8 @@
 	N    uint64
 }
 
-// List is a value list: all values of one type, as types.db names them.
-type List struct {
+// ValueList is a value list: all values of one type, as types.db names them.
+type ValueList struct {
 	PluginInstance, Type, TypeInstance string
 
 	Values []Value
@@ -73,8 +73,8 @@
 	Okay    Severity = 4
 )
 
-// Notice is a notification.
-type Notice struct {
+// Notification is a notification.
+type Notification struct {
 	Severity Severity
 	Instance string // what it is about
 	Text     string
@@ -85,7 +85,7 @@
 
 // The ways.
 const (
-	Open Security = iota
+	Unprotected Security = iota
 	Signed
 	Encrypted
 )
@@ -155,12 +155,12 @@
 // ErrTooLarge tells of a list that does not fit into a packet of its own.
 var ErrTooLarge = errors.New("a value list does not fit into a packet")
 
-// Lists words value lists of one moment, as many to a packet as fit. A part that stands as before is not written again.
-func (e *Encoder) Lists(lists []List, at time.Time, interval time.Duration) ([][]byte, error) {
+// EncodeValueLists words value lists of one moment, as many to a packet as fit. A part that stands as before is not written again.
+func (e *Encoder) EncodeValueLists(lists []ValueList, at time.Time, interval time.Duration) ([][]byte, error) {
 	var packets [][]byte
 	limit := MaxPacket - e.overhead()
 	head := e.head(at, interval)
-	packet, held := bytes.Clone(head), List{}
+	packet, held := bytes.Clone(head), ValueList{}
 	var body []byte
 	for i := 0; i < len(lists); {
 		body = appendList(body[:0], held, lists[i])
@@ -177,7 +177,7 @@
 			return nil, err
 		}
 		packets = append(packets, sealed)
-		packet, held = bytes.Clone(head), List{}
+		packet, held = bytes.Clone(head), ValueList{}
 	}
 	if len(packet) > len(head) {
 		sealed, err := e.seal(packet)
@@ -189,8 +189,8 @@
 	return packets, nil
 }
 
-// Notify words a notification.
-func (e *Encoder) Notify(n Notice, at time.Time) ([]byte, error) {
+// EncodeNotification words a notification.
+func (e *Encoder) EncodeNotification(n Notification, at time.Time) ([]byte, error) {
 	b := text(nil, partHost, e.Host)
 	b = number(b, partTimeHR, fineTime(at))
 	b = number(b, partSeverity, uint64(n.Severity))
@@ -212,7 +212,7 @@
 	return text(b, partPlugin, e.Plugin)
 }
 
-func appendList(b []byte, held, l List) []byte {
+func appendList(b []byte, held, l ValueList) []byte {
 	if l.PluginInstance != held.PluginInstance {
 		b = text(b, partPluginInstance, l.PluginInstance)
 	}
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -25,10 +25,10 @@
 
 // The stand-in, whose code is its own, reads back what was written, and nothing under a wrong key.
 func TestLists(t *testing.T) {
-	var lists []collectd.List
+	var lists []collectd.ValueList
 	want := map[string]float64{}
 	for i := range 200 {
-		l := collectd.List{PluginInstance: fmt.Sprint("volume.", i/3), Type: fmt.Sprint("type", i%3)}
+		l := collectd.ValueList{PluginInstance: fmt.Sprint("volume.", i/3), Type: fmt.Sprint("type", i%3)}
 		if i%2 == 0 {
 			l.TypeInstance = "whole_us"
 		}
@@ -43,7 +43,7 @@
 		lists = append(lists, l)
 	}
 	for _, e := range ways {
-		packets, err := e.Lists(lists, at, 10*time.Second)
+		packets, err := e.EncodeValueLists(lists, at, 10*time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,7 +52,7 @@
 			if len(p) > collectd.MaxPacket {
 				t.Fatalf("a packet of %d bytes", len(p))
 			}
-			points, _, err := fakes.ParsePacket(p, secrets, e.Security != collectd.Open)
+			points, _, err := fakes.ParsePacket(p, secrets, e.Security != collectd.Unprotected)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -62,7 +62,7 @@
 				}
 				got[p.Series] = p.Value
 			}
-			if e.Security == collectd.Open {
+			if e.Security == collectd.Unprotected {
 				continue
 			}
 			for _, wrong := range []map[string]string{{"wharf": "other"}, {"else": "s3cret"}} {
@@ -84,24 +84,24 @@
 			}
 		}
 	}
-	huge := []collectd.List{{Type: "t", Values: make([]collectd.Value, 200)}}
-	if _, err := ways[0].Lists(huge, at, time.Second); !errors.Is(err, collectd.ErrTooLarge) {
+	huge := []collectd.ValueList{{Type: "t", Values: make([]collectd.Value, 200)}}
+	if _, err := ways[0].EncodeValueLists(huge, at, time.Second); !errors.Is(err, collectd.ErrTooLarge) {
 		t.Error(err)
 	}
 }
 
 func TestNotify(t *testing.T) {
 	for _, e := range ways {
-		p, err := e.Notify(collectd.Notice{Severity: collectd.Warning, Instance: "nodes", Text: strings.Repeat("long ", 400)}, at)
+		p, err := e.EncodeNotification(collectd.Notification{Severity: collectd.Warning, Instance: "nodes", Text: strings.Repeat("long ", 400)}, at)
 		if err != nil || len(p) > collectd.MaxPacket {
 			t.Fatal(len(p), err)
 		}
-		_, notices, err := fakes.ParsePacket(p, secrets, e.Security != collectd.Open)
+		_, notices, err := fakes.ParsePacket(p, secrets, e.Security != collectd.Unprotected)
 		if len(notices) != 1 && err == nil {
 			t.Fatalf("%d notices", len(notices))
 		}
 	}
-	p, _ := ways[2].Notify(collectd.Notice{Severity: collectd.Failure, Instance: "sinks", Text: "graphite lost"}, at)
+	p, _ := ways[2].EncodeNotification(collectd.Notification{Severity: collectd.Failure, Instance: "sinks", Text: "graphite lost"}, at)
 	_, notices, err := fakes.ParsePacket(p, secrets, true)
 	if err != nil || len(notices) != 1 || notices[0] != (fakes.Notification{Severity: 1, Host: "n1", Plugin: "junctionwharf", Instance: "sinks", Text: "graphite lost", Stamp: at.Unix()}) {
 		t.Errorf("%+v, %v", notices, err)
@@ -151,11 +151,11 @@
 			return
 		}
 		e := ways[int(way)%len(ways)]
-		packets, err := e.Lists([]collectd.List{{plugin, kind, instance, []collectd.Value{{collectd.Derive, n}}}}, at, time.Second)
+		packets, err := e.EncodeValueLists([]collectd.ValueList{{plugin, kind, instance, []collectd.Value{{collectd.Derive, n}}}}, at, time.Second)
 		if err != nil || len(packets) != 1 {
 			t.Fatal(len(packets), err)
 		}
-		points, _, err := fakes.ParsePacket(packets[0], secrets, e.Security != collectd.Open)
+		points, _, err := fakes.ParsePacket(packets[0], secrets, e.Security != collectd.Unprotected)
 		if err != nil || len(points) != 1 || points[0].Value != float64(n) {
 			t.Fatal(points, err)
 		}
@@ -165,7 +165,7 @@
 // Garbage ends in an error, never in a panic of the stand-in.
 func FuzzParsePacket(f *testing.F) {
 	for _, e := range ways {
-		packets, _ := e.Lists([]collectd.List{{"a", "b", "c", []collectd.Value{{collectd.Gauge, 1}, {collectd.Derive, 2}}}}, at, time.Second)
+		packets, _ := e.EncodeValueLists([]collectd.ValueList{{"a", "b", "c", []collectd.Value{{collectd.Gauge, 1}, {collectd.Derive, 2}}}}, at, time.Second)
 		f.Add(packets[0])
 	}
 	f.Add([]byte{2, 16, 0, 4})
--- a/internal/config/metrics.go
+++ b/internal/config/metrics.go
@@ -43,10 +43,10 @@
 // Options are those of a registry for a broker with such settings.
 func (t Telemetry) Options(set scheduler.Settings) telemetry.Options {
 	options := telemetry.Options{
-		MaxSeries: t.MaxSeries,
-		MaxBytes:  t.MaxBytes,
-		Idle:      t.IdleIntervals,
-		Fixed:     fixedSeries + seriesPerClass*len(set.Classes),
+		MaxSeries:      t.MaxSeries,
+		MaxBytes:       t.MaxBytes,
+		IdleSnapshots:  t.IdleIntervals,
+		ReservedSeries: fixedSeries + seriesPerClass*len(set.Classes),
 	}
 	for _, class := range set.Classes {
 		options.Classes = append(options.Classes, class.Name)
@@ -175,7 +175,7 @@
 const securityNone = "none"
 
 var securityLevels = map[string]collectd.Security{
-	securityNone: collectd.Open,
+	securityNone: collectd.Unprotected,
 	"sign":       collectd.Signed,
 	"encrypt":    collectd.Encrypted,
 }
@@ -196,7 +196,7 @@
 	if !known {
 		return fmt.Errorf("security: %q is neither \"none\", \"sign\" nor \"encrypt\"", c.Security)
 	}
-	if c.Address == "" || level == collectd.Open {
+	if c.Address == "" || level == collectd.Unprotected {
 		return nil
 	}
 	if c.KeyFile == "" {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -33,7 +33,7 @@
 	agreement *agreement.Service // nil if off
 	endpoints *members.Members
 	watcher   *discovery.Watcher
-	exporter  *metricsexport.Reporter
+	exporter  *metricsexport.Exporter
 	console   *console.Server // nil if off
 
 	// What whoever builds on the control may set before it starts.
@@ -75,7 +75,7 @@
 	k.exporter = metricsexport.New(metricsexport.Options{
 		Name:    c.Name,
 		Loop:    loop,
-		Figures: func() []broker.Metric { return k.exportedMetrics() },
+		Metrics: func() []broker.Metric { return k.exportedMetrics() },
 		Log:     log,
 	})
 	dependencies.Observe = k.exporter.Observe
@@ -165,7 +165,7 @@
 func (k *control) consoleMetrics(more []broker.Metric) []broker.Metric {
 	return slices.Concat(
 		k.loop.Metrics.Read(),
-		k.exporter.Figures(),
+		k.exporter.Metrics(),
 		k.endpoints.Metrics(),
 		k.agreementMetrics(),
 		shareMetrics(k.loop.NodeShares()),
@@ -203,7 +203,7 @@
 // metricsExport starts with the settings of the start.
 func (k *control) metricsExport() subsystem {
 	return subsystem{start: func(ctx context.Context) error {
-		k.exporter.Retune(exportSettings(k.config))
+		k.exporter.ApplySettings(exportSettings(k.config))
 		go k.exporter.Run(ctx)
 		return nil
 	}}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -38,7 +38,7 @@
 	s.loop.Metrics.CountReload(err == nil)
 	if err != nil {
 		s.log.Error("reload rejected, the old configuration stays in force", "reason", err)
-		s.exporter.Notify(collectd.Notice{
+		s.exporter.Notify(collectd.Notification{
 			Severity: collectd.Failure,
 			Instance: "reload",
 			Text:     noticeReloadRejected + err.Error(),
@@ -77,7 +77,7 @@
 	}
 	s.applySources(c.Site.Membership)
 	s.watcher.UpdateOptions(s.watcherOptions(c))
-	s.exporter.Retune(exportSettings(c))
+	s.exporter.ApplySettings(exportSettings(c))
 	s.noteSettings(set.Scheduler)
 }
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -81,7 +81,7 @@
 	}
 	s.awaitAnswers(began, times)
 	lastFlush := max(times.exit, time.Since(began)+shutdownPoll)
-	s.exporter.Finish(began.Add(lastFlush)) // no client waits any more
+	s.exporter.Shutdown(began.Add(lastFlush)) // no client waits any more
 }
 
 // awaitAnswers waits until nothing is owed, and has the core answer the rest in time.
--- a/internal/graphite/graphite.go
+++ b/internal/graphite/graphite.go
@@ -18,11 +18,11 @@
 // Path names a series: fixed words, and between them names that are the site's own. With tags the words make the name and
 // each name is a tag's value.
 type Path struct {
-	Words []string // as they are, the first of them first
-	Tag   string   // the dimension, such as "class"; empty for none
-	Name  string   // its value; escaped by the package
-	Plain bool     // Name is one of the program's own words, such as "other", and not escaped
-	Last  string   // words after the name; empty for none
+	Segments  []string // as they are, the first of them first
+	Dimension string   // the dimension, such as "class"; empty for none
+	Name      string   // its value; escaped by the package
+	Verbatim  bool     // Name is one of the program's own words, such as "other", and not escaped
+	Suffix    string   // words after the name; empty for none
 }
 
 // Naming is a way to write paths.
@@ -43,24 +43,24 @@
 // Append appends a path.
 func (n Naming) Append(b []byte, prefix string, p Path) []byte {
 	b = append(b, prefix...)
-	for _, w := range p.Words {
+	for _, w := range p.Segments {
 		b = append(append(b, '.'), w...)
 	}
 	name := func(b []byte) []byte {
-		if p.Plain {
+		if p.Verbatim {
 			return append(b, p.Name...)
 		}
 		return AppendName(b, p.Name)
 	}
-	if p.Tag != "" && n == Dotted {
-		b = append(append(b, '.'), p.Tag...)
+	if p.Dimension != "" && n == Dotted {
+		b = append(append(b, '.'), p.Dimension...)
 		b = name(append(b, '.'))
 	}
-	if p.Last != "" {
-		b = append(append(b, '.'), p.Last...)
+	if p.Suffix != "" {
+		b = append(append(b, '.'), p.Suffix...)
 	}
-	if p.Tag != "" && n == Tagged {
-		b = append(append(b, ';'), p.Tag...)
+	if p.Dimension != "" && n == Tagged {
+		b = append(append(b, ';'), p.Dimension...)
 		b = name(append(b, '='))
 	}
 	return b
@@ -102,20 +102,20 @@
 
 // Writer words points one after the other into frames.
 type Writer struct {
-	Prefix string
-	Naming Naming
-	Stamp  int64 // Unix time, s
-	limit  int
-	pickle bool
-	frames [][]byte
-	frame  []byte
-	item   []byte // the point at hand, used again
-	points int    // of frame
+	Prefix    string
+	Naming    Naming
+	Timestamp int64 // Unix time, s
+	limit     int
+	pickle    bool
+	frames    [][]byte
+	frame     []byte
+	item      []byte // the point at hand, used again
+	points    int    // of frame
 }
 
 // NewPlaintext words points as lines, in frames of whole lines. datagrams has frames fit into a datagram.
 func NewPlaintext(prefix string, naming Naming, stamp int64, datagrams bool) *Writer {
-	w := &Writer{Prefix: prefix, Naming: naming, Stamp: stamp, limit: maxFrame}
+	w := &Writer{Prefix: prefix, Naming: naming, Timestamp: stamp, limit: maxFrame}
 	if datagrams {
 		w.limit = maxDatagram
 	}
@@ -124,7 +124,7 @@
 
 // NewPickle words points as batches of [(path, (timestamp, value)), ...], a frame each.
 func NewPickle(prefix string, naming Naming, stamp int64) *Writer {
-	return &Writer{Prefix: prefix, Naming: naming, Stamp: stamp, limit: maxFrame, pickle: true}
+	return &Writer{Prefix: prefix, Naming: naming, Timestamp: stamp, limit: maxFrame, pickle: true}
 }
 
 // Add words a point.
@@ -132,12 +132,12 @@
 	if w.pickle {
 		w.item = w.Naming.Append(append(w.item[:0], opString, 0, 0, 0, 0), w.Prefix, p.Path)
 		binary.LittleEndian.PutUint32(w.item[1:], uint32(len(w.item)-5))
-		w.item = appendInt(appendInt(w.item, uint64(w.Stamp)), p.Value)
+		w.item = appendInt(appendInt(w.item, uint64(w.Timestamp)), p.Value)
 		w.item = append(w.item, opTuple2, opTuple2)
 	} else {
 		w.item = w.Naming.Append(w.item[:0], w.Prefix, p.Path)
 		w.item = strconv.AppendUint(append(w.item, ' '), p.Value, 10)
-		w.item = append(strconv.AppendInt(append(w.item, ' '), w.Stamp, 10), '\n')
+		w.item = append(strconv.AppendInt(append(w.item, ' '), w.Timestamp, 10), '\n')
 	}
 	if w.points > 0 && (len(w.frame)+len(w.item) > w.limit || w.pickle && w.points >= pickleEach) {
 		w.end()
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -29,12 +29,12 @@
 // The stand-in, whose code is its own, reads back what was written.
 func TestFormats(t *testing.T) {
 	points := []graphite.Point{
-		{Path: graphite.Path{Words: []string{"taken"}}, Value: 7},
-		{Path: graphite.Path{Words: []string{"all"}, Last: "served"}, Value: math.MaxUint32},
-		{Path: graphite.Path{Tag: "class", Name: "lesson-read", Last: "served"}, Value: 1 << 40},
-		{Path: graphite.Path{Tag: "volume", Name: "other", Plain: true, Last: "whole_us.p99"}, Value: 0},
-		{Path: graphite.Path{Tag: "volume", Name: "other", Last: "whole_us.p99"}, Value: 3},
-		{Path: graphite.Path{Tag: "volume", Name: "a.b;c=d e\nf\x00", Last: "busy"}, Value: 4},
+		{Path: graphite.Path{Segments: []string{"taken"}}, Value: 7},
+		{Path: graphite.Path{Segments: []string{"all"}, Suffix: "served"}, Value: math.MaxUint32},
+		{Path: graphite.Path{Dimension: "class", Name: "lesson-read", Suffix: "served"}, Value: 1 << 40},
+		{Path: graphite.Path{Dimension: "volume", Name: "other", Verbatim: true, Suffix: "whole_us.p99"}, Value: 0},
+		{Path: graphite.Path{Dimension: "volume", Name: "other", Suffix: "whole_us.p99"}, Value: 3},
+		{Path: graphite.Path{Dimension: "volume", Name: "a.b;c=d e\nf\x00", Suffix: "busy"}, Value: 4},
 	}
 	want := map[graphite.Naming][]string{
 		graphite.Dotted: {"p.n1.taken", "p.n1.all.served", "p.n1.class.lesson-read.served", "p.n1.volume.other.whole_us.p99", "p.n1.volume.%6Fther.whole_us.p99",
@@ -78,7 +78,7 @@
 func TestFrames(t *testing.T) {
 	var points []graphite.Point
 	for i := range 5000 {
-		points = append(points, graphite.Point{Path: graphite.Path{Tag: "volume", Name: strings.Repeat("v", i%80), Last: "served"}, Value: uint64(i)})
+		points = append(points, graphite.Point{Path: graphite.Path{Dimension: "volume", Name: strings.Repeat("v", i%80), Suffix: "served"}, Value: uint64(i)})
 	}
 	lines := 0
 	for _, frame := range plaintext(points, "p", graphite.Dotted, true) {
@@ -112,7 +112,7 @@
 		var frames [2][]byte
 		for i, name := range []string{a, b} {
 			for _, naming := range []graphite.Naming{graphite.Dotted, graphite.Tagged} {
-				points := []graphite.Point{{Path: graphite.Path{Tag: "volume", Name: name, Last: "served"}, Value: 1}}
+				points := []graphite.Point{{Path: graphite.Path{Dimension: "volume", Name: name, Suffix: "served"}, Value: 1}}
 				frames[i] = plaintext(points, "p", naming, false)[0]
 				if _, err := fakes.ParseLine(strings.TrimSuffix(string(frames[i]), "\n")); err != nil {
 					t.Fatal(err)
--- a/internal/metricsexport/metricsexport.go
+++ b/internal/metricsexport/metricsexport.go
@@ -17,11 +17,11 @@
 	"junctionwharf/telemetry"
 )
 
-// Options say what a Reporter tells and where it finds it.
+// Options say what an Exporter tells and where it finds it.
 type Options struct {
 	Name    string                 // the broker's
 	Loop    Loop                   // where the registry lives
-	Figures func() []broker.Metric // the broker's own figures; called on the loop
+	Metrics func() []broker.Metric // the broker's own figures; called on the loop
 	Log     *slog.Logger
 }
 
@@ -35,14 +35,14 @@
 	Collectd config.Collectd
 }
 
-// Reporter tells sinks of one broker.
-type Reporter struct {
+// Exporter tells sinks of one broker.
+type Exporter struct {
 	opt      Options
 	registry *telemetry.Registry // of the loop's goroutine, as is on
 	on       bool
 
 	settings chan Settings
-	notices  chan collectd.Notice
+	notices  chan collectd.Notification
 	finish   chan time.Time
 	over     chan struct{}
 	started  atomic.Bool
@@ -61,34 +61,34 @@
 )
 
 // New returns a reporter. Its Observe is to hear the loop's facts; Run tells them on.
-func New(opt Options) *Reporter {
-	return &Reporter{opt: opt, settings: make(chan Settings, 1), notices: make(chan collectd.Notice, noticesMost),
+func New(opt Options) *Exporter {
+	return &Exporter{opt: opt, settings: make(chan Settings, 1), notices: make(chan collectd.Notification, noticesMost),
 		finish: make(chan time.Time, 1), over: make(chan struct{})}
 }
 
 // Observe hears facts, on the loop's goroutine. While no sink is on it does nothing.
-func (r *Reporter) Observe(facts []telemetry.Fact) {
+func (r *Exporter) Observe(facts []telemetry.Observation) {
 	if !r.on {
 		return
 	}
 	r.registry.Observe(facts)
 	for i := range facts {
-		if facts[i].Kind == telemetry.NodeLeaving {
-			r.Notify(collectd.Notice{Severity: collectd.Warning, Instance: "nodes", Text: "node listed down: " + facts[i].Node})
+		if facts[i].Kind == telemetry.NodeDraining {
+			r.Notify(collectd.Notification{Severity: collectd.Warning, Instance: "nodes", Text: "node listed down: " + facts[i].Node})
 		}
 	}
 }
 
 // Notify tells collectd of something that happened. It does not wait: what comes too fast is lost.
-func (r *Reporter) Notify(n collectd.Notice) {
+func (r *Exporter) Notify(n collectd.Notification) {
 	select {
 	case r.notices <- n:
 	default:
 	}
 }
 
-// Retune goes over to other settings, which were checked. It is for one caller at a time.
-func (r *Reporter) Retune(s Settings) {
+// ApplySettings goes over to other settings, which were checked. It is for one caller at a time.
+func (r *Exporter) ApplySettings(s Settings) {
 	select {
 	case <-r.settings:
 	default:
@@ -96,9 +96,9 @@
 	r.settings <- s
 }
 
-// Finish tells what the last interval holds so far, and ends Run by a point of time at the latest; what is unsent by then is
+// Shutdown tells what the last interval holds so far, and ends Run by a point of time at the latest; what is unsent by then is
 // dropped and counted.
-func (r *Reporter) Finish(by time.Time) {
+func (r *Exporter) Shutdown(by time.Time) {
 	if !r.started.Load() {
 		return
 	}
@@ -109,13 +109,13 @@
 	<-r.over
 }
 
-// Run tells sinks until ctx ends or Finish was called.
-func (r *Reporter) Run(ctx context.Context) {
+// Run tells sinks until ctx ends or Shutdown was called.
+func (r *Exporter) Run(ctx context.Context) {
 	r.started.Store(true)
 	defer close(r.over)
 	var (
-		spent *telemetry.Cut
-		stamp telemetry.Stamps
+		spent *telemetry.Snapshot
+		stamp telemetry.TimestampSequence
 		tick  *time.Ticker
 		ticks <-chan time.Time
 		base  time.Duration
@@ -131,14 +131,14 @@
 		if back {
 			r.opt.Log.Warn("clock stepped back")
 		}
-		figures = append(figures, r.Figures()...)
+		figures = append(figures, r.Metrics()...)
 		for _, s := range r.all() {
 			s.gather(taken, base)
 			if final || s.due() {
 				s.tell(r.opt.Name, figures, at, total)
 			}
 		}
-		taken.Clear(breathe)
+		taken.Reset(breathe)
 	}
 	defer func() {
 		for _, s := range r.all() {
@@ -181,7 +181,7 @@
 }
 
 // follow starts, changes and stops sinks, and returns how often to cut: the common measure of their intervals.
-func (r *Reporter) follow(set Settings, spent **telemetry.Cut) time.Duration {
+func (r *Exporter) follow(set Settings, spent **telemetry.Snapshot) time.Duration {
 	old := r.all()
 	var sinks []*sink
 	base := time.Duration(0)
@@ -222,7 +222,7 @@
 }
 
 // turn has the registry begin, change or end, on the loop's goroutine.
-func (r *Reporter) turn(on bool, opt telemetry.Options) {
+func (r *Exporter) turn(on bool, opt telemetry.Options) {
 	r.on = on
 	if !on {
 		r.registry = nil
@@ -232,7 +232,7 @@
 	if r.registry == nil {
 		r.registry, err = telemetry.New(opt)
 	} else {
-		err = r.registry.Retune(opt)
+		err = r.registry.ApplyOptions(opt)
 	}
 	if err != nil { // guards against settings that nobody checked
 		r.on = r.registry != nil
@@ -251,9 +251,9 @@
 }
 
 // cut takes a cut and the broker's own figures of the same moment from the loop.
-func (r *Reporter) cut(ctx context.Context, spent *telemetry.Cut) (*telemetry.Cut, []broker.Metric, bool) {
+func (r *Exporter) cut(ctx context.Context, spent *telemetry.Snapshot) (*telemetry.Snapshot, []broker.Metric, bool) {
 	type result struct {
-		cut     *telemetry.Cut
+		cut     *telemetry.Snapshot
 		figures []broker.Metric
 	}
 	done := make(chan result, 1)
@@ -263,9 +263,9 @@
 			done <- result{}
 			return
 		}
-		cut := r.registry.Cut(spent)
-		swaps := r.registry.Changes()
-		done <- result{cut, r.opt.Figures()}
+		cut := r.registry.Snapshot(spent)
+		swaps := r.registry.VolumeChanges()
+		done <- result{cut, r.opt.Metrics()}
 		r.mu.Lock()
 		r.taken, r.rows, r.swaps = r.taken+1, len(cut.Rows), swaps
 		r.mu.Unlock()
@@ -285,14 +285,14 @@
 	return got.cut, got.figures, got.cut != nil
 }
 
-func (r *Reporter) all() []*sink {
+func (r *Exporter) all() []*sink {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sinks
 }
 
-// Figures are what the reporter tells of itself, for the operators' console too. They are empty while no sink is on.
-func (r *Reporter) Figures() []broker.Metric {
+// Metrics are what the reporter tells of itself, for the operators' console too. They are empty while no sink is on.
+func (r *Exporter) Metrics() []broker.Metric {
 	r.mu.Lock()
 	sinks, rows, swaps := r.sinks, r.rows, r.swaps
 	r.mu.Unlock()
--- a/internal/metricsexport/metricsexport_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -23,7 +23,7 @@
 type loop struct {
 	mu     sync.Mutex
 	served uint64
-	r      *Reporter
+	r      *Exporter
 }
 
 func (l *loop) Do(call func()) {
@@ -38,9 +38,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served++
-	l.r.Observe([]telemetry.Fact{
-		{Kind: telemetry.AttemptEnded, Class: "read", Plan: "gold", Volume: volume, Node: "n", AtNode: 5000},
-		{Kind: telemetry.RequestEnded, Class: "read", Plan: "gold", Volume: volume, Node: "n", Units: 1.5, Whole: 7000, Waiting: 2000}})
+	l.r.Observe([]telemetry.Observation{
+		{Kind: telemetry.AttemptEnded, Class: "read", Plan: "gold", Volume: volume, Node: "n", AttemptMicros: 5000},
+		{Kind: telemetry.RequestEnded, Class: "read", Plan: "gold", Volume: volume, Node: "n", Units: 1.5, TotalMicros: 7000, QueueMicros: 2000}})
 }
 
 const interval = 20 * time.Millisecond
@@ -64,22 +64,22 @@
 		if !strings.Contains(line, "clock") { // times are whole seconds, and run ahead at 20 ms an interval
 			g.logs = append(g.logs, line)
 		}
-	}), Figures: func() []broker.Metric {
+	}), Metrics: func() []broker.Metric {
 		return []broker.Metric{{Name: "success.read", Value: g.served, Counter: true}, {Name: "inflight", Value: 1}}
 	}})
 	g.r.hasten = func(t *target) {
 		t.interval = interval
-		t.options.Stall, t.options.GiveUp, t.options.RestLeast, t.options.RestMost, t.options.Pace = 50e3, 200e3, 10e3, 50e3, 100<<20
+		t.options.StallTimeout, t.options.WriteTimeout, t.options.MinBackoff, t.options.MaxBackoff, t.options.BytesPerSecond = 50e3, 200e3, 10e3, 50e3, 100<<20
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go g.r.Run(ctx)
-	g.r.Retune(set)
+	g.r.ApplySettings(set)
 	return g
 }
 
 func settings(graphiteAddress, collectdAddress string) Settings {
-	return Settings{Registry: telemetry.Options{Classes: []string{"read"}, Plans: []string{"gold"}, Fixed: 100},
+	return Settings{Registry: telemetry.Options{Classes: []string{"read"}, Plans: []string{"gold"}, ReservedSeries: 100},
 		Graphite: config.Graphite{Receiver: config.Receiver{Address: graphiteAddress, IntervalS: 1, QueueBytes: 64 << 10}, Prefix: "w", Transport: "tcp"},
 		Collectd: config.Collectd{Receiver: config.Receiver{Address: collectdAddress, IntervalS: 1, QueueBytes: 64 << 10}}}
 }
@@ -110,7 +110,7 @@
 	g.t.Helper()
 	for {
 		figures := map[string]uint64{}
-		for _, f := range g.r.Figures() {
+		for _, f := range g.r.Metrics() {
 			figures[f.Name] = f.Value
 		}
 		if fits(figures) {
@@ -276,7 +276,7 @@
 		t.Errorf("%d points under a wrong key", coll.Taken())
 	}
 	set.Collectd.Key.Secret = "right" // as after SIGHUP
-	g.r.Retune(set)
+	g.r.ApplySettings(set)
 	g.await(coll.Points, "n1/junctionwharf-all/junctionwharf_requests/0", 1)
 }
 
@@ -288,10 +288,10 @@
 	g.on()
 	g.serve("v")
 	g.until("a full queue", func(f map[string]uint64) bool { return f["telemetry.graphite.dropped_intervals"] > 0 })
-	g.r.Retune(settings("", ""))
+	g.r.ApplySettings(settings("", ""))
 	g.until("a sink that is off", func(f map[string]uint64) bool { return len(f) == 0 })
 	second := newCarbon(t)
-	g.r.Retune(settings(second.Address(), ""))
+	g.r.ApplySettings(settings(second.Address(), ""))
 	g.until("a sink that is on", func(f map[string]uint64) bool { return len(f) > 0 })
 	g.on()
 	g.serve("v")
@@ -307,7 +307,7 @@
 	for i := range 7 {
 		g.serve(fmt.Sprint(i))
 	}
-	g.r.Finish(time.Now().Add(5 * time.Second))
+	g.r.Shutdown(time.Now().Add(5 * time.Second))
 	g.await(carbon.Points, "w.n1.all.served", 7)
 
 	carbon.Behave(fakes.Stands)
@@ -319,7 +319,7 @@
 	s := g.r.all()[0]
 	ended := make(chan struct{})
 	go func() {
-		g.r.Finish(time.Now().Add(60 * time.Millisecond))
+		g.r.Shutdown(time.Now().Add(60 * time.Millisecond))
 		close(ended)
 	}()
 	select {
@@ -327,7 +327,7 @@
 	case <-g.stop:
 		t.Fatal("the end waits for a stalled sink")
 	}
-	if f := s.figures(); f.State != telemetry.Ended || f.QueueBytes != 0 ||
+	if f := s.figures(); f.State != telemetry.Closed || f.QueueBytes != 0 ||
 		f.Dropped <= before.Dropped && f.Redials <= before.Redials { // a late test may find it given up and dialled anew
 		t.Errorf("%+v", f)
 	}
@@ -348,7 +348,7 @@
 	g := newRig(t, settings(ln.Addr().String(), coll.Address()))
 	g.on()
 	g.loop.mu.Lock()
-	g.r.Observe([]telemetry.Fact{{Kind: telemetry.NodeLeaving, Node: "s-1"}})
+	g.r.Observe([]telemetry.Observation{{Kind: telemetry.NodeDraining, Node: "s-1"}})
 	g.loop.mu.Unlock()
 	seen := func() string {
 		var all []string
@@ -377,14 +377,14 @@
 			sources[fields[0]] = strings.Count(line, ":") / 3
 		}
 	}
-	var lists []collectd.List
+	var lists []collectd.ValueList
 	r, err := telemetry.New(settings("", "").Registry)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Observe([]telemetry.Fact{{Kind: telemetry.RequestEnded, Class: "read"}, {Kind: telemetry.AttemptEnded, Class: "read"}})
+	r.Observe([]telemetry.Observation{{Kind: telemetry.RequestEnded, Class: "read"}, {Kind: telemetry.AttemptEnded, Class: "read"}})
 	up := telemetry.NewRollup()
-	up.Add(r.Cut(nil), func() {})
+	up.Add(r.Snapshot(nil), func() {})
 	lists = listsOf([]broker.Metric{{Name: "taken", Counter: true}, {Name: "open"}}, up, telemetry.NewSummarizer())
 	for _, l := range lists {
 		if sources[l.Type] != len(l.Values) {
@@ -399,29 +399,29 @@
 // Sinks with intervals of their own are served from cuts of the common measure; a row that left between is told for the
 // last time, and the sums still agree.
 func TestRollup(t *testing.T) {
-	r, err := telemetry.New(telemetry.Options{Classes: []string{"read"}, Plans: []string{"gold"}, Idle: 1})
+	r, err := telemetry.New(telemetry.Options{Classes: []string{"read"}, Plans: []string{"gold"}, IdleSnapshots: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	up := telemetry.NewRollup()
 	for i := range 6 {
 		for range 10 {
-			r.Observe([]telemetry.Fact{{Kind: telemetry.RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint("v", i%4), Whole: 1000}})
+			r.Observe([]telemetry.Observation{{Kind: telemetry.RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint("v", i%4), TotalMicros: 1000}})
 		}
-		up.Add(r.Cut(nil), func() {})
+		up.Add(r.Snapshot(nil), func() {})
 	}
 	sums, timed, volumes := map[telemetry.Dimension]uint64{}, uint64(0), 0
 	total := telemetry.NewSummarizer()
-	up.Tell(func(row *telemetry.Row) {
+	up.Flush(func(row *telemetry.Row) {
 		sums[row.Dimension] += row.Counts[telemetry.RequestsServed]
 		if row.Dimension == telemetry.All {
-			timed = total.Of(row.Times[telemetry.Whole]).Count
+			timed = total.Summarize(row.Histograms[telemetry.TotalLatency]).Count
 		}
-		if row.Dimension == telemetry.ByVolume && !row.Special {
+		if row.Dimension == telemetry.ByVolume && !row.Reserved {
 			volumes++
 		}
 	})
-	for d := range telemetry.Dimensions {
+	for d := range telemetry.DimensionCount {
 		if sums[d] != 60 {
 			t.Errorf("%d served over %s", sums[d], d)
 		}
@@ -441,21 +441,21 @@
 	for _, t := range targets(set, "n1") {
 		b.Run(t.name, func(b *testing.B) {
 			up, sum := telemetry.NewRollup(), telemetry.NewSummarizer()
-			var spent *telemetry.Cut
+			var spent *telemetry.Snapshot
 			for range b.N {
 				b.StopTimer()
 				for i := range 20_000 {
 					at := int64(i * 37 % 50_000)
-					r.Observe([]telemetry.Fact{{Kind: telemetry.RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i % 60), Whole: at, Waiting: at / 3},
-						{Kind: telemetry.AttemptEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i % 60), AtNode: at}})
+					r.Observe([]telemetry.Observation{{Kind: telemetry.RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i % 60), TotalMicros: at, QueueMicros: at / 3},
+						{Kind: telemetry.AttemptEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i % 60), AttemptMicros: at}})
 				}
 				b.StartTimer()
-				spent = r.Cut(spent)
+				spent = r.Snapshot(spent)
 				up.Add(spent, func() {})
 				if _, err := t.encode("n1", nil, up, 1, sum); err != nil {
 					b.Fatal(err)
 				}
-				spent.Clear(func() {})
+				spent.Reset(func() {})
 			}
 		})
 	}
--- a/internal/metricsexport/sink.go
+++ b/internal/metricsexport/sink.go
@@ -18,7 +18,7 @@
 type sink struct {
 	target target
 	log    *slog.Logger
-	alert  func(collectd.Notice)
+	alert  func(collectd.Notification)
 	rollup *telemetry.Rollup
 	held   time.Duration // of the interval, in the rollup
 
@@ -34,13 +34,13 @@
 	cancel context.CancelFunc
 }
 
-func newSink(t target, log *slog.Logger, alert func(collectd.Notice), seed uint64) *sink {
+func newSink(t target, log *slog.Logger, alert func(collectd.Notification), seed uint64) *sink {
 	return &sink{target: t, log: log.With("sink", t.name), alert: alert, rollup: telemetry.NewRollup(),
 		start: time.Now(), ended: make(chan struct{}), state: telemetry.NewSink(t.options, seed)}
 }
 
 // gather takes a cut that covers so much time.
-func (s *sink) gather(cut *telemetry.Cut, span time.Duration) {
+func (s *sink) gather(cut *telemetry.Snapshot, span time.Duration) {
 	s.rollup.Add(cut, breathe)
 	s.held += span
 }
@@ -55,20 +55,20 @@
 		s.log.Error("interval not worded", "reason", err)
 		return
 	}
-	s.reduce(telemetry.Offered{Batch: telemetry.Batch{Frames: frames}})
+	s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: frames}})
 }
 
-func (s *sink) notify(n collectd.Notice) {
+func (s *sink) notify(n collectd.Notification) {
 	if s.target.notice == nil {
 		return
 	}
 	if frame, err := s.target.notice(n, time.Now()); err == nil {
-		s.reduce(telemetry.Offered{Batch: telemetry.Batch{Frames: [][]byte{frame}}})
+		s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: [][]byte{frame}}})
 	}
 }
 
 func (s *sink) finish(by time.Time) {
-	s.reduce(telemetry.Finish{By: by.Sub(s.start).Microseconds()})
+	s.reduce(telemetry.Shutdown{Deadline: by.Sub(s.start).Microseconds()})
 }
 
 // stop ends the sink by a point of time; what is unsent then is dropped.
@@ -76,14 +76,14 @@
 	select {
 	case <-s.ended:
 	case <-time.After(time.Until(by)):
-		s.reduce(telemetry.Finish{By: 0})
+		s.reduce(telemetry.Shutdown{Deadline: 0})
 	}
 }
 
-func (s *sink) figures() telemetry.SinkFigures {
+func (s *sink) figures() telemetry.SinkStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Figures()
+	return s.state.Stats()
 }
 
 func (s *sink) reduce(e telemetry.SinkEvent) {
@@ -99,7 +99,7 @@
 	if number != s.number {
 		return
 	}
-	if _, broke := e.(telemetry.Broke); broke {
+	if _, broke := e.(telemetry.ConnectionFailed); broke {
 		s.hangUp()
 	}
 	s.turn(e)
@@ -116,15 +116,15 @@
 			s.dial()
 		case telemetry.Write:
 			go s.write(s.number, s.conn, e.Frame)
-		case telemetry.HangUp:
+		case telemetry.Disconnect:
 			s.hangUp()
-		case telemetry.Lost:
+		case telemetry.ReportUnavailable:
 			s.log.Warn("sink lost", "reason", e.Reason)
-			s.alert(collectd.Notice{Severity: collectd.Failure, Instance: "sinks", Text: s.target.name + " lost: " + e.Reason})
-		case telemetry.Back:
+			s.alert(collectd.Notification{Severity: collectd.Failure, Instance: "sinks", Text: s.target.name + " lost: " + e.Reason})
+		case telemetry.ReportRecovered:
 			s.log.Info("sink back")
-			s.alert(collectd.Notice{Severity: collectd.Okay, Instance: "sinks", Text: s.target.name + " back"})
-		case telemetry.Over:
+			s.alert(collectd.Notification{Severity: collectd.Okay, Instance: "sinks", Text: s.target.name + " back"})
+		case telemetry.Finished:
 			s.over = true
 			s.hangUp()
 			if s.timer != nil {
@@ -162,7 +162,7 @@
 	go func() {
 		conn, err := new(net.Dialer).DialContext(ctx, s.target.network, s.target.address)
 		if err != nil {
-			s.of(number, telemetry.Broke{Err: err})
+			s.of(number, telemetry.ConnectionFailed{Err: err})
 			return
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
@@ -176,7 +176,7 @@
 		}
 		s.conn = conn
 		go s.listen(number, conn)
-		s.turn(telemetry.Opened{})
+		s.turn(telemetry.Connected{})
 	}()
 }
 
@@ -191,7 +191,7 @@
 			if errors.Is(err, io.EOF) {
 				err = errEnded
 			}
-			s.of(number, telemetry.Broke{Err: err})
+			s.of(number, telemetry.ConnectionFailed{Err: err})
 			return
 		}
 	}
@@ -201,8 +201,8 @@
 
 func (s *sink) write(number int, conn net.Conn, frame []byte) {
 	if _, err := conn.Write(frame); err != nil {
-		s.of(number, telemetry.Broke{Err: err})
+		s.of(number, telemetry.ConnectionFailed{Err: err})
 		return
 	}
-	s.of(number, telemetry.Wrote{})
+	s.of(number, telemetry.FrameWritten{})
 }
--- a/internal/metricsexport/words.go
+++ b/internal/metricsexport/words.go
@@ -23,7 +23,7 @@
 	options  telemetry.SinkOptions
 	sets     any // what the words depend on; a sink with other settings is another sink
 	encode   encoder
-	notice   func(collectd.Notice, time.Time) ([]byte, error) // nil for none
+	notice   func(collectd.Notification, time.Time) ([]byte, error) // nil for none
 }
 
 // encoder words an interval as frames.
@@ -39,14 +39,14 @@
 	var all []target
 	if g := set.Graphite; g.Address != "" {
 		all = append(all, target{name: "graphite", network: g.Transport, address: g.Address, interval: g.Interval(), sets: g,
-			options: telemetry.SinkOptions{QueueBytes: g.QueueBytes, PaceAll: g.Transport == "udp", Again: g.Transport == "tcp"},
+			options: telemetry.SinkOptions{QueueBytes: g.QueueBytes, PaceEveryBatch: g.Transport == "udp", ResendLast: g.Transport == "tcp"},
 			encode:  carbon(g)})
 	}
 	if c := set.Collectd; c.Address != "" {
 		e := &collectd.Encoder{Host: short(name), Plugin: plugin, Security: c.SecurityLevel(), Key: c.Key}
 		all = append(all, target{name: "collectd", network: "udp", address: c.Address, interval: c.Interval(), sets: c,
-			options: telemetry.SinkOptions{QueueBytes: c.QueueBytes, PaceAll: true},
-			encode:  packets(e, c.Interval()), notice: e.Notify})
+			options: telemetry.SinkOptions{QueueBytes: c.QueueBytes, PaceEveryBatch: true},
+			encode:  packets(e, c.Interval()), notice: e.EncodeNotification})
 	}
 	return all
 }
@@ -68,21 +68,21 @@
 		for _, f := range figures {
 			w.Add(graphite.Point{Path: figurePath(f.Name), Value: f.Value})
 		}
-		rows.Tell(func(row *telemetry.Row) {
+		rows.Flush(func(row *telemetry.Row) {
 			breathe()
 			tag := row.Dimension.String()
 			add := func(last string, value uint64) {
-				p := graphite.Path{Tag: tag, Name: row.Name, Plain: row.Special, Last: last}
+				p := graphite.Path{Dimension: tag, Name: row.Name, Verbatim: row.Reserved, Suffix: last}
 				if row.Dimension == telemetry.All {
-					p = graphite.Path{Words: allWords, Last: last}
+					p = graphite.Path{Segments: allWords, Suffix: last}
 				}
 				w.Add(graphite.Point{Path: p, Value: value})
 			}
 			for i, n := range row.Counts {
-				add(telemetry.CountNames[i], n)
+				add(telemetry.CounterNames[i], n)
 			}
-			for t, b := range row.Times {
-				for i, n := range summary(sum.Of(b)) {
+			for t, b := range row.Histograms {
+				for i, n := range summary(sum.Summarize(b)) {
 					if b != nil || i == 0 { // without a time there is no quantile
 						add(timingWords[t][i], n)
 					}
@@ -95,8 +95,8 @@
 
 var allWords = []string{telemetry.All.String()}
 
-var timingWords = func() (words [len(telemetry.TimingNames)][len(telemetry.SummaryNames)]string) {
-	for t, timing := range telemetry.TimingNames {
+var timingWords = func() (words [len(telemetry.LatencyNames)][len(telemetry.SummaryNames)]string) {
+	for t, timing := range telemetry.LatencyNames {
 		for i, name := range telemetry.SummaryNames {
 			words[t][i] = timing + "." + name
 		}
@@ -113,10 +113,10 @@
 func figurePath(name string) graphite.Path {
 	for _, kind := range []string{"success.", "busy.", "failure."} {
 		if class, is := strings.CutPrefix(name, kind); is {
-			return graphite.Path{Words: []string{kind + string(graphite.AppendName(nil, class))}}
+			return graphite.Path{Segments: []string{kind + string(graphite.AppendName(nil, class))}}
 		}
 	}
-	return graphite.Path{Words: []string{name}}
+	return graphite.Path{Segments: []string{name}}
 }
 
 // plugin is collectd's name for what a broker tells.
@@ -125,31 +125,31 @@
 // packets words an interval for collectd. The types stand in deploy/types.db.
 func packets(e *collectd.Encoder, interval time.Duration) encoder {
 	return func(_ string, figures []broker.Metric, rows *telemetry.Rollup, stamp int64, sum *telemetry.Summarizer) ([][]byte, error) {
-		return e.Lists(listsOf(figures, rows, sum), time.Unix(stamp, 0), interval)
+		return e.EncodeValueLists(listsOf(figures, rows, sum), time.Unix(stamp, 0), interval)
 	}
 }
 
-func listsOf(figures []broker.Metric, rows *telemetry.Rollup, sum *telemetry.Summarizer) []collectd.List {
-	lists := make([]collectd.List, 0, len(figures)+512)
+func listsOf(figures []broker.Metric, rows *telemetry.Rollup, sum *telemetry.Summarizer) []collectd.ValueList {
+	lists := make([]collectd.ValueList, 0, len(figures)+512)
 	for _, f := range figures {
-		l := collectd.List{Type: "gauge", TypeInstance: short(f.Name), Values: []collectd.Value{{Kind: collectd.Gauge, N: f.Value}}}
+		l := collectd.ValueList{Type: "gauge", TypeInstance: short(f.Name), Values: []collectd.Value{{Kind: collectd.Gauge, N: f.Value}}}
 		if f.Counter {
 			l.Type, l.Values[0].Kind = "derive", collectd.Derive
 		}
 		lists = append(lists, l)
 	}
-	rows.Tell(func(row *telemetry.Row) {
+	rows.Flush(func(row *telemetry.Row) {
 		breathe()
 		name := row.Name
-		if !row.Special {
+		if !row.Reserved {
 			name = string(graphite.AppendName(nil, name))
 		}
 		instance := row.Dimension.String()
 		if row.Dimension != telemetry.All {
 			instance = short(instance + "." + name)
 		}
-		counts := func(kind string, from, to telemetry.Count) {
-			l := collectd.List{PluginInstance: instance, Type: kind}
+		counts := func(kind string, from, to telemetry.Counter) {
+			l := collectd.ValueList{PluginInstance: instance, Type: kind}
 			for _, n := range row.Counts[from:to] {
 				l.Values = append(l.Values, collectd.Value{Kind: collectd.Derive, N: n})
 			}
@@ -158,12 +158,12 @@
 		counts("junctionwharf_requests", telemetry.RequestsServed, telemetry.Attempts)
 		counts("junctionwharf_attempts", telemetry.Attempts, telemetry.MilliUnits)
 		counts("junctionwharf_units", telemetry.MilliUnits, telemetry.MilliUnitsServed+1)
-		for t, b := range row.Times {
+		for t, b := range row.Histograms {
 			if b == nil {
 				continue
 			}
-			l := collectd.List{PluginInstance: instance, Type: "junctionwharf_latency", TypeInstance: telemetry.TimingNames[t]}
-			for _, n := range summary(sum.Of(b)) {
+			l := collectd.ValueList{PluginInstance: instance, Type: "junctionwharf_latency", TypeInstance: telemetry.LatencyNames[t]}
+			for _, n := range summary(sum.Summarize(b)) {
 				l.Values = append(l.Values, collectd.Value{Kind: collectd.Gauge, N: n})
 			}
 			lists = append(lists, l)
--- a/telemetry/buckets.go
+++ b/telemetry/buckets.go
@@ -6,17 +6,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The geometry of Buckets: 2^subBits buckets to each power of two, so a value is known within 1/32 of itself, the
-// middle of a bucket within 1/64. Times of over maxMicros count as that.
+// The geometry of Histogram: 2^subBits buckets to each power of two, so a value is known within 1/32 of itself, the
+// middle of a bucket within 1/64. Histograms of over maxMicros count as that.
 const (
 	subBits   = 5
 	maxMicros = 1<<26 - 1 // 67 s
 	slots     = (26 - subBits + 1) << subBits
 )
 
-// Buckets counts times of one interval, in µs. It is HdrHistogram's layout in 32-bit counts: one index is worked out for a
+// Histogram counts times of one interval, in µs. It is HdrHistogram's layout in 32-bit counts: one index is worked out for a
 // time and serves the series of all dimensions, and a histogram takes 2.8 KB where the library's own takes 17.
-type Buckets struct {
+type Histogram struct {
 	counts    [slots]uint32
 	n         uint64
 	most      int64
@@ -35,7 +35,7 @@
 	return int64(slot-shift<<subBits)<<shift + (1<<shift)>>1
 }
 
-func (b *Buckets) add(slot int, micros int64) {
+func (b *Histogram) add(slot int, micros int64) {
 	if b.n == 0 {
 		b.low, b.high = slot, slot
 	}
@@ -46,7 +46,7 @@
 }
 
 // merge adds what other counted.
-func (b *Buckets) merge(other *Buckets) {
+func (b *Histogram) merge(other *Histogram) {
 	if other.n == 0 {
 		return
 	}
@@ -62,14 +62,14 @@
 }
 
 // reset empties b.
-func (b *Buckets) reset() {
+func (b *Histogram) reset() {
 	if b.n > 0 {
 		clear(b.counts[b.low : b.high+1])
 	}
 	b.n, b.most = 0, 0
 }
 
-// Summary is what is told of the times of one interval. Times are in µs.
+// Summary is what is told of the times of one interval. Histograms are in µs.
 type Summary struct {
 	Count                    uint64
 	P50, P90, P99, P999, Max int64
@@ -78,13 +78,13 @@
 // Summarizer works out summaries; it is for one goroutine.
 type Summarizer struct{ scratch *hdrhistogram.Histogram }
 
-// NewSummarizer returns a Summarizer. Two digits are as fine as Buckets are; a third would take eight times as long.
+// NewSummarizer returns a Summarizer. Two digits are as fine as Histogram are; a third would take eight times as long.
 func NewSummarizer() *Summarizer {
 	return &Summarizer{hdrhistogram.New(1, maxMicros, 2)}
 }
 
-// Of summarizes what b counted; nil counted nothing.
-func (s *Summarizer) Of(b *Buckets) Summary {
+// Summarize summarizes what b counted; nil counted nothing.
+func (s *Summarizer) Summarize(b *Histogram) Summary {
 	if b == nil || b.n == 0 {
 		return Summary{}
 	}
--- a/telemetry/fact.go
+++ b/telemetry/fact.go
@@ -6,56 +6,56 @@
 // cut, however many volumes come and go, while the number of series and their memory stay under bounds that are stated.
 package telemetry
 
-// End says how a request ended.
-type End uint8
+// RequestOutcome says how a request ended.
+type RequestOutcome uint8
 
 // The ends of a request. They stand in the order of the counters of Counts.
 const (
-	Served End = iota
-	Busy       // refused: trying again is harmless
+	Served   RequestOutcome = iota
+	Rejected                // refused: trying again is harmless
 	Failed
-	Left // its client went before the answer
+	Abandoned // its client went before the answer
 )
 
-// Outcome says how an attempt ended, as package scheduler names it.
-type Outcome uint8
+// AttemptOutcome says how an attempt ended, as package scheduler names it.
+type AttemptOutcome uint8
 
 // The outcomes of an attempt that was begun.
 const (
-	Success Outcome = iota
+	Success AttemptOutcome = iota
 	Failure
 	Overloaded
 	TimedOut
 	Unreachable
-	Broken
-	Withdrawn
+	ConnectionBroken
+	Canceled
 	outcomes // how many there are
 )
 
-// FactKind says what a Fact tells.
-type FactKind uint8
+// ObservationKind says what an Observation tells.
+type ObservationKind uint8
 
 // The kinds of facts.
 const (
-	RequestEnded FactKind = iota
+	RequestEnded ObservationKind = iota
 	AttemptEnded
 	NodeListed
-	NodeLeaving // it is listed as draining or gone: nothing new goes there
+	NodeDraining // it is listed as draining or gone: nothing new goes there
 	NodeUnlisted
 )
 
-// Fact is one thing that happened. The strings are read, never kept, unless a series is made of them, which then
+// Observation is one thing that happened. The strings are read, never kept, unless a series is made of them, which then
 // holds a copy.
-type Fact struct {
-	Kind    FactKind
-	End     End     // of RequestEnded
-	Outcome Outcome // of AttemptEnded
+type Observation struct {
+	Kind           ObservationKind
+	RequestOutcome RequestOutcome // of RequestEnded
+	AttemptOutcome AttemptOutcome // of AttemptEnded
 
 	Class, Plan, Volume string
 	Node                string // of the attempt, or of the request's last one; empty if there was none
 
-	Units   float64 // of the request
-	Whole   int64   // of RequestEnded: µs from arrival to the end
-	Waiting int64   // of RequestEnded: µs from arrival to the first attempt, or to the end if there was none
-	AtNode  int64   // of AttemptEnded: µs from its start to its end
+	Units         float64 // of the request
+	TotalMicros   int64   // of RequestEnded: µs from arrival to the end
+	QueueMicros   int64   // of RequestEnded: µs from arrival to the first attempt, or to the end if there was none
+	AttemptMicros int64   // of AttemptEnded: µs from its start to its end
 }
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -20,26 +20,26 @@
 	ByPlan
 	ByNode
 	ByVolume
-	Dimensions // how many there are
+	DimensionCount // how many there are
 )
 
 func (d Dimension) String() string {
 	return [...]string{"all", "class", "plan", "node", "volume"}[d]
 }
 
-// Count is the place of a counter in Counts.
-type Count uint8
+// Counter is the place of a counter in Counts.
+type Counter uint8
 
 // The counters. Units are counted in thousandths, as whole numbers, so that sums are exact. The first four stand in the
-// order of End, those from AttemptOutcomes on in the order of Outcome.
+// order of RequestOutcome, those from FirstAttemptOutcome on in the order of AttemptOutcome.
 const (
-	RequestsServed Count = iota
-	RequestsBusy
+	RequestsServed Counter = iota
+	RequestsRejected
 	RequestsFailed
-	RequestsLeft
+	RequestsAbandoned
 	Attempts
-	AttemptOutcomes
-	MilliUnits       = AttemptOutcomes + Count(outcomes) // of all requests that ended
+	FirstAttemptOutcome
+	MilliUnits       = FirstAttemptOutcome + Counter(outcomes) // of all requests that ended
 	MilliUnitsServed = MilliUnits + 1
 	counters         = MilliUnitsServed + 1
 )
@@ -47,24 +47,24 @@
 // Counts are cumulative: they only grow while a row lasts.
 type Counts [counters]uint64
 
-// CountNames names the counters of Counts as sinks see them.
-var CountNames = [counters]string{"served", "busy", "failed", "left", "attempts", "attempts_success", "attempts_failure",
+// CounterNames names the counters of Counts as sinks see them.
+var CounterNames = [counters]string{"served", "busy", "failed", "left", "attempts", "attempts_success", "attempts_failure",
 	"attempts_overloaded", "attempts_timed_out", "attempts_unreachable", "attempts_broken", "attempts_withdrawn",
 	"units_milli", "units_milli_served"}
 
-// Timing is the place of a histogram in a Row.
-type Timing uint8
+// Latency is the place of a histogram in a Row.
+type Latency uint8
 
 // The timings, in µs.
 const (
-	Whole   Timing = iota // from arrival to the final answer
-	Waiting               // in the module, before the first attempt
-	AtNode                // of one attempt
+	TotalLatency   Latency = iota // from arrival to the final answer
+	QueueLatency                  // in the module, before the first attempt
+	AttemptLatency                // of one attempt
 	timings
 )
 
-// TimingNames names the timings as sinks see them.
-var TimingNames = [timings]string{"whole_us", "waiting_us", "at_node_us"}
+// LatencyNames names the timings as sinks see them.
+var LatencyNames = [timings]string{"whole_us", "waiting_us", "at_node_us"}
 
 // SummaryNames names the figures of a Summary, in its order.
 var SummaryNames = [...]string{"count", "p50", "p90", "p99", "p99_9", "max"}
@@ -86,11 +86,11 @@
 
 // Options of a Registry. The zero value of a field means its default.
 type Options struct {
-	MaxSeries int // bound on the series that sinks see, 2000 by default
-	MaxBytes  int // bound on the memory of rows, 16 MiB by default
-	Fixed     int // series that others than the registry tell, which count in MaxSeries
-	Idle      int // a volume leaves after so many cuts without a request, 30 by default
-	Hold      int // a volume keeps its row for so many cuts at the least, 3 by default
+	MaxSeries      int // bound on the series that sinks see, 2000 by default
+	MaxBytes       int // bound on the memory of rows, 16 MiB by default
+	ReservedSeries int // series that others than the registry tell, which count in MaxSeries
+	IdleSnapshots  int // a volume leaves after so many cuts without a request, 30 by default
+	MinSnapshots   int // a volume keeps its row for so many cuts at the least, 3 by default
 
 	Classes, Plans []string // they always have rows
 }
@@ -111,8 +111,8 @@
 // Check names the option that makes no sense.
 func (o Options) Check() error {
 	o.complete()
-	if need := (o.base() + 1) * RowSeries; o.MaxSeries < need+o.Fixed {
-		return fmt.Errorf("max_series: %d is below %d, which %d classes and %d plans need", o.MaxSeries, need+o.Fixed, len(o.Classes), len(o.Plans))
+	if need := (o.base() + 1) * RowSeries; o.MaxSeries < need+o.ReservedSeries {
+		return fmt.Errorf("max_series: %d is below %d, which %d classes and %d plans need", o.MaxSeries, need+o.ReservedSeries, len(o.Classes), len(o.Plans))
 	}
 	if need := (o.base() + 1) * rowBytes; o.MaxBytes < need {
 		return fmt.Errorf("max_bytes: %d is below %d, which %d classes and %d plans need", o.MaxBytes, need, len(o.Classes), len(o.Plans))
@@ -124,7 +124,7 @@
 	for _, d := range []struct {
 		value    *int
 		fallback int
-	}{{&o.MaxSeries, DefaultMaxSeries}, {&o.MaxBytes, DefaultMaxBytes}, {&o.Idle, defaultIdle}, {&o.Hold, defaultHold}} {
+	}{{&o.MaxSeries, DefaultMaxSeries}, {&o.MaxBytes, DefaultMaxBytes}, {&o.IdleSnapshots, defaultIdle}, {&o.MinSnapshots, defaultHold}} {
 		if *d.value == 0 {
 			*d.value = d.fallback
 		}
@@ -138,29 +138,29 @@
 type row struct {
 	name   string
 	counts Counts
-	times  [timings]*Buckets // nil where nothing was timed since the last cut
-	hash   uint64            // of a volume
-	load   float64           // of a volume: units of late, halved at each cut
-	fresh  float64           // units since the last cut
-	held   int               // cuts since the row was made
-	idle   int               // cuts since the last fact
-	gone   bool              // the next cut is its last
+	times  [timings]*Histogram // nil where nothing was timed since the last cut
+	hash   uint64              // of a volume
+	load   float64             // of a volume: units of late, halved at each cut
+	fresh  float64             // units since the last cut
+	held   int                 // cuts since the row was made
+	idle   int                 // cuts since the last fact
+	gone   bool                // the next cut is its last
 }
 
-// Registry counts facts in rows. It is for one goroutine; what a reader gets is a Cut, which is the reader's own.
+// Registry counts facts in rows. It is for one goroutine; what a reader gets is a Snapshot, which is the reader's own.
 type Registry struct {
 	opt     Options
 	classes map[string]*row
 	plans   map[string]*row
 	nodes   map[string]*row
 	volumes map[uint64]*row
-	others  [Dimensions]row
+	others  [DimensionCount]row
 	none    row
 
 	listed  map[string]bool // nodes in the list
 	sketch  *Sketch
 	invited map[uint64]bool // volumes that get a row at their next request
-	free    []*Buckets
+	free    []*Histogram
 	spare   int    // rows for nodes and volumes together
 	changes uint64 // volumes that got or lost a row
 }
@@ -173,12 +173,12 @@
 		r.others[d].name = Other
 	}
 	r.none.name = None
-	return r, r.Retune(opt)
+	return r, r.ApplyOptions(opt)
 }
 
-// Retune goes over to other options: rows beyond a smaller bound leave with the next cut, those of classes and plans
+// ApplyOptions goes over to other options: rows beyond a smaller bound leave with the next cut, those of classes and plans
 // that vanished too. Options that make no sense change nothing.
-func (r *Registry) Retune(opt Options) error {
+func (r *Registry) ApplyOptions(opt Options) error {
 	if err := opt.Check(); err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	}
 	keep(r.classes, opt.Classes)
 	keep(r.plans, opt.Plans)
-	r.spare = min((opt.MaxSeries-opt.Fixed)/RowSeries, opt.MaxBytes/rowBytes) - opt.base()
+	r.spare = min((opt.MaxSeries-opt.ReservedSeries)/RowSeries, opt.MaxBytes/rowBytes) - opt.base()
 	over := len(r.nodes) - r.nodeRoom()
 	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
 		r.nodes[name].gone = r.nodes[name].gone || over > 0
@@ -225,14 +225,14 @@
 
 // Rows tells how many rows there are, All among them.
 func (r *Registry) Rows() int {
-	return 1 + int(Dimensions-1) + 1 + len(r.classes) + len(r.plans) + len(r.nodes) + len(r.volumes)
+	return 1 + int(DimensionCount-1) + 1 + len(r.classes) + len(r.plans) + len(r.nodes) + len(r.volumes)
 }
 
-// Changes counts the volumes that got or lost a row.
-func (r *Registry) Changes() uint64 { return r.changes }
+// VolumeChanges counts the volumes that got or lost a row.
+func (r *Registry) VolumeChanges() uint64 { return r.changes }
 
 // Observe counts facts, in order.
-func (r *Registry) Observe(facts []Fact) {
+func (r *Registry) Observe(facts []Observation) {
 	for i := range facts {
 		f := &facts[i]
 		switch f.Kind {
@@ -251,9 +251,9 @@
 	}
 }
 
-func (r *Registry) ended(f *Fact) {
+func (r *Registry) ended(f *Observation) {
 	units := milli(f.Units)
-	whole, waiting := clip(f.Whole), clip(f.Waiting)
+	whole, waiting := clip(f.TotalMicros), clip(f.QueueMicros)
 	wholeSlot, waitingSlot := slotOf(whole), slotOf(waiting)
 	volume := r.volume(f.Volume)
 	if volume.hash != 0 {
@@ -263,24 +263,24 @@
 	}
 	for _, e := range [...]*row{r.named(r.classes, f.Class, ByClass), r.named(r.plans, f.Plan, ByPlan), r.node(f.Node), volume} {
 		e.idle = 0
-		e.counts[f.End]++
+		e.counts[f.RequestOutcome]++
 		e.counts[MilliUnits] += units
-		if f.End == Served {
+		if f.RequestOutcome == Served {
 			e.counts[MilliUnitsServed] += units
 		}
-		r.timed(e, Whole).add(wholeSlot, whole)
-		r.timed(e, Waiting).add(waitingSlot, waiting)
+		r.timed(e, TotalLatency).add(wholeSlot, whole)
+		r.timed(e, QueueLatency).add(waitingSlot, waiting)
 	}
 }
 
-func (r *Registry) tried(f *Fact) {
-	took := clip(f.AtNode)
+func (r *Registry) tried(f *Observation) {
+	took := clip(f.AttemptMicros)
 	slot := slotOf(took)
 	for _, e := range [...]*row{r.named(r.classes, f.Class, ByClass), r.named(r.plans, f.Plan, ByPlan), r.node(f.Node), r.volume(f.Volume)} {
 		e.idle = 0
 		e.counts[Attempts]++
-		e.counts[AttemptOutcomes+Count(f.Outcome)]++
-		r.timed(e, AtNode).add(slot, took)
+		e.counts[FirstAttemptOutcome+Counter(f.AttemptOutcome)]++
+		r.timed(e, AttemptLatency).add(slot, took)
 	}
 }
 
@@ -294,20 +294,20 @@
 	return uint64(min(units, 1e9)*1000 + 0.5)
 }
 
-func (r *Registry) timed(e *row, t Timing) *Buckets {
+func (r *Registry) timed(e *row, t Latency) *Histogram {
 	if e.times[t] == nil {
 		e.times[t] = r.buckets()
 	}
 	return e.times[t]
 }
 
-func (r *Registry) buckets() *Buckets {
+func (r *Registry) buckets() *Histogram {
 	if last := len(r.free) - 1; last >= 0 {
 		b := r.free[last]
 		r.free = r.free[:last]
 		return b
 	}
-	return new(Buckets)
+	return new(Histogram)
 }
 
 func (r *Registry) named(rows map[string]*row, name string, d Dimension) *row {
@@ -364,9 +364,9 @@
 	if len(r.volumes)+kept >= r.volumeRoom() {
 		return &r.others[ByVolume]
 	}
-	e := &row{name: shorten(name), hash: hash, load: r.sketch.Sure(hash)}
+	e := &row{name: shorten(name), hash: hash, load: r.sketch.LowerBound(hash)}
 	r.volumes[hash] = e
-	r.sketch.Forget(hash)
+	r.sketch.Remove(hash)
 	delete(r.invited, hash)
 	r.changes++
 	return e
@@ -376,22 +376,22 @@
 
 // Row is what a cut tells of one name of one dimension.
 type Row struct {
-	Dimension Dimension
-	Name      string
-	Special   bool // Name is All's, Other or None, and not a name of the site's own
-	Counts    Counts
-	Times     [timings]*Buckets // of the interval; nil where nothing was timed
-	Last      bool              // the row is told for the last time; from now on its counts stand in Other
+	Dimension  Dimension
+	Name       string
+	Reserved   bool // Name is All's, Other or None, and not a name of the site's own
+	Counts     Counts
+	Histograms [timings]*Histogram // of the interval; nil where nothing was timed
+	Final      bool                // the row is told for the last time; from now on its counts stand in Other
 }
 
-// Cut is all rows at one moment. The sums of Counts over the rows of each dimension are equal.
-type Cut struct{ Rows []Row }
+// Snapshot is all rows at one moment. The sums of Counts over the rows of each dimension are equal.
+type Snapshot struct{ Rows []Row }
 
-// Clear empties the times of a cut that its reader is done with. It is the reader's work: it takes longer than the cut. pause
+// Reset empties the times of a cut that its reader is done with. It is the reader's work: it takes longer than the cut. pause
 // is called between rows.
-func (c *Cut) Clear(pause func()) {
+func (c *Snapshot) Reset(pause func()) {
 	for _, row := range c.Rows {
-		for _, b := range row.Times {
+		for _, b := range row.Histograms {
 			if b != nil {
 				b.reset()
 			}
@@ -400,14 +400,14 @@
 	}
 }
 
-// Cut ends an interval and tells of it. spent is an earlier cut that its reader has cleared, nil for none; its memory is
+// Snapshot ends an interval and tells of it. spent is an earlier cut that its reader has cleared, nil for none; its memory is
 // used again.
-func (r *Registry) Cut(spent *Cut) *Cut {
-	cut := &Cut{}
+func (r *Registry) Snapshot(spent *Snapshot) *Snapshot {
+	cut := &Snapshot{}
 	if spent != nil {
 		cut.Rows = spent.Rows[:0]
 		for _, row := range spent.Rows {
-			for _, b := range row.Times {
+			for _, b := range row.Histograms {
 				if b != nil {
 					r.free = append(r.free, b)
 				}
@@ -430,7 +430,7 @@
 		r.tellOther(cut, part.d)
 	}
 	r.tell(cut, ByNode, &r.none, false)
-	cut.Rows[len(cut.Rows)-1].Special = true
+	cut.Rows[len(cut.Rows)-1].Reserved = true
 	for hash, e := range r.volumes {
 		r.tell(cut, ByVolume, e, e.gone)
 		if e.gone {
@@ -440,7 +440,7 @@
 	}
 	r.tellOther(cut, ByVolume)
 	for i, row := range cut.Rows {
-		if row.Last { // only now: this cut's Other does not hold them yet
+		if row.Final { // only now: this cut's Other does not hold them yet
 			for c, n := range row.Counts {
 				r.others[cut.Rows[i].Dimension].counts[c] += n
 			}
@@ -455,23 +455,23 @@
 	return cut
 }
 
-func (r *Registry) tell(cut *Cut, d Dimension, e *row, last bool) {
-	cut.Rows = append(cut.Rows, Row{Dimension: d, Name: e.name, Counts: e.counts, Times: e.times, Last: last})
-	e.times = [timings]*Buckets{}
+func (r *Registry) tell(cut *Snapshot, d Dimension, e *row, last bool) {
+	cut.Rows = append(cut.Rows, Row{Dimension: d, Name: e.name, Counts: e.counts, Histograms: e.times, Final: last})
+	e.times = [timings]*Histogram{}
 	e.held++
 	e.idle++
 	e.load = e.load/2 + e.fresh
 	e.fresh = 0
 }
 
-func (r *Registry) tellOther(cut *Cut, d Dimension) {
+func (r *Registry) tellOther(cut *Snapshot, d Dimension) {
 	r.tell(cut, d, &r.others[d], false)
-	cut.Rows[len(cut.Rows)-1].Special = true
+	cut.Rows[len(cut.Rows)-1].Reserved = true
 }
 
 // sum adds the row of All, which is that of all classes together.
-func (c *Cut) sum(r *Registry) {
-	all := Row{Dimension: All, Name: All.String(), Special: true}
+func (c *Snapshot) sum(r *Registry) {
+	all := Row{Dimension: All, Name: All.String(), Reserved: true}
 	for _, row := range c.Rows {
 		if row.Dimension != ByClass {
 			continue
@@ -479,14 +479,14 @@
 		for i, n := range row.Counts {
 			all.Counts[i] += n
 		}
-		for t, b := range row.Times {
+		for t, b := range row.Histograms {
 			if b == nil {
 				continue
 			}
-			if all.Times[t] == nil {
-				all.Times[t] = r.buckets()
+			if all.Histograms[t] == nil {
+				all.Histograms[t] = r.buckets()
 			}
-			all.Times[t].merge(b)
+			all.Histograms[t].merge(b)
 		}
 	}
 	c.Rows = append(c.Rows, all)
@@ -499,7 +499,7 @@
 	clear(r.invited)
 	leaving := 0
 	for _, e := range r.volumes {
-		if e.gone = e.idle >= r.opt.Idle; e.gone {
+		if e.gone = e.idle >= r.opt.IdleSnapshots; e.gone {
 			leaving++
 		}
 	}
@@ -510,7 +510,7 @@
 	}
 	least := make([]*row, 0, len(r.volumes))
 	for _, e := range r.volumes {
-		if !e.gone && e.held >= r.opt.Hold {
+		if !e.gone && e.held >= r.opt.MinSnapshots {
 			least = append(least, e)
 		}
 	}
--- a/telemetry/registry_test.go
+++ b/telemetry/registry_test.go
@@ -22,15 +22,15 @@
 }
 
 // judge checks a cut against totals that were counted plainly, and the bound on series.
-func judge(t *testing.T, r *Registry, cut *Cut, want Counts) {
+func judge(t *testing.T, r *Registry, cut *Snapshot, want Counts) {
 	t.Helper()
-	var sums [Dimensions]Counts
+	var sums [DimensionCount]Counts
 	seen := map[string]bool{}
 	for _, row := range cut.Rows {
 		for i, n := range row.Counts {
 			sums[row.Dimension][i] += n
 		}
-		key := fmt.Sprint(row.Dimension, row.Special, row.Name)
+		key := fmt.Sprint(row.Dimension, row.Reserved, row.Name)
 		if seen[key] {
 			t.Errorf("%s stands twice", key)
 		}
@@ -41,7 +41,7 @@
 			t.Fatalf("the sum over %s is %v, want %v", Dimension(d), sum, want)
 		}
 	}
-	if series := len(cut.Rows)*RowSeries + r.opt.Fixed; series > r.opt.MaxSeries {
+	if series := len(cut.Rows)*RowSeries + r.opt.ReservedSeries; series > r.opt.MaxSeries {
 		t.Fatalf("%d series, bound %d", series, r.opt.MaxSeries)
 	}
 }
@@ -50,35 +50,35 @@
 func TestSumsAreExact(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		r := newRegistry(t, Options{MaxSeries: RowSeries * (11 + random.IntN(40)), Idle: 3, Hold: 1 + random.IntN(3)})
+		r := newRegistry(t, Options{MaxSeries: RowSeries * (11 + random.IntN(40)), IdleSnapshots: 3, MinSnapshots: 1 + random.IntN(3)})
 		var want Counts
-		var spent *Cut
+		var spent *Snapshot
 		names := func(of string, n int) string { return fmt.Sprint(of, random.IntN(n)) }
 		for range 40 {
 			for range random.IntN(300) {
-				f := Fact{Class: "read", Plan: names("p", 3), Volume: names("v", 1+random.IntN(200)), Node: names("n", 30),
-					Units: float64(random.IntN(9000)) / 1000, Whole: random.Int64N(1e8), Waiting: random.Int64N(1e5)}
-				switch f.Kind = FactKind(random.IntN(5)); f.Kind {
+				f := Observation{Class: "read", Plan: names("p", 3), Volume: names("v", 1+random.IntN(200)), Node: names("n", 30),
+					Units: float64(random.IntN(9000)) / 1000, TotalMicros: random.Int64N(1e8), QueueMicros: random.Int64N(1e5)}
+				switch f.Kind = ObservationKind(random.IntN(5)); f.Kind {
 				case RequestEnded:
 					if random.IntN(4) == 0 {
 						f.Node = ""
 					}
-					f.End = End(random.IntN(4))
-					want[f.End]++
+					f.RequestOutcome = RequestOutcome(random.IntN(4))
+					want[f.RequestOutcome]++
 					want[MilliUnits] += uint64(f.Units*1000 + 0.5)
-					if f.End == Served {
+					if f.RequestOutcome == Served {
 						want[MilliUnitsServed] += uint64(f.Units*1000 + 0.5)
 					}
 				case AttemptEnded:
-					f.Outcome = Outcome(random.IntN(int(outcomes)))
+					f.AttemptOutcome = AttemptOutcome(random.IntN(int(outcomes)))
 					want[Attempts]++
-					want[AttemptOutcomes+Count(f.Outcome)]++
+					want[FirstAttemptOutcome+Counter(f.AttemptOutcome)]++
 				}
-				r.Observe([]Fact{f})
+				r.Observe([]Observation{f})
 			}
-			spent = r.Cut(spent)
+			spent = r.Snapshot(spent)
 			judge(t, r, spent, want)
-			spent.Clear(func() {})
+			spent.Reset(func() {})
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	r := newRegistry(t, Options{MaxSeries: 2000})
 	var want Counts
 	send := func(volume string, units float64) {
-		r.Observe([]Fact{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: volume, Units: units}})
+		r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: volume, Units: units}})
 		want[RequestsServed]++
 		want[MilliUnits] += milli(units)
 		want[MilliUnitsServed] += milli(units)
@@ -99,7 +99,7 @@
 				send(fmt.Sprint("heavy", v), 4)
 			}
 		}
-		r.Cut(nil)
+		r.Snapshot(nil)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -112,7 +112,7 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	cut := r.Cut(nil)
+	cut := r.Snapshot(nil)
 	judge(t, r, cut, want)
 	heavy := 0
 	for _, row := range cut.Rows {
@@ -128,10 +128,10 @@
 	}
 }
 
-func volumes(cut *Cut) map[string]Row {
+func volumes(cut *Snapshot) map[string]Row {
 	rows := map[string]Row{}
 	for _, row := range cut.Rows {
-		if row.Dimension == ByVolume && !row.Special {
+		if row.Dimension == ByVolume && !row.Reserved {
 			rows[row.Name] = row
 		}
 	}
@@ -141,10 +141,10 @@
 // A volume that becomes heavy gets a row; two of about one weight do not take turns; one that falls silent leaves with its
 // last value told.
 func TestVolumesCompete(t *testing.T) {
-	r := newRegistry(t, Options{MaxSeries: RowSeries * 13, Idle: 4, Hold: 2}) // rows for three volumes
+	r := newRegistry(t, Options{MaxSeries: RowSeries * 13, IdleSnapshots: 4, MinSnapshots: 2}) // rows for three volumes
 	send := func(name string, times int) {
 		for range times {
-			r.Observe([]Fact{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: name, Units: 1}})
+			r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: name, Units: 1}})
 		}
 	}
 	for range 20 {
@@ -152,33 +152,33 @@
 		send("b", 100)
 		send("c", 100)
 		send("d", 110) // came last, and is not clearly heavier
-		r.Cut(nil)
+		r.Snapshot(nil)
 	}
-	if r.Changes() != 3 {
-		t.Fatalf("%d changes: the rows flicker", r.Changes())
+	if r.VolumeChanges() != 3 {
+		t.Fatalf("%d changes: the rows flicker", r.VolumeChanges())
 	}
 	for range 6 {
 		send("a", 100)
 		send("b", 100)
 		send("c", 100)
 		send("d", 400)
-		r.Cut(nil)
+		r.Snapshot(nil)
 	}
-	if r.Changes() != 5 { // one left, d came
-		t.Errorf("%d changes", r.Changes())
+	if r.VolumeChanges() != 5 { // one left, d came
+		t.Errorf("%d changes", r.VolumeChanges())
 	}
-	if _, in := volumes(r.Cut(nil))["d"]; !in {
+	if _, in := volumes(r.Snapshot(nil))["d"]; !in {
 		t.Error("the heaviest volume has no row")
 	}
 	lasts := 0
 	for range 6 {
-		for _, row := range volumes(r.Cut(nil)) {
-			if row.Last && row.Counts[RequestsServed] > 0 {
+		for _, row := range volumes(r.Snapshot(nil)) {
+			if row.Final && row.Counts[RequestsServed] > 0 {
 				lasts++
 			}
 		}
 	}
-	if lasts != 3 || len(volumes(r.Cut(nil))) != 0 {
+	if lasts != 3 || len(volumes(r.Snapshot(nil))) != 0 {
 		t.Errorf("%d of 3 silent volumes left with their last value", lasts)
 	}
 }
@@ -188,38 +188,38 @@
 func TestNodesReplaced(t *testing.T) {
 	r := newRegistry(t, Options{MaxSeries: RowSeries * 30})
 	for i := range 100 {
-		r.Observe([]Fact{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}})
+		r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}})
 	}
 	var want Counts
 	want[RequestsServed] = 100
 	for round := range 20 {
 		for i := range 10 {
 			name := fmt.Sprint("n", round, "-", i)
-			r.Observe([]Fact{{Kind: NodeListed, Node: name}, {Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: "1", Node: name}})
+			r.Observe([]Observation{{Kind: NodeListed, Node: name}, {Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: "1", Node: name}})
 			want[Attempts]++
-			want[AttemptOutcomes]++
+			want[FirstAttemptOutcome]++
 		}
-		r.Cut(nil)
-		judge(t, r, r.Cut(nil), want)
+		r.Snapshot(nil)
+		judge(t, r, r.Snapshot(nil), want)
 		if len(r.nodes) != 10 {
 			t.Fatalf("round %d: %d nodes have rows", round, len(r.nodes))
 		}
 		for i := range 10 {
 			name := fmt.Sprint("n", round, "-", i)
-			r.Observe([]Fact{{Kind: NodeUnlisted, Node: name}})
+			r.Observe([]Observation{{Kind: NodeUnlisted, Node: name}})
 		}
 		last := 0
-		for _, row := range r.Cut(nil).Rows {
-			if row.Dimension == ByNode && row.Last {
+		for _, row := range r.Snapshot(nil).Rows {
+			if row.Dimension == ByNode && row.Final {
 				last++
 			}
 		}
 		if last != 10 {
 			t.Fatalf("%d nodes left with their last value", last)
 		}
-		r.Observe([]Fact{{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: fmt.Sprint("n", round, "-", 0)}})
+		r.Observe([]Observation{{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: fmt.Sprint("n", round, "-", 0)}})
 		want[Attempts]++
-		want[AttemptOutcomes]++
+		want[FirstAttemptOutcome]++
 	}
 }
 
@@ -229,15 +229,15 @@
 		t.Error("280 series are enough for 9 rows")
 	}
 	r := newRegistry(t, Options{})
-	r.Observe([]Fact{{Kind: RequestEnded, Class: "write", Plan: "gold"}})
-	if err := r.Retune(Options{Classes: []string{"read", "new"}, Plans: []string{"gold"}}); err != nil {
+	r.Observe([]Observation{{Kind: RequestEnded, Class: "write", Plan: "gold"}})
+	if err := r.ApplyOptions(Options{Classes: []string{"read", "new"}, Plans: []string{"gold"}}); err != nil {
 		t.Fatal(err)
 	}
-	r.Cut(nil)
-	r.Observe([]Fact{{Kind: RequestEnded, Class: "new", Plan: "basic"}})
+	r.Snapshot(nil)
+	r.Observe([]Observation{{Kind: RequestEnded, Class: "new", Plan: "basic"}})
 	var want Counts
 	want[RequestsServed] = 2
-	judge(t, r, r.Cut(nil), want)
+	judge(t, r, r.Snapshot(nil), want)
 	if r.classes["write"] != nil || r.classes["new"].counts[RequestsServed] != 1 {
 		t.Error("the rows did not follow")
 	}
@@ -247,14 +247,14 @@
 func TestBuckets(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	plain := hdrhistogram.New(1, maxMicros, 4)
-	var b Buckets
+	var b Histogram
 	for range 20_000 {
 		v := int64(1) << random.IntN(26)
 		v = clip(v + random.Int64N(v))
 		b.add(slotOf(v), v)
 		_ = plain.RecordValue(v)
 	}
-	got := NewSummarizer().Of(&b)
+	got := NewSummarizer().Summarize(&b)
 	for _, c := range []struct {
 		p    float64
 		have int64
@@ -264,7 +264,7 @@
 			t.Errorf("p%v is %d, want %d", c.p, c.have, want)
 		}
 	}
-	if got.Count != 20_000 || NewSummarizer().Of(nil) != (Summary{}) {
+	if got.Count != 20_000 || NewSummarizer().Summarize(nil) != (Summary{}) {
 		t.Errorf("%+v", got)
 	}
 	for slot := range slots {
@@ -275,7 +275,7 @@
 }
 
 func TestStamps(t *testing.T) {
-	var s Stamps
+	var s TimestampSequence
 	for _, c := range []struct {
 		wall, want int64
 		back       bool
@@ -301,13 +301,13 @@
 			sum += weight
 			if random.IntN(1000) == 0 {
 				forget := s.heap[random.IntN(len(s.heap))].key
-				s.Forget(forget)
+				s.Remove(forget)
 				sum -= plain[forget]
 				delete(plain, forget)
 			}
 		}
 		for key, weight := range plain {
-			if sure := s.Sure(key); sure > weight {
+			if sure := s.LowerBound(key); sure > weight {
 				t.Fatalf("seed %d: %v of %v are sure", seed, sure, weight)
 			}
 			if _, found := s.find(key); !found && weight > 2*sum/64 {
@@ -349,16 +349,16 @@
 	for _, volumes := range []int{40, 100_000} {
 		b.Run(fmt.Sprint("volumes=", volumes), func(b *testing.B) {
 			r := newRegistry(b, Options{})
-			facts := make([]Fact, 1<<14)
+			facts := make([]Observation, 1<<14)
 			for i := 0; i < len(facts); i += 2 {
-				f := Fact{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: fmt.Sprint("node", i%10), Volume: fmt.Sprintf("%016x", i*7919%volumes),
-					AtNode: int64(i), Units: 2, Whole: int64(2 * i), Waiting: int64(i)}
+				f := Observation{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: fmt.Sprint("node", i%10), Volume: fmt.Sprintf("%016x", i*7919%volumes),
+					AttemptMicros: int64(i), Units: 2, TotalMicros: int64(2 * i), QueueMicros: int64(i)}
 				facts[i] = f
 				f.Kind = RequestEnded
 				facts[i+1] = f
 			}
 			for i := range 10 {
-				r.Observe([]Fact{{Kind: NodeListed, Node: fmt.Sprint("node", i)}})
+				r.Observe([]Observation{{Kind: NodeListed, Node: fmt.Sprint("node", i)}})
 			}
 			r.Observe(facts)
 			b.ReportAllocs()
@@ -374,11 +374,11 @@
 func BenchmarkCut(b *testing.B) {
 	r := newRegistry(b, Options{})
 	for i := range 60 {
-		r.Observe([]Fact{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}, {Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}})
+		r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}, {Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}})
 	}
-	var spent *Cut
+	var spent *Snapshot
 	b.ReportAllocs()
 	for b.Loop() {
-		spent = r.Cut(spent)
+		spent = r.Snapshot(spent)
 	}
 }
--- a/telemetry/rollup.go
+++ b/telemetry/rollup.go
@@ -4,7 +4,7 @@
 // with intervals of their own.
 type Rollup struct {
 	rows    map[rowKey]*Row
-	scratch []*Buckets
+	scratch []*Histogram
 }
 
 type rowKey struct {
@@ -17,29 +17,29 @@
 func NewRollup() *Rollup { return &Rollup{rows: map[rowKey]*Row{}} }
 
 // Add takes a cut, of which it keeps nothing. pause is called between rows.
-func (r *Rollup) Add(cut *Cut, pause func()) {
+func (r *Rollup) Add(cut *Snapshot, pause func()) {
 	for _, row := range cut.Rows {
 		pause()
-		key := rowKey{row.Dimension, row.Name, row.Special}
+		key := rowKey{row.Dimension, row.Name, row.Reserved}
 		held := r.rows[key]
 		if held == nil {
-			held = &Row{Dimension: row.Dimension, Name: row.Name, Special: row.Special}
+			held = &Row{Dimension: row.Dimension, Name: row.Name, Reserved: row.Reserved}
 			r.rows[key] = held
 		}
-		held.Counts, held.Last = row.Counts, row.Last
-		for t, b := range row.Times {
+		held.Counts, held.Final = row.Counts, row.Final
+		for t, b := range row.Histograms {
 			if b == nil {
 				continue
 			}
-			if held.Times[t] == nil {
-				held.Times[t] = r.buckets()
+			if held.Histograms[t] == nil {
+				held.Histograms[t] = r.buckets()
 			}
-			held.Times[t].merge(b)
+			held.Histograms[t].merge(b)
 		}
 	}
 	here := make(map[rowKey]bool, len(cut.Rows))
 	for _, row := range cut.Rows {
-		here[rowKey{row.Dimension, row.Name, row.Special}] = true
+		here[rowKey{row.Dimension, row.Name, row.Reserved}] = true
 	}
 	for key, row := range r.rows {
 		if !here[key] { // it left at an earlier cut: Other holds its counts by now, which the last word on it takes out again
@@ -51,21 +51,21 @@
 	}
 }
 
-func (r *Rollup) buckets() *Buckets {
+func (r *Rollup) buckets() *Histogram {
 	if last := len(r.scratch) - 1; last >= 0 {
 		b := r.scratch[last]
 		r.scratch = r.scratch[:last]
 		b.reset()
 		return b
 	}
-	return new(Buckets)
+	return new(Histogram)
 }
 
-// Tell calls tell with each row, and begins the next interval. A row's times are good during the call.
-func (r *Rollup) Tell(tell func(*Row)) {
+// Flush calls tell with each row, and begins the next interval. A row's times are good during the call.
+func (r *Rollup) Flush(tell func(*Row)) {
 	for _, row := range r.rows {
 		tell(row)
-		for _, b := range row.Times {
+		for _, b := range row.Histograms {
 			if b != nil {
 				r.scratch = append(r.scratch, b)
 			}
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -21,22 +21,22 @@
 
 // SinkOptions are a sink's times and bounds. The zero value of a field means its default.
 type SinkOptions struct {
-	QueueBytes int    // intervals that wait, the one being sent included; 4 MiB by default
-	Connect    Micros // a dial that takes longer has failed; 2 s
-	Stall      Micros // a frame that takes longer makes the sink stalled; 2 s
-	GiveUp     Micros // one that takes this long costs the connection; 10 s
-	RestLeast  Micros // the first rest after a failure; 500 ms
-	RestMost   Micros // the longest; 60 s
-	Pace       int    // bytes a second at which intervals that waited are sent on; 256 KiB
-	PaceAll    bool   // every interval is paced: datagrams that come all at once are lost at the receiver
-	Again      bool   // the interval written last is sent again on a new connection, where its end may not have arrived
+	QueueBytes     int    // intervals that wait, the one being sent included; 4 MiB by default
+	ConnectTimeout Micros // a dial that takes longer has failed; 2 s
+	StallTimeout   Micros // a frame that takes longer makes the sink stalled; 2 s
+	WriteTimeout   Micros // one that takes this long costs the connection; 10 s
+	MinBackoff     Micros // the first rest after a failure; 500 ms
+	MaxBackoff     Micros // the longest; 60 s
+	BytesPerSecond int    // bytes a second at which intervals that waited are sent on; 256 KiB
+	PaceEveryBatch bool   // every interval is paced: datagrams that come all at once are lost at the receiver
+	ResendLast     bool   // the interval written last is sent again on a new connection, where its end may not have arrived
 }
 
 func (o *SinkOptions) complete() {
 	for _, d := range []struct {
 		value    *Micros
 		fallback Micros
-	}{{&o.Connect, 2e6}, {&o.Stall, 2e6}, {&o.GiveUp, 10e6}, {&o.RestLeast, 5e5}, {&o.RestMost, 60e6}} {
+	}{{&o.ConnectTimeout, 2e6}, {&o.StallTimeout, 2e6}, {&o.WriteTimeout, 10e6}, {&o.MinBackoff, 5e5}, {&o.MaxBackoff, 60e6}} {
 		if *d.value == 0 {
 			*d.value = d.fallback
 		}
@@ -44,8 +44,8 @@
 	if o.QueueBytes == 0 {
 		o.QueueBytes = 4 << 20
 	}
-	if o.Pace == 0 {
-		o.Pace = 256 << 10
+	if o.BytesPerSecond == 0 {
+		o.BytesPerSecond = 256 << 10
 	}
 }
 
@@ -58,8 +58,8 @@
 	Connecting                  // a dial is under way
 	Sending                     // connected, with an interval under way
 	Stalled                     // it has not taken a frame for too long; the connection still stands
-	Resting                     // it failed; nothing is tried until the rest is over
-	Ended
+	BackingOff                  // it failed; nothing is tried until the rest is over
+	Closed
 )
 
 func (s SinkState) String() string {
@@ -71,52 +71,52 @@
 
 // The events of a sink.
 type (
-	// Offered brings an interval.
-	Offered struct{ Batch Batch }
-	// Opened tells that the dial succeeded.
-	Opened struct{}
-	// Wrote tells that the frame was taken whole.
-	Wrote struct{}
-	// Broke tells that a dial or the connection failed. Nothing of that connection follows.
-	Broke struct{ Err error }
-	// Finish asks to send what waits by a point of the clock, and to end then at the latest.
-	Finish struct{ By Micros }
+	// BatchOffered brings an interval.
+	BatchOffered struct{ Batch Batch }
+	// Connected tells that the dial succeeded.
+	Connected struct{}
+	// FrameWritten tells that the frame was taken whole.
+	FrameWritten struct{}
+	// ConnectionFailed tells that a dial or the connection failed. Nothing of that connection follows.
+	ConnectionFailed struct{ Err error }
+	// Shutdown asks to send what waits by a point of the clock, and to end then at the latest.
+	Shutdown struct{ Deadline Micros }
 )
 
-func (Offered) sinkEvent() {}
-func (Opened) sinkEvent()  {}
-func (Wrote) sinkEvent()   {}
-func (Broke) sinkEvent()   {}
-func (Finish) sinkEvent()  {}
+func (BatchOffered) sinkEvent()     {}
+func (Connected) sinkEvent()        {}
+func (FrameWritten) sinkEvent()     {}
+func (ConnectionFailed) sinkEvent() {}
+func (Shutdown) sinkEvent()         {}
 
 // SinkEffect is something that a sink wants done.
 type SinkEffect interface{ sinkEffect() }
 
 // The effects of a sink.
 type (
-	// Dial opens a connection: Opened or Broke follows.
+	// Dial opens a connection: Connected or ConnectionFailed follows.
 	Dial struct{}
-	// Write writes a frame: Wrote or Broke follows.
+	// Write writes a frame: FrameWritten or ConnectionFailed follows.
 	Write struct{ Frame []byte }
-	// HangUp ends the connection, or the dial under way, at once. Nothing of it follows.
-	HangUp struct{}
-	// Lost tells people that the sink does not take what it should, once until Back.
-	Lost struct{ Reason string }
-	// Back tells people that it does again.
-	Back struct{}
-	// Over ends the sink: nothing follows.
-	Over struct{}
+	// Disconnect ends the connection, or the dial under way, at once. Nothing of it follows.
+	Disconnect struct{}
+	// ReportUnavailable tells people that the sink does not take what it should, once until ReportRecovered.
+	ReportUnavailable struct{ Reason string }
+	// ReportRecovered tells people that it does again.
+	ReportRecovered struct{}
+	// Finished ends the sink: nothing follows.
+	Finished struct{}
 )
 
-func (Dial) sinkEffect()   {}
-func (Write) sinkEffect()  {}
-func (HangUp) sinkEffect() {}
-func (Lost) sinkEffect()   {}
-func (Back) sinkEffect()   {}
-func (Over) sinkEffect()   {}
+func (Dial) sinkEffect()              {}
+func (Write) sinkEffect()             {}
+func (Disconnect) sinkEffect()        {}
+func (ReportUnavailable) sinkEffect() {}
+func (ReportRecovered) sinkEffect()   {}
+func (Finished) sinkEffect()          {}
 
-// SinkFigures are what a sink tells of itself.
-type SinkFigures struct {
+// SinkStats are what a sink tells of itself.
+type SinkStats struct {
 	State                  SinkState
 	QueueBytes             int
 	Sent, Dropped, Redials uint64 // intervals; Redials counts dials after a failure
@@ -140,7 +140,7 @@
 	lost      bool   // people were told
 	finishing bool
 	by        Micros // while finishing
-	figures   SinkFigures
+	figures   SinkStats
 	effects   []SinkEffect
 }
 
@@ -150,8 +150,8 @@
 	return &Sink{opt: opt, random: rand.New(rand.NewPCG(seed, 0x5eed))}
 }
 
-// Figures tells of the sink as it is now.
-func (s *Sink) Figures() SinkFigures {
+// Stats tells of the sink as it is now.
+func (s *Sink) Stats() SinkStats {
 	f := s.figures
 	f.State, f.QueueBytes = s.state, s.bytes
 	return f
@@ -159,8 +159,8 @@
 
 // Next tells when Reduce wants to be called again at the latest.
 func (s *Sink) Next() (at Micros, any bool) {
-	waits := s.pausing || s.state == Connecting || s.state == Sending && s.writing || s.state == Stalled || s.state == Resting
-	if s.finishing && s.state != Ended {
+	waits := s.pausing || s.state == Connecting || s.state == Sending && s.writing || s.state == Stalled || s.state == BackingOff
+	if s.finishing && s.state != Closed {
 		if waits && s.due < s.by {
 			return s.due, true
 		}
@@ -172,25 +172,25 @@
 // Reduce takes an event, or nil for the passing of time alone, and returns what is to be done, in order.
 func (s *Sink) Reduce(now Micros, event SinkEvent) []SinkEffect {
 	s.effects = nil
-	if s.state == Ended {
+	if s.state == Closed {
 		return nil
 	}
 	switch e := event.(type) {
-	case Offered:
+	case BatchOffered:
 		s.offer(e.Batch)
-	case Opened:
+	case Connected:
 		if s.state == Connecting {
 			s.connected, s.state = true, Idle
 		}
-	case Wrote:
+	case FrameWritten:
 		if s.writing {
 			s.wrote(now)
 		}
-	case Broke:
+	case ConnectionFailed:
 		s.fail(now, e.Err.Error())
-	case Finish:
-		s.finishing, s.by = true, e.By
-		if s.state == Resting { // one more try
+	case Shutdown:
+		s.finishing, s.by = true, e.Deadline
+		if s.state == BackingOff { // one more try
 			s.state = Idle
 		}
 	}
@@ -237,8 +237,8 @@
 
 func (s *Sink) wrote(now Micros) {
 	written := len(s.queue[0].Frames[s.frame])
-	if len(s.queue) > 1 || s.opt.PaceAll { // guards a sink that has just come back against a flood
-		s.pausing, s.due = true, now+Micros(written)*1e6/Micros(s.opt.Pace)
+	if len(s.queue) > 1 || s.opt.PaceEveryBatch { // guards a sink that has just come back against a flood
+		s.pausing, s.due = true, now+Micros(written)*1e6/Micros(s.opt.BytesPerSecond)
 	}
 	s.writing = false
 	if s.state == Stalled {
@@ -251,7 +251,7 @@
 	s.queue, s.frame = s.queue[1:], 0
 	s.figures.Sent++
 	s.forgetLast()
-	if s.opt.Again {
+	if s.opt.ResendLast {
 		s.last = done
 	} else {
 		s.bytes -= done.bytes()
@@ -259,7 +259,7 @@
 	s.failed, s.rest = false, 0
 	if s.lost {
 		s.lost = false
-		s.do(Back{})
+		s.do(ReportRecovered{})
 	}
 }
 
@@ -273,16 +273,16 @@
 	}
 	s.connected, s.writing, s.pausing, s.frame = false, false, false, 0
 	s.fit()
-	top := min(s.opt.RestMost, max(s.opt.RestLeast, 3*s.rest))
-	s.rest = s.opt.RestLeast + s.random.Int64N(top-s.opt.RestLeast+1)
-	s.state, s.due, s.failed = Resting, now+s.rest, true
+	top := min(s.opt.MaxBackoff, max(s.opt.MinBackoff, 3*s.rest))
+	s.rest = s.opt.MinBackoff + s.random.Int64N(top-s.opt.MinBackoff+1)
+	s.state, s.due, s.failed = BackingOff, now+s.rest, true
 	s.tellLost(reason)
 }
 
 func (s *Sink) tellLost(reason string) {
 	if !s.lost {
 		s.lost = true
-		s.do(Lost{reason})
+		s.do(ReportUnavailable{reason})
 	}
 }
 
@@ -292,10 +292,10 @@
 		s.figures.Dropped += uint64(len(s.queue))
 		s.queue, s.bytes, s.last = nil, 0, Batch{}
 		if s.connected || s.state == Connecting {
-			s.do(HangUp{})
+			s.do(Disconnect{})
 		}
-		s.state, s.pausing = Ended, false
-		s.do(Over{})
+		s.state, s.pausing = Closed, false
+		s.do(Finished{})
 		return
 	}
 	if now < s.due {
@@ -305,22 +305,22 @@
 	case s.pausing:
 		s.pausing = false
 	case s.state == Connecting:
-		s.do(HangUp{})
-		s.fail(now, fmt.Sprintf("no connection within %d ms", s.opt.Connect/1000))
+		s.do(Disconnect{})
+		s.fail(now, fmt.Sprintf("no connection within %d ms", s.opt.ConnectTimeout/1000))
 	case s.state == Sending && s.writing:
-		s.state, s.due = Stalled, now+s.opt.GiveUp-s.opt.Stall
-		s.tellLost(fmt.Sprintf("it has taken nothing for %d ms", s.opt.Stall/1000))
+		s.state, s.due = Stalled, now+s.opt.WriteTimeout-s.opt.StallTimeout
+		s.tellLost(fmt.Sprintf("it has taken nothing for %d ms", s.opt.StallTimeout/1000))
 	case s.state == Stalled:
-		s.do(HangUp{})
-		s.fail(now, fmt.Sprintf("it has taken nothing for %d ms", s.opt.GiveUp/1000))
-	case s.state == Resting:
+		s.do(Disconnect{})
+		s.fail(now, fmt.Sprintf("it has taken nothing for %d ms", s.opt.WriteTimeout/1000))
+	case s.state == BackingOff:
 		s.state = Idle
 	}
 }
 
 // proceed begins what can be begun.
 func (s *Sink) proceed(now Micros) {
-	if s.pausing || s.writing || s.state == Resting || s.state == Connecting || s.state == Ended {
+	if s.pausing || s.writing || s.state == BackingOff || s.state == Connecting || s.state == Closed {
 		return
 	}
 	if len(s.queue) == 0 {
@@ -331,10 +331,10 @@
 		if s.failed {
 			s.figures.Redials++
 		}
-		s.state, s.due = Connecting, now+s.opt.Connect
+		s.state, s.due = Connecting, now+s.opt.ConnectTimeout
 		s.do(Dial{})
 		return
 	}
-	s.state, s.writing, s.due = Sending, true, now+s.opt.Stall
+	s.state, s.writing, s.due = Sending, true, now+s.opt.StallTimeout
 	s.do(Write{s.queue[0].Frames[s.frame]})
 }
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -41,31 +41,31 @@
 				r.t.Fatal("a write without a connection, or beside another")
 			}
 			r.out = e.Frame
-		case HangUp:
+		case Disconnect:
 			r.open, r.dial, r.out = false, false, nil
-		case Lost:
+		case ReportUnavailable:
 			r.log = append(r.log, "lost: "+e.Reason)
-		case Back:
+		case ReportRecovered:
 			r.log = append(r.log, "back")
-		case Over:
+		case Finished:
 			r.over = true
 		}
 	}
-	if f := r.s.Figures(); f.QueueBytes < 0 || f.QueueBytes > r.s.opt.QueueBytes {
+	if f := r.s.Stats(); f.QueueBytes < 0 || f.QueueBytes > r.s.opt.QueueBytes {
 		r.t.Fatalf("%d bytes wait, bound %d", f.QueueBytes, r.s.opt.QueueBytes)
 	}
 }
 
 func (r *receiver) offer(name string, size int) {
-	r.tell(Offered{Batch{[][]byte{append([]byte(name), make([]byte, size-len(name))...)}}})
+	r.tell(BatchOffered{Batch{[][]byte{append([]byte(name), make([]byte, size-len(name))...)}}})
 }
 
 func (r *receiver) answer(up bool) {
 	r.dial, r.open = false, up
 	if up {
-		r.tell(Opened{})
+		r.tell(Connected{})
 	} else {
-		r.tell(Broke{errors.New("refused")})
+		r.tell(ConnectionFailed{errors.New("refused")})
 	}
 }
 
@@ -73,7 +73,7 @@
 	frame := r.out
 	r.out = nil
 	r.got = append(r.got, string(frame[:1]))
-	r.tell(Wrote{})
+	r.tell(FrameWritten{})
 }
 
 // pass lets time pass up to a point, with every call that Next asks for.
@@ -91,7 +91,7 @@
 
 func (r *receiver) state(want SinkState) {
 	r.t.Helper()
-	if got := r.s.Figures().State; got != want {
+	if got := r.s.Stats().State; got != want {
 		r.t.Fatalf("the sink is %v, want %v", got, want)
 	}
 }
@@ -109,15 +109,15 @@
 		r.state(Idle)
 		r.pass(10e6)
 	}
-	if fmt.Sprint(r.got, r.log) != "[a b c] []" || r.s.Figures().Sent != 3 {
-		t.Error(r.got, r.log, r.s.Figures())
+	if fmt.Sprint(r.got, r.log) != "[a b c] []" || r.s.Stats().Sent != 3 {
+		t.Error(r.got, r.log, r.s.Stats())
 	}
 }
 
 // A sink that is absent at the start and comes later gets what the queue held, in order and paced; the oldest intervals
 // were dropped whole and counted, and people heard once of either.
 func TestSinkComesLate(t *testing.T) {
-	r := newReceiver(t, SinkOptions{QueueBytes: 350, Pace: 100})
+	r := newReceiver(t, SinkOptions{QueueBytes: 350, BytesPerSecond: 100})
 	rests := 0
 	for i := range 6 {
 		r.offer(string(rune('a'+i)), 100)
@@ -140,8 +140,8 @@
 		}
 		r.take()
 	}
-	if fmt.Sprint(r.got) != "[d e f]" || fmt.Sprint(r.log) != "[lost: refused back]" || r.s.Figures().Dropped != 3 || rests < 3 {
-		t.Error(r.got, r.log, r.s.Figures(), rests)
+	if fmt.Sprint(r.got) != "[d e f]" || fmt.Sprint(r.log) != "[lost: refused back]" || r.s.Stats().Dropped != 3 || rests < 3 {
+		t.Error(r.got, r.log, r.s.Stats(), rests)
 	}
 	if r.now-began < 2e6 {
 		t.Errorf("300 bytes at 100 a second took %d µs", r.now-began)
@@ -150,7 +150,7 @@
 
 // Rests grow up to the bound, with jitter, and start anew after a success.
 func TestSinkRests(t *testing.T) {
-	r := newReceiver(t, SinkOptions{RestLeast: 1e6, RestMost: 20e6})
+	r := newReceiver(t, SinkOptions{MinBackoff: 1e6, MaxBackoff: 20e6})
 	r.offer("a", 10)
 	longest := Micros(0)
 	for range 50 {
@@ -171,7 +171,7 @@
 	r.answer(true)
 	r.take()
 	r.open = false
-	r.tell(Broke{errors.New("reset")})
+	r.tell(ConnectionFailed{errors.New("reset")})
 	began := r.now
 	r.offer("b", 10)
 	for !r.dial {
@@ -184,7 +184,7 @@
 
 // A sink that accepts and never reads is stalled, then given up; what it may not have got is sent again.
 func TestSinkNeverReads(t *testing.T) {
-	r := newReceiver(t, SinkOptions{Again: true, RestMost: 1e6})
+	r := newReceiver(t, SinkOptions{ResendLast: true, MaxBackoff: 1e6})
 	r.offer("a", 100)
 	r.answer(true)
 	r.take()
@@ -192,8 +192,8 @@
 	r.pass(2.5e6)
 	r.state(Stalled)
 	r.pass(8e6)
-	if r.open || !r.dial && r.s.Figures().State != Resting {
-		t.Fatalf("it still waits: %+v", r.s.Figures())
+	if r.open || !r.dial && r.s.Stats().State != BackingOff {
+		t.Fatalf("it still waits: %+v", r.s.Stats())
 	}
 	for !r.dial {
 		r.pass(1e5)
@@ -205,7 +205,7 @@
 		}
 		r.take()
 	}
-	if f := r.s.Figures(); fmt.Sprint(r.got) != "[a a b]" || f.Sent != 2 || f.Dropped != 0 || len(r.log) != 2 {
+	if f := r.s.Stats(); fmt.Sprint(r.got) != "[a a b]" || f.Sent != 2 || f.Dropped != 0 || len(r.log) != 2 {
 		t.Error(r.got, r.log, f)
 	}
 }
@@ -226,41 +226,41 @@
 
 // A reset between the frames of an interval has the whole interval sent again: a receiver may hold half a line.
 func TestSinkResetMidInterval(t *testing.T) {
-	r := newReceiver(t, SinkOptions{RestMost: 1e6})
-	r.tell(Offered{Batch{[][]byte{[]byte("x1"), []byte("y2")}}})
+	r := newReceiver(t, SinkOptions{MaxBackoff: 1e6})
+	r.tell(BatchOffered{Batch{[][]byte{[]byte("x1"), []byte("y2")}}})
 	r.answer(true)
 	r.take()
 	r.out, r.open = nil, false
-	r.tell(Broke{errors.New("reset")})
+	r.tell(ConnectionFailed{errors.New("reset")})
 	for !r.dial {
 		r.pass(1e5)
 	}
 	r.answer(true)
 	r.take()
 	r.take()
-	if fmt.Sprint(r.got) != "[x x y]" || r.s.Figures().Sent != 1 {
-		t.Error(r.got, r.s.Figures())
+	if fmt.Sprint(r.got) != "[x x y]" || r.s.Stats().Sent != 1 {
+		t.Error(r.got, r.s.Stats())
 	}
 }
 
 // At the end what waits is sent if there is time, also out of a rest; else it is dropped and counted.
 func TestSinkFinish(t *testing.T) {
-	r := newReceiver(t, SinkOptions{RestLeast: 30e6})
+	r := newReceiver(t, SinkOptions{MinBackoff: 30e6})
 	r.offer("a", 10)
 	r.answer(false)
-	r.tell(Finish{By: r.now + 1e6})
+	r.tell(Shutdown{Deadline: r.now + 1e6})
 	r.answer(true)
 	r.take()
-	if !r.over || r.s.Figures().Sent != 1 {
-		t.Error("the last interval was not sent", r.s.Figures())
+	if !r.over || r.s.Stats().Sent != 1 {
+		t.Error("the last interval was not sent", r.s.Stats())
 	}
 	r = newReceiver(t, SinkOptions{})
 	r.offer("a", 10)
 	r.offer("b", 10)
 	r.answer(true)
-	r.tell(Finish{By: r.now + 1e6})
+	r.tell(Shutdown{Deadline: r.now + 1e6})
 	r.pass(1e6)
-	if f := r.s.Figures(); !r.over || r.open || f.Dropped != 2 || f.QueueBytes != 0 || f.State != Ended {
+	if f := r.s.Stats(); !r.over || r.open || f.Dropped != 2 || f.QueueBytes != 0 || f.State != Closed {
 		t.Error("a stalled sink holds up the end", f)
 	}
 }
@@ -269,7 +269,7 @@
 func TestSinkAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 5))
-		opt := SinkOptions{QueueBytes: 500, PaceAll: seed%2 == 0, Again: seed%3 == 0}
+		opt := SinkOptions{QueueBytes: 500, PaceEveryBatch: seed%2 == 0, ResendLast: seed%3 == 0}
 		r := newReceiver(t, opt)
 		offered := uint64(0)
 		for range 400 {
@@ -289,19 +289,19 @@
 			case 3:
 				if r.open && random.IntN(4) == 0 {
 					r.open, r.out = false, nil
-					r.tell(Broke{errors.New("reset")})
+					r.tell(ConnectionFailed{errors.New("reset")})
 				}
 			default:
 				r.tell(nil)
 			}
 		}
-		f := r.s.Figures()
+		f := r.s.Stats()
 		if waiting := uint64(len(r.s.queue)); f.Sent+f.Dropped+waiting != offered {
 			t.Fatalf("seed %d: %d offered, %d sent, %d dropped, %d wait", seed, offered, f.Sent, f.Dropped, waiting)
 		}
-		r.tell(Finish{By: r.now + 5e6})
+		r.tell(Shutdown{Deadline: r.now + 5e6})
 		r.pass(6e6)
-		if f = r.s.Figures(); !r.over || f.QueueBytes != 0 || f.Sent+f.Dropped != offered {
+		if f = r.s.Stats(); !r.over || f.QueueBytes != 0 || f.Sent+f.Dropped != offered {
 			t.Fatalf("seed %d: %+v of %d", seed, f, offered)
 		}
 	}
--- a/telemetry/sketch.go
+++ b/telemetry/sketch.go
@@ -68,8 +68,8 @@
 	return float64(s.dice*0x2545f4914f6cdd1d>>11) / (1 << 53)
 }
 
-// Sure is the weight that a key has at the least: 0 for one without a counter.
-func (s *Sketch) Sure(key uint64) float64 {
+// LowerBound is the weight that a key has at the least: 0 for one without a counter.
+func (s *Sketch) LowerBound(key uint64) float64 {
 	at, found := s.find(key)
 	if !found {
 		return 0
@@ -77,8 +77,8 @@
 	return s.heap[s.index[at]-1].sure()
 }
 
-// Forget gives up a key's counter.
-func (s *Sketch) Forget(key uint64) {
+// Remove gives up a key's counter.
+func (s *Sketch) Remove(key uint64) {
 	at, found := s.find(key)
 	if !found {
 		return
--- a/telemetry/stamp.go
+++ b/telemetry/stamp.go
@@ -1,9 +1,9 @@
 package telemetry
 
-// Stamps gives intervals their times on the wall clock, in seconds. It guards sinks against a clock that steps back: a
+// TimestampSequence gives intervals their times on the wall clock, in seconds. It guards sinks against a clock that steps back: a
 // receiver overwrites or refuses what is not newer than what it has. Small steps are waited out, one second an interval;
 // a clock that stays further behind than that is believed, since it is then the right one.
-type Stamps struct {
+type TimestampSequence struct {
 	last   int64
 	behind bool // the clock is behind the last time
 }
@@ -12,7 +12,7 @@
 const stepBelieved = 120
 
 // Next returns the time of an interval that ends now, and whether the clock has stepped back since the one before.
-func (s *Stamps) Next(wall int64) (stamp int64, back bool) {
+func (s *TimestampSequence) Next(wall int64) (stamp int64, back bool) {
 	switch {
 	case s.last == 0 || wall > s.last:
 		s.last, s.behind = wall, false
