--- a/internal/metricsexport/metricsexport.go
+++ b/internal/metricsexport/metricsexport.go
@@ -299,7 +299,7 @@
 	if len(sinks) == 0 {
 		return nil
 	}
-	all := []broker.Metric{{Name: "telemetry.series", Value: uint64(rows * telemetry.RowSeries)},
+	all := []broker.Metric{{Name: "telemetry.series", Value: uint64(rows * telemetry.SeriesPerRow)},
 		{Name: "telemetry.volume_changes", Value: swaps, Counter: true}}
 	for _, s := range sinks {
 		f, name := s.figures(), "telemetry."+s.target.name
--- a/telemetry/registry_test.go
+++ b/telemetry/registry_test.go
@@ -1,34 +1,35 @@
 package telemetry
 
 import (
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"runtime"
+	"strings"
 	"testing"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-func newRegistry(t testing.TB, opt Options) *Registry {
+func newRegistry(t testing.TB, options Options) *Registry {
 	t.Helper()
-	if opt.Classes == nil {
-		opt.Classes, opt.Plans = []string{"read", "write"}, []string{"gold", "basic"}
+	if options.Classes == nil {
+		options.Classes = []string{"read", "write"}
+		options.Plans = []string{"gold", "basic"}
 	}
-	r, err := New(opt)
+	r, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// judge checks a cut against totals that were counted plainly, and the bound on series.
-func judge(t *testing.T, r *Registry, cut *Snapshot, want Counts) {
+// checkSnapshot compares a snapshot with totals that were counted plainly, and checks the bound on series.
+func checkSnapshot(t *testing.T, r *Registry, snapshot *Snapshot, want Counts) {
 	t.Helper()
 	var sums [DimensionCount]Counts
 	seen := map[string]bool{}
-	for _, row := range cut.Rows {
-		for i, n := range row.Counts {
-			sums[row.Dimension][i] += n
+	for _, row := range snapshot.Rows {
+		for counter, count := range row.Counts {
+			sums[row.Dimension][counter] += count
 		}
 		key := fmt.Sprint(row.Dimension, row.Reserved, row.Name)
 		if seen[key] {
@@ -36,198 +37,195 @@
 		}
 		seen[key] = true
 	}
-	for d, sum := range sums {
+	for dimension, sum := range sums {
 		if sum != want {
-			t.Fatalf("the sum over %s is %v, want %v", Dimension(d), sum, want)
+			t.Fatalf("the sum over %s is %v, want %v", Dimension(dimension), sum, want)
 		}
 	}
-	if series := len(cut.Rows)*RowSeries + r.opt.ReservedSeries; series > r.opt.MaxSeries {
-		t.Fatalf("%d series, bound %d", series, r.opt.MaxSeries)
+	series := len(snapshot.Rows)*SeriesPerRow + r.options.ReservedSeries
+	if series > r.options.MaxSeries {
+		t.Fatalf("%d series, bound %d", series, r.options.MaxSeries)
+	}
+}
+
+// count adds an observation to totals, by the rules of Counts and without a registry.
+func (c *Counts) count(o Observation) {
+	switch o.Kind {
+	case RequestEnded:
+		c[o.RequestOutcome]++
+		c[MilliUnits] += uint64(o.Units*1000 + 0.5)
+		if o.RequestOutcome == Served {
+			c[MilliUnitsServed] += uint64(o.Units*1000 + 0.5)
+		}
+	case AttemptEnded:
+		c[Attempts]++
+		c[FirstAttemptOutcome+Counter(o.AttemptOutcome)]++
 	}
 }
 
-// The sum over each dimension is the total at every cut, whatever comes and goes, and the series stay under the bound.
+func randomObservation(random *rand.Rand) Observation {
+	randomName := func(prefix string, n int) string { return fmt.Sprint(prefix, random.IntN(n)) }
+	o := Observation{
+		Class:       "read",
+		Plan:        randomName("p", 3),
+		Volume:      randomName("v", 1+random.IntN(200)),
+		Node:        randomName("n", 30),
+		Units:       float64(random.IntN(9000)) / 1000,
+		TotalMicros: random.Int64N(1e8),
+		QueueMicros: random.Int64N(1e5),
+	}
+	o.Kind = ObservationKind(random.IntN(5))
+	switch o.Kind {
+	case RequestEnded:
+		if random.IntN(4) == 0 {
+			o.Node = ""
+		}
+		o.RequestOutcome = RequestOutcome(random.IntN(4))
+	case AttemptEnded:
+		o.AttemptOutcome = AttemptOutcome(random.IntN(int(attemptOutcomeCount)))
+	}
+	return o
+}
+
+// Volumes and nodes come and go at random under a bound that holds only a few of them. At every snapshot the sum over
+// each dimension is the total that was counted beside the registry, and the series stay under the bound.
 func TestSumsAreExact(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		r := newRegistry(t, Options{MaxSeries: RowSeries * (11 + random.IntN(40)), IdleSnapshots: 3, MinSnapshots: 1 + random.IntN(3)})
+		r := newRegistry(t, Options{
+			MaxSeries:     SeriesPerRow * (11 + random.IntN(40)),
+			IdleSnapshots: 3,
+			MinSnapshots:  1 + random.IntN(3),
+		})
 		var want Counts
-		var spent *Snapshot
-		names := func(of string, n int) string { return fmt.Sprint(of, random.IntN(n)) }
+		var previous *Snapshot
 		for range 40 {
 			for range random.IntN(300) {
-				f := Observation{Class: "read", Plan: names("p", 3), Volume: names("v", 1+random.IntN(200)), Node: names("n", 30),
-					Units: float64(random.IntN(9000)) / 1000, TotalMicros: random.Int64N(1e8), QueueMicros: random.Int64N(1e5)}
-				switch f.Kind = ObservationKind(random.IntN(5)); f.Kind {
-				case RequestEnded:
-					if random.IntN(4) == 0 {
-						f.Node = ""
-					}
-					f.RequestOutcome = RequestOutcome(random.IntN(4))
-					want[f.RequestOutcome]++
-					want[MilliUnits] += uint64(f.Units*1000 + 0.5)
-					if f.RequestOutcome == Served {
-						want[MilliUnitsServed] += uint64(f.Units*1000 + 0.5)
-					}
-				case AttemptEnded:
-					f.AttemptOutcome = AttemptOutcome(random.IntN(int(outcomes)))
-					want[Attempts]++
-					want[FirstAttemptOutcome+Counter(f.AttemptOutcome)]++
-				}
-				r.Observe([]Observation{f})
+				o := randomObservation(random)
+				want.count(o)
+				r.Observe([]Observation{o})
 			}
-			spent = r.Snapshot(spent)
-			judge(t, r, spent, want)
-			spent.Reset(func() {})
+			previous = r.Snapshot(previous)
+			checkSnapshot(t, r, previous, want)
+			previous.Reset(func() {})
 		}
 	}
 }
 
-// 100,000 new volumes within an interval leave the bound, the memory and the heavy volumes' rows alone.
+// heapBytes is the size of the heap after a collection.
+func heapBytes() int64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
+
+// Twenty heavy volumes have rows when 100,000 new volumes are used within an interval. The bound on series, the memory
+// and the rows of the heavy volumes are as before.
 func TestBurstOfVolumes(t *testing.T) {
 	r := newRegistry(t, Options{MaxSeries: 2000})
 	var want Counts
 	send := func(volume string, units float64) {
-		r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: volume, Units: units}})
-		want[RequestsServed]++
-		want[MilliUnits] += milli(units)
-		want[MilliUnitsServed] += milli(units)
+		o := Observation{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: volume, Units: units}
+		r.Observe([]Observation{o})
+		want.count(o)
 	}
+	const heavy = 20
 	for range 5 {
-		for v := range 20 {
+		for v := range heavy {
 			for range 50 {
 				send(fmt.Sprint("heavy", v), 4)
 			}
 		}
 		r.Snapshot(nil)
 	}
-	var before, after runtime.MemStats
-	runtime.GC()
-	runtime.ReadMemStats(&before)
+	before := heapBytes()
 	for i := range 100_000 {
 		send(fmt.Sprint("new", i), 1)
 		if i%100 == 0 {
-			send(fmt.Sprint("heavy", i/100%20), 4)
+			send(fmt.Sprint("heavy", i/100%heavy), 4)
 		}
 	}
-	runtime.GC()
-	runtime.ReadMemStats(&after)
-	cut := r.Snapshot(nil)
-	judge(t, r, cut, want)
-	heavy := 0
-	for _, row := range cut.Rows {
-		if row.Dimension == ByVolume && len(row.Name) > 5 && row.Name[:5] == "heavy" {
-			heavy++
+	after := heapBytes()
+	snapshot := r.Snapshot(nil)
+	checkSnapshot(t, r, snapshot, want)
+	heavyRows := 0
+	for name := range volumeRows(snapshot) {
+		if strings.HasPrefix(name, "heavy") {
+			heavyRows++
 		}
 	}
-	if heavy != 20 {
-		t.Errorf("%d of 20 heavy volumes have rows", heavy)
+	if heavyRows != heavy {
+		t.Errorf("%d of %d heavy volumes have rows", heavyRows, heavy)
 	}
-	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 1<<20 {
+	if grown := after - before; grown > 1<<20 {
 		t.Errorf("the heap grew by %d bytes", grown)
 	}
 }
 
-func volumes(cut *Snapshot) map[string]Row {
-	rows := map[string]Row{}
-	for _, row := range cut.Rows {
-		if row.Dimension == ByVolume && !row.Reserved {
-			rows[row.Name] = row
-		}
-	}
-	return rows
-}
-
-// A volume that becomes heavy gets a row; two of about one weight do not take turns; one that falls silent leaves with its
-// last value told.
-func TestVolumesCompete(t *testing.T) {
-	r := newRegistry(t, Options{MaxSeries: RowSeries * 13, IdleSnapshots: 4, MinSnapshots: 2}) // rows for three volumes
-	send := func(name string, times int) {
-		for range times {
-			r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: name, Units: 1}})
-		}
-	}
-	for range 20 {
-		send("a", 100)
-		send("b", 100)
-		send("c", 100)
-		send("d", 110) // came last, and is not clearly heavier
-		r.Snapshot(nil)
-	}
-	if r.VolumeChanges() != 3 {
-		t.Fatalf("%d changes: the rows flicker", r.VolumeChanges())
-	}
-	for range 6 {
-		send("a", 100)
-		send("b", 100)
-		send("c", 100)
-		send("d", 400)
-		r.Snapshot(nil)
-	}
-	if r.VolumeChanges() != 5 { // one left, d came
-		t.Errorf("%d changes", r.VolumeChanges())
-	}
-	if _, in := volumes(r.Snapshot(nil))["d"]; !in {
-		t.Error("the heaviest volume has no row")
-	}
-	lasts := 0
-	for range 6 {
-		for _, row := range volumes(r.Snapshot(nil)) {
-			if row.Final && row.Counts[RequestsServed] > 0 {
-				lasts++
-			}
-		}
-	}
-	if lasts != 3 || len(volumes(r.Snapshot(nil))) != 0 {
-		t.Errorf("%d of 3 silent volumes left with their last value", lasts)
-	}
-}
-
-// Nodes replaced by the hundred leave with their last value, late attempts end in Other, and new ones find room; volumes
-// give it up.
+// Ten nodes are replaced by ten others, twenty times, while volumes use all rows that are left. Each node that leaves
+// is reported with its final value, an attempt that ends after that counts in Other, and each new node gets a row,
+// which a volume gives up.
 func TestNodesReplaced(t *testing.T) {
-	r := newRegistry(t, Options{MaxSeries: RowSeries * 30})
+	const nodes = 10
+	r := newRegistry(t, Options{MaxSeries: SeriesPerRow * 30})
+	var want Counts
+	observe := func(o Observation) {
+		r.Observe([]Observation{o})
+		want.count(o)
+	}
 	for i := range 100 {
-		r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}})
+		observe(Observation{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)})
 	}
-	var want Counts
-	want[RequestsServed] = 100
 	for round := range 20 {
-		for i := range 10 {
-			name := fmt.Sprint("n", round, "-", i)
-			r.Observe([]Observation{{Kind: NodeListed, Node: name}, {Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: "1", Node: name}})
-			want[Attempts]++
-			want[FirstAttemptOutcome]++
+		nodeName := func(i int) string { return fmt.Sprint("n", round, "-", i) }
+		for i := range nodes {
+			observe(Observation{Kind: NodeListed, Node: nodeName(i)})
+			observe(Observation{Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: "1", Node: nodeName(i)})
 		}
 		r.Snapshot(nil)
-		judge(t, r, r.Snapshot(nil), want)
-		if len(r.nodes) != 10 {
+		checkSnapshot(t, r, r.Snapshot(nil), want)
+		if len(r.nodes) != nodes {
 			t.Fatalf("round %d: %d nodes have rows", round, len(r.nodes))
 		}
-		for i := range 10 {
-			name := fmt.Sprint("n", round, "-", i)
-			r.Observe([]Observation{{Kind: NodeUnlisted, Node: name}})
+		for i := range nodes {
+			observe(Observation{Kind: NodeUnlisted, Node: nodeName(i)})
 		}
-		last := 0
+		final := 0
 		for _, row := range r.Snapshot(nil).Rows {
 			if row.Dimension == ByNode && row.Final {
-				last++
+				final++
 			}
 		}
-		if last != 10 {
-			t.Fatalf("%d nodes left with their last value", last)
+		if final != nodes {
+			t.Fatalf("%d nodes left with their final value", final)
 		}
-		r.Observe([]Observation{{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: fmt.Sprint("n", round, "-", 0)}})
-		want[Attempts]++
-		want[FirstAttemptOutcome]++
+		observe(Observation{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: nodeName(0)})
 	}
 }
 
-// Classes and plans always have rows: options that leave them none are turned down, and change nothing.
-func TestRetune(t *testing.T) {
-	if _, err := New(Options{MaxSeries: 280, Classes: []string{"a"}, Plans: []string{"b"}}); err == nil {
-		t.Error("280 series are enough for 9 rows")
+// Classes and plans always have rows: options that leave them none are rejected by an error that names the option.
+func TestOptionsTooSmall(t *testing.T) {
+	for _, test := range []struct {
+		options Options
+		option  string
+	}{
+		{Options{MaxSeries: 280}, "max_series"},
+		{Options{MaxBytes: 1000}, "max_bytes"},
+	} {
+		test.options.Classes = []string{"a"}
+		test.options.Plans = []string{"b"}
+		_, err := New(test.options)
+		var optionError *OptionError
+		if !errors.As(err, &optionError) || optionError.Option != test.option {
+			t.Errorf("%s is too small: %v", test.option, err)
+		}
 	}
+}
+
+// A reload removes a class and adds another one. The row of the old one is removed with its counts kept in Other, the
+// new one counts from then on.
+func TestApplyOptions(t *testing.T) {
 	r := newRegistry(t, Options{})
 	r.Observe([]Observation{{Kind: RequestEnded, Class: "write", Plan: "gold"}})
 	if err := r.ApplyOptions(Options{Classes: []string{"read", "new"}, Plans: []string{"gold"}}); err != nil {
@@ -237,148 +235,8 @@
 	r.Observe([]Observation{{Kind: RequestEnded, Class: "new", Plan: "basic"}})
 	var want Counts
 	want[RequestsServed] = 2
-	judge(t, r, r.Snapshot(nil), want)
+	checkSnapshot(t, r, r.Snapshot(nil), want)
 	if r.classes["write"] != nil || r.classes["new"].counts[RequestsServed] != 1 {
-		t.Error("the rows did not follow")
-	}
-}
-
-// A time is told within 1/32 of itself, as HdrHistogram tells it.
-func TestBuckets(t *testing.T) {
-	random := rand.New(rand.NewPCG(1, 2))
-	plain := hdrhistogram.New(1, maxMicros, 4)
-	var b Histogram
-	for range 20_000 {
-		v := int64(1) << random.IntN(26)
-		v = clip(v + random.Int64N(v))
-		b.add(slotOf(v), v)
-		_ = plain.RecordValue(v)
-	}
-	got := NewSummarizer().Summarize(&b)
-	for _, c := range []struct {
-		p    float64
-		have int64
-	}{{50, got.P50}, {90, got.P90}, {99, got.P99}, {99.9, got.P999}, {100, got.Max}} {
-		want := plain.ValueAtPercentile(c.p)
-		if diff := c.have - want; diff > want/32+1 || -diff > want/32+1 {
-			t.Errorf("p%v is %d, want %d", c.p, c.have, want)
-		}
-	}
-	if got.Count != 20_000 || NewSummarizer().Summarize(nil) != (Summary{}) {
-		t.Errorf("%+v", got)
-	}
-	for slot := range slots {
-		if slotOf(middleOf(slot)) != slot {
-			t.Fatalf("bucket %d", slot)
-		}
-	}
-}
-
-func TestStamps(t *testing.T) {
-	var s TimestampSequence
-	for _, c := range []struct {
-		wall, want int64
-		back       bool
-	}{{1000, 1000, false}, {1010, 1010, false}, {990, 1011, true}, {1000, 1012, false}, {1020, 1020, false}, {500, 500, true}, {510, 510, false}} {
-		if got, back := s.Next(c.wall); got != c.want || back != c.back {
-			t.Errorf("at %d: %d, %v", c.wall, got, back)
-		}
-	}
-}
-
-// ---- the sketch
-
-// The sketch against a plain map: no sure weight is above the true one, and the keys with a good share of all are there.
-func TestSketch(t *testing.T) {
-	for seed := range uint64(20) {
-		random := rand.New(rand.NewPCG(seed, 3))
-		s, plain, sum := NewSketch(64), map[uint64]float64{}, 0.0
-		zipf := rand.NewZipf(random, 1.1, 1, 5000)
-		for range 20_000 {
-			key, weight := hashOf(fmt.Sprint(zipf.Uint64())), float64(1+random.IntN(8))
-			s.Add(key, weight)
-			plain[key] += weight
-			sum += weight
-			if random.IntN(1000) == 0 {
-				forget := s.heap[random.IntN(len(s.heap))].key
-				s.Remove(forget)
-				sum -= plain[forget]
-				delete(plain, forget)
-			}
-		}
-		for key, weight := range plain {
-			if sure := s.LowerBound(key); sure > weight {
-				t.Fatalf("seed %d: %v of %v are sure", seed, sure, weight)
-			}
-			if _, found := s.find(key); !found && weight > 2*sum/64 {
-				t.Fatalf("seed %d: a key of %v of %v is missed", seed, weight, sum)
-			}
-		}
-		for i, c := range s.heap {
-			if at, found := s.find(c.key); !found || int(s.index[at])-1 != i || i > 0 && s.heap[(i-1)/branch].count > c.count {
-				t.Fatalf("seed %d: the heap is out of order at %d", seed, i)
-			}
-		}
-	}
-}
-
-func BenchmarkSketch(b *testing.B) {
-	random := rand.New(rand.NewPCG(1, 3))
-	keys := make([]uint64, 1<<17)
-	for i := range keys {
-		keys[i] = hashOf(fmt.Sprint("volume", random.IntN(100_000)))
-	}
-	b.Run("sketch", func(b *testing.B) {
-		b.ReportAllocs()
-		s := NewSketch(256)
-		for i := 0; b.Loop(); i++ {
-			s.Add(keys[i&(1<<17-1)], 1)
-		}
-	})
-	b.Run("map", func(b *testing.B) { // exact, and without a bound on its memory
-		b.ReportAllocs()
-		m := map[uint64]float64{}
-		for i := 0; b.Loop(); i++ {
-			m[keys[i&(1<<17-1)]]++
-		}
-	})
-}
-
-// BenchmarkObserve is what telemetry adds to a request of one attempt.
-func BenchmarkObserve(b *testing.B) {
-	for _, volumes := range []int{40, 100_000} {
-		b.Run(fmt.Sprint("volumes=", volumes), func(b *testing.B) {
-			r := newRegistry(b, Options{})
-			facts := make([]Observation, 1<<14)
-			for i := 0; i < len(facts); i += 2 {
-				f := Observation{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: fmt.Sprint("node", i%10), Volume: fmt.Sprintf("%016x", i*7919%volumes),
-					AttemptMicros: int64(i), Units: 2, TotalMicros: int64(2 * i), QueueMicros: int64(i)}
-				facts[i] = f
-				f.Kind = RequestEnded
-				facts[i+1] = f
-			}
-			for i := range 10 {
-				r.Observe([]Observation{{Kind: NodeListed, Node: fmt.Sprint("node", i)}})
-			}
-			r.Observe(facts)
-			b.ReportAllocs()
-			for i := 0; b.Loop(); i += 2 {
-				at := i & (1<<14 - 1)
-				r.Observe(facts[at : at+2])
-			}
-		})
-	}
-}
-
-// BenchmarkCut is what the loop pays for an interval; summing up is the reader's.
-func BenchmarkCut(b *testing.B) {
-	r := newRegistry(b, Options{})
-	for i := range 60 {
-		r.Observe([]Observation{{Kind: RequestEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}, {Kind: AttemptEnded, Class: "read", Plan: "gold", Volume: fmt.Sprint(i)}})
-	}
-	var spent *Snapshot
-	b.ReportAllocs()
-	for b.Loop() {
-		spent = r.Snapshot(spent)
+		t.Error("the rows did not follow the options")
 	}
 }
--- a/telemetry/rollup.go
+++ b/telemetry/rollup.go
@@ -1,73 +1,88 @@
 package telemetry
 
-// Rollup puts cuts together for a sink whose interval is longer than that of the cuts, so that one registry serves sinks
-// with intervals of their own.
+// Rollup merges snapshots for a sink whose interval is longer than that of the snapshots, so that one registry serves
+// sinks with different intervals.
 type Rollup struct {
-	rows    map[rowKey]*Row
-	scratch []*Histogram
+	rows map[rowKey]*Row
+	free []*Histogram // histograms to be used again; they may still hold counts
 }
 
 type rowKey struct {
-	d       Dimension
-	name    string
-	special bool
+	dimension Dimension
+	name      string
+	reserved  bool
 }
 
 // NewRollup returns an empty rollup.
 func NewRollup() *Rollup { return &Rollup{rows: map[rowKey]*Row{}} }
 
-// Add takes a cut, of which it keeps nothing. pause is called between rows.
-func (r *Rollup) Add(cut *Snapshot, pause func()) {
-	for _, row := range cut.Rows {
-		pause()
-		key := rowKey{row.Dimension, row.Name, row.Reserved}
-		held := r.rows[key]
-		if held == nil {
-			held = &Row{Dimension: row.Dimension, Name: row.Name, Reserved: row.Reserved}
-			r.rows[key] = held
+// Add merges a snapshot, of which it keeps nothing. It calls yield before each row.
+func (r *Rollup) Add(snapshot *Snapshot, yield func()) {
+	for i := range snapshot.Rows {
+		yield()
+		r.addRow(&snapshot.Rows[i])
+	}
+	r.subtractRemoved(snapshot)
+}
+
+func (r *Rollup) addRow(row *Row) {
+	key := rowKey{row.Dimension, row.Name, row.Reserved}
+	merged := r.rows[key]
+	if merged == nil {
+		merged = &Row{Dimension: row.Dimension, Name: row.Name, Reserved: row.Reserved}
+		r.rows[key] = merged
+	}
+	merged.Counts = row.Counts
+	merged.Final = row.Final
+	for latency, histogram := range row.Histograms {
+		if histogram == nil {
+			continue
 		}
-		held.Counts, held.Final = row.Counts, row.Final
-		for t, b := range row.Histograms {
-			if b == nil {
-				continue
-			}
-			if held.Histograms[t] == nil {
-				held.Histograms[t] = r.buckets()
-			}
-			held.Histograms[t].merge(b)
+		if merged.Histograms[latency] == nil {
+			merged.Histograms[latency] = r.newHistogram()
 		}
+		merged.Histograms[latency].merge(histogram)
 	}
-	here := make(map[rowKey]bool, len(cut.Rows))
-	for _, row := range cut.Rows {
-		here[rowKey{row.Dimension, row.Name, row.Reserved}] = true
+}
+
+// subtractRemoved keeps the sums over a dimension exact: the counts of a row that was removed at an earlier snapshot of
+// this interval are part of Other by now, but the row itself is still to be reported once. Without it, its requests
+// would be counted twice.
+func (r *Rollup) subtractRemoved(snapshot *Snapshot) {
+	present := make(map[rowKey]bool, len(snapshot.Rows))
+	for _, row := range snapshot.Rows {
+		present[rowKey{row.Dimension, row.Name, row.Reserved}] = true
 	}
 	for key, row := range r.rows {
-		if !here[key] { // it left at an earlier cut: Other holds its counts by now, which the last word on it takes out again
-			other := r.rows[rowKey{key.d, Other, true}]
-			for c, n := range row.Counts {
-				other.Counts[c] -= n
-			}
+		if present[key] {
+			continue
+		}
+		other := r.rows[rowKey{key.dimension, Other, true}]
+		for counter, count := range row.Counts {
+			other.Counts[counter] -= count
 		}
 	}
 }
 
-func (r *Rollup) buckets() *Histogram {
-	if last := len(r.scratch) - 1; last >= 0 {
-		b := r.scratch[last]
-		r.scratch = r.scratch[:last]
-		b.reset()
-		return b
+func (r *Rollup) newHistogram() *Histogram {
+	last := len(r.free) - 1
+	if last < 0 {
+		return new(Histogram)
 	}
-	return new(Histogram)
+	histogram := r.free[last]
+	r.free = r.free[:last]
+	histogram.reset()
+	return histogram
 }
 
-// Flush calls tell with each row, and begins the next interval. A row's times are good during the call.
-func (r *Rollup) Flush(tell func(*Row)) {
+// Flush calls visit with each row, in no order, and begins the next interval. A row's histograms are valid during the
+// call alone.
+func (r *Rollup) Flush(visit func(*Row)) {
 	for _, row := range r.rows {
-		tell(row)
-		for _, b := range row.Histograms {
-			if b != nil {
-				r.scratch = append(r.scratch, b)
+		visit(row)
+		for _, histogram := range row.Histograms {
+			if histogram != nil {
+				r.free = append(r.free, histogram)
 			}
 		}
 	}
