--- /dev/null
+++ b/internal/metricsexport/exporter_test.go
@@ -0,0 +1,192 @@
+package metricsexport
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+
+	"junctionwharf/internal/collectd"
+	"junctionwharf/internal/fakes"
+	"junctionwharf/telemetry"
+)
+
+// Five hundred requests over 300 volumes are served. Both receivers get the broker's own counts, exactly, and the sums
+// over every dimension agree.
+func TestBothSinks(t *testing.T) {
+	carbon := newFakeCarbon(t)
+	receiver := newFakeCollectd(t, nil)
+	h := newHarness(t, testSettings(carbon.Address(), receiver.Address()))
+	h.awaitEnabled()
+	for i := range 500 {
+		h.serve(fmt.Sprint("v", i%300))
+	}
+	h.awaitSeries(carbon.Points, graphiteServed, 500)
+	h.awaitSeries(carbon.Points, "w.n1.success.read", 500)
+	h.awaitSeries(carbon.Points, "w.n1.class.read.units_milli", 750_000)
+	h.awaitSeries(receiver.Points, collectdServed, 500)
+	h.awaitSeries(receiver.Points, "n1/junctionwharf-class.read/junctionwharf_attempts/1", 500)
+	h.awaitSeries(receiver.Points, "n1/junctionwharf/derive-success.read/0", 500)
+	for _, dimension := range []string{"class", "plan", "node", "volume"} {
+		sum := 0.0
+		reached := carbon.Await(h.timeout, func(latest map[string]fakes.Point, _ []string) bool {
+			sum = sumOver(latest, dimension)
+			return sum == 500
+		})
+		if !reached {
+			t.Errorf("%v served over %s", sum, dimension)
+		}
+	}
+	if faults := append(carbon.Faults(), receiver.Faults()...); len(faults) > 0 {
+		t.Error(faults)
+	}
+}
+
+// sumOver adds what was served over a dimension at the latest timestamp. A volume that was removed keeps its final
+// value, of an earlier one.
+func sumOver(latest map[string]fakes.Point, dimension string) (sum float64) {
+	for series, point := range latest {
+		counts := strings.HasPrefix(series, "w.n1."+dimension+".") && strings.HasSuffix(series, ".served")
+		if counts && point.Stamp == latest[graphiteServed].Stamp {
+			sum += point.Value
+		}
+	}
+	return sum
+}
+
+// Graphite never reads, or reads a byte a second. Its sink is stalled, disconnected and loses intervals; meanwhile
+// collectd gets all. Once Graphite reads again, it has the counts.
+func TestSinkStalls(t *testing.T) {
+	for _, manner := range []fakes.Manner{fakes.Stands, fakes.Drips} {
+		carbon := newFakeCarbon(t)
+		carbon.Behave(manner)
+		receiver := newFakeCollectd(t, nil)
+		settings := testSettings(carbon.Address(), receiver.Address())
+		settings.Graphite.QueueBytes = 24 << 10 // two intervals or three
+		h := newHarness(t, settings)
+		h.awaitEnabled()
+		for i := range 4 {
+			h.serve(fmt.Sprint("v", i))
+		}
+		h.awaitMetrics("a stalled sink", func(metrics map[string]uint64) bool {
+			return metrics["telemetry.graphite.dropped_intervals"] > 0 && metrics["telemetry.graphite.redials"] > 0
+		})
+		h.serve("v1")
+		h.awaitSeries(receiver.Points, collectdServed, 5)
+		carbon.Behave(fakes.Takes)
+		h.awaitSeries(carbon.Points, graphiteServed, 5)
+	}
+}
+
+// Graphite resets its connections in the middle of a line. When it reads again, there is no wrong line and no lost
+// count.
+func TestSinkResets(t *testing.T) {
+	carbon := newFakeCarbon(t)
+	carbon.Behave(fakes.Resets)
+	h := newHarness(t, testSettings(carbon.Address(), ""))
+	h.awaitEnabled()
+	h.serve("v")
+	h.awaitMetrics("resets", func(metrics map[string]uint64) bool { return metrics["telemetry.graphite.redials"] > 3 })
+	carbon.Behave(fakes.Takes)
+	h.awaitSeries(carbon.Points, graphiteServed, 1)
+	if faults := carbon.Faults(); len(faults) > 0 {
+		t.Error(faults)
+	}
+}
+
+// Graphite is killed and comes back at the same address. It gets the counts, and what was queued comes with the
+// timestamps of its own intervals. The log has one line for either.
+func TestSinkKilledAndBack(t *testing.T) {
+	first := newFakeCarbon(t)
+	address := first.Address()
+	h := newHarness(t, testSettings(address, ""))
+	h.awaitEnabled()
+	h.serve("v")
+	h.awaitSeries(first.Points, graphiteServed, 1)
+	first.Close()
+	h.awaitMetrics("a dead sink", func(metrics map[string]uint64) bool {
+		return metrics["telemetry.graphite.redials"] > 2
+	})
+	h.serve("v")
+	var mu sync.Mutex
+	timestamps := map[int64]bool{}
+	points := fakes.NewPoints(func(point fakes.Point) {
+		mu.Lock()
+		defer mu.Unlock()
+		if point.Series == graphiteServed {
+			timestamps[point.Stamp] = true
+		}
+	})
+	second, err := fakes.NewCarbon(address, false, points)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer second.Close()
+	h.awaitSeries(points, graphiteServed, 2)
+	mu.Lock()
+	defer mu.Unlock()
+	if len(timestamps) < 2 {
+		t.Errorf("%d intervals after the outage", len(timestamps))
+	}
+	logs := h.logLines()
+	if len(logs) != 2 ||
+		!strings.HasPrefix(logs[0], "sink unavailable sink=graphite reason=") ||
+		logs[1] != "sink recovered sink=graphite" {
+		t.Errorf("%q", logs)
+	}
+}
+
+// The name of the Graphite receiver does not resolve, and the key for collectd is wrong. Graphite is dialled again and
+// again, collectd rejects all packets. With the right key, as after a reload, it takes them.
+func TestSinkMisconfigured(t *testing.T) {
+	receiver := newFakeCollectd(t, map[string]string{"wharf": "right"})
+	settings := testSettings("nothing.invalid:2003", receiver.Address())
+	settings.Collectd.Security = "encrypt"
+	settings.Collectd.Key = collectd.Key{User: "wharf", Secret: "wrong"}
+	h := newHarness(t, settings)
+	h.awaitEnabled()
+	h.serve("v")
+	h.awaitMetrics("a name that does not resolve", func(metrics map[string]uint64) bool {
+		return metrics["telemetry.graphite.redials"] > 0
+	})
+	rejected := receiver.Await(h.timeout, func(_ map[string]fakes.Point, faults []string) bool {
+		return len(faults) > 0 && strings.Contains(faults[0], "wrong key")
+	})
+	if !rejected {
+		t.Fatal("packets under a wrong key were taken")
+	}
+	if receiver.Taken() > 0 {
+		t.Errorf("%d points under a wrong key", receiver.Taken())
+	}
+	settings.Collectd.Key.Secret = "right"
+	h.exporter.ApplySettings(settings)
+	h.awaitSeries(receiver.Points, collectdServed, 1)
+}
+
+// A node drains, and nothing listens at Graphite's address. Collectd gets a notification of either.
+func TestNotifications(t *testing.T) {
+	const nodeDown, sinkDown = "2 node listed down: s-1", "1 graphite lost: "
+	receiver := newFakeCollectd(t, nil)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = listener.Close() // only its address is needed
+	h := newHarness(t, testSettings(listener.Addr().String(), receiver.Address()))
+	h.awaitEnabled()
+	h.observe(telemetry.Observation{Kind: telemetry.NodeDraining, Node: "s-1"})
+	received := func() string {
+		var all []string
+		for _, n := range receiver.Notices() {
+			all = append(all, fmt.Sprint(n.Severity, " ", n.Text))
+		}
+		return strings.Join(all, "\n")
+	}
+	receiver.Await(h.timeout, func(map[string]fakes.Point, []string) bool {
+		return strings.Contains(received(), nodeDown) && strings.Contains(received(), sinkDown)
+	})
+	if text := received(); !strings.Contains(text, nodeDown) || !strings.Contains(text, sinkDown) {
+		t.Errorf("%q", text)
+	}
+}
--- a/internal/metricsexport/sink.go
+++ b/internal/metricsexport/sink.go
@@ -2,207 +2,175 @@
 
 import (
 	"context"
-	"errors"
-	"io"
 	"log/slog"
 	"net"
 	"sync"
 	"time"
 
-	"junctionwharf/broker"
 	"junctionwharf/internal/collectd"
 	"junctionwharf/telemetry"
 )
 
-// sink carries out what a telemetry.Sink decides. Nobody who offers an interval waits for it.
+// The texts of notifications, and what they are about. Operators' rules in collectd match them.
+const (
+	instanceNodes   = "nodes"
+	instanceSinks   = "sinks"
+	textNodeDown    = "node listed down: "
+	textUnavailable = " lost: "
+	textRecovered   = " back"
+)
+
+// sink drives a telemetry.Sink: it carries out the effects and reports events. Nobody who offers a batch waits for it.
 type sink struct {
-	target target
-	log    *slog.Logger
-	alert  func(collectd.Notification)
-	rollup *telemetry.Rollup
-	held   time.Duration // of the interval, in the rollup
-
-	start time.Time
-	ended chan struct{} // closed once the sink is over
-
-	mu     sync.Mutex
-	state  *telemetry.Sink
-	timer  *time.Timer
-	over   bool
-	number int // of the connection; what earlier ones bring does not count
-	conn   net.Conn
-	cancel context.CancelFunc
+	log   *slog.Logger
+	alert func(collectd.Notification) // must not block
+	start time.Time                   // 0 of the state machine's clock
+	ended chan struct{}               // closed once the state machine has finished
+
+	// target does not change; rollup and collected belong to the goroutine of Exporter.Run.
+	target    target
+	rollup    *telemetry.Rollup
+	collected time.Duration // of the interval in progress, in the rollup
+
+	mu       sync.Mutex
+	machine  *telemetry.Sink
+	timer    *time.Timer // calls when the state machine wants to be called
+	finished bool
+	// connectionID numbers the connections; events of earlier ones are ignored.
+	connectionID int
+	conn         net.Conn           // nil while there is none
+	cancelDial   context.CancelFunc // of the dial in progress or done; nil while there is none
 }
 
 func newSink(t target, log *slog.Logger, alert func(collectd.Notification), seed uint64) *sink {
-	return &sink{target: t, log: log.With("sink", t.name), alert: alert, rollup: telemetry.NewRollup(),
-		start: time.Now(), ended: make(chan struct{}), state: telemetry.NewSink(t.options, seed)}
+	return &sink{
+		log:     log.With("sink", t.name),
+		alert:   alert,
+		start:   time.Now(),
+		ended:   make(chan struct{}),
+		target:  t,
+		rollup:  telemetry.NewRollup(),
+		machine: telemetry.NewSink(t.options, seed),
+	}
 }
 
-// gather takes a cut that covers so much time.
-func (s *sink) gather(cut *telemetry.Snapshot, span time.Duration) {
-	s.rollup.Add(cut, breathe)
-	s.held += span
+// add merges a snapshot that covers a span of time.
+func (s *sink) add(snapshot *telemetry.Snapshot, span time.Duration) {
+	s.rollup.Add(snapshot, yield)
+	s.collected += span
 }
 
-func (s *sink) due() bool { return s.held >= s.target.interval }
+func (s *sink) intervalOver() bool { return s.collected >= s.target.interval }
 
-// tell words the interval and queues it.
-func (s *sink) tell(name string, figures []broker.Metric, stamp int64, sum *telemetry.Summarizer) {
-	s.held = 0
-	frames, err := s.target.encode(name, figures, s.rollup, stamp, sum)
+// encode encodes the interval in progress and queues it.
+func (s *sink) encode(i interval) {
+	s.collected = 0
+	i.rollup = s.rollup
+	frames, err := s.target.encode(i)
 	if err != nil {
-		s.log.Error("interval not worded", "reason", err)
+		s.log.Error("interval not encoded", "reason", err)
 		return
 	}
 	s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: frames}})
 }
 
+// notify queues a notification, if the sink takes any. One that does not fit into a packet is left out.
 func (s *sink) notify(n collectd.Notification) {
-	if s.target.notice == nil {
+	if s.target.encodeNotification == nil {
 		return
 	}
-	if frame, err := s.target.notice(n, time.Now()); err == nil {
-		s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: [][]byte{frame}}})
+	frame, err := s.target.encodeNotification(n, time.Now())
+	if err != nil {
+		return
 	}
+	s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: [][]byte{frame}}})
 }
 
-func (s *sink) finish(by time.Time) {
-	s.reduce(telemetry.Shutdown{Deadline: by.Sub(s.start).Microseconds()})
+// shutdown has the sink send what waits, until the deadline. It does not wait for it.
+func (s *sink) shutdown(deadline time.Time) {
+	s.reduce(telemetry.Shutdown{Deadline: deadline.Sub(s.start).Microseconds()})
 }
 
-// stop ends the sink by a point of time; what is unsent then is dropped.
-func (s *sink) stop(by time.Time) {
+// stop waits for the sink's end until the deadline, and ends it then; what is unsent is dropped.
+func (s *sink) stop(deadline time.Time) {
 	select {
 	case <-s.ended:
-	case <-time.After(time.Until(by)):
+	case <-time.After(time.Until(deadline)):
 		s.reduce(telemetry.Shutdown{Deadline: 0})
 	}
 }
 
-func (s *sink) figures() telemetry.SinkStats {
+func (s *sink) stats() telemetry.SinkStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Stats()
+	return s.machine.Stats()
 }
 
-func (s *sink) reduce(e telemetry.SinkEvent) {
+// reduce takes an event that belongs to no connection, or nil for the passing of time alone.
+func (s *sink) reduce(event telemetry.SinkEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn(e)
+	s.reduceLocked(event)
 }
 
-// of takes an event of a connection, if that is still the one in use.
-func (s *sink) of(number int, e telemetry.SinkEvent) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if number != s.number {
+// reduceLocked passes an event to the state machine and carries out the effects; nothing in it blocks.
+func (s *sink) reduceLocked(event telemetry.SinkEvent) {
+	if s.finished {
 		return
 	}
-	if _, broke := e.(telemetry.ConnectionFailed); broke {
-		s.hangUp()
-	}
-	s.turn(e)
-}
-
-// turn reduces an event and carries out what follows; nothing in it blocks.
-func (s *sink) turn(e telemetry.SinkEvent) {
-	if s.over {
-		return
+	for _, effect := range s.machine.Reduce(time.Since(s.start).Microseconds(), event) {
+		s.carryOut(effect)
 	}
-	for _, effect := range s.state.Reduce(time.Since(s.start).Microseconds(), e) {
-		switch e := effect.(type) {
-		case telemetry.Dial:
-			s.dial()
-		case telemetry.Write:
-			go s.write(s.number, s.conn, e.Frame)
-		case telemetry.Disconnect:
-			s.hangUp()
-		case telemetry.ReportUnavailable:
-			s.log.Warn("sink lost", "reason", e.Reason)
-			s.alert(collectd.Notification{Severity: collectd.Failure, Instance: "sinks", Text: s.target.name + " lost: " + e.Reason})
-		case telemetry.ReportRecovered:
-			s.log.Info("sink back")
-			s.alert(collectd.Notification{Severity: collectd.Okay, Instance: "sinks", Text: s.target.name + " back"})
-		case telemetry.Finished:
-			s.over = true
-			s.hangUp()
-			if s.timer != nil {
-				s.timer.Stop()
-			}
-			close(s.ended)
-			return
-		}
-	}
-	if s.timer != nil {
-		s.timer.Stop()
-	}
-	if at, any := s.state.Next(); any {
-		s.timer = time.AfterFunc(time.Until(s.start.Add(time.Duration(at)*time.Microsecond)), func() { s.reduce(nil) })
+	if !s.finished {
+		s.resetTimer()
 	}
 }
 
-func (s *sink) hangUp() {
-	s.number++
-	if s.cancel != nil {
-		s.cancel()
-		s.cancel = nil
-	}
-	if s.conn != nil {
-		conn := s.conn
-		s.conn = nil
-		go func() { _ = conn.Close() }()
+func (s *sink) carryOut(effect telemetry.SinkEffect) {
+	switch e := effect.(type) {
+	case telemetry.Dial:
+		s.dial()
+	case telemetry.Write:
+		go s.write(s.connectionID, s.conn, e.Frame)
+	case telemetry.Disconnect:
+		s.disconnect()
+	case telemetry.ReportUnavailable:
+		s.log.Warn("sink unavailable", "reason", e.Reason)
+		s.alert(s.newNotification(collectd.Failure, textUnavailable+e.Reason))
+	case telemetry.ReportRecovered:
+		s.log.Info("sink recovered")
+		s.alert(s.newNotification(collectd.Okay, textRecovered))
+	case telemetry.Finished:
+		s.finish()
 	}
 }
 
-func (s *sink) dial() {
-	ctx, cancel := context.WithCancel(context.Background())
-	s.cancel = cancel
-	number := s.number
-	go func() {
-		conn, err := new(net.Dialer).DialContext(ctx, s.target.network, s.target.address)
-		if err != nil {
-			s.of(number, telemetry.ConnectionFailed{Err: err})
-			return
-		}
-		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetWriteBuffer(sendBuffer)
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if number != s.number {
-			_ = conn.Close()
-			return
-		}
-		s.conn = conn
-		go s.listen(number, conn)
-		s.turn(telemetry.Connected{})
-	}()
+func (s *sink) newNotification(severity collectd.Severity, text string) collectd.Notification {
+	return collectd.Notification{
+		Severity: severity,
+		Instance: instanceSinks,
+		Text:     s.target.name + text,
+	}
 }
 
-// sendBuffer bounds what the system takes for a sink that does not read: it would pass for sent.
-const sendBuffer = 64 << 10
-
-// listen hears of a connection's end as it comes. Sinks say nothing; what one says is passed over.
-func (s *sink) listen(number int, conn net.Conn) {
-	b := make([]byte, 512)
-	for {
-		if _, err := conn.Read(b); err != nil {
-			if errors.Is(err, io.EOF) {
-				err = errEnded
-			}
-			s.of(number, telemetry.ConnectionFailed{Err: err})
-			return
-		}
+func (s *sink) finish() {
+	s.finished = true
+	s.disconnect()
+	if s.timer != nil {
+		s.timer.Stop()
 	}
+	close(s.ended)
 }
 
-var errEnded = errors.New("it ended the connection")
-
-func (s *sink) write(number int, conn net.Conn, frame []byte) {
-	if _, err := conn.Write(frame); err != nil {
-		s.of(number, telemetry.ConnectionFailed{Err: err})
+// resetTimer has the state machine called when it wants to be.
+func (s *sink) resetTimer() {
+	if s.timer != nil {
+		s.timer.Stop()
+	}
+	at, any := s.machine.Next()
+	if !any {
 		return
 	}
-	s.of(number, telemetry.FrameWritten{})
+	due := s.start.Add(time.Duration(at) * time.Microsecond)
+	s.timer = time.AfterFunc(time.Until(due), func() { s.reduce(nil) })
 }
