--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -8,71 +8,73 @@
 	"junctionwharf/scheduler"
 )
 
-// BenchmarkStep plays requests with their answers through one gateway of few or many hosts. Its time for
-// each request should not grow with the hosts.
+// benchmarkScheduler returns one of many schedulers with so many nodes, one for each shard.
+func benchmarkScheduler(b *testing.B, brokers, nodes int, now scheduler.Time) *scheduler.Scheduler {
+	b.Helper()
+	settings := basicSettings()
+	settings.Brokers = brokers
+	settings.Capabilities.Peers = true
+	s := newScheduler(b, settings, 1)
+	var endpoints []scheduler.Endpoint
+	for i := range nodes {
+		endpoints = append(endpoints, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Shard: i})
+	}
+	s.Reduce(now, []scheduler.Event{fullUpdate(endpoints...)})
+	return s
+}
+
+// reduceAndAnswer gives events to a scheduler and has what it forwards served within a millisecond.
+func reduceAndAnswer(s *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event) {
+	for _, action := range s.Reduce(now, events) {
+		if forward, ok := action.(scheduler.Forward); ok {
+			s.Reduce(now+ms, []scheduler.Event{scheduler.AttemptEnded{
+				ID: forward.ID, Node: forward.Node, Latency: ms, Finished: true, Load: scheduler.NoLoadReport,
+			}})
+		}
+	}
+}
+
+// BenchmarkStep plays requests with their answers through one scheduler of few or many. Its time for each
+// request should not grow with the brokers.
 func BenchmarkStep(b *testing.B) {
-	for _, hosts := range []int{10, 200} {
-		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
-			set := plain()
-			set.Brokers, set.Capabilities.Peers = hosts, true
-			g, err := scheduler.New(set, 1)
-			if err != nil {
-				b.Fatal(err)
-			}
+	for _, brokers := range []int{10, 200} {
+		b.Run(fmt.Sprint("hosts=", brokers), func(b *testing.B) {
 			now := 100 * second
-			var nodes []scheduler.Endpoint
-			for i := range 40 {
-				nodes = append(nodes, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Shard: i})
-			}
-			g.Reduce(now, []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: nodes}})
+			s := benchmarkScheduler(b, brokers, 40, now)
 			next := now
 			for i := range b.N {
 				now += 20 * time.Millisecond
-				shard := i % 40
-				events := []scheduler.Event{scheduler.Request{ID: uint64(i + 1), Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%12),
-					Units: 2, Shard: shard, Brokers: 8, Remaining: 2 * second}}
+				events := []scheduler.Event{scheduler.Request{
+					ID: uint64(i + 1), Class: "read", Plan: "high", Volume: fmt.Sprint("v", i%12),
+					Units: 2, Shard: i % 40, Brokers: 8, Remaining: 2 * second,
+				}}
 				if now >= next {
-					events, next = append(events, scheduler.TimerFired{Token: 1}), now+50*time.Millisecond
-				}
-				for _, action := range g.Reduce(now, events) {
-					if send, ok := action.(scheduler.Forward); ok {
-						g.Reduce(now+time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{ID: send.ID, Node: send.Node,
-							Latency: time.Millisecond, Finished: true, Load: scheduler.NoLoadReport}})
-					}
+					events = append(events, scheduler.TimerFired{Token: 1})
+					next = now + 50*time.Millisecond
 				}
+				reduceAndAnswer(s, now, events)
 			}
 		})
 	}
 }
 
-// BenchmarkTick is a tick of a gateway with few requests among many nodes. What it costs should not grow with
+// BenchmarkTick is a tick of a scheduler with few requests among many nodes. Its time should not grow with
 // the nodes.
 func BenchmarkTick(b *testing.B) {
-	for _, count := range []int{100, 400, 1600} {
-		b.Run(fmt.Sprint("nodes=", count), func(b *testing.B) {
-			set := plain()
-			set.Brokers, set.Capabilities.Peers = 930, true
-			g, err := scheduler.New(set, 1)
-			if err != nil {
-				b.Fatal(err)
-			}
+	for _, nodes := range []int{100, 400, 1600} {
+		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
 			now := 100 * second
-			var nodes []scheduler.Endpoint
-			for i := range count {
-				nodes = append(nodes, scheduler.Endpoint{Name: fmt.Sprintf("n%d:1", i), Shard: i})
-			}
-			g.Reduce(now, []scheduler.Event{scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: nodes}})
+			s := benchmarkScheduler(b, 930, nodes, now)
 			for i := range b.N {
 				now += 25 * time.Millisecond
 				events := []scheduler.Event{scheduler.TimerFired{Token: 1}}
 				if i%4 == 0 {
-					events = append(events, scheduler.Request{ID: uint64(i + 1), Class: "read", Plan: "high", Volume: "v", Units: 2, Shard: i % count, Brokers: 8, Remaining: 2 * second})
-				}
-				for _, action := range g.Reduce(now, events) {
-					if send, ok := action.(scheduler.Forward); ok {
-						g.Reduce(now+time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{ID: send.ID, Node: send.Node, Latency: time.Millisecond, Finished: true, Load: scheduler.NoLoadReport}})
-					}
+					events = append(events, scheduler.Request{
+						ID: uint64(i + 1), Class: "read", Plan: "high", Volume: "v",
+						Units: 2, Shard: i % nodes, Brokers: 8, Remaining: 2 * second,
+					})
 				}
+				reduceAndAnswer(s, now, events)
 			}
 		})
 	}
--- a/scheduler/decision_text_test.go
+++ b/scheduler/decision_text_test.go
@@ -12,8 +12,9 @@
 	"junctionwharf/scheduler"
 )
 
-// actionText writes an action in words that do not depend on the names of Go types and fields, so that a renamed type is no
-// other decision. Each kind has a fixed word, and each field a fixed key; times are whole nanoseconds, bytes hexadecimal.
+// actionText writes an action in words that do not depend on the names of Go types and fields, so that a
+// renamed type is no other decision. Each kind has a fixed word, and each field a fixed key; times are whole
+// nanoseconds, bytes hexadecimal.
 func actionText(t testing.TB, action scheduler.Action) string {
 	t.Helper()
 	switch a := action.(type) {
@@ -77,8 +78,8 @@
 	return fmt.Sprintf(recorded.format, values...)
 }
 
-// A field that the text leaves out could change without a red test. So each field of each kind of action has a key, and
-// another value of it another text.
+// A field that the text leaves out could change without a red test. So each field of each kind of action has
+// a key, and another value of it another text.
 func TestDecisionsTextCoversFields(t *testing.T) {
 	kinds := []scheduler.Action{
 		scheduler.Forward{}, scheduler.Reject{}, scheduler.Fail{}, scheduler.Cancel{}, scheduler.HealthCheck{},
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -4,6 +4,7 @@
 	"container/heap"
 	"flag"
 	"fmt"
+	"hash"
 	"hash/fnv"
 	"math/rand/v2"
 	"os"
@@ -15,225 +16,341 @@
 	"junctionwharf/scheduler"
 )
 
-// decisionSeeds is how many streams are always played.
-const decisionSeeds = 10
+// defaultSeeds is how many streams are always played.
+const defaultSeeds = 10
 
-// record has the decisions written anew: only where a change of them is meant, and the commit says so. A
+// record has the decisions recorded anew: only where a change of them is meant, and the commit says so. A
 // change that is meant to leave decisions alone is compared over 80 seeds besides, recorded by the version
 // before it into a folder of their own.
 var (
 	record     = flag.Bool("record", false, "record the decisions of this version")
-	moreSeeds  = flag.Int("seeds", decisionSeeds, "streams to play; no fewer than the usual")
-	recordings = flag.String("recordings", "testdata", "folder in which the recorded decisions lie")
+	moreSeeds  = flag.Int("seeds", defaultSeeds, "streams to play; no fewer than the usual")
+	recordings = flag.String("recordings", "testdata", "folder of the recorded decisions")
 )
 
-// seeds is how many streams are played: -seeds only raises it.
-func seeds() uint64 { return uint64(max(decisionSeeds, *moreSeeds)) }
+// seedCount is how many streams are played: -seeds only raises it.
+func seedCount() uint64 { return uint64(max(defaultSeeds, *moreSeeds)) }
 
-// decisionsOf plays a seeded stream against a gateway and returns a hash of all its actions. The stream
-// reacts to the actions as a deployment would: nodes of drawn speeds with pauses, full rooms and cuts; surges
-// of some volumes; drains, replaced nodes, new settings, peers' messages, clients that leave, and restarts.
-func decisionsOf(t testing.TB, seed uint64, off, single bool) (hash uint64, sends, refusals int) {
-	rng := rand.New(rand.NewPCG(seed, 0xdec1))
-	set := plain()
-	if seed%2 == 1 {
-		set = hostileSettings(rng) // all kinds of classes, limits, budgets
-	}
-	set.Ordinal, set.Subscribe, set.Balancer.Disabled = 0, false, off
-	set.Brokers, set.Capabilities.Peers, set.Capabilities.RetryAfter, set.Capabilities.Cancel = 1+rng.IntN(4), true, rng.IntN(2) == 0, true
-	sum := fnv.New64a()
-	var q fleetQueue
-	now := 100 * second
-	count, id := 0, uint64(0)
-	later := func(after time.Duration, e scheduler.Event) {
-		count++
-		heap.Push(&q, fleetEvent{now + after, count, 0, e})
-	}
-	shards := 1 + rng.IntN(30)
-	nodes := make([]scheduler.Endpoint, min(60, shards+rng.IntN(shards+1)))
-	if single {
-		nodes = nodes[:shards]
-	}
-	speed, freeAt := map[string]time.Duration{}, map[string]scheduler.Time{}
-	name := 0
-	fresh := func(shard int) scheduler.Endpoint {
-		name++
-		n := scheduler.Endpoint{Name: fmt.Sprint("n", name), Shard: shard, Zone: string(rune('a' + rng.IntN(2)))}
-		speed[n.Name] = time.Duration(1+rng.IntN(20)) * ms
-		return n
-	}
-	for i := range nodes {
-		nodes[i] = fresh(i % shards)
-	}
-	var g *scheduler.Scheduler
-	begin := func() {
-		var err error
-		if g, err = scheduler.New(set, seed); err != nil {
-			t.Fatal(err)
-		}
-		q = nil
-		later(0, scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Version: 1, Endpoints: append([]scheduler.Endpoint(nil), nodes...)})
-	}
-	begin()
-	open := map[uint64]time.Duration{}
-	attempts := map[uint64]int{}
-	step := func(events ...scheduler.Event) {
-		for _, action := range g.Reduce(now, events) {
-			_, _ = fmt.Fprintf(sum, "%d %s\n", now, actionText(t, action))
-			switch a := action.(type) {
-			case scheduler.SetTimer:
-				later(a.After, scheduler.TimerFired{Token: a.Token})
-			case scheduler.Reject:
-				refusals++
-				delete(open, a.ID)
-			case scheduler.Fail:
-				delete(open, a.ID)
-			case scheduler.Forward:
-				sends++
-				freeAt[a.Node] = max(freeAt[a.Node], now) + time.Duration(float64(speed[a.Node])*(0.5+rng.Float64()))
-				if rng.IntN(200) == 0 {
-					freeAt[a.Node] += 200 * ms
-				}
-				outcome := scheduler.Success
-				switch rng.IntN(60) {
-				case 0:
-					outcome = scheduler.Overloaded
-				case 1:
-					outcome = scheduler.Unreachable
-				case 2:
-					outcome = scheduler.ConnectionBroken
-				}
-				took := freeAt[a.Node] - now
-				if a.Timeout > 0 && took > a.Timeout {
-					took, outcome = a.Timeout, scheduler.TimedOut
-				}
-				_, waits := open[a.ID]
-				if outcome == scheduler.Success {
-					delete(open, a.ID)
-				}
-				later(took, scheduler.AttemptEnded{ID: a.ID, Attempt: attempts[a.ID], Node: a.Node, Outcome: outcome, Latency: took,
-					Finished: outcome == scheduler.Success || !waits, RateUsed: rng.IntN(200), Load: scheduler.NoLoadReport})
-				attempts[a.ID]++
-			case scheduler.SendToPeer:
-				if rng.IntN(2) == 0 {
-					later(time.Duration(rng.IntN(20))*ms, scheduler.PeerMessage{From: (set.Ordinal + 1) % set.Brokers, Data: a.Data})
-				}
-			}
-		}
-	}
-	surge, surgeTill := 0, now
-	rate := 20 * float64(len(nodes))
-	next := now
-	for end := now + 6*second; now < end; {
-		if len(q) > 0 && q[0].at <= next {
-			now = q[0].at
-			var events []scheduler.Event
-			for len(q) > 0 && q[0].at <= now {
-				events = append(events, heap.Pop(&q).(fleetEvent).event)
-			}
-			step(events...)
+// decisionStream plays a seeded stream against a scheduler and hashes all its actions. The stream reacts to
+// the actions as a deployment would: nodes of random speeds with pauses, rejections and broken connections;
+// surges of some volumes; nodes that drain and are replaced, new settings, peers' messages, clients that
+// leave, and restarts. The order of its draws is part of what is recorded.
+type decisionStream struct {
+	t         testing.TB
+	seed      uint64
+	rng       *rand.Rand
+	settings  scheduler.Settings
+	scheduler *scheduler.Scheduler
+	now       scheduler.Time
+	events    timedQueue
+	sequence  int
+
+	shards    int
+	endpoints []scheduler.Endpoint
+	lastNode  int
+	speeds    map[string]time.Duration
+	freeAt    map[string]scheduler.Time // when a node has served what it got
+
+	lastID   uint64
+	open     map[uint64]bool // requests without a final answer
+	attempts map[uint64]int
+
+	surge      int // volume with more requests than usual
+	surgeUntil scheduler.Time
+
+	sum      hash.Hash64
+	forwards int
+	rejects  int
+}
+
+// decisions is what a stream gave.
+type decisions struct {
+	hash     uint64
+	forwards int
+	rejects  int
+}
+
+// playDecisions plays a stream without or with the balancer. With oneNode each shard has a single node.
+func playDecisions(t testing.TB, seed uint64, balancerDisabled, oneNode bool) decisions {
+	t.Helper()
+	d := newDecisionStream(t, seed, balancerDisabled, oneNode)
+	d.start()
+	rate := 20 * float64(len(d.endpoints)) // requests a second
+	next := d.now
+	for end := d.now + 6*second; d.now < end; {
+		if len(d.events) > 0 && d.events[0].at <= next {
+			d.now = d.events[0].at
+			d.reduce(d.dueEvents()...)
 			continue
 		}
-		now = next
-		if now >= surgeTill && rng.IntN(400) == 0 {
-			surge, surgeTill = rng.IntN(40), now+time.Duration(rng.IntN(1500))*ms
-		}
-		pace := rate
-		if now < surgeTill {
-			pace *= 4
-		}
-		next = now + time.Duration(rng.ExpFloat64()/pace*float64(second))
-		switch k := rng.IntN(2000); {
-		case k == 0: // a node drains, and another takes its place
-			i := rng.IntN(len(nodes))
-			old := nodes[i]
-			old.State = scheduler.Draining
-			nodes[i] = fresh(old.Shard)
-			nodes[i].StartedAt = now
-			gone := old
-			gone.State = scheduler.Removed
-			later(time.Duration(rng.IntN(2000))*ms, scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{gone}})
-			step(scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: []scheduler.Endpoint{old, nodes[i]}})
-		case k == 1:
-			step(scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: append([]scheduler.Endpoint(nil), nodes...)})
-		case k == 2:
-			set.Plans[0].ReservedRate = 1 + float64(rng.IntN(30))
-			step(scheduler.SettingsChanged{Settings: set})
-		case k == 3 && seed%5 == 0:
-			begin()
-			clear(open)
-		case k < 40:
-			for one := range open { // the lowest id, whatever the map's order
-				for other := range open {
-					one = min(one, other)
-				}
-				delete(open, one)
-				step(scheduler.ClientGone{ID: one})
-				break
-			}
-		default:
-			id++
-			volume := rng.IntN(40)
-			if now < surgeTill && rng.IntN(3) > 0 {
-				volume = surge
+		d.now = next
+		next = d.now + d.drawPause(rate)
+		d.drawEvent()
+	}
+	return decisions{d.sum.Sum64(), d.forwards, d.rejects}
+}
+
+func newDecisionStream(t testing.TB, seed uint64, balancerDisabled, oneNode bool) *decisionStream {
+	t.Helper()
+	d := &decisionStream{
+		t:        t,
+		seed:     seed,
+		rng:      rand.New(rand.NewPCG(seed, 0xdec1)),
+		settings: basicSettings(),
+		now:      100 * second,
+		speeds:   map[string]time.Duration{},
+		freeAt:   map[string]scheduler.Time{},
+		open:     map[uint64]bool{},
+		attempts: map[uint64]int{},
+		sum:      fnv.New64a(),
+	}
+	d.surgeUntil = d.now
+	if seed%2 == 1 {
+		d.settings = randomSettings(d.rng)
+	}
+	d.settings.Ordinal = 0
+	d.settings.Subscribe = false
+	d.settings.Balancer.Disabled = balancerDisabled
+	d.settings.Brokers = 1 + d.rng.IntN(4)
+	d.settings.Capabilities.Peers = true
+	d.settings.Capabilities.RetryAfter = d.rng.IntN(2) == 0
+	d.settings.Capabilities.Cancel = true
+	d.shards = 1 + d.rng.IntN(30)
+	d.endpoints = make([]scheduler.Endpoint, min(60, d.shards+d.rng.IntN(d.shards+1)))
+	if oneNode {
+		d.endpoints = d.endpoints[:d.shards]
+	}
+	for i := range d.endpoints {
+		d.endpoints[i] = d.newEndpoint(i % d.shards)
+	}
+	return d
+}
+
+// newEndpoint draws a node of a shard.
+func (d *decisionStream) newEndpoint(shard int) scheduler.Endpoint {
+	d.lastNode++
+	zone := string(rune('a' + d.rng.IntN(2)))
+	endpoint := scheduler.Endpoint{Name: fmt.Sprint("n", d.lastNode), Shard: shard, Zone: zone}
+	d.speeds[endpoint.Name] = time.Duration(1+d.rng.IntN(20)) * ms
+	return endpoint
+}
+
+// start starts the scheduler, also anew.
+func (d *decisionStream) start() {
+	d.t.Helper()
+	d.scheduler = newScheduler(d.t, d.settings, d.seed)
+	d.events = nil
+	update := d.fullUpdate()
+	update.Version = 1
+	d.schedule(0, update)
+}
+
+// fullUpdate lists the nodes as they are now.
+func (d *decisionStream) fullUpdate() scheduler.EndpointUpdate {
+	return fullUpdate(append([]scheduler.Endpoint(nil), d.endpoints...)...)
+}
+
+func (d *decisionStream) schedule(after time.Duration, event scheduler.Event) {
+	d.sequence++
+	heap.Push(&d.events, timedEvent{d.now + after, d.sequence, 0, event})
+}
+
+func (d *decisionStream) dueEvents() (events []scheduler.Event) {
+	for len(d.events) > 0 && d.events[0].at <= d.now {
+		events = append(events, heap.Pop(&d.events).(timedEvent).event)
+	}
+	return events
+}
+
+// reduce gives events to the scheduler, and hashes and carries out its actions.
+func (d *decisionStream) reduce(events ...scheduler.Event) {
+	for _, action := range d.scheduler.Reduce(d.now, events) {
+		_, _ = fmt.Fprintf(d.sum, "%d %s\n", d.now, actionText(d.t, action)) // a hash takes all
+		switch a := action.(type) {
+		case scheduler.SetTimer:
+			d.schedule(a.After, scheduler.TimerFired{Token: a.Token})
+		case scheduler.Reject:
+			d.rejects++
+			delete(d.open, a.ID)
+		case scheduler.Fail:
+			delete(d.open, a.ID)
+		case scheduler.Forward:
+			d.forwards++
+			d.drawEnd(a)
+		case scheduler.SendToPeer:
+			if d.rng.IntN(2) == 0 {
+				d.schedule(time.Duration(d.rng.IntN(20))*ms, scheduler.PeerMessage{
+					From: (d.settings.Ordinal + 1) % d.settings.Brokers, Data: a.Data,
+				})
 			}
-			class := set.Classes[rng.IntN(len(set.Classes))]
-			open[id] = class.Deadline
-			step(scheduler.Request{ID: id, Class: class.Name, Plan: set.Plans[volume%len(set.Plans)].Name, Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", rng.IntN(500)),
-				Units: float64(1 + rng.IntN(8)), Shard: rng.IntN(shards), Brokers: 1 + volume%set.Brokers, Remaining: class.Deadline, Retry: rng.IntN(20) == 0})
 		}
 	}
-	return sum.Sum64(), sends, refusals
 }
 
-// The decisions are those that were recorded: a change that is meant to leave them alone does. With spreading
-// off they are those of the version before it.
+// drawEnd draws how and when an attempt ends.
+func (d *decisionStream) drawEnd(a scheduler.Forward) {
+	service := time.Duration(float64(d.speeds[a.Node]) * (0.5 + d.rng.Float64()))
+	d.freeAt[a.Node] = max(d.freeAt[a.Node], d.now) + service
+	if d.rng.IntN(200) == 0 {
+		d.freeAt[a.Node] += 200 * ms // the node pauses
+	}
+	outcome := scheduler.Success
+	switch d.rng.IntN(60) {
+	case 0:
+		outcome = scheduler.Overloaded
+	case 1:
+		outcome = scheduler.Unreachable
+	case 2:
+		outcome = scheduler.ConnectionBroken
+	}
+	latency := d.freeAt[a.Node] - d.now
+	if a.Timeout > 0 && latency > a.Timeout {
+		latency, outcome = a.Timeout, scheduler.TimedOut
+	}
+	finished := outcome == scheduler.Success || !d.open[a.ID]
+	if outcome == scheduler.Success {
+		delete(d.open, a.ID)
+	}
+	d.schedule(latency, scheduler.AttemptEnded{
+		ID: a.ID, Attempt: d.attempts[a.ID], Node: a.Node, Outcome: outcome, Latency: latency,
+		Finished: finished, RateUsed: d.rng.IntN(200), Load: scheduler.NoLoadReport,
+	})
+	d.attempts[a.ID]++
+}
+
+// drawPause draws the time to the next event; now and then a surge begins.
+func (d *decisionStream) drawPause(rate float64) time.Duration {
+	if d.now >= d.surgeUntil && d.rng.IntN(400) == 0 {
+		d.surge = d.rng.IntN(40)
+		d.surgeUntil = d.now + time.Duration(d.rng.IntN(1500))*ms
+	}
+	if d.now < d.surgeUntil {
+		rate *= 4
+	}
+	return time.Duration(d.rng.ExpFloat64() / rate * float64(second))
+}
+
+// drawEvent draws what comes from outside, mostly a request.
+func (d *decisionStream) drawEvent() {
+	switch k := d.rng.IntN(2000); {
+	case k == 0:
+		d.replaceNode()
+	case k == 1:
+		d.reduce(d.fullUpdate())
+	case k == 2:
+		d.settings.Plans[0].ReservedRate = 1 + float64(d.rng.IntN(30))
+		d.reduce(scheduler.SettingsChanged{Settings: d.settings})
+	case k == 3 && d.seed%5 == 0:
+		d.start()
+		clear(d.open)
+	case k < 40:
+		d.firstClientLeaves()
+	default:
+		d.drawRequest()
+	}
+}
+
+// replaceNode has a node drain, and another take its place.
+func (d *decisionStream) replaceNode() {
+	i := d.rng.IntN(len(d.endpoints))
+	draining := d.endpoints[i]
+	draining.State = scheduler.Draining
+	d.endpoints[i] = d.newEndpoint(draining.Shard)
+	d.endpoints[i].StartedAt = d.now
+	removed := draining
+	removed.State = scheduler.Removed
+	d.schedule(time.Duration(d.rng.IntN(2000))*ms, deltaUpdate(removed))
+	d.reduce(deltaUpdate(draining, d.endpoints[i]))
+}
+
+// firstClientLeaves has the client of the open request with the lowest id leave.
+func (d *decisionStream) firstClientLeaves() {
+	if len(d.open) == 0 {
+		return
+	}
+	first := d.lastID
+	for id := range d.open {
+		first = min(first, id)
+	}
+	delete(d.open, first)
+	d.reduce(scheduler.ClientGone{ID: first})
+}
+
+func (d *decisionStream) drawRequest() {
+	d.lastID++
+	volume := d.rng.IntN(40)
+	if d.now < d.surgeUntil && d.rng.IntN(3) > 0 {
+		volume = d.surge
+	}
+	class := d.settings.Classes[d.rng.IntN(len(d.settings.Classes))]
+	d.open[d.lastID] = true
+	d.reduce(scheduler.Request{
+		ID: d.lastID, Class: class.Name, Plan: d.settings.Plans[volume%len(d.settings.Plans)].Name,
+		Volume: fmt.Sprint("v", volume), Key: fmt.Sprint("k", d.rng.IntN(500)), Units: float64(1 + d.rng.IntN(8)),
+		Shard: d.rng.IntN(d.shards), Brokers: 1 + volume%d.settings.Brokers, Remaining: class.Deadline,
+		Retry: d.rng.IntN(20) == 0,
+	})
+}
+
+// The decisions are those that were recorded: a change that is meant to leave them alone does. Without the
+// balancer they are those of the version before it.
 func TestDecisions(t *testing.T) {
-	for name, off := range map[string]bool{"decisions.txt": true, "decisions-spread.txt": false} {
-		path := filepath.Join(*recordings, name)
-		var lines []string
-		count := seeds()
-		if !off {
+	for name, balancerDisabled := range map[string]bool{"decisions.txt": true, "decisions-spread.txt": false} {
+		count := seedCount()
+		if !balancerDisabled {
 			count /= 2
 		}
+		var lines []string
 		for seed := range count {
-			hash, sends, refusals := decisionsOf(t, seed, off, false)
-			if sends < 100 {
-				t.Errorf("seed %d: %d sends", seed, sends)
+			d := playDecisions(t, seed, balancerDisabled, false)
+			if d.forwards < 100 {
+				t.Errorf("seed %d: %d forwards", seed, d.forwards)
 			}
-			lines = append(lines, fmt.Sprintf("%d %016x %d %d", seed, hash, sends, refusals))
+			lines = append(lines, fmt.Sprintf("%d %016x %d %d", seed, d.hash, d.forwards, d.rejects))
 		}
+		path := filepath.Join(*recordings, name)
 		if *record {
-			if err := os.MkdirAll(*recordings, 0o755); err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
-				t.Fatal(err)
-			}
-			continue
-		}
-		recorded, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
+			recordLines(t, path, lines)
+		} else {
+			compareLines(t, path, lines)
 		}
-		want := strings.Split(strings.TrimSuffix(string(recorded), "\n"), "\n")
-		if len(want) != len(lines) {
-			t.Fatalf("%s: %d streams played, %d recorded", path, len(lines), len(want))
-		}
-		for i, line := range lines {
-			if line != want[i] {
-				t.Errorf("%s: seed, hash, sends, refusals: %s, recorded %s", name, line, want[i])
-			}
+	}
+}
+
+func recordLines(t *testing.T, path string, lines []string) {
+	t.Helper()
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func compareLines(t *testing.T, path string, lines []string) {
+	t.Helper()
+	recorded, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(recorded), "\n"), "\n")
+	if len(want) != len(lines) {
+		t.Fatalf("%s: %d streams played, %d recorded", path, len(lines), len(want))
+	}
+	for i, line := range lines {
+		if line != want[i] {
+			t.Errorf("%s: seed, hash, forwards, rejections: %s, recorded %s", path, line, want[i])
 		}
 	}
 }
 
-// Where each shard has one node, as on the platform, spreading changes no decision.
-func TestOneNodeIsAsBefore(t *testing.T) {
-	for seed := range seeds() / 3 {
-		before, sends, _ := decisionsOf(t, seed, true, true)
-		if now, _, _ := decisionsOf(t, seed, false, true); now != before || sends < 100 {
-			t.Errorf("seed %d: %016x, %016x without spreading, %d sends", seed, now, before, sends)
+// Where each shard has one node, the balancer changes no decision.
+func TestOneNodeDecisionsWithoutBalancer(t *testing.T) {
+	for seed := range seedCount() / 3 {
+		without := playDecisions(t, seed, true, true)
+		with := playDecisions(t, seed, false, true)
+		if with.hash != without.hash || with.forwards < 100 {
+			t.Errorf("seed %d: %+v, without the balancer %+v", seed, with, without)
 		}
 	}
 }
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -7,14 +7,16 @@
 	"junctionwharf/scheduler"
 )
 
-// A gateway takes a request, sends it and is told that it was served.
+// A scheduler takes a request, forwards it and is told that it was served.
 func Example() {
 	settings := scheduler.Settings{
 		Brokers: 1, MeanUnits: 2, MaxUnits: 8,
-		Classes: []scheduler.Class{{Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Plans:   []scheduler.Plan{{Name: "basic", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1}},
+		Classes: []scheduler.Class{{
+			Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
+		}},
+		Plans: []scheduler.Plan{{Name: "basic", Rate: 10, ReservedRate: 10, Weight: 1, Price: 1}},
 	}
-	gateway, err := scheduler.New(settings, 42)
+	s, err := scheduler.New(settings, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -24,23 +26,25 @@
 			switch a := action.(type) {
 			case scheduler.SetTimer:
 			case scheduler.Forward:
-				fmt.Printf("send request %d to %s, timeout %s\n", a.ID, a.Node, a.Timeout)
+				fmt.Printf("forward request %d to %s, timeout %s\n", a.ID, a.Node, a.Timeout)
 			default:
 				fmt.Printf("%T %+v\n", a, a)
 			}
 		}
 	}
-	show(gateway.Reduce(0, []scheduler.Event{
-		scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Version: 1, Endpoints: []scheduler.Endpoint{{Name: "10.0.0.1:8000", Shard: 0}}},
-		scheduler.Request{ID: 7, Class: "read", Plan: "basic", Volume: "photos", Units: 2, Brokers: 1,
-			Remaining: 2 * time.Second},
-	}))
-	show(gateway.Reduce(40*time.Millisecond, []scheduler.Event{
-		scheduler.AttemptEnded{ID: 7, Node: "10.0.0.1:8000", Outcome: scheduler.Success, Latency: 40 * time.Millisecond,
-			Finished: true, Load: scheduler.NoLoadReport},
+	node := scheduler.Endpoint{Name: "10.0.0.1:8000", Shard: 0}
+	show(s.Reduce(0, []scheduler.Event{
+		scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Version: 1, Endpoints: []scheduler.Endpoint{node}},
+		scheduler.Request{
+			ID: 7, Class: "read", Plan: "basic", Volume: "photos", Units: 2, Brokers: 1, Remaining: 2 * time.Second,
+		},
 	}))
+	show(s.Reduce(40*time.Millisecond, []scheduler.Event{scheduler.AttemptEnded{
+		ID: 7, Node: node.Name, Outcome: scheduler.Success, Latency: 40 * time.Millisecond,
+		Finished: true, Load: scheduler.NoLoadReport,
+	}}))
 	fmt.Println("done")
 	// Output:
-	// send request 7 to 10.0.0.1:8000, timeout 0s
+	// forward request 7 to 10.0.0.1:8000, timeout 0s
 	// done
 }
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// The deploy file names the files that hold the decisions; a file left out would be changed without being seen as policy.
+// The deploy file names the files that hold the decisions; a file left out would be changed without being
+// seen as policy.
 func TestDeployFileNamesPolicy(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -23,10 +23,10 @@
 // were not served must not fault later ticks.
 func TestSettingsChange(t *testing.T) {
 	class := func(name string, idempotency Idempotency) Class {
-		return Class{
-			Name: name, LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
-			Idempotency: idempotency,
-		}
+		c := readClass()
+		c.Name = name
+		c.Idempotency = idempotency
+		return c
 	}
 	request := func(id uint64, class, volume string) Request {
 		return Request{ID: id, Class: class, Plan: "plan", Volume: volume, Units: 1, Brokers: 1, Remaining: time.Second}
@@ -64,6 +64,19 @@
 	if forwards != 1 || failures != 1 {
 		t.Errorf("%d forwards, %d failures; want 1 of the new class, 1 of the vanished one", forwards, failures)
 	}
+	checkChangedSettings(t, s)
+	for range 400 {
+		now += s.tickPeriod
+		s.Reduce(now, []Event{TimerFired{Token: tickTimer}})
+	}
+	if len(s.unserved) != 0 {
+		t.Errorf("%d unserved requests remembered", len(s.unserved))
+	}
+}
+
+// checkChangedSettings checks what TestSettingsChange left in force.
+func checkChangedSettings(t *testing.T, s *Scheduler) {
+	t.Helper()
 	if s.settings.Ordinal != 1 {
 		t.Error("the ordinal changed while running")
 	}
@@ -77,13 +90,6 @@
 	if v := s.volumes.byName["idle"]; v.brokers != 1 || v.capacity != 13 || v.tokens >= v.capacity {
 		t.Errorf("an idle volume has %v brokers, %v of %v tokens", v.brokers, v.tokens, v.capacity)
 	}
-	for range 400 {
-		now += s.tickPeriod
-		s.Reduce(now, []Event{TimerFired{Token: tickTimer}})
-	}
-	if len(s.unserved) != 0 {
-		t.Errorf("%d unserved requests remembered", len(s.unserved))
-	}
 }
 
 func TestValidateNamesWhatIsWrong(t *testing.T) {
