--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -11,9 +11,10 @@
 )
 
 const (
-	// filePollInterval is between two looks at a file: a second. Were it higher, a change would be followed later.
+	// filePollInterval is between two looks at a file: a second. If it were lower, the disk would be read more often;
+	// if it were higher, a change would be followed later.
 	filePollInterval = time.Second
-	// minTrafficWeight is for records of SRV weight 0, which are to get a little of the traffic (RFC 2782). Were it
+	// minTrafficWeight is for records of SRV weight 0, which are to get a little of the traffic (RFC 2782). If it were
 	// 0, it would count as not told, and such a node would get as much as one of weight 1.
 	minTrafficWeight = 0.1
 )
@@ -26,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		w := &dnssrv.Watcher{Resolver: resolver, Name: s.SRV, Facts: s.Mapping()}
+		w := &dnssrv.Watcher{Resolver: resolver, Name: s.SRV, Mapping: s.Mapping()}
 		go w.Run(ctx, func(u dnssrv.Update) { m.handleDNS(ctx, s.Name, u) })
 	case kindFile:
 		go m.pollFile(ctx, s)
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// handleDNS takes what DNS said.
+// handleDNS handles an update of DNS.
 func (m *Members) handleDNS(ctx context.Context, name string, u dnssrv.Update) {
 	for _, reason := range u.Skipped {
 		m.log.Warn("entry skipped", "source", name, "reason", reason)
@@ -47,7 +48,7 @@
 		AskedAt:  int64(m.clock.Now()) - time.Since(u.QueriedAt).Microseconds(),
 		Complete: true,
 	}
-	for _, e := range u.Entries {
+	for _, e := range u.Endpoints {
 		a.Entries = append(a.Entries, membership.Entry{
 			Name:          e.Target,
 			Address:       e.Address,
