--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -17,8 +17,8 @@
 	// trialBackoffMin is after which an unresponsive replica is asked once more. Higher, a short pause ejects
 	// it for longer; lower, more requests are lost to dead replicas.
 	trialBackoffMin = time.Second
-	// trialBackoffMax bounds the doubling of that wait, as trialBackoffMin does for a replica that is dead
-	// for long.
+	// trialBackoffMax bounds the doubling of that wait. Higher, a replica that was dead for long gets nothing
+	// for longer after its return; lower, more requests are lost to it meanwhile.
 	trialBackoffMax = 30 * time.Second
 	// recoveryFactor is the part of its weight that an unresponsive replica has with its first answer; it has
 	// all with the second. Higher, brokers rush at a replica that is just back; lower, it takes its load
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -10,14 +10,14 @@
 // The limit on attempts in flight at a node, as a count of attempts.
 const (
 	// limitInitial is that of a new node: it keeps most nodes at work. Higher, all brokers together flood a
-	// node that has just started; lower, a fleet is half idle for the first ticks.
+	// node that has just started; lower, nodes idle in the first ticks.
 	limitInitial = 2.0
 	// limitMax is the highest. Higher, the queue forms at the node, where neither deadlines nor values order
 	// it, and urgent requests wait; lower, a quick node idles between a broker's requests.
 	limitMax = 8.0
 	// limitIncrease is added in a tick in which the limit held a request back and answers were in time.
 	// Higher, the limit swings between too many and too few; lower, a recovered node stays underused for
-	// seconds.
+	// longer.
 	limitIncrease = 0.25
 	// limitDecrease is the factor for a tick with slow answers. Higher, a congestion lasts longer; lower, one
 	// pause of a node empties it.
@@ -42,7 +42,7 @@
 
 // latencyFade is the part by which a node's latency falls in a tick in which nothing is in flight there.
 // Higher, a congested node is flooded again at once; lower, a broker with few requests avoids a recovered
-// node for minutes.
+// node for longer.
 const latencyFade = 0.03
 
 // concurrencyLimit is the limit on attempts in flight at a node. Below one, forwards are paced instead.
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -295,7 +295,7 @@
 // The decisions are those that were recorded: a change that is meant to leave them alone does. Without the
 // balancer they are those of the version before it.
 func TestDecisions(t *testing.T) {
-	for name, balancerDisabled := range map[string]bool{"decisions.txt": true, "decisions-spread.txt": false} {
+	for name, balancerDisabled := range map[string]bool{"decisions.txt": true, "decisions-balanced.txt": false} {
 		count := seedCount()
 		if !balancerDisabled {
 			count /= 2
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -10,7 +10,7 @@
 //	arrival.go     first arrival of its client, soft deadline, value
 //	placement.go   shard of a new object
 //	   |
-//	queue.go       held at its shard, earliest soft deadline first  <-----------------------------+
+//	queue.go       queued at its shard, earliest soft deadline first <-----------------------------+
 //	scan.go        three passes: paid, in overdraft, shed (shedding.go)                           |
 //	   |                                                                                          |
 //	tokens.go      token bucket of its volume (equations 11 and 12, capacity.go, demand.go)       |
@@ -24,7 +24,7 @@
 //	   |                                                                                          |
 //	AttemptEnded   health.go learns from it; lost.go cancels what is late or lost                 |
 //	   |                                                                                          |
-//	retry.go       may it run again? -- yes -------------------------------------------------------+
+//	retry.go       may it run again? -- yes ------------------------------------------------------+
 //	   |           no
 //	giveup.go      final answer: Reject or Fail, or the node's own answer
 //
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -61,7 +61,7 @@
 	Latency time.Duration
 }
 
-// EndpointUpdate is news of the endpoint list.
+// EndpointUpdate is a watch event of the endpoint list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Version   uint64
@@ -149,7 +149,7 @@
 const (
 	Success          Outcome = iota
 	Failure                  // the node answered with an error
-	Overloaded               // the node turned it away
+	Overloaded               // the node rejected it
 	TimedOut                 // no answer in time
 	Unreachable              // no connection
 	ConnectionBroken         // the connection broke before the answer
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -21,7 +21,7 @@
 type nodeHealth struct {
 	lastAnswer          Time          // of any kind
 	waitingSince        Time          // the last outcome, or a later forward with nothing in flight
-	restUntil           Time          // nothing is forwarded before: it turned attempts away
+	restUntil           Time          // nothing is forwarded before: it rejected attempts
 	restPeriod          time.Duration // doubles with each fault up to the smallest latency objective
 	faults              int           // since the last success
 	canceledSinceAnswer bool          // a late attempt was canceled since the last success
@@ -98,7 +98,7 @@
 	}
 }
 
-// recordFault has a node rest that turned an attempt away, can't be reached, or broke connections repeatedly.
+// recordFault has a node rest that rejected an attempt, can't be reached, or broke connections repeatedly.
 // An error that the node answers with is no fault in this sense: a shard may have no other node, and what
 // waits while that one rests is given up.
 func (s *Scheduler) recordFault(n *node, outcome Outcome) {
--- a/scheduler/lost.go
+++ b/scheduler/lost.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"math"
+	"time"
 )
 
 const (
@@ -10,8 +11,8 @@
 	// Higher, a lost answer holds its slot for longer; lower, a node that serves out of order loses sound
 	// attempts.
 	overtakesToLose = 4
-	// lateFactor is how many times its usual latency an attempt must be in flight before it may be presumed
-	// lost. Higher, clients wait longer behind lost answers; lower, large requests are cut off.
+	// lateFactor is how many times its expected latency an attempt must be in flight before it may be
+	// presumed lost. Higher, clients wait longer behind lost answers; lower, large requests are cut off.
 	lateFactor = 3.0
 	// failoverTicks is the least time in flight before an attempt is moved to another node of its shard, in
 	// ticks. Higher, clients wait longer behind a dead node; lower, short pauses double the work of a shard.
@@ -20,7 +21,8 @@
 	// answered since. Higher, retries add to the load of a shard that is slow as a whole; lower, a dead node
 	// blocks a quiet shard.
 	suspicionEarned = 0.1
-	// suspicionMax is how many such moves may be made in a row. Higher or lower as with suspicionEarned.
+	// suspicionMax is how many such moves may be made in a row. Higher, a shard that is slow as a whole gets
+	// a burst of retries; lower, the first requests behind a dead node wait longer.
 	suspicionMax = 5.0
 	// stallTicks is how many ticks late a tick comes when this broker itself stood still. Higher, a starved
 	// broker blames nodes for answers that it did not read; lower, it looks for dead nodes late on a busy
@@ -46,15 +48,15 @@
 }
 
 // observeTick notes a tick, and whether it came so late that this broker itself stood still.
-func (f *failoverGuard) observeTick(s *Scheduler) {
-	if s.ticks == f.lastTick {
+func (f *failoverGuard) observeTick(tick int, now Time, period time.Duration) {
+	if tick == f.lastTick {
 		return
 	}
-	if f.lastTick > 0 && s.now-f.lastTickAt > stallTicks*s.tickPeriod {
-		f.stalledUntil = s.now + settleTicks*s.tickPeriod
+	if f.lastTick > 0 && now-f.lastTickAt > stallTicks*period {
+		f.stalledUntil = now + settleTicks*period
 	}
-	f.lastTick = s.ticks
-	f.lastTickAt = s.now
+	f.lastTick = tick
+	f.lastTickAt = now
 }
 
 // recordForward earns part of a move on suspicion.
@@ -71,8 +73,8 @@
 func (s *Scheduler) detectLost(n *node) {
 	for _, r := range n.attempts {
 		inFlight := (s.now - r.sentAt).Seconds()
-		usual := lateFactor * n.latency.smoothed * s.relativeSize(r.Units)
-		if s.cancelUseless(n, r) || r.lost || inFlight < usual {
+		expected := lateFactor * n.latency.smoothed * s.relativeSize(r.Units)
+		if s.cancelUseless(n, r) || r.lost || inFlight < expected {
 			continue
 		}
 		if r.overtaken < overtakesToLose && inFlight < s.minObjective.Seconds() {
@@ -135,13 +137,13 @@
 }
 
 // failOver moves a request of a shard with several nodes away from a node that says nothing, and tells
-// whether it did. It shows as an attempt that is in flight for far longer than usual while others of the
+// whether it did. It shows as an attempt that is in flight for far longer than expected while others of the
 // shard answer. The attempt is canceled and made at another node where it may run twice; what was written to
 // the first node stays its own. Where no other has answered since, the moves are bounded: were all nodes
 // slow, they would only add to it. A broker that stood still itself judges nobody until it has read what came
 // meanwhile. It costs a sound node that pauses for as long some of its requests.
 func (s *Scheduler) failOver(n *node, r *request) bool {
-	s.failovers.observeTick(s)
+	s.failovers.observeTick(s.ticks, s.now, s.tickPeriod)
 	if n.replica == nil || n.shard.balancer == nil || r.answered || s.now < s.failovers.stalledUntil {
 		return false
 	}
@@ -152,8 +154,8 @@
 	if other == nil {
 		return false
 	}
-	usual := lateFactor * other.latency.smoothed * s.relativeSize(r.Units)
-	if (s.now - r.sentAt).Seconds() < usual {
+	expected := lateFactor * other.latency.smoothed * s.relativeSize(r.Units)
+	if (s.now - r.sentAt).Seconds() < expected {
 		return false
 	}
 	proven := other.health.lastAnswer > r.sentAt || n.replica.Unresponsive()
--- a/scheduler/scan.go
+++ b/scheduler/scan.go
@@ -14,8 +14,8 @@
 	passes
 )
 
-// scanSchedule says which shards are to be scanned. It spares those in which nothing can have changed: with
-// 10,000 shards a scan of all in each call took most of a core.
+// scanSchedule says which shards are to be scanned. It spares those in which nothing can have changed: what a
+// call of Reduce costs must not grow with the shards.
 type scanSchedule struct {
 	generation uint64     // counts what may make requests of any shard forwardable
 	woken      uint64     // generation when all shards were last woken, plus 1
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -26,7 +26,7 @@
 	MaxUnits       float64       // largest size of a request
 	SlowStartUnits float64       // what a starting node bears from all brokers within an OverloadWindow
 	MeterPeriod    time.Duration // period of the meter behind AttemptEnded.RateUsed, 0 for none
-	ShareWeight    float64       // part of the value earned beyond the reserved rate, inside the usual rate
+	ShareWeight    float64       // part of the value earned beyond the reserved rate, inside the normal rate
 	SpareWeight    float64       // part of the value earned beyond both
 	Balancer       balancer.Options
 }
@@ -110,7 +110,7 @@
 // Plan is the contract of a volume. Rates are units a second over all brokers and nodes.
 type Plan struct {
 	Name           string
-	Rate           float64 // usual rate
+	Rate           float64 // normal rate
 	ReservedRate   float64
 	Limit          float64 // rate limit, 0 for none
 	LimitBurst     float64 // units that the limit's store holds
--- a/scheduler/tokens.go
+++ b/scheduler/tokens.go
@@ -46,7 +46,7 @@
 }
 
 // valueShare is the part of its value that a request of so many units earns: all of it inside the volume's
-// reserved rate, and less beyond the more the volume asks against its usual rate. The reserved rate counts
+// reserved rate, and less beyond the more the volume asks against its normal rate. The reserved rate counts
 // here by where the volume's demand is.
 func (s *Scheduler) valueShare(v *volume, units float64) float64 {
 	rate := v.plan.ReservedRate * v.demandShare(v.peerDemand.current(s.ticks))
@@ -56,9 +56,9 @@
 		return 1
 	}
 	v.excess += units
-	usual := max(v.plan.Rate, v.plan.ReservedRate) / v.brokers
+	normalRate := max(v.plan.Rate, v.plan.ReservedRate) / v.brokers
 	spare, share := s.settings.SpareWeight, s.settings.ShareWeight
-	return spare + (share-spare)/(1+v.excess/max(1, usual))
+	return spare + (share-spare)/(1+v.excess/max(1, normalRate))
 }
 
 // refill adds what a rate in units a second gave since the last refill, up to a capacity in units.
