--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -52,7 +52,8 @@
 	// minWeight keeps a turn finite. Higher, an ejected replica gets a share of its own; lower, sums lose
 	// their precision.
 	minWeight = 1e-6
-	// minTotalWeight keeps shares finite where no replica has a weight, as minWeight does.
+	// minTotalWeight keeps shares finite where no replica has a weight. Higher, the console shows too small
+	// shares for replicas with tiny weights; lower, shares lose their precision.
 	minTotalWeight = 1e-9
 	// evaluationPeriod is how often weights are evaluated, besides at once when a replica becomes
 	// unresponsive, errs or comes back. Higher, slow replicas keep their load for longer; lower, processor
