--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -71,6 +71,9 @@
 // isDoubted tells whether enough peers lately found a replica unresponsive of which this broker has heard
 // nothing since.
 func (r *Replica) isDoubted(now Time) bool {
+	if len(r.reports) == 0 {
+		return false
+	}
 	r.reports = slices.DeleteFunc(r.reports, func(report gossipReport) bool { return now-report.at > reportTime })
 	count := 0
 	for _, report := range r.reports {
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -27,12 +27,9 @@
 	factor  float64
 }
 
-func (c *decayCache) factorFor(elapsed Time) float64 {
-	if elapsed != c.elapsed {
-		c.elapsed = elapsed
-		c.factor = math.Exp(-elapsed.Seconds() / statisticsSpan.Seconds())
-	}
-	return c.factor
+func (c *decayCache) update(elapsed Time) {
+	c.elapsed = elapsed
+	c.factor = math.Exp(-elapsed.Seconds() / statisticsSpan.Seconds())
 }
 
 // decayTo has the counts decay up to now.
@@ -41,7 +38,10 @@
 	if elapsed <= 0 {
 		return
 	}
-	factor := cache.factorFor(elapsed)
+	if elapsed != cache.elapsed {
+		cache.update(elapsed)
+	}
+	factor := cache.factor
 	s.successes *= factor
 	s.failures *= factor
 	s.samples *= factor
