--- a/broker/effects.go
+++ b/broker/effects.go
@@ -41,8 +41,8 @@
 	Data []byte
 }
 
-// ProbeNode asks for a health check of a node.
-type ProbeNode struct {
+// CheckNodeHealth asks for a health check of a node.
+type CheckNodeHealth struct {
 	Node    string
 	Address string
 }
@@ -62,7 +62,7 @@
 func (CancelUnlessWritten) effect() {}
 func (Respond) effect()             {}
 func (SendToPeer) effect()          {}
-func (ProbeNode) effect()           {}
+func (CheckNodeHealth) effect()     {}
 func (CloseIdle) effect()           {}
 func (DiscardValue) effect()        {}
 func (Log) effect()                 {}
--- a/broker/events.go
+++ b/broker/events.go
@@ -39,11 +39,11 @@
 	Complete bool
 }
 
-// ProbeEnded is the result of a probe.
-type ProbeEnded struct {
-	Node   string
-	Took   Micros
-	Result Result
+// HealthCheckEnded is the result of a health check.
+type HealthCheckEnded struct {
+	Node    string
+	Latency Micros
+	Result  Result
 }
 
 // NodesListed is an update of the list of storage nodes.
@@ -89,7 +89,7 @@
 func (AttemptEnded) event()     {}
 func (AttemptStopped) event()   {}
 func (StreamEnded) event()      {}
-func (ProbeEnded) event()       {}
+func (HealthCheckEnded) event() {}
 func (NodesListed) event()      {}
 func (PeerMessage) event()      {}
 func (SettingsChanged) event()  {}
--- a/broker/execute.go
+++ b/broker/execute.go
@@ -27,10 +27,10 @@
 			l.Metrics.peerSent.Add(1)
 			l.dependencies.SendToPeer(e.Peer, e.Data)
 		}
-	case ProbeNode:
-		l.Metrics.probes.Add(1)
-		l.transport.Probe(e.Address, func(r Result) {
-			l.Post(ProbeEnded{Node: e.Node, Took: l.clock.Now() - now, Result: r})
+	case CheckNodeHealth:
+		l.Metrics.healthChecks.Add(1)
+		l.transport.CheckHealth(e.Address, func(r Result) {
+			l.Post(HealthCheckEnded{Node: e.Node, Latency: l.clock.Now() - now, Result: r})
 		})
 	case CloseIdle:
 		l.transport.CloseIdle(e.Address)
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -17,15 +17,15 @@
 func (writtenAttempt) StopSending()         {}
 func (writtenAttempt) CancelUnlessWritten() {}
 
-// noProbes is the part of a transport that these tests do not need.
-type noProbes struct{}
+// noHealthChecks is the part of a transport that these tests do not need.
+type noHealthChecks struct{}
 
-func (noProbes) Probe(string, func(Result)) {}
-func (noProbes) CloseIdle(string)           {}
+func (noHealthChecks) CheckHealth(string, func(Result)) {}
+func (noHealthChecks) CloseIdle(string)                 {}
 
 // panickingTransport panics at its first attempt and serves the others.
 type panickingTransport struct {
-	noProbes
+	noHealthChecks
 	starts int
 }
 
@@ -39,7 +39,7 @@
 }
 
 // echoTransport serves requests in the process itself.
-type echoTransport struct{ noProbes }
+type echoTransport struct{ noHealthChecks }
 
 func (echoTransport) Start(a Attempt, done func(Result)) Handle {
 	a.OnWritten()
@@ -49,7 +49,7 @@
 
 // recordingTransport notes which requests were started, by their messages, and never answers.
 type recordingTransport struct {
-	noProbes
+	noHealthChecks
 	started map[string]bool
 }
 
--- a/broker/metrics.go
+++ b/broker/metrics.go
@@ -20,7 +20,7 @@
 	metricRejected         = "door_refused"
 	metricCancelled        = "left"
 	metricStoppedAttempts  = "stopped"
-	metricProbes           = "probes"
+	metricHealthChecks     = "probes"
 	metricPeerSent         = "peer_sent"
 	metricPeerReceived     = "peer_heard"
 	metricOpenRequests     = "inflight"
@@ -46,9 +46,9 @@
 	rejected  atomic.Uint64 // by admission control
 	cancelled atomic.Uint64 // by their clients
 
-	attempts atomic.Uint64 // fully written
-	stopped  atomic.Uint64
-	probes   atomic.Uint64
+	attempts     atomic.Uint64 // fully written
+	stopped      atomic.Uint64
+	healthChecks atomic.Uint64
 
 	peerSent     atomic.Uint64
 	peerReceived atomic.Uint64
@@ -146,7 +146,7 @@
 		counter(metricRejected, &m.rejected),
 		counter(metricCancelled, &m.cancelled),
 		counter(metricStoppedAttempts, &m.stopped),
-		counter(metricProbes, &m.probes),
+		counter(metricHealthChecks, &m.healthChecks),
 		counter(metricPeerSent, &m.peerSent),
 		counter(metricPeerReceived, &m.peerReceived),
 		gauge(metricOpenRequests, &m.open),
--- a/broker/state.go
+++ b/broker/state.go
@@ -129,10 +129,10 @@
 		s.handleAttemptEnd(e)
 	case AttemptStopped:
 		s.handleAttemptStop(e)
-	case ProbeEnded:
+	case HealthCheckEnded:
 		s.notifyScheduler(scheduler.HealthCheckResult{
 			Node:    e.Node,
-			Latency: e.Took.Duration(),
+			Latency: e.Latency.Duration(),
 			Outcome: e.Result.outcome(),
 			Load:    e.Result.Load,
 		})
@@ -165,7 +165,7 @@
 			s.stopAttempt(a.ID, r, scheduler.Canceled)
 		}
 	case scheduler.HealthCheck:
-		s.emit(ProbeNode{Node: a.Node, Address: s.address(a.Node)})
+		s.emit(CheckNodeHealth{Node: a.Node, Address: s.address(a.Node)})
 	case scheduler.SendToPeer:
 		s.emit(SendToPeer{Peer: a.Peer, Data: a.Data})
 	case scheduler.SetTimer:
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -41,7 +41,7 @@
 	ReplyRejected              // it never ran
 )
 
-// Result is how an attempt or a probe ended by itself. Err, if set, outweighs all else.
+// Result is how an attempt or a health check ended by itself. Err, if set, outweighs all else.
 type Result struct {
 	Err             *AttemptError
 	Reply           Reply
@@ -64,7 +64,7 @@
 // be called from any goroutine, once at most. A transport never sends an attempt again by itself.
 type Transport interface {
 	Start(a Attempt, done func(Result)) Handle
-	Probe(address string, done func(Result))
+	CheckHealth(address string, done func(Result))
 	CloseIdle(address string)
 }
 
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -100,8 +100,8 @@
 	return &syntheticAttempt{timer: timer}
 }
 
-// Probe implements broker.Transport.
-func (t *syntheticTransport) Probe(_ string, done func(broker.Result)) {
+// CheckHealth implements broker.Transport.
+func (t *syntheticTransport) CheckHealth(_ string, done func(broker.Result)) {
 	go done(broker.Result{Load: scheduler.NoLoadReport})
 }
 
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -14,8 +14,8 @@
 	return pool.FailAttempt(errSendsNothing, done)
 }
 
-// Probe implements broker.Transport.
-func (noTransport) Probe(_ string, done func(broker.Result)) {
+// CheckHealth implements broker.Transport.
+func (noTransport) CheckHealth(_ string, done func(broker.Result)) {
 	err := &broker.AttemptError{Progress: broker.NotConnected, Err: errSendsNothing}
 	go done(broker.Result{Err: err, Load: scheduler.NoLoadReport})
 }
--- a/internal/resp/stub_test.go
+++ b/internal/resp/stub_test.go
@@ -34,8 +34,8 @@
 	return attempt
 }
 
-func (h *heldTransport) Probe(string, func(broker.Result)) {}
-func (h *heldTransport) CloseIdle(string)                  {}
+func (h *heldTransport) CheckHealth(string, func(broker.Result)) {}
+func (h *heldTransport) CloseIdle(string)                        {}
 
 func (a *heldAttempt) Stop() broker.Progress {
 	a.once.Do(func() { close(a.gone) })
--- a/internal/resp/transport.go
+++ b/internal/resp/transport.go
@@ -74,8 +74,8 @@
 	e.ReadTrailer(func() error { return readTrailer(e.Reader, rest.parts, result) })
 }
 
-// Probe implements broker.Transport.
-func (t *Transport) Probe(address string, onResult func(broker.Result)) {
+// CheckHealth implements broker.Transport.
+func (t *Transport) CheckHealth(address string, onResult func(broker.Result)) {
 	check := func(e *pool.Exchange) (broker.Result, error) {
 		if err := e.Send(net.Buffers{[]byte(healthCheckCommand)}, 0); err != nil {
 			return broker.Result{}, err
--- a/internal/sftp/transport.go
+++ b/internal/sftp/transport.go
@@ -61,8 +61,8 @@
 	return t.pool.Start(t.address(attempt.Address), call(op), 0, attempt.OnWritten, onResult)
 }
 
-// Probe implements broker.Transport: a STAT of the root.
-func (t *Transport) Probe(address string, onResult func(broker.Result)) {
+// CheckHealth implements broker.Transport: a STAT of the root.
+func (t *Transport) CheckHealth(address string, onResult func(broker.Result)) {
 	check := &operation{command: Stat, path: "/"}
 	t.pool.Start(t.address(address), call(check), healthCheckTimeout, nil, onResult)
 }
--- a/middleware/transport.go
+++ b/middleware/transport.go
@@ -14,8 +14,8 @@
 	"junctionwharf/scheduler"
 )
 
-// errNotProbed is the result of every health check: the nodes behind handlers are not known here.
-var errNotProbed = errors.New("handlers are not probed")
+// errNotChecked is the result of every health check: the nodes behind handlers are not known here.
+var errNotChecked = errors.New("handlers are not probed")
 
 // handlerTransport is the transport of one HTTP request: an attempt is a run of the next handler. running keeps
 // attempts apart: one that was stopped but has not returned yet holds up the next.
@@ -83,9 +83,9 @@
 	return result
 }
 
-// Probe implements broker.Transport: handlers are not probed.
-func (t *handlerTransport) Probe(_ string, done func(broker.Result)) {
-	go done(broker.Result{Err: &broker.AttemptError{Err: errNotProbed}})
+// CheckHealth implements broker.Transport: handlers are not checked.
+func (t *handlerTransport) CheckHealth(_ string, done func(broker.Result)) {
+	go done(broker.Result{Err: &broker.AttemptError{Err: errNotChecked}})
 }
 
 // CloseIdle implements broker.Transport.
