--- a/broker/loop.go
+++ b/broker/loop.go
@@ -177,7 +177,7 @@
 func (l *Loop) track(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
-		l.Metrics.taken.Add(1)
+		l.Metrics.received.Add(1)
 	case RequestCancelled:
 		if _, waits := l.clients[e.ID]; waits {
 			l.Metrics.cancelled.Add(1)
--- a/broker/metrics.go
+++ b/broker/metrics.go
@@ -16,7 +16,7 @@
 	metricAttempts         = "backend_calls"
 	metricReloads          = "reconfig_ok"
 	metricReloadsFailed    = "reconfig_failed"
-	metricTaken            = "taken"
+	metricReceived         = "taken"
 	metricRejected         = "door_refused"
 	metricCancelled        = "left"
 	metricStoppedAttempts  = "stopped"
@@ -42,7 +42,7 @@
 	listed atomic.Int64 // nodes on the list
 	down   atomic.Int64 // of these, nodes that are avoided
 
-	taken     atomic.Uint64
+	received  atomic.Uint64
 	rejected  atomic.Uint64 // by admission control
 	cancelled atomic.Uint64 // by their clients
 
@@ -142,7 +142,7 @@
 		counter(metricAttempts, &m.attempts),
 		counter(metricReloads, &m.reloads),
 		counter(metricReloadsFailed, &m.failedReloads),
-		counter(metricTaken, &m.taken),
+		counter(metricReceived, &m.received),
 		counter(metricRejected, &m.rejected),
 		counter(metricCancelled, &m.cancelled),
 		counter(metricStoppedAttempts, &m.stopped),
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -70,7 +70,7 @@
 	if reason == admission.Admitted {
 		return nil
 	}
-	l.Metrics.taken.Add(1)
+	l.Metrics.received.Add(1)
 	l.Metrics.rejected.Add(1)
 	l.Metrics.countResponse(request.Class, Rejected)
 	return &Response{Verdict: Rejected, RetryAfter: Micros(retryAfter)}
@@ -85,7 +85,7 @@
 // RejectOverload counts a request that was rejected unread because of Overloaded.
 func (l *Loop) RejectOverload(class string) {
 	l.overload.rejectedUnread.Store(true)
-	l.Metrics.taken.Add(1)
+	l.Metrics.received.Add(1)
 	l.Metrics.rejected.Add(1)
 	if known := l.Metrics.findClass(class); known != nil {
 		known.rejected.Add(1)
