--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/internal/logging"
 )
 
-// An exchange fails before it has a connection, before its decisive message, or behind it. Its error tells which, for
+// An exchange fails before it has a connection, before its decisive message, or after it. Its error says which, for
 // only what was fully written may have been executed.
 func TestErrorTellsProgress(t *testing.T) {
 	t.Run("not connected", func(t *testing.T) {
@@ -20,12 +20,12 @@
 			t.Fatal(err)
 		}
 		_ = unused.Close()
-		_, results := start(New(testOptions()), unused.Addr().String(), echo)
+		_, results := start(newUnhedgedPool(testOptions()), unused.Addr().String(), echo)
 		expectProgress(t, results, broker.NotConnected)
 	})
 	t.Run("answer lost", func(t *testing.T) {
 		node := newTestNode(t)
-		_, results := start(New(testOptions()), node.address, echo)
+		_, results := start(newUnhedgedPool(testOptions()), node.address, echo)
 		conn := node.accept()
 		node.expectRequest(conn)
 		_ = conn.Close()
@@ -33,7 +33,7 @@
 	})
 	t.Run("before the decisive message", func(t *testing.T) {
 		node := newTestNode(t)
-		_, results := start(New(testOptions()), node.address, func(e *Exchange) (broker.Result, error) {
+		_, results := start(newUnhedgedPool(testOptions()), node.address, func(e *Exchange) (broker.Result, error) {
 			if err := e.Send(net.Buffers{[]byte(echoRequest)}, 0); err != nil {
 				return broker.Result{}, err
 			}
@@ -50,7 +50,7 @@
 // An attempt is stopped. Its sending must have ended when Stop returns, and no result may follow.
 func TestStopEndsSending(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	handle, results := start(p, node.address, echo)
 	conn := node.accept()
 	node.expectRequest(conn)
@@ -76,7 +76,7 @@
 	}
 }
 
-// expectBytes reads so many bytes of a message.
+// expectBytes reads count bytes of a message.
 func (n *testNode) expectBytes(conn net.Conn, count int) {
 	n.Helper()
 	if _, err := io.ReadFull(conn, make([]byte, count)); err != nil {
@@ -87,7 +87,7 @@
 // StopSending lets a fully written message have its answer, and forbids the next one.
 func TestStopSendingKeepsTheAnswer(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	handle, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 		r, err := echo(e)
 		if err == nil && !errors.Is(e.Send(net.Buffers{[]byte("more\n")}, 0), errSendingStopped) {
@@ -108,7 +108,7 @@
 // StopSending leaves a write that is under way: the node may have the whole message already.
 func TestStopSendingDuringWrite(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	large := sendLarge(largeMessage)
 	handle, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 		if _, err := large(e); err != nil {
@@ -141,7 +141,7 @@
 		return nil
 	}
 	node := newTestNode(t)
-	handle, results := start(New(options), node.address, echo)
+	handle, results := start(newUnhedgedPool(options), node.address, echo)
 	conn := node.accept()
 	handle.CancelUnlessWritten()
 	close(connected)
@@ -151,7 +151,7 @@
 
 func cancelDuringWrite(t *testing.T) {
 	node := newTestNode(t)
-	handle, results := start(New(testOptions()), node.address, sendLarge(largeMessage))
+	handle, results := start(newUnhedgedPool(testOptions()), node.address, sendLarge(largeMessage))
 	conn := node.accept()
 	node.expectBytes(conn, 1)
 	handle.CancelUnlessWritten()
@@ -163,7 +163,7 @@
 
 func cancelWhenWritten(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	results := make(chan broker.Result, 1)
 	written := make(chan struct{}) // the node may have the whole message before its writer knows
 	handle := p.Start(node.address, echo, 0, func() { close(written) }, func(r broker.Result) { results <- r })
@@ -182,7 +182,7 @@
 	lines := make(chan string, 1)
 	options.Logger = logging.ToFunc(func(line string) { lines <- line })
 	node := newTestNode(t)
-	p := New(options)
+	p := newUnhedgedPool(options)
 	_, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 		if err := e.Send(net.Buffers{[]byte(echoRequest)}, len(echoRequest)); err != nil {
 			return broker.Result{}, err
--- a/internal/pool/helpers_test.go
+++ b/internal/pool/helpers_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"errors"
 	"io"
+	"math"
 	"net"
 	"testing"
 	"time"
@@ -151,6 +152,14 @@
 	}
 }
 
+// newUnhedgedPool returns a pool that hedges no dial. On a busy machine a dial takes longer than minHedgeDelay: the hedge
+// may then serve the attempt, and a test that waits for the request on the first connection waits in vain.
+func newUnhedgedPool(options Options) *Pool {
+	p := New(options)
+	p.dialTimes.hedgeTokens = math.Inf(-1)
+	return p
+}
+
 // idleCount is the number of idle connections to an address.
 func idleCount(p *Pool, address string) int {
 	p.mu.Lock()
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -12,7 +12,7 @@
 
 func TestConnectionIsReused(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	_, results := start(p, node.address, echo)
 	conn := node.accept()
 	for range 3 {
@@ -33,7 +33,7 @@
 	options := testOptions()
 	options.ReuseDelay = time.Hour
 	node := newTestNode(t)
-	p := New(options)
+	p := newUnhedgedPool(options)
 	var conns []net.Conn
 	for range 2 { // the second exchange does not wait for the delay: it opens a connection of its own
 		_, results := start(p, node.address, echo)
@@ -56,7 +56,7 @@
 
 // Nodes are replaced by new ones at new addresses. Nothing is kept for those that are gone.
 func TestReplacedNodesAreForgotten(t *testing.T) {
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	for range 50 {
 		node := newTestNode(t)
 		_, results := start(p, node.address, echo)
@@ -77,7 +77,7 @@
 // connection must not be used.
 func TestConnectionClosedByNodeIsNotUsed(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	_, results := start(p, node.address, echo)
 	conn := node.accept()
 	node.serve(conn)
@@ -96,7 +96,7 @@
 // An idle connection is closed before its node's idle timeout, so that no request meets the node's own close.
 func TestIdleConnectionExpires(t *testing.T) {
 	node := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	_, results := start(p, node.address, echo)
 	conn := node.accept()
 	node.serve(conn)
@@ -119,7 +119,7 @@
 func TestFullPoolMakesRoom(t *testing.T) {
 	a := newTestNode(t)
 	b := newTestNode(t)
-	p := New(testOptions())
+	p := newUnhedgedPool(testOptions())
 	_, first := start(p, a.address, echo)
 	a.serve(a.accept())
 	<-first
