--- a/internal/clientconn/accept.go
+++ b/internal/clientconn/accept.go
@@ -91,7 +91,7 @@
 }
 
 // acquireSlot takes a slot for a connection. With RejectOverLimit, if nobody can be evicted, it takes an overflow
-// slot instead. It tells whether the slot is within the limit.
+// slot instead. It reports whether the slot is within the limit.
 func (t *Table) acquireSlot() (withinLimit bool) {
 	for !t.limit.TryAcquire() {
 		t.mu.Lock()
--- a/internal/clientconn/budget.go
+++ b/internal/clientconn/budget.go
@@ -10,7 +10,7 @@
 	limit    int
 }
 
-// NewByteBudget returns a budget of so many bytes.
+// NewByteBudget returns a budget of limit bytes.
 func NewByteBudget(limit int) *ByteBudget {
 	b := &ByteBudget{limit: limit}
 	b.changed = sync.NewCond(&b.mu)
@@ -46,7 +46,7 @@
 	return false
 }
 
-// Recheck has all calls of Reserve that wait ask whether they are cancelled.
+// Recheck makes all calls of Reserve that wait ask whether they are cancelled.
 func (b *ByteBudget) Recheck() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/clientconn/connection.go
+++ b/internal/clientconn/connection.go
@@ -5,11 +5,11 @@
 // Connection is one client connection, as its server shows it to the table. The table calls its methods with its own
 // lock held: they must neither block nor call the table.
 type Connection interface {
-	// Wake has the connection check whether it should go on (see Table.ShouldClose).
+	// Wake makes the connection check whether it should go on (see Table.ShouldClose).
 	Wake()
-	// State tells what the connection does, and how long it has been idle.
+	// State returns what the connection does, and how long it has been idle.
 	State() (State, time.Duration)
-	// Evict asks the connection to end soon, and tells whether it will: it will not if something has come by now.
+	// Evict asks the connection to end soon, and reports whether it will: it will not if something has come by now.
 	Evict() bool
 }
 
--- a/internal/clientconn/evict.go
+++ b/internal/clientconn/evict.go
@@ -22,7 +22,7 @@
 	minIdleTime = 50 * time.Millisecond
 )
 
-// evict ends one connection and tells whether it did. In this order: one that has only greeted, one that has sent
+// evict ends one connection and reports whether it did. In this order: one that has only greeted, one that has sent
 // nothing and had time to, the one that has been idle for longest, one that is still sending its first command. So a
 // crowd of silent connections does not push out ordinary clients, not even slow ones. The caller holds t.mu.
 func (t *Table) evict() bool {
@@ -43,7 +43,7 @@
 	for element := entries.Front(); element != nil; element = element.Next() {
 		e := element.Value.(*entry)
 		if entries == &t.withoutCommand && time.Since(e.addedAt) < newcomerGrace {
-			return nil // so are all behind it
+			return nil // so are all after it
 		}
 		if current, _ := e.conn.State(); current == state {
 			return e
@@ -53,7 +53,7 @@
 }
 
 // evictIdle checks the first connections of those that have sent a request and evicts the first that has been idle
-// for at least idleTime. It tells whether it did. Those that stay go to the end of the list.
+// for at least idleTime. It reports whether it did. Those that stay go to the end of the list.
 func (t *Table) evictIdle(checks int, idleTime time.Duration) bool {
 	for range min(checks, t.withRequests.Len()) {
 		e := t.withRequests.Front().Value.(*entry)
--- a/internal/clientconn/lifecycle.go
+++ b/internal/clientconn/lifecycle.go
@@ -15,7 +15,7 @@
 	closed          // no connection is accepted but those that the kernel has accepted
 )
 
-// Drain has connections end as soon as they wait for no answer. New ones are still accepted: a client whose request
+// Drain makes connections end as soon as they wait for no answer. New ones are still accepted: a client whose request
 // crossed the end of its connection sends it once more on a new one.
 func (t *Table) Drain() { t.enter(draining) }
 
@@ -58,7 +58,7 @@
 	_ = ln.SetDeadline(time.Now().Add(delay)) // fails only if it is closed
 }
 
-// enter goes over to a phase and has each connection check whether it should go on.
+// enter goes over to a phase and makes each connection check whether it should go on.
 func (t *Table) enter(next phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,11 +69,11 @@
 	}
 }
 
-// Draining tells whether connections end as soon as they are idle.
+// Draining reports whether connections end as soon as they are idle.
 func (t *Table) Draining() bool { return t.draining.Load() }
 
-// ShouldClose tells whether an idle connection should end. awaitingFirst says that it came while the table drained and
-// has had no request yet.
+// ShouldClose reports whether an idle connection should end. awaitingFirst says that it came while the table drained
+// and has had no request yet.
 func (t *Table) ShouldClose(awaitingFirst bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clientconn/socket.go
+++ b/internal/clientconn/socket.go
@@ -13,7 +13,7 @@
 // discardBufferSize is the size in bytes of the buffer of one read that discards input.
 const discardBufferSize = 4 << 10
 
-// CloseWrite has the peer read an end of file, while what it sends can still be read.
+// CloseWrite ends the sending side: the peer reads an end of file, and what it sends can still be read.
 func CloseWrite(conn net.Conn) {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite() // fails only if the connection has ended
@@ -22,7 +22,7 @@
 
 // DiscardInput reads and discards what comes until the connection ends, maxBytes have come, or the deadline is
 // reached (the zero time for none). Without it, closing the connection with unread input would reset the peer and may
-// destroy an answer that was already written. It tells whether the peer ended the connection.
+// destroy an answer that was already written. It reports whether the peer ended the connection.
 func DiscardInput(conn net.Conn, deadline time.Time, maxBytes int) (peerClosed bool) {
 	_ = conn.SetReadDeadline(deadline) // fails only if the connection has ended, as the read then does
 	buffer := make([]byte, discardBufferSize)
@@ -36,7 +36,7 @@
 	return false
 }
 
-// PeerClosed tells whether the peer has ended its side of a connection, even if bytes stand unread before that.
+// PeerClosed reports whether the peer has ended its side of a connection, even if bytes stand unread before that.
 func PeerClosed(conn net.Conn) bool {
 	peerClosed := false
 	err := control(conn, func(fd int) error {
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// RejectOverLimit has connections over the limit answered and ended by reject if nobody can be evicted for them, up
+// RejectOverLimit makes reject answer and end connections over the limit if none can be evicted for them, up
 // to maxRejections at a time. Without it they wait in the kernel's accept queue, past their clients' timeouts. As
 // many evicted connections may be on their way out over the limit. While the broker is overloaded, connections with a
 // recent request are not evicted: they will send another, and accepting a connection costs more than rejecting a
@@ -83,7 +83,7 @@
 	t.maxIdle = maxIdle
 }
 
-// Add adds an accepted connection and tells whether it came while the table drains (see ShouldClose).
+// Add adds an accepted connection and reports whether it came while the table drains (see ShouldClose).
 func (t *Table) Add(conn Connection) (whileDraining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,7 +157,7 @@
 	return len(t.entries)
 }
 
-// HasWaiters tells whether a connection waits in the kernel's accept queue because all slots are taken, those of
+// HasWaiters reports whether a connection waits in the kernel's accept queue because all slots are taken, those of
 // rejected and evicted connections among them.
 func (t *Table) HasWaiters() bool { return t.overflow != nil && t.overflow.HasWaiters() }
 
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// acceptAs accepts a connection and adds it to the table as conn. It tells what Add told.
+// acceptAs accepts a connection and adds it to the table as conn. It returns what Add returned.
 func acceptAs(t *testing.T, table *Table, ln net.Listener, conn *fakeConn) (whileDraining bool) {
 	t.Helper()
 	client := dial(t, ln)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -77,7 +77,7 @@
 
 // Run posts what comes in until the endpoint is closed. Datagrams from elsewhere or too long are dropped.
 func (e *Endpoint) Run(post func(broker.PeerMessage)) {
-	buffer := make([]byte, maxDatagramBytes+1) // so that a longer datagram can be told
+	buffer := make([]byte, maxDatagramBytes+1) // so that a longer datagram is noticed
 	for {
 		n, from, err := e.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/pool/connection.go
+++ b/internal/pool/connection.go
@@ -23,7 +23,7 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), lastUsed: time.Now()}
 }
 
-// IsQuiet tells whether a connection is open and no byte of its peer stands unread in its socket.
+// IsQuiet reports whether a connection is open and no byte of its peer stands unread in its socket.
 func IsQuiet(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -27,7 +27,7 @@
 	n.write(conn, "\x00")
 }
 
-// expectIdle waits until so many connections are idle.
+// expectIdle waits until the wanted number of connections is idle.
 func expectIdle(t *testing.T, p *Pool, address string, want int) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); ; time.Sleep(time.Millisecond) {
@@ -121,7 +121,7 @@
 			dials++
 		case r := <-pending[ended]:
 			if r.Err == nil {
-				t.Error("served by nobody")
+				t.Error("an attempt was served without a connection")
 			}
 			ended++
 		}
@@ -132,7 +132,7 @@
 	}
 	p.CloseExpired(time.Now())
 	if len(p.idleChanged) > 0 {
-		t.Errorf("%d addresses are kept for which nobody waits", len(p.idleChanged))
+		t.Errorf("%d addresses are kept without a waiting attempt", len(p.idleChanged))
 	}
 	if dials > attempts+attempts/2 {
 		t.Errorf("%d dials for %d attempts", dials, attempts)
--- a/internal/pool/dialtimes.go
+++ b/internal/pool/dialtimes.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// takeHedge takes a hedge token and the slot of a hedge, and tells whether both were there.
+// takeHedge takes a hedge token and the slot of a hedge, and reports whether both were there.
 func (p *Pool) takeHedge() bool {
 	p.mu.Lock()
 	allowed := p.dialTimes.hedgeTokens >= 1
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -9,7 +9,7 @@
 //
 // An exchange that ends without an answer reports a *broker.AttemptError. Its Progress says whether the attempt was
 // not connected, partially written or fully written: the scheduler retries a request that is not idempotent only
-// where the node cannot have executed it. The cause stands behind it for errors.Is and errors.As.
+// where the node cannot have executed it. It wraps the cause, for errors.Is and errors.As.
 //
 // A connection that takes unusually long to come up is hedged: a second dial starts, the first of the two to come up
 // serves the attempt, and the other one is kept for later attempts.
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Deliver reports the result before the exchange ends: what follows belongs to whoever takes the result. It tells
+// Deliver hands the result over before the exchange ends: what follows belongs to whoever takes the result. It reports
 // whether the result is still wanted. Stopped is closed if nobody takes it after all.
 func (e *Exchange) Deliver(result broker.Result) bool {
 	e.mu.Lock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// ReadTrailer runs what reads the rest behind the answer. If that fails the answer stands, and the connection is not
+// ReadTrailer runs what reads the rest after the answer. If that fails the answer stands, and the connection is not
 // used again.
 func (e *Exchange) ReadTrailer(read func() error) {
 	e.mu.Lock()
@@ -200,7 +200,7 @@
 	return true
 }
 
-// finish takes the connection back, so that a late Stop does not close it under its next user. It tells whether the
+// finish takes the connection back, so that a late Stop does not close it under its next user. It reports whether the
 // result is still wanted, and whether the connection may be used again as far as the exchange knows.
 func (e *Exchange) finish() (wanted, reusable bool) {
 	e.mu.Lock()
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// usable tells whether a connection that was idle may carry another exchange.
+// usable reports whether a connection that was idle may carry another exchange.
 func (p *Pool) usable(conn *connection) bool {
 	_, maxIdleAge := p.timeouts()
 	return time.Since(conn.lastUsed) < maxIdleAge && IsQuiet(conn.Conn)
@@ -108,7 +108,7 @@
 	return oldest
 }
 
-// HasIdle tells whether an idle connection to an address is kept.
+// HasIdle reports whether an idle connection to an address is kept.
 func (p *Pool) HasIdle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -42,7 +42,7 @@
 	connectTimeout time.Duration
 	maxIdleAge     time.Duration            // a connection that has been idle for longer is not used again
 	idle           map[string][]*connection // by address, the most recently used last
-	idleChanged    map[string]chan struct{} // by address, closed when a connection becomes idle; nil if nobody waits
+	idleChanged    map[string]chan struct{} // by address, closed when a connection becomes idle; nil if none waits
 	dialTimes      dialTimes
 	closed         bool
 }
--- a/internal/pool/run.go
+++ b/internal/pool/run.go
@@ -38,7 +38,7 @@
 	}
 	wanted, reusable := e.finish()
 	if conn != nil {
-		// Bytes that nobody asked for belong to no later request.
+		// Unread bytes would be taken for the answer to a later request.
 		reusable = reusable && err == nil && conn.reader.Buffered() == 0
 		p.giveBack(address, conn, !used || reusable)
 	}
--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -26,7 +26,7 @@
 	reader commandReader
 	input  *inputGuard   // the connection as the reader sees it
 	socket net.Conn      // the connection itself; a write to it gathers buffers, which one to a wrapper would not
-	wake   chan struct{} // has the writer look for answers
+	wake   chan struct{} // makes the writer look for answers
 	// peerClosed is set when the client has gone, though its end of file is not read yet.
 	peerClosed atomic.Bool
 
@@ -103,14 +103,14 @@
 	return clientconn.Busy, 0
 }
 
-// waitsForReply tells whether the client waits for an answer or takes one.
+// waitsForReply reports whether the client waits for an answer or takes one.
 func (c *client) waitsForReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.owesReply()
 }
 
-// owesReply tells whether an answer is owed or being written; the caller holds c.mu.
+// owesReply reports whether an answer is owed or being written; the caller holds c.mu.
 func (c *client) owesReply() bool { return len(c.pending) > 0 || c.writing }
 
 // recoverPanic ends the connection on which a panic was met: it must not end the process. It is deferred.
@@ -121,5 +121,5 @@
 	}
 }
 
-// close closes the socket. Its error would tell nothing that the reader and the writer do not meet.
+// close closes the socket. Its error is ignored: the reader and the writer meet the same fault.
 func (c *client) close() { _ = c.socket.Close() }
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxDiscardedBytes bounds what is read and discarded behind the last command that counts. Lower, a reset could
+	// maxDiscardedBytes bounds what is read and discarded after the last command that counts. Lower, a reset could
 	// overtake an error that follows a large value; higher, a client could keep the broker reading.
 	maxDiscardedBytes = 16 << 20
 	// lingerChecks is how many times the input of an ended connection is checked during inputGrace.
@@ -29,9 +29,9 @@
 // Evict implements clientconn.Connection.
 func (c *client) Evict() bool { return c.requestClose(closeEvicted) }
 
-// requestClose asks the connection to end unless an answer is owed or a request has come, and tells whether it will. It
-// only wakes the goroutine that reads, since no other can tell that nothing has been read at this moment. A connection
-// that has sent no request and is evicted is closed at once, since others wait for its slot.
+// requestClose asks the connection to end unless an answer is owed or a request has come, and reports whether it
+// will. It only wakes the goroutine that reads, since no other can tell that nothing has been read at this moment. A
+// connection that has sent no request and is evicted is closed at once, since others wait for its slot.
 func (c *client) requestClose(request closeRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +51,7 @@
 }
 
 // closeAsRequested ends the connection if it was asked to end and nothing has come. Only the goroutine that reads
-// calls it; commandRead says that it has just read a command. It tells whether the connection has ended, and if not,
+// calls it; commandRead says that it has just read a command. It reports whether the connection has ended, and if not,
 // whether the command was rejected here.
 //
 // A request may cross the end. If it has been read, or stands unread, it is taken, or rejected where the slot
@@ -72,7 +72,7 @@
 		c.mu.Unlock()
 		return false, false
 	case commandRead:
-		c.input.interrupt() // to check again behind this command
+		c.input.interrupt() // to check again after this command
 		c.mu.Unlock()
 		c.writeBusy()
 		return false, true
@@ -107,7 +107,7 @@
 	return idle && c.server.ShouldClose(awaitingFirst) && c.requestClose(closeIfIdle)
 }
 
-// discardInput reads and discards what comes behind the last command that counts: closing the connection with unread
+// discardInput reads and discards what comes after the last command that counts: closing the connection with unread
 // input would be a reset, which overtakes the answers. It returns when the connection ends, or past a bound. If the
 // client ends its side while its requests wait, it has gone or waits for its answers only: these are given at once.
 func (c *client) discardInput() {
@@ -127,7 +127,7 @@
 	}
 }
 
-// linger waits, not for long, until the reader has discarded what came behind a malformed command, so that the close is
+// linger waits, not for long, until the reader has discarded what came after a malformed command, so that the close is
 // no reset. It ends as soon as that is done: a whole request that came on the open connection meanwhile would count as
 // taken.
 func (c *client) linger() {
@@ -151,7 +151,7 @@
 	c.Wake()
 }
 
-// cancelPending tells the loop that nobody waits for the answers that are owed here.
+// cancelPending cancels in the loop the requests whose answers are owed here.
 func (c *client) cancelPending() {
 	c.mu.Lock()
 	var cancelled []*pendingReply
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Requests stand in the kernel's accept queue when the server is closed: nobody has accepted their connections yet. By
-// the protocol they count as taken, so they get their answers. A connection made later is refused.
+// Requests stand in the kernel's accept queue when the server is closed: their connections have not been accepted
+// yet. By the protocol they count as taken, so they get their answers. A connection made later is refused.
 func TestCloseServesTheAcceptQueue(t *testing.T) {
 	f := newFixture(t)
 	var conns []*net.TCPConn
@@ -39,7 +39,7 @@
 	}
 }
 
-// A connection is evicted behind an answer that its client has not read yet, and other requests cross the end. The
+// A connection is evicted after an answer that its client has not read yet, and other requests cross the end. The
 // answer is not lost to a reset, and the requests are rejected, not forwarded.
 func TestEvictionKeepsTheAnswer(t *testing.T) {
 	f := newFixture(t)
@@ -61,7 +61,7 @@
 	}
 }
 
-// A request is read at the very moment at which its connection is to end: nobody but the reader can tell. If the broker
+// A request is read at the very moment at which its connection is to end: only the reader knows. If the broker
 // drains the request is served, and if the connection was evicted it is rejected. Only then the client reads an end of
 // file.
 func TestRequestReadWhileClosing(t *testing.T) {
@@ -147,17 +147,17 @@
 	_ = conn.Close()
 }
 
-// A client leaves while its requests wait, with more behind them than the broker reads: noise, which ends the reading;
+// A client leaves while its requests wait, with more after them than the broker reads: noise, which ends the reading;
 // more requests than may wait on a connection; a part of one. Its attempts are cancelled, and nothing of it stays. The
 // counts that it logs are those of docs/acceptance.md.
-func TestClientLeavesWithInputBehind(t *testing.T) {
+func TestClientLeavesWithUnreadInput(t *testing.T) {
 	pipelined := ""
 	for i := range maxPipeline + 40 {
 		pipelined += request(fmt.Sprint("m", i))
 	}
 	left := 0
 	forwarded := 0
-	for name, behind := range map[string]string{
+	for name, unread := range map[string]string{
 		"nothing":          "",
 		"a part":           request("p")[:30],
 		"noise":            "nonsense",
@@ -173,10 +173,10 @@
 				conn := f.dial()
 				write(t, conn, request("first"))
 				first := f.attempt()
-				if _, err := io.WriteString(conn, behind); err != nil && behind == "" {
+				if _, err := io.WriteString(conn, unread); err != nil && unread == "" {
 					t.Fatal(err)
 				}
-				if len(behind) == len(pipelined) {
+				if len(unread) == len(pipelined) {
 					eventually(t, "all that may wait do", func() bool { return f.loop.OpenRequests() == maxPipeline })
 				}
 				hangUp(t, conn, reset)
@@ -196,7 +196,7 @@
 	t.Logf("%d clients left, %d requests of theirs went on", left, forwarded)
 }
 
-// A client sends much behind a malformed command. It is read and discarded, so that no reset overtakes the error and
+// A client sends much after a malformed command. It is read and discarded, so that no reset overtakes the error and
 // the answers before it.
 func TestErrorComesBeforeMuchNoise(t *testing.T) {
 	f := newFixture(t)
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// isKey tells whether text has the form of a key or a volume.
+// isKey reports whether text has the form of a key or a volume.
 func isKey(text []byte) bool {
 	if len(text) != keyDigits {
 		return false
@@ -123,5 +123,5 @@
 	return net.Buffers{c.raw[:headerAt], header, c.raw[optionsAt:timeoutAt], digits, c.raw[behindTimeout:]}
 }
 
-// offsetIn tells where part, a slice of whole, begins in it.
+// offsetIn returns where part, a slice of whole, begins in it.
 func offsetIn(whole, part []byte) int { return cap(whole) - cap(part) }
--- a/internal/resp/commandscanner.go
+++ b/internal/resp/commandscanner.go
@@ -39,7 +39,7 @@
 	return len(p)
 }
 
-// scanByte reads a byte outside a bulk string's contents and tells whether it is well formed.
+// scanByte reads a byte outside a bulk string's contents and reports whether it is well formed.
 func (s *commandScanner) scanByte(c byte) bool {
 	switch s.state {
 	case atCommand:
--- a/internal/resp/figures.go
+++ b/internal/resp/figures.go
@@ -48,7 +48,7 @@
 	load := &result.Load
 	switch name {
 	case figureUsed:
-		result.RateUsed = 1 + int(max(0, min(value, maxFigure))) // 0 is for not told
+		result.RateUsed = 1 + int(max(0, min(value, maxFigure))) // 0 means unknown
 	case figureCost:
 		result.ServedElsewhere = value
 	case figureInFlight, figureInFlightAlt:
--- a/internal/resp/inputguard.go
+++ b/internal/resp/inputguard.go
@@ -49,8 +49,8 @@
 
 	// onWait is called when the guard begins to wait for a command, nil for none.
 	onWait func()
-	// onCommand may answer a whole command that came alone, and tells whether it did: such a command is not handed on.
-	// It is nil for none.
+	// onCommand may answer a whole command that came alone, and reports whether it did: such a command is not handed
+	// on. It is nil for none.
 	onCommand func(raw []byte) bool
 
 	scanner         commandScanner
@@ -127,7 +127,7 @@
 // setReadDeadline sets the connection's read deadline. It fails on a closed connection only, as the read then does.
 func (g *inputGuard) setReadDeadline(deadline time.Time) { _ = g.SetReadDeadline(deadline) }
 
-// nextDeadline tells until when the next bytes must come. It keeps clients that send nothing, or half a command, from
+// nextDeadline returns until when the next bytes must come. It keeps clients that send nothing, or half a command, from
 // holding slots and memory; between commands a client may pause for longer.
 func (g *inputGuard) nextDeadline(now time.Time) time.Time {
 	switch {
@@ -155,8 +155,8 @@
 	g.setReadDeadline(longAgo)
 }
 
-// clearInterrupt has the reader go on after an interrupt.
+// clearInterrupt lets the reader go on after an interrupt.
 func (g *inputGuard) clearInterrupt() { g.interrupted.Store(false) }
 
-// wasInterrupted tells whether the read that timed out did so before its time.
+// wasInterrupted reports whether the read that timed out did so before its time.
 func (g *inputGuard) wasInterrupted() bool { return time.Now().Before(g.readDeadline) }
--- a/internal/resp/inputguard_test.go
+++ b/internal/resp/inputguard_test.go
@@ -41,13 +41,13 @@
 			t.Errorf("phase %d", phase)
 		}
 	}
-	if count != 2 { // before the command and behind it, not inside
+	if count != 2 { // before the command and after it, not inside
 		t.Errorf("it waited %d times", count)
 	}
 }
 
 // While too many requests wait for the processor, a request that comes whole and alone is rejected as it is read. What
-// comes in parts, behind another, or is no request, goes its usual way, whole.
+// comes in parts, after another, or is no request, goes its usual way, whole.
 func TestWholeRequestMayBeAnsweredUnread(t *testing.T) {
 	request := "*2\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n"
 	for _, test := range []struct {
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -14,7 +14,7 @@
 // requests of clients that have gone could be kept for longer; lower, a site without long deadlines could not wait.
 const defaultMaxTimeout = time.Minute
 
-// RequestLimits is what a request may ask for. It keeps figures that nobody could serve from the scheduler.
+// RequestLimits is what a request may ask for. It keeps requests that cannot be served from the scheduler.
 type RequestLimits struct {
 	Classes    map[string]bool
 	Plans      map[string]bool
@@ -22,7 +22,7 @@
 	Shards     int     // 0 for unknown
 	Brokers    int
 	MaxTimeout time.Duration
-	RetryAfter broker.Micros // when a request that is not admitted may be sent again, 0 for not told
+	RetryAfter broker.Micros // when a request that is not admitted may be sent again, 0 for no advice
 	busyLine   []byte        // the answer to such a request, set by Server.SetLimits
 }
 
--- a/internal/resp/overload.go
+++ b/internal/resp/overload.go
@@ -18,7 +18,7 @@
 )
 
 // rejectOverload rejects a request as it came if too many requests wait for the broker's processor. It is neither
-// parsed nor buffered, which costs a third of a rejection behind its parsing. It tells whether it did.
+// parsed nor buffered, which costs a third of a rejection after its parsing. It reports whether it did.
 func (c *client) rejectOverload(raw []byte) bool {
 	if !c.server.loop.Overloaded() {
 		return false
@@ -31,8 +31,8 @@
 		return false
 	}
 	class := ""
-	if _, behind, found := bytes.Cut(rest, classOptionMark); found {
-		name, _, _ := bytes.Cut(behind, []byte(","))
+	if _, afterMark, found := bytes.Cut(rest, classOptionMark); found {
+		name, _, _ := bytes.Cut(afterMark, []byte(","))
 		class = string(name)
 	}
 	c.server.loop.RejectOverload(class)
@@ -40,7 +40,7 @@
 }
 
 // replyRejection answers a request that admission control rejects. If no other answer is owed the reader writes it: a
-// broker that has too much to do is spared the way through the writer. It tells whether to read on.
+// broker that has too much to do is spared the way through the writer. It reports whether to read on.
 func (c *client) replyRejection(rejection *broker.Response) bool {
 	text := encodeResponse(*rejection)
 	if !c.beginDirectReply() {
@@ -49,7 +49,7 @@
 	return c.writeDirectReply(text[0], c.server.loop.SheddingLoad())
 }
 
-// beginDirectReply tells whether no answer is owed, so that the reader may write one itself. Then it must do so, with
+// beginDirectReply reports whether no answer is owed, so that the reader may write one itself. Then it must do so, with
 // writeDirectReply.
 func (c *client) beginDirectReply() bool {
 	c.mu.Lock()
@@ -64,7 +64,7 @@
 	return true
 }
 
-// writeDirectReply writes an answer from the reader and tells whether to read on.
+// writeDirectReply writes an answer from the reader and reports whether to read on.
 func (c *client) writeDirectReply(line []byte, overloaded bool) bool {
 	c.server.RequestReceived(c, overloaded)
 	_, err := c.socket.Write(line)
--- a/internal/resp/overload_test.go
+++ b/internal/resp/overload_test.go
@@ -38,7 +38,7 @@
 	return server, serve(t, server)
 }
 
-// Admission control rejects a request. It is answered at once, in its turn behind what is owed, with a time to come
+// Admission control rejects a request. It is answered at once, in its turn after what is owed, with a time to come
 // back, and its connection goes on.
 func TestAdmissionRejects(t *testing.T) {
 	server, address := newAdmittingServer(t, 8, 1)
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -53,13 +53,13 @@
 	}
 }
 
-// mayBeSilent tells whether a connection whose read timed out goes on: its client waits for an answer, the read was
+// mayBeSilent reports whether a connection whose read timed out goes on: its client waits for an answer, the read was
 // interrupted and the connection stays, or a command has begun to come.
 func (c *client) mayBeSilent() bool {
 	return c.waitsForReply() || c.input.wasInterrupted() || !pool.IsQuiet(c.socket)
 }
 
-// failMalformed answers malformed input and ends the connection behind the answer.
+// failMalformed answers malformed input and ends the connection after the answer.
 func (c *client) failMalformed(err error) {
 	c.server.malformed.record(err)
 	c.mu.Lock()
@@ -69,7 +69,7 @@
 	c.push(&pendingReply{ready: true, last: true, text: net.Buffers{line}})
 }
 
-// take takes one command and tells whether to read on.
+// take takes one command and reports whether to read on.
 func (c *client) take(cmd redcon.Command) bool {
 	if len(cmd.Args) == 1 && strings.EqualFold(string(cmd.Args[0]), commandPing) {
 		return c.push(&pendingReply{ready: true, text: net.Buffers{[]byte(pongLine)}})
@@ -145,7 +145,7 @@
 	reply.ready = true
 }
 
-// push queues an answer that is owed, and tells whether it will be written. It waits while too many are owed.
+// push queues an answer that is owed, and reports whether it will be written. It waits while too many are owed.
 func (c *client) push(reply *pendingReply) bool {
 	c.mu.Lock()
 	if len(c.pending) >= maxPipeline && !c.released {
@@ -156,7 +156,7 @@
 		})
 	}
 	released := c.released
-	if released { // the writer has ended, so that nobody else would release the bytes
+	if released { // the writer has ended and will not release the bytes
 		c.server.budget.Release(reply.reserved)
 	} else {
 		c.pending = append(c.pending, reply)
@@ -177,8 +177,8 @@
 }
 
 // whileWatchingPeer runs a call that blocks the reader, and cancels the connection's requests if the client goes
-// meanwhile: an end of file that stands behind unread input cannot be read, and the requests would be forwarded for
-// nobody.
+// meanwhile: an end of file that stands after unread input cannot be read, and the requests would be forwarded
+// although no client waits for them.
 func (c *client) whileWatchingPeer(wait func()) {
 	done := make(chan struct{})
 	defer close(done)
--- a/internal/resp/reject.go
+++ b/internal/resp/reject.go
@@ -54,7 +54,7 @@
 	s.discardRest(conn, *buffer)
 }
 
-// discardRest reads and discards what comes behind a rejection until nothing comes any more. A close with unread input
+// discardRest reads and discards what comes after a rejection until nothing comes any more. A close with unread input
 // would be a reset, which could overtake the answer.
 func (s *Server) discardRest(conn net.Conn, buffer []byte) {
 	quietFor := time.Duration(0)
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -106,7 +106,7 @@
 }
 
 // There is no slot for a connection. A request on it gets its rejection at once, a greeting its answer, and silence
-// its end. A body that is still on its way is read behind the rejection, or a reset would overtake that.
+// its end. A body that is still on its way is read after the rejection, or a reset would overtake that.
 func TestRejectAnswers(t *testing.T) {
 	server := NewServer(nil, RequestLimits{RetryAfter: 150_000}, 0, 1, 1, logging.Discard())
 	header := "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n7f3a9c21e0b4d655\r\n$2\r\nid\r\n$3\r\nc=w\r\n$300000\r\n"
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxLineBytes bounds a line of a node's reply, and the figures and load reports behind its value. The protocol
+	// maxLineBytes bounds a line of a node's reply, and the figures and load reports after its value. The protocol
 	// sets it.
 	maxLineBytes = 512
 	// maxReplyParts bounds the parts of a node's reply. The protocol has three; later versions may have more.
@@ -25,16 +25,16 @@
 // nodeBusy is the first word of an error by which a node rejects a request without executing it.
 const nodeBusy = "BUSY"
 
-// errReply is the error of a node's reply that cannot be read. The connection is of no more use.
+// errReply is the error of a node's reply that cannot be read. The connection is closed.
 var errReply = errors.New("malformed reply")
 
 // replyRest is what of a reply is still to be read.
 type replyRest struct {
 	streamed int // bytes of a value that is too long to be buffered, 0 if it was read
-	parts    int // bulk strings behind the value
+	parts    int // bulk strings after the value
 }
 
-// readReply reads a node's reply up to its value, or up to the header of a long one, and returns what stands behind
+// readReply reads a node's reply up to its value, or up to the header of a long one, and returns what stands after
 // that.
 func readReply(r *bufio.Reader) (result broker.Result, rest replyRest, err error) {
 	result = broker.Result{Load: scheduler.NoLoadReport}
@@ -65,7 +65,7 @@
 	}
 }
 
-// readArray reads the value of a reply behind its first line.
+// readArray reads the value of a reply after its first line.
 func readArray(r *bufio.Reader, line []byte, result *broker.Result, rest *replyRest) error {
 	parts, err := strconv.Atoi(string(line[1:]))
 	if err != nil || parts < 1 || parts > maxReplyParts {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// readTrailer reads the parts behind a value: the figures on use and the load report. They may be spoilt where the
+// readTrailer reads the parts after a value: the figures on use and the load report. They may be spoilt where the
 // value is good, so an error spoils the connection only.
 func readTrailer(r *bufio.Reader, parts int, result *broker.Result) error {
 	for range parts {
@@ -155,7 +155,7 @@
 	return size, nil
 }
 
-// readBulkContents reads a bulk string behind its header; nil if it is null.
+// readBulkContents reads a bulk string after its header; nil if it is null.
 func readBulkContents(r *bufio.Reader, size int) ([]byte, error) {
 	if size == nullLength {
 		return nil, nil
--- a/internal/resp/requestids.go
+++ b/internal/resp/requestids.go
@@ -56,7 +56,7 @@
 	return slices.Collect(maps.Keys(r.open))
 }
 
-// updateRemote applies what the other process tells of its requests.
+// updateRemote applies the other process's changes of its requests.
 func (r *requestIDs) updateRemote(opened, ended []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/resp/server.go
+++ b/internal/resp/server.go
@@ -40,7 +40,7 @@
 	return s
 }
 
-// RejectOverLimit has up to so many connections at a time over the limit answered and ended. It must be called before
+// RejectOverLimit answers and ends up to maxRejections connections at a time over the limit. It must be called before
 // Serve.
 func (s *Server) RejectOverLimit(maxRejections int) {
 	s.Table.RejectOverLimit(maxRejections, s.reject, s.loop.SheddingLoad)
@@ -55,14 +55,14 @@
 // ResizeBudget changes how many bytes of requests and answers there may be.
 func (s *Server) ResizeBudget(maxBytes int) { s.budget.Resize(maxBytes) }
 
-// OnRequestChange has a function called for each request id that opens or ends, to tell the broker's other process
-// during a handover. The function must not block. It must be called before Serve.
+// OnRequestChange sets a function that is called for each request id that opens or ends, to notify the other process
+// of the broker during a handover. The function must not block. It must be called before Serve.
 func (s *Server) OnRequestChange(notify func(id string, opened bool)) { s.ids.onChange = notify }
 
 // OpenRequestIDs returns the ids of the requests that wait for their answer.
 func (s *Server) OpenRequestIDs() []string { return s.ids.all() }
 
-// UpdateRemoteRequests applies what the broker's other process tells of its requests.
+// UpdateRemoteRequests applies the changes of the requests of the broker's other process.
 func (s *Server) UpdateRemoteRequests(opened, ended []string) { s.ids.updateRemote(opened, ended) }
 
 // ForgetRemoteRequests forgets the requests of the other process, which has gone.
--- a/internal/resp/server_test.go
+++ b/internal/resp/server_test.go
@@ -28,7 +28,7 @@
 	return server, serve(t, server)
 }
 
-// A client sends nonsense. It gets an error behind its other answers, and its connection ends.
+// A client sends nonsense. It gets an error after its other answers, and its connection ends.
 func TestMalformedInputEndsTheConnection(t *testing.T) {
 	server := NewServer(nil, RequestLimits{}, 4, 4, 1<<20, testLogger(t))
 	address := serve(t, server)
--- a/internal/resp/stream.go
+++ b/internal/resp/stream.go
@@ -26,7 +26,7 @@
 
 var (
 	errStreamCut       = errors.New("a value was not passed on whole")
-	errStreamAbandoned = errors.New("nobody takes the value")
+	errStreamAbandoned = errors.New("no client takes the value")
 )
 
 // stream is a long value on its way from a node. It is passed on piece by piece, as fast as its client takes it. The
--- a/internal/resp/transport_test.go
+++ b/internal/resp/transport_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A node's figures come late behind its value. The answer must not wait for them, nor cost its connection.
+// A node's figures come late after its value. The answer must not wait for them, nor cost its connection.
 func TestAnswerDoesNotWaitForFigures(t *testing.T) {
 	ln := listen(t)
 	address := ln.Addr().String()
--- a/internal/resp/wire.go
+++ b/internal/resp/wire.go
@@ -65,7 +65,7 @@
 	return net.Buffers{[]byte(failedLine)}
 }
 
-// busyLine tells a client that its request was rejected, and, unless retryAfter is 0, in how many milliseconds it may
+// busyLine is the rejection of a request with, unless retryAfter is 0, the number of milliseconds after which it may
 // send it again.
 func busyLine(retryAfter broker.Micros) []byte {
 	line := []byte(busyPrefix)
@@ -77,7 +77,7 @@
 	return append(line, lineEnd...)
 }
 
-// bulkHeader is the line before a bulk string of so many bytes.
+// bulkHeader is the line before a bulk string of size bytes.
 func bulkHeader(size int) []byte {
 	line := strconv.AppendInt([]byte{'$'}, int64(size), 10)
 	return append(line, lineEnd...)
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -65,7 +65,7 @@
 	return next
 }
 
-// writeBatch writes answers and tells whether more can be written.
+// writeBatch writes answers and reports whether more can be written.
 func (c *client) writeBatch(next batch) bool {
 	err := writeAll(c.socket, next.text)
 	c.server.budget.Release(next.reserved)
--- a/internal/semaphore/semaphore.go
+++ b/internal/semaphore/semaphore.go
@@ -15,10 +15,10 @@
 	inUse   int
 	size    int
 	waiters int           // calls of Acquire that wait
-	changed chan struct{} // closed when a slot may have become free, nil if nobody has waited since
+	changed chan struct{} // closed when a slot may have become free, nil if no call has waited since
 }
 
-// New returns a semaphore of so many slots.
+// New returns a semaphore of size slots.
 func New(size int) *Semaphore { return &Semaphore{size: size} }
 
 // TryAcquire takes a slot if one is free.
@@ -89,14 +89,14 @@
 	s.wakeWaiters()
 }
 
-// OverLimit tells whether more slots are in use than there are.
+// OverLimit reports whether more slots are in use than there are.
 func (s *Semaphore) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inUse > s.size
 }
 
-// HasWaiters tells whether a call of Acquire waits for a slot.
+// HasWaiters reports whether a call of Acquire waits for a slot.
 func (s *Semaphore) HasWaiters() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sftp/doc.go
+++ b/internal/sftp/doc.go
@@ -4,7 +4,7 @@
 // # Rules
 //
 // A client's handles live in the server only. Each command that goes to a node opens a handle of its own there and
-// closes it behind, so that no command depends on where an earlier one went. Commands of one connection on one file
+// closes it afterwards, so that no command depends on where an earlier one went. Commands of one connection on one file
 // keep their order where it can be seen; others go out side by side. A command that has waited past its deadline for
 // an earlier one is rejected: it was never sent, so that trying again is harmless.
 //
--- a/internal/sftp/exchange.go
+++ b/internal/sftp/exchange.go
@@ -20,7 +20,7 @@
 )
 
 // exchange is one operation's talk with a node. An operation that needs a handle opens one for itself and closes it
-// behind.
+// afterwards.
 type exchange struct {
 	*pool.Exchange
 	id uint32 // of the last packet sent
@@ -87,7 +87,7 @@
 	return nil, result, err
 }
 
-// closeHandle closes a handle at the node behind the answer.
+// closeHandle closes a handle at the node after the answer.
 func (x *exchange) closeHandle(has effect, handle []byte) {
 	x.ReadTrailer(func() error {
 		_, err := x.request(has, typeClose, encodeString(handle))
@@ -126,7 +126,7 @@
 		length := encodeUint32(uint32(len(op.data)))
 		message = encodePacket(typeWrite, transferID, handleField, encodeUint64(op.offset), length, op.data)
 	}
-	decisiveBytes := pool.MessageSize(message) // a CLOSE that is cut behind it changes nothing
+	decisiveBytes := pool.MessageSize(message) // a CLOSE that is cut after it changes nothing
 	message = append(message, encodePacket(typeClose, closeID, handleField)...)
 	if err := x.Send(message, decisiveBytes); err != nil {
 		return broker.Result{}, err
@@ -169,7 +169,7 @@
 	}
 }
 
-// endListing judges the packet behind the last names of a directory.
+// endListing judges the packet after the last names of a directory.
 func (x *exchange) endListing(p packet, handle []byte, names [][]byte) (broker.Result, error) {
 	result, err := resultOf(p)
 	if err != nil || p.kind != typeStatus || p.statusCode() != statusEOF {
--- a/internal/sftp/mapping.go
+++ b/internal/sftp/mapping.go
@@ -31,7 +31,7 @@
 // Commands lists all commands.
 var Commands = []Command{Open, OpenWrite, Read, Write, Stat, List, Remove}
 
-// mutates tells whether a command changes a file.
+// mutates reports whether a command changes a file.
 func (c Command) mutates() bool { return c == OpenWrite || c == Write || c == Remove }
 
 // CommandSettings says how a command is treated.
--- a/internal/sftp/operation.go
+++ b/internal/sftp/operation.go
@@ -16,7 +16,7 @@
 // size is the number of bytes that the operation reads or writes.
 func (op *operation) size() int { return max(len(op.data), int(op.length)) }
 
-// conflicts tells whether two operations of one connection must keep their order: they touch the same file, at least
+// conflicts reports whether two operations of one connection must keep their order: they touch the same file, at least
 // one changes it, and they do not touch separate ranges of it.
 func (op *operation) conflicts(other *operation) bool {
 	if op.path != other.path || !op.command.mutates() && !other.command.mutates() {
@@ -28,12 +28,12 @@
 	return op.offset < other.end() && other.offset < op.end()
 }
 
-// hasRange tells whether the operation touches no more than a range of the file.
+// hasRange reports whether the operation touches no more than a range of the file.
 func (op *operation) hasRange() bool {
 	return (op.command == Read || op.command == Write) && op.flags&flagAppend == 0
 }
 
-// end is the offset behind the operation's range.
+// end is the offset after the operation's range.
 func (op *operation) end() uint64 {
 	n := uint64(op.size())
 	if op.offset > math.MaxUint64-n {
--- a/internal/sftp/ordering.go
+++ b/internal/sftp/ordering.go
@@ -65,7 +65,7 @@
 	if s.gone {
 		return net.ErrClosed
 	}
-	for _, other := range s.pending { // two answers could not be told apart
+	for _, other := range s.pending { // the answers would be ambiguous
 		if other.id == command.id {
 			return fmt.Errorf("%w: a command with id %d is open", errPacket, command.id)
 		}
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// mayStart tells whether no earlier command must be answered before this one; the caller holds s.mu.
+// mayStart reports whether no earlier command must be answered before this one; the caller holds s.mu.
 func (s *session) mayStart(command *pendingCommand) bool {
 	for _, earlier := range s.pending {
 		if earlier == command {
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -56,7 +56,7 @@
 	languageTag = "en"
 
 	lengthBytes = 4 // of a packet's or a string's length
-	headerBytes = 5 // of a packet behind its length: type and id
+	headerBytes = 5 // of a packet after its length: type and id
 
 	// maxDataBytes bounds what one command reads or writes. Higher, each command could take more memory; lower, clients
 	// would need more commands.
--- a/internal/sftp/session.go
+++ b/internal/sftp/session.go
@@ -22,7 +22,7 @@
 type session struct {
 	server *Server
 	conn   net.Conn
-	wake   chan struct{} // has the writer look for answers
+	wake   chan struct{} // makes the writer look for answers
 
 	mu            sync.Mutex        // guards what follows; the table's lock is never taken under it
 	pending       []*pendingCommand // in the order of arrival
@@ -33,7 +33,7 @@
 	writing       bool   // an answer is being written
 	awaitingFirst bool   // it came while the server drains and has had no command
 	out           net.Buffers
-	last          bool // the connection ends behind what is in out
+	last          bool // the connection ends after what is in out
 	gone          bool // nothing more is taken
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// State implements clientconn.Connection. It tells no idle time, since all connections of this server may stay idle.
+// State implements clientconn.Connection. It returns no idle time, since all connections of this server may stay idle.
 func (s *session) State() (clientconn.State, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +72,9 @@
 // Evict implements clientconn.Connection.
 func (s *session) Evict() bool { return s.stopTaking() && s.conn.Close() == nil }
 
-// stopTaking has no further command taken, unless an answer is owed or something has come. Both are one step under the
-// session's lock: a command may be read at this moment and would be forwarded for nobody.
+// stopTaking makes the session take no further command, unless an answer is owed or something has come. Both are one
+// step under the session's lock: a command may be read at this moment and would be forwarded although no client waits
+// for it.
 func (s *session) stopTaking() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// close closes the connection. Its error would tell nothing that the reader and the writer do not meet.
+// close closes the connection. Its error is ignored: the reader and the writer meet the same fault.
 func (s *session) close() { _ = s.conn.Close() }
 
 // handleInputEnd follows the last read: nobody waits for what is still owed. An answer to malformed input is written
@@ -142,7 +143,7 @@
 	}
 }
 
-// writeOut writes answers and tells whether more can be written.
+// writeOut writes answers and reports whether more can be written.
 func (s *session) writeOut(out net.Buffers) bool {
 	if len(out) == 0 {
 		return true
