--- /dev/null
+++ b/scheduler/tokens.go
@@ -0,0 +1,97 @@
+package scheduler
+
+import "math"
+
+// smoothing is the weight of the newest measurement in a running mean, from 0 to 1. Higher, demand and node
+// latency jump with a single burst or pause; lower, they follow an outage several ticks late.
+const smoothing = 0.2
+
+// bucketCapacity is how many units a volume's token bucket holds: a second of its whole rate, since a volume
+// may send all its requests through one broker, and one largest request.
+func bucketCapacity(plan *Plan, maxUnits float64) float64 {
+	return max(plan.Rate, plan.ReservedRate) + maxUnits
+}
+
+// refillTokens grants tokens to the active volumes by equation 12 of the paper, with what peers reported in
+// the sum of demand. elapsed is the time since the last tick in seconds.
+func (s *Scheduler) refillTokens(elapsed float64) {
+	capacity := s.availableCapacity()
+	totalDemand := 0.0
+	for _, v := range s.volumes.active {
+		totalDemand += v.arrivedUnits + v.peerDemand.current(s.ticks)
+	}
+	decay := math.Exp(-elapsed)
+	for _, v := range s.volumes.active {
+		v.tokens = min(v.tokens+v.grant(elapsed, totalDemand, capacity), v.capacity)
+		v.demand += smoothing * (v.arrivedUnits - v.demand)
+		v.arrivedUnits = 0
+		v.excess *= decay
+		v.caughtUpTick = s.ticks
+		v.caughtUpAt = s.lastTickAt
+	}
+}
+
+// grant is u(t) of equation 12, in units:
+//
+//	u(t) = guarantee + V(t) / sum of V(t) * (W(t) - tokens)
+//
+// The guarantee is this broker's even part of the volume's reserved rate over elapsed seconds. capacity is
+// W(t) of equation 11. The demand share counts only where it adds something.
+func (v *volume) grant(elapsed, totalDemand, capacity float64) float64 {
+	grant := v.plan.ReservedRate / v.brokers * elapsed
+	if totalDemand > 0 {
+		grant += max(0, v.arrivedUnits/totalDemand*(capacity-v.tokens))
+	}
+	return grant
+}
+
+// valueShare is the part of its value that a request of so many units earns: all of it inside the volume's
+// reserved rate, and less beyond the more the volume asks against its usual rate. The reserved rate counts
+// here by where the volume's demand is.
+func (s *Scheduler) valueShare(v *volume, units float64) float64 {
+	rate := v.plan.ReservedRate * v.demandShare(v.peerDemand.current(s.ticks))
+	v.reserved.refill(s.now, rate, rate+s.settings.MaxUnits)
+	if v.plan.ReservedRate > 0 && v.reserved.tokens >= units {
+		v.reserved.tokens -= units
+		return 1
+	}
+	v.excess += units
+	usual := max(v.plan.Rate, v.plan.ReservedRate) / v.brokers
+	spare, share := s.settings.SpareWeight, s.settings.ShareWeight
+	return spare + (share-spare)/(1+v.excess/max(1, usual))
+}
+
+// refill adds what a rate in units a second gave since the last refill, up to a capacity in units.
+func (b *reservedBucket) refill(now Time, rate, capacity float64) {
+	b.tokens = min(capacity, b.tokens+rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
+}
+
+// demandShare is the part of a volume's demand that is at this broker, and at least its even part. peerDemand
+// is in units a tick.
+func (v *volume) demandShare(peerDemand float64) float64 {
+	share := 1 / v.brokers
+	if peerDemand > 0 || v.demand > 0 {
+		share = max(share, (v.demand+1)/(v.demand+peerDemand+v.brokers))
+	}
+	return share
+}
+
+// mayForward tells whether a request's volume has the tokens and the quota for it, whether it is the next of
+// its key, and whether it may run again if it was sent before. With overdraft its tokens may fall below zero
+// by a whole bucket. A retry has paid already.
+func (s *Scheduler) mayForward(r *request, overdraft bool) bool {
+	v := r.volume
+	v.catchUp(s.ticks, s.lastTickAt)
+	floor := 0.0
+	if overdraft {
+		floor = -v.capacity
+	}
+	if r.attempts == 0 && v.tokens-r.Units < floor {
+		return false
+	}
+	if !r.limitCharged && !s.refillQuota(v).Allows(r.Units) {
+		return false
+	}
+	return r.isNextOfKey(s.now) && (r.attempts == 0 || s.mayRetry(r))
+}
