--- a/broker/metrics.go
+++ b/broker/metrics.go
@@ -16,11 +16,11 @@
 	metricAttempts         = "backend_calls"
 	metricReloads          = "reconfig_ok"
 	metricReloadsFailed    = "reconfig_failed"
-	metricTaken            = "taken"
+	metricReceived         = "taken"
 	metricRejected         = "door_refused"
 	metricCancelled        = "left"
 	metricStoppedAttempts  = "stopped"
-	metricProbes           = "probes"
+	metricHealthChecks     = "probes"
 	metricPeerSent         = "peer_sent"
 	metricPeerReceived     = "peer_heard"
 	metricOpenRequests     = "inflight"
@@ -42,13 +42,13 @@
 	listed atomic.Int64 // nodes on the list
 	down   atomic.Int64 // of these, nodes that are avoided
 
-	taken     atomic.Uint64
+	received  atomic.Uint64
 	rejected  atomic.Uint64 // by admission control
 	cancelled atomic.Uint64 // by their clients
 
-	attempts atomic.Uint64 // fully written
-	stopped  atomic.Uint64
-	probes   atomic.Uint64
+	attempts     atomic.Uint64 // fully written
+	stopped      atomic.Uint64
+	healthChecks atomic.Uint64
 
 	peerSent     atomic.Uint64
 	peerReceived atomic.Uint64
@@ -142,11 +142,11 @@
 		counter(metricAttempts, &m.attempts),
 		counter(metricReloads, &m.reloads),
 		counter(metricReloadsFailed, &m.failedReloads),
-		counter(metricTaken, &m.taken),
+		counter(metricReceived, &m.received),
 		counter(metricRejected, &m.rejected),
 		counter(metricCancelled, &m.cancelled),
 		counter(metricStoppedAttempts, &m.stopped),
-		counter(metricProbes, &m.probes),
+		counter(metricHealthChecks, &m.healthChecks),
 		counter(metricPeerSent, &m.peerSent),
 		counter(metricPeerReceived, &m.peerReceived),
 		gauge(metricOpenRequests, &m.open),
