--- a/cmd/brokerbench/capacity_report.go
+++ b/cmd/brokerbench/capacity_report.go
@@ -30,7 +30,7 @@
 {{if .Missing}}<p>Not run: {{range .Missing}}{{.}} {{end}}</p>{{end}}`))
 
 func curveName(c capacity.Curve) string {
-	if c.Control {
+	if c.SeparateControl {
 		return c.Role + ", control set aside"
 	}
 	return c.Role
--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -120,7 +120,7 @@
 		if err != nil {
 			return h, err
 		}
-		h.Sent, h.Served, h.P99 = result.All.Sent(), result.All.Counts[load.Served], result.All.Latency.ValueAtPercentile(99)
+		h.Sent, h.Served, h.P99Micros = result.All.Sent(), result.All.Counts[load.Served], result.All.Latency.ValueAtPercentile(99)
 	} else {
 		select {
 		case <-ctx.Done():
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -21,19 +21,19 @@
 
 // Cell is one run of the grid.
 type Cell struct {
-	Brokers int     // in all
-	Nodes   int     // one for each shard
-	Volumes int     // active at a broker for each request a second; 0: none, and no requests
-	ChangeS float64 // seconds between two changes of the agreed document
-	Seed    uint64
-	Control bool // voters and feeders are processes for control, brokers feed nobody
-	Faults  bool // with those of the plan's day in one run
+	Brokers         int     // in all
+	Nodes           int     // one for each shard
+	Volumes         int     // active at a broker for each request a second; 0: none, and no requests
+	ChangeSeconds   float64 // seconds between two changes of the agreed document
+	Seed            uint64
+	SeparateControl bool // voters and feeders are processes for control, brokers feed nobody
+	Faults          bool // with those of the plan's day in one run
 }
 
 // Name is the cell's, and that of its file.
 func (c Cell) Name() string {
-	name := fmt.Sprintf("b%d-n%d-v%d-c%g-s%d", c.Brokers, c.Nodes, c.Volumes, c.ChangeS, c.Seed)
-	if c.Control {
+	name := fmt.Sprintf("b%d-n%d-v%d-c%g-s%d", c.Brokers, c.Nodes, c.Volumes, c.ChangeSeconds, c.Seed)
+	if c.SeparateControl {
 		name += "-control"
 	}
 	if c.Faults {
@@ -44,32 +44,32 @@
 
 // The plan, and the grid by which it is measured.
 const (
-	Planned   = 930
-	realOnes  = 20 // brokers that are whole processes
-	requests  = 10 // a second and broker
-	planS     = 20 // seconds between changes
-	forS      = 21
-	planNodes = 400 // at which sizes of the fleet are compared
+	PlannedBrokers = 930
+	realOnes       = 20 // brokers that are whole processes
+	requests       = 10 // a second and broker
+	planS          = 20 // seconds between changes
+	forS           = 21
+	planNodes      = 400 // at which sizes of the fleet are compared
 )
 
 // at is the cell by which sizes of the fleet are compared.
 func at(brokers int, seed uint64) Cell {
-	return Cell{Brokers: brokers, Nodes: planNodes, Volumes: 1, ChangeS: planS, Seed: seed}
+	return Cell{Brokers: brokers, Nodes: planNodes, Volumes: 1, ChangeSeconds: planS, Seed: seed}
 }
 
 func (c Cell) nodes(count int) Cell    { c.Nodes = count; return c }
 func (c Cell) volumes(count int) Cell  { c.Volumes = count; return c }
-func (c Cell) changeEachSecond() Cell  { c.ChangeS = 1; return c }
-func (c Cell) control(aside bool) Cell { c.Control = aside; return c }
+func (c Cell) changeEachSecond() Cell  { c.ChangeSeconds = 1; return c }
+func (c Cell) control(aside bool) Cell { c.SeparateControl = aside; return c }
 func (c Cell) faults() Cell            { c.Faults = true; return c }
 
 // Grid are the cells of the page, in the order in which they are run.
 var Grid = []Cell{
-	at(Planned, 1), at(480, 1), at(240, 1), at(60, 1), at(Planned, 2), at(Planned, 3),
-	at(Planned, 1).nodes(1600), at(Planned, 1).nodes(100), at(240, 1).nodes(1600), at(240, 1).nodes(100), at(240, 1).volumes(0), at(240, 1).volumes(8),
-	at(Planned, 1).changeEachSecond(), at(240, 1).changeEachSecond(),
-	at(Planned, 1).control(true), at(Planned, 2).control(true), at(Planned, 3).control(true), at(240, 1).control(true),
-	at(Planned, 1).changeEachSecond().control(true), at(Planned, 1).changeEachSecond().control(true).faults(), at(240, 1).changeEachSecond().control(true).faults(),
+	at(PlannedBrokers, 1), at(480, 1), at(240, 1), at(60, 1), at(PlannedBrokers, 2), at(PlannedBrokers, 3),
+	at(PlannedBrokers, 1).nodes(1600), at(PlannedBrokers, 1).nodes(100), at(240, 1).nodes(1600), at(240, 1).nodes(100), at(240, 1).volumes(0), at(240, 1).volumes(8),
+	at(PlannedBrokers, 1).changeEachSecond(), at(240, 1).changeEachSecond(),
+	at(PlannedBrokers, 1).control(true), at(PlannedBrokers, 2).control(true), at(PlannedBrokers, 3).control(true), at(240, 1).control(true),
+	at(PlannedBrokers, 1).changeEachSecond().control(true), at(PlannedBrokers, 1).changeEachSecond().control(true).faults(), at(240, 1).changeEachSecond().control(true).faults(),
 }
 
 // dayOfFaults are those of the plan's day, all within one run: four brokers restart, one dies, one machine set aside for control dies and comes
@@ -82,7 +82,7 @@
 // Scenario is what the rig plays for a cell.
 func (c Cell) Scenario() *fleetharness.Scenario {
 	s := &fleetharness.Scenario{Name: c.Name(), Seed: c.Seed, Brokers: min(realOnes, c.Brokers), Peers: true, Shards: c.Nodes, ForS: forS, Rate: requests, LimitMB: 192,
-		Node: fleetharness.Node{Count: c.Nodes, Zones: 6}, Agreement: fleetharness.Agreement{Voters: 7, ChangeS: c.ChangeS, Control: c.Control},
+		Node: fleetharness.Node{Count: c.Nodes, Zones: 6}, Agreement: fleetharness.Agreement{Voters: 7, ChangeS: c.ChangeSeconds, Control: c.SeparateControl},
 		Hollow: fleetharness.Hollow{Brokers: max(0, c.Brokers-realOnes), Rate: requests, Volumes: requests * c.Volumes}}
 	if c.Faults {
 		s.Events = slices.Clone(dayOfFaults)
@@ -93,8 +93,8 @@
 	return s
 }
 
-// Budget is what a broker's control side may cost.
-var Budget = struct{ Bytes, CPU, MemoryMB, ForceS float64 }{6000, 0.014, 256, 10}
+// Budgets is what a broker's control side may cost.
+var Budgets = struct{ Bytes, CPU, MemoryMB, ForceS float64 }{6000, 0.014, 256, 10}
 
 // Runs are the raw reports, by cell.
 type Runs map[string]*fleetharness.Report
@@ -161,12 +161,12 @@
 const datagram = 7 + 28
 
 var (
-	agreed    = measure{"bytes a second of agreement, sent and received", "%.0f", Budget.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return c.Sent + c.Received }}
+	agreed    = measure{"bytes a second of agreement, sent and received", "%.0f", Budgets.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return c.Sent + c.Received }}
 	messages  = measure{"messages a second to and from other brokers", "%.1f", 0, anyBroker, func(c fleetharness.Cost) float64 { return c.Told + c.Heard }}
-	allBytes  = measure{"bytes a second of both, 35 a message", "%.0f", Budget.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return agreed.of(c) + datagram*messages.of(c) }}
+	allBytes  = measure{"bytes a second of both, 35 a message", "%.0f", Budgets.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return agreed.of(c) + datagram*messages.of(c) }}
 	wholeCPU  = measure{"part of a core, whole brokers, their requests included", "%.4f", 0, wholeOnes, func(c fleetharness.Cost) float64 { return c.CPU }}
-	hollowCPU = measure{"part of a core, hollow brokers: their part of a process", "%.4f", Budget.CPU, hollowOnes, wholeCPU.of}
-	memory    = measure{"MB, requests included", "%.1f", Budget.MemoryMB, wholeOnes, func(c fleetharness.Cost) float64 { return c.MemoryMB }}
+	hollowCPU = measure{"part of a core, hollow brokers: their part of a process", "%.4f", Budgets.CPU, hollowOnes, wholeCPU.of}
+	memory    = measure{"MB, requests included", "%.1f", Budgets.MemoryMB, wholeOnes, func(c fleetharness.Cost) float64 { return c.MemoryMB }}
 
 	measures = []measure{agreed, messages, allBytes, wholeCPU, hollowCPU, memory}
 )
@@ -198,8 +198,8 @@
 	"constant": func(float64) float64 { return 0 }, "linear": func(x float64) float64 { return x }, "logarithmic": math.Log, "quadratic": func(x float64) float64 { return x * x },
 }
 
-// Best is the law that leaves least, of those with two figures each; where nothing changes it is constant.
-func Best(x, y []float64) Fit {
+// BestFit is the law that leaves least, of those with two figures each; where nothing changes it is constant.
+func BestFit(x, y []float64) Fit {
 	best := Fit{R2: math.Inf(-1), N: len(x)}
 	if slices.Max(y) == slices.Min(y) {
 		return Fit{Law: "constant", A: y[0], R2: 1, N: len(x)}
@@ -261,7 +261,7 @@
 // plannedRuns are those at the planned size, by seed.
 func plannedRuns(runs Runs, control bool) (planned []*fleetharness.Report) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		if r := runs[at(Planned, seed).control(control).Name()]; r != nil {
+		if r := runs[at(PlannedBrokers, seed).control(control).Name()]; r != nil {
 			planned = append(planned, r)
 		}
 	}
@@ -309,15 +309,15 @@
 
 // Curve is how a measure grows with the number of brokers.
 type Curve struct {
-	Control bool // by machines set aside
-	Role    string
-	X, Y    []float64 // of each run: brokers, and the one with most
-	Fit     Fit       // over them; its Law is empty below leastSizes
+	SeparateControl bool // by machines set aside
+	Role            string
+	X, Y            []float64 // of each run: brokers, and the one with most
+	Fit             Fit       // over them; its Law is empty below leastSizes
 }
 
 // curve is that of a measure in a role.
 func curve(runs Runs, control bool, role string, m measure) Curve {
-	curve := Curve{Control: control, Role: role}
+	curve := Curve{SeparateControl: control, Role: role}
 	for _, c := range Grid {
 		if r := runs[c.Name()]; r != nil && c == at(c.Brokers, c.Seed).control(control) {
 			if _, most, n := m.over(r, role); n > 0 {
@@ -326,7 +326,7 @@
 		}
 	}
 	if len(slices.Compact(slices.Sorted(slices.Values(curve.X)))) >= leastSizes {
-		curve.Fit = Best(curve.X, curve.Y)
+		curve.Fit = BestFit(curve.X, curve.Y)
 	}
 	return curve
 }
@@ -364,7 +364,7 @@
 	v := view{Missing: missing, Held: held}
 	planned := plannedRuns(runs, false)
 	if len(planned) == 0 {
-		return "", fmt.Errorf("%s: there is no run of it", at(Planned, 1).Name())
+		return "", fmt.Errorf("%s: there is no run of it", at(PlannedBrokers, 1).Name())
 	}
 	for _, control := range []bool{false, true} {
 		for _, role := range Roles {
@@ -393,7 +393,7 @@
 	}
 	if len(real) > 0 && len(hollow) > 0 {
 		a, b := stat.Mean(real, nil), stat.Mean(hollow, nil)
-		v.Error = fmt.Sprintf("Leaves of agreement at %d brokers: %.0f bytes a second for %d whole brokers, %.0f for %d hollow ones, %+.1f%%.", Planned, a, len(real), b, len(hollow), 100*(b/a-1))
+		v.Error = fmt.Sprintf("Leaves of agreement at %d brokers: %.0f bytes a second for %d whole brokers, %.0f for %d hollow ones, %+.1f%%.", PlannedBrokers, a, len(real), b, len(hollow), 100*(b/a-1))
 	}
 	if r := runs[at(240, 1).volumes(0).Name()]; r != nil {
 		a, _, n := wholeCPU.over(r, "leaf")
@@ -427,13 +427,13 @@
 		}
 	}
 	by := "brokers"
-	if c.Control {
+	if c.SeparateControl {
 		by = "set aside"
 	}
 	if c.Faults {
 		by += ", faults"
 	}
-	return fmt.Sprintf("| %s | %d | %d | %d | %g | %d | %d | %.0f | %.0f | %.4f | %.0f | %s | %.1f | %d |", by, c.Brokers, c.Nodes, c.Volumes, c.ChangeS, c.Seed, len(r.Costs),
+	return fmt.Sprintf("| %s | %d | %d | %d | %g | %d | %d | %.0f | %.0f | %.4f | %.0f | %s | %.1f | %d |", by, c.Brokers, c.Nodes, c.Volumes, c.ChangeSeconds, c.Seed, len(r.Costs),
 		sum/float64(len(r.Costs)), most, cpu/float64(max(1, whole)), float64(r.Sent)/float64(c.Brokers), force, float64(longest)/1000, r.All.Lost+len(r.Breaches))
 }
 
@@ -463,16 +463,16 @@
 
 // The marks between which the section stands on the page.
 const (
-	Begin = "<!-- made by brokerbench capacity page: begin -->\n"
-	End   = "<!-- made by brokerbench capacity page: end -->\n"
+	SectionBegin = "<!-- made by brokerbench capacity page: begin -->\n"
+	SectionEnd   = "<!-- made by brokerbench capacity page: end -->\n"
 )
 
 // Replace puts the section into a page.
 func Replace(text, section string) (string, error) {
-	before, rest, begins := strings.Cut(text, Begin)
-	_, after, ends := strings.Cut(rest, End)
+	before, rest, begins := strings.Cut(text, SectionBegin)
+	_, after, ends := strings.Cut(rest, SectionEnd)
 	if !begins || !ends {
 		return "", errors.New("the page lacks the marks of the section")
 	}
-	return before + Begin + "\n" + section + "\n" + End + after, nil
+	return before + SectionBegin + "\n" + section + "\n" + SectionEnd + after, nil
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -15,7 +15,7 @@
 	x := []float64{60, 240, 480, 930}
 	for law, f := range laws {
 		if law == "constant" {
-			if got := Best(x, []float64{5, 5, 5, 5}); got.Law != law || got.At(77) != 5 {
+			if got := BestFit(x, []float64{5, 5, 5, 5}); got.Law != law || got.At(77) != 5 {
 				t.Errorf("%+v", got)
 			}
 			continue
@@ -24,7 +24,7 @@
 		for i := range x {
 			y[i] = 7 + 3*f(x[i])
 		}
-		got := Best(x, y)
+		got := BestFit(x, y)
 		if got.Law != law || math.Abs(got.A-7) > 1e-6 || math.Abs(got.B-3) > 1e-6 || got.R2 < 0.999 || math.Abs(got.At(930)-y[3]) > 1e-3 {
 			t.Errorf("%s: %+v", law, got)
 		}
@@ -46,7 +46,7 @@
 		runs[c.Name()] = report(500, 10*float64(c.Brokers))
 	}
 	runs[Grid[4].Name()] = report(600, 9300)
-	text, err := Render(runs, []string{"the-other"}, []ConnectionCost{{Connections: 77, Open: 76, Rate: 5, Sent: 9, Served: 8, P99: 4200, MemoryMB: 31.04, CPU: 0.25}, {Connections: 78}})
+	text, err := Render(runs, []string{"the-other"}, []ConnectionCost{{Connections: 77, Open: 76, Rate: 5, Sent: 9, Served: 8, P99Micros: 4200, MemoryMB: 31.04, CPU: 0.25}, {Connections: 78}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		t.Error("a role that nobody had")
 	}
 	charts := Charts(runs)
-	if len(charts) != 4 || len(charts[0].Curves) != 2 || charts[0].Budget != Budget.Bytes {
+	if len(charts) != 4 || len(charts[0].Curves) != 2 || charts[0].Budget != Budgets.Bytes {
 		t.Fatalf("%+v", charts)
 	}
 	if c := charts[0].Curves[1]; c.Role != "feeder" || len(c.X) != 5 || c.Fit.Law != "linear" || math.Abs(c.Fit.At(930)-9300) > 1 {
@@ -135,11 +135,11 @@
 }
 
 func TestReplace(t *testing.T) {
-	got, err := Replace("a\n"+Begin+"old\n"+End+"z\n", "new")
-	if err != nil || got != "a\n"+Begin+"\nnew\n"+End+"z\n" {
+	got, err := Replace("a\n"+SectionBegin+"old\n"+SectionEnd+"z\n", "new")
+	if err != nil || got != "a\n"+SectionBegin+"\nnew\n"+SectionEnd+"z\n" {
 		t.Errorf("%q, %v", got, err)
 	}
-	if _, err := Replace("a\n"+Begin, "new"); err == nil {
+	if _, err := Replace("a\n"+SectionBegin, "new"); err == nil {
 		t.Error("a page without its marks was taken")
 	}
 }
--- a/internal/capacity/holding.go
+++ b/internal/capacity/holding.go
@@ -11,15 +11,15 @@
 	CPU         float64 `json:"cpu"` // part of a core
 	Sent        int     `json:"sent"`
 	Served      int     `json:"served"`
-	P99         int64   `json:"p99_us"`
+	P99Micros   int64   `json:"p99_us"`
 }
 
-// Milliseconds is P99 for the page.
+// Milliseconds is P99Micros for the page.
 func (h ConnectionCost) Milliseconds() string {
 	if h.Sent == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%.1f", float64(h.P99)/1000)
+	return fmt.Sprintf("%.1f", float64(h.P99Micros)/1000)
 }
 
 // LoadConnectionCosts reads the raw figures of connections that a directory has, none if it lacks them.
