--- /dev/null
+++ b/internal/capacity/measure.go
@@ -0,0 +1,157 @@
+package capacity
+
+import (
+	"slices"
+
+	"junctionwharf/internal/fleetharness"
+)
+
+// The roles of a broker in the replicated configuration, as raw runs and the page spell them.
+const (
+	roleLeaf   = "leaf"
+	roleParent = "feeder"
+	roleVoter  = "voter"
+	roleLeader = "leader"
+)
+
+// Roles are told apart by what a broker does for others. They stand in the order of the page.
+var Roles = []string{roleLeaf, roleParent, roleVoter, roleLeader}
+
+// Budgets are the operators' bounds on what a broker's control side may cost.
+var Budgets = struct {
+	BytesPerSecond float64
+	CPU            float64 // in cores
+	MemoryMB       float64
+	InForceSeconds float64 // until a change is in force at all brokers
+}{
+	BytesPerSecond: 6000,
+	CPU:            0.014,
+	MemoryMB:       256,
+	InForceSeconds: 10,
+}
+
+// brokerKind says at which brokers a measure is taken.
+type brokerKind int
+
+const (
+	anyBroker brokerKind = iota
+	fullBroker
+	hollowBroker
+)
+
+func (k brokerKind) includes(c fleetharness.Cost) bool {
+	switch k {
+	case fullBroker:
+		return !c.Hollow
+	case hollowBroker:
+		return c.Hollow
+	default:
+		return true
+	}
+}
+
+// measure is a figure of a broker.
+type measure struct {
+	title   string // on the page
+	format  string // of a figure
+	budget  float64
+	brokers brokerKind
+	value   func(fleetharness.Cost) float64
+}
+
+// datagramBytes is the size of a message between brokers with the headers of IP and UDP: where each shard has one node,
+// all messages are of volumes, 7 bytes each.
+const datagramBytes = 7 + 28
+
+// The measures of the page. One without a budget is not judged.
+var (
+	agreementBytes = measure{
+		title:   "bytes a second of agreement, sent and received",
+		format:  "%.0f",
+		budget:  Budgets.BytesPerSecond,
+		brokers: anyBroker,
+		value:   func(c fleetharness.Cost) float64 { return c.Sent + c.Received },
+	}
+	messages = measure{
+		title:   "messages a second to and from other brokers",
+		format:  "%.1f",
+		brokers: anyBroker,
+		value:   func(c fleetharness.Cost) float64 { return c.Told + c.Heard },
+	}
+	allBytes = measure{
+		title:   "bytes a second of both, 35 a message",
+		format:  "%.0f",
+		budget:  Budgets.BytesPerSecond,
+		brokers: anyBroker,
+		value: func(c fleetharness.Cost) float64 {
+			return agreementBytes.value(c) + datagramBytes*messages.value(c)
+		},
+	}
+	fullCPU = measure{
+		title:   "part of a core, whole brokers, their requests included",
+		format:  "%.4f",
+		brokers: fullBroker,
+		value:   func(c fleetharness.Cost) float64 { return c.CPU },
+	}
+	hollowCPU = measure{
+		title:   "part of a core, hollow brokers: their part of a process",
+		format:  "%.4f",
+		budget:  Budgets.CPU,
+		brokers: hollowBroker,
+		value:   func(c fleetharness.Cost) float64 { return c.CPU },
+	}
+	memory = measure{
+		title:   "MB, requests included",
+		format:  "%.1f",
+		budget:  Budgets.MemoryMB,
+		brokers: fullBroker,
+		value:   func(c fleetharness.Cost) float64 { return c.MemoryMB },
+	}
+
+	measures = []measure{agreementBytes, messages, allBytes, fullCPU, hollowCPU, memory}
+)
+
+// sample is a measure over the brokers of one role in one run. Without brokers it is empty.
+type sample struct {
+	mean, max float64
+	brokers   int
+}
+
+// of takes a measure over the brokers of a role.
+func (m measure) of(r *fleetharness.Report, role string) sample {
+	s := sample{}
+	for _, c := range r.Costs {
+		if c.Role != role || !m.brokers.includes(c) {
+			continue
+		}
+		value := m.value(c)
+		s.mean += value
+		s.max = max(s.max, value)
+		s.brokers++
+	}
+	s.mean /= float64(max(1, s.brokers))
+	return s
+}
+
+// plannedSeeds are those of the runs at the planned size.
+var plannedSeeds = []uint64{1, 2, 3}
+
+// plannedRuns are the runs at the planned size, by seed.
+func plannedRuns(runs Runs, separateControl bool) (planned []*fleetharness.Report) {
+	for _, seed := range plannedSeeds {
+		cell := standardCell(PlannedBrokers, seed).withSeparateControl(separateControl)
+		if r := runs[cell.Name()]; r != nil {
+			planned = append(planned, r)
+		}
+	}
+	return planned
+}
+
+// controlModes are the two ways to run the control side, in the order of the page: by the brokers themselves, and by
+// separate processes.
+var controlModes = []bool{false, true}
+
+// judgedApart tells whether a role's cost is borne by a control process with a machine of its own.
+func judgedApart(separateControl bool, role string) bool {
+	return separateControl && slices.Contains([]string{roleVoter, roleLeader}, role)
+}
