--- a/internal/metricsexport/collectd.go
+++ b/internal/metricsexport/collectd.go
@@ -26,7 +26,8 @@
 	typeLatency  = "junctionwharf_latency"
 )
 
-// expectedValueLists is the capacity that value lists begin with: a registry of the default size makes some 500.
+// expectedValueLists is the capacity that value lists begin with: the rows of a registry of the default size have six
+// each at the most. Lower, the slice grows while an interval is encoded; higher, memory is set aside for nothing.
 const expectedValueLists = 512
 
 // newCollectdEncoder returns an encoder of the protocol of collectd's network plugin.
--- a/internal/metricsexport/yield.go
+++ b/internal/metricsexport/yield.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// yieldTime is how long the encoder pauses after each row. Higher, an interval of 2,000 series takes longer to encode;
-// lower, the pause is no longer than the runtime's own timer resolution and has no effect.
+// yieldTime is how long the encoder pauses after each row. Higher, an interval takes longer to encode; lower,
+// requests on a single core wait longer while one is encoded.
 const yieldTime = 50 * time.Microsecond
 
 // yield pauses between rows, so that on a single core no request waits until all rows are encoded, which shows as a
--- a/telemetry/histogram.go
+++ b/telemetry/histogram.go
@@ -7,8 +7,8 @@
 	// subBucketBits gives 2^5 buckets to each power of two, so a time is known within 1/32 of itself. One bit more
 	// would double the memory of a row; one less, and a p99 that the operators see could be 6 % off.
 	subBucketBits = 5
-	// maxBits bounds the times that are told apart to 2^26 µs, 67 s: longer than any request's deadline. Higher costs
-	// memory in each row; lower, slow requests all show the same maximum.
+	// maxBits bounds the times that are told apart to 2^26 µs, 67 s. Higher costs memory in each row; lower, slow
+	// requests all show the same maximum.
 	maxBits     = 26
 	maxMicros   = 1<<maxBits - 1
 	bucketCount = (maxBits - subBucketBits + 1) << subBucketBits
--- a/telemetry/volumes.go
+++ b/telemetry/volumes.go
@@ -11,8 +11,8 @@
 	// replaceFactor is how many times as heavy a volume must be to replace one that has a row. Higher, a volume that
 	// became busy stays in "other" for longer; lower, two volumes of about one weight take turns.
 	replaceFactor = 1.5
-	// sketchFactor is how many counters the sketch has for each row that a volume may have. Higher costs 40 bytes a
-	// counter; lower, a heavy volume may be missed among many light ones.
+	// sketchFactor is how many counters the sketch has for each row that a volume may have. Higher costs some 50
+	// bytes a counter; lower, a heavy volume may be missed among many light ones.
 	sketchFactor = 4
 	// turnoverShare lets one in so many of the volumes' rows change hands at a snapshot. Higher, the rows follow a
 	// shift of the load more slowly; lower, a burst replaces most of the series in the graphs at once.
