--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -51,13 +51,13 @@
 	if nodes < 1 || nodes > 100 {
 		return fmt.Errorf("--nodes: %d is not within 1 to 100", nodes)
 	}
-	points := fakes.NewPoints(nil)
+	points := fakes.NewPointStore(nil)
 	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, points)
 	if err != nil {
 		return err
 	}
 	defer carbon.Close()
-	var hosts []fakes.Host
+	var hosts []fakes.Endpoint
 	for i := range nodes {
 		random := rand.New(rand.NewPCG(uint64(cmd.Uint("seed")), uint64(i)))
 		n, err := fakes.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 2, 30, func(units float64) time.Duration {
@@ -67,7 +67,7 @@
 			return err
 		}
 		defer n.Close()
-		hosts = append(hosts, n.Host())
+		hosts = append(hosts, n.Endpoint())
 		stall := time.AfterFunc(time.Duration(2000+random.IntN(3000))*time.Millisecond, func() { n.Stall(150 * time.Millisecond) })
 		defer stall.Stop()
 	}
@@ -182,7 +182,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if faults := carbon.Faults(); len(faults) > 0 {
+	if faults := carbon.Errors(); len(faults) > 0 {
 		return fmt.Errorf("the stand-in could not read: %s", faults[0])
 	}
 	verdict := "as many as clients got"
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -44,15 +44,15 @@
 				return err
 			}
 			<-ctx.Done()
-			fmt.Fprintln(os.Stderr, d.Asked(), "questions")
+			fmt.Fprintln(os.Stderr, d.Queries(), "questions")
 			return nil
 		},
 	}
 }
 
-var tricks = map[string]fakes.Trick{"honest": fakes.Honest, "silent": fakes.Silent, "late": fakes.Late, "servfail": fakes.ServFail, "refused": fakes.RefusedAll,
-	"nxdomain": fakes.NoName, "nodata": fakes.NoData, "truncated": fakes.Truncated, "torn": fakes.TornTCP, "wrongid": fakes.WrongID,
-	"spoofed": fakes.Spoofed, "rubbish": fakes.Rubbish, "loop": fakes.Looping, "third": fakes.ThirdOnly}
+var tricks = map[string]fakes.DNSFault{"honest": fakes.NoDNSFault, "silent": fakes.NoAnswer, "late": fakes.LateAnswer, "servfail": fakes.ServFail, "refused": fakes.Refused,
+	"nxdomain": fakes.NameError, "nodata": fakes.NoData, "truncated": fakes.Truncated, "torn": fakes.TruncatedNoTCP, "wrongid": fakes.WrongID,
+	"spoofed": fakes.Spoofed, "rubbish": fakes.Malformed, "loop": fakes.CNAMELoop, "third": fakes.EveryThird}
 
 // playScript carries out a script's lines; an error names the line.
 func playScript(ctx context.Context, d *fakes.DNS, script io.Reader) error {
@@ -76,7 +76,7 @@
 		if err != nil {
 			return fmt.Errorf("%q is no lifetime", words[2])
 		}
-		var all []fakes.Name
+		var all []fakes.SRVRecord
 		for _, word := range words[3:] {
 			parts := strings.SplitN(word, ",", 6)
 			if len(parts) < 5 {
@@ -88,7 +88,7 @@
 					return fmt.Errorf("%q: %q is no number", word, parts[1+i])
 				}
 			}
-			name := fakes.Name{Target: parts[0], Port: uint16(numbers[0]), Priority: uint16(numbers[1]), Weight: uint16(numbers[2]), Addresses: parts[4:5]}
+			name := fakes.SRVRecord{Target: parts[0], Port: uint16(numbers[0]), Priority: uint16(numbers[1]), Weight: uint16(numbers[2]), Addresses: parts[4:5]}
 			if len(parts) == 6 {
 				name.Text = strings.ReplaceAll(parts[5], "+", " ")
 			}
@@ -100,9 +100,9 @@
 		if !known {
 			return fmt.Errorf("%q is no trick", words[1])
 		}
-		d.Play(trick)
+		d.SetFault(trick)
 	case words[0] == "alias" && len(words) == 3:
-		d.Alias(words[1], words[2])
+		d.SetCNAME(words[1], words[2])
 	case words[0] == "wait" && len(words) == 2:
 		seconds, err := strconv.ParseFloat(words[1], 64)
 		if err != nil || !(seconds >= 0) {
@@ -143,11 +143,11 @@
 	defer d.Close()
 	random := rand.New(rand.NewPCG(seed, 0xd))
 	number := 0
-	fresh := func() fakes.Name {
+	fresh := func() fakes.SRVRecord {
 		number++
-		return fakes.Name{Target: fmt.Sprintf("s%d.example.org", number), Port: 6379, Addresses: []string{fmt.Sprintf("127.%d.%d.%d", 1+number>>16, number>>8&255, number&255)}}
+		return fakes.SRVRecord{Target: fmt.Sprintf("s%d.example.org", number), Port: 6379, Addresses: []string{fmt.Sprintf("127.%d.%d.%d", 1+number>>16, number>>8&255, number&255)}}
 	}
-	var zone []fakes.Name
+	var zone []fakes.SRVRecord
 	for range nodes {
 		zone = append(zone, fresh())
 	}
--- a/cmd/brokerbench/leavers.go
+++ b/cmd/brokerbench/leavers.go
@@ -144,7 +144,7 @@
 		return nil, 0, err
 	}
 	defer f.close()
-	f.discovery.Change(fakes.Host{Host: "node-0", Health: "DELETED"}, fakes.Host{Host: "leavers", Dial: ln.Addr().String(), Health: "SERVING", Share: 1})
+	f.discovery.Change(fakes.Endpoint{Name: "node-0", Health: "DELETED"}, fakes.Endpoint{Name: "leavers", Address: ln.Addr().String(), Health: "SERVING", Share: 1})
 	r, err := f.start(ctx, "", "", 10)
 	if err != nil {
 		return nil, 0, err
--- a/cmd/brokerbench/listen.go
+++ b/cmd/brokerbench/listen.go
@@ -45,10 +45,10 @@
 	}
 	var mu sync.Mutex
 	lines := bufio.NewWriter(out)
-	points := fakes.NewPoints(func(p fakes.Point) {
+	points := fakes.NewPointStore(func(p fakes.Point) {
 		mu.Lock()
 		defer mu.Unlock()
-		_, _ = fmt.Fprintf(lines, "%d %s %v\n", p.Stamp, p.Series, p.Value)
+		_, _ = fmt.Fprintf(lines, "%d %s %v\n", p.Timestamp, p.Series, p.Value)
 	})
 	any := false
 	start := func(flag string, open func(address string) (io.Closer, string, error)) error {
@@ -113,26 +113,26 @@
 	for {
 		select {
 		case <-ctx.Done():
-			fmt.Fprintf(os.Stderr, "%d points, %d series, %d faults\n", points.Taken(), len(points.Latest()), len(points.Faults()))
+			fmt.Fprintf(os.Stderr, "%d points, %d series, %d faults\n", points.Received(), len(points.Latest()), len(points.Errors()))
 			return flush()
 		case <-tick.C:
 			if err := flush(); err != nil {
 				return err
 			}
-			all := points.Faults()
+			all := points.Errors()
 			for _, fault := range all[faults:] {
 				fmt.Fprintln(os.Stderr, "fault:", fault)
 			}
 			faults = len(all)
 			if receiver != nil {
-				notices := receiver.Notices()
+				notices := receiver.Notifications()
 				for _, n := range notices[told:] {
 					fmt.Fprintf(os.Stderr, "notification from %s: severity %d: %s\n", n.Host, n.Severity, n.Text)
 				}
 				told = len(notices)
 			}
 			if logging.IsTerminal(os.Stderr) {
-				fmt.Fprintf(os.Stderr, "\r%d points, %d series, %d faults ", points.Taken(), len(points.Latest()), faults)
+				fmt.Fprintf(os.Stderr, "\r%d points, %d series, %d faults ", points.Received(), len(points.Latest()), faults)
 			}
 		}
 	}
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -75,7 +75,7 @@
 	if f.dir, err = os.MkdirTemp("", "brokerbench"); err != nil {
 		return nil, err
 	}
-	var hosts []fakes.Host
+	var hosts []fakes.Endpoint
 	for i := range nodes {
 		n, err := fakes.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 8, 64, func(units float64) time.Duration {
 			return time.Duration(units * float64(unit))
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 		f.nodes = append(f.nodes, n)
-		hosts = append(hosts, n.Host())
+		hosts = append(hosts, n.Endpoint())
 	}
 	if f.discovery, err = fakes.NewDiscovery("127.0.0.1:0", hosts...); err != nil {
 		return nil, err
@@ -98,10 +98,10 @@
 
 // receivers starts stand-ins for Graphite and collectd anew.
 func (f *fleet) receivers() (err error) {
-	if f.carbon, err = fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil)); err != nil {
+	if f.carbon, err = fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPointStore(nil)); err != nil {
 		return err
 	}
-	f.collectd, err = fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
+	f.collectd, err = fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPointStore(nil))
 	return err
 }
 
@@ -241,12 +241,12 @@
 
 func (f *fleet) play(ctx context.Context, cmd *cli.Command, round int, variant string) (run, error) {
 	graphite, collectd := "", ""
-	f.carbon.Behave(fakes.Takes)
+	f.carbon.SetMode(fakes.Reading)
 	switch variant {
 	case "healthy":
 		graphite, collectd = f.carbon.Address(), f.collectd.Address()
 	case "stalled":
-		f.carbon.Behave(fakes.Stands)
+		f.carbon.SetMode(fakes.NotReading)
 		graphite, collectd = f.carbon.Address(), f.collectd.Address()
 	case "dead":
 		graphite, collectd = f.dead, f.dead
@@ -386,14 +386,14 @@
 	steps := make(chan error, 1)
 	go func() {
 		time.Sleep(part)
-		f.carbon.Behave(fakes.Stands)
+		f.carbon.SetMode(fakes.NotReading)
 		time.Sleep(part)
 		f.carbon.Close()
 		f.collectd.Close()
 		time.Sleep(part)
 		var err error
-		if f.carbon, err = fakes.NewCarbon(carbonAt, false, fakes.NewPoints(nil)); err == nil {
-			f.collectd, err = fakes.NewCollectd(collectdAt, nil, fakes.NewPoints(nil))
+		if f.carbon, err = fakes.NewCarbon(carbonAt, false, fakes.NewPointStore(nil)); err == nil {
+			f.collectd, err = fakes.NewCollectd(collectdAt, nil, fakes.NewPointStore(nil))
 		}
 		steps <- err
 	}()
@@ -412,21 +412,21 @@
 	c := result.All.Counts
 	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, failed %d, lost %d\n", c[load.Served], c[load.Busy], c[load.Failed], c[load.Lost])
 	all := func(of string) float64 { return carbon["wharf.n1.all."+of].Value }
-	stamp := carbon["wharf.n1.all.served"].Stamp
+	stamp := carbon["wharf.n1.all.served"].Timestamp
 	own := func(of string) (sum float64) {
 		for _, k := range t.Kinds {
 			sum += carbon["wharf.n1."+of+"."+k.Class].Value
 		}
 		return sum
 	}
-	faults := append(f.carbon.Faults(), f.collectd.Faults()...)
+	faults := append(f.carbon.Errors(), f.collectd.Errors()...)
 	_, _ = fmt.Fprintf(w, "the broker counted %.0f, %.0f, %.0f; Graphite got %.0f, %.0f, %.0f; collectd %.0f, %.0f, %.0f; %d faults\n", own("success"), own("busy"), own("failure"),
 		all("served"), all("busy"), all("failed"),
 		collectd["n1/junctionwharf-all/junctionwharf_requests/0"].Value, collectd["n1/junctionwharf-all/junctionwharf_requests/1"].Value, collectd["n1/junctionwharf-all/junctionwharf_requests/2"].Value, len(faults))
 	for _, d := range []string{"class", "plan", "node", "volume"} {
 		sum, rows := 0.0, 0
 		for series, p := range carbon {
-			if strings.HasPrefix(series, "wharf.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Stamp == stamp {
+			if strings.HasPrefix(series, "wharf.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Timestamp == stamp {
 				sum += p.Value
 				rows++
 			}
--- a/internal/collectd/collectd_test.go
+++ b/internal/collectd/collectd_test.go
@@ -57,8 +57,8 @@
 				t.Fatal(err)
 			}
 			for _, p := range points {
-				if p.Stamp != at.Unix() {
-					t.Fatalf("time %d", p.Stamp)
+				if p.Timestamp != at.Unix() {
+					t.Fatalf("time %d", p.Timestamp)
 				}
 				got[p.Series] = p.Value
 			}
@@ -103,7 +103,7 @@
 	}
 	p, _ := ways[2].Notify(collectd.Notice{Severity: collectd.Failure, Instance: "sinks", Text: "graphite lost"}, at)
 	_, notices, err := fakes.ParsePacket(p, secrets, true)
-	if err != nil || len(notices) != 1 || notices[0] != (fakes.Notification{Severity: 1, Host: "n1", Plugin: "junctionwharf", Instance: "sinks", Text: "graphite lost", Stamp: at.Unix()}) {
+	if err != nil || len(notices) != 1 || notices[0] != (fakes.Notification{Severity: 1, Host: "n1", Plugin: "junctionwharf", Instance: "sinks", Text: "graphite lost", Timestamp: at.Unix()}) {
 		t.Errorf("%+v, %v", notices, err)
 	}
 }
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -27,9 +27,9 @@
 }
 
 // dnsName is a node's target in DNS.
-func dnsName(t *testing.T, node *fakes.Node, priority uint16) fakes.Name {
+func dnsName(t *testing.T, node *fakes.Node, priority uint16) fakes.SRVRecord {
 	t.Helper()
-	_, port, err := net.SplitHostPort(node.Host().Dial)
+	_, port, err := net.SplitHostPort(node.Endpoint().Address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fakes.Name{
+	return fakes.SRVRecord{
 		Target:    fmt.Sprintf("node%d.example.org", priority),
 		Port:      uint16(number),
 		Priority:  priority,
@@ -50,7 +50,7 @@
 	*testing.T
 	server *fakes.DNS
 	nodes  [2]*fakes.Node
-	names  [2]fakes.Name
+	names  [2]fakes.SRVRecord
 	admin  string // the console
 	broker *testBroker
 	client *testClient
@@ -139,12 +139,12 @@
 	d.checkServedBy("the lower priority goes first", 20, 0)
 	d.server.Set(dnsService, 1, d.names[1])
 	d.awaitConsole("nodes", nil, []string{node0})
-	d.server.Play(fakes.Silent)
+	d.server.SetFault(fakes.NoAnswer)
 	d.awaitConsole("vars", []string{"source.dns.failures:"}, []string{"source.dns.failures:0|c"})
 	d.serve(20)
 	d.checkServedBy("after the first left", 20, 20)
 
-	d.server.Play(fakes.Honest)
+	d.server.SetFault(fakes.NoDNSFault)
 	d.nodes[1].Stall(1500 * time.Millisecond)
 	d.client.write(t, testRequest{id: "w", class: "write", body: "BODY"}.encode())
 	d.awaitConsole("vars", []string{"inflight:1|g", "backend_calls:41|c"}, nil)
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -50,7 +50,7 @@
 // startCarbon starts a fake Carbon receiver.
 func startCarbon(t *testing.T) *fakes.Carbon {
 	t.Helper()
-	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil))
+	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/testkit_test.go
+++ b/internal/daemon/testkit_test.go
@@ -147,7 +147,7 @@
 }
 
 // startDiscovery starts a fake discovery service.
-func startDiscovery(t *testing.T, hosts ...fakes.Host) *fakes.Discovery {
+func startDiscovery(t *testing.T, hosts ...fakes.Endpoint) *fakes.Discovery {
 	t.Helper()
 	service, err := fakes.NewDiscovery("127.0.0.1:0", hosts...)
 	if err != nil {
@@ -158,8 +158,8 @@
 }
 
 // readyHost is a host of discovery's list.
-func readyHost(name string, node net.Listener) fakes.Host {
-	return fakes.Host{Host: name, Dial: node.Addr().String(), Health: "SERVING", Share: 1}
+func readyHost(name string, node net.Listener) fakes.Endpoint {
+	return fakes.Endpoint{Name: name, Address: node.Addr().String(), Health: "SERVING", Share: 1}
 }
 
 // startNode runs a fake node: it answers each request with the value that it has for its id, and says nothing where
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -41,10 +41,10 @@
 }
 
 // testNames are so many targets with an IPv4 and an IPv6 address each.
-func testNames(count int) []fakes.Name {
-	var names []fakes.Name
+func testNames(count int) []fakes.SRVRecord {
+	var names []fakes.SRVRecord
 	for i := range count {
-		names = append(names, fakes.Name{
+		names = append(names, fakes.SRVRecord{
 			Target:    fmt.Sprintf("s%d-a.storage.example.org", i),
 			Port:      6379,
 			Priority:  uint16(i % 2),
@@ -75,25 +75,25 @@
 // resolver answers, or fails with an error that says how, and asks the next server.
 func TestMisbehavingServers(t *testing.T) {
 	const noRecords = "no such record"
-	for trick, want := range map[fakes.Trick]string{
-		fakes.Honest:     "",
-		fakes.Truncated:  "",
-		fakes.Spoofed:    "",
-		fakes.ThirdOnly:  "",
-		fakes.Late:       "timeout",
-		fakes.Silent:     "timeout",
-		fakes.ServFail:   "SERVFAIL",
-		fakes.RefusedAll: "REFUSED",
-		fakes.NoName:     noRecords,
-		fakes.NoData:     noRecords,
-		fakes.TornTCP:    "EOF",
-		fakes.WrongID:    "another id",
-		fakes.Rubbish:    "dns",
-		fakes.Looping:    "circle",
+	for trick, want := range map[fakes.DNSFault]string{
+		fakes.NoDNSFault:     "",
+		fakes.Truncated:      "",
+		fakes.Spoofed:        "",
+		fakes.EveryThird:     "",
+		fakes.LateAnswer:     "timeout",
+		fakes.NoAnswer:       "timeout",
+		fakes.ServFail:       "SERVFAIL",
+		fakes.Refused:        "REFUSED",
+		fakes.NameError:      noRecords,
+		fakes.NoData:         noRecords,
+		fakes.TruncatedNoTCP: "EOF",
+		fakes.WrongID:        "another id",
+		fakes.Malformed:      "dns",
+		fakes.CNAMELoop:      "circle",
 	} {
 		bad := startServer(t)
 		bad.Set(service, 5, testNames(3)...)
-		bad.Play(trick)
+		bad.SetFault(trick)
 		resolver := newTestResolver(t, bad)
 		resolver.options.Attempts = 3
 		got, err := resolver.Lookup(context.Background(), service, false)
@@ -127,7 +127,7 @@
 // they serve on past their lifetime, but not for hours.
 func TestCache(t *testing.T) {
 	server := startServer(t)
-	server.Separate()
+	server.OmitAdditional()
 	server.Set(service, 30, testNames(10)...)
 	resolver := newTestResolver(t, server)
 	got, err := resolver.Lookup(context.Background(), service, true)
@@ -135,7 +135,7 @@
 	if got.Records[7].TXT[0] != "shard=7 share=1.5" {
 		t.Errorf("%q", got.Records[7].TXT)
 	}
-	before := server.Asked()
+	before := server.Queries()
 	var lookups sync.WaitGroup
 	for range 10 {
 		lookups.Go(func() {
@@ -145,10 +145,10 @@
 		})
 	}
 	lookups.Wait()
-	if asked := server.Asked() - before; asked != 10 {
+	if asked := server.Queries() - before; asked != 10 {
 		t.Errorf("%d questions for 10 lists", asked)
 	}
-	server.Play(fakes.Silent)
+	server.SetFault(fakes.NoAnswer)
 	address := question{name: "s1-a.storage.example.org.", kind: dns.TypeA}
 	resolver.now = func() time.Time { return time.Now().Add(10 * time.Minute) }
 	if records, _, err := resolver.cached(context.Background(), address); err != nil || len(records) != 1 {
@@ -178,12 +178,12 @@
 	server := startServer(t)
 	resolver := newTestResolver(t, server)
 	server.Set(service, 7, testNames(2)...)
-	server.Alias("a.example.org", "b.example.org")
-	server.Alias("b.example.org", service)
+	server.SetCNAME("a.example.org", "b.example.org")
+	server.SetCNAME("b.example.org", service)
 	got, err := resolver.Lookup(context.Background(), "a.example.org", false)
 	checkAnswerOf(t, 2, got, err)
 	for i := range 12 {
-		server.Alias(fmt.Sprintf("c%d.example.org", i), fmt.Sprintf("c%d.example.org", i+1))
+		server.SetCNAME(fmt.Sprintf("c%d.example.org", i), fmt.Sprintf("c%d.example.org", i+1))
 	}
 	if _, err := resolver.Lookup(context.Background(), "c0.example.org", false); !errors.Is(err, errLongChain) {
 		t.Errorf("a chain of 12: %v", err)
@@ -206,8 +206,8 @@
 			failed++
 		}
 	}
-	if failed != 2 || server.Asked() != 3 || resolver.Queries() != 3 {
-		t.Errorf("%d failed, %d asked, %d counted", failed, server.Asked(), resolver.Queries())
+	if failed != 2 || server.Queries() != 3 || resolver.Queries() != 3 {
+		t.Errorf("%d failed, %d asked, %d counted", failed, server.Queries(), resolver.Queries())
 	}
 }
 
--- a/internal/dnssrv/watcher_test.go
+++ b/internal/dnssrv/watcher_test.go
@@ -52,7 +52,7 @@
 	server.Set(service, 1, testNames(2)...)
 	reader.await(t, "shorter list", func(u Update) bool { return len(u.Endpoints) == 2 && u.Err == nil })
 
-	server.Separate()
+	server.OmitAdditional()
 	names := testNames(2)
 	names[1].Addresses = nil
 	server.Set(service, 1, names...)
@@ -62,8 +62,8 @@
 	reader.await(t, "list with a target that keeps its address", func(u Update) bool {
 		return len(u.Endpoints) == 2 && len(u.Skipped) == 1
 	})
-	server.Play(fakes.Silent)
+	server.SetFault(fakes.NoAnswer)
 	reader.await(t, "failure", func(u Update) bool { return u.Err != nil })
-	server.Play(fakes.NoData)
+	server.SetFault(fakes.NoData)
 	reader.await(t, "empty list", func(u Update) bool { return u.Err == nil && len(u.Endpoints) == 0 })
 }
--- a/internal/fakes/carbon.go
+++ b/internal/fakes/carbon.go
@@ -18,20 +18,20 @@
 	pickle "github.com/kisielk/og-rek"
 )
 
-// Manner is how a receiver treats its connections.
-type Manner int32
+// ReceiverMode is how a receiver treats its connections.
+type ReceiverMode int32
 
 // The manners.
 const (
-	Takes  Manner = iota
-	Stands        // accepts and never reads
-	Resets        // reads a little, then resets the connection
-	Drips         // takes a byte a second
+	Reading    ReceiverMode = iota
+	NotReading              // accepts and never reads
+	Resetting               // reads a little, then resets the connection
+	Trickling               // takes a byte a second
 )
 
 // Carbon is a stand-in for a Carbon receiver: plaintext lines over TCP and UDP at one port, or pickles over TCP.
 type Carbon struct {
-	*Points
+	*PointStore
 
 	pickles bool
 	ln      net.Listener
@@ -53,8 +53,8 @@
 )
 
 // NewCarbon listens at a TCP address, and at the same port for datagrams unless it takes pickles.
-func NewCarbon(address string, pickles bool, points *Points) (*Carbon, error) {
-	c := &Carbon{Points: points, pickles: pickles, conns: map[net.Conn]bool{}, woken: make(chan struct{})}
+func NewCarbon(address string, pickles bool, points *PointStore) (*Carbon, error) {
+	c := &Carbon{PointStore: points, pickles: pickles, conns: map[net.Conn]bool{}, woken: make(chan struct{})}
 	var err error
 	if c.ln, err = net.Listen("tcp", address); err != nil {
 		return nil, err
@@ -73,8 +73,8 @@
 // Address is where it listens.
 func (c *Carbon) Address() string { return c.ln.Addr().String() }
 
-// Behave changes the manner, also of open connections that wait for their next bytes.
-func (c *Carbon) Behave(m Manner) {
+// SetMode changes the manner, also of open connections that wait for their next bytes.
+func (c *Carbon) SetMode(m ReceiverMode) {
 	c.manner.Store(int32(m))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +123,7 @@
 			reset(conn)
 			return
 		}
-		if tcp, ok := conn.(*net.TCPConn); ok && Manner(c.manner.Load()) != Takes {
+		if tcp, ok := conn.(*net.TCPConn); ok && ReceiverMode(c.manner.Load()) != Reading {
 			_ = tcp.SetReadBuffer(smallBuffer) // what the system takes in its place is no reading
 		}
 		go func() {
@@ -156,7 +156,7 @@
 }
 
 func (m mannered) Read(b []byte) (int, error) {
-	for Manner(m.c.manner.Load()) == Stands {
+	for ReceiverMode(m.c.manner.Load()) == NotReading {
 		m.c.mu.Lock()
 		woken, ended := m.c.woken, m.c.ended
 		m.c.mu.Unlock()
@@ -165,11 +165,11 @@
 		}
 		<-woken
 	}
-	if Manner(m.c.manner.Load()) == Drips {
+	if ReceiverMode(m.c.manner.Load()) == Trickling {
 		time.Sleep(time.Second)
 		return m.Conn.Read(b[:1])
 	}
-	if Manner(m.c.manner.Load()) == Resets {
+	if ReceiverMode(m.c.manner.Load()) == Resetting {
 		_, _ = io.ReadFull(m.Conn, make([]byte, resetsAt))
 		reset(m.Conn)
 		return 0, errReset
@@ -246,7 +246,7 @@
 		if err != nil {
 			return
 		}
-		if Manner(c.manner.Load()) != Takes {
+		if ReceiverMode(c.manner.Load()) != Reading {
 			continue
 		}
 		for line := range bytes.Lines(b[:n]) {
--- a/internal/fakes/collectd.go
+++ b/internal/fakes/collectd.go
@@ -20,13 +20,13 @@
 type Notification struct {
 	Severity                     uint64
 	Host, Plugin, Instance, Text string
-	Stamp                        int64
+	Timestamp                    int64
 }
 
 // Collectd is a stand-in for the receiving side of collectd's network plugin. A series is named
 // host/plugin[-instance]/type[-instance]/N, N being the place of the value in its list.
 type Collectd struct {
-	*Points
+	*PointStore
 
 	conn    net.PacketConn
 	secrets map[string]string // by user
@@ -37,7 +37,7 @@
 }
 
 // NewCollectd listens at a UDP address. With secrets, by user, packets must be signed or encrypted by one of them.
-func NewCollectd(address string, secrets map[string]string, points *Points) (*Collectd, error) {
+func NewCollectd(address string, secrets map[string]string, points *PointStore) (*Collectd, error) {
 	conn, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 	if udp, ok := conn.(*net.UDPConn); ok {
 		_ = udp.SetReadBuffer(4 << 20)
 	}
-	c := &Collectd{Points: points, conn: conn, secrets: secrets, guarded: len(secrets) > 0}
+	c := &Collectd{PointStore: points, conn: conn, secrets: secrets, guarded: len(secrets) > 0}
 	go c.run()
 	return c, nil
 }
@@ -56,8 +56,8 @@
 // Close ends it.
 func (c *Collectd) Close() { _ = c.conn.Close() }
 
-// Notices are the notifications so far.
-func (c *Collectd) Notices() []Notification {
+// Notifications are the notifications so far.
+func (c *Collectd) Notifications() []Notification {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Notification(nil), c.notices...)
@@ -236,7 +236,7 @@
 		_, err := number()
 		return err
 	case 0x0100:
-		n := Notification{Severity: r.severity, Host: r.host, Plugin: r.plugin, Instance: r.pluginInstance, Stamp: r.stamp}
+		n := Notification{Severity: r.severity, Host: r.host, Plugin: r.plugin, Instance: r.pluginInstance, Timestamp: r.stamp}
 		err := word(&n.Text)
 		if err == nil {
 			r.notices = append(r.notices, n)
--- a/internal/fakes/dns.go
+++ b/internal/fakes/dns.go
@@ -11,32 +11,32 @@
 	"github.com/miekg/dns"
 )
 
-// Trick is what a scripted name server does to an answer.
-type Trick int
+// DNSFault is what a scripted name server does to an answer.
+type DNSFault int
 
 // The tricks.
 const (
-	Honest     Trick = iota
-	Silent           // no answer
-	Late             // after LateBy
-	ServFail         //
-	RefusedAll       // REFUSED
-	NoName           // NXDOMAIN
-	NoData           // no error and no records
-	Truncated        // by datagram; whole over TCP
-	TornTCP          // truncated by datagram, and a TCP connection that ends
-	WrongID          // another id
-	Spoofed          // a false answer to another question first, then the true one
-	Rubbish          // bytes that are no message
-	Looping          // CNAMEs in a circle
-	ThirdOnly        // every third question is answered
+	NoDNSFault     DNSFault = iota
+	NoAnswer                // no answer
+	LateAnswer              // after LateAnswerDelay
+	ServFail                //
+	Refused                 // REFUSED
+	NameError               // NXDOMAIN
+	NoData                  // no error and no records
+	Truncated               // by datagram; whole over TCP
+	TruncatedNoTCP          // truncated by datagram, and a TCP connection that ends
+	WrongID                 // another id
+	Spoofed                 // a false answer to another question first, then the true one
+	Malformed               // bytes that are no message
+	CNAMELoop               // CNAMEs in a circle
+	EveryThird              // every third question is answered
 )
 
-// LateBy is how long a late answer takes.
-const LateBy = 300 * time.Millisecond
+// LateAnswerDelay is how long a late answer takes.
+const LateAnswerDelay = 300 * time.Millisecond
 
-// Name is an entry of a DNS stand-in's zone.
-type Name struct {
+// SRVRecord is an entry of a DNS stand-in's zone.
+type SRVRecord struct {
 	Target           string
 	Port             uint16
 	Priority, Weight uint16
@@ -51,10 +51,10 @@
 	asked   atomic.Int64
 
 	mu    sync.Mutex
-	trick Trick
+	trick DNSFault
 	ttl   uint32
 	extra bool // addresses come in the additional part
-	zone  map[string][]Name
+	zone  map[string][]SRVRecord
 	alias map[string]string
 	count int
 }
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &DNS{address: ln.Addr().String(), ttl: 1, extra: true, zone: map[string][]Name{}, alias: map[string]string{}}
+	d := &DNS{address: ln.Addr().String(), ttl: 1, extra: true, zone: map[string][]SRVRecord{}, alias: map[string]string{}}
 	d.servers = []*dns.Server{{Listener: ln, Handler: d}, {PacketConn: packets, Handler: d}}
 	for _, s := range d.servers {
 		started := make(chan struct{})
@@ -90,8 +90,8 @@
 // Address is where it listens.
 func (d *DNS) Address() string { return d.address }
 
-// Asked counts questions.
-func (d *DNS) Asked() int { return int(d.asked.Load()) }
+// Queries counts questions.
+func (d *DNS) Queries() int { return int(d.asked.Load()) }
 
 // Close ends it.
 func (d *DNS) Close() {
@@ -100,29 +100,29 @@
 	}
 }
 
-// Play has all answers go through a trick.
-func (d *DNS) Play(t Trick) {
+// SetFault has all answers go through a trick.
+func (d *DNS) SetFault(t DNSFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.trick = t
 }
 
 // Set lists the SRV records of a service, with a lifetime in seconds.
-func (d *DNS) Set(service string, ttl uint32, names ...Name) {
+func (d *DNS) Set(service string, ttl uint32, names ...SRVRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zone[dns.CanonicalName(service)], d.ttl = names, ttl
 }
 
-// Alias makes a name a CNAME of another.
-func (d *DNS) Alias(name, of string) {
+// SetCNAME makes a name a CNAME of another.
+func (d *DNS) SetCNAME(name, of string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.alias[dns.CanonicalName(name)] = dns.CanonicalName(of)
 }
 
-// Separate has addresses not come in the additional part: they must be asked for.
-func (d *DNS) Separate() {
+// OmitAdditional has addresses not come in the additional part: they must be asked for.
+func (d *DNS) OmitAdditional() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.extra = false
@@ -138,24 +138,24 @@
 	overTCP := strings.HasPrefix(w.RemoteAddr().Network(), "tcp")
 	msg := d.answer(ask)
 	switch trick {
-	case Silent:
+	case NoAnswer:
 		return
-	case ThirdOnly:
+	case EveryThird:
 		if d.count%3 != 0 {
 			return
 		}
-	case Late:
+	case LateAnswer:
 		go func() {
-			time.Sleep(LateBy)
+			time.Sleep(LateAnswerDelay)
 			_ = w.WriteMsg(msg)
 		}()
 		return
-	case ServFail, RefusedAll, NoName, NoData:
+	case ServFail, Refused, NameError, NoData:
 		msg = new(dns.Msg)
-		msg.SetRcode(ask, map[Trick]int{ServFail: dns.RcodeServerFailure, RefusedAll: dns.RcodeRefused, NoName: dns.RcodeNameError, NoData: dns.RcodeSuccess}[trick])
+		msg.SetRcode(ask, map[DNSFault]int{ServFail: dns.RcodeServerFailure, Refused: dns.RcodeRefused, NameError: dns.RcodeNameError, NoData: dns.RcodeSuccess}[trick])
 		msg.Ns = []dns.RR{record("example.org. 1 IN SOA ns.example.org. h.example.org. 1 60 60 60 1")}
-	case Truncated, TornTCP:
-		if overTCP && trick == TornTCP {
+	case Truncated, TruncatedNoTCP:
+		if overTCP && trick == TruncatedNoTCP {
 			_ = w.Close()
 			return
 		}
@@ -169,16 +169,16 @@
 		spoofed.Question[0].Name = "evil.example.org."
 		spoofed.Answer = nil
 		_ = w.WriteMsg(spoofed)
-	case Rubbish:
+	case Malformed:
 		_, _ = w.Write([]byte{1, 2, 3})
 		return
-	case Looping:
+	case CNAMELoop:
 		name := ask.Question[0].Name
 		msg = new(dns.Msg)
 		msg.SetReply(ask)
 		msg.Answer = []dns.RR{record(name + " 1 IN CNAME loop.example.org."), record("loop.example.org. 1 IN CNAME " + name)}
 	}
-	if !overTCP && trick != Truncated && trick != TornTCP {
+	if !overTCP && trick != Truncated && trick != TruncatedNoTCP {
 		size := 512
 		if opt := ask.IsEdns0(); opt != nil {
 			size = int(opt.UDPSize())
@@ -210,7 +210,7 @@
 		msg.Answer = append(msg.Answer, record(fmt.Sprintf("%s %d IN CNAME %s", name, d.ttl, of)))
 		name = of
 	}
-	target := func(n Name, kinds ...uint16) (all []dns.RR) {
+	target := func(n SRVRecord, kinds ...uint16) (all []dns.RR) {
 		owner := dns.Fqdn(n.Target)
 		for _, kind := range kinds {
 			for _, a := range n.Addresses {
--- a/internal/fakes/fleet.go
+++ b/internal/fakes/fleet.go
@@ -16,16 +16,16 @@
 	"github.com/tidwall/redcon"
 )
 
-// Host is an entry of discovery's list, in its wire form.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+// Endpoint is an entry of discovery's list, in its wire form.
+type Endpoint struct {
+	Name      string  `json:"host"`
+	Address   string  `json:"dial"`
+	Zone      string  `json:"site"`
+	Class     string  `json:"class"`
+	Shard     int     `json:"block"`
+	Health    string  `json:"health"`
+	Share     float64 `json:"share"`
+	StartedMS int64   `json:"born_ms"`
 }
 
 // Discovery is a stand-in for the service that lists storage nodes, by HTTP long poll.
@@ -35,21 +35,21 @@
 
 	mu      sync.Mutex
 	seq     uint64
-	hosts   []Host
+	hosts   []Endpoint
 	changes []change
 	news    chan struct{} // closed at each change
 }
 
 type change struct {
 	seq  uint64
-	host Host
+	host Endpoint
 }
 
 // keptChanges bounds the changes that a watch may ask for; one that is further behind gets the whole list.
 const keptChanges = 1000
 
 // NewDiscovery listens at an address.
-func NewDiscovery(address string, hosts ...Host) (*Discovery, error) {
+func NewDiscovery(address string, hosts ...Endpoint) (*Discovery, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -69,12 +69,12 @@
 func (d *Discovery) Close() { _ = d.server.Close() }
 
 // Change lists entries anew: a host that is DELETED leaves the list.
-func (d *Discovery) Change(hosts ...Host) {
+func (d *Discovery) Change(hosts ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, h := range hosts {
 		d.seq++
-		d.hosts = slices.DeleteFunc(d.hosts, func(old Host) bool { return old.Host == h.Host })
+		d.hosts = slices.DeleteFunc(d.hosts, func(old Endpoint) bool { return old.Name == h.Name })
 		if h.Health != "DELETED" {
 			d.hosts = append(d.hosts, h)
 		}
@@ -116,12 +116,12 @@
 // text is the whole list, or what has changed since a version.
 func (d *Discovery) text(since uint64, watch bool) []byte {
 	list := struct {
-		Seq   uint64 `json:"seq"`
-		Whole bool   `json:"whole"`
-		Hosts []Host `json:"hosts"`
-	}{d.seq, true, append([]Host{}, d.hosts...)}
+		Seq   uint64     `json:"seq"`
+		Whole bool       `json:"whole"`
+		Hosts []Endpoint `json:"hosts"`
+	}{d.seq, true, append([]Endpoint{}, d.hosts...)}
 	if watch && (since == d.seq || len(d.changes) > 0 && d.changes[0].seq <= since+1) {
-		list.Whole, list.Hosts = false, []Host{}
+		list.Whole, list.Hosts = false, []Endpoint{}
 		for _, c := range d.changes {
 			if c.seq > since {
 				list.Hosts = append(list.Hosts, c.host)
@@ -162,9 +162,9 @@
 	return n, nil
 }
 
-// Host is the node's entry in discovery's list.
-func (n *Node) Host() Host {
-	return Host{Host: n.Name, Dial: n.ln.Addr().String(), Site: "a", Class: "m1", Block: n.Shard, Health: "SERVING", Share: 1}
+// Endpoint is the node's entry in discovery's list.
+func (n *Node) Endpoint() Endpoint {
+	return Endpoint{Name: n.Name, Address: n.ln.Addr().String(), Zone: "a", Class: "m1", Shard: n.Shard, Health: "SERVING", Share: 1}
 }
 
 // Served tells how many commands it has served.
@@ -235,15 +235,15 @@
 	if wait := time.Until(time.Unix(0, n.stall.Load())); wait > 0 {
 		time.Sleep(wait)
 	}
-	time.Sleep(n.work(Field(string(cmd.Args[3]), "units")))
+	time.Sleep(n.work(NumberField(string(cmd.Args[3]), "units")))
 	n.served.Add(1)
 	id := cmd.Args[2]
 	load := fmt.Sprintf("inflight=%d", n.holding.Load())
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$%d\r\n%s\r\n", len(id), id, len(load), load)
 }
 
-// Field reads a number from a command's list of names and values; 1 if it has none.
-func Field(list, name string) float64 {
+// NumberField reads a number from a command's list of names and values; 1 if it has none.
+func NumberField(list, name string) float64 {
 	for pair := range strings.SplitSeq(list, ",") {
 		if key, value, found := strings.Cut(pair, "="); found && key == name {
 			if n, err := strconv.ParseFloat(value, 64); err == nil {
--- a/internal/fakes/points.go
+++ b/internal/fakes/points.go
@@ -12,16 +12,16 @@
 
 // Point is one value that a receiver took.
 type Point struct {
-	Series string
-	Stamp  int64 // Unix time, s
-	Value  float64
+	Series    string
+	Timestamp int64 // Unix time, s
+	Value     float64
 }
 
 // maxSeries bounds what a receiver keeps.
 const maxSeries = 100_000
 
-// Points keeps the points that a receiver took: of each series the latest by its stamp, and how many came.
-type Points struct {
+// PointStore keeps the points that a receiver took: of each series the latest by its stamp, and how many came.
+type PointStore struct {
 	mu      sync.Mutex
 	changed *sync.Cond
 	latest  map[string]Point
@@ -30,19 +30,19 @@
 	sink    func(Point) // gets each point; nil for none
 }
 
-// NewPoints returns an empty store. sink, if not nil, gets each point as it comes.
-func NewPoints(sink func(Point)) *Points {
-	p := &Points{latest: map[string]Point{}, sink: sink}
+// NewPointStore returns an empty store. sink, if not nil, gets each point as it comes.
+func NewPointStore(sink func(Point)) *PointStore {
+	p := &PointStore{latest: map[string]Point{}, sink: sink}
 	p.changed = sync.NewCond(&p.mu)
 	return p
 }
 
-func (p *Points) add(points ...Point) {
+func (p *PointStore) add(points ...Point) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, point := range points {
 		p.taken++
-		if old, seen := p.latest[point.Series]; seen && old.Stamp > point.Stamp || !seen && len(p.latest) >= maxSeries {
+		if old, seen := p.latest[point.Series]; seen && old.Timestamp > point.Timestamp || !seen && len(p.latest) >= maxSeries {
 			continue
 		}
 		p.latest[point.Series] = point
@@ -54,7 +54,7 @@
 }
 
 // fault notes what could not be read.
-func (p *Points) fault(format string, args ...any) {
+func (p *PointStore) fault(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.faults) < 1000 {
@@ -63,29 +63,29 @@
 	p.changed.Broadcast()
 }
 
-// Faults tells what could not be read so far.
-func (p *Points) Faults() []string {
+// Errors tells what could not be read so far.
+func (p *PointStore) Errors() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.faults)
 }
 
-// Taken tells how many points came.
-func (p *Points) Taken() int {
+// Received tells how many points came.
+func (p *PointStore) Received() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.taken
 }
 
 // Latest returns the latest point of each series.
-func (p *Points) Latest() map[string]Point {
+func (p *PointStore) Latest() map[string]Point {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.latest)
 }
 
 // Await waits until fits is true of the latest points and the faults, or until stop is closed, and returns what it was.
-func (p *Points) Await(stop <-chan struct{}, fits func(latest map[string]Point, faults []string) bool) bool {
+func (p *PointStore) Await(stop <-chan struct{}, fits func(latest map[string]Point, faults []string) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	over := make(chan struct{})
--- a/internal/fleetharness/node.go
+++ b/internal/fleetharness/node.go
@@ -283,7 +283,7 @@
 		return "+OK\r\n"
 	}
 	n, id, list := c.node, string(cmd.Args[2]), string(cmd.Args[3])
-	units := fakes.Field(list, "units")
+	units := fakes.NumberField(list, "units")
 	n.mu.Lock()
 	f := n.fault(c.broker)
 	blocked, late := f.silent, f.in.takes(n.random)
@@ -306,7 +306,7 @@
 	if s == nil {
 		return "-SYNTAX\r\n"
 	}
-	if shard := int(fakes.Field(list, "shard")); shard != n.shard && shard >= 0 {
+	if shard := int(fakes.NumberField(list, "shard")); shard != n.shard && shard >= 0 {
 		n.rig.journal.leave(s, n.number, false)
 		return "-ERR another shard\r\n"
 	}
--- a/internal/fleetharness/rig.go
+++ b/internal/fleetharness/rig.go
@@ -415,7 +415,7 @@
 // ---- discovery
 
 type listed struct {
-	fakes.Host
+	fakes.Endpoint
 	version uint64
 }
 
@@ -452,9 +452,9 @@
 }
 
 func (g *registry) entry(n *node, health string, version uint64) listed {
-	e := listed{fakes.Host{Host: n.name, Dial: n.at, Site: zone(n.number % g.rig.scenario.Node.Zones), Class: "m", Block: n.shard, Health: health, Share: 1}, version}
+	e := listed{fakes.Endpoint{Name: n.name, Address: n.at, Zone: zone(n.number % g.rig.scenario.Node.Zones), Class: "m", Shard: n.shard, Health: health, Share: 1}, version}
 	if n.born > 0 {
-		e.BornMS = time.Now().Add(n.born - Now()).UnixMilli()
+		e.StartedMS = time.Now().Add(n.born - Now()).UnixMilli()
 	}
 	return e
 }
@@ -495,7 +495,7 @@
 		g.version++
 		g.times = append(g.times, Now())
 		for _, e := range g.latest(g.version) {
-			if whole || slices.Contains(changed, e.Host.Host) {
+			if whole || slices.Contains(changed, e.Endpoint.Name) {
 				e.version = g.version
 				g.entries = append(g.entries, e)
 			}
@@ -513,11 +513,11 @@
 		if e.version > version {
 			continue
 		}
-		if i, known := at[e.Host.Host]; known {
+		if i, known := at[e.Endpoint.Name]; known {
 			list[i] = e
 			continue
 		}
-		at[e.Host.Host] = len(list)
+		at[e.Endpoint.Name] = len(list)
 		list = append(list, e)
 	}
 	return list
@@ -596,14 +596,14 @@
 
 // word makes that text.
 func (g *registry) word(broker int, since, version uint64, watch bool) []byte {
-	hosts := []fakes.Host{}
+	hosts := []fakes.Endpoint{}
 	v := g.views[broker]
 	var list []listed
 	if !watch || since < version { // else there is nothing newer
 		list = g.latest(version)
 	}
 	for _, e := range list {
-		if slices.Contains(v.leaving, e.Host.Host) {
+		if slices.Contains(v.leaving, e.Endpoint.Name) {
 			e.Health = "DRAINING"
 		}
 		if v.empty {
@@ -613,16 +613,16 @@
 			continue
 		}
 		if e.Health != "SERVING" {
-			if g.told[e.Host.Host] == nil {
-				g.told[e.Host.Host] = map[int]time.Duration{}
+			if g.told[e.Endpoint.Name] == nil {
+				g.told[e.Endpoint.Name] = map[int]time.Duration{}
 			}
-			if g.told[e.Host.Host][broker] == 0 {
-				g.told[e.Host.Host][broker] = Now()
+			if g.told[e.Endpoint.Name][broker] == 0 {
+				g.told[e.Endpoint.Name][broker] = Now()
 			}
 		} else {
-			delete(g.told[e.Host.Host], broker)
+			delete(g.told[e.Endpoint.Name], broker)
 		}
-		hosts = append(hosts, e.Host)
+		hosts = append(hosts, e.Endpoint)
 	}
 	text, _ := json.Marshal(map[string]any{"seq": version, "whole": !watch || v.empty, "hosts": hosts})
 	return text
--- a/internal/graphite/graphite_test.go
+++ b/internal/graphite/graphite_test.go
@@ -67,7 +67,7 @@
 			t.Fatalf("%d points of %d", len(got), 2*len(points))
 		}
 		for i, p := range got {
-			if i := i % len(points); p != (fakes.Point{Series: paths[i], Stamp: 1_700_000_000, Value: float64(points[i].Value)}) {
+			if i := i % len(points); p != (fakes.Point{Series: paths[i], Timestamp: 1_700_000_000, Value: float64(points[i].Value)}) {
 				t.Errorf("%+v, want %s %d", p, paths[i], points[i].Value)
 			}
 		}
--- a/internal/members/harness_test.go
+++ b/internal/members/harness_test.go
@@ -125,10 +125,10 @@
 }
 
 // records are of nodes a, b, ... each with a priority, weight, address and shard of its own.
-func records(names ...string) []fakes.Name {
-	var all []fakes.Name
+func records(names ...string) []fakes.SRVRecord {
+	var all []fakes.SRVRecord
 	for i, n := range names {
-		all = append(all, fakes.Name{
+		all = append(all, fakes.SRVRecord{
 			Target:    n + domain,
 			Port:      6379,
 			Priority:  uint16(i % 2),
--- a/internal/members/sources_test.go
+++ b/internal/members/sources_test.go
@@ -26,8 +26,8 @@
 	c := newCore(t)
 	c.apply(config.Membership{Sources: []config.EndpointSource{dnsSource(d)}})
 	c.awaitList("a b c")
-	for _, trick := range []fakes.Trick{fakes.ServFail, fakes.NoName, fakes.NoData, fakes.Rubbish, fakes.TornTCP} {
-		d.Play(trick)
+	for _, trick := range []fakes.DNSFault{fakes.ServFail, fakes.NameError, fakes.NoData, fakes.Malformed, fakes.TruncatedNoTCP} {
+		d.SetFault(trick)
 		failures := c.metric("source.dns.failures")
 		rejected := c.metric("source.dns.refused")
 		c.awaitFault(failures+1, rejected+1) // the first may be of a question that was asked before
--- a/internal/metricsexport/metricsexport_test.go
+++ b/internal/metricsexport/metricsexport_test.go
@@ -85,10 +85,10 @@
 }
 
 // await waits until the series has the value.
-func (g *rig) await(points *fakes.Points, series string, value float64) {
+func (g *rig) await(points *fakes.PointStore, series string, value float64) {
 	g.t.Helper()
 	if !points.Await(g.stop, func(latest map[string]fakes.Point, _ []string) bool { return latest[series].Value == value }) {
-		g.t.Fatalf("%s is %v, want %v; faults %q, log %q", series, points.Latest()[series].Value, value, points.Faults(), g.logs)
+		g.t.Fatalf("%s is %v, want %v; faults %q, log %q", series, points.Latest()[series].Value, value, points.Errors(), g.logs)
 	}
 }
 
@@ -126,7 +126,7 @@
 
 func newCarbon(t *testing.T) *fakes.Carbon {
 	t.Helper()
-	c, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil))
+	c, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 // Both receivers get the broker's own counts, exactly, and the sums over every dimension agree.
 func TestBothSinks(t *testing.T) {
 	carbon := newCarbon(t)
-	coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
+	coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,18 +147,18 @@
 	for i := range 500 {
 		g.serve(fmt.Sprint("v", i%300))
 	}
-	g.await(carbon.Points, "w.n1.all.served", 500)
-	g.await(carbon.Points, "w.n1.success.read", 500)
-	g.await(carbon.Points, "w.n1.class.read.units_milli", 750_000)
-	g.await(coll.Points, "n1/junctionwharf-all/junctionwharf_requests/0", 500)
-	g.await(coll.Points, "n1/junctionwharf-class.read/junctionwharf_attempts/1", 500)
-	g.await(coll.Points, "n1/junctionwharf/derive-success.read/0", 500)
+	g.await(carbon.PointStore, "w.n1.all.served", 500)
+	g.await(carbon.PointStore, "w.n1.success.read", 500)
+	g.await(carbon.PointStore, "w.n1.class.read.units_milli", 750_000)
+	g.await(coll.PointStore, "n1/junctionwharf-all/junctionwharf_requests/0", 500)
+	g.await(coll.PointStore, "n1/junctionwharf-class.read/junctionwharf_attempts/1", 500)
+	g.await(coll.PointStore, "n1/junctionwharf/derive-success.read/0", 500)
 	for _, d := range []string{"class", "plan", "node", "volume"} {
 		sum := 0.0
 		if !carbon.Await(g.stop, func(latest map[string]fakes.Point, _ []string) bool {
 			sum = 0
 			for series, p := range latest { // a volume that left keeps its last value, of an earlier time
-				if strings.HasPrefix(series, "w.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Stamp == latest["w.n1.all.served"].Stamp {
+				if strings.HasPrefix(series, "w.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Timestamp == latest["w.n1.all.served"].Timestamp {
 					sum += p.Value
 				}
 			}
@@ -167,7 +167,7 @@
 			t.Errorf("%v served over %s", sum, d)
 		}
 	}
-	if faults := append(carbon.Faults(), coll.Faults()...); len(faults) > 0 {
+	if faults := append(carbon.Errors(), coll.Errors()...); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
@@ -175,10 +175,10 @@
 // A sink that never reads, or takes a byte a second, is stalled, dropped from and given up; nobody waits for it, the other
 // sink gets all, and once it reads again it has the counts.
 func TestSinkStalls(t *testing.T) {
-	for _, manner := range []fakes.Manner{fakes.Stands, fakes.Drips} {
+	for _, manner := range []fakes.ReceiverMode{fakes.NotReading, fakes.Trickling} {
 		carbon := newCarbon(t)
-		carbon.Behave(manner)
-		coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
+		carbon.SetMode(manner)
+		coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPointStore(nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,23 +194,23 @@
 			return f["telemetry.graphite.dropped_intervals"] > 0 && f["telemetry.graphite.redials"] > 0
 		})
 		g.serve("v1")
-		g.await(coll.Points, "n1/junctionwharf-all/junctionwharf_requests/0", 5)
-		carbon.Behave(fakes.Takes)
-		g.await(carbon.Points, "w.n1.all.served", 5)
+		g.await(coll.PointStore, "n1/junctionwharf-all/junctionwharf_requests/0", 5)
+		carbon.SetMode(fakes.Reading)
+		g.await(carbon.PointStore, "w.n1.all.served", 5)
 	}
 }
 
 // Resets in the middle of a line leave no wrong line and no lost count.
 func TestSinkResets(t *testing.T) {
 	carbon := newCarbon(t)
-	carbon.Behave(fakes.Resets)
+	carbon.SetMode(fakes.Resetting)
 	g := newRig(t, settings(carbon.Address(), ""))
 	g.on()
 	g.serve("v")
 	g.until("resets", func(f map[string]uint64) bool { return f["telemetry.graphite.redials"] > 3 })
-	carbon.Behave(fakes.Takes)
-	g.await(carbon.Points, "w.n1.all.served", 1)
-	if faults := carbon.Faults(); len(faults) > 0 {
+	carbon.SetMode(fakes.Reading)
+	g.await(carbon.PointStore, "w.n1.all.served", 1)
+	if faults := carbon.Errors(); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
@@ -223,17 +223,17 @@
 	g := newRig(t, settings(address, ""))
 	g.on()
 	g.serve("v")
-	g.await(first.Points, "w.n1.all.served", 1)
+	g.await(first.PointStore, "w.n1.all.served", 1)
 	first.Close()
 	g.until("a dead sink", func(f map[string]uint64) bool { return f["telemetry.graphite.redials"] > 2 })
 	g.serve("v")
 	var mu sync.Mutex
 	stamps := map[int64]bool{}
-	points := fakes.NewPoints(func(p fakes.Point) {
+	points := fakes.NewPointStore(func(p fakes.Point) {
 		mu.Lock()
 		defer mu.Unlock()
 		if p.Series == "w.n1.all.served" {
-			stamps[p.Stamp] = true
+			stamps[p.Timestamp] = true
 		}
 	})
 	second, err := fakes.NewCarbon(address, false, points)
@@ -256,7 +256,7 @@
 
 // A name that resolves to nothing is a sink that is lost; a wrong key is one whose receiver takes nothing.
 func TestSinkUnknown(t *testing.T) {
-	coll, err := fakes.NewCollectd("127.0.0.1:0", map[string]string{"wharf": "right"}, fakes.NewPoints(nil))
+	coll, err := fakes.NewCollectd("127.0.0.1:0", map[string]string{"wharf": "right"}, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,12 +272,12 @@
 	}) {
 		t.Fatal("packets under a wrong key were taken")
 	}
-	if coll.Taken() > 0 {
-		t.Errorf("%d points under a wrong key", coll.Taken())
+	if coll.Received() > 0 {
+		t.Errorf("%d points under a wrong key", coll.Received())
 	}
 	set.Collectd.Key.Secret = "right" // as after SIGHUP
 	g.r.Retune(set)
-	g.await(coll.Points, "n1/junctionwharf-all/junctionwharf_requests/0", 1)
+	g.await(coll.PointStore, "n1/junctionwharf-all/junctionwharf_requests/0", 1)
 }
 
 // A sink that is turned off with a full queue ends at once; the counts go on when it is on again, from 0.
@@ -287,7 +287,7 @@
 // two of them, so that the third is dropped.
 func TestSinkTurnedOff(t *testing.T) {
 	carbon := newCarbon(t)
-	carbon.Behave(fakes.Stands)
+	carbon.SetMode(fakes.NotReading)
 	set := settings(carbon.Address(), "")
 	set.Graphite.QueueBytes = 16 << 10
 	g := newRig(t, set)
@@ -301,7 +301,7 @@
 	g.until("a sink that is on", func(f map[string]uint64) bool { return len(f) > 0 })
 	g.on()
 	g.serve("v")
-	g.await(second.Points, "w.n1.all.served", 1)
+	g.await(second.PointStore, "w.n1.all.served", 1)
 }
 
 // At the end the unsent interval is flushed; a sink that stalls holds the end up to its time and no longer.
@@ -314,9 +314,9 @@
 		g.serve(fmt.Sprint(i))
 	}
 	g.r.Finish(time.Now().Add(5 * time.Second))
-	g.await(carbon.Points, "w.n1.all.served", 7)
+	g.await(carbon.PointStore, "w.n1.all.served", 7)
 
-	carbon.Behave(fakes.Stands)
+	carbon.SetMode(fakes.NotReading)
 	g = newRig(t, settings(carbon.Address(), ""))
 	g.on()
 	g.serve("v")
@@ -341,7 +341,7 @@
 
 // Notifications tell of nodes that leave and of a sink that is lost.
 func TestNotices(t *testing.T) {
-	coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
+	coll, err := fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -358,7 +358,7 @@
 	g.loop.mu.Unlock()
 	seen := func() string {
 		var all []string
-		for _, n := range coll.Notices() {
+		for _, n := range coll.Notifications() {
 			all = append(all, fmt.Sprint(n.Severity, " ", n.Text))
 		}
 		return strings.Join(all, "\n")
