--- a/internal/fakes/carbon.go
+++ b/internal/fakes/carbon.go
@@ -7,263 +7,258 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/big"
 	"net"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	pickle "github.com/kisielk/og-rek"
 )
 
 // ReceiverMode is how a receiver treats its connections.
 type ReceiverMode int32
 
-// The manners.
+// The modes of a receiver.
+const (
+	Reading    ReceiverMode = iota // reads all that comes
+	NotReading                     // accepts and never reads
+	Resetting                      // reads a little, then resets the connection
+	Trickling                      // reads a byte a second
+)
+
 const (
-	Reading    ReceiverMode = iota
-	NotReading              // accepts and never reads
-	Resetting               // reads a little, then resets the connection
-	Trickling               // takes a byte a second
+	// maxCarbonLine is the longest plaintext line, in bytes, that is read; longer than any path that Carbon can file.
+	maxCarbonLine = 4096
+	// maxCarbonPickle is the largest batch in bytes, which is Carbon's own bound (MAX_LENGTH of its pickle receiver).
+	maxCarbonPickle = 1 << 20
+	// bytesBeforeReset is what a Resetting receiver reads first. A line is some 80 bytes long: the sender has seen its
+	// connection work, and loses a line in the middle.
+	bytesBeforeReset = 100
+	// unreadBuffer is the receive buffer in bytes of a connection that is not read. With the system's default, of
+	// megabytes, a sender would not notice for minutes that nobody reads.
+	unreadBuffer = 4096
+	// trickleInterval is the time between two bytes that a Trickling receiver reads.
+	trickleInterval = time.Second
+	// maxDatagram is the largest UDP datagram in bytes.
+	maxDatagram = 64 << 10
 )
 
-// Carbon is a stand-in for a Carbon receiver: plaintext lines over TCP and UDP at one port, or pickles over TCP.
+// errResetByMode ends a connection in mode Resetting; it is no error of the sender.
+var errResetByMode = errors.New("reset by the receiver's mode")
+
+// Carbon is a fake of a Carbon receiver: plaintext lines over TCP and UDP at one port, or pickles over TCP.
 type Carbon struct {
 	*PointStore
 
-	pickles bool
-	ln      net.Listener
-	packets net.PacketConn // nil with pickles
-	manner  atomic.Int32
+	pickles   bool
+	listener  net.Listener
+	datagrams net.PacketConn // nil with pickles
+	mode      atomic.Int32   // a ReceiverMode
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	ended bool
-	woken chan struct{} // closed and made anew at each change of manner
+	mu          sync.Mutex // guards what follows
+	conns       map[net.Conn]bool
+	closed      bool
+	modeChanged chan struct{} // closed and made anew at each change of mode
 }
 
-const (
-	maxLine   = 4096
-	maxPickle = 1 << 20
-	resetsAt  = 100 // bytes
-
-	smallBuffer = 4096
-)
-
 // NewCarbon listens at a TCP address, and at the same port for datagrams unless it takes pickles.
 func NewCarbon(address string, pickles bool, points *PointStore) (*Carbon, error) {
-	c := &Carbon{PointStore: points, pickles: pickles, conns: map[net.Conn]bool{}, woken: make(chan struct{})}
+	c := &Carbon{
+		PointStore:  points,
+		pickles:     pickles,
+		conns:       map[net.Conn]bool{},
+		modeChanged: make(chan struct{}),
+	}
 	var err error
-	if c.ln, err = net.Listen("tcp", address); err != nil {
+	c.listener, err = net.Listen("tcp", address)
+	if err != nil {
 		return nil, err
 	}
 	if !pickles {
-		if c.packets, err = net.ListenPacket("udp", c.ln.Addr().String()); err != nil {
-			_ = c.ln.Close()
+		c.datagrams, err = net.ListenPacket("udp", c.listener.Addr().String())
+		if err != nil {
+			_ = c.listener.Close() // the error that counts is the one above
 			return nil, err
 		}
-		go c.datagrams()
+		go c.readDatagrams()
 	}
-	go c.accept()
+	go c.acceptAll()
 	return c, nil
 }
 
-// Address is where it listens.
-func (c *Carbon) Address() string { return c.ln.Addr().String() }
+// Address returns where it listens.
+func (c *Carbon) Address() string { return c.listener.Addr().String() }
 
-// SetMode changes the manner, also of open connections that wait for their next bytes.
-func (c *Carbon) SetMode(m ReceiverMode) {
-	c.manner.Store(int32(m))
+// SetMode changes the mode, also of open connections that wait for their next bytes.
+func (c *Carbon) SetMode(mode ReceiverMode) {
+	c.mode.Store(int32(mode))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ended {
-		close(c.woken)
-		c.woken = make(chan struct{})
+	if !c.closed {
+		close(c.modeChanged)
+		c.modeChanged = make(chan struct{})
 	}
 }
 
+func (c *Carbon) currentMode() ReceiverMode { return ReceiverMode(c.mode.Load()) }
+
 // Close ends the listener and resets all connections, as a killed process would.
 func (c *Carbon) Close() {
-	_ = c.ln.Close()
-	if c.packets != nil {
-		_ = c.packets.Close()
+	_ = c.listener.Close() // its accept loop ends in any case
+	if c.datagrams != nil {
+		_ = c.datagrams.Close()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return
 	}
-	c.ended = true
-	close(c.woken)
+	c.closed = true
+	close(c.modeChanged)
 	for conn := range c.conns {
-		reset(conn)
+		resetConn(conn)
 	}
 }
 
-func reset(conn net.Conn) {
+// resetConn closes a connection by a reset (RST), as the kernel does for a killed process.
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-func (c *Carbon) accept() {
+// acceptAll accepts connections until Close.
+func (c *Carbon) acceptAll() {
 	for {
-		conn, err := c.ln.Accept()
+		conn, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
 		c.mu.Lock()
-		ended := c.ended
+		closed := c.closed
 		c.conns[conn] = true
 		c.mu.Unlock()
-		if ended {
-			reset(conn)
+		if closed {
+			resetConn(conn)
 			return
 		}
-		if tcp, ok := conn.(*net.TCPConn); ok && ReceiverMode(c.manner.Load()) != Reading {
-			_ = tcp.SetReadBuffer(smallBuffer) // what the system takes in its place is no reading
+		if tcp, ok := conn.(*net.TCPConn); ok && c.currentMode() != Reading {
+			_ = tcp.SetReadBuffer(unreadBuffer) // what the system takes in its place is no reading
 		}
-		go func() {
-			defer func() {
-				_ = conn.Close()
-				c.mu.Lock()
-				delete(c.conns, conn)
-				c.mu.Unlock()
-			}()
-			in := bufio.NewReaderSize(mannered{conn, c}, maxLine)
-			var err error
-			if c.pickles {
-				err = c.readPickles(in)
-			} else {
-				err = c.readLines(in)
-			}
-			if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, errReset) {
-				c.fault("carbon: %v", err)
-			}
-		}()
+		go c.serve(conn)
 	}
 }
 
-var errReset = errors.New("reset by manner")
+// serve reads one connection to its end.
+func (c *Carbon) serve(conn net.Conn) {
+	defer func() {
+		_ = conn.Close()
+		c.mu.Lock()
+		delete(c.conns, conn)
+		c.mu.Unlock()
+	}()
+	in := bufio.NewReaderSize(modeReader{conn, c}, maxCarbonLine)
+	read := c.readLines
+	if c.pickles {
+		read = c.readPickles
+	}
+	err := read(in)
+	if err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, errResetByMode) {
+		c.addError("carbon: %v", err)
+	}
+}
 
-// mannered reads as the receiver's manner allows.
-type mannered struct {
+// modeReader reads a connection as the receiver's mode allows.
+type modeReader struct {
 	net.Conn
-	c *Carbon
+	carbon *Carbon
 }
 
-func (m mannered) Read(b []byte) (int, error) {
-	for ReceiverMode(m.c.manner.Load()) == NotReading {
-		m.c.mu.Lock()
-		woken, ended := m.c.woken, m.c.ended
-		m.c.mu.Unlock()
-		if ended {
+// Read implements io.Reader.
+func (r modeReader) Read(b []byte) (int, error) {
+	for r.carbon.currentMode() == NotReading {
+		if !r.carbon.awaitModeChange() {
 			return 0, net.ErrClosed
 		}
-		<-woken
 	}
-	if ReceiverMode(m.c.manner.Load()) == Trickling {
-		time.Sleep(time.Second)
-		return m.Conn.Read(b[:1])
+	switch r.carbon.currentMode() {
+	case Trickling:
+		time.Sleep(trickleInterval)
+		return r.Conn.Read(b[:1])
+	case Resetting:
+		_, _ = io.ReadFull(r.Conn, make([]byte, bytesBeforeReset)) // it is reset, whatever came
+		resetConn(r.Conn)
+		return 0, errResetByMode
+	default:
+		return r.Conn.Read(b)
 	}
-	if ReceiverMode(m.c.manner.Load()) == Resetting {
-		_, _ = io.ReadFull(m.Conn, make([]byte, resetsAt))
-		reset(m.Conn)
-		return 0, errReset
+}
+
+// awaitModeChange waits for the next change of mode, and reports false once the receiver is closed.
+func (c *Carbon) awaitModeChange() bool {
+	c.mu.Lock()
+	changed := c.modeChanged
+	closed := c.closed
+	c.mu.Unlock()
+	if closed {
+		return false
 	}
-	return m.Conn.Read(b)
+	<-changed
+	return true
 }
 
+// readLines reads plaintext lines. Half a line at the end is an error.
 func (c *Carbon) readLines(in *bufio.Reader) error {
 	for {
 		line, err := in.ReadString('\n')
-		if err == io.EOF && line == "" {
+		if errors.Is(err, io.EOF) && line == "" {
 			return nil
 		}
 		if err != nil {
-			return err // half a line at the end is none
+			return err
 		}
-		c.takeLine(strings.TrimSuffix(line, "\n"))
+		c.addLine(strings.TrimSuffix(line, "\n"))
 	}
 }
 
-func (c *Carbon) takeLine(line string) {
-	p, err := ParseLine(line)
+func (c *Carbon) addLine(line string) {
+	point, err := ParseLine(line)
 	if err != nil {
-		c.fault("carbon: %v", err)
+		c.addError("carbon: %v", err)
 		return
 	}
-	c.add(p)
-}
-
-// ParseLine reads a plaintext line: a path, a value and a time.
-func ParseLine(line string) (Point, error) {
-	fields := strings.Split(line, " ")
-	if len(fields) != 3 || len(line) > maxLine {
-		return Point{}, fmt.Errorf("%q has not three fields", line)
-	}
-	if err := checkPath(fields[0]); err != nil {
-		return Point{}, err
-	}
-	value, err := strconv.ParseFloat(fields[1], 64)
-	if err != nil {
-		return Point{}, fmt.Errorf("%q: its value is no number", line)
-	}
-	stamp, err := strconv.ParseInt(fields[2], 10, 64)
-	if err != nil || stamp <= 0 {
-		return Point{}, fmt.Errorf("%q: its time is no whole number above 0", line)
-	}
-	return Point{fields[0], stamp, value}, nil
+	c.add(point)
 }
 
-// checkPath turns down what Carbon would file in the wrong place.
-func checkPath(path string) error {
-	name, tags, tagged := strings.Cut(path, ";")
-	for part := range strings.SplitSeq(name, ".") {
-		if part == "" || strings.ContainsAny(part, " \t\r\n/\\*?[]{}\x00") {
-			return fmt.Errorf("path %q has a bad part %q", path, part)
-		}
-	}
-	if !tagged {
-		return nil
-	}
-	for tag := range strings.SplitSeq(tags, ";") {
-		key, value, found := strings.Cut(tag, "=")
-		if !found || key == "" || value == "" || value[0] == '~' {
-			return fmt.Errorf("path %q has a bad tag %q", path, tag)
-		}
-	}
-	return nil
-}
-
-func (c *Carbon) datagrams() {
-	b := make([]byte, 64<<10)
+// readDatagrams reads plaintext lines from datagrams until Close. A receiver that is not Reading loses them.
+func (c *Carbon) readDatagrams() {
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, _, err := c.packets.ReadFrom(b)
+		n, _, err := c.datagrams.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
-		if ReceiverMode(c.manner.Load()) != Reading {
+		if c.currentMode() != Reading {
 			continue
 		}
-		for line := range bytes.Lines(b[:n]) {
-			c.takeLine(string(bytes.TrimSuffix(line, []byte("\n"))))
+		for line := range bytes.Lines(buffer[:n]) {
+			c.addLine(string(bytes.TrimSuffix(line, []byte("\n"))))
 		}
 	}
 }
 
+// readPickles reads batches, each behind its length in four bytes.
 func (c *Carbon) readPickles(in *bufio.Reader) error {
 	for {
 		var size uint32
-		if err := binary.Read(in, binary.BigEndian, &size); errors.Is(err, io.EOF) {
+		err := binary.Read(in, binary.BigEndian, &size)
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
-		if size > maxPickle {
+		if size > maxCarbonPickle {
 			return fmt.Errorf("a pickle of %d bytes", size)
 		}
 		body := make([]byte, size)
@@ -277,53 +272,3 @@
 		c.add(points...)
 	}
 }
-
-// ParsePickle reads a batch: [(path, (time, value)), ...].
-func ParsePickle(body []byte) ([]Point, error) {
-	value, err := pickle.NewDecoder(bytes.NewReader(body)).Decode()
-	if err != nil {
-		return nil, fmt.Errorf("pickle: %w", err)
-	}
-	list, ok := value.([]any)
-	if !ok {
-		return nil, fmt.Errorf("pickle: a %T is no list", value)
-	}
-	var points []Point
-	for _, entry := range list {
-		pair, ok := entry.(pickle.Tuple)
-		if !ok || len(pair) != 2 {
-			return nil, fmt.Errorf("pickle: %v is no pair", entry)
-		}
-		path, isPath := pair[0].(string)
-		inner, isPair := pair[1].(pickle.Tuple)
-		if !isPath || !isPair || len(inner) != 2 {
-			return nil, fmt.Errorf("pickle: %v is no point", entry)
-		}
-		if err := checkPath(path); err != nil {
-			return nil, err
-		}
-		stamp, err := wholeOf(inner[0])
-		if err != nil {
-			return nil, err
-		}
-		n, err := wholeOf(inner[1])
-		if err != nil {
-			return nil, err
-		}
-		points = append(points, Point{path, int64(stamp), n})
-	}
-	return points, nil
-}
-
-func wholeOf(value any) (float64, error) {
-	switch n := value.(type) {
-	case int64:
-		return float64(n), nil
-	case float64:
-		return n, nil
-	case *big.Int:
-		f, _ := new(big.Float).SetInt(n).Float64()
-		return f, nil
-	}
-	return 0, fmt.Errorf("pickle: a %T is no number", value)
-}
--- /dev/null
+++ b/internal/fakes/carbonparse.go
@@ -0,0 +1,114 @@
+package fakes
+
+import (
+	"bytes"
+	"fmt"
+	"math/big"
+	"strconv"
+	"strings"
+
+	pickle "github.com/kisielk/og-rek"
+)
+
+// lineFields is how many fields a plaintext line has: a path, a value and a time.
+const lineFields = 3
+
+// ParseLine reads a plaintext line: a path, a value and a time.
+func ParseLine(line string) (Point, error) {
+	fields := strings.Split(line, " ")
+	if len(fields) != lineFields || len(line) > maxCarbonLine {
+		return Point{}, fmt.Errorf("%q has not three fields", line)
+	}
+	if err := checkPath(fields[0]); err != nil {
+		return Point{}, err
+	}
+	value, err := strconv.ParseFloat(fields[1], 64)
+	if err != nil {
+		return Point{}, fmt.Errorf("%q: its value is no number", line)
+	}
+	timestamp, err := strconv.ParseInt(fields[2], 10, 64)
+	if err != nil || timestamp <= 0 {
+		return Point{}, fmt.Errorf("%q: its time is no whole number above 0", line)
+	}
+	return Point{Series: fields[0], Timestamp: timestamp, Value: value}, nil
+}
+
+// checkPath rejects what Carbon would file in the wrong place.
+func checkPath(path string) error {
+	name, tags, tagged := strings.Cut(path, ";")
+	for part := range strings.SplitSeq(name, ".") {
+		if part == "" || strings.ContainsAny(part, " \t\r\n/\\*?[]{}\x00") {
+			return fmt.Errorf("path %q has a bad part %q", path, part)
+		}
+	}
+	if !tagged {
+		return nil
+	}
+	for tag := range strings.SplitSeq(tags, ";") {
+		key, value, found := strings.Cut(tag, "=")
+		if !found || key == "" || value == "" || value[0] == '~' {
+			return fmt.Errorf("path %q has a bad tag %q", path, tag)
+		}
+	}
+	return nil
+}
+
+// ParsePickle reads a batch: [(path, (time, value)), ...].
+func ParsePickle(body []byte) ([]Point, error) {
+	value, err := pickle.NewDecoder(bytes.NewReader(body)).Decode()
+	if err != nil {
+		return nil, fmt.Errorf("pickle: %w", err)
+	}
+	list, ok := value.([]any)
+	if !ok {
+		return nil, fmt.Errorf("pickle: a %T is no list", value)
+	}
+	var points []Point
+	for _, entry := range list {
+		point, err := parsePicklePoint(entry)
+		if err != nil {
+			return nil, err
+		}
+		points = append(points, point)
+	}
+	return points, nil
+}
+
+// parsePicklePoint reads one entry of a batch: (path, (time, value)).
+func parsePicklePoint(entry any) (Point, error) {
+	pair, ok := entry.(pickle.Tuple)
+	if !ok || len(pair) != 2 {
+		return Point{}, fmt.Errorf("pickle: %v is no pair", entry)
+	}
+	path, isPath := pair[0].(string)
+	datum, isTuple := pair[1].(pickle.Tuple)
+	if !isPath || !isTuple || len(datum) != 2 {
+		return Point{}, fmt.Errorf("pickle: %v is no point", entry)
+	}
+	if err := checkPath(path); err != nil {
+		return Point{}, err
+	}
+	timestamp, err := pickleNumber(datum[0])
+	if err != nil {
+		return Point{}, err
+	}
+	value, err := pickleNumber(datum[1])
+	if err != nil {
+		return Point{}, err
+	}
+	return Point{Series: path, Timestamp: int64(timestamp), Value: value}, nil
+}
+
+// pickleNumber reads a number of any of Python's kinds.
+func pickleNumber(value any) (float64, error) {
+	switch n := value.(type) {
+	case int64:
+		return float64(n), nil
+	case float64:
+		return n, nil
+	case *big.Int:
+		f, _ := new(big.Float).SetInt(n).Float64()
+		return f, nil
+	}
+	return 0, fmt.Errorf("pickle: a %T is no number", value)
+}
--- a/internal/fakes/dns.go
+++ b/internal/fakes/dns.go
@@ -3,39 +3,26 @@
 import (
 	"fmt"
 	"net"
-	"strings"
 	"sync"
 	"sync/atomic"
-	"time"
 
 	"github.com/miekg/dns"
 )
 
-// DNSFault is what a scripted name server does to an answer.
-type DNSFault int
-
-// The tricks.
 const (
-	NoDNSFault     DNSFault = iota
-	NoAnswer                // no answer
-	LateAnswer              // after LateAnswerDelay
-	ServFail                //
-	Refused                 // REFUSED
-	NameError               // NXDOMAIN
-	NoData                  // no error and no records
-	Truncated               // by datagram; whole over TCP
-	TruncatedNoTCP          // truncated by datagram, and a TCP connection that ends
-	WrongID                 // another id
-	Spoofed                 // a false answer to another question first, then the true one
-	Malformed               // bytes that are no message
-	CNAMELoop               // CNAMEs in a circle
-	EveryThird              // every third question is answered
+	// portAttempts is how often a port is looked for that is free for both TCP and UDP: the system picks the TCP port,
+	// and another process may hold the same one for UDP.
+	portAttempts = 20
+	// maxCNAMEs is how many aliases are followed. It is above what a resolver follows, so that the resolver's own bound
+	// is what a test meets.
+	maxCNAMEs = 20
+	// initialTTL is the lifetime in seconds of records until Set changes it: the shortest, since tests wait for it.
+	initialTTL = 1
+	// negativeSOA is in answers without records: it tells for how long the absence may be cached (RFC 2308), 1 s.
+	negativeSOA = "example.org. 1 IN SOA ns.example.org. h.example.org. 1 60 60 60 1"
 )
 
-// LateAnswerDelay is how long a late answer takes.
-const LateAnswerDelay = 300 * time.Millisecond
-
-// SRVRecord is an entry of a DNS stand-in's zone.
+// SRVRecord is an SRV record of a service, with the records of its target.
 type SRVRecord struct {
 	Target           string
 	Port             uint16
@@ -44,205 +31,133 @@
 	Text             string   // TXT of the target; empty for none
 }
 
-// DNS is a stand-in for a name server that plays a script: UDP and TCP at one port.
+// DNS is a fake of a name server that answers faultily as it is told: UDP and TCP at one port.
 type DNS struct {
 	address string
 	servers []*dns.Server
-	asked   atomic.Int64
-
-	mu    sync.Mutex
-	trick DNSFault
-	ttl   uint32
-	extra bool // addresses come in the additional part
-	zone  map[string][]SRVRecord
-	alias map[string]string
-	count int
+	queries atomic.Int64
+
+	mu             sync.Mutex // guards what follows
+	fault          DNSFault
+	ttl            uint32 // s
+	omitAdditional bool
+	zone           map[string][]SRVRecord // by service
+	aliases        map[string]string      // CNAMEs
+	answered       int                    // queries since the start, for EveryThird
 }
 
-// NewDNS listens at an address of loopback.
+// NewDNS listens at an address.
 func NewDNS(address string) (*DNS, error) {
-	var packets net.PacketConn
-	var ln net.Listener
-	var err error
-	for range 20 { // a port that is free for both
-		if ln, err = net.Listen("tcp", address); err != nil {
-			return nil, err
-		}
-		if packets, err = net.ListenPacket("udp", ln.Addr().String()); err == nil {
-			break
-		}
-		_ = ln.Close()
-	}
+	listener, packets, err := listenBoth(address)
 	if err != nil {
 		return nil, err
 	}
-	d := &DNS{address: ln.Addr().String(), ttl: 1, extra: true, zone: map[string][]SRVRecord{}, alias: map[string]string{}}
-	d.servers = []*dns.Server{{Listener: ln, Handler: d}, {PacketConn: packets, Handler: d}}
-	for _, s := range d.servers {
+	d := &DNS{
+		address: listener.Addr().String(),
+		ttl:     initialTTL,
+		zone:    map[string][]SRVRecord{},
+		aliases: map[string]string{},
+	}
+	d.servers = []*dns.Server{
+		{Listener: listener, Handler: d},
+		{PacketConn: packets, Handler: d},
+	}
+	for _, server := range d.servers {
 		started := make(chan struct{})
-		s.NotifyStartedFunc = func() { close(started) }
-		go func() { _ = s.ActivateAndServe() }()
+		server.NotifyStartedFunc = func() { close(started) }
+		go func() { _ = server.ActivateAndServe() }() // ends with Close, whose error it returns
 		<-started
 	}
 	return d, nil
 }
 
-// Address is where it listens.
+// listenBoth listens for TCP and UDP at one port.
+func listenBoth(address string) (listener net.Listener, packets net.PacketConn, err error) {
+	for range portAttempts {
+		listener, err = net.Listen("tcp", address)
+		if err != nil {
+			return nil, nil, err
+		}
+		packets, err = net.ListenPacket("udp", listener.Addr().String())
+		if err == nil {
+			return listener, packets, nil
+		}
+		_ = listener.Close() // another port is tried
+	}
+	return nil, nil, err
+}
+
+// Address returns where it listens.
 func (d *DNS) Address() string { return d.address }
 
-// Queries counts questions.
-func (d *DNS) Queries() int { return int(d.asked.Load()) }
+// Queries returns how many queries came.
+func (d *DNS) Queries() int { return int(d.queries.Load()) }
 
 // Close ends it.
 func (d *DNS) Close() {
-	for _, s := range d.servers {
-		_ = s.Shutdown()
+	for _, server := range d.servers {
+		_ = server.Shutdown()
 	}
 }
 
-// SetFault has all answers go through a trick.
-func (d *DNS) SetFault(t DNSFault) {
+// SetFault has all answers from now on show a fault.
+func (d *DNS) SetFault(fault DNSFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.trick = t
+	d.fault = fault
 }
 
 // Set lists the SRV records of a service, with a lifetime in seconds.
-func (d *DNS) Set(service string, ttl uint32, names ...SRVRecord) {
+func (d *DNS) Set(service string, ttl uint32, records ...SRVRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.zone[dns.CanonicalName(service)], d.ttl = names, ttl
+	d.zone[dns.CanonicalName(service)] = records
+	d.ttl = ttl
 }
 
-// SetCNAME makes a name a CNAME of another.
-func (d *DNS) SetCNAME(name, of string) {
+// SetCNAME makes a name an alias of another.
+func (d *DNS) SetCNAME(name, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.alias[dns.CanonicalName(name)] = dns.CanonicalName(of)
+	d.aliases[dns.CanonicalName(name)] = dns.CanonicalName(target)
 }
 
-// OmitAdditional has addresses not come in the additional part: they must be asked for.
+// OmitAdditional leaves addresses out of the additional section: they must be asked for.
 func (d *DNS) OmitAdditional() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.extra = false
+	d.omitAdditional = true
 }
 
-// ServeDNS implements dns.Handler.
-func (d *DNS) ServeDNS(w dns.ResponseWriter, ask *dns.Msg) {
-	d.asked.Add(1)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.count++
-	trick := d.trick
-	overTCP := strings.HasPrefix(w.RemoteAddr().Network(), "tcp")
-	msg := d.answer(ask)
-	switch trick {
-	case NoAnswer:
-		return
-	case EveryThird:
-		if d.count%3 != 0 {
-			return
-		}
-	case LateAnswer:
-		go func() {
-			time.Sleep(LateAnswerDelay)
-			_ = w.WriteMsg(msg)
-		}()
-		return
-	case ServFail, Refused, NameError, NoData:
-		msg = new(dns.Msg)
-		msg.SetRcode(ask, map[DNSFault]int{ServFail: dns.RcodeServerFailure, Refused: dns.RcodeRefused, NameError: dns.RcodeNameError, NoData: dns.RcodeSuccess}[trick])
-		msg.Ns = []dns.RR{record("example.org. 1 IN SOA ns.example.org. h.example.org. 1 60 60 60 1")}
-	case Truncated, TruncatedNoTCP:
-		if overTCP && trick == TruncatedNoTCP {
-			_ = w.Close()
-			return
-		}
-		if !overTCP {
-			msg.Truncated, msg.Answer, msg.Extra = true, msg.Answer[:min(1, len(msg.Answer))], nil
-		}
-	case WrongID:
-		msg.Id++
-	case Spoofed:
-		spoofed := msg.Copy()
-		spoofed.Question[0].Name = "evil.example.org."
-		spoofed.Answer = nil
-		_ = w.WriteMsg(spoofed)
-	case Malformed:
-		_, _ = w.Write([]byte{1, 2, 3})
-		return
-	case CNAMELoop:
-		name := ask.Question[0].Name
-		msg = new(dns.Msg)
-		msg.SetReply(ask)
-		msg.Answer = []dns.RR{record(name + " 1 IN CNAME loop.example.org."), record("loop.example.org. 1 IN CNAME " + name)}
-	}
-	if !overTCP && trick != Truncated && trick != TruncatedNoTCP {
-		size := 512
-		if opt := ask.IsEdns0(); opt != nil {
-			size = int(opt.UDPSize())
-		}
-		msg.Truncate(size)
-	}
-	_ = w.WriteMsg(msg)
-}
-
-func record(text string) dns.RR {
-	rr, err := dns.NewRR(text)
+// mustRecord parses a record that the fake itself has written.
+func mustRecord(format string, args ...any) dns.RR {
+	text := fmt.Sprintf(format, args...)
+	record, err := dns.NewRR(text)
 	if err != nil {
-		panic(fmt.Sprintf("%s: %v", text, err)) // the stand-in's own words
+		panic(fmt.Sprintf("%s: %v", text, err))
 	}
-	return rr
+	return record
 }
 
-func (d *DNS) answer(ask *dns.Msg) *dns.Msg {
+// answer is the faultless answer to a query; d.mu is held.
+func (d *DNS) answer(query *dns.Msg) *dns.Msg {
 	msg := new(dns.Msg)
-	msg.SetReply(ask)
+	msg.SetReply(query)
 	msg.Compress = true
-	q := ask.Question[0]
-	name := dns.CanonicalName(q.Name)
-	for range 20 {
-		of, is := d.alias[name]
-		if !is {
-			break
-		}
-		msg.Answer = append(msg.Answer, record(fmt.Sprintf("%s %d IN CNAME %s", name, d.ttl, of)))
-		name = of
-	}
-	target := func(n SRVRecord, kinds ...uint16) (all []dns.RR) {
-		owner := dns.Fqdn(n.Target)
-		for _, kind := range kinds {
-			for _, a := range n.Addresses {
-				if four := net.ParseIP(a).To4() != nil; four && kind == dns.TypeA {
-					all = append(all, record(fmt.Sprintf("%s %d IN A %s", owner, d.ttl, a)))
-				} else if !four && kind == dns.TypeAAAA {
-					all = append(all, record(fmt.Sprintf("%s %d IN AAAA %s", owner, d.ttl, a)))
-				}
-			}
-			if kind == dns.TypeTXT && n.Text != "" {
-				all = append(all, record(fmt.Sprintf("%s %d IN TXT %q", owner, d.ttl, n.Text)))
-			}
-		}
-		return all
-	}
+	question := query.Question[0]
+	name := d.followAliases(msg, dns.CanonicalName(question.Name))
 	known := false
-	for service, names := range d.zone {
+	for service, records := range d.zone {
 		if service == name {
 			known = true
-			if q.Qtype == dns.TypeSRV {
-				for _, n := range names {
-					msg.Answer = append(msg.Answer, record(fmt.Sprintf("%s %d IN SRV %d %d %d %s", name, d.ttl, n.Priority, n.Weight, n.Port, dns.Fqdn(n.Target))))
-					if d.extra {
-						msg.Extra = append(msg.Extra, target(n, dns.TypeA, dns.TypeAAAA)...)
-					}
-				}
+			if question.Qtype == dns.TypeSRV {
+				d.addService(msg, name, records)
 			}
 		}
-		for _, n := range names {
-			if dns.CanonicalName(n.Target) == name {
+		for _, record := range records {
+			if dns.CanonicalName(record.Target) == name {
 				known = true
-				msg.Answer = append(msg.Answer, target(n, q.Qtype)...)
+				msg.Answer = append(msg.Answer, d.targetRecords(record, question.Qtype)...)
 			}
 		}
 	}
@@ -250,7 +165,52 @@
 		msg.Rcode = dns.RcodeNameError
 	}
 	if len(msg.Answer) == 0 {
-		msg.Ns = []dns.RR{record("example.org. 1 IN SOA ns.example.org. h.example.org. 1 60 60 60 1")}
+		msg.Ns = []dns.RR{mustRecord(negativeSOA)}
 	}
 	return msg
 }
+
+// followAliases answers with the CNAMEs of a name, and returns the name that they lead to.
+func (d *DNS) followAliases(msg *dns.Msg, name string) string {
+	for range maxCNAMEs {
+		target, isAlias := d.aliases[name]
+		if !isAlias {
+			break
+		}
+		msg.Answer = append(msg.Answer, mustRecord("%s %d IN CNAME %s", name, d.ttl, target))
+		name = target
+	}
+	return name
+}
+
+// addService answers with a service's SRV records.
+func (d *DNS) addService(msg *dns.Msg, service string, records []SRVRecord) {
+	for _, r := range records {
+		srv := mustRecord("%s %d IN SRV %d %d %d %s",
+			service, d.ttl, r.Priority, r.Weight, r.Port, dns.Fqdn(r.Target))
+		msg.Answer = append(msg.Answer, srv)
+		if !d.omitAdditional {
+			msg.Extra = append(msg.Extra, d.targetRecords(r, dns.TypeA)...)
+			msg.Extra = append(msg.Extra, d.targetRecords(r, dns.TypeAAAA)...)
+		}
+	}
+}
+
+// targetRecords returns the records of an SRV record's target that have a type.
+func (d *DNS) targetRecords(r SRVRecord, qtype uint16) []dns.RR {
+	var records []dns.RR
+	owner := dns.Fqdn(r.Target)
+	for _, address := range r.Addresses {
+		isIPv4 := net.ParseIP(address).To4() != nil
+		switch {
+		case isIPv4 && qtype == dns.TypeA:
+			records = append(records, mustRecord("%s %d IN A %s", owner, d.ttl, address))
+		case !isIPv4 && qtype == dns.TypeAAAA:
+			records = append(records, mustRecord("%s %d IN AAAA %s", owner, d.ttl, address))
+		}
+	}
+	if qtype == dns.TypeTXT && r.Text != "" {
+		records = append(records, mustRecord("%s %d IN TXT %q", owner, d.ttl, r.Text))
+	}
+	return records
+}
--- a/internal/fakes/points.go
+++ b/internal/fakes/points.go
@@ -1,6 +1,3 @@
-// Package fakes has fakes of what surrounds a broker: discovery, storage nodes, clients, and receivers of metrics. Tests,
-// the demonstration and the tools share them. They are written from the protocols' public descriptions and share no
-// code with what they check.
 package fakes
 
 import (
@@ -17,95 +14,117 @@
 	Value     float64
 }
 
-// maxSeries bounds what a receiver keeps.
-const maxSeries = 100_000
+const (
+	// maxSeries bounds the series that a receiver keeps, so that a sender which makes up names cannot exhaust the
+	// memory of an experiment. The largest experiment has some 10,000 series.
+	maxSeries = 100_000
+	// maxErrors bounds the errors that a receiver keeps: an encoder that is wrong fails in each of its points, and the
+	// first thousand tell why.
+	maxErrors = 1000
+)
 
-// PointStore keeps the points that a receiver took: of each series the latest by its stamp, and how many came.
+// PointStore keeps the points that a receiver took: the latest of each series by its timestamp, and how many came.
 type PointStore struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	latest  map[string]Point
-	taken   int
-	faults  []string
-	sink    func(Point) // gets each point; nil for none
+	mu       sync.Mutex
+	changed  *sync.Cond // broadcast after each point and each error
+	latest   map[string]Point
+	received int
+	errors   []string
+	onPoint  func(Point) // gets each point that is kept; nil for none
 }
 
-// NewPointStore returns an empty store. sink, if not nil, gets each point as it comes.
-func NewPointStore(sink func(Point)) *PointStore {
-	p := &PointStore{latest: map[string]Point{}, sink: sink}
-	p.changed = sync.NewCond(&p.mu)
-	return p
+// NewPointStore returns an empty store. onPoint, if not nil, gets each point as it comes.
+func NewPointStore(onPoint func(Point)) *PointStore {
+	s := &PointStore{
+		latest:  map[string]Point{},
+		onPoint: onPoint,
+	}
+	s.changed = sync.NewCond(&s.mu)
+	return s
 }
 
-func (p *PointStore) add(points ...Point) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// add records points that were received.
+func (s *PointStore) add(points ...Point) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, point := range points {
-		p.taken++
-		if old, seen := p.latest[point.Series]; seen && old.Timestamp > point.Timestamp || !seen && len(p.latest) >= maxSeries {
+		s.received++
+		if !s.keeps(point) {
 			continue
 		}
-		p.latest[point.Series] = point
-		if p.sink != nil {
-			p.sink(point)
+		s.latest[point.Series] = point
+		if s.onPoint != nil {
+			s.onPoint(point)
 		}
 	}
-	p.changed.Broadcast()
+	s.changed.Broadcast()
+}
+
+// keeps reports whether a point is the latest of its series and there is capacity for it; s.mu is held.
+func (s *PointStore) keeps(point Point) bool {
+	old, known := s.latest[point.Series]
+	if known {
+		return old.Timestamp <= point.Timestamp
+	}
+	return len(s.latest) < maxSeries
 }
 
-// fault notes what could not be read.
-func (p *PointStore) fault(format string, args ...any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if len(p.faults) < 1000 {
-		p.faults = append(p.faults, fmt.Sprintf(format, args...))
+// addError records what could not be read.
+func (s *PointStore) addError(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.errors) < maxErrors {
+		s.errors = append(s.errors, fmt.Sprintf(format, args...))
 	}
-	p.changed.Broadcast()
+	s.changed.Broadcast()
 }
 
-// Errors tells what could not be read so far.
-func (p *PointStore) Errors() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.Clone(p.faults)
+// Errors returns what could not be read so far.
+func (s *PointStore) Errors() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.errors)
 }
 
-// Received tells how many points came.
-func (p *PointStore) Received() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.taken
+// Received returns how many points came.
+func (s *PointStore) Received() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.received
 }
 
 // Latest returns the latest point of each series.
-func (p *PointStore) Latest() map[string]Point {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return maps.Clone(p.latest)
+func (s *PointStore) Latest() map[string]Point {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return maps.Clone(s.latest)
 }
 
-// Await waits until fits is true of the latest points and the faults, or until stop is closed, and returns what it was.
-func (p *PointStore) Await(stop <-chan struct{}, fits func(latest map[string]Point, faults []string) bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	over := make(chan struct{})
-	defer close(over)
-	go func() {
+// Await waits until condition holds for the latest points and the errors, or until stop is closed, and reports whether
+// it held. condition must not keep its arguments.
+func (s *PointStore) Await(
+	stop <-chan struct{}, condition func(latest map[string]Point, errors []string) bool,
+) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	done := make(chan struct{})
+	defer close(done)
+	go func() { // ends with Await
 		select {
 		case <-stop:
-			p.changed.Broadcast()
-		case <-over:
+			s.changed.Broadcast()
+		case <-done:
 		}
 	}()
 	for {
-		if fits(p.latest, p.faults) {
+		if condition(s.latest, s.errors) {
 			return true
 		}
 		select {
 		case <-stop:
 			return false
 		default:
-			p.changed.Wait()
+			s.changed.Wait()
 		}
 	}
 }
