--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -116,7 +116,7 @@
 		if err != nil {
 			return h, err
 		}
-		result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 2000})
+		result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: 2000})
 		if err != nil {
 			return h, err
 		}
@@ -150,7 +150,7 @@
 	}
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	list := fmt.Sprintf("c=lesson-read,t=completo,d=750,volume=%016x,units=1,shard=%d,hosts=1", number, number%len(f.nodes))
-	_, _ = conn.Write(load.Command(nil, "BLK.READ", fmt.Sprintf("%016x", number), fmt.Sprintf("held-%d", number), list))
+	_, _ = conn.Write(load.AppendCommand(nil, "BLK.READ", fmt.Sprintf("%016x", number), fmt.Sprintf("held-%d", number), list))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && !strings.HasPrefix(line, "$") && !strings.HasPrefix(line, "-BUSY") {
 		err = fmt.Errorf("connection %d was answered %q", number, line)
--- a/cmd/brokerbench/curve.go
+++ b/cmd/brokerbench/curve.go
@@ -122,16 +122,16 @@
 		r.kill()
 		return point{}, err
 	}
-	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: cmd.Int("connections"), Bounded: cmd.Bool("bounded")})
+	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: cmd.Int("connections"), WaitForConnection: cmd.Bool("bounded")})
 	figures := r.figures()
 	r.kill()
 	if err := errors.Join(err, ctx.Err()); err != nil {
 		return point{}, err
 	}
 	all := result.All
-	return point{Rate: rate, Sent: all.Sent(), Served: all.Counts[load.Served], Busy: all.Counts[load.Busy], Failed: all.Counts[load.Failed],
+	return point{Rate: rate, Sent: all.Sent(), Served: all.Counts[load.Served], Busy: all.Counts[load.Rejected], Failed: all.Counts[load.Failed],
 		Lost: all.Counts[load.Lost], Closed: all.Counts[load.Closed], Unsent: all.Counts[load.Unsent], Late: all.Late, P50: all.Latency.ValueAtPercentile(50), P99: all.Latency.ValueAtPercentile(99),
-		BusyP99: all.Refused.ValueAtPercentile(99), Behind: result.Behind.Microseconds(), PeakKB: r.peak(), Door: figures["door_refused"], Dials: result.Dials}, nil
+		BusyP99: all.RejectionLatency.ValueAtPercentile(99), Behind: result.MaxSendLag.Microseconds(), PeakKB: r.peak(), Door: figures["door_refused"], Dials: result.Dials}, nil
 }
 
 func printCurve(w io.Writer, points []point, length time.Duration) error {
--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -107,9 +107,9 @@
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "%d nodes and a broker on loopback; %.0f requests a second for %v\n", nodes, cmd.Float("rate"), cmd.Duration("for"))
-	t := load.Traffic{Kinds: kinds, Plans: []string{"basico", "padrao", "completo"}, Volumes: 6 * nodes, Skew: 1.2, Shards: nodes, MaxUnits: 3, Hosts: 1,
-		Rate: cmd.Float("rate"), Length: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
-	result, err := load.Run(ctx, t, load.Options{Addresses: []string{address}, Connections: 256, Bounded: true, Progress: progress(t.Length)})
+	t := load.Traffic{Classes: kinds, Plans: []string{"basico", "padrao", "completo"}, Volumes: 6 * nodes, Skew: 1.2, Shards: nodes, MaxUnits: 3, Brokers: 1,
+		Rate: cmd.Float("rate"), Duration: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
+	result, err := load.Run(ctx, t, load.Options{Addresses: []string{address}, MaxConnections: 256, WaitForConnection: true, Progress: progress(t.Duration)})
 	clearProgress()
 	if err != nil {
 		return err
--- a/cmd/brokerbench/leavers.go
+++ b/cmd/brokerbench/leavers.go
@@ -68,7 +68,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	list := "c=lesson-read,t=completo,d=750,volume=00000003b4d60021,units=1,shard=0,hosts=1"
-	if _, err := conn.Write(load.Command(nil, "BLK.READ", "7f3a9c21e0b4d655", id, list)); err != nil {
+	if _, err := conn.Write(load.AppendCommand(nil, "BLK.READ", "7f3a9c21e0b4d655", id, list)); err != nil {
 		return err
 	}
 	time.Sleep(after)
@@ -153,11 +153,11 @@
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	if busy {
-		kinds := []load.Kind{{Class: "lesson-read", Share: 1, Deadline: 750 * time.Millisecond}}
-		t := load.Traffic{Kinds: kinds, Plans: []string{"basico"}, Volumes: 500, Skew: 1.2, Shards: 1, MaxUnits: 3, Hosts: 1,
-			Rate: cmd.Float("rate"), Length: 5 * time.Minute, Seed: uint64(cmd.Uint("seed"))}
+		kinds := []load.RequestClass{{Name: "lesson-read", Share: 1, Deadline: 750 * time.Millisecond}}
+		t := load.Traffic{Classes: kinds, Plans: []string{"basico"}, Volumes: 500, Skew: 1.2, Shards: 1, MaxUnits: 3, Brokers: 1,
+			Rate: cmd.Float("rate"), Duration: 5 * time.Minute, Seed: uint64(cmd.Uint("seed"))}
 		go func() {
-			_, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 1000, Bounded: true})
+			_, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: 1000, WaitForConnection: true})
 			done <- err
 		}()
 	} else {
--- a/cmd/brokerbench/load.go
+++ b/cmd/brokerbench/load.go
@@ -44,7 +44,7 @@
 }
 
 // kindsOf makes the classes of settings into a mix: all alike, or by shares as in "a=1,b=2".
-func kindsOf(classes []scheduler.Class, mix string) ([]load.Kind, error) {
+func kindsOf(classes []scheduler.Class, mix string) ([]load.RequestClass, error) {
 	shares := map[string]float64{}
 	if mix != "" {
 		for part := range strings.SplitSeq(mix, ",") {
@@ -56,9 +56,9 @@
 			shares[name] = share
 		}
 	}
-	var kinds []load.Kind
+	var kinds []load.RequestClass
 	for _, c := range classes {
-		k := load.Kind{Class: c.Name, Share: 1, Write: c.Idempotency != scheduler.Idempotent, Deadline: c.Deadline}
+		k := load.RequestClass{Name: c.Name, Share: 1, Write: c.Idempotency != scheduler.Idempotent, Deadline: c.Deadline}
 		if mix != "" {
 			k.Share = shares[c.Name]
 			delete(shares, c.Name)
@@ -86,15 +86,15 @@
 	if err != nil {
 		return err
 	}
-	t := load.Traffic{Kinds: kinds, Volumes: cmd.Int("volumes"), Skew: cmd.Float("skew"), Shards: cmd.Int("shards"), MaxUnits: cmd.Int("units"),
-		Hosts: c.Settings.Scheduler.Brokers, Rate: cmd.Float("rate"), Length: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
+	t := load.Traffic{Classes: kinds, Volumes: cmd.Int("volumes"), Skew: cmd.Float("skew"), Shards: cmd.Int("shards"), MaxUnits: cmd.Int("units"),
+		Brokers: c.Settings.Scheduler.Brokers, Rate: cmd.Float("rate"), Duration: cmd.Duration("for"), Seed: uint64(cmd.Uint("seed"))}
 	for _, p := range c.Settings.Scheduler.Plans {
 		t.Plans = append(t.Plans, p.Name)
 	}
 	if t.Shards == 0 {
 		t.Shards = max(1, c.Settings.Shards)
 	}
-	opt := load.Options{Addresses: cmd.StringSlice("address"), Connections: cmd.Int("connections"), Bounded: true, Progress: progress(t.Length)}
+	opt := load.Options{Addresses: cmd.StringSlice("address"), MaxConnections: cmd.Int("connections"), WaitForConnection: true, Progress: progress(t.Duration)}
 	if len(opt.Addresses) == 0 {
 		opt.Addresses = []string{c.Listen}
 	}
@@ -156,9 +156,9 @@
 }
 
 // tallies names the tallies of a result.
-func tallies(r *load.Result, each func(group, name string, t *load.Tally)) {
-	for i, t := range r.ByKind {
-		each("class", r.Traffic.Kinds[i].Class, t)
+func tallies(r *load.Result, each func(group, name string, t *load.Stats)) {
+	for i, t := range r.ByClass {
+		each("class", r.Traffic.Classes[i].Name, t)
 	}
 	for i, t := range r.ByPlan {
 		each("plan", r.Traffic.Plans[i], t)
@@ -169,8 +169,8 @@
 func printResult(w io.Writer, r *load.Result) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "\tsent\tserved\tbusy\tfailed\tlost\tclosed\tp50 ms\tp90\tp99\tp99.9\tmax\t")
-	tallies(r, func(group, name string, t *load.Tally) {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", strings.TrimSpace(group+" "+name), t.Sent(), t.Counts[load.Served], t.Counts[load.Busy],
+	tallies(r, func(group, name string, t *load.Stats) {
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t", strings.TrimSpace(group+" "+name), t.Sent(), t.Counts[load.Served], t.Counts[load.Rejected],
 			t.Counts[load.Failed], t.Counts[load.Lost], t.Counts[load.Closed])
 		for _, p := range []float64{50, 90, 99, 99.9, 100} {
 			_, _ = fmt.Fprintf(table, "%.1f\t", float64(t.Latency.ValueAtPercentile(p))/1000)
@@ -180,7 +180,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "latency counts from the intended time; sent %v late at the most, over %d connections\n", r.Behind.Round(time.Microsecond), r.Dials)
+	_, err := fmt.Fprintf(w, "latency counts from the intended time; sent %v late at the most, over %d connections\n", r.MaxSendLag.Round(time.Microsecond), r.Dials)
 	return err
 }
 
@@ -209,10 +209,10 @@
 		LengthS  float64     `json:"length_s"`
 		BehindUS int64       `json:"behind_us"`
 		Tallies  []tallyJSON `json:"tallies"`
-	}{Seed: r.Traffic.Seed, Rate: r.Traffic.Rate, LengthS: r.Traffic.Length.Seconds(), BehindUS: r.Behind.Microseconds()}
-	tallies(r, func(group, name string, t *load.Tally) {
+	}{Seed: r.Traffic.Seed, Rate: r.Traffic.Rate, LengthS: r.Traffic.Duration.Seconds(), BehindUS: r.MaxSendLag.Microseconds()}
+	tallies(r, func(group, name string, t *load.Stats) {
 		h := t.Latency
-		out.Tallies = append(out.Tallies, tallyJSON{group, name, t.Sent(), t.Counts[load.Served], t.Counts[load.Busy], t.Counts[load.Failed],
+		out.Tallies = append(out.Tallies, tallyJSON{group, name, t.Sent(), t.Counts[load.Served], t.Counts[load.Rejected], t.Counts[load.Failed],
 			t.Counts[load.Lost], t.Counts[load.Closed], h.ValueAtPercentile(50), h.ValueAtPercentile(90), h.ValueAtPercentile(99), h.ValueAtPercentile(99.9),
 			h.Max(), int64(h.Mean()), int64(h.StdDev())})
 	})
@@ -230,7 +230,7 @@
 	if err := log.OutputComment("[latency in microseconds from the intended time of each request]"); err != nil {
 		return err
 	}
-	start := r.Began.UnixMilli()
+	start := r.StartedAt.UnixMilli()
 	if err := log.OutputStartTime(start); err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 	if err := log.OutputLegend(); err != nil {
 		return err
 	}
-	for i, h := range r.Interval {
+	for i, h := range r.LatencyBySecond {
 		h.SetStartTimeMs(start + int64(i)*1000)
 		h.SetEndTimeMs(start + int64(i+1)*1000)
 		if err := log.OutputIntervalHistogram(h); err != nil {
--- a/cmd/brokerbench/main_test.go
+++ b/cmd/brokerbench/main_test.go
@@ -51,10 +51,10 @@
 func TestResultFiles(t *testing.T) {
 	h := hdrhistogram.New(1, 1e8, 3)
 	_ = h.RecordValues(1500, 42)
-	tally := &load.Tally{Latency: h}
+	tally := &load.Stats{Latency: h}
 	tally.Counts[load.Served] = 42
-	r := &load.Result{Traffic: load.Traffic{Kinds: []load.Kind{{Class: "read"}}, Plans: []string{"gold"}}, Began: time.UnixMilli(1_700_000_000_000), All: tally,
-		ByKind: []*load.Tally{tally}, ByPlan: []*load.Tally{tally}, Interval: []*hdrhistogram.Histogram{h}}
+	r := &load.Result{Traffic: load.Traffic{Classes: []load.RequestClass{{Name: "read"}}, Plans: []string{"gold"}}, StartedAt: time.UnixMilli(1_700_000_000_000), All: tally,
+		ByClass: []*load.Stats{tally}, ByPlan: []*load.Stats{tally}, LatencyBySecond: []*hdrhistogram.Histogram{h}}
 	var text bytes.Buffer
 	if err := writeHDR(&text, r); err != nil {
 		t.Fatal(err)
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -218,11 +218,11 @@
 }
 
 func (f *fleet) traffic(cmd *cli.Command, rate float64, seed uint64) (load.Traffic, error) {
-	kinds := []load.Kind{{Class: "lesson-read", Share: 55, Deadline: 750 * time.Millisecond}, {Class: "record-write", Share: 30, Write: true, Deadline: 1200 * time.Millisecond},
-		{Class: "bulk-export", Share: 15, Deadline: 2500 * time.Millisecond}}
-	t := load.Traffic{Kinds: kinds, Plans: []string{"basico", "padrao", "completo"}, Volumes: cmd.Int("volumes"), Skew: 1.1, Shards: len(f.nodes), MaxUnits: 3, Hosts: 1,
-		Rate: rate, Length: cmd.Duration("for"), Seed: seed}
-	return t, t.Check()
+	kinds := []load.RequestClass{{Name: "lesson-read", Share: 55, Deadline: 750 * time.Millisecond}, {Name: "record-write", Share: 30, Write: true, Deadline: 1200 * time.Millisecond},
+		{Name: "bulk-export", Share: 15, Deadline: 2500 * time.Millisecond}}
+	t := load.Traffic{Classes: kinds, Plans: []string{"basico", "padrao", "completo"}, Volumes: cmd.Int("volumes"), Skew: 1.1, Shards: len(f.nodes), MaxUnits: 3, Brokers: 1,
+		Rate: rate, Duration: cmd.Duration("for"), Seed: seed}
+	return t, t.Validate()
 }
 
 // run is what clients saw in one run.
@@ -259,14 +259,14 @@
 	if err != nil {
 		return run{}, err
 	}
-	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 1024, Bounded: true})
+	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: 1024, WaitForConnection: true})
 	r.kill()
 	if err != nil {
 		return run{}, err
 	}
 	h, c := result.All.Latency, result.All.Counts
 	return run{round, variant, float64(h.ValueAtPercentile(50)), float64(h.ValueAtPercentile(99)), float64(h.ValueAtPercentile(99.9)),
-		c[load.Served], c[load.Busy], c[load.Failed], c[load.Lost] + c[load.Closed], r.peak()}, ctx.Err()
+		c[load.Served], c[load.Rejected], c[load.Failed], c[load.Lost] + c[load.Closed], r.peak()}, ctx.Err()
 }
 
 func measureSinks(ctx context.Context, cmd *cli.Command) error {
@@ -381,8 +381,8 @@
 		r.kill()
 		return err
 	}
-	t.Length = max(t.Length, 12*time.Second)
-	part := t.Length / 4
+	t.Duration = max(t.Duration, 12*time.Second)
+	part := t.Duration / 4
 	steps := make(chan error, 1)
 	go func() {
 		time.Sleep(part)
@@ -397,7 +397,7 @@
 		}
 		steps <- err
 	}()
-	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 1024, Bounded: true, Progress: progress(t.Length)})
+	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: 1024, WaitForConnection: true, Progress: progress(t.Duration)})
 	clearProgress()
 	if err := errors.Join(err, <-steps); err != nil {
 		r.kill()
@@ -410,12 +410,12 @@
 	time.Sleep(100 * time.Millisecond) // what the sockets hold is read
 	carbon, collectd := f.carbon.Latest(), f.collectd.Latest()
 	c := result.All.Counts
-	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, failed %d, lost %d\n", c[load.Served], c[load.Busy], c[load.Failed], c[load.Lost])
+	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, failed %d, lost %d\n", c[load.Served], c[load.Rejected], c[load.Failed], c[load.Lost])
 	all := func(of string) float64 { return carbon["wharf.n1.all."+of].Value }
 	stamp := carbon["wharf.n1.all.served"].Timestamp
 	own := func(of string) (sum float64) {
-		for _, k := range t.Kinds {
-			sum += carbon["wharf.n1."+of+"."+k.Class].Value
+		for _, k := range t.Classes {
+			sum += carbon["wharf.n1."+of+"."+k.Name].Value
 		}
 		return sum
 	}
@@ -436,7 +436,7 @@
 			return fmt.Errorf("the sum over %s is %.0f, not %.0f", d, sum, all("served"))
 		}
 	}
-	if all("served") != own("success") || all("served") != float64(c[load.Served]) || all("busy") != own("busy") || all("busy") != float64(c[load.Busy]) ||
+	if all("served") != own("success") || all("served") != float64(c[load.Served]) || all("busy") != own("busy") || all("busy") != float64(c[load.Rejected]) ||
 		collectd["n1/junctionwharf-all/junctionwharf_requests/0"].Value != all("served") || len(faults) > 0 {
 		return fmt.Errorf("the counts differ; faults %q", faults)
 	}
--- a/internal/fleetharness/play.go
+++ b/internal/fleetharness/play.go
@@ -105,7 +105,7 @@
 		command, class, body = "BLK.WRITE", "record-write", []string{"BODY"}
 	}
 	list := fmt.Sprintf("c=%s,t=basico,d=%d,volume=%016x,units=%g,shard=%d,hosts=%d", class, s.deadline.Milliseconds(), volume, s.units, shard, c.rig.scenario.total())
-	text := string(load.Command(nil, append([]string{command, fmt.Sprintf("%016x", key), s.id, list}, body...)...))
+	text := string(load.AppendCommand(nil, append([]string{command, fmt.Sprintf("%016x", key), s.id, list}, body...)...))
 	for {
 		conn, err := c.take()
 		if err != nil {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -23,9 +23,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Kind is a class of requests in the mix.
-type Kind struct {
-	Class    string
+// Class is a class of requests in the mix.
+type RequestClass struct {
+	Name     string
 	Share    float64       // of all requests, against the other kinds' shares
 	Write    bool          // sent as BLK.WRITE
 	Deadline time.Duration // how long the client waits
@@ -33,30 +33,30 @@
 
 // Traffic says what is sent. All draws come from Seed.
 type Traffic struct {
-	Kinds    []Kind
+	Classes  []RequestClass
 	Plans    []string
 	Volumes  int     // numbered from 1, each on one plan
 	Skew     float64 // Zipf's exponent over volumes, above 1; 0 for an even draw
 	Shards   int     // they run from 0
 	MaxUnits int     // a request has 1 to so many units
-	Hosts    int     // brokers through which a volume's requests come
+	Brokers  int     // brokers through which a volume's requests come
 	Rate     float64 // requests a second
-	Length   time.Duration
+	Duration time.Duration
 	Seed     uint64
 }
 
-// MostRequests bounds a run.
-const MostRequests = 20_000_000
+// MaxRequests bounds a run.
+const MaxRequests = 20_000_000
 
-// Check names what makes no sense.
-func (t Traffic) Check() error {
+// Validate names what makes no sense.
+func (t Traffic) Validate() error {
 	switch {
-	case len(t.Kinds) == 0 || len(t.Plans) == 0:
+	case len(t.Classes) == 0 || len(t.Plans) == 0:
 		return errors.New("no classes or no plans")
-	case !(t.Rate > 0) || t.Length <= 0:
+	case !(t.Rate > 0) || t.Duration <= 0:
 		return errors.New("rate and length must be above 0")
-	case t.Rate*t.Length.Seconds() > MostRequests:
-		return fmt.Errorf("%.0f requests are over %d", t.Rate*t.Length.Seconds(), MostRequests)
+	case t.Rate*t.Duration.Seconds() > MaxRequests:
+		return fmt.Errorf("%.0f requests are over %d", t.Rate*t.Duration.Seconds(), MaxRequests)
 	case t.Volumes < 1 || t.Shards < 1 || t.MaxUnits < 1:
 		return errors.New("volumes, shards and units must be above 0")
 	case t.Skew != 0 && t.Skew <= 1:
@@ -68,7 +68,7 @@
 // Arrival is one request.
 type Arrival struct {
 	At     time.Duration // from the start of the run
-	Kind   int           // in Traffic.Kinds
+	Class  int           // in Traffic.Classes
 	Plan   int           // in Traffic.Plans
 	Volume int
 	Shard  int
@@ -84,12 +84,12 @@
 		zipf = rand.NewZipf(random, t.Skew, 1, uint64(t.Volumes-1))
 	}
 	sum := 0.0
-	for _, k := range t.Kinds {
+	for _, k := range t.Classes {
 		sum += k.Share
 	}
 	for at := 0.0; ; {
 		at += random.ExpFloat64() / t.Rate
-		if at >= t.Length.Seconds() {
+		if at >= t.Duration.Seconds() {
 			return
 		}
 		a := Arrival{At: time.Duration(at * float64(time.Second)), Shard: random.IntN(t.Shards), Units: 1 + random.IntN(t.MaxUnits), Key: random.Uint64()}
@@ -99,8 +99,8 @@
 			a.Volume = 1 + random.IntN(t.Volumes)
 		}
 		a.Plan = a.Volume % len(t.Plans)
-		for draw := random.Float64() * sum; a.Kind < len(t.Kinds)-1 && draw >= t.Kinds[a.Kind].Share; a.Kind++ {
-			draw -= t.Kinds[a.Kind].Share
+		for draw := random.Float64() * sum; a.Class < len(t.Classes)-1 && draw >= t.Classes[a.Class].Share; a.Class++ {
+			draw -= t.Classes[a.Class].Share
 		}
 		if !yield(a) {
 			return
@@ -108,14 +108,14 @@
 	}
 }
 
-// Verdict is what a client made of an answer.
-type Verdict int
+// Outcome is what a client made of an answer.
+type Outcome int
 
 // The verdicts. Lost and Closed have no whole answer: the client found no connection or gave up well after its deadline, or
 // its connection was closed behind the request that it had sent whole.
 const (
-	Served Verdict = iota
-	Busy
+	Served Outcome = iota
+	Rejected
 	Failed
 	Lost
 	Closed
@@ -125,25 +125,25 @@
 
 var verdictNames = [verdicts]string{"served", "busy", "failed", "lost", "closed", "unsent"}
 
-func (v Verdict) String() string { return verdictNames[v] }
+func (v Outcome) String() string { return verdictNames[v] }
 
-// Tally counts what one kind of request got. Latency, in µs, counts from the intended time of the request, of all
+// Stats counts what one kind of request got. Latency, in µs, counts from the intended time of the request, of all
 // that got an answer of the broker's.
-type Tally struct {
-	Counts  [verdicts]int
-	Late    int // of Served, Busy and Failed: the answer came after the deadline, counted from the sending
-	Latency *hdrhistogram.Histogram
-	Refused *hdrhistogram.Histogram // of these, what was refused
+type Stats struct {
+	Counts           [verdicts]int
+	Late             int // of Served, Rejected and Failed: the answer came after the deadline, counted from the sending
+	Latency          *hdrhistogram.Histogram
+	RejectionLatency *hdrhistogram.Histogram // of these, what was refused
 }
 
 // mostMicros bounds what a histogram holds: 100 s.
 const mostMicros = 100_000_000
 
-func newTally() *Tally {
-	return &Tally{Latency: hdrhistogram.New(1, mostMicros, 3), Refused: hdrhistogram.New(1, mostMicros, 3)}
+func newTally() *Stats {
+	return &Stats{Latency: hdrhistogram.New(1, mostMicros, 3), RejectionLatency: hdrhistogram.New(1, mostMicros, 3)}
 }
 
-func (t *Tally) add(v Verdict, took time.Duration, late bool) {
+func (t *Stats) add(v Outcome, took time.Duration, late bool) {
 	t.Counts[v]++
 	if late && v < Lost {
 		t.Late++
@@ -152,13 +152,13 @@
 	if v < Lost {
 		_ = t.Latency.RecordValue(micros)
 	}
-	if v == Busy {
-		_ = t.Refused.RecordValue(micros)
+	if v == Rejected {
+		_ = t.RejectionLatency.RecordValue(micros)
 	}
 }
 
 // Sent is how many requests were sent.
-func (t *Tally) Sent() int {
+func (t *Stats) Sent() int {
 	sum := 0
 	for _, n := range t.Counts {
 		sum += n
@@ -168,22 +168,22 @@
 
 // Result is what a run came to.
 type Result struct {
-	Traffic  Traffic
-	Began    time.Time
-	All      *Tally
-	ByKind   []*Tally
-	ByPlan   []*Tally
-	Interval []*hdrhistogram.Histogram // of each second of the run, by intended time
-	Behind   time.Duration             // the latest that a request was sent after its time
-	Dials    int
+	Traffic         Traffic
+	StartedAt       time.Time
+	All             *Stats
+	ByClass         []*Stats
+	ByPlan          []*Stats
+	LatencyBySecond []*hdrhistogram.Histogram // of each second of the run, by intended time
+	MaxSendLag      time.Duration             // the latest that a request was sent after its time
+	Dials           int
 }
 
 // Options are of the sending side.
 type Options struct {
-	Addresses   []string // brokers, in turn
-	Connections int      // open at once, at the most
-	Bounded     bool     // a request waits for one of these while all are busy, which hides from the broker what it can't take
-	Progress    func(done time.Duration, sent int)
+	Addresses         []string // brokers, in turn
+	MaxConnections    int      // open at once, at the most
+	WaitForConnection bool     // a request waits for one of these while all are busy, which hides from the broker what it can't take
+	Progress          func(done time.Duration, sent int)
 
 	// Dial opens a connection to a broker, or fails within the given time; nil stands for TCP.
 	Dial func(address string, within time.Duration) (net.Conn, error)
@@ -191,28 +191,28 @@
 
 // Run sends the traffic until its end, or until ctx ends; then it waits for the answers that are owed.
 func Run(ctx context.Context, traffic Traffic, opt Options) (*Result, error) {
-	if err := traffic.Check(); err != nil {
+	if err := traffic.Validate(); err != nil {
 		return nil, err
 	}
 	if len(opt.Addresses) == 0 {
 		return nil, errors.New("no address")
 	}
-	r := &runner{traffic: traffic, opt: opt, places: make(chan struct{}, cmp.Or(opt.Connections, 256)),
-		result: &Result{Traffic: traffic, Began: time.Now(), All: newTally()}}
+	r := &runner{traffic: traffic, opt: opt, places: make(chan struct{}, cmp.Or(opt.MaxConnections, 256)),
+		result: &Result{Traffic: traffic, StartedAt: time.Now(), All: newTally()}}
 	if r.opt.Dial == nil {
 		r.opt.Dial = func(address string, within time.Duration) (net.Conn, error) {
 			return net.DialTimeout("tcp", address, within)
 		}
 	}
 	r.idle = make([][]*client, len(opt.Addresses))
-	for range traffic.Kinds {
-		r.result.ByKind = append(r.result.ByKind, newTally())
+	for range traffic.Classes {
+		r.result.ByClass = append(r.result.ByClass, newTally())
 	}
 	for range traffic.Plans {
 		r.result.ByPlan = append(r.result.ByPlan, newTally())
 	}
-	for range int(math.Ceil(traffic.Length.Seconds())) {
-		r.result.Interval = append(r.result.Interval, hdrhistogram.New(1, mostMicros, 3))
+	for range int(math.Ceil(traffic.Duration.Seconds())) {
+		r.result.LatencyBySecond = append(r.result.LatencyBySecond, hdrhistogram.New(1, mostMicros, 3))
 	}
 	r.send(ctx)
 	r.wait.Wait()
@@ -245,14 +245,14 @@
 )
 
 func (r *runner) patience() time.Duration {
-	if r.opt.Bounded {
+	if r.opt.WaitForConnection {
 		return patience
 	}
 	return hasty
 }
 
 func (r *runner) send(ctx context.Context) {
-	began, sent := r.result.Began, 0
+	began, sent := r.result.StartedAt, 0
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	shown := began
@@ -293,7 +293,7 @@
 
 // enter takes one of the connections that there may be.
 func (r *runner) enter(ctx context.Context) bool {
-	if r.opt.Bounded {
+	if r.opt.WaitForConnection {
 		select {
 		case r.places <- struct{}{}:
 			return true
@@ -310,8 +310,8 @@
 }
 
 func (r *runner) ask(a Arrival, number int) {
-	began, sent := r.result.Began.Add(a.At), time.Now()
-	behind, deadline := sent.Sub(began), r.traffic.Kinds[a.Kind].Deadline
+	began, sent := r.result.StartedAt.Add(a.At), time.Now()
+	behind, deadline := sent.Sub(began), r.traffic.Classes[a.Class].Deadline
 	to := number % len(r.opt.Addresses)
 	v := Lost
 	for again := true; again; {
@@ -337,17 +337,17 @@
 	took, late := time.Since(began), time.Since(sent) > deadline
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.Behind = max(r.result.Behind, behind)
+	r.result.MaxSendLag = max(r.result.MaxSendLag, behind)
 	r.count(a, v, took, late)
 }
 
 // count adds to all tallies; the caller holds r.mu.
-func (r *runner) count(a Arrival, v Verdict, took time.Duration, late bool) {
+func (r *runner) count(a Arrival, v Outcome, took time.Duration, late bool) {
 	r.result.All.add(v, took, late)
-	r.result.ByKind[a.Kind].add(v, took, late)
+	r.result.ByClass[a.Class].add(v, took, late)
 	r.result.ByPlan[a.Plan].add(v, took, late)
 	if v < Lost {
-		_ = r.result.Interval[int(a.At/time.Second)].RecordValue(max(1, min(took.Microseconds(), mostMicros)))
+		_ = r.result.LatencyBySecond[int(a.At/time.Second)].RecordValue(max(1, min(took.Microseconds(), mostMicros)))
 	}
 }
 
@@ -377,8 +377,8 @@
 	used bool // it has had an answer
 }
 
-// Command appends a RESP2 command of these words.
-func Command(to []byte, words ...string) []byte {
+// AppendCommand appends a RESP2 command of these words.
+func AppendCommand(to []byte, words ...string) []byte {
 	to = fmt.Appendf(to, "*%d\r\n", len(words))
 	for _, word := range words {
 		to = fmt.Appendf(to, "$%d\r\n%s\r\n", len(word), word)
@@ -386,16 +386,16 @@
 	return to
 }
 
-func (c *client) ask(t Traffic, a Arrival, number int, until time.Time) (Verdict, error) {
-	kind := t.Kinds[a.Kind]
-	list := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%016x,units=%d,shard=%d,hosts=%d", kind.Class, t.Plans[a.Plan], kind.Deadline.Milliseconds(),
-		a.Volume, a.Units, a.Shard, max(1, t.Hosts))
+func (c *client) ask(t Traffic, a Arrival, number int, until time.Time) (Outcome, error) {
+	kind := t.Classes[a.Class]
+	list := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%016x,units=%d,shard=%d,hosts=%d", kind.Name, t.Plans[a.Plan], kind.Deadline.Milliseconds(),
+		a.Volume, a.Units, a.Shard, max(1, t.Brokers))
 	args := []string{"BLK.READ", fmt.Sprintf("%016x", a.Key), fmt.Sprintf("%08x%08x", uint32(t.Seed), number), list}
 	if kind.Write {
 		args[0] = "BLK.WRITE"
 		args = append(args, "BODY")
 	}
-	c.out = Command(c.out[:0], args...)
+	c.out = AppendCommand(c.out[:0], args...)
 	_ = c.conn.SetDeadline(until)
 	if _, err := c.conn.Write(c.out); err != nil {
 		return Lost, err
@@ -403,7 +403,7 @@
 	return c.read()
 }
 
-func (c *client) read() (Verdict, error) {
+func (c *client) read() (Outcome, error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
 		return Lost, err
@@ -420,7 +420,7 @@
 		}
 		return Served, nil
 	case strings.HasPrefix(line, "-BUSY"):
-		return Busy, nil
+		return Rejected, nil
 	}
 	return Failed, nil
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,8 +14,8 @@
 )
 
 func traffic() Traffic {
-	return Traffic{Kinds: []Kind{{Class: "read", Share: 3, Deadline: time.Second}, {Class: "write", Share: 1, Write: true, Deadline: time.Second}},
-		Plans: []string{"gold", "basic"}, Volumes: 10, Shards: 2, MaxUnits: 4, Rate: 500, Length: time.Second, Seed: 7}
+	return Traffic{Classes: []RequestClass{{Name: "read", Share: 3, Deadline: time.Second}, {Name: "write", Share: 1, Write: true, Deadline: time.Second}},
+		Plans: []string{"gold", "basic"}, Volumes: 10, Shards: 2, MaxUnits: 4, Rate: 500, Duration: time.Second, Seed: 7}
 }
 
 // The same seed draws the same requests, in order, at the rate and in the mix.
@@ -29,7 +29,7 @@
 		if i > 0 && x.At < a[i-1].At || x.At >= time.Second || x.Volume < 1 || x.Volume > 10 || x.Shard > 1 || x.Units < 1 || x.Units > 4 {
 			t.Fatalf("%+v", x)
 		}
-		if x.Kind == 0 {
+		if x.Class == 0 {
 			reads++
 		}
 	}
@@ -45,7 +45,7 @@
 
 func TestCheck(t *testing.T) {
 	for _, spoil := range []func(*Traffic){
-		func(t *Traffic) { t.Rate = 0 }, func(t *Traffic) { t.Kinds = nil }, func(t *Traffic) { t.Length = -1 },
+		func(t *Traffic) { t.Rate = 0 }, func(t *Traffic) { t.Classes = nil }, func(t *Traffic) { t.Duration = -1 },
 		func(t *Traffic) { t.Rate = 1e12 }, func(t *Traffic) { t.Volumes = 0 }, func(t *Traffic) { t.Skew = 0.5 },
 	} {
 		x := traffic()
@@ -81,12 +81,12 @@
 // clients had no connection left for is counted as that. All on a virtual clock, so that the counts are exact.
 func TestRun(t *testing.T) {
 	const stillFrom, stillUntil = 500 * time.Millisecond, 600 * time.Millisecond
-	verdictOf := [...]Verdict{Served, Busy, Failed, Closed}
+	verdictOf := [...]Outcome{Served, Rejected, Failed, Closed}
 	for _, connections := range []int{256, 8} {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
 			x := traffic()
-			r, err := Run(context.Background(), x, Options{Addresses: []string{"broker"}, Connections: connections,
+			r, err := Run(context.Background(), x, Options{Addresses: []string{"broker"}, MaxConnections: connections,
 				Dial: func(string, time.Duration) (net.Conn, error) {
 					near, far := net.Pipe()
 					go serve(far, began, stillFrom, stillUntil)
@@ -111,8 +111,8 @@
 			if connections == 8 && want[Unsent] == 0 || connections > 8 && heldUp < 20 {
 				t.Fatalf("a standstill that shows nothing: %v, %d held up", want, heldUp)
 			}
-			if r.All.Counts != want || r.All.Sent() != r.ByKind[0].Sent()+r.ByKind[1].Sent() ||
-				int(r.All.Latency.TotalCount()) != want[Served]+want[Busy]+want[Failed] || int(r.All.Refused.TotalCount()) != want[Busy] {
+			if r.All.Counts != want || r.All.Sent() != r.ByClass[0].Sent()+r.ByClass[1].Sent() ||
+				int(r.All.Latency.TotalCount()) != want[Served]+want[Rejected]+want[Failed] || int(r.All.RejectionLatency.TotalCount()) != want[Rejected] {
 				t.Errorf("%d connections: %v, want %v", connections, r.All.Counts, want)
 			}
 			late := 0
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	x := traffic()
-	x.Length = time.Hour
+	x.Duration = time.Hour
 	r, err := Run(ctx, x, Options{Addresses: []string{"127.0.0.1:1"}})
 	if err != nil || r.All.Sent() > 1 {
 		t.Error(r.All.Sent(), err)
