--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -110,7 +110,7 @@
 		}
 	}
 	began := time.Now()
-	before, _ := fleetharness.Spent(r.command.Process.Pid)
+	before, _ := fleetharness.ProcessUsage(r.command.Process.Pid)
 	if rate > 0 {
 		t, err := f.traffic(cmd, rate, 1)
 		if err != nil {
@@ -128,7 +128,7 @@
 		case <-time.After(cmd.Duration("for")):
 		}
 	}
-	h.CPU, h.MemoryMB = fleetharness.Spent(r.command.Process.Pid)
+	h.CPU, h.MemoryMB = fleetharness.ProcessUsage(r.command.Process.Pid)
 	h.CPU = (h.CPU - before) / time.Since(began).Seconds()
 	for _, conn := range conns { // one that the broker ended reads an end of file
 		_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
--- a/cmd/brokerbench/fleet.go
+++ b/cmd/brokerbench/fleet.go
@@ -75,14 +75,14 @@
 					if err != nil {
 						return err
 					}
-					played.Site = string(text)
+					played.SiteTOML = string(text)
 				}
 				report, err := playFleet(ctx, program, &played, cmd.Int("stories"))
 				if err != nil {
 					return fmt.Errorf("%s, %s: %w", path, name, err)
 				}
 				runs = append(runs, fleetRun{name, report})
-				broken += len(report.Breaches)
+				broken += len(report.Violations)
 				printFleet(os.Stdout, name, report)
 			}
 			scenario.Seed++
@@ -108,8 +108,8 @@
 	if err := rig.Start(starting); err != nil {
 		return nil, err
 	}
-	report, err := rig.Play(ctx)
-	for _, s := range rig.Stories(stories) {
+	report, err := rig.Run(ctx)
+	for _, s := range rig.DescribeUnserved(stories) {
 		fmt.Println(s)
 	}
 	return report, err
@@ -117,52 +117,52 @@
 
 func printFleet(w io.Writer, name string, r *fleetharness.Report) {
 	_, _ = fmt.Fprintf(w, "%s, %s, seed %d: %d brokers, %d nodes; %d connections made to nodes, at most %d at one; %d calls of discovery; %d datagrams\n", r.Scenario, name, r.Seed,
-		r.Brokers, r.Nodes, r.Dials, r.Peak, r.Calls, r.Sent)
+		r.Brokers, r.Nodes, r.Dials, r.PeakConns, r.DiscoveryCalls, r.Datagrams)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "from s\tto s\tsent\tserved\tin aim\trefused\tfailed\tlost\tbroker down\tlate\tp50 ms\tp99 ms\tfullest/mean\tworst second\tof a draw\tidle nodes\tworst\t")
 	for _, p := range append(r.Phases, r.All) {
-		_, _ = fmt.Fprintf(table, "%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%d\t%s\t\n", p.FromS, p.ToS, p.Sent, p.Served, p.InAim, p.Busy, p.Failed, p.Lost, p.Down, p.Late,
-			float64(p.P50)/1000, float64(p.P99)/1000, p.Full, p.Worst, p.Random, p.Idle, p.WorstAt)
+		_, _ = fmt.Fprintf(table, "%.1f\t%.1f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%d\t%s\t\n", p.FromS, p.ToS, p.Sent, p.Served, p.InObjective, p.Rejected, p.Failed, p.Lost, p.Excluded, p.Late,
+			float64(p.P50)/1000, float64(p.P99)/1000, p.MaxOverMean, p.WorstSecond, p.RandomWorstSecond, p.IdleNodes, p.WorstSecondAt)
 	}
 	_ = table.Flush()
-	if len(r.EvenAfter) > 0 {
-		_, _ = fmt.Fprintf(w, "load is even again after the end of each event, s: %.2f\n", r.EvenAfter)
+	if len(r.BalancedAfterS) > 0 {
+		_, _ = fmt.Fprintf(w, "load is even again after the end of each event, s: %.2f\n", r.BalancedAfterS)
 	}
 	if a := r.Agreement; a != nil {
 		at := func(part float64) float64 {
-			if len(a.Spread) == 0 {
+			if len(a.CommitToAllUS) == 0 {
 				return 0
 			}
-			return float64(a.Spread[min(len(a.Spread)-1, int(part*float64(len(a.Spread))))]) / 1000
+			return float64(a.CommitToAllUS[min(len(a.CommitToAllUS)-1, int(part*float64(len(a.CommitToAllUS))))]) / 1000
 		}
 		_, _ = fmt.Fprintf(w, "agreement: %d versions acted on, proposals %v, longest contradiction %.3f ms; from commit to all acting, ms: p50 %.0f, p99 %.0f, largest %.0f; %.0f bytes a second and broker, at most %.0f; %.1f MB a broker\n",
-			a.Versions, a.Ends, float64(a.LongestUS)/1000, at(0.5), at(0.99), at(1), a.BytesS, a.MostS, a.MemoryMB)
-		if a.Story != "" {
-			_, _ = fmt.Fprintln(w, a.Story)
+			a.Versions, a.ProposalOutcomes, float64(a.LongestUS)/1000, at(0.5), at(0.99), at(1), a.MeanBytesPerS, a.MaxBytesPerS, a.MemoryMB)
+		if a.Trace != "" {
+			_, _ = fmt.Fprintln(w, a.Trace)
 		}
 	}
-	printCold(w, r.Cold)
-	if n := len(r.ReadyMS); n > 0 {
-		at := func(part float64) float64 { return r.ReadyMS[min(n-1, int(part*float64(n)))] }
-		_, _ = fmt.Fprintf(w, "%d brokers started again, ready after, ms: least %.0f, p50 %.0f, p90 %.0f, p99 %.0f, largest %.0f\n", n, r.ReadyMS[0], at(0.5), at(0.9), at(0.99), r.ReadyMS[n-1])
+	printCold(w, r.SlowStart)
+	if n := len(r.RestartMS); n > 0 {
+		at := func(part float64) float64 { return r.RestartMS[min(n-1, int(part*float64(n)))] }
+		_, _ = fmt.Fprintf(w, "%d brokers started again, ready after, ms: least %.0f, p50 %.0f, p90 %.0f, p99 %.0f, largest %.0f\n", n, r.RestartMS[0], at(0.5), at(0.9), at(0.99), r.RestartMS[n-1])
 	}
-	for i, b := range r.Breaches {
+	for i, b := range r.Violations {
 		if i == 5 {
-			_, _ = fmt.Fprintf(w, "and %d more breaches\n", len(r.Breaches)-i)
+			_, _ = fmt.Fprintf(w, "and %d more breaches\n", len(r.Violations)-i)
 			break
 		}
-		_, _ = fmt.Fprintf(w, "BREACH at %s: %s: %s\n", b.At, b.Rule, b.Story)
+		_, _ = fmt.Fprintf(w, "BREACH at %s: %s: %s\n", b.At, b.Rule, b.Trace)
 	}
 }
 
 // printCold prints, for each second of a cold node's age, the fullest window over all nodes.
-func printCold(w io.Writer, seconds []fleetharness.ColdSecond) {
-	var fullest []fleetharness.ColdSecond
+func printCold(w io.Writer, seconds []fleetharness.SlowStartSecond) {
+	var fullest []fleetharness.SlowStartSecond
 	for _, c := range seconds {
 		for len(fullest) <= c.AgeS {
-			fullest = append(fullest, fleetharness.ColdSecond{AgeS: len(fullest)})
+			fullest = append(fullest, fleetharness.SlowStartSecond{AgeS: len(fullest)})
 		}
-		if f := &fullest[c.AgeS]; f.Bears == 0 || c.Units/c.Bears > f.Units/f.Bears {
+		if f := &fullest[c.AgeS]; f.Limit == 0 || c.Units/c.Limit > f.Units/f.Limit {
 			*f = c
 		}
 	}
@@ -172,8 +172,8 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "age s\tnode\tunits in the window\tbears N\tpart\tN + 2 root N + 2\t")
 	for _, f := range fullest {
-		if f.Bears > 0 {
-			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%.0f\t\n", f.AgeS, f.Node, f.Units, f.Bears, f.Units/f.Bears, f.Bears+2*math.Sqrt(f.Bears)+2)
+		if f.Limit > 0 {
+			_, _ = fmt.Fprintf(table, "%d\t%s\t%.0f\t%.0f\t%.2f\t%.0f\t\n", f.AgeS, f.Node, f.Units, f.Limit, f.Units/f.Limit, f.Limit+2*math.Sqrt(f.Limit)+2)
 		}
 	}
 	_ = table.Flush()
--- a/cmd/brokerbench/fleet_report.go
+++ b/cmd/brokerbench/fleet_report.go
@@ -94,9 +94,9 @@
 	var full []float64
 	sent, served := 0, 0
 	for _, r := range runs {
-		full = append(full, r.All.Full)
-		v.Worst, v.Random, v.P99 = max(v.Worst, r.All.Worst), max(v.Random, r.All.Random), max(v.P99, r.All.P99)
-		v.Idle, v.Dials, v.Peak, v.Breaches = max(v.Idle, r.All.Idle), max(v.Dials, r.Dials), max(v.Peak, r.Peak), v.Breaches+len(r.Breaches)
+		full = append(full, r.All.MaxOverMean)
+		v.Worst, v.Random, v.P99 = max(v.Worst, r.All.WorstSecond), max(v.Random, r.All.RandomWorstSecond), max(v.P99, r.All.P99)
+		v.Idle, v.Dials, v.Peak, v.Breaches = max(v.Idle, r.All.IdleNodes), max(v.Dials, r.Dials), max(v.Peak, r.PeakConns), v.Breaches+len(r.Violations)
 		sent, served = sent+r.All.Sent, served+r.All.Served
 	}
 	v.Runs, v.Missed = len(runs), 1000*float64(sent-served)/math.Max(1, float64(sent))
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -75,14 +75,14 @@
 // dayOfFaults are those of the plan's day, all within one run: four brokers restart, one dies, one machine set aside for control dies and comes
 // back, one broker stands still, and three are cut off from what is agreed. They are of whole processes.
 var dayOfFaults = []fleetharness.Event{
-	{AtS: 4, What: "kill", Brokers: []int{7, 8, 9, 10}, ForS: 2}, {AtS: 6, What: "kill", Brokers: []int{11}}, {AtS: 9, What: "kill", Brokers: []int{2}, ForS: 3},
-	{AtS: 10, What: "stop", Brokers: []int{12}, ForS: 3}, {AtS: 14, What: "agree_cut", Brokers: []int{13, 14, 15}, ForS: 4},
+	{AtS: 4, Kind: "kill", Brokers: []int{7, 8, 9, 10}, DurationS: 2}, {AtS: 6, Kind: "kill", Brokers: []int{11}}, {AtS: 9, Kind: "kill", Brokers: []int{2}, DurationS: 3},
+	{AtS: 10, Kind: "stop", Brokers: []int{12}, DurationS: 3}, {AtS: 14, Kind: "agree_cut", Brokers: []int{13, 14, 15}, DurationS: 4},
 }
 
 // Scenario is what the rig plays for a cell.
 func (c Cell) Scenario() *fleetharness.Scenario {
-	s := &fleetharness.Scenario{Name: c.Name(), Seed: c.Seed, Brokers: min(realOnes, c.Brokers), Peers: true, Shards: c.Nodes, ForS: forS, Rate: requests, LimitMB: 192,
-		Node: fleetharness.Node{Count: c.Nodes, Zones: 6}, Agreement: fleetharness.Agreement{Voters: 7, ChangeS: c.ChangeS, Control: c.Control},
+	s := &fleetharness.Scenario{Name: c.Name(), Seed: c.Seed, Brokers: min(realOnes, c.Brokers), Peers: true, Shards: c.Nodes, DurationS: forS, Rate: requests, MemoryLimitMB: 192,
+		Node: fleetharness.NodeSpec{Count: c.Nodes, Zones: 6}, Agreement: fleetharness.Agreement{Voters: 7, ChangeIntervalS: c.ChangeS, DedicatedVoters: c.Control},
 		Hollow: fleetharness.Hollow{Brokers: max(0, c.Brokers-realOnes), Rate: requests, Volumes: requests * c.Volumes}}
 	if c.Faults {
 		s.Events = slices.Clone(dayOfFaults)
@@ -162,7 +162,7 @@
 
 var (
 	agreed    = measure{"bytes a second of agreement, sent and received", "%.0f", Budget.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return c.Sent + c.Received }}
-	messages  = measure{"messages a second to and from other brokers", "%.1f", 0, anyBroker, func(c fleetharness.Cost) float64 { return c.Told + c.Heard }}
+	messages  = measure{"messages a second to and from other brokers", "%.1f", 0, anyBroker, func(c fleetharness.Cost) float64 { return c.PeerSent + c.PeerReceived }}
 	allBytes  = measure{"bytes a second of both, 35 a message", "%.0f", Budget.Bytes, anyBroker, func(c fleetharness.Cost) float64 { return agreed.of(c) + datagram*messages.of(c) }}
 	wholeCPU  = measure{"part of a core, whole brokers, their requests included", "%.4f", 0, wholeOnes, func(c fleetharness.Cost) float64 { return c.CPU }}
 	hollowCPU = measure{"part of a core, hollow brokers: their part of a process", "%.4f", Budget.CPU, hollowOnes, wholeCPU.of}
@@ -422,8 +422,8 @@
 	longest := int64(0)
 	if a := r.Agreement; a != nil {
 		longest = a.LongestUS
-		if n := len(a.Spread); n > 0 {
-			force = fmt.Sprintf("%.0f, %.0f, %.0f (%d)", float64(a.Spread[n/2])/1000, float64(a.Spread[min(n-1, n*99/100)])/1000, float64(a.Spread[n-1])/1000, n)
+		if n := len(a.CommitToAllUS); n > 0 {
+			force = fmt.Sprintf("%.0f, %.0f, %.0f (%d)", float64(a.CommitToAllUS[n/2])/1000, float64(a.CommitToAllUS[min(n-1, n*99/100)])/1000, float64(a.CommitToAllUS[n-1])/1000, n)
 		}
 	}
 	by := "brokers"
@@ -434,7 +434,7 @@
 		by += ", faults"
 	}
 	return fmt.Sprintf("| %s | %d | %d | %d | %g | %d | %d | %.0f | %.0f | %.4f | %.0f | %s | %.1f | %d |", by, c.Brokers, c.Nodes, c.Volumes, c.ChangeS, c.Seed, len(r.Costs),
-		sum/float64(len(r.Costs)), most, cpu/float64(max(1, whole)), float64(r.Sent)/float64(c.Brokers), force, float64(longest)/1000, r.All.Lost+len(r.Breaches))
+		sum/float64(len(r.Costs)), most, cpu/float64(max(1, whole)), float64(r.Datagrams)/float64(c.Brokers), force, float64(longest)/1000, r.All.Lost+len(r.Violations))
 }
 
 var page = template.Must(template.New("page").Parse(`By role at the planned size, three seeds where they were run: the mean over a role's brokers and the one with most, each with its 95%
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -127,7 +127,7 @@
 func TestGrid(t *testing.T) {
 	seen := map[string]bool{}
 	for _, c := range Grid {
-		if err := c.Scenario().Check(); err != nil || seen[c.Name()] {
+		if err := c.Scenario().Validate(); err != nil || seen[c.Name()] {
 			t.Errorf("%s: %v, twice %v", c.Name(), err, seen[c.Name()])
 		}
 		seen[c.Name()] = true
--- a/internal/fleetharness/hollow.go
+++ b/internal/fleetharness/hollow.go
@@ -23,10 +23,10 @@
 
 // Hollow is brokers beside the real ones that are only the control side of one, many to a process.
 type Hollow struct {
-	Brokers int     `toml:"brokers"`
-	Each    int     `toml:"each"`    // to a process; 0: 31
-	Rate    float64 `toml:"rate"`    // requests a second and broker that are drawn, and go nowhere
-	Volumes int     `toml:"volumes"` // that they are of, the same ones at all brokers; 0: 1
+	Brokers    int     `toml:"brokers"`
+	PerProcess int     `toml:"each"`    // to a process; 0: 31
+	Rate       float64 `toml:"rate"`    // requests a second and broker that are drawn, and go nowhere
+	Volumes    int     `toml:"volumes"` // that they are of, the same ones at all brokers; 0: 1
 }
 
 // The bounds of hollow brokers, and what a broker is taken to need before it is started.
@@ -42,8 +42,8 @@
 // check completes it and names the first key that makes no sense.
 func (s *Scenario) checkHollow() error {
 	h := &s.Hollow
-	if h.Each == 0 {
-		h.Each = 31
+	if h.PerProcess == 0 {
+		h.PerProcess = 31
 	}
 	if h.Volumes == 0 {
 		h.Volumes = 1
@@ -51,17 +51,17 @@
 	switch {
 	case h.Brokers < 0 || h.Brokers > mostHollow:
 		return fmt.Errorf("hollow.brokers: %d is not within 0 to %d", h.Brokers, mostHollow)
-	case h.Each < 1 || h.Each > 100:
-		return fmt.Errorf("hollow.each: %d is not within 1 to 100", h.Each)
+	case h.PerProcess < 1 || h.PerProcess > 100:
+		return fmt.Errorf("hollow.each: %d is not within 1 to 100", h.PerProcess)
 	case h.Rate < 0 || h.Rate > 2000 || h.Volumes < 1 || h.Volumes > 100_000:
 		return fmt.Errorf("hollow: rate %v is not within 0 to 2000, or volumes %d not within 1 to 100000", h.Rate, h.Volumes)
 	}
-	processes := s.Brokers + (h.Brokers+h.Each-1)/h.Each
+	processes := s.Brokers + (h.Brokers+h.PerProcess-1)/h.PerProcess
 	if h.Brokers > 0 && processes > mostProcesses {
 		return fmt.Errorf("hollow.each: %d processes are over %d", processes, mostProcesses)
 	}
-	if need := float64(s.Brokers)*s.LimitMB + float64(h.Brokers)*hollowMB; h.Brokers > 0 && need > mostMemoryMB {
-		return fmt.Errorf("hollow.brokers: %.0f MB would be over %d: %d processes of %.0f MB and %d hollow brokers of %d MB", need, mostMemoryMB, s.Brokers, s.LimitMB, h.Brokers, hollowMB)
+	if need := float64(s.Brokers)*s.MemoryLimitMB + float64(h.Brokers)*hollowMB; h.Brokers > 0 && need > mostMemoryMB {
+		return fmt.Errorf("hollow.brokers: %.0f MB would be over %d: %d processes of %.0f MB and %d hollow brokers of %d MB", need, mostMemoryMB, s.Brokers, s.MemoryLimitMB, h.Brokers, hollowMB)
 	}
 	return nil
 }
@@ -74,18 +74,18 @@
 }
 
 // group is a process of hollow brokers.
-type group struct {
+type hollowProcess struct {
 	command *exec.Cmd
 	done    chan struct{}
-	brokers []*process
+	brokers []*broker
 }
 
 // launchHollow starts all hollow brokers. The program stands beside the broker's.
-func (r *Rig) launchHollow() error {
+func (r *Fleet) launchHollow() error {
 	lab := filepath.Join(filepath.Dir(r.Program), "brokerbench")
 	h := r.scenario.Hollow
-	for first := r.scenario.Brokers; first < r.scenario.total(); first += h.Each {
-		g := &group{brokers: r.brokers[first:min(r.scenario.total(), first+h.Each)], done: make(chan struct{})}
+	for first := r.scenario.Brokers; first < r.scenario.total(); first += h.PerProcess {
+		g := &hollowProcess{brokers: r.brokers[first:min(r.scenario.total(), first+h.PerProcess)], done: make(chan struct{})}
 		var all []HollowBroker
 		for _, p := range g.brokers {
 			text, site, err := r.configure(p, nil)
@@ -114,7 +114,7 @@
 		if err := <-failed; err != nil {
 			return err
 		}
-		r.groups = append(r.groups, g)
+		r.hollowProcesses = append(r.hollowProcesses, g)
 		for _, p := range g.brokers {
 			p.mu.Lock()
 			p.command, p.done = g.command, g.done
@@ -129,31 +129,31 @@
 	return nil
 }
 
-// KillHollow ends a process of hollow brokers.
-func (r *Rig) KillHollow(process int) {
-	g := r.groups[process]
+// KillHollowProcess ends a process of hollow brokers.
+func (r *Fleet) KillHollowProcess(process int) {
+	g := r.hollowProcesses[process]
 	for _, p := range g.brokers {
 		p.setDown(true)
 	}
 	_ = g.command.Process.Kill()
 	<-g.done
 	for _, p := range g.brokers {
-		r.journal.line(Line{At: Now() - r.journal.began, Process: fmt.Sprintf("broker-%d", p.number), Text: "killed"})
+		r.recorder.addLine(LogLine{At: Now() - r.recorder.startedAt, Process: fmt.Sprintf("broker-%d", p.number), Message: "killed"})
 	}
 }
 
 // followAll takes what a process of many brokers logs into the journal.
-func (r *Rig) followAll(from io.Reader) {
+func (r *Fleet) followAll(from io.Reader) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		r.journal.line(r.lineOf("hollow", lines.Bytes()))
+		r.recorder.addLine(r.lineOf("hollow", lines.Bytes()))
 	}
 }
 
 // agreed waits until each broker's console answers and, where they agree, each has a lease.
-func (r *Rig) agreedAll(ctx context.Context) error {
-	return r.each(func(p *process) error {
+func (r *Fleet) agreedAll(ctx context.Context) error {
+	return r.each(func(p *broker) error {
 		for {
 			select {
 			case <-p.done:
@@ -174,9 +174,9 @@
 }
 
 // each does something for all brokers, many at a time.
-func (r *Rig) each(do func(*process) error) error {
+func (r *Fleet) each(do func(*broker) error) error {
 	var wait sync.WaitGroup
-	work, faults := make(chan *process), make(chan error, len(r.brokers))
+	work, faults := make(chan *broker), make(chan error, len(r.brokers))
 	for range 32 {
 		wait.Go(func() {
 			for p := range work {
@@ -203,20 +203,20 @@
 
 // Cost is what the control side of one broker cost over the traffic, by the second.
 type Cost struct {
-	Broker   int     `json:"broker"`
-	Hollow   bool    `json:"hollow,omitempty"`
-	Role     string  `json:"role"`            // leader, voter, feeder or leaf
-	Feeds    int     `json:"feeds,omitempty"` // brokers that hear of the agreed document from it
-	Sent     float64 `json:"sent"`            // bytes a second of agreement
-	Received float64 `json:"received"`
-	Told     float64 `json:"told"`  // messages a second to other brokers
-	Heard    float64 `json:"heard"` // and from them
-	CPU      float64 `json:"cpu"`   // part of a core; of a hollow broker its part of the process
-	MemoryMB float64 `json:"memory_mb"`
+	Broker       int     `json:"broker"`
+	Hollow       bool    `json:"hollow,omitempty"`
+	Role         string  `json:"role"`            // leader, voter, feeder or leaf
+	Children     int     `json:"feeds,omitempty"` // brokers that hear of the agreed document from it
+	Sent         float64 `json:"sent"`            // bytes a second of agreement
+	Received     float64 `json:"received"`
+	PeerSent     float64 `json:"told"`  // messages a second to other brokers
+	PeerReceived float64 `json:"heard"` // and from them
+	CPU          float64 `json:"cpu"`   // part of a core; of a hollow broker its part of the process
+	MemoryMB     float64 `json:"memory_mb"`
 }
 
 // meter is a reading of what a broker has spent so far.
-type meter struct {
+type meterReading struct {
 	at      time.Duration
 	figures map[string]float64
 	cpu     float64 // seconds
@@ -225,13 +225,13 @@
 }
 
 // read reads all brokers' meters, by number. One that does not answer is left out.
-func (r *Rig) readMeters() []*meter {
-	all := make([]*meter, len(r.brokers))
+func (r *Fleet) readMeters() []*meterReading {
+	all := make([]*meterReading, len(r.brokers))
 	shared := map[int]float64{}
-	for _, g := range r.groups {
+	for _, g := range r.hollowProcesses {
 		shared[g.command.Process.Pid] = float64(len(g.brokers))
 	}
-	_ = r.each(func(p *process) error {
+	_ = r.each(func(p *broker) error {
 		p.mu.Lock()
 		command := p.command
 		p.mu.Unlock()
@@ -242,7 +242,7 @@
 		if err != nil {
 			return nil
 		}
-		m := &meter{at: Now(), figures: map[string]float64{}}
+		m := &meterReading{at: Now(), figures: map[string]float64{}}
 		for line := range strings.Lines(string(text)) {
 			name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
 			value, _, _ := strings.Cut(rest, "|")
@@ -251,11 +251,11 @@
 			}
 		}
 		if r.scenario.Agreement.Voters > 0 {
-			if m.status, err = r.agreeStatus(p.number); err != nil {
+			if m.status, err = r.agreementStatus(p.number); err != nil {
 				return nil
 			}
 		}
-		m.cpu, m.memory = Spent(command.Process.Pid)
+		m.cpu, m.memory = ProcessUsage(command.Process.Pid)
 		if n := shared[command.Process.Pid]; n > 0 {
 			m.cpu, m.memory = m.cpu/n, m.memory/n
 		}
@@ -265,8 +265,8 @@
 	return all
 }
 
-// Spent is the processor time of a process in seconds, and its resident memory in MB.
-func Spent(pid int) (cpu, memory float64) {
+// ProcessUsage is the processor time of a process in seconds, and its resident memory in MB.
+func ProcessUsage(pid int) (cpu, memory float64) {
 	const ticks = 100 // a second, as Linux tells times to programs
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
@@ -285,7 +285,7 @@
 }
 
 // costs are the differences between two readings, by broker.
-func (r *Rig) costs(from, to []*meter) []Cost {
+func (r *Fleet) costs(from, to []*meterReading) []Cost {
 	var all []Cost
 	for i, b := range to {
 		a := from[i]
@@ -294,11 +294,11 @@
 		}
 		span := (b.at - a.at).Seconds()
 		by := func(name string) float64 { return max(0, b.figures[name]-a.figures[name]) / span }
-		c := Cost{Broker: i, Hollow: i >= r.scenario.Brokers, Role: b.status.Role, Feeds: len(b.status.Children), Sent: by("agree_bytes_sent"), Received: by("agree_bytes_received"),
-			Told: by("peer_sent"), Heard: by("peer_heard"), CPU: max(0, b.cpu-a.cpu) / span, MemoryMB: b.memory}
+		c := Cost{Broker: i, Hollow: i >= r.scenario.Brokers, Role: b.status.Role, Children: len(b.status.Children), Sent: by("agree_bytes_sent"), Received: by("agree_bytes_received"),
+			PeerSent: by("peer_sent"), PeerReceived: by("peer_heard"), CPU: max(0, b.cpu-a.cpu) / span, MemoryMB: b.memory}
 		if c.Role == "follower" || c.Role == "" {
 			c.Role = "leaf"
-			if c.Feeds > 0 {
+			if c.Children > 0 {
 				c.Role = "feeder"
 			}
 		}
--- a/internal/fleetharness/journal_golden_test.go
+++ b/internal/fleetharness/journal_golden_test.go
@@ -11,17 +11,17 @@
 	"junctionwharf/internal/daemon"
 )
 
-var recordJournal = flag.Bool("record-journal", false, "write the golden files anew")
+var recordGolden = flag.Bool("record-journal", false, "write the golden files anew")
 
 // checkJournal compares a value's JSON with a golden file, and reads that file into to and back.
-func checkJournal(t *testing.T, name string, value, to any) {
+func checkGolden(t *testing.T, name string, value, to any) {
 	t.Helper()
 	path := "testdata/" + name
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *recordJournal {
+	if *recordGolden {
 		if err := os.WriteFile(path, encoded, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -47,8 +47,8 @@
 
 // A journal of an earlier run is read after an upgrade, and the file of hollow brokers is read by another program: their bytes stay.
 func TestJournalBytes(t *testing.T) {
-	checkJournal(t, "line.json", Line{At: 1500 * time.Microsecond, Process: "broker-1", Text: "serving", Keys: map[string]string{"what": "clients"}}, &Line{})
-	checkJournal(t, "breach.json", Breach{Rule: "two attempts out", At: "0.001 s", Story: "seed 1"}, &Breach{})
-	checkJournal(t, "hollow.json", []HollowBroker{{Config: json.RawMessage(`{"name":"n1"}`), Site: "site.toml",
+	checkGolden(t, "line.json", LogLine{At: 1500 * time.Microsecond, Process: "broker-1", Message: "serving", Attributes: map[string]string{"what": "clients"}}, &LogLine{})
+	checkGolden(t, "breach.json", Violation{Rule: "two attempts out", At: "0.001 s", Trace: "seed 1"}, &Violation{})
+	checkGolden(t, "hollow.json", []HollowBroker{{Config: json.RawMessage(`{"name":"n1"}`), Site: "site.toml",
 		Demand: daemon.SyntheticLoad{Rate: 1.5, Volumes: 40, ResponseTime: 20 * time.Millisecond, Seed: 7}}}, &[]HollowBroker{})
 }
--- a/internal/fleetharness/node.go
+++ b/internal/fleetharness/node.go
@@ -15,31 +15,31 @@
 )
 
 // fault is what is wrong between a broker and a node. The zero value is nothing.
-type fault struct {
-	silent bool    // what the node would say is not sent, nor is more read
-	oneway bool    // what it would say is not sent, but it reads and works
-	out    way     // answers
-	in     way     // requests
-	pace   float64 // bytes a second of answers, 0 for no bound
-	cutAt  int     // the connection is reset behind so many bytes of an answer, 0 for never
+type linkFault struct {
+	silent         bool        // what the node would say is not sent, nor is more read
+	answersLost    bool        // what it would say is not sent, but it reads and works
+	answers        linkQuality // answers
+	requests       linkQuality // requests
+	bytesPerSecond float64     // bytes a second of answers, 0 for no bound
+	cutAt          int         // the connection is reset behind so many bytes of an answer, 0 for never
 }
 
 // way is one direction of a link.
-type way struct {
+type linkQuality struct {
 	delay  time.Duration
 	jitter time.Duration // drawn on top of it
 	loss   float64       // part of what is sent that TCP sends again
 }
 
-func (w way) and(v way) way {
-	return way{w.delay + v.delay, w.jitter + v.jitter, max(w.loss, v.loss)}
+func (w linkQuality) combine(v linkQuality) linkQuality {
+	return linkQuality{w.delay + v.delay, w.jitter + v.jitter, max(w.loss, v.loss)}
 }
 
 // retransmit is when TCP first sends again what was lost; each further time takes twice as long.
 const retransmit = 200 * time.Millisecond
 
 // takes is how long something is on the way.
-func (w way) takes(random *rand.Rand) time.Duration {
+func (w linkQuality) transitTime(random *rand.Rand) time.Duration {
 	span := w.delay + time.Duration(random.Float64()*float64(w.jitter))
 	for again := retransmit; random.Float64() < w.loss && again <= 8*retransmit; again *= 2 {
 		span += again
@@ -48,36 +48,36 @@
 }
 
 // and is what holds where two things are wrong.
-func (f fault) and(g fault) fault {
-	return fault{f.silent || g.silent, f.oneway || g.oneway, f.out.and(g.out), f.in.and(g.in), max(f.pace, g.pace), max(f.cutAt, g.cutAt)}
+func (f linkFault) combine(g linkFault) linkFault {
+	return linkFault{f.silent || g.silent, f.answersLost || g.answersLost, f.answers.combine(g.answers), f.requests.combine(g.requests), max(f.bytesPerSecond, g.bytesPerSecond), max(f.cutAt, g.cutAt)}
 }
 
 // node is a stand-in: so many slots, a queue, a speed, a cold start.
-type node struct {
-	rig    *Rig
-	number int
-	shard  int
-	name   string
-	at     string // address
+type fakeNode struct {
+	rig     *Fleet
+	number  int
+	shard   int
+	name    string
+	address string // address
 
-	mu      sync.Mutex
-	heal    *sync.Cond // told when faults or slots change
-	ln      net.Listener
-	conns   map[*nodeConn]bool
-	dials   int
-	peak    int
-	busy    int // slots taken
-	holding int // commands in hand
-	speed   float64
-	born    time.Duration // 0: long ago
-	lie     bool
-	faults  map[int]fault // by broker, -1 for all
-	random  *rand.Rand
-	served  []int // by second
-	turned  int
-	units   []arrival // lately, of a cold node
-	cold    []ColdSecond
-	down    bool
+	mu             sync.Mutex
+	changed        *sync.Cond // told when faults or slots change
+	ln             net.Listener
+	conns          map[*nodeConn]bool
+	dials          int
+	peak           int
+	slotsInUse     int // slots taken
+	inFlight       int // commands in hand
+	speed          float64
+	startedAt      time.Duration // 0: long ago
+	reportsIdle    bool
+	faults         map[int]linkFault // by broker, -1 for all
+	random         *rand.Rand
+	servedBySecond []int // by second
+	rejected       int
+	recentUnits    []arrival // lately, of a cold node
+	slowStart      []SlowStartSecond
+	closed         bool
 }
 
 type arrival struct {
@@ -87,27 +87,27 @@
 
 // The cold start, as the settings of the rig tell brokers.
 const (
-	coldTime     = 17 * time.Second
-	coldShare    = 0.18
-	fallTime     = 3 * time.Second
-	fallMultiple = 4.0
-	youngLimit   = 41.0
+	slowStartDuration = 17 * time.Second
+	slowStartShare    = 0.18
+	slowStartWindow   = 3 * time.Second
+	slowStartMultiple = 4.0
+	slowStartMinUnits = 41.0
 )
 
-func newNode(r *Rig, number, shard int, name string) (*node, error) {
-	n := &node{rig: r, number: number, shard: shard, name: name, at: r.address(100, number, 6379), conns: map[*nodeConn]bool{}, speed: 1, faults: map[int]fault{},
+func newNode(r *Fleet, number, shard int, name string) (*fakeNode, error) {
+	n := &fakeNode{rig: r, number: number, shard: shard, name: name, address: r.address(100, number, 6379), conns: map[*nodeConn]bool{}, speed: 1, faults: map[int]linkFault{},
 		random: rand.New(rand.NewPCG(r.scenario.Seed, uint64(number)))}
-	n.heal = sync.NewCond(&n.mu)
+	n.changed = sync.NewCond(&n.mu)
 	return n, n.listen()
 }
 
-func (n *node) listen() error {
-	ln, err := net.Listen("tcp4", n.at)
+func (n *fakeNode) listen() error {
+	ln, err := net.Listen("tcp4", n.address)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	n.ln, n.down = ln, false
+	n.ln, n.closed = ln, false
 	n.mu.Unlock()
 	go func() {
 		for {
@@ -128,19 +128,19 @@
 }
 
 // close ends it: connections are reset, new ones refused.
-func (n *node) close() {
+func (n *fakeNode) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.down {
+	if n.closed {
 		return
 	}
-	n.down = true
+	n.closed = true
 	_ = n.ln.Close()
 	n.reset()
-	n.heal.Broadcast()
+	n.changed.Broadcast()
 }
 
-func (n *node) reset() {
+func (n *fakeNode) reset() {
 	for c := range n.conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -150,78 +150,78 @@
 }
 
 // set changes what is wrong with the node, seen by one broker or by all (-1).
-func (n *node) set(broker int, change func(*fault)) {
+func (n *fakeNode) setFault(broker int, change func(*linkFault)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f := n.faults[broker]
 	change(&f)
 	n.faults[broker] = f
-	n.heal.Broadcast()
+	n.changed.Broadcast()
 }
 
-func (n *node) fault(broker int) fault {
-	return n.faults[-1].and(n.faults[broker])
+func (n *fakeNode) faultOf(broker int) linkFault {
+	return n.faults[-1].combine(n.faults[broker])
 }
 
 // capacity is the part of its speed that it has: it grows evenly from its cold start on.
-func (n *node) capacity(now time.Duration) float64 {
-	if n.born == 0 || now-n.born >= coldTime {
+func (n *fakeNode) currentSpeed(now time.Duration) float64 {
+	if n.startedAt == 0 || now-n.startedAt >= slowStartDuration {
 		return n.speed
 	}
-	return n.speed * (coldShare + (1-coldShare)*float64(now-n.born)/float64(coldTime))
+	return n.speed * (slowStartShare + (1-slowStartShare)*float64(now-n.startedAt)/float64(slowStartDuration))
 }
 
 // full is what it serves a second when warm, in units.
-func (n *node) full() float64 {
+func (n *fakeNode) nominalRate() float64 {
 	return float64(n.rig.scenario.Node.Slots) * 1000 / n.rig.scenario.Node.UnitMS
 }
 
 // weigh notes work at a node that has just started and tells whether it is more than the rule allows.
-func (n *node) weigh(now time.Duration, units float64) bool {
-	if n.born == 0 || now-n.born > coldTime {
+func (n *fakeNode) addUnits(now time.Duration, units float64) bool {
+	if n.startedAt == 0 || now-n.startedAt > slowStartDuration {
 		return true
 	}
-	n.units = append(n.units, arrival{now, units})
-	for len(n.units) > 0 && now-n.units[0].at > fallTime {
-		n.units = n.units[1:]
+	n.recentUnits = append(n.recentUnits, arrival{now, units})
+	for len(n.recentUnits) > 0 && now-n.recentUnits[0].at > slowStartWindow {
+		n.recentUnits = n.recentUnits[1:]
 	}
 	sum := 0.0
-	for _, a := range n.units {
+	for _, a := range n.recentUnits {
 		sum += a.units
 	}
-	bears := max(youngLimit, fallMultiple*n.capacity(now)*n.full()*fallTime.Seconds())
-	age := int((now - n.born) / time.Second)
-	if last := len(n.cold) - 1; last < 0 || n.cold[last].born != n.born || n.cold[last].AgeS != age {
-		n.cold = append(n.cold, ColdSecond{Node: n.name, AgeS: age, born: n.born})
+	bears := max(slowStartMinUnits, slowStartMultiple*n.currentSpeed(now)*n.nominalRate()*slowStartWindow.Seconds())
+	age := int((now - n.startedAt) / time.Second)
+	if last := len(n.slowStart) - 1; last < 0 || n.slowStart[last].born != n.startedAt || n.slowStart[last].AgeS != age {
+		n.slowStart = append(n.slowStart, SlowStartSecond{Node: n.name, AgeS: age, born: n.startedAt})
 	}
-	if c := &n.cold[len(n.cold)-1]; sum/bears >= c.part() {
-		c.Units, c.Bears = sum, bears
+	if c := &n.slowStart[len(n.slowStart)-1]; sum/bears >= c.part() {
+		c.Units, c.Limit = sum, bears
 	}
 	return sum <= bears
 }
 
-// ColdSecond is the most that a cold node was sent by all brokers in any window of the rule's length that ended in one second of its
+// SlowStartSecond is the most that a cold node was sent by all brokers in any window of the rule's length that ended in one second of its
 // age, and what it bore then.
-type ColdSecond struct {
+type SlowStartSecond struct {
 	Node  string  `json:"node"`
 	AgeS  int     `json:"age_s"`
 	Units float64 `json:"units"`
-	Bears float64 `json:"bears"`
+	Limit float64 `json:"bears"`
 
 	born time.Duration
 }
 
-func (c *ColdSecond) part() float64 { return c.Units / max(c.Bears, 1) }
+func (c *SlowStartSecond) part() float64 { return c.Units / max(c.Limit, 1) }
 
 // nodeConn is a connection of a broker to a node.
 type nodeConn struct {
 	net.Conn
-	node   *node
+	node   *fakeNode
 	broker int
 }
 
 // over tells whether the broker has ended the connection, as the kernel knows it: what this process has read may lag.
-func (c *nodeConn) over() bool {
+func (c *nodeConn) ended() bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return c.Conn == nil // of tests
@@ -252,20 +252,20 @@
 		if err != nil {
 			return
 		}
-		text := c.answer(cmd)
+		text := c.serveCommand(cmd)
 		if text == "" {
 			return
 		}
-		if !c.say(text) {
+		if !c.writeAnswer(text) {
 			return
 		}
 	}
 }
 
 // say writes an answer as the link lets it through, and tells whether the connection stands.
-func (c *nodeConn) say(text string) bool {
+func (c *nodeConn) writeAnswer(text string) bool {
 	c.node.mu.Lock()
-	f := c.node.fault(c.broker)
+	f := c.node.faultOf(c.broker)
 	c.node.mu.Unlock()
 	if f.cutAt > 0 && f.cutAt < len(text) {
 		_, _ = io.WriteString(c.Conn, text[:f.cutAt])
@@ -274,83 +274,83 @@
 		}
 		return false
 	}
-	return paced(c.Conn, text, f.pace) == nil
+	return paced(c.Conn, text, f.bytesPerSecond) == nil
 }
 
 // answer does one command, empty if its connection is over.
-func (c *nodeConn) answer(cmd redcon.Command) string {
+func (c *nodeConn) serveCommand(cmd redcon.Command) string {
 	if len(cmd.Args) < 4 {
 		return "+OK\r\n"
 	}
 	n, id, list := c.node, string(cmd.Args[2]), string(cmd.Args[3])
 	units := fakes.NumberField(list, "units")
 	n.mu.Lock()
-	f := n.fault(c.broker)
-	blocked, late := f.silent, f.in.takes(n.random)
+	f := n.faultOf(c.broker)
+	blocked, late := f.silent, f.requests.transitTime(n.random)
 	n.mu.Unlock()
 	if late > 0 {
-		if time.Sleep(late); c.over() {
+		if time.Sleep(late); c.ended() {
 			return "" // called off before the node saw it
 		}
 	}
 	now := Now()
 	if blocked { // it never sees the command while the link is silent, and what it then reads is over
 		n.mu.Lock()
-		for n.fault(c.broker).silent && !n.down && !n.rig.ended() {
-			n.heal.Wait()
+		for n.faultOf(c.broker).silent && !n.closed && !n.rig.ended() {
+			n.changed.Wait()
 		}
 		n.mu.Unlock()
 		return ""
 	}
-	s := n.rig.journal.arrive(id, attempt{node: n.number, broker: c.broker, at: now, conn: c})
+	s := n.rig.recorder.attemptArrived(id, attempt{node: n.number, broker: c.broker, arrivedAt: now, conn: c})
 	if s == nil {
 		return "-SYNTAX\r\n"
 	}
 	if shard := int(fakes.NumberField(list, "shard")); shard != n.shard && shard >= 0 {
-		n.rig.journal.leave(s, n.number, false)
+		n.rig.recorder.attemptEnded(s, n.number, false)
 		return "-ERR another shard\r\n"
 	}
-	n.rig.judgeDrain(n, c.broker, s, now)
+	n.rig.checkDrain(n, c.broker, s, now)
 	n.mu.Lock()
-	if !n.weigh(now, units) {
-		n.rig.journal.mu.Lock()
-		n.rig.journal.breach(fmt.Sprintf("%s is cold and gets more than it bears", n.name), s)
-		n.rig.journal.mu.Unlock()
+	if !n.addUnits(now, units) {
+		n.rig.recorder.mu.Lock()
+		n.rig.recorder.addViolation(fmt.Sprintf("%s is cold and gets more than it bears", n.name), s)
+		n.rig.recorder.mu.Unlock()
 	}
-	if n.holding >= n.rig.scenario.Node.Slots+n.rig.scenario.Node.Room {
-		n.turned++
+	if n.inFlight >= n.rig.scenario.Node.Slots+n.rig.scenario.Node.Queue {
+		n.rejected++
 		n.mu.Unlock()
-		n.rig.journal.leave(s, n.number, false)
+		n.rig.recorder.attemptEnded(s, n.number, false)
 		return "-BUSY\r\n"
 	}
-	n.holding++
-	for n.busy >= n.rig.scenario.Node.Slots && !n.down {
-		n.heal.Wait()
+	n.inFlight++
+	for n.slotsInUse >= n.rig.scenario.Node.Slots && !n.closed {
+		n.changed.Wait()
 	}
-	n.busy++
-	span := units * n.rig.scenario.Node.UnitMS / n.capacity(Now()) * n.random.ExpFloat64()
+	n.slotsInUse++
+	span := units * n.rig.scenario.Node.UnitMS / n.currentSpeed(Now()) * n.random.ExpFloat64()
 	n.mu.Unlock()
 	time.Sleep(time.Duration(span * float64(time.Millisecond)))
 	n.mu.Lock()
-	n.busy--
-	n.holding--
-	n.heal.Signal()
-	if at := int((Now() - n.rig.journal.began) / time.Second); at >= 0 {
-		for len(n.served) <= at {
-			n.served = append(n.served, 0)
+	n.slotsInUse--
+	n.inFlight--
+	n.changed.Signal()
+	if at := int((Now() - n.rig.recorder.startedAt) / time.Second); at >= 0 {
+		for len(n.servedBySecond) <= at {
+			n.servedBySecond = append(n.servedBySecond, 0)
 		}
-		n.served[at]++
+		n.servedBySecond[at]++
 	}
-	f = n.fault(c.broker)
-	held, lie, wait := n.holding, n.lie, f.out.takes(n.random)
+	f = n.faultOf(c.broker)
+	held, lie, wait := n.inFlight, n.reportsIdle, f.answers.transitTime(n.random)
 	n.mu.Unlock()
 	if wait > 0 {
 		time.Sleep(wait)
 	}
-	if f.silent || f.oneway {
+	if f.silent || f.answersLost {
 		n.mu.Lock()
-		for f := n.fault(c.broker); (f.silent || f.oneway) && !n.down && !n.rig.ended(); f = n.fault(c.broker) {
-			n.heal.Wait()
+		for f := n.faultOf(c.broker); (f.silent || f.answersLost) && !n.closed && !n.rig.ended(); f = n.faultOf(c.broker) {
+			n.changed.Wait()
 		}
 		n.mu.Unlock()
 		return ""
@@ -358,7 +358,7 @@
 	if lie {
 		held = 0
 	}
-	n.rig.journal.leave(s, n.number, true)
+	n.rig.recorder.attemptEnded(s, n.number, true)
 	report := fmt.Sprintf("inflight=%d", held)
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$%d\r\n%s\r\n", len(id), id, len(report), report)
 }
--- a/internal/fleetharness/rig.go
+++ b/internal/fleetharness/rig.go
@@ -27,54 +27,54 @@
 	"junctionwharf/internal/fakes"
 )
 
-// Rig is one run.
-type Rig struct {
-	Program  string // the daemon
-	scenario *Scenario
-	dir      string
-	block    int
-	lock     net.Listener
-	journal  *journal
-	nodes    []*node    // those that were replaced stand behind
-	brokers  []*process // the hollow ones last
-	groups   []*group   // of hollow brokers
-	registry *registry
-	relays   []*relay
-	doors    []net.Listener // of the agreement's relays
-	partings partings
-	spawn    chan func() // run by the thread that the children die with
-	over     atomic.Bool
-	random   *rand.Rand
-
-	mu       sync.Mutex
-	clients  map[int]*client // of Do
-	restarts []time.Duration // of brokers that were started again, until they answered
+// Fleet is one run.
+type Fleet struct {
+	Program            string // the daemon
+	scenario           *Scenario
+	dir                string
+	block              int
+	lock               net.Listener
+	recorder           *recorder
+	nodes              []*fakeNode      // those that were replaced stand behind
+	brokers            []*broker        // the hollow ones last
+	hollowProcesses    []*hollowProcess // of hollow brokers
+	discovery          *fakeDiscovery
+	datagramRelays     []*datagramRelay
+	agreementListeners []net.Listener // of the agreement's relays
+	partitions         partitions
+	spawn              chan func() // run by the thread that the children die with
+	closed             atomic.Bool
+	random             *rand.Rand
+
+	mu           sync.Mutex
+	stepClients  map[int]*trafficClient // of Do
+	restartTimes []time.Duration        // of brokers that were started again, until they answered
 }
 
 // process is one broker over its starts.
-type process struct {
-	number  int
-	address string
-	config  string
+type broker struct {
+	number     int
+	address    string
+	configPath string
 
-	mu        sync.Mutex
-	command   *exec.Cmd
-	done      chan struct{}
-	down      bool // it was ended or stopped by the rig, and does not serve
-	clients   clientLink
-	datagrams way // to and from it
+	mu          sync.Mutex
+	command     *exec.Cmd
+	done        chan struct{}
+	down        bool // it was ended or stopped by the rig, and does not serve
+	clients     clientLink
+	peerQuality linkQuality // to and from it
 }
 
 // New prepares a run: addresses, nodes, discovery and relays. Close ends it.
-func New(program string, s *Scenario) (r *Rig, err error) {
+func New(program string, s *Scenario) (r *Fleet, err error) {
 	copied := *s
 	copied.Events = slices.Clone(s.Events)
-	if err := copied.Check(); err != nil {
+	if err := copied.Validate(); err != nil {
 		return nil, err
 	}
 	copied.draw()
-	r = &Rig{Program: program, scenario: &copied, spawn: make(chan func()), clients: map[int]*client{}, random: rand.New(rand.NewPCG(s.Seed, 1)),
-		journal: &journal{stories: map[string]*story{}, seed: s.Seed, began: Now()}}
+	r = &Fleet{Program: program, scenario: &copied, spawn: make(chan func()), stepClients: map[int]*trafficClient{}, random: rand.New(rand.NewPCG(s.Seed, 1)),
+		recorder: &recorder{requests: map[string]*request{}, seed: s.Seed, startedAt: Now()}}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -104,23 +104,23 @@
 		}
 		r.nodes = append(r.nodes, n)
 	}
-	if r.registry, err = newRegistry(r); err != nil {
+	if r.discovery, err = newRegistry(r); err != nil {
 		return nil, err
 	}
 	for i := range copied.total() {
-		r.brokers = append(r.brokers, &process{number: i, address: r.address(1, i, 7000)})
+		r.brokers = append(r.brokers, &broker{number: i, address: r.address(1, i, 7000)})
 	}
-	r.partings.heal = sync.NewCond(&r.partings.mu)
-	r.partings.conns = map[net.Conn]bool{}
+	r.partitions.changed = sync.NewCond(&r.partitions.mu)
+	r.partitions.conns = map[net.Conn]bool{}
 	for i := range copied.total() {
 		if copied.Agreement.Voters == 0 {
 			break
 		}
-		ln, err := r.agreementRelay(i)
+		ln, err := r.listenAgreementRelay(i)
 		if err != nil {
 			return nil, err
 		}
-		r.doors = append(r.doors, ln)
+		r.agreementListeners = append(r.agreementListeners, ln)
 	}
 	if copied.Peers {
 		for i := range copied.total() {
@@ -128,9 +128,9 @@
 			if err != nil {
 				return nil, err
 			}
-			r.relays = append(r.relays, l)
+			r.datagramRelays = append(r.datagramRelays, l)
 		}
-		for _, l := range r.relays { // each sends through the others
+		for _, l := range r.datagramRelays { // each sends through the others
 			go l.run()
 		}
 	}
@@ -138,12 +138,12 @@
 }
 
 // address is one of a kind: brokers from 1 on, their relays from 50, nodes from 100.
-func (r *Rig) address(kind, number, port int) string {
+func (r *Fleet) address(kind, number, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", r.block, kind+number/250, number%250+2, port)
 }
 
 // brokerAt tells who calls from an address, -1 for nobody known.
-func (r *Rig) brokerAt(a net.Addr) int {
+func (r *Fleet) brokerAt(a net.Addr) int {
 	host, _, err := net.SplitHostPort(a.String())
 	ip := net.ParseIP(host).To4()
 	if err != nil || ip == nil || int(ip[1]) != r.block || ip[2] < 1 || ip[2] >= 50 {
@@ -152,10 +152,10 @@
 	return (int(ip[2])-1)*250 + int(ip[3]) - 2
 }
 
-func (r *Rig) ended() bool { return r.over.Load() }
+func (r *Fleet) ended() bool { return r.closed.Load() }
 
 // Settings are those of each broker; ordinal and zone differ.
-func (r *Rig) settings(number int) string {
+func (r *Fleet) settings(number int) string {
 	s := r.scenario
 	zones := make([]string, s.Node.Zones)
 	for i := range zones {
@@ -168,17 +168,17 @@
 "invariants":{"answerSlack":8000,"cold":%d,"coldShare":%v,"drainGrace":2000000,"fall":%d,"fallMultiple":%v},
 "zone":%q,"zones":[%s],
 "specifics":{"usualUnits":2,"maxUnits":4,"nShards":%d,"youngLimit":%v,"withinShare":0.4,"idleWorth":0.05},"nInstances":%d,"ordinal":%d}`,
-		s.Peers, cmp.Or(s.Plans, `[{"name":"basico","nominal":1000,"floorRate":500,"parts":1,"price":1}]`), coldTime.Microseconds(), coldShare, fallTime.Microseconds(), fallMultiple, zone(number%s.Node.Zones), strings.Join(zones, ","), s.Shards, youngLimit, s.total(), number)
+		s.Peers, cmp.Or(s.Plans, `[{"name":"basico","nominal":1000,"floorRate":500,"parts":1,"price":1}]`), slowStartDuration.Microseconds(), slowStartShare, slowStartWindow.Microseconds(), slowStartMultiple, zone(number%s.Node.Zones), strings.Join(zones, ","), s.Shards, slowStartMinUnits, s.total(), number)
 }
 
 func zone(i int) string { return fmt.Sprintf("zone-%d", i) }
 
 // configure writes what a broker is told; known is the list it held before, nil for none. It returns the text, and the path of a site file
 // where there is one.
-func (r *Rig) configure(p *process, known json.RawMessage) (text []byte, site string, err error) {
+func (r *Fleet) configure(p *broker, known json.RawMessage) (text []byte, site string, err error) {
 	config := map[string]any{"name": fmt.Sprintf("broker-%d", p.number), "listen": p.address, "console": r.address(1, p.number, 7001),
-		"local_address": strings.Split(p.address, ":")[0], "discovery": r.registry.address, "seed": fmt.Sprintf("%x", r.random.Uint64()),
-		"limits": map[string]any{"cores": 1, "memory_mb": r.scenario.LimitMB, "sockets": 256}, "settings": json.RawMessage(r.settings(p.number))}
+		"local_address": strings.Split(p.address, ":")[0], "discovery": r.discovery.address, "seed": fmt.Sprintf("%x", r.random.Uint64()),
+		"limits": map[string]any{"cores": 1, "memory_mb": r.scenario.MemoryLimitMB, "sockets": 256}, "settings": json.RawMessage(r.settings(p.number))}
 	if known != nil {
 		config["known"] = known
 	}
@@ -194,22 +194,22 @@
 	}
 	home := filepath.Join(r.dir, strconv.Itoa(p.number))
 	site = filepath.Join(home, "site.toml")
-	p.config = filepath.Join(home, "config.json")
-	err = errors.Join(os.MkdirAll(home, 0o700), os.WriteFile(p.config, text, 0o600), os.WriteFile(site, []byte(r.scenario.Site+r.agreementSite(p.number, home)), 0o600))
-	if r.scenario.Site == "" && r.scenario.Agreement.Voters == 0 {
+	p.configPath = filepath.Join(home, "config.json")
+	err = errors.Join(os.MkdirAll(home, 0o700), os.WriteFile(p.configPath, text, 0o600), os.WriteFile(site, []byte(r.scenario.SiteTOML+r.agreementSite(p.number, home)), 0o600))
+	if r.scenario.SiteTOML == "" && r.scenario.Agreement.Voters == 0 {
 		site = ""
 	}
 	return text, site, err
 }
 
 // launch starts a broker with what it is told.
-func (r *Rig) launch(p *process, known json.RawMessage) error {
+func (r *Fleet) startBroker(p *broker, known json.RawMessage) error {
 	_, site, err := r.configure(p, known)
 	if err != nil {
 		return err
 	}
 	args := []string{"serve", "--handover=false", "--log-format", "json"}
-	if r.controls(p.number) {
+	if r.isDedicatedVoter(p.number) {
 		args = []string{"control", "--log-format", "json"}
 	}
 	if site != "" {
@@ -219,7 +219,7 @@
 		args = append(args, "--log-all")
 	}
 	command := exec.Command(r.Program, args...)
-	command.Env = append(os.Environ(), "BALANCER_CONFIG="+p.config, "TMPDIR="+filepath.Dir(p.config))
+	command.Env = append(os.Environ(), "BALANCER_CONFIG="+p.configPath, "TMPDIR="+filepath.Dir(p.configPath))
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	errs, err := command.StderrPipe()
 	if err != nil {
@@ -243,44 +243,44 @@
 }
 
 // follow takes what a process logs into the journal.
-func (r *Rig) follow(p *process, from io.Reader) {
+func (r *Fleet) follow(p *broker, from io.Reader) {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
-		r.journal.line(r.lineOf(fmt.Sprintf("broker-%d", p.number), lines.Bytes()))
+		r.recorder.addLine(r.lineOf(fmt.Sprintf("broker-%d", p.number), lines.Bytes()))
 	}
 }
 
 // lineOf reads one line that a process logged, by itself or as one of many.
-func (r *Rig) lineOf(process string, text []byte) Line {
+func (r *Fleet) lineOf(process string, text []byte) LogLine {
 	var raw map[string]any
-	l := Line{At: Now() - r.journal.began, Process: process, Text: string(text)}
+	l := LogLine{At: Now() - r.recorder.startedAt, Process: process, Message: string(text)}
 	if json.Unmarshal(text, &raw) != nil {
 		return l
 	}
-	l.Keys = map[string]string{}
+	l.Attributes = map[string]string{}
 	for k, v := range raw {
 		switch k {
 		case "msg":
-			l.Text = fmt.Sprint(v)
+			l.Message = fmt.Sprint(v)
 		case "mono_us":
 			if us, ok := v.(float64); ok {
-				l.At = time.Duration(us*1000) - r.journal.began
+				l.At = time.Duration(us*1000) - r.recorder.startedAt
 			}
 		case "broker":
 			l.Process = fmt.Sprint(v)
 		case "time", "level":
 		default:
-			l.Keys[k] = fmt.Sprint(v)
+			l.Attributes[k] = fmt.Sprint(v)
 		}
 	}
 	return l
 }
 
 // ready waits until a broker answers.
-func (r *Rig) ready(ctx context.Context, p *process) error {
+func (r *Fleet) awaitReady(ctx context.Context, p *broker) error {
 	for ctx.Err() == nil {
-		if r.controls(p.number) {
+		if r.isDedicatedVoter(p.number) {
 			if text, err := console.Call(r.address(1, p.number, 7001), "check", time.Second); err == nil && string(text) == "SUCCESS\n" {
 				return nil
 			}
@@ -304,10 +304,10 @@
 }
 
 // Start starts all brokers and waits until each answers.
-func (r *Rig) Start(ctx context.Context) error {
+func (r *Fleet) Start(ctx context.Context) error {
 	real := r.brokers[:r.scenario.Brokers]
 	for _, p := range real {
-		if err := r.launch(p, nil); err != nil {
+		if err := r.startBroker(p, nil); err != nil {
 			return err
 		}
 	}
@@ -315,7 +315,7 @@
 		return err
 	}
 	for _, p := range real {
-		if err := r.ready(ctx, p); err != nil {
+		if err := r.awaitReady(ctx, p); err != nil {
 			return err
 		}
 	}
@@ -326,7 +326,7 @@
 }
 
 // end kills a broker and marks what it held.
-func (r *Rig) end(p *process, with syscall.Signal) {
+func (r *Fleet) terminate(p *broker, with syscall.Signal) {
 	p.mu.Lock()
 	command, done := p.command, p.done
 	p.mu.Unlock()
@@ -334,49 +334,49 @@
 		return
 	}
 	p.setDown(true)
-	r.excuse(p.number)
+	r.excuseRequests(p.number)
 	_ = command.Process.Signal(with)
 	if with == syscall.SIGKILL {
 		<-done
-		r.journal.line(Line{At: Now() - r.journal.began, Process: fmt.Sprintf("broker-%d", p.number), Text: "killed"})
+		r.recorder.addLine(LogLine{At: Now() - r.recorder.startedAt, Process: fmt.Sprintf("broker-%d", p.number), Message: "killed"})
 	}
 }
 
-func (p *process) setDown(down bool) {
+func (p *broker) setDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-func (p *process) isDown() bool {
+func (p *broker) isDown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.down
 }
 
 // excuse marks requests that a broker's own end or stop may lose.
-func (r *Rig) excuse(broker int) {
-	r.journal.mu.Lock()
-	defer r.journal.mu.Unlock()
-	for _, s := range r.journal.order {
-		if s.broker == broker && s.answered == 0 {
-			s.brokerEnd = true
+func (r *Fleet) excuseRequests(broker int) {
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
+	for _, s := range r.recorder.sequence {
+		if s.broker == broker && s.answeredAt == 0 {
+			s.excused = true
 		}
 	}
 }
 
 // judgeDrain checks rule 3: nothing goes to a node two seconds after its broker was told that it leaves.
-func (r *Rig) judgeDrain(n *node, broker int, s *story, now time.Duration) {
-	if told := r.registry.toldLeaving(n.name, broker); told > 0 && now-told > 2*time.Second+50*time.Millisecond {
-		r.journal.mu.Lock()
-		defer r.journal.mu.Unlock()
-		r.journal.breach(n.name+" was sent to after its drain", s)
+func (r *Fleet) checkDrain(n *fakeNode, broker int, s *request, now time.Duration) {
+	if told := r.discovery.drainTold(n.name, broker); told > 0 && now-told > 2*time.Second+50*time.Millisecond {
+		r.recorder.mu.Lock()
+		defer r.recorder.mu.Unlock()
+		r.recorder.addViolation(n.name+" was sent to after its drain", s)
 	}
 }
 
 // Close ends all.
-func (r *Rig) Close() {
-	r.over.Store(true)
+func (r *Fleet) Close() {
+	r.closed.Store(true)
 	for _, p := range r.brokers {
 		p.mu.Lock()
 		command, done := p.command, p.done
@@ -386,22 +386,22 @@
 			<-done
 		}
 	}
-	for _, g := range r.groups {
+	for _, g := range r.hollowProcesses {
 		<-g.done
 	}
 	for _, n := range r.nodes {
 		n.close()
 	}
-	if r.registry != nil {
-		_ = r.registry.server.Close()
+	if r.discovery != nil {
+		_ = r.discovery.server.Close()
 	}
-	for _, l := range r.relays {
+	for _, l := range r.datagramRelays {
 		_ = l.conn.Close()
 	}
-	for _, ln := range r.doors {
+	for _, ln := range r.agreementListeners {
 		_ = ln.Close()
 	}
-	r.partings.close()
+	r.partitions.close()
 	if r.lock != nil {
 		_ = r.lock.Close()
 	}
@@ -414,31 +414,31 @@
 
 // ---- discovery
 
-type listed struct {
+type listedEndpoint struct {
 	fakes.Endpoint
 	version uint64
 }
 
 // registry is discovery, with a view for each broker.
-type registry struct {
-	rig     *Rig
+type fakeDiscovery struct {
+	rig     *Fleet
 	address string
 	server  *http.Server
 
-	mu      sync.Mutex
-	version uint64
-	entries []listed // all that ever were, the newest last
-	news    chan struct{}
-	views   map[int]view                     // spoilt, by broker
-	times   []time.Duration                  // of the versions, from 1 on
-	told    map[string]map[int]time.Duration // when a broker was told that a node leaves
-	calls   int
-	whole   []byte // the list of the start, nil until it was asked for
-}
-
-func newRegistry(r *Rig) (*registry, error) {
-	g := &registry{rig: r, address: fmt.Sprintf("127.%d.0.2:8500", r.block), version: 1, news: make(chan struct{}), views: map[int]view{}, times: []time.Duration{Now()},
-		told: map[string]map[int]time.Duration{}}
+	mu          sync.Mutex
+	version     uint64
+	entries     []listedEndpoint // all that ever were, the newest last
+	changed     chan struct{}
+	views       map[int]discoveryView            // spoilt, by broker
+	publishedAt []time.Duration                  // of the versions, from 1 on
+	drainToldAt map[string]map[int]time.Duration // when a broker was told that a node leaves
+	calls       int
+	firstList   []byte // the list of the start, nil until it was asked for
+}
+
+func newRegistry(r *Fleet) (*fakeDiscovery, error) {
+	g := &fakeDiscovery{rig: r, address: fmt.Sprintf("127.%d.0.2:8500", r.block), version: 1, changed: make(chan struct{}), views: map[int]discoveryView{}, publishedAt: []time.Duration{Now()},
+		drainToldAt: map[string]map[int]time.Duration{}}
 	for _, n := range r.nodes {
 		g.entries = append(g.entries, g.entry(n, "SERVING", 1))
 	}
@@ -451,100 +451,100 @@
 	return g, nil
 }
 
-func (g *registry) entry(n *node, health string, version uint64) listed {
-	e := listed{fakes.Endpoint{Name: n.name, Address: n.at, Zone: zone(n.number % g.rig.scenario.Node.Zones), Class: "m", Shard: n.shard, Health: health, Share: 1}, version}
-	if n.born > 0 {
-		e.StartedMS = time.Now().Add(n.born - Now()).UnixMilli()
+func (g *fakeDiscovery) entry(n *fakeNode, health string, version uint64) listedEndpoint {
+	e := listedEndpoint{fakes.Endpoint{Name: n.name, Address: n.address, Zone: zone(n.number % g.rig.scenario.Node.Zones), Class: "m", Shard: n.shard, Health: health, Share: 1}, version}
+	if n.startedAt > 0 {
+		e.StartedMS = time.Now().Add(n.startedAt - Now()).UnixMilli()
 	}
 	return e
 }
 
 // change lists a node anew, all brokers at one time.
-func (g *registry) change(changed ...listed) {
+func (g *fakeDiscovery) publish(changed ...listedEndpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.version++
-	g.times = append(g.times, Now())
+	g.publishedAt = append(g.publishedAt, Now())
 	for _, e := range changed {
 		e.version = g.version
 		g.entries = append(g.entries, e)
 	}
-	close(g.news)
-	g.news = make(chan struct{})
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
 // view is how what a broker is told is spoilt.
-type view struct {
-	stale   bool // nothing behind version at
-	at      uint64
-	late    time.Duration // versions come so much later; below 0 for not
-	blind   bool
-	empty   bool     // no nodes at all
-	leaving []string // listed as draining
+type discoveryView struct {
+	stale        bool // nothing behind version at
+	staleVersion uint64
+	delay        time.Duration // versions come so much later; below 0 for not
+	unavailable  bool
+	empty        bool     // no nodes at all
+	draining     []string // listed as draining
 }
 
 // view sets how a broker's view is spoilt. What it is told changes, so the version does.
-func (g *registry) view(broker int, v view) {
+func (g *fakeDiscovery) setView(broker int, v discoveryView) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	v.at = g.version
-	changed := slices.Concat(v.leaving, g.views[broker].leaving)
+	v.staleVersion = g.version
+	changed := slices.Concat(v.draining, g.views[broker].draining)
 	whole := v.empty || g.views[broker].empty
 	g.views[broker] = v
 	if whole || len(changed) > 0 {
 		g.version++
-		g.times = append(g.times, Now())
+		g.publishedAt = append(g.publishedAt, Now())
 		for _, e := range g.latest(g.version) {
-			if whole || slices.Contains(changed, e.Endpoint.Name) {
+			if whole || slices.Contains(changed, e.Name) {
 				e.version = g.version
 				g.entries = append(g.entries, e)
 			}
 		}
 	}
-	close(g.news)
-	g.news = make(chan struct{})
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
 // latest is the list as it was at a version; the caller holds g.mu.
-func (g *registry) latest(version uint64) []listed {
+func (g *fakeDiscovery) latest(version uint64) []listedEndpoint {
 	at := map[string]int{}
-	var list []listed
+	var list []listedEndpoint
 	for _, e := range g.entries {
 		if e.version > version {
 			continue
 		}
-		if i, known := at[e.Endpoint.Name]; known {
+		if i, known := at[e.Name]; known {
 			list[i] = e
 			continue
 		}
-		at[e.Endpoint.Name] = len(list)
+		at[e.Name] = len(list)
 		list = append(list, e)
 	}
 	return list
 }
 
 // visible is the latest version that a broker may hear of, and when the next one shows, 0 for not by time alone; the caller holds g.mu.
-func (g *registry) visible(broker int) (version uint64, next time.Duration) {
+func (g *fakeDiscovery) visibleVersion(broker int) (version uint64, next time.Duration) {
 	v, spoilt := g.views[broker]
 	switch {
 	case spoilt && v.stale:
-		return v.at, 0
-	case spoilt && v.late > 0:
-		for version = g.version; version > 1 && Now() < g.times[version-1]+v.late; version-- {
-			next = g.times[version-1] + v.late
+		return v.staleVersion, 0
+	case spoilt && v.delay > 0:
+		for version = g.version; version > 1 && Now() < g.publishedAt[version-1]+v.delay; version-- {
+			next = g.publishedAt[version-1] + v.delay
 		}
 		return version, next
 	}
 	return g.version, 0
 }
 
-func (g *registry) toldLeaving(host string, broker int) time.Duration {
+func (g *fakeDiscovery) drainTold(host string, broker int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.told[host][broker]
+	return g.drainToldAt[host][broker]
 }
 
-func (g *registry) answer(w http.ResponseWriter, req *http.Request) {
+func (g *fakeDiscovery) answer(w http.ResponseWriter, req *http.Request) {
 	host, _, _ := net.SplitHostPort(req.RemoteAddr)
 	broker := g.rig.brokerAt(&net.TCPAddr{IP: net.ParseIP(host)})
 	index, err := strconv.ParseUint(req.URL.Query().Get("index"), 10, 64)
@@ -554,12 +554,12 @@
 	defer late.Stop()
 	for over := !watch; ; {
 		g.mu.Lock()
-		news, blind := g.news, g.views[broker].blind
-		version, next := g.visible(broker)
+		news, blind := g.changed, g.views[broker].unavailable
+		version, next := g.visibleVersion(broker)
 		if (over || version > index) && !blind {
 			g.calls++
 			w.Header().Set("Content-Type", "application/json")
-			_, _ = w.Write(g.text(broker, index, version, watch))
+			_, _ = w.Write(g.list(broker, index, version, watch))
 			g.mu.Unlock()
 			return
 		}
@@ -584,26 +584,26 @@
 }
 
 // text is the list up to a version, or what is newer than another; the caller holds g.mu.
-func (g *registry) text(broker int, since, version uint64, watch bool) []byte {
+func (g *fakeDiscovery) list(broker int, since, version uint64, watch bool) []byte {
 	if g.version > 1 || len(g.views) > 0 || watch {
-		return g.word(broker, since, version, watch)
+		return g.encodeList(broker, since, version, watch)
 	}
-	if g.whole == nil { // at the start hundreds of brokers ask for it at once
-		g.whole = g.word(broker, 0, version, false)
+	if g.firstList == nil { // at the start hundreds of brokers ask for it at once
+		g.firstList = g.encodeList(broker, 0, version, false)
 	}
-	return g.whole
+	return g.firstList
 }
 
 // word makes that text.
-func (g *registry) word(broker int, since, version uint64, watch bool) []byte {
+func (g *fakeDiscovery) encodeList(broker int, since, version uint64, watch bool) []byte {
 	hosts := []fakes.Endpoint{}
 	v := g.views[broker]
-	var list []listed
+	var list []listedEndpoint
 	if !watch || since < version { // else there is nothing newer
 		list = g.latest(version)
 	}
 	for _, e := range list {
-		if slices.Contains(v.leaving, e.Endpoint.Name) {
+		if slices.Contains(v.draining, e.Name) {
 			e.Health = "DRAINING"
 		}
 		if v.empty {
@@ -613,14 +613,14 @@
 			continue
 		}
 		if e.Health != "SERVING" {
-			if g.told[e.Endpoint.Name] == nil {
-				g.told[e.Endpoint.Name] = map[int]time.Duration{}
+			if g.drainToldAt[e.Name] == nil {
+				g.drainToldAt[e.Name] = map[int]time.Duration{}
 			}
-			if g.told[e.Endpoint.Name][broker] == 0 {
-				g.told[e.Endpoint.Name][broker] = Now()
+			if g.drainToldAt[e.Name][broker] == 0 {
+				g.drainToldAt[e.Name][broker] = Now()
 			}
 		} else {
-			delete(g.told[e.Endpoint.Name], broker)
+			delete(g.drainToldAt[e.Name], broker)
 		}
 		hosts = append(hosts, e.Endpoint)
 	}
@@ -629,17 +629,17 @@
 }
 
 // known is the list as a restarted broker last held it.
-func (g *registry) known() json.RawMessage {
+func (g *fakeDiscovery) currentList() json.RawMessage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.text(-1, 0, g.version, false)
+	return g.list(-1, 0, g.version, false)
 }
 
 // ---- datagrams
 
 // relay stands for a broker towards its peers: what comes here is sent on to it, from the sender's own relay.
-type relay struct {
-	rig    *Rig
+type datagramRelay struct {
+	rig    *Fleet
 	conn   *net.UDPConn
 	number int
 	to     *net.UDPAddr
@@ -647,7 +647,7 @@
 	bytes  atomic.Int64
 }
 
-func newRelay(r *Rig, number int) (*relay, error) {
+func newRelay(r *Fleet, number int) (*datagramRelay, error) {
 	at, err := net.ResolveUDPAddr("udp4", r.address(50, number, 7002))
 	if err != nil {
 		return nil, err
@@ -660,10 +660,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &relay{rig: r, conn: conn, number: number, to: to}, nil
+	return &datagramRelay{rig: r, conn: conn, number: number, to: to}, nil
 }
 
-func (l *relay) run() {
+func (l *datagramRelay) run() {
 	r, number, conn := l.rig, l.number, l.conn
 	buffer := make([]byte, 2048)
 	random := rand.New(rand.NewPCG(r.scenario.Seed, 1000+uint64(number)))
@@ -676,32 +676,32 @@
 			continue
 		}
 		sender := r.brokerAt(from)
-		if sender < 0 || sender >= len(r.relays) {
+		if sender < 0 || sender >= len(r.datagramRelays) {
 			continue
 		}
 		l.sent.Add(1)
 		l.bytes.Add(int64(n))
 		if n > 256 {
-			r.journal.mu.Lock()
-			r.journal.breach(fmt.Sprintf("broker-%d sent a datagram of %d bytes", sender, n), nil)
-			r.journal.mu.Unlock()
+			r.recorder.mu.Lock()
+			r.recorder.addViolation(fmt.Sprintf("broker-%d sent a datagram of %d bytes", sender, n), nil)
+			r.recorder.mu.Unlock()
 		}
 		to, back := r.brokers[number].peerLink(), r.brokers[sender].peerLink()
 		if random.Float64() < to.loss || random.Float64() < back.loss {
 			continue
 		}
-		both := way{delay: to.delay + back.delay, jitter: to.jitter + back.jitter}
-		if span := both.takes(random); span > 0 {
+		both := linkQuality{delay: to.delay + back.delay, jitter: to.jitter + back.jitter}
+		if span := both.transitTime(random); span > 0 {
 			text := slices.Clone(buffer[:n])
-			time.AfterFunc(span, func() { _, _ = r.relays[sender].conn.WriteToUDP(text, l.to) })
+			time.AfterFunc(span, func() { _, _ = r.datagramRelays[sender].conn.WriteToUDP(text, l.to) })
 			continue
 		}
-		_, _ = r.relays[sender].conn.WriteToUDP(buffer[:n], l.to)
+		_, _ = r.datagramRelays[sender].conn.WriteToUDP(buffer[:n], l.to)
 	}
 }
 
-func (p *process) peerLink() way {
+func (p *broker) peerLink() linkQuality {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.datagrams
+	return p.peerQuality
 }
--- a/internal/fleetharness/scenario.go
+++ b/internal/fleetharness/scenario.go
@@ -17,46 +17,46 @@
 
 // Scenario is a fleet, its traffic and what goes wrong. Times are seconds from the start of the traffic.
 type Scenario struct {
-	Name      string    `toml:"name"`
-	Seed      uint64    `toml:"seed"`
-	Brokers   int       `toml:"brokers"`
-	Peers     bool      `toml:"peers"`  // brokers may talk to each other
-	Shards    int       `toml:"shards"` // nodes are dealt out to them in turn; 0: one
-	ForS      float64   `toml:"for_s"`
-	Rate      float64   `toml:"rate"`   // requests a second and broker, in the mean
-	Uneven    float64   `toml:"uneven"` // some brokers get so many times the mean: one in twenty; 0 or 1: all alike
-	Writes    float64   `toml:"writes"` // part of the requests that must not run twice
-	LimitMB   float64   `toml:"limit_mb"`
-	Site      string    `toml:"site"`  // text of a site file for every broker
-	Plans     string    `toml:"plans"` // JSON of service levels in place of the rig's own
-	Node      Node      `toml:"node"`
-	Agreement Agreement `toml:"agreement"`
-	Hollow    Hollow    `toml:"hollow"`
-	Events    []Event   `toml:"event"`
+	Name          string    `toml:"name"`
+	Seed          uint64    `toml:"seed"`
+	Brokers       int       `toml:"brokers"`
+	Peers         bool      `toml:"peers"`  // brokers may talk to each other
+	Shards        int       `toml:"shards"` // nodes are dealt out to them in turn; 0: one
+	DurationS     float64   `toml:"for_s"`
+	Rate          float64   `toml:"rate"`   // requests a second and broker, in the mean
+	HotFactor     float64   `toml:"uneven"` // some brokers get so many times the mean: one in twenty; 0 or 1: all alike
+	WriteFraction float64   `toml:"writes"` // part of the requests that must not run twice
+	MemoryLimitMB float64   `toml:"limit_mb"`
+	SiteTOML      string    `toml:"site"`  // text of a site file for every broker
+	Plans         string    `toml:"plans"` // JSON of service levels in place of the rig's own
+	Node          NodeSpec  `toml:"node"`
+	Agreement     Agreement `toml:"agreement"`
+	Hollow        Hollow    `toml:"hollow"`
+	Events        []Event   `toml:"event"`
 }
 
-// Node is what every stand-in node is.
-type Node struct {
+// NodeSpec is what every stand-in node is.
+type NodeSpec struct {
 	Count  int     `toml:"count"`
 	Slots  int     `toml:"slots"`   // commands at once
-	Room   int     `toml:"room"`    // commands that wait beyond; more are turned away
+	Queue  int     `toml:"room"`    // commands that wait beyond; more are turned away
 	UnitMS float64 `toml:"unit_ms"` // for a unit, in the mean
 	Zones  int     `toml:"zones"`   // nodes and brokers are dealt out to them in turn; 0: one
 }
 
 // Event is something that happens at a time.
 type Event struct {
-	AtS      float64 `toml:"at_s"`
-	What     string  `toml:"what"`
-	Nodes    []int   `toml:"nodes"`     // targets by number
-	Brokers  []int   `toml:"brokers"`   // for what happens between nodes and brokers, these brokers alone
-	Part     float64 `toml:"part"`      // instead of numbers: a part of all, drawn by the seed
-	ForS     float64 `toml:"for_s"`     // 0: to the end
-	MS       float64 `toml:"ms"`        // of a delay
-	JitterMS float64 `toml:"jitter_ms"` // drawn on top of it
-	By       float64 `toml:"by"`        // of a speed; the part that is lost; bytes a second; the byte behind which an answer or a request is cut
-	Waves    int     `toml:"waves"`     // brokers are hit in so many groups, one behind another: a rolling restart; 0: all at once
-	Way      string  `toml:"way"`       // of a delay or loss: answers (as without it), requests or both
+	AtS       float64 `toml:"at_s"`
+	Kind      string  `toml:"what"`
+	Nodes     []int   `toml:"nodes"`     // targets by number
+	Brokers   []int   `toml:"brokers"`   // for what happens between nodes and brokers, these brokers alone
+	Fraction  float64 `toml:"part"`      // instead of numbers: a part of all, drawn by the seed
+	DurationS float64 `toml:"for_s"`     // 0: to the end
+	DelayMS   float64 `toml:"ms"`        // of a delay
+	JitterMS  float64 `toml:"jitter_ms"` // drawn on top of it
+	Amount    float64 `toml:"by"`        // of a speed; the part that is lost; bytes a second; the byte behind which an answer or a request is cut
+	Waves     int     `toml:"waves"`     // brokers are hit in so many groups, one behind another: a rolling restart; 0: all at once
+	Direction string  `toml:"way"`       // of a delay or loss: answers (as without it), requests or both
 }
 
 // What may happen. Of nodes: silent (accepts, never answers), slow (speed by), delay (by ms), loss (of the part by of the packets, each sent
@@ -90,14 +90,14 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
 	}
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &s, nil
 }
 
-// Check completes a scenario and names the first key that makes no sense.
-func (s *Scenario) Check() error {
+// Validate completes a scenario and names the first key that makes no sense.
+func (s *Scenario) Validate() error {
 	defaults := func(v *int, to int) {
 		if *v == 0 {
 			*v = to
@@ -105,13 +105,13 @@
 	}
 	defaults(&s.Shards, 1)
 	defaults(&s.Node.Slots, 8)
-	defaults(&s.Node.Room, 64)
+	defaults(&s.Node.Queue, 64)
 	defaults(&s.Node.Zones, 1)
 	if s.Node.UnitMS == 0 {
 		s.Node.UnitMS = 2
 	}
-	if s.LimitMB == 0 {
-		s.LimitMB = 48
+	if s.MemoryLimitMB == 0 {
+		s.MemoryLimitMB = 48
 	}
 	switch {
 	case s.Brokers < 1 || s.Brokers > mostBrokers:
@@ -120,15 +120,15 @@
 		return fmt.Errorf("node.count: %d is not within 1 to %d", s.Node.Count, mostNodes)
 	case s.Shards < 1 || s.Shards > s.Node.Count:
 		return fmt.Errorf("shards: %d is not within 1 to node.count", s.Shards)
-	case !(s.ForS > 0) || s.ForS > mostSeconds:
-		return fmt.Errorf("for_s: %v is not within 0 to %d", s.ForS, mostSeconds)
+	case !(s.DurationS > 0) || s.DurationS > mostSeconds:
+		return fmt.Errorf("for_s: %v is not within 0 to %d", s.DurationS, mostSeconds)
 	case !(s.Rate > 0) || s.Rate*float64(s.Brokers) > mostRate:
 		return fmt.Errorf("rate: %v a broker is not above 0, or over %d in all", s.Rate, mostRate)
-	case s.Uneven < 0 || s.Uneven > 20:
-		return fmt.Errorf("uneven: %v is not within 0 to 20", s.Uneven)
-	case s.Writes < 0 || s.Writes > 1:
-		return fmt.Errorf("writes: %v is not within 0 to 1", s.Writes)
-	case s.Node.Slots < 1 || s.Node.Room < 0 || !(s.Node.UnitMS > 0) || s.Node.Zones < 1:
+	case s.HotFactor < 0 || s.HotFactor > 20:
+		return fmt.Errorf("uneven: %v is not within 0 to 20", s.HotFactor)
+	case s.WriteFraction < 0 || s.WriteFraction > 1:
+		return fmt.Errorf("writes: %v is not within 0 to 1", s.WriteFraction)
+	case s.Node.Slots < 1 || s.Node.Queue < 0 || !(s.Node.UnitMS > 0) || s.Node.Zones < 1:
 		return fmt.Errorf("node: slots, unit_ms and zones must be above 0")
 	}
 	if err := s.checkHollow(); err != nil {
@@ -138,27 +138,27 @@
 		return err
 	}
 	for i, e := range s.Events {
-		ofNodes := slices.Contains(nodeEvents, e.What)
+		ofNodes := slices.Contains(nodeEvents, e.Kind)
 		switch {
-		case !ofNodes && !slices.Contains(brokerEvents, e.What):
-			return fmt.Errorf("event[%d].what: %q is neither of %v nor of %v", i, e.What, nodeEvents, brokerEvents)
-		case e.AtS < 0 || e.AtS > s.ForS:
+		case !ofNodes && !slices.Contains(brokerEvents, e.Kind):
+			return fmt.Errorf("event[%d].what: %q is neither of %v nor of %v", i, e.Kind, nodeEvents, brokerEvents)
+		case e.AtS < 0 || e.AtS > s.DurationS:
 			return fmt.Errorf("event[%d].at_s: %v is not within for_s", i, e.AtS)
-		case e.ForS < 0 || e.MS < 0 || e.JitterMS < 0 || e.By < 0 || e.Part < 0 || e.Part > 1:
+		case e.DurationS < 0 || e.DelayMS < 0 || e.JitterMS < 0 || e.Amount < 0 || e.Fraction < 0 || e.Fraction > 1:
 			return fmt.Errorf("event[%d]: for_s, ms, by and part can't be negative, nor part above 1", i)
-		case slices.Contains([]string{"slow", "pace", "cut", "loss", "client_pace", "client_cut", "burst"}, e.What) && !(e.By > 0):
+		case slices.Contains([]string{"slow", "pace", "cut", "loss", "client_pace", "client_cut", "burst"}, e.Kind) && !(e.Amount > 0):
 			return fmt.Errorf("event[%d].by: a figure above 0 is wanted", i)
-		case e.What == "loss" && e.By > 0.9:
-			return fmt.Errorf("event[%d].by: a loss of %v is over 0.9", i, e.By)
-		case e.Waves < 0 || e.Waves > 0 && (ofNodes || e.ForS == 0):
+		case e.Kind == "loss" && e.Amount > 0.9:
+			return fmt.Errorf("event[%d].by: a loss of %v is over 0.9", i, e.Amount)
+		case e.Waves < 0 || e.Waves > 0 && (ofNodes || e.DurationS == 0):
 			return fmt.Errorf("event[%d].waves: is of events of brokers with for_s alone, and not below 0", i)
-		case e.Way != "" && e.Way != "answers" && e.Way != "requests" && e.Way != "both":
-			return fmt.Errorf("event[%d].way: %q is none of answers, requests and both", i, e.Way)
-		case e.Way != "" && e.What != "delay" && e.What != "loss":
+		case e.Direction != "" && e.Direction != "answers" && e.Direction != "requests" && e.Direction != "both":
+			return fmt.Errorf("event[%d].way: %q is none of answers, requests and both", i, e.Direction)
+		case e.Direction != "" && e.Kind != "delay" && e.Kind != "loss":
 			return fmt.Errorf("event[%d].way: is of delay and loss alone", i)
-		case e.What == "contradict" && len(e.Nodes) == 0:
+		case e.Kind == "contradict" && len(e.Nodes) == 0:
 			return fmt.Errorf("event[%d].nodes: those that these brokers hear to be draining are wanted", i)
-		case ofNodes && len(e.Nodes) == 0 && e.Part == 0 || !ofNodes && len(e.Brokers) == 0 && e.Part == 0:
+		case ofNodes && len(e.Nodes) == 0 && e.Fraction == 0 || !ofNodes && len(e.Brokers) == 0 && e.Fraction == 0:
 			return fmt.Errorf("event[%d]: no target: nodes, brokers or part", i)
 		}
 		for _, n := range e.Nodes {
@@ -185,10 +185,10 @@
 	}
 	for i := range s.Events {
 		e := &s.Events[i]
-		if e.Part > 0 && slices.Contains(nodeEvents, e.What) {
-			e.Nodes = pick(e.Part, s.Node.Count)
-		} else if e.Part > 0 {
-			e.Brokers = pick(e.Part, s.Brokers)
+		if e.Fraction > 0 && slices.Contains(nodeEvents, e.Kind) {
+			e.Nodes = pick(e.Fraction, s.Node.Count)
+		} else if e.Fraction > 0 {
+			e.Brokers = pick(e.Fraction, s.Brokers)
 		}
 	}
 }
