--- a/broker/overload.go
+++ b/broker/overload.go
@@ -57,20 +57,20 @@
 	l.inbox.mu.Lock()
 	reason, retryAfter := l.dependencies.Admission.Admit(now, open, &asked)
 	if reason != admission.Admitted && len(l.inbox.rejections) < maxQueuedRejections && l.dependencies.Observe != nil {
-		l.inbox.rejections = append(l.inbox.rejections, telemetry.Fact{
-			Kind:   telemetry.RequestEnded,
-			End:    telemetry.Busy,
-			Class:  request.Class,
-			Plan:   request.Plan,
-			Volume: request.Volume,
-			Units:  request.Units,
+		l.inbox.rejections = append(l.inbox.rejections, telemetry.Observation{
+			Kind:           telemetry.RequestEnded,
+			RequestOutcome: telemetry.Rejected,
+			Class:          request.Class,
+			Plan:           request.Plan,
+			Volume:         request.Volume,
+			Units:          request.Units,
 		})
 	}
 	l.inbox.mu.Unlock()
 	if reason == admission.Admitted {
 		return nil
 	}
-	l.Metrics.taken.Add(1)
+	l.Metrics.received.Add(1)
 	l.Metrics.rejected.Add(1)
 	l.Metrics.countResponse(request.Class, Rejected)
 	return &Response{Verdict: Rejected, RetryAfter: Micros(retryAfter)}
@@ -85,7 +85,7 @@
 // RejectOverload counts a request that was rejected unread because of Overloaded.
 func (l *Loop) RejectOverload(class string) {
 	l.overload.rejectedUnread.Store(true)
-	l.Metrics.taken.Add(1)
+	l.Metrics.received.Add(1)
 	l.Metrics.rejected.Add(1)
 	if known := l.Metrics.findClass(class); known != nil {
 		known.rejected.Add(1)
