--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -75,7 +75,7 @@
 	if f.dir, err = os.MkdirTemp("", "brokerbench"); err != nil {
 		return nil, err
 	}
-	var hosts []fakes.Host
+	var hosts []fakes.Endpoint
 	for i := range nodes {
 		n, err := fakes.NewNode("127.0.0.1:0", fmt.Sprintf("node-%d", i), i, 8, 64, func(units float64) time.Duration {
 			return time.Duration(units * float64(unit))
@@ -84,7 +84,7 @@
 			return nil, err
 		}
 		f.nodes = append(f.nodes, n)
-		hosts = append(hosts, n.Host())
+		hosts = append(hosts, n.Endpoint())
 	}
 	if f.discovery, err = fakes.NewDiscovery("127.0.0.1:0", hosts...); err != nil {
 		return nil, err
@@ -98,10 +98,10 @@
 
 // receivers starts stand-ins for Graphite and collectd anew.
 func (f *fleet) receivers() (err error) {
-	if f.carbon, err = fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil)); err != nil {
+	if f.carbon, err = fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPointStore(nil)); err != nil {
 		return err
 	}
-	f.collectd, err = fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPoints(nil))
+	f.collectd, err = fakes.NewCollectd("127.0.0.1:0", nil, fakes.NewPointStore(nil))
 	return err
 }
 
@@ -218,11 +218,11 @@
 }
 
 func (f *fleet) traffic(cmd *cli.Command, rate float64, seed uint64) (load.Traffic, error) {
-	kinds := []load.Kind{{Class: "lesson-read", Share: 55, Deadline: 750 * time.Millisecond}, {Class: "record-write", Share: 30, Write: true, Deadline: 1200 * time.Millisecond},
-		{Class: "bulk-export", Share: 15, Deadline: 2500 * time.Millisecond}}
-	t := load.Traffic{Kinds: kinds, Plans: []string{"basico", "padrao", "completo"}, Volumes: cmd.Int("volumes"), Skew: 1.1, Shards: len(f.nodes), MaxUnits: 3, Hosts: 1,
-		Rate: rate, Length: cmd.Duration("for"), Seed: seed}
-	return t, t.Check()
+	kinds := []load.RequestClass{{Name: "lesson-read", Share: 55, Deadline: 750 * time.Millisecond}, {Name: "record-write", Share: 30, Write: true, Deadline: 1200 * time.Millisecond},
+		{Name: "bulk-export", Share: 15, Deadline: 2500 * time.Millisecond}}
+	t := load.Traffic{Classes: kinds, Plans: []string{"basico", "padrao", "completo"}, Volumes: cmd.Int("volumes"), Skew: 1.1, Shards: len(f.nodes), MaxUnits: 3, Brokers: 1,
+		Rate: rate, Duration: cmd.Duration("for"), Seed: seed}
+	return t, t.Validate()
 }
 
 // run is what clients saw in one run.
@@ -241,12 +241,12 @@
 
 func (f *fleet) play(ctx context.Context, cmd *cli.Command, round int, variant string) (run, error) {
 	graphite, collectd := "", ""
-	f.carbon.Behave(fakes.Takes)
+	f.carbon.SetMode(fakes.Reading)
 	switch variant {
 	case "healthy":
 		graphite, collectd = f.carbon.Address(), f.collectd.Address()
 	case "stalled":
-		f.carbon.Behave(fakes.Stands)
+		f.carbon.SetMode(fakes.NotReading)
 		graphite, collectd = f.carbon.Address(), f.collectd.Address()
 	case "dead":
 		graphite, collectd = f.dead, f.dead
@@ -259,14 +259,14 @@
 	if err != nil {
 		return run{}, err
 	}
-	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 1024, Bounded: true})
+	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: 1024, WaitForConnection: true})
 	r.kill()
 	if err != nil {
 		return run{}, err
 	}
 	h, c := result.All.Latency, result.All.Counts
 	return run{round, variant, float64(h.ValueAtPercentile(50)), float64(h.ValueAtPercentile(99)), float64(h.ValueAtPercentile(99.9)),
-		c[load.Served], c[load.Busy], c[load.Failed], c[load.Lost] + c[load.Closed], r.peak()}, ctx.Err()
+		c[load.Served], c[load.Rejected], c[load.Failed], c[load.Lost] + c[load.Closed], r.peak()}, ctx.Err()
 }
 
 func measureSinks(ctx context.Context, cmd *cli.Command) error {
@@ -381,23 +381,23 @@
 		r.kill()
 		return err
 	}
-	t.Length = max(t.Length, 12*time.Second)
-	part := t.Length / 4
+	t.Duration = max(t.Duration, 12*time.Second)
+	part := t.Duration / 4
 	steps := make(chan error, 1)
 	go func() {
 		time.Sleep(part)
-		f.carbon.Behave(fakes.Stands)
+		f.carbon.SetMode(fakes.NotReading)
 		time.Sleep(part)
 		f.carbon.Close()
 		f.collectd.Close()
 		time.Sleep(part)
 		var err error
-		if f.carbon, err = fakes.NewCarbon(carbonAt, false, fakes.NewPoints(nil)); err == nil {
-			f.collectd, err = fakes.NewCollectd(collectdAt, nil, fakes.NewPoints(nil))
+		if f.carbon, err = fakes.NewCarbon(carbonAt, false, fakes.NewPointStore(nil)); err == nil {
+			f.collectd, err = fakes.NewCollectd(collectdAt, nil, fakes.NewPointStore(nil))
 		}
 		steps <- err
 	}()
-	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 1024, Bounded: true, Progress: progress(t.Length)})
+	result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, MaxConnections: 1024, WaitForConnection: true, Progress: progress(t.Duration)})
 	clearProgress()
 	if err := errors.Join(err, <-steps); err != nil {
 		r.kill()
@@ -410,23 +410,23 @@
 	time.Sleep(100 * time.Millisecond) // what the sockets hold is read
 	carbon, collectd := f.carbon.Latest(), f.collectd.Latest()
 	c := result.All.Counts
-	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, failed %d, lost %d\n", c[load.Served], c[load.Busy], c[load.Failed], c[load.Lost])
+	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, failed %d, lost %d\n", c[load.Served], c[load.Rejected], c[load.Failed], c[load.Lost])
 	all := func(of string) float64 { return carbon["wharf.n1.all."+of].Value }
-	stamp := carbon["wharf.n1.all.served"].Stamp
+	stamp := carbon["wharf.n1.all.served"].Timestamp
 	own := func(of string) (sum float64) {
-		for _, k := range t.Kinds {
-			sum += carbon["wharf.n1."+of+"."+k.Class].Value
+		for _, k := range t.Classes {
+			sum += carbon["wharf.n1."+of+"."+k.Name].Value
 		}
 		return sum
 	}
-	faults := append(f.carbon.Faults(), f.collectd.Faults()...)
+	faults := append(f.carbon.Errors(), f.collectd.Errors()...)
 	_, _ = fmt.Fprintf(w, "the broker counted %.0f, %.0f, %.0f; Graphite got %.0f, %.0f, %.0f; collectd %.0f, %.0f, %.0f; %d faults\n", own("success"), own("busy"), own("failure"),
 		all("served"), all("busy"), all("failed"),
 		collectd["n1/junctionwharf-all/junctionwharf_requests/0"].Value, collectd["n1/junctionwharf-all/junctionwharf_requests/1"].Value, collectd["n1/junctionwharf-all/junctionwharf_requests/2"].Value, len(faults))
 	for _, d := range []string{"class", "plan", "node", "volume"} {
 		sum, rows := 0.0, 0
 		for series, p := range carbon {
-			if strings.HasPrefix(series, "wharf.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Stamp == stamp {
+			if strings.HasPrefix(series, "wharf.n1."+d+".") && strings.HasSuffix(series, ".served") && p.Timestamp == stamp {
 				sum += p.Value
 				rows++
 			}
@@ -436,7 +436,7 @@
 			return fmt.Errorf("the sum over %s is %.0f, not %.0f", d, sum, all("served"))
 		}
 	}
-	if all("served") != own("success") || all("served") != float64(c[load.Served]) || all("busy") != own("busy") || all("busy") != float64(c[load.Busy]) ||
+	if all("served") != own("success") || all("served") != float64(c[load.Served]) || all("busy") != own("busy") || all("busy") != float64(c[load.Rejected]) ||
 		collectd["n1/junctionwharf-all/junctionwharf_requests/0"].Value != all("served") || len(faults) > 0 {
 		return fmt.Errorf("the counts differ; faults %q", faults)
 	}
--- a/internal/capacity/cell.go
+++ b/internal/capacity/cell.go
@@ -122,29 +122,29 @@
 // process dies and comes back, one broker is paused, and three are cut off from the replicated configuration. All of
 // them are whole processes.
 var dayOfFaults = []fleetharness.Event{
-	{AtS: 4, What: "kill", Brokers: []int{7, 8, 9, 10}, ForS: 2},
-	{AtS: 6, What: "kill", Brokers: []int{11}},
-	{AtS: 9, What: "kill", Brokers: []int{2}, ForS: 3},
-	{AtS: 10, What: "stop", Brokers: []int{12}, ForS: 3},
-	{AtS: 14, What: "agree_cut", Brokers: []int{13, 14, 15}, ForS: 4},
+	{AtS: 4, Kind: "kill", Brokers: []int{7, 8, 9, 10}, DurationS: 2},
+	{AtS: 6, Kind: "kill", Brokers: []int{11}},
+	{AtS: 9, Kind: "kill", Brokers: []int{2}, DurationS: 3},
+	{AtS: 10, Kind: "stop", Brokers: []int{12}, DurationS: 3},
+	{AtS: 14, Kind: "agree_cut", Brokers: []int{13, 14, 15}, DurationS: 4},
 }
 
 // Scenario is what the fleet harness runs for a cell.
 func (c Cell) Scenario() *fleetharness.Scenario {
 	s := &fleetharness.Scenario{
-		Name:    c.Name(),
-		Seed:    c.Seed,
-		Brokers: min(fullBrokers, c.Brokers),
-		Peers:   true,
-		Shards:  c.Nodes,
-		ForS:    runSeconds,
-		Rate:    requestRate,
-		LimitMB: memoryLimitMB,
-		Node:    fleetharness.Node{Count: c.Nodes, Zones: plannedZones},
+		Name:          c.Name(),
+		Seed:          c.Seed,
+		Brokers:       min(fullBrokers, c.Brokers),
+		Peers:         true,
+		Shards:        c.Nodes,
+		DurationS:     runSeconds,
+		Rate:          requestRate,
+		MemoryLimitMB: memoryLimitMB,
+		Node:          fleetharness.NodeSpec{Count: c.Nodes, Zones: plannedZones},
 		Agreement: fleetharness.Agreement{
-			Voters:  plannedVoters,
-			ChangeS: c.ChangeSeconds,
-			Control: c.SeparateControl,
+			Voters:          plannedVoters,
+			ChangeIntervalS: c.ChangeSeconds,
+			DedicatedVoters: c.SeparateControl,
 		},
 		Hollow: fleetharness.Hollow{
 			Brokers: max(0, c.Brokers-fullBrokers),
--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -6,7 +6,7 @@
 func TestGrid(t *testing.T) {
 	seen := map[string]bool{}
 	for _, c := range Grid {
-		if err := c.Scenario().Check(); err != nil {
+		if err := c.Scenario().Validate(); err != nil {
 			t.Errorf("%s: %v", c.Name(), err)
 		}
 		if seen[c.Name()] {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -76,7 +76,7 @@
 		title:   "messages a second to and from other brokers",
 		format:  "%.1f",
 		brokers: anyBroker,
-		value:   func(c fleetharness.Cost) float64 { return c.Told + c.Heard },
+		value:   func(c fleetharness.Cost) float64 { return c.PeerSent + c.PeerReceived },
 	}
 	allBytes = measure{
 		title:   "bytes a second of both, 35 a message",
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -133,10 +133,10 @@
 		fmt.Sprintf("%.0f", sum/float64(len(r.Costs))),
 		fmt.Sprintf("%.0f", largest),
 		fmt.Sprintf("%.4f", cpu/float64(max(1, full))),
-		fmt.Sprintf("%.0f", float64(r.Sent)/float64(c.Brokers)),
+		fmt.Sprintf("%.0f", float64(r.Datagrams)/float64(c.Brokers)),
 		inForce,
 		contradiction,
-		fmt.Sprint(r.All.Lost + len(r.Breaches)),
+		fmt.Sprint(r.All.Lost + len(r.Violations)),
 	}
 	return "| " + strings.Join(columns, " | ") + " |"
 }
@@ -156,10 +156,10 @@
 		return "none", formatMillis(0)
 	}
 	inForce = "none"
-	if n := len(a.Spread); n > 0 {
-		p50 := millis(a.Spread[n/2])
-		p99 := millis(a.Spread[min(n-1, n*99/100)])
-		longest := millis(a.Spread[n-1])
+	if n := len(a.CommitToAllUS); n > 0 {
+		p50 := millis(a.CommitToAllUS[n/2])
+		p99 := millis(a.CommitToAllUS[min(n-1, n*99/100)])
+		longest := millis(a.CommitToAllUS[n-1])
 		inForce = fmt.Sprintf("%.0f, %.0f, %.0f (%d)", p50, p99, longest, n)
 	}
 	return inForce, formatMillis(a.LongestUS)
--- a/internal/collectd/encoder_test.go
+++ b/internal/collectd/encoder_test.go
@@ -72,8 +72,8 @@
 				t.Fatal(err)
 			}
 			for _, point := range points {
-				if point.Stamp != testTime.Unix() {
-					t.Fatalf("time %d", point.Stamp)
+				if point.Timestamp != testTime.Unix() {
+					t.Fatalf("time %d", point.Timestamp)
 				}
 				got[point.Series] = point.Value
 			}
@@ -143,7 +143,7 @@
 		Plugin:   "junctionwharf",
 		Instance: "sinks",
 		Text:     "graphite lost",
-		Stamp:    testTime.Unix(),
+		Timestamp:    testTime.Unix(),
 	}
 	_, got, err := fakes.ParsePacket(packet, testSecrets, true)
 	if err != nil || len(got) != 1 || got[0] != want {
--- a/internal/metricsexport/harness_test.go
+++ b/internal/metricsexport/harness_test.go
@@ -152,14 +152,14 @@
 }
 
 // awaitSeries waits until a series has a value.
-func (h *harness) awaitSeries(points *fakes.Points, series string, value float64) {
+func (h *harness) awaitSeries(points *fakes.PointStore, series string, value float64) {
 	h.t.Helper()
 	reached := points.Await(h.timeout, func(latest map[string]fakes.Point, _ []string) bool {
 		return latest[series].Value == value
 	})
 	if !reached {
 		h.t.Fatalf("%s is %v, want %v; faults %q, log %q",
-			series, points.Latest()[series].Value, value, points.Faults(), h.logLines())
+			series, points.Latest()[series].Value, value, points.Errors(), h.logLines())
 	}
 }
 
@@ -197,7 +197,7 @@
 
 func newFakeCarbon(t *testing.T) *fakes.Carbon {
 	t.Helper()
-	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPoints(nil))
+	carbon, err := fakes.NewCarbon("127.0.0.1:0", false, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 // newFakeCollectd returns a receiver. With secrets it takes encrypted packets alone.
 func newFakeCollectd(t *testing.T, secrets map[string]string) *fakes.Collectd {
 	t.Helper()
-	receiver, err := fakes.NewCollectd("127.0.0.1:0", secrets, fakes.NewPoints(nil))
+	receiver, err := fakes.NewCollectd("127.0.0.1:0", secrets, fakes.NewPointStore(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
