--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,14 @@
-// Command simadapter lets gateways of package scheduler decide on the users' bench: it reads batches of
-// events from standard input and writes one reply a batch to standard output.
+// Command simadapter lets the simulator drive brokers' schedulers: it reads batches of events from standard input and
+// writes one reply a batch to standard output.
+//
+// Rule. It decides nothing: package simwire decodes the events and encodes the actions, package scheduler decides.
+// An instance is one simulated broker. All its events of a batch go to its scheduler in one call, in the order of the
+// input; instances are called in the order of their first event.
+//
+// State and owner. adapter owns one scheduler for each instance that was started and not killed; one goroutine reads,
+// decides and writes. Everything is lost when the process ends, which it does at the end of its input.
+//
+// Units. Times are those of the simulated clock, time.Duration since its start.
 package main
 
 import (
@@ -9,7 +18,6 @@
 	"os"
 
 	"junctionwharf/internal/simwire"
-	"junctionwharf/scheduler"
 )
 
 func main() {
@@ -19,9 +27,10 @@
 	}
 }
 
+// run answers all batches of in.
 func run(in io.Reader, out io.Writer) error {
-	reader, writer := simwire.NewReader(in), simwire.NewWriter(out)
-	gateways := map[string]*scheduler.Scheduler{}
+	reader := simwire.NewReader(in)
+	adapter := newAdapter(simwire.NewWriter(out))
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -30,69 +39,8 @@
 		if err != nil {
 			return err
 		}
-		if err := answer(batch, gateways, writer); err != nil {
+		if err := adapter.reply(batch); err != nil {
 			return err
 		}
 	}
 }
-
-// answer routes a batch: the events of an instance since its last start go to it in one call.
-func answer(batch *simwire.Batch, gateways map[string]*scheduler.Scheduler, writer *simwire.Writer) error {
-	var order []string
-	events := map[string][]scheduler.Event{}
-	for _, item := range batch.Items {
-		switch {
-		case item.Start != nil:
-			gateway, err := scheduler.New(item.Start.Settings, item.Start.Seed)
-			if err != nil {
-				return fmt.Errorf("line %d: start %s: %w", item.Line, item.Who, err)
-			}
-			gateways[item.Who] = gateway
-			delete(events, item.Who)
-		case gateways[item.Who] == nil:
-			return fmt.Errorf("line %d: event for %s, which is not running", item.Line, item.Who)
-		case item.Halt != nil:
-			delete(gateways, item.Who)
-			delete(events, item.Who)
-		default:
-			if events[item.Who] == nil {
-				order = append(order, item.Who)
-			}
-			events[item.Who] = append(events[item.Who], item.Event)
-		}
-	}
-	done := map[string]bool{}
-	for _, who := range order {
-		if gateways[who] == nil || done[who] {
-			continue
-		}
-		done[who] = true
-		if err := decide(who, gateways[who], batch.Now, events[who], writer); err != nil {
-			return err
-		}
-	}
-	return writer.End(batch.Number)
-}
-
-// decide calls one gateway; a panic in it becomes FATAL with its text.
-func decide(who string, gateway *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event, writer *simwire.Writer) error {
-	actions, failure := step(gateway, now, events)
-	if failure != "" {
-		return writer.Fatal(who, failure)
-	}
-	for _, action := range actions {
-		if err := writer.Act(who, action); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-func step(gateway *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event) (actions []scheduler.Action, failure string) {
-	defer func() {
-		if r := recover(); r != nil {
-			failure = fmt.Sprint("panic: ", r)
-		}
-	}()
-	return gateway.Reduce(now, events), ""
-}
