--- a/internal/conformance/resp_test.go
+++ b/internal/conformance/resp_test.go
@@ -18,143 +18,178 @@
 	"junctionwharf/scheduler"
 )
 
+const (
+	respKey = "7f3a9c21e0b4d655" // each request's key
+	// respAttributes is the attribute list of a request: class, deadline in milliseconds, units.
+	respAttributes = "c=%s,t=plan,d=%d,volume=00000003b4d60021,units=%d,shard=0,hosts=1"
+	// respWriteArguments is the number of arguments of a write; a read has no body and one less.
+	respWriteArguments = 5
+)
+
+// respProtocol is the RESP2 side of the suite.
 type respProtocol struct{}
 
 func (respProtocol) name() string { return "resp" }
 
-func (respProtocol) transport(opt pool.Options) broker.Transport {
-	return resp.NewTransport(pool.New(opt))
+func (respProtocol) transport(options pool.Options) broker.Transport {
+	return resp.NewTransport(pool.New(options))
 }
 
-func (respProtocol) front(loop *broker.Loop, _ broker.Transport, log *slog.Logger) front {
+func (respProtocol) server(loop *broker.Loop, _ broker.Transport, log *slog.Logger) server {
 	return resp.NewServer(loop, resp.NewRequestLimits(settings(), 0), 64, 64, 1<<20, log)
 }
 
-func (respProtocol) retune(f front, c client, set scheduler.Settings, class string) {
-	f.(*resp.Server).SetLimits(resp.NewRequestLimits(set, 0))
-	c.(*respClient).reads = class
+func (respProtocol) applySettings(s server, c client, set scheduler.Settings, class string) {
+	s.(*resp.Server).SetLimits(resp.NewRequestLimits(set, 0))
+	c.(*respClient).readClass = class
 }
 
-// node is a stand-in that speaks RESP2.
-func (respProtocol) node(conn net.Conn, name string, w *world) {
+// serveNode answers commands one by one until the connection ends or a behavior ends it.
+func (respProtocol) serveNode(conn net.Conn, name string, r *recorder) {
 	defer func() { _ = conn.Close() }()
-	in := redcon.NewReader(conn)
+	reader := redcon.NewReader(conn)
 	for {
-		cmd, err := in.ReadCommand()
+		command, err := reader.ReadCommand()
 		if err != nil {
 			return
 		}
-		v, do := w.begin(name, string(cmd.Args[2]))
-		switch do {
-		case turnAway:
-			v.end()
-			_, _ = fmt.Fprint(conn, "-BUSY\r\n")
-		case hang, drip:
-			_, _ = in.ReadCommand() // until the broker closes
-			v.end()
-			return
-		case spoil:
-			if len(cmd.Args) == 5 {
-				v.apply()
-			}
-			_, _ = io.WriteString(conn, "*3\r\n$-7\r\n")
-			_, _ = in.ReadCommand() // until the broker closes
-			v.end()
-			return
-		case cutMid: // this wire's node knows a request only once it is whole
-			v.end()
-			_ = conn.(*net.TCPConn).SetLinger(0)
+		if !serveRESPCommand(conn, reader, command, name, r) {
 			return
-		case cutAfter:
-			v.apply()
-			v.end()
-			return
-		default:
-			if len(cmd.Args) == 5 {
-				v.apply()
-			}
-			v.end()
-			id := string(cmd.Args[2])
-			text := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$10\r\ninflight=1\r\n", len(id), id)
-			if do == repeat {
-				text += text
-			}
-			_, _ = io.WriteString(conn, text)
 		}
 	}
 }
 
+// serveRESPCommand plays one attempt and returns whether the connection goes on.
+func serveRESPCommand(conn net.Conn, reader *redcon.Reader, command redcon.Command, name string, r *recorder) bool {
+	id := string(command.Args[2])
+	a, behavior := r.begin(name, id)
+	defer a.end()
+	isWrite := len(command.Args) == respWriteArguments
+	switch behavior {
+	case rejectBusy:
+		a.end()
+		_, _ = fmt.Fprint(conn, "-BUSY\r\n")
+		return true
+	case hang, trickle:
+		_, _ = reader.ReadCommand() // until the broker closes
+		return false
+	case corruptAnswer:
+		if isWrite {
+			a.apply()
+		}
+		_, _ = io.WriteString(conn, "*3\r\n$-7\r\n")
+		_, _ = reader.ReadCommand() // until the broker closes
+		return false
+	case closeMidRequest: // a node of this protocol knows a request only once it is whole
+		_ = conn.(*net.TCPConn).SetLinger(0)
+		return false
+	case closeAfterExecution:
+		a.apply()
+		return false
+	}
+	if isWrite {
+		a.apply()
+	}
+	a.end() // before the answer: once the broker has it, nothing is in flight any more
+	answer := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$10\r\ninflight=1\r\n", len(id), id)
+	if behavior == duplicateAnswer {
+		answer += answer
+	}
+	_, _ = io.WriteString(conn, answer)
+	return true
+}
+
 func (respProtocol) client(t *testing.T, address string) client {
+	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &respClient{conn: conn, in: bufio.NewReader(conn), reads: "read"}
+	return newRESPClient(conn)
+}
+
+func (respProtocol) malformedInputs() map[string]string {
+	hang := respCommand("BLK.READ", "hang", fmt.Sprintf(respAttributes, "read", 900, 1), "")
+	unknownClass := respCommand("BLK.READ", "hang", fmt.Sprintf(respAttributes, "reads", 900, 1), "")
+	return map[string]string{
+		"silence":            "",
+		"noise":              "\x00\xffnoise",
+		"half a command":     "*4\r\n$8\r\nBLK.",
+		"huge command":       "*4\r\n$60000000\r\n",
+		"same request twice": hang + hang,
+		"unknown classes":    strings.Repeat(unknownClass, 300),
+	}
 }
 
-// nuisances are what bad clients send.
-func (respProtocol) nuisances() map[string]string {
-	list := "c=read,t=plan,d=900,volume=00000003b4d60021,units=1,shard=0,hosts=1"
-	command := func(list string) string {
-		return fmt.Sprintf("*4\r\n$8\r\nBLK.READ\r\n$16\r\n7f3a9c21e0b4d655\r\n$4\r\nhang\r\n$%d\r\n%s\r\n", len(list), list)
+// respCommand encodes a request; one with a body is a write.
+func respCommand(command, id, attributes, body string) string {
+	arguments := []string{command, respKey, id, attributes}
+	if body != "" {
+		arguments = append(arguments, body)
 	}
-	return map[string]string{"silence": "", "noise": "\x00\xffnoise", "half": "*4\r\n$8\r\nBLK.", "huge": "*4\r\n$60000000\r\n",
-		"twice": command(list) + command(list), "unknown": strings.Repeat(command(strings.Replace(list, "c=read", "c=reads", 1)), 300)}
+	text := fmt.Sprintf("*%d\r\n", len(arguments))
+	for _, argument := range arguments {
+		text += fmt.Sprintf("$%d\r\n%s\r\n", len(argument), argument)
+	}
+	return text
 }
 
+// respClient is a client on one connection, whose answers come in the order of its requests.
 type respClient struct {
-	conn net.Conn
-	in   *bufio.Reader
-	owed []string
+	conn      net.Conn
+	reader    *bufio.Reader
+	pending   []string // requests without an answer yet
+	readClass string   // class of reads
+}
 
-	reads string // class of reads
+func newRESPClient(conn net.Conn) *respClient {
+	return &respClient{conn: conn, reader: bufio.NewReader(conn), readClass: "read"}
 }
 
 func (c *respClient) prepare(*testing.T, ...string) {}
 
-func (c *respClient) send(id string, k kind) {
-	c.owed = append(c.owed, id)
-	word, class, body := "BLK.READ", c.reads, ""
-	args := 4
+func (c *respClient) send(id string, k requestKind) {
+	c.pending = append(c.pending, id)
+	command, class, body := "BLK.READ", c.readClass, ""
 	switch k {
 	case write:
-		word, class, body, args = "BLK.WRITE", "write", "$4\r\nBODY\r\n", 5
+		command, class, body = "BLK.WRITE", "write", "BODY"
 	case listing:
 		class = "list"
 	}
-	list := fmt.Sprintf("c=%s,t=plan,d=%d,volume=00000003b4d60021,units=%d,shard=0,hosts=1", class, waits[k].Milliseconds(), unitsOf(id))
-	_, _ = fmt.Fprintf(c.conn, "*%d\r\n$%d\r\n%s\r\n$16\r\n7f3a9c21e0b4d655\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n%s", args, len(word), word,
-		len(id), id, len(list), list, body)
+	attributes := fmt.Sprintf(respAttributes, class, deadlines[k].Milliseconds(), unitsOf(id))
+	_, _ = io.WriteString(c.conn, respCommand(command, id, attributes, body))
 }
 
-func (c *respClient) receive() (verdict, error) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
-	line, err := c.in.ReadString('\n')
+func (c *respClient) receive() (outcome, error) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(waitLimit))
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		return "", err
 	}
-	id := c.owed[0]
-	c.owed = c.owed[1:]
+	id := c.pending[0]
+	c.pending = c.pending[1:]
 	switch {
 	case line[0] == '$':
-		value, err := c.in.ReadString('\n')
+		value, err := c.reader.ReadString('\n')
 		if err == nil && value != id+"\r\n" {
 			err = fmt.Errorf("%s was served with %q", id, value)
 		}
 		return served, err
 	case strings.HasPrefix(line, "-BUSY"):
-		return refused, nil
+		return rejected, nil
 	case line[0] == '-':
 		return failed, nil
 	}
 	return "", fmt.Errorf("unexpected %q", line)
 }
 
-func (c *respClient) quiet() error {
+// expectNoMoreAnswers sends a PING: what comes before its answer is one answer too many.
+func (c *respClient) expectNoMoreAnswers() error {
 	_, _ = fmt.Fprint(c.conn, "*1\r\n$4\r\nPING\r\n")
-	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
-	line, err := c.in.ReadString('\n')
+	_ = c.conn.SetReadDeadline(time.Now().Add(waitLimit))
+	line, err := c.reader.ReadString('\n')
 	if err == nil && line != "+PONG\r\n" {
 		err = fmt.Errorf("a second answer: %q", line)
 	}
--- a/internal/conformance/cross_test.go
+++ b/internal/conformance/sftp_library_test.go
@@ -11,49 +11,36 @@
 	"github.com/pkg/sftp"
 )
 
-// TestOtherClient runs an independent client library against the file front.
-func TestOtherClient(t *testing.T) {
-	b := newBench(t, sftpProtocol{&files{data: map[string][]byte{}}})
+// TestSFTPLibraryClient runs an independent client library against the SFTP server.
+//
+// The library writes 64 pieces at a time, each with an effect of its own on one path, which the recorder takes for
+// repeated effects; so the recorder's checks are not run here.
+func TestSFTPLibraryClient(t *testing.T) {
+	b := newTestbed(t, newSFTPProtocol())
 	conn, err := net.Dial("tcp", b.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// It would write 64 pieces at a time, each with an effect of its own on one path, which the suite's
-	// world takes for repeats; the world's checks are not what this test is after.
 	c, err := sftp.NewClientPipe(conn, conn)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
+
 	data := bytes.Repeat([]byte("lesson "), 20_000)
-	f, err := c.Create("/d/course")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if n, err := f.Write(data); err != nil || n != len(data) {
-		t.Fatalf("wrote %d, %v", n, err)
-	}
-	if err := f.Close(); err != nil {
-		t.Error(err)
-	}
-	if f, err = c.Open("/d/course"); err != nil {
-		t.Fatal(err)
-	}
-	if got, err := io.ReadAll(f); err != nil || !bytes.Equal(got, data) {
-		t.Errorf("read %d bytes, %v", len(got), err)
-	}
-	_ = f.Close()
+	writeFile(t, c, "/d/course", data)
+	readFile(t, c, "/d/course", data)
 	if info, err := c.Stat("/d/course"); err != nil || info.Size() != int64(len(data)) {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("stat: %v, %v", info, err)
 	}
 	if list, err := c.ReadDir("/d"); err != nil || len(list) != 1 || list[0].Name() != "course" {
-		t.Errorf("%v, %v", list, err)
+		t.Errorf("list: %v, %v", list, err)
 	}
 	if err := c.Remove("/d/course"); err != nil {
 		t.Error(err)
 	}
 	if _, err := c.Stat("/d/course"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("stat after remove: %v", err)
 	}
 	if _, err := c.Open("/elsewhere"); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a path of no volume: %v", err)
@@ -63,3 +50,29 @@
 		t.Errorf("mkdir: %v", err)
 	}
 }
+
+func writeFile(t *testing.T, c *sftp.Client, path string, data []byte) {
+	t.Helper()
+	file, err := c.Create(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if n, err := file.Write(data); err != nil || n != len(data) {
+		t.Fatalf("wrote %d, %v", n, err)
+	}
+	if err := file.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+func readFile(t *testing.T, c *sftp.Client, path string, want []byte) {
+	t.Helper()
+	file, err := c.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = file.Close() }()
+	if got, err := io.ReadAll(file); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("read %d bytes, %v", len(got), err)
+	}
+}
--- /dev/null
+++ b/internal/conformance/sftp_packet_test.go
@@ -0,0 +1,111 @@
+package conformance
+
+import (
+	"encoding/binary"
+	"io"
+)
+
+// Packet types of SFTP version 3, written from the specification and not shared with the product, so that an error in
+// the product's own numbers shows.
+const (
+	packetInit     byte = 1
+	packetVersion  byte = 2
+	packetOpen     byte = 3
+	packetClose    byte = 4
+	packetRead     byte = 5
+	packetWrite    byte = 6
+	packetOpenDir  byte = 11
+	packetReadDir  byte = 12
+	packetRemove   byte = 13
+	packetStat     byte = 17
+	packetStatus   byte = 101
+	packetHandle   byte = 102
+	packetData     byte = 103
+	packetName     byte = 104
+	packetAttrs    byte = 105
+	packetExtended byte = 200
+)
+
+const sftpVersion uint32 = 3
+
+// Status codes.
+const (
+	statusOK          uint32 = 0
+	statusEOF         uint32 = 1
+	statusNoSuchFile  uint32 = 2
+	statusFailure     uint32 = 4
+	statusUnsupported uint32 = 8
+)
+
+// Flags of OPEN.
+const (
+	flagRead     uint32 = 1
+	flagWrite    uint32 = 2
+	flagCreate   uint32 = 8
+	flagTruncate uint32 = 16
+)
+
+// Flags of file attributes.
+const (
+	noAttributes  uint32 = 0
+	attributeSize uint32 = 1
+)
+
+// impossibleLength is the length of a packet that nobody may believe, and some bytes of it.
+const impossibleLength = "\xff\xff\xff\xf0noise"
+
+// encodePacket encodes bytes, integers and strings, with the packet's length before them.
+func encodePacket(parts ...any) []byte {
+	var b []byte
+	for _, part := range parts {
+		switch value := part.(type) {
+		case byte:
+			b = append(b, value)
+		case uint32:
+			b = binary.BigEndian.AppendUint32(b, value)
+		case uint64:
+			b = binary.BigEndian.AppendUint64(b, value)
+		case string:
+			b = append(binary.BigEndian.AppendUint32(b, uint32(len(value))), value...)
+		}
+	}
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...)
+}
+
+func encodeStatus(id, code uint32, message string) []byte {
+	return encodePacket(packetStatus, id, code, message, "en")
+}
+
+// packetBody takes the fields of a packet one by one. It panics on a packet that is too short: the broker sends none.
+type packetBody struct{ b []byte }
+
+func (p *packetBody) uint32() uint32 {
+	n := binary.BigEndian.Uint32(p.b)
+	p.b = p.b[4:]
+	return n
+}
+
+func (p *packetBody) uint64() uint64 {
+	n := binary.BigEndian.Uint64(p.b)
+	p.b = p.b[8:]
+	return n
+}
+
+func (p *packetBody) string() string {
+	n := p.uint32()
+	s := string(p.b[:n])
+	p.b = p.b[n:]
+	return s
+}
+
+func receivePacket(r io.Reader) (packetType byte, body *packetBody, err error) {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return 0, nil, err
+	}
+	b := make([]byte, binary.BigEndian.Uint32(header[:]))
+	if _, err := io.ReadFull(r, b); err != nil {
+		return 0, nil, err
+	}
+	return b[0], &packetBody{b[1:]}, nil
+}
