--- a/broker/effects.go
+++ b/broker/effects.go
@@ -1,5 +1,7 @@
 package broker
 
+import "log/slog"
+
 // Effect is something that State.Reduce wants done.
 type Effect interface{ effect() }
 
@@ -53,8 +55,11 @@
 // DiscardValue releases a value that no client receives any more.
 type DiscardValue struct{ Value any }
 
-// Log is a line for the engineers on call.
-type Log struct{ Text string }
+// Log is a line for the engineers on call: a fixed message, by which lines are sampled, and what differs as attributes.
+type Log struct {
+	Message    string
+	Attributes []slog.Attr
+}
 
 func (StartAttempt) effect()        {}
 func (StopAttempt) effect()         {}
--- a/broker/execute.go
+++ b/broker/execute.go
@@ -1,8 +1,9 @@
 package broker
 
 import (
+	"context"
 	"io"
-	"strings"
+	"log/slog"
 )
 
 // execute carries out one effect; that of a StopAttempt is an event.
@@ -37,7 +38,7 @@
 	case DiscardValue:
 		closeValue(e.Value)
 	case Log:
-		l.log(e.Text)
+		l.log(e)
 	}
 	return nil
 }
@@ -93,13 +94,9 @@
 	l.Post(StreamEnded{ID: id, Complete: complete})
 }
 
-// log writes a line of the scheduler: its kind, and what it is about.
-func (l *Loop) log(text string) {
-	if kind, detail, found := strings.Cut(text, ": "); found {
-		l.dependencies.Log.Info(kind, "detail", detail)
-	} else {
-		l.dependencies.Log.Info(text)
-	}
+// log writes a line of the scheduler.
+func (l *Loop) log(line Log) {
+	l.dependencies.Log.LogAttrs(context.Background(), slog.LevelInfo, line.Message, line.Attributes...)
 }
 
 // closeValue closes a value that no client receives. An error of Close is ignored: the node's connection is dropped
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -1,8 +1,11 @@
 package broker
 
 import (
+	"bytes"
 	"context"
+	"encoding/json"
 	"fmt"
+	"log/slog"
 	"testing"
 	"time"
 
@@ -82,6 +85,71 @@
 	}
 }
 
+// Ten nodes leave within one sampling window. Each line has the fixed message, with its node as an attribute: if the
+// node were part of the message, each line would be a kind of its own, none would be left out, and a fault of all nodes
+// would fill the disk.
+func TestSchedulerLinesAreSampledByMessage(t *testing.T) {
+	const (
+		nodes       = 10
+		passing     = 5 // of one message in a window
+		nodeLeaves  = "node leaves"
+		attemptLost = "attempt lost"
+	)
+	var output bytes.Buffer
+	log, err := logging.New(&output, logging.Options{Name: "b1", Format: "json"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{Log: log})
+	for i := range nodes {
+		node := slog.String("node", fmt.Sprint("n", i))
+		loop.execute(Log{Message: nodeLeaves, Attributes: []slog.Attr{node}}, 0)
+	}
+	loop.execute(Log{Message: attemptLost, Attributes: []slog.Attr{slog.Float64("after_ms", 2.5)}}, 0)
+	lines := decodeLines(t, &output)
+	if len(lines) != passing+1 {
+		t.Fatalf("%d lines: %v", len(lines), lines)
+	}
+	for i, line := range lines[:passing] {
+		if line["msg"] != nodeLeaves || line["node"] != fmt.Sprint("n", i) || line["level"] != "INFO" {
+			t.Errorf("line %d: %v", i, line)
+		}
+	}
+	if last := lines[passing]; last["msg"] != attemptLost || last["after_ms"] != 2.5 {
+		t.Errorf("of another message: %v", last)
+	}
+}
+
+// decodeLines reads JSON log lines.
+func decodeLines(t *testing.T, output *bytes.Buffer) []map[string]any {
+	t.Helper()
+	var lines []map[string]any
+	for decoder := json.NewDecoder(output); decoder.More(); {
+		var line map[string]any
+		if err := decoder.Decode(&line); err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, line)
+	}
+	return lines
+}
+
+// A node drains. The state hands on the scheduler's message and attributes as they are.
+func TestSchedulerLineKeepsItsAttributes(t *testing.T) {
+	h := newHarness(t)
+	h.turn(changedNodes(2, testNode("n1", 0, scheduler.Draining)))
+	var lines []Log
+	for _, e := range h.effects {
+		if line, is := e.(Log); is {
+			lines = append(lines, line)
+		}
+	}
+	if len(lines) != 1 || lines[0].Message != "node leaves" || len(lines[0].Attributes) != 1 ||
+		!lines[0].Attributes[0].Equal(slog.String("node", "n1")) {
+		t.Errorf("%+v", lines)
+	}
+}
+
 func ExampleLoop() {
 	state, err := NewState(scheduler.Settings{
 		Brokers:   1,
--- a/broker/state.go
+++ b/broker/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 
 	"junctionwharf/scheduler"
 	"junctionwharf/telemetry"
@@ -173,9 +174,12 @@
 	case scheduler.CloseIdleConnections:
 		s.emit(CloseIdle{Address: s.address(a.Node)})
 	case scheduler.Log:
-		s.emit(Log{a.Text()})
+		s.emit(Log{Message: a.Message, Attributes: a.Attributes})
 	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // discovery is always watched
 	default:
-		s.emit(Log{fmt.Sprintf("unknown action %T", action)})
+		s.emit(Log{
+			Message:    "unknown action",
+			Attributes: []slog.Attr{slog.String("type", fmt.Sprintf("%T", action))},
+		})
 	}
 }
--- a/internal/fleetharness/journal.go
+++ b/internal/fleetharness/journal.go
@@ -71,9 +71,9 @@
 	Attributes map[string]string `json:"keys,omitempty"`
 }
 
-// hasMessage reports whether a line has a message, alone or with values behind it.
+// hasMessage reports whether a line has a message; what differs between lines of one message is in the attributes.
 func (l LogLine) hasMessage(message string) bool {
-	return l.Message == message || strings.HasPrefix(l.Message, message+" ")
+	return l.Message == message
 }
 
 const (
