--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -45,9 +45,9 @@
 	// were lower, short bursts would hold up connections; if it were higher, a loop far behind would hold more
 	// requests that cannot be in time.
 	maxQueuedEvents = 16 * maxTurnEvents
-	// maxQueuedRejections bounds the facts of rejections that wait for the loop; metrics count the others too. If it
-	// were lower, telemetry would miss rejections of an overload; if it were higher, an overload would take more
-	// memory.
+	// maxQueuedRejections bounds the observations of rejections that wait for the loop; metrics count the others too.
+	// If it were lower, telemetry would miss rejections of an overload; if it were higher, an overload would take
+	// more memory.
 	maxQueuedRejections = 1 << 12
 )
 
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -16,8 +16,8 @@
 type Dependencies struct {
 	// SendToPeer sends bytes to another broker; nil without peers.
 	SendToPeer func(peer int, data []byte)
-	// Observe receives facts for telemetry, and does not keep the slice; nil for none.
-	Observe func(facts []telemetry.Observation)
+	// Observe receives observations for telemetry, and does not keep the slice; nil for none.
+	Observe func(observations []telemetry.Observation)
 	// Log is for the engineers on call; nil for none.
 	Log *slog.Logger
 	// ConfigChanges returns what a turn has to apply before it decides anything, by the clock that it reads; nil
@@ -205,8 +205,8 @@
 		clear(l.rejections)
 		l.rejections = l.rejections[:0]
 	}
-	if facts := l.state.Facts(); len(facts) > 0 && l.dependencies.Observe != nil {
-		l.dependencies.Observe(facts)
+	if observations := l.state.Observations(); len(observations) > 0 && l.dependencies.Observe != nil {
+		l.dependencies.Observe(observations)
 	}
 }
 
--- a/broker/nodes_test.go
+++ b/broker/nodes_test.go
@@ -79,8 +79,8 @@
 		t.Errorf("%d nodes are known", left)
 	}
 	leaving := 0
-	for _, f := range h.state.Facts() {
-		if f.Kind == telemetry.NodeDraining {
+	for _, o := range h.state.Observations() {
+		if o.Kind == telemetry.NodeDraining {
 			leaving++
 		}
 	}
--- a/broker/overload_test.go
+++ b/broker/overload_test.go
@@ -13,13 +13,13 @@
 // Admission control is at its bound of open requests. What it rejects has one answer, through Submit as through
 // Admit, is counted, told to telemetry, and never reaches the scheduler.
 func TestAdmissionRejects(t *testing.T) {
-	facts := make(chan telemetry.Observation, 8)
+	observations := make(chan telemetry.Observation, 8)
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{
 		Admission: admission.New(admission.Settings{MaxOpen: 1}, testSettings()),
 		Observe: func(all []telemetry.Observation) {
-			for _, f := range all {
-				if f.Kind == telemetry.RequestEnded {
-					facts <- f
+			for _, o := range all {
+				if o.Kind == telemetry.RequestEnded {
+					observations <- o
 				}
 			}
 		},
@@ -43,8 +43,8 @@
 		t.Errorf("%+v", r)
 	}
 	for range 2 {
-		if f := <-facts; f.RequestOutcome != telemetry.Rejected {
-			t.Errorf("%+v", f)
+		if o := <-observations; o.RequestOutcome != telemetry.Rejected {
+			t.Errorf("%+v", o)
 		}
 	}
 	for name, want := range map[string]uint64{"door_refused": 2, "busy.read": 1, "busy.write": 1, "inflight": 1} {
--- a/broker/requests.go
+++ b/broker/requests.go
@@ -92,7 +92,7 @@
 		return
 	}
 	r.answered = true
-	s.record(s.requestFact(r, telemetry.Abandoned))
+	s.record(s.requestObservation(r, telemetry.Abandoned))
 	s.notifyScheduler(scheduler.ClientGone{ID: id})
 	if r.inFlight && !r.stopped {
 		s.emit(CancelUnlessWritten{ID: id, Number: r.attempts - 1})
@@ -140,26 +140,26 @@
 // set nowhere else but for a client that has disconnected, and all callers check it first.
 func (s *State) respond(id uint64, r *requestState, response Response) {
 	r.answered = true
-	fact := s.requestFact(r, verdictEnds[response.Verdict])
+	observation := s.requestObservation(r, verdictEnds[response.Verdict])
 	if _, streams := response.Value.(Streaming); streams {
-		s.streaming[id] = fact
+		s.streaming[id] = observation
 	} else {
-		s.record(fact)
+		s.record(observation)
 	}
 	s.emit(Respond{ID: id, Response: response})
 }
 
 // handleStreamEnd records how a request with a Streaming value ended.
 func (s *State) handleStreamEnd(e StreamEnded) {
-	fact, streams := s.streaming[e.ID]
+	observation, streams := s.streaming[e.ID]
 	if !streams {
 		return
 	}
 	delete(s.streaming, e.ID)
 	if !e.Complete {
-		fact.RequestOutcome = telemetry.Failed
+		observation.RequestOutcome = telemetry.Failed
 	}
-	s.record(fact)
+	s.record(observation)
 }
 
 // forget drops a request that is over.
@@ -193,8 +193,8 @@
 	Failed:   telemetry.Failed,
 }
 
-// requestFact is the telemetry fact of a request that ends now.
-func (s *State) requestFact(r *requestState, end telemetry.RequestOutcome) telemetry.Observation {
+// requestObservation is what telemetry is told of a request that ends now.
+func (s *State) requestObservation(r *requestState, end telemetry.RequestOutcome) telemetry.Observation {
 	firstSentAt := r.firstSentAt
 	if r.attempts == 0 || firstSentAt == 0 {
 		firstSentAt = s.now
--- a/broker/state.go
+++ b/broker/state.go
@@ -27,8 +27,8 @@
 	schedulerEvents      []scheduler.Event // for the next round of the scheduler
 	spareSchedulerEvents []scheduler.Event // memory for it
 
-	effects []Effect
-	facts   []telemetry.Observation
+	effects      []Effect
+	observations []telemetry.Observation
 
 	shuttingDown  bool
 	schedulingLag Micros // how long work waits for a processor here, smoothed
@@ -59,8 +59,8 @@
 	s.now = now
 	clear(s.effects)
 	s.effects = s.effects[:0]
-	clear(s.facts)
-	s.facts = s.facts[:0]
+	clear(s.observations)
+	s.observations = s.observations[:0]
 	for _, e := range events {
 		s.handle(e)
 	}
@@ -83,8 +83,8 @@
 	s.spareSchedulerEvents = events[:0]
 }
 
-// Facts returns the facts of the last Reduce for telemetry, in order. The slice is good until the next Reduce.
-func (s *State) Facts() []telemetry.Observation { return s.facts }
+// Observations returns what the last Reduce tells telemetry, in order. The slice is good until the next Reduce.
+func (s *State) Observations() []telemetry.Observation { return s.observations }
 
 // Next reports when Reduce wants to be called again at the latest.
 func (s *State) Next() (at Micros, ok bool) {
@@ -113,7 +113,9 @@
 
 func (s *State) notifyScheduler(e scheduler.Event) { s.schedulerEvents = append(s.schedulerEvents, e) }
 
-func (s *State) record(f telemetry.Observation) { s.facts = append(s.facts, f) }
+func (s *State) record(observation telemetry.Observation) {
+	s.observations = append(s.observations, observation)
+}
 
 // handle applies one event.
 func (s *State) handle(event Event) {
