--- a/internal/members/sources_test.go
+++ b/internal/members/sources_test.go
@@ -1,7 +1,9 @@
 package members
 
 import (
+	"maps"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
@@ -19,21 +21,64 @@
 	return l
 }
 
-// A name server answers with errors, nothing, rubbish or a part. None of that takes a node away.
+// dnsFaults are the answers that say nothing of the nodes.
+var dnsFaults = map[string]fakes.DNSFault{
+	"server failure":    fakes.ServFail,
+	"unknown name":      fakes.NameError,
+	"no data":           fakes.NoData,
+	"malformed":         fakes.Malformed,
+	"truncated, no TCP": fakes.TruncatedNoTCP,
+}
+
+// A name server answers with errors, nothing, rubbish or a part, one after the other, with discovery beside it. None of
+// that takes a node away, and the list is followed again once the server answers as before.
 func TestDNSFaultsKeepTheList(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b", "c")...)
 	c := newCore(t)
-	c.apply(config.Membership{Sources: []config.EndpointSource{dnsSource(d)}})
+	c.apply(config.Membership{Sources: []config.EndpointSource{discoverySource(), dnsSource(d)}})
 	c.awaitList("a b c")
-	for _, trick := range []fakes.DNSFault{fakes.ServFail, fakes.NameError, fakes.NoData, fakes.Malformed, fakes.TruncatedNoTCP} {
-		d.SetFault(trick)
-		failures := c.metric("source.dns.failures")
-		rejected := c.metric("source.dns.refused")
-		c.awaitFault(failures+1, rejected+1) // the first may be of a question that was asked before
-		if got := c.list(); got != "a b c" {
-			t.Fatalf("trick %d: %q", trick, got)
-		}
+	for _, name := range slices.Sorted(maps.Keys(dnsFaults)) {
+		d.SetFault(dnsFaults[name])
+		c.expectKept("a b c")
+	}
+	d.SetFault(fakes.NoDNSFault)
+	d.Set(service, 1, records("a", "b")...)
+	c.awaitList("a b")
+}
+
+// A name server has one fault and then none. Its next list is taken, whatever the fault was: a source that stayed with
+// the old list would send requests to nodes that are gone.
+func TestDNSRecoversFromEachFault(t *testing.T) {
+	for name, fault := range dnsFaults {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel() // each waits for lifetimes and retries
+			d := newDNS(t)
+			d.Set(service, 1, records("a", "b", "c")...)
+			c := newCore(t)
+			c.apply(config.Membership{Sources: []config.EndpointSource{discoverySource(), dnsSource(d)}})
+			c.awaitList("a b c")
+			d.SetFault(fault)
+			c.expectKept("a b c")
+			d.SetFault(fakes.NoDNSFault)
+			d.Set(service, 1, records("a", "b")...)
+			c.awaitList("a b")
+		})
+	}
+}
+
+func discoverySource() config.EndpointSource {
+	return config.EndpointSource{Name: "discovery", Kind: kindDiscovery}
+}
+
+// expectKept waits until a DNS fault was met, and checks that the list is as before.
+func (c *core) expectKept(want string) {
+	c.Helper()
+	failures := c.metric("source.dns.failures")
+	rejected := c.metric("source.dns.refused")
+	c.awaitFault(failures+1, rejected+1) // the first may be of a question that was asked before
+	if got := c.list(); got != want {
+		c.Fatalf("the list is %q, want %q", got, want)
 	}
 }
 
@@ -50,8 +95,7 @@
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b", "c")...)
 	c := newCore(t)
-	discovery := config.EndpointSource{Name: "discovery", Kind: kindDiscovery}
-	c.apply(config.Membership{Sources: []config.EndpointSource{discovery, dnsSource(d)}})
+	c.apply(config.Membership{Sources: []config.EndpointSource{discoverySource(), dnsSource(d)}})
 	c.awaitList("a b c")
 	n := c.node("b" + domain)
 	if n.Priority != 1 || n.TrafficWeight != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.LastStart != 0 {
