--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -164,5 +164,46 @@
 	if result := <-d.results; result.conn != nil || !errors.Is(result.err, context.Canceled) {
 		t.Errorf("%+v", result)
 	}
-	eventually(t, "no connection stays up", func() bool { return p.slots.InUse() == 0 })
+	expectNoSlots(t, p)
+}
+
+// An attempt ends while its dial and the hedge are both on their way to a node that says nothing. Both end with it:
+// else each such attempt would hold two connections up to the connect timeout, and a few of them the whole pool.
+func TestAttemptEndsItsHedgedDial(t *testing.T) {
+	for name, end := range map[string]func(broker.Handle){
+		"stop": func(h broker.Handle) {
+			if progress := h.Stop(); progress != broker.NotConnected {
+				t.Errorf("stopped %v", progress)
+			}
+		},
+		"cancel unless written": broker.Handle.CancelUnlessWritten,
+	} {
+		t.Run(name, func(t *testing.T) {
+			options := testOptions()
+			options.ConnectTimeout = time.Hour // only the attempt's end can end the dials
+			handshakeByNode(&options)
+			node := newTestNode(t)
+			p := New(options)
+			handle, results := start(p, node.address, echo)
+			conns := []net.Conn{node.accept(), node.accept()}
+			if p.slots.InUse() != 2 {
+				t.Errorf("%d slots are taken", p.slots.InUse())
+			}
+			end(handle)
+			for _, conn := range conns {
+				node.expectEnd(conn)
+			}
+			expectNoSlots(t, p)
+			if name == "cancel unless written" {
+				expectProgress(t, results, broker.NotConnected)
+			} else if len(results) > 0 {
+				t.Errorf("a result after Stop: %+v", <-results)
+			}
+			_, results = start(p, node.address, echo)
+			conn := node.accept()
+			node.welcome(conn)
+			node.serve(conn)
+			expectAnswer(t, results)
+		})
+	}
 }
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"io"
 	"net"
+	"sync"
 	"testing"
 
 	"junctionwharf/broker"
@@ -12,28 +13,32 @@
 )
 
 // An exchange fails before it has a connection, before its decisive message, or after it. Its error says which, for
-// only what was fully written may have been executed.
+// only what was fully written may have been executed. All parts share a pool of two connections, and none may keep a
+// slot: with two slots kept, the third would wait for ever.
 func TestErrorTellsProgress(t *testing.T) {
+	p := newUnhedgedPool(testOptions())
 	t.Run("not connected", func(t *testing.T) {
 		unused, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = unused.Close()
-		_, results := start(newUnhedgedPool(testOptions()), unused.Addr().String(), echo)
+		_, results := start(p, unused.Addr().String(), echo)
 		expectProgress(t, results, broker.NotConnected)
+		expectNoSlots(t, p)
 	})
 	t.Run("answer lost", func(t *testing.T) {
 		node := newTestNode(t)
-		_, results := start(newUnhedgedPool(testOptions()), node.address, echo)
+		_, results := start(p, node.address, echo)
 		conn := node.accept()
 		node.expectRequest(conn)
 		_ = conn.Close()
 		expectProgress(t, results, broker.FullyWritten)
+		expectNoSlots(t, p)
 	})
 	t.Run("before the decisive message", func(t *testing.T) {
 		node := newTestNode(t)
-		_, results := start(newUnhedgedPool(testOptions()), node.address, func(e *Exchange) (broker.Result, error) {
+		_, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 			if err := e.Send(net.Buffers{[]byte(echoRequest)}, 0); err != nil {
 				return broker.Result{}, err
 			}
@@ -44,6 +49,7 @@
 		node.expectRequest(conn)
 		_ = conn.Close()
 		expectProgress(t, results, broker.PartiallyWritten)
+		expectNoSlots(t, p)
 	})
 }
 
@@ -126,32 +132,46 @@
 }
 
 // The client of an attempt has gone. Its message is not sent, or cut if it is being sent; only if it was fully written
-// the node hears of it, and its answer still comes.
+// the node hears of it, and its answer still comes. All parts share a pool of two connections, which serves on.
 func TestCancelUnlessWritten(t *testing.T) {
-	t.Run("while dialling", cancelWhileDialling)
-	t.Run("during a write", cancelDuringWrite)
-	t.Run("fully written", cancelWhenWritten)
-}
-
-func cancelWhileDialling(t *testing.T) {
 	options := testOptions()
 	connected := make(chan struct{})
+	passHandshakes := sync.OnceFunc(func() { close(connected) })
 	options.Handshake = func(net.Conn, *bufio.Reader) error {
 		<-connected
 		return nil
 	}
+	p := newUnhedgedPool(options)
+	t.Run("while dialling", func(t *testing.T) {
+		cancelWhileDialling(t, p, passHandshakes)
+		expectNoSlots(t, p)
+	})
+	t.Run("during a write", func(t *testing.T) {
+		passHandshakes()
+		cancelDuringWrite(t, p)
+		expectNoSlots(t, p)
+	})
+	t.Run("fully written", func(t *testing.T) {
+		passHandshakes()
+		cancelWhenWritten(t, p)
+	})
+}
+
+func cancelWhileDialling(t *testing.T, p *Pool, passHandshakes func()) {
+	t.Helper()
 	node := newTestNode(t)
-	handle, results := start(newUnhedgedPool(options), node.address, echo)
+	handle, results := start(p, node.address, echo)
 	conn := node.accept()
 	handle.CancelUnlessWritten()
-	close(connected)
+	passHandshakes()
 	expectProgress(t, results, broker.NotConnected)
 	node.expectEnd(conn)
 }
 
-func cancelDuringWrite(t *testing.T) {
+func cancelDuringWrite(t *testing.T, p *Pool) {
+	t.Helper()
 	node := newTestNode(t)
-	handle, results := start(newUnhedgedPool(testOptions()), node.address, sendLarge(largeMessage))
+	handle, results := start(p, node.address, sendLarge(largeMessage))
 	conn := node.accept()
 	node.expectBytes(conn, 1)
 	handle.CancelUnlessWritten()
@@ -161,9 +181,9 @@
 	}
 }
 
-func cancelWhenWritten(t *testing.T) {
+func cancelWhenWritten(t *testing.T, p *Pool) {
+	t.Helper()
 	node := newTestNode(t)
-	p := newUnhedgedPool(testOptions())
 	results := make(chan broker.Result, 1)
 	written := make(chan struct{}) // the node may have the whole message before its writer knows
 	handle := p.Start(node.address, echo, 0, func() { close(written) }, func(r broker.Result) { results <- r })
--- a/internal/pool/helpers_test.go
+++ b/internal/pool/helpers_test.go
@@ -167,6 +167,12 @@
 	return len(p.idle[address])
 }
 
+// expectNoSlots waits until no connection is up or on its way.
+func expectNoSlots(t *testing.T, p *Pool) {
+	t.Helper()
+	eventually(t, "no slot is in use", func() bool { return p.slots.InUse() == 0 })
+}
+
 // eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
