--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -58,12 +58,9 @@
 	return carbon
 }
 
-// awaitMetrics waits until so many series have a value.
-func awaitMetrics(t *testing.T, carbon *fakes.Carbon, want map[string]float64) {
+// awaitMetrics waits until some series have their values, or late is closed.
+func awaitMetrics(t *testing.T, carbon *fakes.Carbon, late <-chan struct{}, want map[string]float64) {
 	t.Helper()
-	late := make(chan struct{})
-	timer := time.AfterFunc(testTimeout, func() { close(late) })
-	defer timer.Stop()
 	fits := func(latest map[string]fakes.Point, _ []string) bool {
 		for series, value := range want {
 			if latest[series].Value != value {
@@ -77,6 +74,18 @@
 	}
 }
 
+// checkListeningFileServer dials once: the file server listens as soon as clients are served.
+func checkListeningFileServer(t *testing.T, address string) {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	setDeadline(t, conn, testTimeout)
+	checkFileConn(t, conn)
+}
+
 // The whole program starts, and is told to stop with a request under way. The request is answered, the last metrics
 // are exported, and nothing listens any more.
 func TestServe(t *testing.T) {
@@ -100,8 +109,11 @@
 	if id := <-node.received; id != "id" {
 		t.Errorf("the node got %q", id)
 	}
-	checkFileServer(t, files)
-	awaitMetrics(t, carbon, map[string]float64{
+	checkListeningFileServer(t, files)
+	late := make(chan struct{}) // one limit for both waits
+	timer := time.AfterFunc(testTimeout, func() { close(late) })
+	defer timer.Stop()
+	awaitMetrics(t, carbon, late, map[string]float64{
 		"wharf.n1.taken":         1,
 		"wharf.n1.inflight":      1,
 		"wharf.n1.backend_calls": 1,
@@ -116,7 +128,7 @@
 		_ = conn.Close()
 		t.Error("it still listens")
 	}
-	awaitMetrics(t, carbon, map[string]float64{"wharf.n1.all.served": 1})
+	awaitMetrics(t, carbon, late, map[string]float64{"wharf.n1.all.served": 1})
 }
 
 // lockedBuffer takes log lines from several goroutines.
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -76,7 +76,9 @@
 	}
 	configure(services[1])
 	reload <- syscall.SIGHUP
-	await(t, "discovery did not move", func() bool { return client.ask(t, testRequest{id: "id", units: 2}) == "1" })
+	awaitWithin(t, testTimeout/2, "discovery did not move", func() bool {
+		return client.ask(t, testRequest{id: "id", units: 2}) == "1"
+	})
 	checkFileConn(t, fileConn)
 	broker.stop()
 	broker.waitEnd(t)
--- a/internal/daemon/testkit_test.go
+++ b/internal/daemon/testkit_test.go
@@ -100,7 +100,13 @@
 // await waits until fits says so.
 func await(t *testing.T, what string, fits func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !fits(); time.Sleep(time.Millisecond) {
+	awaitWithin(t, testTimeout, what, fits)
+}
+
+// awaitWithin is await with a limit of its own.
+func awaitWithin(t *testing.T, limit time.Duration, what string, fits func() bool) {
+	t.Helper()
+	for end := time.Now().Add(limit); !fits(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out: %s", what)
 		}
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -177,17 +177,17 @@
 					t.Fatal(err)
 				}
 				if len(unread) == len(pipelined) {
-					eventually(t, "all that may wait do", func() bool { return f.loop.OpenRequests() == maxPipeline })
+					eventually(t, longWaitLimit, "all that may wait do", func() bool { return f.loop.OpenRequests() == maxPipeline })
 				}
 				hangUp(t, conn, reset)
 				left++
 				select {
 				case <-first.gone:
-				case <-time.After(5 * time.Second):
+				case <-time.After(waitLimit):
 					forwarded++
 					t.Error("its attempt goes on")
 				}
-				eventually(t, "it is forgotten", func() bool {
+				eventually(t, longWaitLimit, "it is forgotten", func() bool {
 					return f.loop.OpenRequests() == 0 && len(f.server.OpenRequestIDs()) == 0 && f.server.Count() == 0
 				})
 			})
--- a/internal/resp/helpers_test.go
+++ b/internal/resp/helpers_test.go
@@ -19,8 +19,12 @@
 	"junctionwharf/scheduler"
 )
 
-// waitLimit is how long a test waits for what must happen before it fails.
-const waitLimit = 10 * time.Second
+const (
+	// waitLimit is how long a test waits for what must happen before it fails.
+	waitLimit = 5 * time.Second
+	// longWaitLimit is the same where much is sent or the server waits seconds itself.
+	longWaitLimit = 10 * time.Second
+)
 
 const (
 	testKey     = "7f3a9c21e0b4d655"
@@ -118,14 +122,15 @@
 	return ln.Addr().String()
 }
 
-func dial(t *testing.T, address string) *net.TCPConn {
+// dial connects to a server for so long.
+func dial(t *testing.T, address string, limit time.Duration) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(limit)); err != nil {
 		t.Fatal(err)
 	}
 	return conn.(*net.TCPConn)
@@ -146,10 +151,10 @@
 	}
 }
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits so long until a condition holds.
+func eventually(t *testing.T, limit time.Duration, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(waitLimit); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(limit); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("never: %s", what)
 		}
@@ -160,7 +165,7 @@
 func exchangeText(t *testing.T, address, text string) (string, time.Duration) {
 	t.Helper()
 	began := time.Now()
-	conn := dial(t, address)
+	conn := dial(t, address, longWaitLimit)
 	write(t, conn, text)
 	got, err := io.ReadAll(conn)
 	_ = conn.Close()
--- a/internal/resp/overload_test.go
+++ b/internal/resp/overload_test.go
@@ -42,9 +42,9 @@
 // back, and its connection goes on.
 func TestAdmissionRejects(t *testing.T) {
 	server, address := newAdmittingServer(t, 8, 1)
-	write(t, dial(t, address), readWithID(0))
-	eventually(t, "the request is open", func() bool { return server.loop.OpenRequests() == 1 })
-	conn := dial(t, address)
+	write(t, dial(t, address, waitLimit), readWithID(0))
+	eventually(t, waitLimit, "the request is open", func() bool { return server.loop.OpenRequests() == 1 })
+	conn := dial(t, address, waitLimit)
 	reader := bufio.NewReader(conn)
 	for i := range 3 {
 		write(t, conn, readWithID(i+1))
@@ -75,13 +75,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server, address := newAdmittingServer(t, 1, 10)
-			conn := dial(t, address)
+			conn := dial(t, address, waitLimit)
 			write(t, conn, test.before)
 			greeting := make([]byte, len(test.greeting))
 			if _, err := io.ReadFull(conn, greeting); err != nil || string(greeting) != test.greeting {
 				t.Fatalf("%q, %v", greeting, err)
 			}
-			other := dial(t, address)
+			other := dial(t, address, waitLimit)
 			if rest, err := io.ReadAll(conn); err != nil || string(rest) != test.want {
 				t.Errorf("%q, %v", rest, err)
 			}
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -127,7 +127,7 @@
 				server.reject(conn)
 				_ = conn.Close()
 			}()
-			conn := dial(t, ln.Addr().String())
+			conn := dial(t, ln.Addr().String(), longWaitLimit)
 			write(t, conn, test.sent)
 			if test.sent == "" {
 				_ = conn.CloseWrite()
--- a/internal/resp/server_test.go
+++ b/internal/resp/server_test.go
@@ -65,9 +65,9 @@
 // ended nothing is kept of its id.
 func TestRequestIDMayBeOpenOnlyOnce(t *testing.T) {
 	server, address := newStalledServer(t)
-	first := dial(t, address)
+	first := dial(t, address, longWaitLimit)
 	write(t, first, readText)
-	eventually(t, "the request is open", func() bool { return server.loop.OpenRequests() > 0 })
+	eventually(t, waitLimit, "the request is open", func() bool { return server.loop.OpenRequests() > 0 })
 	if got, _ := exchangeText(t, address, readText); !strings.HasPrefix(got, errorPrefix) {
 		t.Errorf("%q", got)
 	}
@@ -75,7 +75,7 @@
 		t.Errorf("%d requests are open", open)
 	}
 	_ = first.Close()
-	eventually(t, "no id is kept", func() bool { return len(server.OpenRequestIDs()) == 0 })
+	eventually(t, waitLimit, "no id is kept", func() bool { return len(server.OpenRequestIDs()) == 0 })
 }
 
 // A full server closes a connection without requests to make room for the next client. The table asks for an idle one
@@ -84,7 +84,7 @@
 	server := NewServer(nil, RequestLimits{}, 2, 2, 1<<20, testLogger(t))
 	address := serve(t, server)
 	for i := range 100 {
-		conn := dial(t, address)
+		conn := dial(t, address, longWaitLimit)
 		write(t, conn, pingText)
 		got := make([]byte, len(pongLine))
 		if _, err := io.ReadFull(conn, got); err != nil || string(got) != pongLine {
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -169,7 +169,7 @@
 	options := option("d=480", "d=6000")
 	read := func(maxBytes int, ids ...string) []byte {
 		t.Helper()
-		conn := dial(t, address)
+		conn := dial(t, address, longWaitLimit)
 		defer func() { _ = conn.Close() }()
 		for _, id := range ids {
 			write(t, conn, bulk(commandRead, testKey, id, options))
@@ -194,7 +194,7 @@
 			t.Errorf("%s: %d bytes of %d", id, len(got), len(whole))
 		}
 	}
-	eventually(t, "no request is open", func() bool { return loop.OpenRequests() == 0 })
+	eventually(t, waitLimit, "no request is open", func() bool { return loop.OpenRequests() == 0 })
 	want := map[string]uint64{"success.read": 5, "failure.read": 2}
 	for _, metric := range loop.Metrics.Read() {
 		if value, checked := want[metric.Name]; checked && metric.Value != value {
--- a/internal/resp/stub_test.go
+++ b/internal/resp/stub_test.go
@@ -102,7 +102,7 @@
 
 func (f *fixture) dial() *net.TCPConn {
 	f.Helper()
-	return dial(f.T, f.listener.Addr().String())
+	return dial(f.T, f.listener.Addr().String(), longWaitLimit)
 }
 
 // request encodes a read that the fixture's settings allow.
@@ -116,7 +116,7 @@
 	select {
 	case attempt := <-f.transport.attempts:
 		return attempt
-	case <-time.After(waitLimit):
+	case <-time.After(longWaitLimit):
 		f.Fatal("nothing was sent")
 		return nil
 	}
@@ -161,11 +161,11 @@
 // expectInput waits until what a peer wrote stands unread in a client's socket.
 func (f *fixture) expectInput(c *client) {
 	f.Helper()
-	eventually(f.T, "input has come", func() bool { return !pool.IsQuiet(c.socket) })
+	eventually(f.T, longWaitLimit, "input has come", func() bool { return !pool.IsQuiet(c.socket) })
 }
 
 // expectNoClients waits until all connections have ended.
 func (f *fixture) expectNoClients() {
 	f.Helper()
-	eventually(f.T, "all connections have ended", func() bool { return f.server.Count() == 0 })
+	eventually(f.T, longWaitLimit, "all connections have ended", func() bool { return f.server.Count() == 0 })
 }
--- a/internal/resp/transport_test.go
+++ b/internal/resp/transport_test.go
@@ -72,7 +72,7 @@
 			t.Fatal("no answer")
 		}
 		answered <- struct{}{}
-		eventually(t, "the connection is kept", func() bool { return p.HasIdle(address) })
+		eventually(t, waitLimit, "the connection is kept", func() bool { return p.HasIdle(address) })
 	}
 	if n := len(connections); n != 1 {
 		t.Errorf("%d connections", n)
