--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -31,14 +31,11 @@
 	await(t, "clients are not accepted", func() bool { return callConsole(t, adminAddress, "check") == "SUCCESS\n" })
 }
 
-// checkServed wants so many requests on new connections to be answered with their own ids.
-func checkServed(t *testing.T, address, prefix string, count int) {
+// checkServed wants a request on a new connection to be answered with its own id.
+func checkServed(t *testing.T, address, id string) {
 	t.Helper()
-	for i := range count {
-		id := fmt.Sprint(prefix, i)
-		if got := dialClient(t, address).ask(t, testRequest{id: id, units: 2}); got != id {
-			t.Errorf("%s was not served: %q", id, got)
-		}
+	if got := dialClient(t, address).ask(t, testRequest{id: id, units: 2}); got != id {
+		t.Errorf("%s was not served: %q", id, got)
 	}
 }
 
@@ -63,20 +60,22 @@
 	<-held
 
 	newProcess := startWithConsole(t, address, files, discovery)
-	for range 8 { // they reach either process
+	for i := range 8 { // they reach either process
 		if got := dialClient(t, address).ask(t, testRequest{id: "hold", units: 2}); !strings.HasPrefix(got, "-ERR") {
 			t.Errorf("an id that is open: %q", got)
 		}
+		checkServed(t, address, fmt.Sprint("beside", i))
 	}
-	checkServed(t, address, "beside", 8)
 	oldProcess.stop()
-	checkServed(t, address, "redirected", 8)
+	for i := range 8 {
+		checkServed(t, address, fmt.Sprint("redirected", i))
+	}
 	close(release)
 	if got := <-answer; got != "hold" {
 		t.Errorf("what the first had accepted: %q", got)
 	}
 	oldProcess.waitEnd(t)
-	checkServed(t, address, "last", 1)
+	checkServed(t, address, "last")
 	checkFileServer(t, files)
 	newProcess.stop()
 	newProcess.waitEnd(t)
--- a/membership/options_test.go
+++ b/membership/options_test.go
@@ -6,10 +6,24 @@
 )
 
 // Settings change in service, and there is no gap: what an ended source claimed stays until the new one has answered.
+// So it is with a state that began empty, and with one that was restored.
 func TestApplyOptions(t *testing.T) {
-	s := newState(t, Options{})
-	s.Reduce(1*second, snapshot(discovery, 1, "a", "b"))
-	s.Reduce(2*second, snapshot(dns, 2, "a", "c"))
+	t.Run("empty at first", func(t *testing.T) {
+		s := newState(t, Options{})
+		s.Reduce(1*second, snapshot(discovery, 1, "a", "b"))
+		s.Reduce(2*second, snapshot(dns, 2, "a", "c"))
+		checkSourceReplaced(t, s)
+	})
+	t.Run("restored", func(t *testing.T) {
+		s := newState(t, Options{})
+		checkRestore(t, s)
+		checkSourceReplaced(t, s)
+	})
+}
+
+// checkSourceReplaced puts a file in the place of DNS in a state whose list is a, b and c.
+func checkSourceReplaced(t *testing.T, s *State) {
+	t.Helper()
 	if _, err := s.ApplyOptions(3*second, Options{}); err == nil {
 		t.Error("options without a source are applied")
 	}
@@ -32,7 +46,12 @@
 
 // A broker starts from a snapshot, which stands until all sources have answered.
 func TestRestore(t *testing.T) {
-	s := newState(t, Options{})
+	checkRestore(t, newState(t, Options{}))
+}
+
+// checkRestore restores a state, and lets its sources answer until its list is a, b and c.
+func checkRestore(t *testing.T, s *State) {
+	t.Helper()
 	s.Restore(second/2, "snapshot", []Entry{
 		{Name: "a", Address: "a:1", LastStart: 77},
 		{Name: "z", Address: "z:1", LastStart: 0},
