--- /dev/null
+++ b/internal/fleetharness/costs.go
@@ -0,0 +1,201 @@
+package fleetharness
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"junctionwharf/internal/agreement"
+	"junctionwharf/internal/console"
+)
+
+const (
+	// consoleTimeout bounds a call of a broker's console among hundreds at once.
+	consoleTimeout = 5 * time.Second
+	// parallelCalls is how many brokers are asked at once. More would make the machine's own queue a part of what is
+	// measured.
+	parallelCalls = 32
+	// maxJoinedErrors is how many errors of many brokers are told.
+	maxJoinedErrors = 3
+	// clockTicks is the unit of processor times in /proc, in ticks a second, as Linux tells it to programs.
+	clockTicks = 100
+)
+
+// The indexes of processor times among the fields of /proc/PID/stat behind the program's name.
+const (
+	statUserTime   = 11
+	statSystemTime = 12
+)
+
+// Roles of a broker in a Cost, besides those of agreement.Status.
+const (
+	roleFollower = "follower" // in agreement.Status: a leaf or a parent
+	roleLeaf     = "leaf"
+	roleParent   = "feeder"
+)
+
+// Cost is what the control side of one broker cost over the traffic, by the second.
+type Cost struct {
+	Broker       int     `json:"broker"`
+	Hollow       bool    `json:"hollow,omitempty"`
+	Role         string  `json:"role"`            // leader, voter, feeder or leaf
+	Children     int     `json:"feeds,omitempty"` // in the tree of the replicated configuration
+	Sent         float64 `json:"sent"`            // bytes a second of agreement
+	Received     float64 `json:"received"`
+	PeerSent     float64 `json:"told"`  // messages a second to other brokers
+	PeerReceived float64 `json:"heard"` // and from them
+	CPU          float64 `json:"cpu"`   // part of a core; of a hollow broker its part of the process
+	MemoryMB     float64 `json:"memory_mb"`
+}
+
+// meterReading is what a broker has spent up to a time.
+type meterReading struct {
+	at       time.Duration
+	figures  map[string]float64 // of the console, by name
+	cpuS     float64
+	memoryMB float64
+	status   agreement.Status
+}
+
+// eachBroker does something for all brokers, many at a time, and joins the first few errors.
+func (f *Fleet) eachBroker(do func(*broker) error) error {
+	work := make(chan *broker)
+	failures := make(chan error, len(f.brokers))
+	var wait sync.WaitGroup
+	for range parallelCalls {
+		wait.Go(func() {
+			for b := range work {
+				if err := do(b); err != nil {
+					failures <- err
+				}
+			}
+		})
+	}
+	for _, b := range f.brokers {
+		work <- b
+	}
+	close(work)
+	wait.Wait()
+	close(failures)
+	var joined []error
+	for err := range failures {
+		if len(joined) < maxJoinedErrors {
+			joined = append(joined, err)
+		}
+	}
+	return errors.Join(joined...)
+}
+
+// readMeters reads all brokers' meters, by number. One that does not answer has none.
+func (f *Fleet) readMeters() []*meterReading {
+	readings := make([]*meterReading, len(f.brokers))
+	sharedBy := map[int]int{} // hollow brokers, by their process
+	for _, p := range f.hollowProcesses {
+		sharedBy[p.command.Process.Pid] = len(p.brokers)
+	}
+	_ = f.eachBroker(func(b *broker) error {
+		readings[b.number] = f.readMeter(b, sharedBy)
+		return nil
+	})
+	return readings
+}
+
+// readMeter reads a broker's meters, nil if it does not answer.
+func (f *Fleet) readMeter(b *broker, sharedBy map[int]int) *meterReading {
+	process, _ := b.process()
+	if process == nil || b.isDown() {
+		return nil
+	}
+	text, err := console.Call(f.consoleAddress(b.number), "vars", consoleTimeout)
+	if err != nil {
+		return nil
+	}
+	reading := &meterReading{at: Now(), figures: parseFigures(string(text))}
+	if f.scenario.Agreement.Voters > 0 {
+		reading.status, err = f.agreementStatus(b.number)
+		if err != nil {
+			return nil
+		}
+	}
+	reading.cpuS, reading.memoryMB = ProcessUsage(process.Pid)
+	if n := sharedBy[process.Pid]; n > 0 {
+		reading.cpuS /= float64(n)
+		reading.memoryMB /= float64(n)
+	}
+	return reading
+}
+
+// parseFigures reads the console's figures: lines of HOST.NAME:VALUE|UNIT.
+func parseFigures(text string) map[string]float64 {
+	figures := map[string]float64{}
+	for line := range strings.Lines(text) {
+		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
+		value, _, _ := strings.Cut(rest, "|")
+		if v, err := strconv.ParseFloat(value, 64); err == nil {
+			figures[name[strings.IndexByte(name, '.')+1:]] = v
+		}
+	}
+	return figures
+}
+
+// ProcessUsage is the processor time of a process in seconds, and its resident memory in MB. What cannot be read, of a
+// process that has ended, is 0.
+func ProcessUsage(pid int) (cpuS, memoryMB float64) {
+	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
+		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
+		if len(fields) > statSystemTime {
+			user, _ := strconv.ParseFloat(fields[statUserTime], 64)
+			system, _ := strconv.ParseFloat(fields[statSystemTime], 64)
+			cpuS = (user + system) / clockTicks
+		}
+	}
+	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid)); err == nil {
+		var size, resident float64
+		_, _ = fmt.Sscan(string(text), &size, &resident)
+		memoryMB = resident * float64(os.Getpagesize()) / (1 << 20)
+	}
+	return cpuS, memoryMB
+}
+
+// costs are the differences between two readings, by broker.
+func (f *Fleet) costs(before, after []*meterReading) []Cost {
+	var costs []Cost
+	for i, to := range after {
+		from := before[i]
+		if from == nil || to == nil || to.at <= from.at {
+			continue
+		}
+		cost := newCost(from, to)
+		cost.Broker = i
+		cost.Hollow = i >= f.scenario.Brokers
+		costs = append(costs, cost)
+	}
+	return costs
+}
+
+// newCost is what a broker spent between two readings, by the second.
+func newCost(from, to *meterReading) Cost {
+	span := (to.at - from.at).Seconds()
+	rate := func(name string) float64 { return max(0, to.figures[name]-from.figures[name]) / span }
+	cost := Cost{
+		Role:         to.status.Role,
+		Children:     len(to.status.Children),
+		Sent:         rate("agree_bytes_sent"),
+		Received:     rate("agree_bytes_received"),
+		PeerSent:     rate("peer_sent"),
+		PeerReceived: rate("peer_heard"),
+		CPU:          max(0, to.cpuS-from.cpuS) / span,
+		MemoryMB:     to.memoryMB,
+	}
+	if cost.Role == roleFollower || cost.Role == "" {
+		cost.Role = roleLeaf
+		if cost.Children > 0 {
+			cost.Role = roleParent
+		}
+	}
+	return cost
+}
--- /dev/null
+++ b/internal/fleetharness/discovery_test.go
@@ -0,0 +1,183 @@
+package fleetharness
+
+import (
+	"context"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Half of the brokers hold yesterday's list while a node drains and another joins. Those that were told keep the rules,
+// the others go on, and the new node, which has just started, gets less than the others.
+func TestStaleListAndNewNode(t *testing.T) {
+	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
+	fleet.expectServed(t, 20, false)
+	for _, b := range []int{0, 1} {
+		fleet.inject(t, ctx, Event{Kind: ViewStale, Brokers: []int{b}})
+	}
+	fleet.inject(t, ctx, Event{Kind: NodeJoin, Nodes: []int{0}})
+	fleet.inject(t, ctx, Event{Kind: NodeDrain, Nodes: []int{3}})
+	for fleet.discovery.drainTold("node-3", 2) == 0 || fleet.discovery.drainTold("node-3", 3) == 0 {
+		if ctx.Err() != nil {
+			t.Fatal("the drain was never told")
+		}
+		fleet.expectServed(t, 2, false)
+	}
+	if at := fleet.discovery.drainTold("node-3", 0); at > 0 {
+		t.Error("a broker with yesterday's list was told")
+	}
+	fleet.expectServed(t, 10, false)
+	fleet.TakeAttemptCounts()
+	fleet.expectServed(t, 60, false)
+	counts := fleet.TakeAttemptCounts()
+	if mean := (counts[0] + counts[1] + counts[2]) / 3; counts[4] >= mean {
+		t.Errorf("the new node got as much as the others: %v", counts)
+	}
+	fleet.expectServed(t, 30, false, 0, 1)
+	if counts = fleet.TakeAttemptCounts(); counts[3] == 0 || counts[4] > 0 {
+		t.Errorf("brokers with yesterday's list acted on today's: %v", counts)
+	}
+}
+
+// Discovery tells one broker that there is no node, which binds it; another that two drain which the others hear to
+// serve; and a third everything late. Each keeps to what it was told, rejects at once what it has no node for, and
+// serves again once it is over.
+func TestViewsThatContradict(t *testing.T) {
+	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
+	fleet.expectServed(t, 10, false)
+	fleet.inject(t, ctx, Event{Kind: ViewEmpty, Brokers: []int{0}})
+	fleet.inject(t, ctx, Event{Kind: ViewContradicts, Brokers: []int{1}, Nodes: []int{0, 1}})
+	fleet.inject(t, ctx, Event{Kind: ViewLate, Brokers: []int{2}, DelayMS: 300})
+	for fleet.discovery.drainTold("node-1", 1) == 0 {
+		if ctx.Err() != nil {
+			t.Fatal("the drain was never told")
+		}
+		fleet.expectServed(t, 1, false, 1, 2, 3)
+	}
+	for fleet.SendRequests(1, false, 0)[OutcomeRejected] == 0 {
+		if ctx.Err() != nil {
+			t.Fatal("the empty list was never told")
+		}
+	}
+	if outcomes := fleet.SendRequests(20, true, 0); outcomes[OutcomeRejected] != 20 {
+		t.Errorf("without a node: %v", outcomes)
+	}
+	fleet.expectServed(t, 20, false, 1, 2, 3)
+	fleet.TakeAttemptCounts()
+	fleet.expectServed(t, 20, false, 1)
+	if counts := fleet.TakeAttemptCounts(); counts[0]+counts[1] > 0 || counts[2]+counts[3] < 20 {
+		t.Errorf("it was told that nodes 0 and 1 drain: %v", counts)
+	}
+	fleet.expectServed(t, 30, false, 2, 3)
+	expectBalanced(t, fleet.TakeAttemptCounts())
+	if fleet.discovery.drainTold("node-1", 0) > 0 {
+		t.Error("a drain was told to a broker that was told of none")
+	}
+	for _, b := range fleet.brokers {
+		fleet.discovery.setView(b.number, discoveryView{})
+	}
+	expectUsedAgain(t, ctx, fleet)
+}
+
+// expectUsedAgain wants broker 0, which had no node, to serve again, and broker 1 to use node 0 again, which it had
+// heard to drain.
+func expectUsedAgain(t *testing.T, ctx context.Context, fleet *Fleet) {
+	t.Helper()
+	servesAgain, nodeUsedAgain := false, false
+	for !servesAgain || !nodeUsedAgain {
+		if ctx.Err() != nil {
+			t.Fatal("the nodes that serve again are not used")
+		}
+		fleet.TakeAttemptCounts()
+		fleet.expectServed(t, 5, false, 1)
+		if fleet.TakeAttemptCounts()[0] > 0 {
+			nodeUsedAgain = true
+		}
+		if fleet.SendRequests(1, false, 0)[OutcomeServed] == 1 {
+			servesAgain = true
+		}
+	}
+}
+
+// A node that joins is in the list that a broker asks for in full, whatever was asked before.
+func TestListHoldsWhoJoined(t *testing.T) {
+	fleet := &Fleet{scenario: &Scenario{Node: NodeSpec{Zones: 1}}}
+	d := newDiscoveryState(fleet)
+	fleet.nodes = []*fakeNode{{name: "first"}}
+	d.entries = []listedEndpoint{d.entry(fleet.nodes[0], healthServing, 1)}
+	if text := string(d.list(0, 0, 1, false)); !strings.Contains(text, "first") || text != string(d.currentList()) {
+		t.Errorf("at the start: %s", text)
+	}
+	if text := string(d.list(0, 1, 1, true)); !strings.Contains(text, `"hosts":[]`) {
+		t.Errorf("with nothing newer: %s", text)
+	}
+	joined := &fakeNode{name: "joined", number: 1}
+	fleet.nodes = append(fleet.nodes, joined)
+	d.publishHealth(joined, healthServing)
+	if text := string(d.list(0, 0, 2, false)); !strings.Contains(text, "joined") || !strings.Contains(text, "first") {
+		t.Errorf("in full, after the joining: %s", text)
+	}
+	if text := string(d.list(0, 1, 2, true)); !strings.Contains(text, "joined") || strings.Contains(text, "first") {
+		t.Errorf("what is newer: %s", text)
+	}
+}
+
+// Idle clients take all of a broker's descriptors while discovery is down. Requests go on being served, new connections
+// to nodes come up, and the watch comes back: the broker hears of a drain and sends to the node that joined.
+func TestIdleClientsFillDescriptors(t *testing.T) {
+	fleet, ctx := startFleet(t, Scenario{Brokers: 1, Node: NodeSpec{Count: 2}})
+	limit := unix.Rlimit{Cur: brokerSockets, Max: brokerSockets}
+	pid := fleet.brokers[0].command.Process.Pid
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
+		t.Fatal(err)
+	}
+	fleet.expectServed(t, 10, false)
+	fleet.inject(t, ctx, Event{Kind: ViewUnavailable, Brokers: []int{0}})
+	fleet.inject(t, ctx, Event{Kind: NodeReset, Nodes: []int{0, 1}})
+	fleet.awaitLog(t, ctx, 0, "discovery silent")
+	openIdleClients(t, fleet.brokers[0].address, 500)
+	fleet.expectServed(t, 20, false)
+	fleet.inject(t, ctx, Event{Kind: NodeJoin, Nodes: []int{0}})
+	fleet.inject(t, ctx, Event{Kind: NodeDrain, Nodes: []int{0, 1}})
+	fleet.expectServed(t, 5, false)
+	if at := fleet.discovery.drainTold("node-0", 0); at > 0 {
+		t.Error("told of a drain while discovery was down")
+	}
+	fleet.discovery.setView(0, discoveryView{})
+	fleet.awaitLog(t, ctx, 0, "discovery back")
+	fleet.TakeAttemptCounts()
+	fleet.expectServed(t, 20, false)
+	if counts := fleet.TakeAttemptCounts(); counts[2] == 0 {
+		t.Errorf("the node that joined got nothing: %v", counts)
+	}
+	if n := len(fleet.LogLines("accept failed")); n > 0 {
+		t.Errorf("%d times no descriptor was left", n)
+	}
+}
+
+// openIdleClients opens connections until the test's end. Half of them greet, and wait for the answer or their end.
+func openIdleClients(t *testing.T, address string, count int) {
+	t.Helper()
+	var greetings sync.WaitGroup
+	for i := range count {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _ = conn.Close() })
+		if i%2 != 0 {
+			continue
+		}
+		greetings.Go(func() {
+			_, _ = io.WriteString(conn, "*1\r\n$4\r\nPING\r\n")
+			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+			_, _ = conn.Read(make([]byte, 8))
+		})
+	}
+	greetings.Wait()
+}
--- /dev/null
+++ b/internal/fleetharness/golden_test.go
@@ -0,0 +1,100 @@
+package fleetharness
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"junctionwharf/internal/daemon"
+)
+
+var recordGolden = flag.Bool("record-journal", false, "write the golden files anew")
+
+// checkGolden compares a value's JSON with a golden file, and reads that file into decoded and back.
+func checkGolden(t *testing.T, name string, value, decoded any) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	encoded, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if *recordGolden {
+		if err := os.WriteFile(path, encoded, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(encoded, golden) {
+		t.Errorf("%s: encoded:\n%s\nwant:\n%s", name, encoded, golden)
+	}
+	if err := json.Unmarshal(golden, decoded); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(decoded)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again, golden) {
+		t.Errorf("%s: encoded again:\n%s", name, again)
+	}
+}
+
+// A journal of an earlier run is read after an upgrade, and the file of hollow brokers is read by another program:
+// their bytes stay.
+func TestJournalBytes(t *testing.T) {
+	checkGolden(t, "line.json", LogLine{
+		At:         1500 * time.Microsecond,
+		Process:    "broker-1",
+		Message:    "serving",
+		Attributes: map[string]string{"what": "clients"},
+	}, &LogLine{})
+	checkGolden(t, "breach.json", Violation{Rule: "two attempts out", At: "0.001 s", Trace: "seed 1"}, &Violation{})
+	checkGolden(t, "hollow.json", []HollowBroker{{
+		Config: json.RawMessage(`{"name":"n1"}`),
+		Site:   "site.toml",
+		Demand: daemon.SyntheticLoad{Rate: 1.5, Volumes: 40, ResponseTime: 20 * time.Millisecond, Seed: 7},
+	}}, &[]HollowBroker{})
+}
+
+// Recorded figures of earlier runs are read by today's tools, and a broker reads the settings that the harness writes:
+// the names in both stay.
+func TestReportAndSettingsBytes(t *testing.T) {
+	phase := Phase{
+		FromS: 1, ToS: 2, Sent: 3, Served: 4, InObjective: 5, Rejected: 6, Failed: 7, Lost: 8, Excluded: 9, Late: 10,
+		P50: 11, P99: 12, MaxOverMean: 13, WorstSecond: 14, IdleNodes: 15, WorstSecondAt: "node-1 at 2 s",
+		RandomWorstSecond: 16,
+	}
+	checkGolden(t, "report.json", Report{
+		Scenario: "s", Seed: 1, Brokers: 2, Nodes: 3, Phases: []Phase{phase}, All: phase,
+		PerNode: map[string]int{"node-0": 4}, Dials: 5, PeakConns: 6, DiscoveryCalls: 7, Datagrams: 8, DatagramBytes: 9,
+		Violations: []Violation{{Rule: "r", At: "a", Trace: "t"}},
+		Agreement: &AgreementReport{
+			Conflict:         Conflict{LongestUS: 10, Trace: "c", Versions: 11, Spans: 12, CommitToAllUS: []int64{13}},
+			ProposalOutcomes: map[string]int{"": 14}, MeanBytesPerS: 15, MaxBytesPerS: 16, MemoryMB: 17,
+		},
+		HollowBrokers: 18,
+		Costs: []Cost{{
+			Broker: 19, Hollow: true, Role: "leaf", Children: 20, Sent: 21, Received: 22, PeerSent: 23, PeerReceived: 24,
+			CPU: 25, MemoryMB: 26,
+		}},
+		SlowStart:      []SlowStartSecond{{Node: "node-0", AgeS: 27, Units: 28, Limit: 29}},
+		RestartMS:      []float64{30},
+		BalancedAfterS: []float64{31},
+	}, &Report{})
+
+	scenario := &Scenario{
+		Brokers: 3, Peers: true, Rate: 1, DurationS: 1, Shards: 2, Node: NodeSpec{Count: 4, Zones: 3},
+	}
+	if err := scenario.Validate(); err != nil {
+		t.Fatal(err)
+	}
+	fleet := &Fleet{scenario: scenario}
+	checkGolden(t, "settings.json", fleet.settings(2), &brokerSettings{})
+}
--- a/internal/fleetharness/steps.go
+++ b/internal/fleetharness/steps.go
@@ -10,61 +10,74 @@
 	"time"
 )
 
-// What follows drives a rig step by step, each of which waits for its own end: for tests whose verdict must not hang on times.
+// This file drives a fleet step by step, each of which waits for its own end: for tests whose result must not depend on
+// how fast the machine is.
 
-// SendRequests has each of some brokers asked so many requests one behind another, all brokers at once, and counts the verdicts. No
-// broker means all.
-func (r *Fleet) SendRequests(requests int, write bool, brokers ...int) map[string]int {
+// SendRequests has each of some brokers asked so many requests one after another, all brokers at once, and counts the
+// outcomes. No broker means all that take clients.
+func (f *Fleet) SendRequests(requests int, write bool, brokers ...int) map[Outcome]int {
 	if len(brokers) == 0 {
-		for i := range r.brokers[:r.scenario.Brokers] {
-			if !r.isDedicatedVoter(i) {
-				brokers = append(brokers, i)
-			}
-		}
+		brokers = f.servingBrokers()
 	}
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	verdicts := map[string]int{}
+	outcomes := map[Outcome]int{}
 	for _, b := range brokers {
-		c := r.clientOf(b)
+		client := f.stepClient(b)
 		wait.Go(func() {
 			for range requests {
-				s := c.newRequest(write)
-				c.send(s, c.random.IntN(r.scenario.Shards), c.random.IntN(200), c.random.Uint64())
-				r.recorder.mu.Lock()
-				v := s.outcome
-				r.recorder.mu.Unlock()
+				s := client.newRequest(write)
+				client.send(s, client.drawTarget())
 				mu.Lock()
-				verdicts[v]++
+				outcomes[f.recorder.outcomeOf(s)]++
 				mu.Unlock()
 			}
 		})
 	}
 	wait.Wait()
-	return verdicts
+	return outcomes
 }
 
-func (r *Fleet) clientOf(broker int) *trafficClient {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.stepClients[broker] == nil {
-		r.stepClients[broker] = &trafficClient{rig: r, broker: r.brokers[broker], random: rand.New(rand.NewPCG(r.scenario.Seed, 9000+uint64(broker)))}
+// servingBrokers are the numbers of the brokers that take clients.
+func (f *Fleet) servingBrokers() []int {
+	var brokers []int
+	for i := range f.scenario.Brokers {
+		if !f.isDedicatedVoter(i) {
+			brokers = append(brokers, i)
+		}
+	}
+	return brokers
+}
+
+// stepClient is the client that SendRequests uses for a broker.
+func (f *Fleet) stepClient(number int) *trafficClient {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.stepClients[number] == nil {
+		f.stepClients[number] = &trafficClient{
+			fleet:  f,
+			broker: f.brokers[number],
+			random: rand.New(rand.NewPCG(f.scenario.Seed, stepStream+uint64(number))),
+		}
 	}
-	return r.stepClients[broker]
+	return f.stepClients[number]
 }
 
-// TakeAttemptCounts is how many requests each node was sent, by number, since the last call.
-func (r *Fleet) TakeAttemptCounts() []int {
-	r.recorder.mu.Lock()
-	defer r.recorder.mu.Unlock()
-	counts := make([]int, len(r.nodes))
-	for _, s := range r.recorder.sequence {
+// TakeAttemptCounts returns how many attempts came to each node since the last call.
+func (f *Fleet) TakeAttemptCounts() []int {
+	f.recorder.mu.Lock()
+	defer f.recorder.mu.Unlock()
+	counts := make([]int, len(f.nodes))
+	indexes := f.nodeIndexes()
+	for _, s := range f.recorder.sequence {
 		for i := range s.attempts {
-			if a := &s.attempts[i]; !a.counted {
-				a.counted = true
-				if at := slices.IndexFunc(r.nodes, func(n *fakeNode) bool { return n.number == a.node }); at >= 0 {
-					counts[at]++
-				}
+			a := &s.attempts[i]
+			if a.counted {
+				continue
+			}
+			a.counted = true
+			if index, known := indexes[a.node]; known {
+				counts[index]++
 			}
 		}
 	}
@@ -72,11 +85,11 @@
 }
 
 // FirstNodes are the nodes to which each broker's first request went.
-func (r *Fleet) FirstNodes() map[int]int {
-	r.recorder.mu.Lock()
-	defer r.recorder.mu.Unlock()
+func (f *Fleet) FirstNodes() map[int]int {
+	f.recorder.mu.Lock()
+	defer f.recorder.mu.Unlock()
 	first := map[int]int{}
-	for _, s := range r.recorder.sequence {
+	for _, s := range f.recorder.sequence {
 		if _, known := first[s.broker]; !known && len(s.attempts) > 0 {
 			first[s.broker] = s.attempts[0].node
 		}
@@ -84,80 +97,94 @@
 	return first
 }
 
-// InjectFault has one event happen to its end. Events of nodes without ForS stay until Heal.
-func (r *Fleet) InjectFault(ctx context.Context, e Event) error {
-	e.AtS = 0
-	return r.applyEvent(ctx, e)
+// InjectFault has one event happen now, to its end. Events of nodes without a duration stay until HealNodes.
+func (f *Fleet) InjectFault(ctx context.Context, event Event) error {
+	event.AtS = 0
+	return f.applyEvent(ctx, event)
 }
 
 // HealNodes ends what is wrong with nodes.
-func (r *Fleet) HealNodes(nodes ...int) {
-	for _, i := range nodes {
-		n := r.nodes[i]
-		n.mu.Lock()
-		n.faults, n.speed, n.reportsIdle = map[int]linkFault{}, 1, false
-		n.reset() // what stood on a silent link is reset once it is back
-		n.changed.Broadcast()
-		n.mu.Unlock()
+func (f *Fleet) HealNodes(numbers ...int) {
+	for _, i := range numbers {
+		f.nodes[i].heal()
 	}
 }
 
-// Signal sends one to a broker's process.
-func (r *Fleet) Signal(broker int, s syscall.Signal) error {
-	p := r.brokers[broker]
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.command.Process.Signal(s)
+// Signal sends a signal to a broker's process.
+func (f *Fleet) Signal(broker int, signal syscall.Signal) error {
+	process, _ := f.brokers[broker].process()
+	return process.Signal(signal)
 }
 
-// RestartBrokers ends brokers at once, all before any is started again from the list as it is now, and waits until they answer.
-func (r *Fleet) RestartBrokers(ctx context.Context, brokers ...int) error {
-	known := r.discovery.currentList()
-	for _, b := range brokers {
-		r.terminate(r.brokers[b], syscall.SIGKILL)
+// RestartBrokers kills brokers, all before any is started again with the endpoint list as it is now, and waits until
+// they answer.
+func (f *Fleet) RestartBrokers(ctx context.Context, brokers ...int) error {
+	known := f.discovery.currentList()
+	for _, i := range brokers {
+		f.terminate(f.brokers[i], syscall.SIGKILL)
 	}
-	for _, b := range brokers {
-		if err := r.startBroker(r.brokers[b], known); err != nil {
+	for _, i := range brokers {
+		if err := f.startBroker(f.brokers[i], known); err != nil {
 			return err
 		}
 	}
-	for _, b := range brokers {
-		if err := r.awaitReady(ctx, r.brokers[b]); err != nil {
+	for _, i := range brokers {
+		if err := f.awaitReady(ctx, f.brokers[i]); err != nil {
 			return err
 		}
-		r.brokers[b].setDown(false)
+		f.brokers[i].setDown(false)
 	}
 	return nil
 }
 
+// KillHollowProcess ends a process of hollow brokers.
+func (f *Fleet) KillHollowProcess(index int) {
+	p := f.hollowProcesses[index]
+	for _, b := range p.brokers {
+		b.setDown(true)
+	}
+	_ = p.command.Process.Kill() // fails for one that has ended
+	<-p.done
+	for _, b := range p.brokers {
+		f.recorder.addMessage(brokerName(b.number), logKilled)
+	}
+}
+
 // AwaitLog waits until a process has logged a message, from a time on, and returns its line.
-func (r *Fleet) AwaitLog(ctx context.Context, process, msg string, from time.Duration) (LogLine, error) {
+func (f *Fleet) AwaitLog(ctx context.Context, process, message string, from time.Duration) (LogLine, error) {
 	for {
-		r.recorder.mu.Lock()
-		for _, l := range r.recorder.logs {
-			if l.Process == process && l.hasMessage(msg) && l.At >= from {
-				r.recorder.mu.Unlock()
-				return l, nil
-			}
+		line, found, next := f.recorder.findLine(func(l LogLine) bool {
+			return l.Process == process && l.At >= from && l.hasMessage(message)
+		})
+		if found {
+			return line, nil
 		}
-		heard := r.recorder.nextLine()
-		r.recorder.mu.Unlock()
 		select {
-		case <-heard:
+		case <-next:
 		case <-ctx.Done():
-			return LogLine{}, fmt.Errorf("%s never said %q", process, msg)
+			return LogLine{}, fmt.Errorf("%s never logged %q: %w", process, message, ctx.Err())
 		}
 	}
 }
 
-// LogLines are what processes have logged so far with a message.
-func (r *Fleet) LogLines(msg string) []LogLine { return r.recorder.linesWith(msg) }
+// findLine returns the first line that fits; if there is none, next is closed with the next line.
+func (r *recorder) findLine(fits func(LogLine) bool) (line LogLine, found bool, next <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if i := slices.IndexFunc(r.logs, fits); i >= 0 {
+		return r.logs[i], true, nil
+	}
+	return LogLine{}, false, r.nextLine()
+}
+
+// LogLines are the lines that processes have logged so far with a message.
+func (f *Fleet) LogLines(message string) []LogLine { return f.recorder.linesWith(message) }
 
-// Elapsed is the time on the axis of Line.At.
-func (r *Fleet) Elapsed() time.Duration { return Now() - r.recorder.startedAt }
+// Elapsed is the time on the axis of LogLine.At.
+func (f *Fleet) Elapsed() time.Duration { return Now() - f.recorder.start() }
 
 // Violations ends the checking and returns what was broken.
-func (r *Fleet) Violations() []Violation {
-	r.recorder.checkAtEnd()
-	return r.recorder.violations
+func (f *Fleet) Violations() []Violation {
+	f.recorder.checkAtEnd()
+	return f.recorder.violationsSoFar()
 }
