--- a/clusterconfig/sim_test.go
+++ b/clusterconfig/sim_test.go
@@ -41,7 +41,7 @@
 // under it is an oracle that keeps its own promises: what it commits stays, and no leader starts before the one before
 // it has lost its confirmation. Everything follows from the seed.
 type cluster struct {
-	simtime.Axis
+	simtime.Clock
 	random *rand.Rand
 	fault  plantedFault
 
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -76,7 +76,7 @@
 
 // cluster simulates real voters and lease holders on one true time axis. Everything follows from the seed.
 type cluster struct {
-	simtime.Axis
+	simtime.Clock
 	t      *testing.T
 	random *rand.Rand
 	fault  plantedFault
--- a/internal/fleetharness/agreementchange_test.go
+++ b/internal/fleetharness/agreementchange_test.go
@@ -154,9 +154,9 @@
 	fleet.expectServed(t, 10, false)
 }
 
-// Discovery tells one broker that a node drains: all stop to send there, though discovery tells them that it serves. It
-// is taken back when discovery does.
-func TestDrainToldToOne(t *testing.T) {
+// Discovery notifies one broker that a node drains: all stop to send there, though it lists the node as
+// serving to them. It is taken back when discovery does.
+func TestDrainKnownToOne(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	fleet.inject(t, ctx, Event{Kind: ViewContradicts, Brokers: []int{4}, Nodes: []int{1}})
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
--- a/internal/fleetharness/agreementfaults_test.go
+++ b/internal/fleetharness/agreementfaults_test.go
@@ -28,7 +28,7 @@
 	fleet.resume(t, 6)
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 	if kind := <-proposed; kind != "" && kind != kindUnknown {
-		t.Errorf("its proposer was told %q", kind)
+		t.Errorf("its proposer got %q", kind)
 	}
 	fleet.expectServed(t, 5, false)
 }
--- a/internal/fleetharness/balance.go
+++ b/internal/fleetharness/balance.go
@@ -7,7 +7,7 @@
 
 const (
 	// balanceWindowS is over how long load is looked at for being balanced, in seconds. Shorter, chance alone makes it
-	// uneven; longer, the time until it is balanced cannot be told.
+	// uneven; longer, the time until it is balanced is too coarse.
 	balanceWindowS = 2.0
 	// balanceStepS is the time between two such looks, in seconds.
 	balanceStepS = 0.25
--- a/internal/fleetharness/checker.go
+++ b/internal/fleetharness/checker.go
@@ -16,7 +16,7 @@
 	// maxAnswerDelay is how late an answer may come on a machine that hundreds of processes share. The protocol allows
 	// less; the report counts what is late by it.
 	maxAnswerDelay = 500 * time.Millisecond
-	// drainGrace is for how long a broker may send to a node after it was told that the node drains.
+	// drainGrace is for how long a broker may send to a node after it was notified that the node drains.
 	drainGrace = 2 * time.Second
 	// drainSlack is how long a request may be on its way from the broker's decision to the node's reading of it.
 	drainSlack = 50 * time.Millisecond
@@ -90,15 +90,15 @@
 	})
 }
 
-// checkDrain checks that nothing goes to a node drainGrace after its broker was told that it drains.
+// checkDrain checks that nothing goes to a node drainGrace after its broker was notified that it drains.
 func (f *Fleet) checkDrain(n *fakeNode, broker int, s *request, now time.Duration) {
-	told := f.discovery.drainTold(n.name, broker)
+	told := f.discovery.drainNotified(n.name, broker)
 	if told > 0 && now-told > drainGrace+drainSlack {
 		f.recorder.reportViolation(n.name+" was sent to after its drain", s)
 	}
 }
 
-// checkAtEnd checks what can only be told once all requests have ended.
+// checkAtEnd checks what is known only once all requests have ended.
 func (r *recorder) checkAtEnd() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleetharness/client.go
+++ b/internal/fleetharness/client.go
@@ -24,8 +24,8 @@
 	trafficVolumes = 200
 	// maxUnits is the largest size of a request; it has 1 to so many units.
 	maxUnits = 3
-	// answerGrace is how long after its deadline a client still waits for an answer, so that a late one is told from a
-	// lost one.
+	// answerGrace is how long after its deadline a client still waits for an answer, so that a late one does not
+	// count as lost.
 	answerGrace = 2 * time.Second
 	// clientDialTimeout bounds a dial to a broker on the same machine.
 	clientDialTimeout = time.Second
--- a/internal/fleetharness/costs.go
+++ b/internal/fleetharness/costs.go
@@ -19,7 +19,7 @@
 	// parallelCalls is how many brokers are asked at once. More would make the machine's own queue a part of what is
 	// measured.
 	parallelCalls = 32
-	// maxJoinedErrors is how many errors of many brokers are told.
+	// maxJoinedErrors is how many errors of many brokers are joined.
 	maxJoinedErrors = 3
 	// clockTicks is the unit of processor times in /proc, in ticks a second, as Linux tells it to programs.
 	clockTicks = 100
--- a/internal/fleetharness/discovery.go
+++ b/internal/fleetharness/discovery.go
@@ -46,15 +46,15 @@
 	address string
 	server  *http.Server
 
-	mu          sync.Mutex // guards what follows
-	version     uint64
-	entries     []listedEndpoint                 // all that ever were, the newest last
-	changed     chan struct{}                    // closed and made anew at each change
-	views       map[int]discoveryView            // those that are faulty, by broker
-	publishedAt []time.Duration                  // of the versions, from 1 on
-	drainToldAt map[string]map[int]time.Duration // by node and broker: when it was told that the node drains
-	calls       int
-	firstList   []byte // the list of the start; nil until it was asked for
+	mu              sync.Mutex // guards what follows
+	version         uint64
+	entries         []listedEndpoint                 // all that ever were, the newest last
+	changed         chan struct{}                    // closed and made anew at each change
+	views           map[int]discoveryView            // those that are faulty, by broker
+	publishedAt     []time.Duration                  // of the versions, from 1 on
+	drainNotifiedAt map[string]map[int]time.Duration // by node and broker: when it was notified that the node drains
+	calls           int
+	firstList       []byte // the list of the start; nil until it was asked for
 }
 
 func newDiscovery(f *Fleet) (*fakeDiscovery, error) {
@@ -75,12 +75,12 @@
 // newDiscoveryState is a discovery that does not listen.
 func newDiscoveryState(f *Fleet) *fakeDiscovery {
 	return &fakeDiscovery{
-		fleet:       f,
-		version:     1,
-		changed:     make(chan struct{}),
-		views:       map[int]discoveryView{},
-		publishedAt: []time.Duration{Now()},
-		drainToldAt: map[string]map[int]time.Duration{},
+		fleet:           f,
+		version:         1,
+		changed:         make(chan struct{}),
+		views:           map[int]discoveryView{},
+		publishedAt:     []time.Duration{Now()},
+		drainNotifiedAt: map[string]map[int]time.Duration{},
 	}
 }
 
@@ -148,11 +148,11 @@
 	return list
 }
 
-// drainTold is when a broker was told that a node drains, 0 for never.
-func (d *fakeDiscovery) drainTold(node string, broker int) time.Duration {
+// drainNotified is when a broker was notified that a node drains, 0 for never.
+func (d *fakeDiscovery) drainNotified(node string, broker int) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.drainToldAt[node][broker]
+	return d.drainNotifiedAt[node][broker]
 }
 
 // serveList answers with the full list, or, where the broker names a version, waits for what is newer.
@@ -227,7 +227,7 @@
 	return d.firstList
 }
 
-// encodeList makes that text, and records which drains the broker is told of; d.mu is held.
+// encodeList makes that text, and records of which drains the broker is notified; d.mu is held.
 func (d *fakeDiscovery) encodeList(broker int, since, version uint64, watch bool) []byte {
 	view := d.views[broker]
 	list := endpointList{
@@ -244,7 +244,7 @@
 			if watch && entry.version <= since || !watch && entry.Health == healthDeleted {
 				continue
 			}
-			d.recordTold(entry, broker)
+			d.recordNotified(entry, broker)
 			list.Endpoints = append(list.Endpoints, entry.Endpoint)
 		}
 	}
@@ -252,17 +252,17 @@
 	return text
 }
 
-// recordTold records when a broker was first told that a node drains; d.mu is held.
-func (d *fakeDiscovery) recordTold(entry listedEndpoint, broker int) {
+// recordNotified records when a broker was first notified that a node drains; d.mu is held.
+func (d *fakeDiscovery) recordNotified(entry listedEndpoint, broker int) {
 	if entry.Health == healthServing {
-		delete(d.drainToldAt[entry.Name], broker)
+		delete(d.drainNotifiedAt[entry.Name], broker)
 		return
 	}
-	if d.drainToldAt[entry.Name] == nil {
-		d.drainToldAt[entry.Name] = map[int]time.Duration{}
+	if d.drainNotifiedAt[entry.Name] == nil {
+		d.drainNotifiedAt[entry.Name] = map[int]time.Duration{}
 	}
-	if d.drainToldAt[entry.Name][broker] == 0 {
-		d.drainToldAt[entry.Name][broker] = Now()
+	if d.drainNotifiedAt[entry.Name][broker] == 0 {
+		d.drainNotifiedAt[entry.Name][broker] = Now()
 	}
 }
 
--- a/internal/fleetharness/discovery_test.go
+++ b/internal/fleetharness/discovery_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Half of the brokers hold yesterday's list while a node drains and another joins. Those that were told keep the rules,
-// the others go on, and the new node, which has just started, gets less than the others.
+// Half of the brokers hold yesterday's list while a node drains and another joins. Those that were notified keep the
+// rules, the others go on, and the new node, which has just started, gets less than the others.
 func TestStaleListAndNewNode(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
 	fleet.expectServed(t, 20, false)
@@ -22,14 +22,14 @@
 	}
 	fleet.inject(t, ctx, Event{Kind: NodeJoin, Nodes: []int{0}})
 	fleet.inject(t, ctx, Event{Kind: NodeDrain, Nodes: []int{3}})
-	for fleet.discovery.drainTold("node-3", 2) == 0 || fleet.discovery.drainTold("node-3", 3) == 0 {
+	for fleet.discovery.drainNotified("node-3", 2) == 0 || fleet.discovery.drainNotified("node-3", 3) == 0 {
 		if ctx.Err() != nil {
-			t.Fatal("the drain was never told")
+			t.Fatal("the broker was never notified of the drain")
 		}
 		fleet.expectServed(t, 2, false)
 	}
-	if at := fleet.discovery.drainTold("node-3", 0); at > 0 {
-		t.Error("a broker with yesterday's list was told")
+	if at := fleet.discovery.drainNotified("node-3", 0); at > 0 {
+		t.Error("a broker with yesterday's list was notified")
 	}
 	fleet.expectServed(t, 10, false)
 	fleet.TakeAttemptCounts()
@@ -44,24 +44,24 @@
 	}
 }
 
-// Discovery tells one broker that there is no node, which binds it; another that two drain which the others hear to
-// serve; and a third everything late. Each keeps to what it was told, rejects at once what it has no node for, and
-// serves again once it is over.
+// Discovery gives one broker an empty list, which binds it; another a list in which two nodes drain that serve in the
+// others'; and a third everything late. Each keeps to its own list, rejects at once what it has no node for, and serves
+// again once it is over.
 func TestViewsThatContradict(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
 	fleet.expectServed(t, 10, false)
 	fleet.inject(t, ctx, Event{Kind: ViewEmpty, Brokers: []int{0}})
 	fleet.inject(t, ctx, Event{Kind: ViewContradicts, Brokers: []int{1}, Nodes: []int{0, 1}})
 	fleet.inject(t, ctx, Event{Kind: ViewLate, Brokers: []int{2}, DelayMS: 300})
-	for fleet.discovery.drainTold("node-1", 1) == 0 {
+	for fleet.discovery.drainNotified("node-1", 1) == 0 {
 		if ctx.Err() != nil {
-			t.Fatal("the drain was never told")
+			t.Fatal("the broker was never notified of the drain")
 		}
 		fleet.expectServed(t, 1, false, 1, 2, 3)
 	}
 	for fleet.SendRequests(1, false, 0)[OutcomeRejected] == 0 {
 		if ctx.Err() != nil {
-			t.Fatal("the empty list was never told")
+			t.Fatal("the broker never got the empty list")
 		}
 	}
 	if outcomes := fleet.SendRequests(20, true, 0); outcomes[OutcomeRejected] != 20 {
@@ -71,12 +71,12 @@
 	fleet.TakeAttemptCounts()
 	fleet.expectServed(t, 20, false, 1)
 	if counts := fleet.TakeAttemptCounts(); counts[0]+counts[1] > 0 || counts[2]+counts[3] < 20 {
-		t.Errorf("it was told that nodes 0 and 1 drain: %v", counts)
+		t.Errorf("it was notified that nodes 0 and 1 drain: %v", counts)
 	}
 	fleet.expectServed(t, 30, false, 2, 3)
 	expectBalanced(t, fleet.TakeAttemptCounts())
-	if fleet.discovery.drainTold("node-1", 0) > 0 {
-		t.Error("a drain was told to a broker that was told of none")
+	if fleet.discovery.drainNotified("node-1", 0) > 0 {
+		t.Error("a broker was notified of a drain that its list does not have")
 	}
 	for _, b := range fleet.brokers {
 		fleet.discovery.setView(b.number, discoveryView{})
@@ -84,8 +84,8 @@
 	expectUsedAgain(t, ctx, fleet)
 }
 
-// expectUsedAgain wants broker 0, which had no node, to serve again, and broker 1 to use node 0 again, which it had
-// heard to drain.
+// expectUsedAgain wants broker 0, which had no node, to serve again, and broker 1 to use node 0 again, which its
+// list had as draining.
 func expectUsedAgain(t *testing.T, ctx context.Context, fleet *Fleet) {
 	t.Helper()
 	servesAgain, nodeUsedAgain := false, false
@@ -128,7 +128,7 @@
 }
 
 // Idle clients take all of a broker's descriptors while discovery is down. Requests go on being served, new connections
-// to nodes come up, and the watch comes back: the broker hears of a drain and sends to the node that joined.
+// to nodes come up, and the watch comes back: the broker is notified of a drain and sends to the node that joined.
 func TestIdleClientsFillDescriptors(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 1, Node: NodeSpec{Count: 2}})
 	limit := unix.Rlimit{Cur: brokerSockets, Max: brokerSockets}
@@ -145,8 +145,8 @@
 	fleet.inject(t, ctx, Event{Kind: NodeJoin, Nodes: []int{0}})
 	fleet.inject(t, ctx, Event{Kind: NodeDrain, Nodes: []int{0, 1}})
 	fleet.expectServed(t, 5, false)
-	if at := fleet.discovery.drainTold("node-0", 0); at > 0 {
-		t.Error("told of a drain while discovery was down")
+	if at := fleet.discovery.drainNotified("node-0", 0); at > 0 {
+		t.Error("notified of a drain while discovery was down")
 	}
 	fleet.discovery.setView(0, discoveryView{})
 	fleet.awaitLog(t, ctx, 0, "discovery back")
--- a/internal/fleetharness/discoveryview.go
+++ b/internal/fleetharness/discoveryview.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// discoveryView is what is wrong with what a broker is told. The zero value is nothing.
+// discoveryView is what is wrong with the list that a broker gets. The zero value is nothing.
 type discoveryView struct {
 	stale        bool // nothing newer than staleVersion
 	staleVersion uint64
@@ -16,7 +16,7 @@
 }
 
 // setView sets what is wrong with a broker's view. Where the list itself changes by it, there is a new version, so that
-// the broker hears of it.
+// the broker is notified.
 func (d *fakeDiscovery) setView(broker int, view discoveryView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,7 +35,7 @@
 	d.wake()
 }
 
-// visibleVersion is the latest version that a broker may hear of, and when the next one becomes visible, 0 for not by
+// visibleVersion is the latest version that a broker may get, and when the next one becomes visible, 0 for not by
 // time alone; d.mu is held.
 func (d *fakeDiscovery) visibleVersion(broker int) (version uint64, nextAt time.Duration) {
 	view := d.views[broker]
--- a/internal/fleetharness/hollow.go
+++ b/internal/fleetharness/hollow.go
@@ -33,7 +33,7 @@
 // errNotConfigured is wrapped with the name of a broker that has no lease in time.
 var errNotConfigured = errors.New("it has no lease of the configuration")
 
-// HollowBroker is what the hollow program is told of one broker. The tags are those of the file that it reads.
+// HollowBroker is the configuration of one hollow broker. The tags are those of the file that it reads.
 type HollowBroker struct {
 	Config json.RawMessage      `json:"config"`
 	Site   string               `json:"site"` // a path, empty for none
--- a/internal/fleetharness/hollow_test.go
+++ b/internal/fleetharness/hollow_test.go
@@ -11,7 +11,7 @@
 )
 
 // Hollow brokers replicate the configuration with full ones. A change that one of them proposes is in force at all,
-// also when a process of theirs was killed meanwhile, and what they cost is told by role.
+// also when a process of theirs was killed meanwhile, and what they cost is counted by role.
 func TestHollowBrokers(t *testing.T) {
 	program := filepath.Join(filepath.Dir(daemonProgram), hollowProgram)
 	build := exec.Command("go", "build", "-o", program, "junctionwharf/cmd/brokerbench")
--- a/internal/fleetharness/slowstart_test.go
+++ b/internal/fleetharness/slowstart_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// What a node got in its slow start is told by second of its age, with the fullest window against what it bore. A
+// What a node got in its slow start is counted by second of its age, with the fullest window against what it bore. A
 // second start begins anew.
 func TestSlowStartSeconds(t *testing.T) {
 	fleet := &Fleet{scenario: &Scenario{Node: NodeSpec{Slots: 1, UnitMS: 20}}}
--- a/internal/fleetharness/validate.go
+++ b/internal/fleetharness/validate.go
@@ -176,7 +176,7 @@
 	case e.Direction != "" && e.Kind != NodeDelay && e.Kind != NodeLoss:
 		return invalid(key+".way", "is of delay and loss alone")
 	case e.Kind == ViewContradicts && len(e.Nodes) == 0:
-		return invalid(key+".nodes", "those that these brokers hear to be draining are wanted")
+		return invalid(key+".nodes", "the nodes that are listed as draining to these brokers are wanted")
 	}
 	return nil
 }
--- a/internal/simtime/simtime.go
+++ b/internal/simtime/simtime.go
@@ -1,51 +1,76 @@
-// Package simtime is a virtual time axis for simulations: what is to happen, in the order of its time, and of its making where times are
-// the same. Whoever plays the same calls on it meets the same order.
+// Package simtime is the virtual clock of the simulations: a queue of events in the order of their times.
+//
+// Rule. Events of the same time happen in the order in which they were scheduled. So whoever makes the same calls meets
+// the same order, and a seed replays a run exactly.
+//
+// State and owner. A Clock belongs to one simulation, which drives it by Step from one goroutine; events may schedule
+// others. It is not safe for concurrent use.
+//
+// Units. All times and spans are µs from the start of the simulation.
 package simtime
 
 import "container/heap"
 
-// Axis is one time axis. The zero value stands at 0. It is not safe for concurrent use.
-type Axis struct {
-	Now   int64 // µs; read only
-	made  int
-	queue queue
+// Clock is a virtual clock with the events that are to happen. The zero value stands at 0 without events.
+type Clock struct {
+	Now int64 // µs; read only
+
+	scheduled int // events so far
+	queue     eventQueue
 }
 
 // After has something happen a span from now.
-func (a *Axis) After(span int64, do func()) {
-	a.made++
-	heap.Push(&a.queue, event{a.Now + span, a.made, do})
+func (c *Clock) After(span int64, do func()) {
+	c.scheduled++
+	heap.Push(&c.queue, event{at: c.Now + span, sequence: c.scheduled, do: do})
 }
 
-// Step goes on to what comes next and has it happen; false if there is nothing, or not before the end.
-func (a *Axis) Step(end int64) bool {
-	if len(a.queue) == 0 {
+// Step moves the clock on to the next event and has it happen. It reports false if there is none, or if it lies beyond
+// end: such an event is dropped, with the clock at its time.
+func (c *Clock) Step(end int64) bool {
+	if len(c.queue) == 0 {
 		return false
 	}
-	e := heap.Pop(&a.queue).(event)
-	if a.Now = e.at; a.Now > end {
+	next := heap.Pop(&c.queue).(event)
+	c.Now = next.at
+	if c.Now > end {
 		return false
 	}
-	e.do()
+	next.do()
 	return true
 }
 
+// event is something that happens at a time.
 type event struct {
-	at   int64
-	made int
-	do   func()
+	at       int64 // µs
+	sequence int   // order among events of the same time
+	do       func()
 }
 
-type queue []event
+// eventQueue is a heap with the next event first.
+type eventQueue []event
+
+// Len implements heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].made < q[j].made
+// Less implements heap.Interface.
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].sequence < q[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
+
+// Swap implements heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	next := (*q)[last]
+	*q = (*q)[:last]
+	return next
 }
