--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -18,73 +18,96 @@
 	"junctionwharf/internal/load"
 )
 
+const (
+	// connectionOpeners is how many connections are opened at a time. All must be open within a moment: a broker may
+	// end one that has said nothing for ten seconds.
+	connectionOpeners = 32
+	// loadConnections is the connections of the load beside the idle ones.
+	loadConnections = 2000
+	// firstAnswerTimeout ends a measurement whose broker does not answer a connection's first request.
+	firstAnswerTimeout = 5 * time.Second
+)
+
 func connectionsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "connections",
 		Usage: "measure one broker that holds many clients' connections, idle and under load",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker"},
-			&cli.StringFlag{Name: "connections", Value: "500,1500,3550", Usage: "held open, each having had one request"},
-			&cli.StringFlag{Name: "rates", Value: "0,250,1075", Usage: "requests a second on connections beside them"},
+			&cli.StringFlag{
+				Name: "connections", Value: "500,1500,3550", Usage: "held open, each having had one request",
+			},
+			&cli.StringFlag{
+				Name: "rates", Value: "0,250,1075", Usage: "requests a second on connections beside them",
+			},
 			&cli.DurationFlag{Name: "for", Value: 4 * time.Second, Usage: "length of a run"},
 			&cli.IntFlag{Name: "nodes", Value: 64},
 			&cli.IntFlag{Name: "volumes", Value: 2000},
 			&cli.FloatFlag{Name: "memory", Value: 256, Usage: "the broker's, MB"},
 			&cli.IntFlag{Name: "sockets", Value: 16384, Usage: "the broker's: a quarter of them may be idle"},
-			&cli.StringFlag{Name: "json", Value: "docs/measurements/capacity/connections.json", Usage: "write all figures to `FILE`"},
+			&cli.StringFlag{
+				Name: "json", Value: "docs/measurements/capacity/connections.json",
+				Usage: "write all figures to `FILE`",
+			},
 		},
 		Action: measureConnections,
 	}
 }
 
-func numbers(text string) (list []float64, err error) {
+// parseNumbers reads numbers separated by commas.
+func parseNumbers(text string) ([]float64, error) {
+	var numbers []float64
 	for part := range strings.SplitSeq(text, ",") {
 		n, err := strconv.ParseFloat(part, 64)
 		if err != nil || !(n >= 0) || n > 100_000 {
 			return nil, fmt.Errorf("%q is not within 0 to 100000", part)
 		}
-		list = append(list, n)
+		numbers = append(numbers, n)
 	}
-	return list, nil
+	return numbers, nil
 }
 
 func measureConnections(ctx context.Context, cmd *cli.Command) error {
-	counts, err := numbers(cmd.String("connections"))
+	counts, err := parseNumbers(cmd.String("connections"))
 	if err != nil {
 		return fmt.Errorf("--connections: %w", err)
 	}
-	rates, err := numbers(cmd.String("rates"))
+	rates, err := parseNumbers(cmd.String("rates"))
 	if err != nil {
 		return fmt.Errorf("--rates: %w", err)
 	}
-	f, err := newFleet(cmd.String("program"), cmd.Int("nodes"), 2*time.Millisecond)
+	bed, err := newTestbed(cmd.String("program"), cmd.Int("nodes"), 2*time.Millisecond)
 	if err != nil {
 		return err
 	}
-	defer f.close()
-	f.memory, f.sockets = cmd.Float("memory"), cmd.Int("sockets")
-	var all []capacity.ConnectionCost
+	defer bed.close()
+	bed.limits.MemoryMB = cmd.Float("memory")
+	bed.limits.Sockets = cmd.Int("sockets")
+	var costs []capacity.ConnectionCost
 	for _, count := range append([]float64{0}, counts...) {
 		for _, rate := range rates {
-			h, err := f.holdConnections(ctx, cmd, int(count), rate)
+			cost, err := bed.measureIdleConnections(ctx, cmd, int(count), rate)
 			if err != nil {
 				return fmt.Errorf("%.0f connections at %.0f a second: %w", count, rate, err)
 			}
-			fmt.Printf("%d connections, %.0f a second: %d open at the end, %.1f MB, %.4f of a core, served %d of %d\n", h.Connections, h.Rate, h.Open, h.MemoryMB, h.CPU, h.Served, h.Sent)
-			all = append(all, h)
+			fmt.Printf("%d connections, %.0f a second: %d open at the end, %.1f MB, %.4f of a core, served %d of %d\n",
+				cost.Connections, cost.Rate, cost.Open, cost.MemoryMB, cost.CPU, cost.Served, cost.Sent)
+			costs = append(costs, cost)
 		}
 	}
-	return saveJSON(cmd, all)
+	return saveJSON(cmd, costs)
 }
 
-// holdConnections has a new broker hold connections that had a request each, and meet a load on others.
-func (f *fleet) holdConnections(ctx context.Context, cmd *cli.Command, count int, rate float64) (capacity.ConnectionCost, error) {
-	h := capacity.ConnectionCost{Connections: count, Rate: rate}
-	r, err := f.start(ctx, "", "", 10)
+// measureIdleConnections has a new broker hold connections that had a request each, and meet a load on others.
+func (b *testbed) measureIdleConnections(
+	ctx context.Context, cmd *cli.Command, count int, rate float64,
+) (capacity.ConnectionCost, error) {
+	cost := capacity.ConnectionCost{Connections: count, Rate: rate}
+	process, err := b.startBroker(ctx, noMetrics)
 	if err != nil {
-		return h, err
+		return cost, err
 	}
-	defer r.kill()
+	defer process.kill()
 	conns := make([]net.Conn, count)
 	defer func() {
 		for _, conn := range conns {
@@ -93,64 +116,87 @@
 			}
 		}
 	}()
-	// all within a moment: a broker may end one that has said nothing for ten seconds
-	faults := make(chan error, openers)
-	for first := range openers {
+	if err := openConnections(conns, process.address, len(b.nodes)); err != nil {
+		return cost, err
+	}
+	start := time.Now()
+	cpuBefore, _ := fleetharness.Spent(process.command.Process.Pid)
+	if rate > 0 {
+		err = b.loadBesideConnections(ctx, cmd, process, &cost)
+	} else {
+		err = sleep(ctx, cmd.Duration("for"))
+	}
+	if err != nil {
+		return cost, err
+	}
+	cpuAfter, memoryMB := fleetharness.Spent(process.command.Process.Pid)
+	cost.CPU = (cpuAfter - cpuBefore) / time.Since(start).Seconds()
+	cost.MemoryMB = memoryMB
+	cost.Open = countOpen(conns)
+	return cost, ctx.Err()
+}
+
+// loadBesideConnections sends the load of cost.Rate and records what came of it.
+func (b *testbed) loadBesideConnections(
+	ctx context.Context, cmd *cli.Command, process *brokerProcess, cost *capacity.ConnectionCost,
+) error {
+	traffic, err := b.traffic(cmd, cost.Rate, 1)
+	if err != nil {
+		return err
+	}
+	result, err := load.Run(ctx, traffic, load.Options{
+		Addresses: []string{process.address}, Connections: loadConnections,
+	})
+	if err != nil {
+		return err
+	}
+	cost.Sent = result.All.Sent()
+	cost.Served = result.All.Counts[load.Served]
+	cost.P99 = result.All.Latency.ValueAtPercentile(99)
+	return nil
+}
+
+// sleep waits for a duration, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(d):
+		return nil
+	}
+}
+
+// openConnections fills conns, several at a time. The caller closes them, also after an error.
+func openConnections(conns []net.Conn, address string, shards int) error {
+	results := make(chan error, connectionOpeners)
+	for first := range connectionOpeners {
 		go func() {
 			var err error
-			for i := first; i < count && err == nil; i += openers {
-				conns[i], err = f.holdOne(r.address, i)
+			for i := first; i < len(conns) && err == nil; i += connectionOpeners {
+				conns[i], err = openConnection(address, i, i%shards)
 			}
-			faults <- err
+			results <- err
 		}()
 	}
-	for range openers {
-		if err := <-faults; err != nil {
-			return h, err
-		}
-	}
-	began := time.Now()
-	before, _ := fleetharness.Spent(r.command.Process.Pid)
-	if rate > 0 {
-		t, err := f.traffic(cmd, rate, 1)
-		if err != nil {
-			return h, err
-		}
-		result, err := load.Run(ctx, t, load.Options{Addresses: []string{r.address}, Connections: 2000})
-		if err != nil {
-			return h, err
-		}
-		h.Sent, h.Served, h.P99 = result.All.Sent(), result.All.Counts[load.Served], result.All.Latency.ValueAtPercentile(99)
-	} else {
-		select {
-		case <-ctx.Done():
-			return h, ctx.Err()
-		case <-time.After(cmd.Duration("for")):
+	for range connectionOpeners {
+		if err := <-results; err != nil {
+			return err
 		}
 	}
-	h.CPU, h.MemoryMB = fleetharness.Spent(r.command.Process.Pid)
-	h.CPU = (h.CPU - before) / time.Since(began).Seconds()
-	for _, conn := range conns { // one that the broker ended reads an end of file
-		_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
-		if _, err := conn.Read(make([]byte, 1<<10)); !errors.Is(err, io.EOF) {
-			h.Open++
-		}
-	}
-	return h, ctx.Err()
+	return nil
 }
 
-// openers is how many connections are opened at a time.
-const openers = 32
-
-// holdOne opens a connection and has it ask once.
-func (f *fleet) holdOne(address string, number int) (net.Conn, error) {
+// openConnection opens a connection and has it send one request.
+func openConnection(address string, number, shard int) (net.Conn, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
-	list := fmt.Sprintf("c=lesson-read,t=completo,d=750,volume=%016x,units=1,shard=%d,hosts=1", number, number%len(f.nodes))
-	_, _ = conn.Write(load.Command(nil, "BLK.READ", fmt.Sprintf("%016x", number), fmt.Sprintf("held-%d", number), list))
+	_ = conn.SetDeadline(time.Now().Add(firstAnswerTimeout))
+	key := fmt.Sprintf("%016x", number)
+	attributes := fmt.Sprintf("c=lesson-read,t=completo,d=750,volume=%s,units=1,shard=%d,hosts=1", key, shard)
+	// a failed write shows in the read
+	_, _ = conn.Write(load.Command(nil, "BLK.READ", key, fmt.Sprintf("held-%d", number), attributes))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && !strings.HasPrefix(line, "$") && !strings.HasPrefix(line, "-BUSY") {
 		err = fmt.Errorf("connection %d was answered %q", number, line)
@@ -161,3 +207,15 @@
 	}
 	return conn, conn.SetDeadline(time.Time{})
 }
+
+// countOpen counts the connections that the broker has not ended: one that it ended reads an end of file.
+func countOpen(conns []net.Conn) int {
+	open := 0
+	for _, conn := range conns {
+		_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
+		if _, err := conn.Read(make([]byte, 1<<10)); !errors.Is(err, io.EOF) {
+			open++
+		}
+	}
+	return open
+}
--- a/cmd/brokerbench/listen.go
+++ b/cmd/brokerbench/listen.go
@@ -14,9 +14,11 @@
 
 	"junctionwharf/internal/collectd"
 	"junctionwharf/internal/fakes"
-	"junctionwharf/internal/logging"
 )
 
+// listenReportInterval is how often faults and notifications are printed and points are flushed.
+const listenReportInterval = time.Second
+
 func listenCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "listen",
@@ -25,7 +27,10 @@
 			&cli.StringFlag{Name: "graphite", Usage: "take plaintext at `ADDR`, TCP and UDP"},
 			&cli.StringFlag{Name: "pickle", Usage: "take Graphite's pickles at `ADDR`, TCP"},
 			&cli.StringFlag{Name: "collectd", Usage: "take collectd's packets at `ADDR`, UDP"},
-			&cli.StringFlag{Name: "key-file", Usage: "take only collectd packets signed or encrypted by the first key of `FILE`"},
+			&cli.StringFlag{
+				Name:  "key-file",
+				Usage: "take only collectd packets signed or encrypted by the first key of `FILE`",
+			},
 			&cli.StringFlag{Name: "out", Usage: "store the points in `FILE` instead of printing them"},
 			&cli.DurationFlag{Name: "for", Usage: "end after so long; 0: at SIGINT or SIGTERM"},
 		},
@@ -33,47 +38,60 @@
 	}
 }
 
-func listen(ctx context.Context, cmd *cli.Command) (err error) {
-	var out io.Writer = os.Stdout
+func listen(ctx context.Context, cmd *cli.Command) error {
+	out := io.Writer(os.Stdout)
 	if path := cmd.String("out"); path != "" {
 		file, err := os.Create(path)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = file.Close() }()
+		defer func() { _ = file.Close() }() // errors of writing show in flush
 		out = file
 	}
-	var mu sync.Mutex
-	lines := bufio.NewWriter(out)
-	points := fakes.NewPoints(func(p fakes.Point) {
-		mu.Lock()
-		defer mu.Unlock()
-		_, _ = fmt.Fprintf(lines, "%d %s %v\n", p.Stamp, p.Series, p.Value)
-	})
-	any := false
-	start := func(flag string, open func(address string) (io.Closer, string, error)) error {
-		address := cmd.String(flag)
-		if address == "" {
-			return nil
-		}
-		closer, at, err := open(address)
-		if err != nil {
-			return fmt.Errorf("--%s: %w", flag, err)
-		}
-		any = true
-		context.AfterFunc(ctx, func() { _ = closer.Close() })
-		fmt.Fprintf(os.Stderr, "%s at %s\n", flag, at)
-		return nil
+	l := newListener(out)
+	if err := l.start(ctx, cmd); err != nil {
+		return err
 	}
-	carbon := func(pickles bool) func(string) (io.Closer, string, error) {
-		return func(address string) (io.Closer, string, error) {
-			c, err := fakes.NewCarbon(address, pickles, points)
-			if err != nil {
-				return nil, "", err
-			}
-			return ender(c.Close), c.Address(), nil
-		}
+	if length := cmd.Duration("for"); length > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, length)
+		defer cancel()
 	}
+	return l.run(ctx)
+}
+
+// listener receives metrics and prints them. run owns the counts of what was reported; the receivers' goroutines only
+// add points, under the lock of the output. The receivers end with the context that start is given.
+type listener struct {
+	points   *fakes.Points
+	collectd *fakes.Collectd // nil without the flag
+
+	outLock sync.Mutex
+	out     *bufio.Writer
+
+	receivers       int
+	reportedFaults  int
+	reportedNotices int
+}
+
+func newListener(out io.Writer) *listener {
+	l := &listener{out: bufio.NewWriter(out)}
+	l.points = fakes.NewPoints(func(p fakes.Point) {
+		l.outLock.Lock()
+		defer l.outLock.Unlock()
+		_, _ = fmt.Fprintf(l.out, "%d %s %v\n", p.Stamp, p.Series, p.Value) // errors show in flush
+	})
+	return l
+}
+
+// receiver is a fake metrics receiver.
+type receiver interface {
+	Address() string
+	Close()
+}
+
+// start opens the receivers that flags name.
+func (l *listener) start(ctx context.Context, cmd *cli.Command) error {
 	secrets := map[string]string{}
 	if path := cmd.String("key-file"); path != "" {
 		key, err := collectd.ReadKey(path, "")
@@ -82,66 +100,90 @@
 		}
 		secrets[key.User] = key.Secret
 	}
-	var receiver *fakes.Collectd
-	err = errors.Join(start("graphite", carbon(false)), start("pickle", carbon(true)),
-		start("collectd", func(address string) (io.Closer, string, error) {
+	err := errors.Join(
+		l.open(ctx, cmd, "graphite", func(address string) (receiver, error) {
+			return fakes.NewCarbon(address, false, l.points)
+		}),
+		l.open(ctx, cmd, "pickle", func(address string) (receiver, error) {
+			return fakes.NewCarbon(address, true, l.points)
+		}),
+		l.open(ctx, cmd, "collectd", func(address string) (receiver, error) {
 			var err error
-			if receiver, err = fakes.NewCollectd(address, secrets, points); err != nil {
-				return nil, "", err
-			}
-			return ender(receiver.Close), receiver.Address(), nil
+			l.collectd, err = fakes.NewCollectd(address, secrets, l.points)
+			return l.collectd, err
 		}))
 	if err != nil {
 		return err
 	}
-	if !any {
+	if l.receivers == 0 {
 		return errors.New("nothing to listen for: give --graphite, --pickle or --collectd")
 	}
-	if length := cmd.Duration("for"); length > 0 {
-		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, length)
-		defer cancel()
+	return nil
+}
+
+// open opens one receiver at the address of its flag, if it is given. It is closed when ctx ends.
+func (l *listener) open(
+	ctx context.Context, cmd *cli.Command, flag string, open func(address string) (receiver, error),
+) error {
+	address := cmd.String(flag)
+	if address == "" {
+		return nil
 	}
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	told, faults := 0, 0
-	flush := func() error {
-		mu.Lock()
-		defer mu.Unlock()
-		return lines.Flush()
+	r, err := open(address)
+	if err != nil {
+		return fmt.Errorf("--%s: %w", flag, err)
 	}
+	l.receivers++
+	context.AfterFunc(ctx, r.Close)
+	fmt.Fprintf(os.Stderr, "%s at %s\n", flag, r.Address())
+	return nil
+}
+
+// run reports until ctx ends.
+func (l *listener) run(ctx context.Context) error {
+	ticker := time.NewTicker(listenReportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			fmt.Fprintf(os.Stderr, "%d points, %d series, %d faults\n", points.Taken(), len(points.Latest()), len(points.Faults()))
-			return flush()
-		case <-tick.C:
-			if err := flush(); err != nil {
+			fmt.Fprintf(os.Stderr, "%d points, %d series, %d faults\n",
+				l.points.Taken(), len(l.points.Latest()), len(l.points.Faults()))
+			return l.flush()
+		case <-ticker.C:
+			if err := l.flush(); err != nil {
 				return err
 			}
-			all := points.Faults()
-			for _, fault := range all[faults:] {
-				fmt.Fprintln(os.Stderr, "fault:", fault)
-			}
-			faults = len(all)
-			if receiver != nil {
-				notices := receiver.Notices()
-				for _, n := range notices[told:] {
-					fmt.Fprintf(os.Stderr, "notification from %s: severity %d: %s\n", n.Host, n.Severity, n.Text)
-				}
-				told = len(notices)
-			}
-			if logging.IsTerminal(os.Stderr) {
-				fmt.Fprintf(os.Stderr, "\r%d points, %d series, %d faults ", points.Taken(), len(points.Latest()), faults)
-			}
+			l.reportFaults()
+			l.reportNotices()
+			showProgress("%d points, %d series, %d faults",
+				l.points.Taken(), len(l.points.Latest()), l.reportedFaults)
 		}
 	}
 }
 
-// ender is a Close without an error.
-type ender func()
+func (l *listener) flush() error {
+	l.outLock.Lock()
+	defer l.outLock.Unlock()
+	return l.out.Flush()
+}
 
-func (e ender) Close() error {
-	e()
-	return nil
+// reportFaults prints the faults that are new.
+func (l *listener) reportFaults() {
+	faults := l.points.Faults()
+	for _, fault := range faults[l.reportedFaults:] {
+		fmt.Fprintln(os.Stderr, "fault:", fault)
+	}
+	l.reportedFaults = len(faults)
+}
+
+// reportNotices prints collectd's notifications that are new.
+func (l *listener) reportNotices() {
+	if l.collectd == nil {
+		return
+	}
+	notices := l.collectd.Notices()
+	for _, n := range notices[l.reportedNotices:] {
+		fmt.Fprintf(os.Stderr, "notification from %s: severity %d: %s\n", n.Host, n.Severity, n.Text)
+	}
+	l.reportedNotices = len(notices)
 }
--- a/cmd/brokerbench/load.go
+++ b/cmd/brokerbench/load.go
@@ -16,7 +16,7 @@
 
 	"junctionwharf/internal/config"
 	"junctionwharf/internal/load"
-	"junctionwharf/internal/logging"
+
 	"junctionwharf/scheduler"
 )
 
@@ -43,8 +43,8 @@
 	}
 }
 
-// kindsOf makes the classes of settings into a mix: all alike, or by shares as in "a=1,b=2".
-func kindsOf(classes []scheduler.Class, mix string) ([]load.Kind, error) {
+// mixClasses makes the classes of settings into a mix: all alike, or by shares as in "a=1,b=2".
+func mixClasses(classes []scheduler.Class, mix string) ([]load.Kind, error) {
 	shares := map[string]float64{}
 	if mix != "" {
 		for part := range strings.SplitSeq(mix, ",") {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	kinds, err := kindsOf(c.Settings.Scheduler.Classes, cmd.String("mix"))
+	kinds, err := mixClasses(c.Settings.Scheduler.Classes, cmd.String("mix"))
 	if err != nil {
 		return err
 	}
@@ -103,58 +103,15 @@
 	if err != nil {
 		return err
 	}
-	if err := writeTo(cmd.String("json"), func(w io.Writer) error { return writeJSON(w, result) }); err != nil {
+	if err := writeFile(cmd.String("json"), func(w io.Writer) error { return writeJSON(w, result) }); err != nil {
 		return fmt.Errorf("--json: %w", err)
 	}
-	if err := writeTo(cmd.String("hdr"), func(w io.Writer) error { return writeHDR(w, result) }); err != nil {
+	if err := writeFile(cmd.String("hdr"), func(w io.Writer) error { return writeHDR(w, result) }); err != nil {
 		return fmt.Errorf("--hdr: %w", err)
 	}
 	return printResult(os.Stdout, result)
 }
 
-func progress(length time.Duration) func(time.Duration, int) {
-	if !logging.IsTerminal(os.Stderr) {
-		return nil
-	}
-	return func(done time.Duration, sent int) {
-		fmt.Fprintf(os.Stderr, "\r%5.1f of %.0f s, %d requests ", done.Seconds(), length.Seconds(), sent)
-	}
-}
-
-func clearProgress() {
-	if logging.IsTerminal(os.Stderr) {
-		fmt.Fprint(os.Stderr, "\r\033[K")
-	}
-}
-
-func writeTo(path string, write func(io.Writer) error) error {
-	if path == "" {
-		return nil
-	}
-	file, err := os.Create(path)
-	if err != nil {
-		return err
-	}
-	if err := write(file); err != nil {
-		_ = file.Close()
-		return err
-	}
-	return file.Close()
-}
-
-// saveJSON writes a value where --json says.
-func saveJSON(cmd *cli.Command, value any) error {
-	err := writeTo(cmd.String("json"), func(w io.Writer) error {
-		encoder := json.NewEncoder(w)
-		encoder.SetIndent("", " ")
-		return encoder.Encode(value)
-	})
-	if err != nil {
-		return fmt.Errorf("--json: %w", err)
-	}
-	return nil
-}
-
 // tallies names the tallies of a result.
 func tallies(r *load.Result, each func(group, name string, t *load.Tally)) {
 	for i, t := range r.ByKind {
--- a/cmd/brokerbench/main.go
+++ b/cmd/brokerbench/main.go
@@ -25,7 +25,7 @@
 			sinksCommand(),
 			dnsCommand(),
 			drainsCommand(),
-			curveCommand(), leaversCommand(), floorCommand(), fleetCommand(), hollowCommand(), capacityCommand(), spreadCommand(),
+			curveCommand(), disconnectsCommand(), floorCommand(), fleetCommand(), hollowCommand(), capacityCommand(), spreadCommand(),
 		},
 	}
 	if err := app.Run(ctx, os.Args); err != nil {
--- a/cmd/brokerbench/main_test.go
+++ b/cmd/brokerbench/main_test.go
@@ -36,12 +36,12 @@
 
 func TestMix(t *testing.T) {
 	classes := []scheduler.Class{{Name: "read", Idempotency: scheduler.Idempotent}, {Name: "write", Idempotency: scheduler.NotIdempotent}}
-	kinds, err := kindsOf(classes, "write=2,read=1")
+	kinds, err := mixClasses(classes, "write=2,read=1")
 	if err != nil || kinds[0].Share != 1 || kinds[1].Share != 2 || !kinds[1].Write || kinds[0].Write {
 		t.Errorf("%+v, %v", kinds, err)
 	}
 	for _, mix := range []string{"read", "read=x", "read=-1", "other=1"} {
-		if _, err := kindsOf(classes, mix); err == nil {
+		if _, err := mixClasses(classes, mix); err == nil {
 			t.Errorf("%q is taken", mix)
 		}
 	}
--- /dev/null
+++ b/cmd/brokerbench/spread_policies.go
@@ -0,0 +1,276 @@
+package main
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"junctionwharf/balancer"
+)
+
+// Names of the policies, as they stand in tables and JSON files.
+const (
+	policyListed       = "listed"        // fewest in flight, the first listed of equals: the broker's first policy
+	policyUniform      = "uniform"       // a random node
+	policyLeast        = "least out"     // fewest in flight, a random one of equals
+	policyTwoChoices   = "two choices"   // fewer in flight of two random nodes
+	policyTwoReported  = "two by report" // less by report of two random nodes
+	policyLeastReport  = "least report"  // least by report of all nodes
+	policySubset       = "subset"        // fewest in flight in a deterministic subset
+	policyRendezvous   = "rendezvous"    // a random node of the first by rendezvous hashing
+	policyBalancerAll  = "turns of all"  // package balancer without subsetting
+	policyBalancer     = "turns"         // package balancer
+	policyOracle       = "oracle"        // sees all nodes as they are
+	spreadSubsetSize   = balancer.DefaultSubsetSize
+	subsetShuffleSeed  = 5 // any constant: all brokers must shuffle alike
+	reportDecaySeconds = 1 // in which a report loses all but 1/e of its weight
+)
+
+// spreadPolicies is the order of tables and files.
+var spreadPolicies = []string{
+	policyListed, policyUniform, policyLeast, policyTwoChoices, policyTwoReported, policyLeastReport,
+	policySubset, policyRendezvous, policyBalancerAll, policyBalancer, policyOracle,
+}
+
+// spreadPolicy chooses nodes for the requests of one broker, and is told what came of them.
+type spreadPolicy interface {
+	choose(now time.Duration) int
+	sent(now time.Duration, node int)
+	answered(now time.Duration, node int, latency time.Duration, inFlight int)
+}
+
+// newSpreadPolicy returns the policy of one broker. The oracle has none of its own: the model chooses for it.
+func newSpreadPolicy(name string, ordinal, brokers, nodes int, seed uint64) spreadPolicy {
+	view := newBrokerView(ordinal, nodes, seed)
+	switch name {
+	case policyListed:
+		return listedPolicy{view}
+	case policyUniform:
+		return uniformPolicy{view}
+	case policyTwoChoices:
+		return twoChoicesPolicy{view}
+	case policyTwoReported:
+		return twoReportedPolicy{view}
+	case policyLeastReport:
+		return leastReportPolicy{view}
+	case policySubset:
+		return newSubsetPolicy(view, ordinal, nodes, spreadSubsetSize)
+	case policyRendezvous:
+		return newRendezvousPolicy(view, ordinal, nodes, spreadSubsetSize)
+	case policyBalancerAll:
+		return newBalancerPolicy(ordinal, brokers, nodes, nodes)
+	case policyBalancer:
+		return newBalancerPolicy(ordinal, brokers, nodes, spreadSubsetSize)
+	}
+	return leastPolicy{view}
+}
+
+// brokerView is what a broker sees of nodes. Its slices are indexed by node.
+type brokerView struct {
+	random     *rand.Rand
+	inFlight   []int           // this broker's requests at the node
+	reported   []float64       // requests that the node said it holds
+	reportedAt []time.Duration // when it said so
+	sentSince  []int           // own requests sent since then
+}
+
+func newBrokerView(ordinal, nodes int, seed uint64) *brokerView {
+	return &brokerView{
+		random:     rand.New(rand.NewPCG(seed, uint64(ordinal))),
+		inFlight:   make([]int, nodes),
+		reported:   make([]float64, nodes),
+		reportedAt: make([]time.Duration, nodes),
+		sentSince:  make([]int, nodes),
+	}
+}
+
+func (v *brokerView) sent(_ time.Duration, node int) {
+	v.inFlight[node]++
+	v.sentSince[node]++
+}
+
+func (v *brokerView) answered(now time.Duration, node int, _ time.Duration, inFlight int) {
+	v.inFlight[node]--
+	v.reported[node] = float64(inFlight)
+	v.reportedAt[node] = now
+	v.sentSince[node] = 0
+}
+
+// randomPair returns two random nodes, which may be the same.
+func (v *brokerView) randomPair() (first, second int) {
+	first = v.random.IntN(len(v.inFlight))
+	second = v.random.IntN(len(v.inFlight))
+	return first, second
+}
+
+// estimate is a node's report, which decays towards nothing known, and the own requests sent since.
+func (v *brokerView) estimate(now time.Duration, node int) float64 {
+	age := (now - v.reportedAt[node]).Seconds()
+	return v.reported[node]*math.Exp(-age/reportDecaySeconds) + float64(v.sentSince[node])
+}
+
+type uniformPolicy struct{ *brokerView }
+
+func (p uniformPolicy) choose(time.Duration) int { return p.random.IntN(len(p.inFlight)) }
+
+type listedPolicy struct{ *brokerView }
+
+func (p listedPolicy) choose(time.Duration) int {
+	best := 0
+	for node := range p.inFlight {
+		if p.inFlight[node] < p.inFlight[best] {
+			best = node
+		}
+	}
+	return best
+}
+
+type leastPolicy struct{ *brokerView }
+
+func (p leastPolicy) choose(time.Duration) int {
+	best := 0
+	ties := 0
+	for node := range p.inFlight {
+		switch {
+		case p.inFlight[node] < p.inFlight[best] || node == 0:
+			best = node
+			ties = 1
+		case p.inFlight[node] == p.inFlight[best]:
+			ties++
+			if p.random.IntN(ties) == 0 {
+				best = node
+			}
+		}
+	}
+	return best
+}
+
+type twoChoicesPolicy struct{ *brokerView }
+
+func (p twoChoicesPolicy) choose(time.Duration) int {
+	first, second := p.randomPair()
+	if p.inFlight[second] < p.inFlight[first] {
+		return second
+	}
+	return first
+}
+
+type twoReportedPolicy struct{ *brokerView }
+
+func (p twoReportedPolicy) choose(now time.Duration) int {
+	first, second := p.randomPair()
+	if p.estimate(now, second) < p.estimate(now, first) {
+		return second
+	}
+	return first
+}
+
+// leastReportPolicy shows herding: brokers that have the same report choose the same node.
+type leastReportPolicy struct{ *brokerView }
+
+func (p leastReportPolicy) choose(now time.Duration) int {
+	best := 0
+	least := math.Inf(1)
+	for node := range p.inFlight {
+		if estimate := p.estimate(now, node); estimate < least {
+			best = node
+			least = estimate
+		}
+	}
+	return best
+}
+
+// subsetPolicy uses a deterministic subset: rounds of brokers deal the shuffled nodes out among them.
+type subsetPolicy struct {
+	*brokerView
+	subset []int
+}
+
+func newSubsetPolicy(view *brokerView, ordinal, nodes, size int) subsetPolicy {
+	size = min(size, nodes)
+	brokersPerRound := max(1, nodes/size)
+	round := uint64(ordinal / brokersPerRound)
+	order := rand.New(rand.NewPCG(round, subsetShuffleSeed)).Perm(nodes)
+	start := ordinal % brokersPerRound * size
+	return subsetPolicy{brokerView: view, subset: order[start : start+size]}
+}
+
+// choose draws once for the first node of the subset too, unlike leastPolicy: measurements that are kept depend on the
+// draws.
+func (p subsetPolicy) choose(time.Duration) int {
+	best := p.subset[0]
+	ties := 0
+	for _, node := range p.subset {
+		switch {
+		case p.inFlight[node] < p.inFlight[best]:
+			best = node
+			ties = 1
+		case p.inFlight[node] == p.inFlight[best]:
+			ties++
+			if p.random.IntN(ties) == 0 {
+				best = node
+			}
+		}
+	}
+	return best
+}
+
+// rendezvousPolicy draws among a broker's first nodes by rendezvous hashing.
+type rendezvousPolicy struct {
+	*brokerView
+	subset []int
+}
+
+func newRendezvousPolicy(view *brokerView, ordinal, nodes, size int) rendezvousPolicy {
+	scores := make([]float64, nodes)
+	order := make([]int, nodes)
+	for node := range nodes {
+		scores[node] = rand.New(rand.NewPCG(uint64(ordinal), uint64(node))).Float64()
+		order[node] = node
+	}
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(scores[a], scores[b]) })
+	return rendezvousPolicy{brokerView: view, subset: order[:min(size, nodes)]}
+}
+
+func (p rendezvousPolicy) choose(time.Duration) int { return p.subset[p.random.IntN(len(p.subset))] }
+
+// balancerPolicy is the product's own package balancer.
+type balancerPolicy struct {
+	balancer *balancer.Balancer
+	replicas []*balancer.Replica // by node
+}
+
+func newBalancerPolicy(ordinal, brokers, nodes, subsetSize int) *balancerPolicy {
+	p := &balancerPolicy{balancer: balancer.New(balancer.Options{
+		Name:       fmt.Sprint("broker-", ordinal),
+		Ordinal:    ordinal,
+		Brokers:    brokers,
+		SubsetSize: subsetSize,
+		NoGossip:   true,
+	})}
+	for node := range nodes {
+		p.replicas = append(p.replicas, &balancer.Replica{Name: fmt.Sprint("node-", node), Ref: node})
+	}
+	p.balancer.SetReplicas(0, p.replicas)
+	return p
+}
+
+func (p *balancerPolicy) choose(now time.Duration) int {
+	for replica := range p.balancer.Candidates(now, false) {
+		return replica.Ref.(int)
+	}
+	return 0
+}
+
+func (p *balancerPolicy) sent(now time.Duration, node int) {
+	p.replicas[node].InFlight++
+	p.balancer.RecordSent(now, p.replicas[node])
+}
+
+func (p *balancerPolicy) answered(now time.Duration, node int, latency time.Duration, _ int) {
+	p.replicas[node].InFlight--
+	p.balancer.RecordAnswer(now, p.replicas[node], latency)
+}
