--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -120,7 +120,7 @@
 		return cost, err
 	}
 	start := time.Now()
-	cpuBefore, _ := fleetharness.Spent(process.command.Process.Pid)
+	cpuBefore, _ := fleetharness.ProcessUsage(process.command.Process.Pid)
 	if rate > 0 {
 		err = b.loadBesideConnections(ctx, cmd, process, &cost)
 	} else {
@@ -129,7 +129,7 @@
 	if err != nil {
 		return cost, err
 	}
-	cpuAfter, memoryMB := fleetharness.Spent(process.command.Process.Pid)
+	cpuAfter, memoryMB := fleetharness.ProcessUsage(process.command.Process.Pid)
 	cost.CPU = (cpuAfter - cpuBefore) / time.Since(start).Seconds()
 	cost.MemoryMB = memoryMB
 	cost.Open = countOpen(conns)
@@ -145,14 +145,14 @@
 		return err
 	}
 	result, err := load.Run(ctx, traffic, load.Options{
-		Addresses: []string{process.address}, Connections: loadConnections,
+		Addresses: []string{process.address}, MaxConnections: loadConnections,
 	})
 	if err != nil {
 		return err
 	}
 	cost.Sent = result.All.Sent()
 	cost.Served = result.All.Counts[load.Served]
-	cost.P99 = result.All.Latency.ValueAtPercentile(99)
+	cost.P99Micros = result.All.Latency.ValueAtPercentile(99)
 	return nil
 }
 
@@ -196,7 +196,7 @@
 	key := fmt.Sprintf("%016x", number)
 	attributes := fmt.Sprintf("c=lesson-read,t=completo,d=750,volume=%s,units=1,shard=%d,hosts=1", key, shard)
 	// a failed write shows in the read
-	_, _ = conn.Write(load.Command(nil, "BLK.READ", key, fmt.Sprintf("held-%d", number), attributes))
+	_, _ = conn.Write(load.AppendCommand(nil, "BLK.READ", key, fmt.Sprintf("held-%d", number), attributes))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && !strings.HasPrefix(line, "$") && !strings.HasPrefix(line, "-BUSY") {
 		err = fmt.Errorf("connection %d was answered %q", number, line)
--- a/cmd/brokerbench/curve.go
+++ b/cmd/brokerbench/curve.go
@@ -173,9 +173,9 @@
 		return curvePoint{}, err
 	}
 	result, err := load.Run(ctx, traffic, load.Options{
-		Addresses:   []string{process.address},
-		Connections: cmd.Int("connections"),
-		Bounded:     cmd.Bool("bounded"),
+		Addresses:         []string{process.address},
+		MaxConnections:    cmd.Int("connections"),
+		WaitForConnection: cmd.Bool("bounded"),
 	})
 	metrics := process.metrics()
 	process.kill()
@@ -187,7 +187,7 @@
 		Rate:                rate,
 		Sent:                all.Sent(),
 		Served:              all.Counts[load.Served],
-		Busy:                all.Counts[load.Busy],
+		Busy:                all.Counts[load.Rejected],
 		Failed:              all.Counts[load.Failed],
 		Lost:                all.Counts[load.Lost],
 		Closed:              all.Counts[load.Closed],
@@ -195,8 +195,8 @@
 		Late:                all.Late,
 		P50:                 all.Latency.ValueAtPercentile(50),
 		P99:                 all.Latency.ValueAtPercentile(99),
-		RejectedP99:         all.Refused.ValueAtPercentile(99),
-		MaxSendLag:          result.Behind.Microseconds(),
+		RejectedP99:         all.RejectionLatency.ValueAtPercentile(99),
+		MaxSendLag:          result.MaxSendLag.Microseconds(),
 		PeakKB:              process.peakKiB(),
 		RejectedAtAdmission: metrics["door_refused"],
 		Dials:               result.Dials,
--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -88,17 +88,17 @@
 			d.close()
 		}
 	}()
-	if d.carbon, err = fakes.NewCarbon(loopback, false, fakes.NewPoints(nil)); err != nil {
+	if d.carbon, err = fakes.NewCarbon(loopback, false, fakes.NewPointStore(nil)); err != nil {
 		return nil, err
 	}
-	var hosts []fakes.Host
+	var hosts []fakes.Endpoint
 	for i := range nodes {
 		node, err := fakes.NewNode(loopback, fmt.Sprintf("node-%d", i), i, demoSlots, demoQueue, demoCost)
 		if err != nil {
 			return nil, err
 		}
 		d.nodes = append(d.nodes, node)
-		hosts = append(hosts, node.Host())
+		hosts = append(hosts, node.Endpoint())
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
 		delay := time.Duration(2000+random.IntN(3000)) * time.Millisecond
 		d.stalls = append(d.stalls, time.AfterFunc(delay, func() { node.Stall(demoStall) }))
@@ -161,15 +161,15 @@
 		return load.Traffic{}, err
 	}
 	return load.Traffic{
-		Kinds:    kinds,
+		Classes:  kinds,
 		Plans:    platformPlans,
 		Volumes:  6 * len(d.nodes),
 		Skew:     1.2,
 		Shards:   len(d.nodes),
 		MaxUnits: 3,
-		Hosts:    1,
+		Brokers:  1,
 		Rate:     cmd.Float("rate"),
-		Length:   cmd.Duration("for"),
+		Duration: cmd.Duration("for"),
 		Seed:     uint64(cmd.Uint("seed")),
 	}, nil
 }
@@ -189,9 +189,9 @@
 		return nil, err
 	}
 	fmt.Fprintf(os.Stderr, "%d nodes and a broker on loopback; %.0f requests a second for %v\n",
-		traffic.Shards, traffic.Rate, traffic.Length)
+		traffic.Shards, traffic.Rate, traffic.Duration)
 	result, err := load.Run(ctx, traffic, load.Options{
-		Addresses: []string{c.Listen}, Connections: 256, Bounded: true, Progress: progress(traffic.Length),
+		Addresses: []string{c.Listen}, MaxConnections: 256, WaitForConnection: true, Progress: progress(traffic.Duration),
 	})
 	clearProgress()
 	if err != nil {
@@ -221,7 +221,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	if faults := carbon.Faults(); len(faults) > 0 {
+	if faults := carbon.Errors(); len(faults) > 0 {
 		return fmt.Errorf("the stand-in could not read: %s", faults[0])
 	}
 	verdict := "as many as clients got"
--- a/cmd/brokerbench/disconnects.go
+++ b/cmd/brokerbench/disconnects.go
@@ -115,7 +115,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	const attributes = "c=lesson-read,t=completo,d=750,volume=00000003b4d60021,units=1,shard=0,hosts=1"
-	if _, err := conn.Write(load.Command(nil, "BLK.READ", "7f3a9c21e0b4d655", id, attributes)); err != nil {
+	if _, err := conn.Write(load.AppendCommand(nil, "BLK.READ", "7f3a9c21e0b4d655", id, attributes)); err != nil {
 		return err
 	}
 	time.Sleep(delay)
@@ -167,8 +167,8 @@
 	defer bed.close()
 	// the recording node takes the place of node-0, the replica of shard 0
 	bed.discovery.Change(
-		fakes.Host{Host: "node-0", Health: "DELETED"},
-		fakes.Host{Host: "leavers", Dial: listener.Addr().String(), Health: "SERVING", Share: 1})
+		fakes.Endpoint{Name: "node-0", Health: "DELETED"},
+		fakes.Endpoint{Name: "leavers", Address: listener.Addr().String(), Health: "SERVING", Share: 1})
 	process, err := bed.startBroker(ctx, noMetrics)
 	if err != nil {
 		return nil, 0, err
@@ -206,18 +206,18 @@
 // backgroundLoad keeps a broker busy until ctx ends.
 func backgroundLoad(ctx context.Context, cmd *cli.Command, address string) error {
 	traffic := load.Traffic{
-		Kinds:    []load.Kind{{Class: "lesson-read", Share: 1, Deadline: 750 * time.Millisecond}},
+		Classes:  []load.RequestClass{{Name: "lesson-read", Share: 1, Deadline: 750 * time.Millisecond}},
 		Plans:    []string{"basico"},
 		Volumes:  500,
 		Skew:     1.2,
 		Shards:   1,
 		MaxUnits: 3,
-		Hosts:    1,
+		Brokers:  1,
 		Rate:     cmd.Float("rate"),
-		Length:   backgroundLength,
+		Duration: backgroundLength,
 		Seed:     uint64(cmd.Uint("seed")),
 	}
-	_, err := load.Run(ctx, traffic, load.Options{Addresses: []string{address}, Connections: 1000, Bounded: true})
+	_, err := load.Run(ctx, traffic, load.Options{Addresses: []string{address}, MaxConnections: 1000, WaitForConnection: true})
 	return err
 }
 
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -41,26 +41,26 @@
 		return err
 	}
 	<-ctx.Done()
-	fmt.Fprintln(os.Stderr, server.Asked(), "questions")
+	fmt.Fprintln(os.Stderr, server.Queries(), "questions")
 	return nil
 }
 
 // dnsTricks are the faults of a script's command play.
-var dnsTricks = map[string]fakes.Trick{
-	"honest":    fakes.Honest,
-	"silent":    fakes.Silent,
-	"late":      fakes.Late,
+var dnsTricks = map[string]fakes.DNSFault{
+	"honest":    fakes.NoDNSFault,
+	"silent":    fakes.NoAnswer,
+	"late":      fakes.LateAnswer,
 	"servfail":  fakes.ServFail,
-	"refused":   fakes.RefusedAll,
-	"nxdomain":  fakes.NoName,
+	"refused":   fakes.Refused,
+	"nxdomain":  fakes.NameError,
 	"nodata":    fakes.NoData,
 	"truncated": fakes.Truncated,
-	"torn":      fakes.TornTCP,
+	"torn":      fakes.TruncatedNoTCP,
 	"wrongid":   fakes.WrongID,
 	"spoofed":   fakes.Spoofed,
-	"rubbish":   fakes.Rubbish,
-	"loop":      fakes.Looping,
-	"third":     fakes.ThirdOnly,
+	"rubbish":   fakes.Malformed,
+	"loop":      fakes.CNAMELoop,
+	"third":     fakes.EveryThird,
 }
 
 // runDNSScript carries out a script's lines; an error names the line.
@@ -87,10 +87,10 @@
 		if !known {
 			return fmt.Errorf("%q is no trick", words[1])
 		}
-		server.Play(trick)
+		server.SetFault(trick)
 		return nil
 	case words[0] == "alias" && len(words) == 3:
-		server.Alias(words[1], words[2])
+		server.SetCNAME(words[1], words[2])
 		return nil
 	case words[0] == "wait" && len(words) == 2:
 		seconds, err := strconv.ParseFloat(words[1], 64)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return fmt.Errorf("%q is no lifetime", lifetime)
 	}
-	var names []fakes.Name
+	var names []fakes.SRVRecord
 	for _, record := range records {
 		name, err := parseRecord(record)
 		if err != nil {
@@ -122,20 +122,20 @@
 }
 
 // parseRecord reads TARGET,PORT,PRIORITY,WEIGHT,ADDRESS[,TEXT]; a plus sign in TEXT stands for a space.
-func parseRecord(record string) (fakes.Name, error) {
+func parseRecord(record string) (fakes.SRVRecord, error) {
 	parts := strings.SplitN(record, ",", 6)
 	if len(parts) < 5 {
-		return fakes.Name{}, fmt.Errorf("%q is no record", record)
+		return fakes.SRVRecord{}, fmt.Errorf("%q is no record", record)
 	}
 	var numbers [3]uint16
 	for i := range numbers {
 		number, err := strconv.ParseUint(parts[1+i], 10, 16)
 		if err != nil {
-			return fakes.Name{}, fmt.Errorf("%q: %q is no number", record, parts[1+i])
+			return fakes.SRVRecord{}, fmt.Errorf("%q: %q is no number", record, parts[1+i])
 		}
 		numbers[i] = uint16(number)
 	}
-	name := fakes.Name{
+	name := fakes.SRVRecord{
 		Target:    parts[0],
 		Port:      numbers[0],
 		Priority:  numbers[1],
--- a/cmd/brokerbench/drains.go
+++ b/cmd/brokerbench/drains.go
@@ -102,7 +102,7 @@
 	listed chan struct{} // receives after the first list
 
 	mu        sync.Mutex
-	zone      []fakes.Name
+	zone      []fakes.SRVRecord
 	created   int                  // nodes so far, for their names
 	removedAt map[string]time.Time // of the nodes whose removal the core does not know yet
 	delays    []time.Duration
@@ -119,10 +119,10 @@
 }
 
 // newNode returns a node with a name and address of its own, with m.mu held.
-func (m *drainMeasurement) newNode() fakes.Name {
+func (m *drainMeasurement) newNode() fakes.SRVRecord {
 	m.created++
 	n := m.created
-	return fakes.Name{
+	return fakes.SRVRecord{
 		Target:    fmt.Sprintf("s%d.example.org", n),
 		Port:      6379,
 		Addresses: []string{fmt.Sprintf("127.%d.%d.%d", 1+n>>16, n>>8&255, n&255)},
--- a/cmd/brokerbench/listen.go
+++ b/cmd/brokerbench/listen.go
@@ -63,7 +63,7 @@
 // listener receives metrics and prints them. run owns the counts of what was reported; the receivers' goroutines only
 // add points, under the lock of the output. The receivers end with the context that start is given.
 type listener struct {
-	points   *fakes.Points
+	points   *fakes.PointStore
 	collectd *fakes.Collectd // nil without the flag
 
 	outLock sync.Mutex
@@ -76,10 +76,10 @@
 
 func newListener(out io.Writer) *listener {
 	l := &listener{out: bufio.NewWriter(out)}
-	l.points = fakes.NewPoints(func(p fakes.Point) {
+	l.points = fakes.NewPointStore(func(p fakes.Point) {
 		l.outLock.Lock()
 		defer l.outLock.Unlock()
-		_, _ = fmt.Fprintf(l.out, "%d %s %v\n", p.Stamp, p.Series, p.Value) // errors show in flush
+		_, _ = fmt.Fprintf(l.out, "%d %s %v\n", p.Timestamp, p.Series, p.Value) // errors show in flush
 	})
 	return l
 }
@@ -147,7 +147,7 @@
 		select {
 		case <-ctx.Done():
 			fmt.Fprintf(os.Stderr, "%d points, %d series, %d faults\n",
-				l.points.Taken(), len(l.points.Latest()), len(l.points.Faults()))
+				l.points.Received(), len(l.points.Latest()), len(l.points.Errors()))
 			return l.flush()
 		case <-ticker.C:
 			if err := l.flush(); err != nil {
@@ -156,7 +156,7 @@
 			l.reportFaults()
 			l.reportNotices()
 			showProgress("%d points, %d series, %d faults",
-				l.points.Taken(), len(l.points.Latest()), l.reportedFaults)
+				l.points.Received(), len(l.points.Latest()), l.reportedFaults)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 
 // reportFaults prints the faults that are new.
 func (l *listener) reportFaults() {
-	faults := l.points.Faults()
+	faults := l.points.Errors()
 	for _, fault := range faults[l.reportedFaults:] {
 		fmt.Fprintln(os.Stderr, "fault:", fault)
 	}
@@ -181,7 +181,7 @@
 	if l.collectd == nil {
 		return
 	}
-	notices := l.collectd.Notices()
+	notices := l.collectd.Notifications()
 	for _, n := range notices[l.reportedNotices:] {
 		fmt.Fprintf(os.Stderr, "notification from %s: severity %d: %s\n", n.Host, n.Severity, n.Text)
 	}
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -101,13 +101,13 @@
 // prepareSinks sets the receivers up for a variant and returns where the broker sends its metrics.
 func (b *testbed) prepareSinks(variant string, interval int) metricsTargets {
 	targets := metricsTargets{interval: interval}
-	b.carbon.Behave(fakes.Takes)
+	b.carbon.SetMode(fakes.Reading)
 	switch variant {
 	case sinksHealthy:
 		targets.graphite = b.carbon.Address()
 		targets.collectd = b.collectd.Address()
 	case sinksStalled:
-		b.carbon.Behave(fakes.Stands)
+		b.carbon.SetMode(fakes.NotReading)
 		targets.graphite = b.carbon.Address()
 		targets.collectd = b.collectd.Address()
 	case sinksDead:
@@ -129,7 +129,7 @@
 		return sinkRun{}, err
 	}
 	result, err := load.Run(ctx, traffic, load.Options{
-		Addresses: []string{process.address}, Connections: sinksConnections, Bounded: true,
+		Addresses: []string{process.address}, MaxConnections: sinksConnections, WaitForConnection: true,
 	})
 	process.kill()
 	if err != nil {
@@ -144,7 +144,7 @@
 		P99:     float64(latency.ValueAtPercentile(99)),
 		P999:    float64(latency.ValueAtPercentile(99.9)),
 		Served:  counts[load.Served],
-		Busy:    counts[load.Busy],
+		Busy:    counts[load.Rejected],
 		Failed:  counts[load.Failed],
 		Lost:    counts[load.Lost] + counts[load.Closed],
 		PeakKB:  process.peakKiB(),
--- a/cmd/brokerbench/sinks_counts.go
+++ b/cmd/brokerbench/sinks_counts.go
@@ -45,12 +45,12 @@
 		process.kill()
 		return err
 	}
-	traffic.Length = max(traffic.Length, minCountsLength)
+	traffic.Duration = max(traffic.Duration, minCountsLength)
 	disturbed := make(chan error, 1)
-	go func() { disturbed <- b.disturbReceivers(targets, traffic.Length/4) }()
+	go func() { disturbed <- b.disturbReceivers(targets, traffic.Duration/4) }()
 	result, err := load.Run(ctx, traffic, load.Options{
-		Addresses: []string{process.address}, Connections: sinksConnections, Bounded: true,
-		Progress: progress(traffic.Length),
+		Addresses: []string{process.address}, MaxConnections: sinksConnections, WaitForConnection: true,
+		Progress: progress(traffic.Duration),
 	})
 	clearProgress()
 	if err := errors.Join(err, <-disturbed); err != nil {
@@ -65,8 +65,8 @@
 	received := receivedCounts{
 		carbon:   b.carbon.Latest(),
 		collectd: b.collectd.Latest(),
-		faults:   append(b.carbon.Faults(), b.collectd.Faults()...),
-		kinds:    traffic.Kinds,
+		faults:   append(b.carbon.Errors(), b.collectd.Errors()...),
+		kinds:    traffic.Classes,
 	}
 	return received.compare(w, result.All)
 }
@@ -74,7 +74,7 @@
 // disturbReceivers waits, has the receivers stall, then die, then starts new ones at the same addresses.
 func (b *testbed) disturbReceivers(targets metricsTargets, pause time.Duration) error {
 	time.Sleep(pause)
-	b.carbon.Behave(fakes.Stands)
+	b.carbon.SetMode(fakes.NotReading)
 	time.Sleep(pause)
 	b.carbon.Close()
 	b.collectd.Close()
@@ -87,7 +87,7 @@
 	carbon   map[string]fakes.Point
 	collectd map[string]fakes.Point
 	faults   []string
-	kinds    []load.Kind
+	kinds    []load.RequestClass
 }
 
 // all is a count over all requests at Graphite.
@@ -98,16 +98,16 @@
 // counted is the sum of the broker's own counters of an outcome over the classes.
 func (r *receivedCounts) counted(outcome string) (total float64) {
 	for _, kind := range r.kinds {
-		total += r.carbon[graphiteBroker+outcome+"."+kind.Class].Value
+		total += r.carbon[graphiteBroker+outcome+"."+kind.Name].Value
 	}
 	return total
 }
 
 // compare prints the counts and returns an error where they differ.
-func (r *receivedCounts) compare(w io.Writer, clients *load.Tally) error {
+func (r *receivedCounts) compare(w io.Writer, clients *load.Stats) error {
 	got := clients.Counts
 	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, "+
-		"failed %d, lost %d\n", got[load.Served], got[load.Busy], got[load.Failed], got[load.Lost])
+		"failed %d, lost %d\n", got[load.Served], got[load.Rejected], got[load.Failed], got[load.Lost])
 	_, _ = fmt.Fprintf(w, "the broker counted %.0f, %.0f, %.0f; Graphite got %.0f, %.0f, %.0f; "+
 		"collectd %.0f, %.0f, %.0f; %d faults\n",
 		r.counted("success"), r.counted("busy"), r.counted("failure"),
@@ -120,7 +120,7 @@
 	served := r.all("served")
 	busy := r.all("busy")
 	equal := served == r.counted("success") && served == float64(got[load.Served]) &&
-		busy == r.counted("busy") && busy == float64(got[load.Busy]) &&
+		busy == r.counted("busy") && busy == float64(got[load.Rejected]) &&
 		r.collectd[collectdServed].Value == served
 	if !equal || len(r.faults) > 0 {
 		return fmt.Errorf("the counts differ; faults %q", r.faults)
@@ -132,13 +132,13 @@
 // compareDimensions checks that the rows of each dimension add up to all requests.
 func (r *receivedCounts) compareDimensions(w io.Writer) error {
 	served := r.all("served")
-	stamp := r.carbon[graphiteAllServed].Stamp
+	stamp := r.carbon[graphiteAllServed].Timestamp
 	for _, dimension := range []string{"class", "plan", "node", "volume"} {
 		total := 0.0
 		rows := 0
 		prefix := graphiteBroker + dimension + "."
 		for series, point := range r.carbon {
-			if strings.HasPrefix(series, prefix) && strings.HasSuffix(series, ".served") && point.Stamp == stamp {
+			if strings.HasPrefix(series, prefix) && strings.HasSuffix(series, ".served") && point.Timestamp == stamp {
 				total += point.Value
 				rows++
 			}
--- a/cmd/brokerbench/testbed.go
+++ b/cmd/brokerbench/testbed.go
@@ -93,7 +93,7 @@
 	if b.dir, err = os.MkdirTemp("", "brokerbench"); err != nil {
 		return nil, err
 	}
-	var hosts []fakes.Host
+	var hosts []fakes.Endpoint
 	for i := range nodes {
 		node, err := fakes.NewNode(loopback, fmt.Sprintf("node-%d", i), i, testbedSlots, testbedQueue,
 			func(units float64) time.Duration { return time.Duration(units * float64(unitTime)) })
@@ -101,7 +101,7 @@
 			return nil, err
 		}
 		b.nodes = append(b.nodes, node)
-		hosts = append(hosts, node.Host())
+		hosts = append(hosts, node.Endpoint())
 	}
 	if b.discovery, err = fakes.NewDiscovery(loopback, hosts...); err != nil {
 		return nil, err
@@ -115,10 +115,10 @@
 
 // startReceivers starts new fakes of Graphite and collectd.
 func (b *testbed) startReceivers(carbonAddress, collectdAddress string) (err error) {
-	if b.carbon, err = fakes.NewCarbon(carbonAddress, false, fakes.NewPoints(nil)); err != nil {
+	if b.carbon, err = fakes.NewCarbon(carbonAddress, false, fakes.NewPointStore(nil)); err != nil {
 		return err
 	}
-	b.collectd, err = fakes.NewCollectd(collectdAddress, nil, fakes.NewPoints(nil))
+	b.collectd, err = fakes.NewCollectd(collectdAddress, nil, fakes.NewPointStore(nil))
 	return err
 }
 
@@ -208,20 +208,20 @@
 // traffic is the mixed load of measurements, on the platform's classes and plans.
 func (b *testbed) traffic(cmd *cli.Command, rate float64, seed uint64) (load.Traffic, error) {
 	traffic := load.Traffic{
-		Kinds: []load.Kind{
-			{Class: "lesson-read", Share: 55, Deadline: 750 * time.Millisecond},
-			{Class: "record-write", Share: 30, Write: true, Deadline: 1200 * time.Millisecond},
-			{Class: "bulk-export", Share: 15, Deadline: 2500 * time.Millisecond},
+		Classes: []load.RequestClass{
+			{Name: "lesson-read", Share: 55, Deadline: 750 * time.Millisecond},
+			{Name: "record-write", Share: 30, Write: true, Deadline: 1200 * time.Millisecond},
+			{Name: "bulk-export", Share: 15, Deadline: 2500 * time.Millisecond},
 		},
 		Plans:    platformPlans,
 		Volumes:  cmd.Int("volumes"),
 		Skew:     1.1,
 		Shards:   len(b.nodes),
 		MaxUnits: 3,
-		Hosts:    1,
+		Brokers:  1,
 		Rate:     rate,
-		Length:   cmd.Duration("for"),
+		Duration: cmd.Duration("for"),
 		Seed:     seed,
 	}
-	return traffic, traffic.Check()
+	return traffic, traffic.Validate()
 }
--- a/internal/graphite/writer_test.go
+++ b/internal/graphite/writer_test.go
@@ -106,7 +106,7 @@
 		}
 		for i, point := range got {
 			test := tests[i%len(tests)]
-			want := fakes.Point{Series: test.dotted, Stamp: testTimestamp, Value: float64(test.value)}
+			want := fakes.Point{Series: test.dotted, Timestamp: testTimestamp, Value: float64(test.value)}
 			if naming == graphite.Tagged {
 				want.Series = test.tagged
 			}
--- a/internal/metricsexport/exporter_test.go
+++ b/internal/metricsexport/exporter_test.go
@@ -22,12 +22,12 @@
 	for i := range 500 {
 		h.serve(fmt.Sprint("v", i%300))
 	}
-	h.awaitSeries(carbon.Points, graphiteServed, 500)
-	h.awaitSeries(carbon.Points, "w.n1.success.read", 500)
-	h.awaitSeries(carbon.Points, "w.n1.class.read.units_milli", 750_000)
-	h.awaitSeries(receiver.Points, collectdServed, 500)
-	h.awaitSeries(receiver.Points, "n1/junctionwharf-class.read/junctionwharf_attempts/1", 500)
-	h.awaitSeries(receiver.Points, "n1/junctionwharf/derive-success.read/0", 500)
+	h.awaitSeries(carbon.PointStore, graphiteServed, 500)
+	h.awaitSeries(carbon.PointStore, "w.n1.success.read", 500)
+	h.awaitSeries(carbon.PointStore, "w.n1.class.read.units_milli", 750_000)
+	h.awaitSeries(receiver.PointStore, collectdServed, 500)
+	h.awaitSeries(receiver.PointStore, "n1/junctionwharf-class.read/junctionwharf_attempts/1", 500)
+	h.awaitSeries(receiver.PointStore, "n1/junctionwharf/derive-success.read/0", 500)
 	for _, dimension := range []string{"class", "plan", "node", "volume"} {
 		sum := 0.0
 		reached := carbon.Await(h.timeout, func(latest map[string]fakes.Point, _ []string) bool {
@@ -38,7 +38,7 @@
 			t.Errorf("%v served over %s", sum, dimension)
 		}
 	}
-	if faults := append(carbon.Faults(), receiver.Faults()...); len(faults) > 0 {
+	if faults := append(carbon.Errors(), receiver.Errors()...); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
@@ -48,7 +48,7 @@
 func sumOver(latest map[string]fakes.Point, dimension string) (sum float64) {
 	for series, point := range latest {
 		counts := strings.HasPrefix(series, "w.n1."+dimension+".") && strings.HasSuffix(series, ".served")
-		if counts && point.Stamp == latest[graphiteServed].Stamp {
+		if counts && point.Timestamp == latest[graphiteServed].Timestamp {
 			sum += point.Value
 		}
 	}
@@ -58,9 +58,9 @@
 // Graphite never reads, or reads a byte a second. Its sink is stalled, disconnected and loses intervals; meanwhile
 // collectd gets all. Once Graphite reads again, it has the counts.
 func TestSinkStalls(t *testing.T) {
-	for _, manner := range []fakes.Manner{fakes.Stands, fakes.Drips} {
+	for _, manner := range []fakes.ReceiverMode{fakes.NotReading, fakes.Trickling} {
 		carbon := newFakeCarbon(t)
-		carbon.Behave(manner)
+		carbon.SetMode(manner)
 		receiver := newFakeCollectd(t, nil)
 		settings := testSettings(carbon.Address(), receiver.Address())
 		settings.Graphite.QueueBytes = 24 << 10 // two intervals or three
@@ -73,9 +73,9 @@
 			return metrics["telemetry.graphite.dropped_intervals"] > 0 && metrics["telemetry.graphite.redials"] > 0
 		})
 		h.serve("v1")
-		h.awaitSeries(receiver.Points, collectdServed, 5)
-		carbon.Behave(fakes.Takes)
-		h.awaitSeries(carbon.Points, graphiteServed, 5)
+		h.awaitSeries(receiver.PointStore, collectdServed, 5)
+		carbon.SetMode(fakes.Reading)
+		h.awaitSeries(carbon.PointStore, graphiteServed, 5)
 	}
 }
 
@@ -83,14 +83,14 @@
 // count.
 func TestSinkResets(t *testing.T) {
 	carbon := newFakeCarbon(t)
-	carbon.Behave(fakes.Resets)
+	carbon.SetMode(fakes.Resetting)
 	h := newHarness(t, testSettings(carbon.Address(), ""))
 	h.awaitEnabled()
 	h.serve("v")
 	h.awaitMetrics("resets", func(metrics map[string]uint64) bool { return metrics["telemetry.graphite.redials"] > 3 })
-	carbon.Behave(fakes.Takes)
-	h.awaitSeries(carbon.Points, graphiteServed, 1)
-	if faults := carbon.Faults(); len(faults) > 0 {
+	carbon.SetMode(fakes.Reading)
+	h.awaitSeries(carbon.PointStore, graphiteServed, 1)
+	if faults := carbon.Errors(); len(faults) > 0 {
 		t.Error(faults)
 	}
 }
@@ -103,7 +103,7 @@
 	h := newHarness(t, testSettings(address, ""))
 	h.awaitEnabled()
 	h.serve("v")
-	h.awaitSeries(first.Points, graphiteServed, 1)
+	h.awaitSeries(first.PointStore, graphiteServed, 1)
 	first.Close()
 	h.awaitMetrics("a dead sink", func(metrics map[string]uint64) bool {
 		return metrics["telemetry.graphite.redials"] > 2
@@ -111,11 +111,11 @@
 	h.serve("v")
 	var mu sync.Mutex
 	timestamps := map[int64]bool{}
-	points := fakes.NewPoints(func(point fakes.Point) {
+	points := fakes.NewPointStore(func(point fakes.Point) {
 		mu.Lock()
 		defer mu.Unlock()
 		if point.Series == graphiteServed {
-			timestamps[point.Stamp] = true
+			timestamps[point.Timestamp] = true
 		}
 	})
 	second, err := fakes.NewCarbon(address, false, points)
@@ -156,12 +156,12 @@
 	if !rejected {
 		t.Fatal("packets under a wrong key were taken")
 	}
-	if receiver.Taken() > 0 {
-		t.Errorf("%d points under a wrong key", receiver.Taken())
+	if receiver.Received() > 0 {
+		t.Errorf("%d points under a wrong key", receiver.Received())
 	}
 	settings.Collectd.Key.Secret = "right"
 	h.exporter.ApplySettings(settings)
-	h.awaitSeries(receiver.Points, collectdServed, 1)
+	h.awaitSeries(receiver.PointStore, collectdServed, 1)
 }
 
 // A node drains, and nothing listens at Graphite's address. Collectd gets a notification of either.
@@ -178,7 +178,7 @@
 	h.observe(telemetry.Observation{Kind: telemetry.NodeDraining, Node: "s-1"})
 	received := func() string {
 		var all []string
-		for _, n := range receiver.Notices() {
+		for _, n := range receiver.Notifications() {
 			all = append(all, fmt.Sprint(n.Severity, " ", n.Text))
 		}
 		return strings.Join(all, "\n")
--- a/internal/metricsexport/lifecycle_test.go
+++ b/internal/metricsexport/lifecycle_test.go
@@ -17,7 +17,7 @@
 // late: it holds two of them, so that the third is dropped.
 func TestSinkTurnedOff(t *testing.T) {
 	carbon := newFakeCarbon(t)
-	carbon.Behave(fakes.Stands)
+	carbon.SetMode(fakes.NotReading)
 	settings := testSettings(carbon.Address(), "")
 	settings.Graphite.QueueBytes = 16 << 10
 	h := newHarness(t, settings)
@@ -33,7 +33,7 @@
 	h.awaitMetrics("a sink that is on", func(metrics map[string]uint64) bool { return len(metrics) > 0 })
 	h.awaitEnabled()
 	h.serve("v")
-	h.awaitSeries(second.Points, graphiteServed, 1)
+	h.awaitSeries(second.PointStore, graphiteServed, 1)
 }
 
 // The broker shuts down with an interval in progress. The interval is sent.
@@ -45,14 +45,14 @@
 		h.serve(fmt.Sprint(i))
 	}
 	h.exporter.Shutdown(time.Now().Add(5 * time.Second))
-	h.awaitSeries(carbon.Points, graphiteServed, 7)
+	h.awaitSeries(carbon.PointStore, graphiteServed, 7)
 }
 
 // The broker shuts down while a sink is stalled. The sink holds up the end to the deadline and no longer, and what it
 // has not sent is dropped and counted.
 func TestShutdownWithStalledSink(t *testing.T) {
 	carbon := newFakeCarbon(t)
-	carbon.Behave(fakes.Stands)
+	carbon.SetMode(fakes.NotReading)
 	h := newHarness(t, testSettings(carbon.Address(), ""))
 	h.awaitEnabled()
 	h.serve("v")
