--- a/internal/fleetharness/logs.go
+++ b/internal/fleetharness/logs.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -28,10 +27,8 @@
 	Attributes map[string]string `json:"keys,omitempty"`
 }
 
-// hasMessage reports whether a line has a message, alone or with values behind it.
-func (l LogLine) hasMessage(message string) bool {
-	return l.Message == message || strings.HasPrefix(l.Message, message+" ")
-}
+// hasMessage reports whether a line has a message; what differs between lines of one message is in the attributes.
+func (l LogLine) hasMessage(message string) bool { return l.Message == message }
 
 // readLog records what a process logs, until it ends.
 func (f *Fleet) readLog(process string, output io.Reader) {
