--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -18,9 +18,9 @@
 // Log messages that others read by their text: the fleet harness, and operators' tools.
 const (
 	// LogConfigurationApplied is logged when the core acts on another view.
-	LogConfigurationApplied = "acts"
+	LogConfigurationApplied = "configuration applied"
 	// LogBootstrapped is logged by each voter of a new cluster.
-	LogBootstrapped = "formed"
+	LogBootstrapped = "cluster bootstrapped"
 )
 
 const (
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -12,7 +12,7 @@
 )
 
 // LogVersionActivated is logged by each voter that activates a version. The fleet harness finds it by its text.
-const LogVersionActivated = "version in force"
+const LogVersionActivated = "version activated"
 
 // minCompactBytes is the size of the log below which it is not compacted. Smaller would write snapshots more often,
 // larger would have a restarted voter replay more.
--- a/internal/fleetharness/logs.go
+++ b/internal/fleetharness/logs.go
@@ -7,13 +7,16 @@
 	"io"
 	"slices"
 	"time"
+
+	"junctionwharf/internal/agreement"
+	"junctionwharf/internal/consensus"
 )
 
 // Messages that the harness looks for in what brokers log, and its own.
 const (
-	logViewApplied      = "acts"             // package agreement: the core acts on another view
-	logVersionActivated = "version in force" // package consensus: a version was committed
-	logKilled           = "killed"           // the harness itself: a process has ended
+	logViewApplied      = agreement.LogConfigurationApplied
+	logVersionActivated = consensus.LogVersionActivated
+	logKilled           = "killed" // the harness itself: a process has ended
 )
 
 // maxLogLineSize is the longest line in bytes that is read of a process; what follows a longer one is lost.
