--- a/cmd/brokerbench/fleet_report.go
+++ b/cmd/brokerbench/fleet_report.go
@@ -29,7 +29,7 @@
 {{end}}</table>
 <p>The first run, phase by phase:</p>
 <table><tr><th>version<th>from s<th>to s<th>sent<th>served<th>refused<th>failed<th>lost<th>p99 ms<th>fullest over mean<th>worst second<th>idle</tr>
-{{range .Versions}}{{$v := .Version}}{{range .Phases}}<tr><td>{{$v}}<td>{{.FromS}}<td>{{.ToS}}<td>{{.Sent}}<td>{{.Served}}<td>{{.Busy}}<td>{{.Failed}}<td>{{.Lost}}<td>{{ms .P99}}<td>{{two .Full}}<td>{{two .Worst}}<td>{{.Idle}}</tr>
+{{range .Versions}}{{$v := .Version}}{{range .Phases}}<tr><td>{{$v}}<td>{{.FromS}}<td>{{.ToS}}<td>{{.Sent}}<td>{{.Served}}<td>{{.Rejected}}<td>{{.Failed}}<td>{{.Lost}}<td>{{ms .P99}}<td>{{two .MaxOverMean}}<td>{{two .WorstSecond}}<td>{{.IdleNodes}}</tr>
 {{end}}{{end}}</table>
 <p><img src="{{.Plot}}" alt="requests by node, fullest first"></p>
 {{end}}`))
--- a/internal/fleetharness/logs.go
+++ b/internal/fleetharness/logs.go
@@ -6,15 +6,17 @@
 	"fmt"
 	"io"
 	"slices"
-	"strings"
 	"time"
+
+	"junctionwharf/internal/agreement"
+	"junctionwharf/internal/consensus"
 )
 
 // Messages that the harness looks for in what brokers log, and its own.
 const (
-	logViewApplied      = "acts"             // package agreement: the core acts on another view
-	logVersionActivated = "version in force" // package consensus: a version was committed
-	logKilled           = "killed"           // the harness itself: a process has ended
+	logViewApplied      = agreement.LogConfigurationApplied
+	logVersionActivated = consensus.LogVersionActivated
+	logKilled           = "killed" // the harness itself: a process has ended
 )
 
 // maxLogLineSize is the longest line in bytes that is read of a process; what follows a longer one is lost.
@@ -28,10 +30,8 @@
 	Attributes map[string]string `json:"keys,omitempty"`
 }
 
-// hasMessage reports whether a line has a message, alone or with values behind it.
-func (l LogLine) hasMessage(message string) bool {
-	return l.Message == message || strings.HasPrefix(l.Message, message+" ")
-}
+// hasMessage reports whether a line has a message; what differs between lines of one message is in the attributes.
+func (l LogLine) hasMessage(message string) bool { return l.Message == message }
 
 // readLog records what a process logs, until it ends.
 func (f *Fleet) readLog(process string, output io.Reader) {
