--- a/cmd/brokerbench/capacity.go
+++ b/cmd/brokerbench/capacity.go
@@ -20,47 +20,75 @@
 		Name:  "capacity",
 		Usage: "measure the control side of a fleet by role, and make the tables of docs/CAPACITY.md",
 		Commands: []*cli.Command{
-			{Name: "run", Usage: "play the cells of the grid that have no raw run yet, one at a time",
-				Flags: []cli.Flag{raw, &cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker; brokerbench stands beside it"},
-					&cli.StringSliceFlag{Name: "cell", Usage: "`NAME` of one cell; without it all"}}, Action: runCapacity},
+			{
+				Name:  "run",
+				Usage: "play the cells of the grid that have no raw run yet, one at a time",
+				Flags: []cli.Flag{
+					raw,
+					&cli.StringFlag{
+						Name: "program", Value: "bin/junctionwharf",
+						Usage: "the broker; brokerbench stands beside it",
+					},
+					&cli.StringSliceFlag{Name: "cell", Usage: "`NAME` of one cell; without it all"},
+				},
+				Action: runCapacity,
+			},
 			connectionsCommand(),
-			{Name: "report", Usage: "draw the slopes as an HTML page with plots beside it",
-				Flags: []cli.Flag{raw, &cli.StringFlag{Name: "to", Value: "capacity.html", Usage: "`FILE` of the page"}}, Action: reportCapacity},
-			{Name: "page", Usage: "write the tables into the page",
-				Flags: []cli.Flag{raw, &cli.StringFlag{Name: "page", Value: "docs/CAPACITY.md"},
-					&cli.BoolFlag{Name: "whole", Usage: "fail where a cell of the grid has no raw run"}}, Action: writeCapacity},
+			{
+				Name:  "report",
+				Usage: "draw the slopes as an HTML page with plots beside it",
+				Flags: []cli.Flag{
+					raw,
+					&cli.StringFlag{Name: "to", Value: "capacity.html", Usage: "`FILE` of the page"},
+				},
+				Action: reportCapacity,
+			},
+			{
+				Name:  "page",
+				Usage: "write the tables into the page",
+				Flags: []cli.Flag{
+					raw,
+					&cli.StringFlag{Name: "page", Value: "docs/CAPACITY.md"},
+					&cli.BoolFlag{Name: "whole", Usage: "fail where a cell of the grid has no raw run"},
+				},
+				Action: writeCapacity,
+			},
 		},
 	}
 }
 
+// runCapacity plays the cells that have no raw run. A cell has one from the moment its file exists, so that a long
+// measurement may be ended and begun again.
 func runCapacity(ctx context.Context, cmd *cli.Command) error {
 	if err := os.MkdirAll(cmd.String("raw"), 0o755); err != nil {
 		return err
 	}
-	for _, c := range capacity.Grid {
-		path := filepath.Join(cmd.String("raw"), c.Name()+".json")
-		if some := cmd.StringSlice("cell"); len(some) > 0 && !slices.Contains(some, c.Name()) {
+	chosen := cmd.StringSlice("cell")
+	for _, cell := range capacity.Grid {
+		if len(chosen) > 0 && !slices.Contains(chosen, cell.Name()) {
 			continue
 		}
+		path := filepath.Join(cmd.String("raw"), cell.Name()+".json")
 		if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 			continue
 		}
-		report, err := playFleet(ctx, cmd.String("program"), c.Scenario(), 0)
+		report, err := playFleet(ctx, cmd.String("program"), cell.Scenario(), 0)
 		if err != nil {
-			return fmt.Errorf("%s: %w", c.Name(), err)
+			return fmt.Errorf("%s: %w", cell.Name(), err)
 		}
 		printFleet(os.Stdout, "now", report)
 		text, err := json.Marshal(report)
-		if err == nil {
-			err = os.WriteFile(path, append(text, '\n'), 0o644)
-		}
 		if err != nil {
 			return err
 		}
+		if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+			return err
+		}
 	}
 	return nil
 }
 
+// writeCapacity replaces the section of tables in the page.
 func writeCapacity(_ context.Context, cmd *cli.Command) error {
 	runs, missing, err := capacity.Load(cmd.String("raw"))
 	if err != nil {
@@ -69,21 +97,22 @@
 	if cmd.Bool("whole") && len(missing) > 0 {
 		return fmt.Errorf("%s: there is no run of it", missing[0])
 	}
-	held, err := capacity.LoadConnectionCosts(cmd.String("raw"))
+	costs, err := capacity.LoadConnectionCosts(cmd.String("raw"))
 	if err != nil {
 		return err
 	}
-	section, err := capacity.Render(runs, missing, held)
+	section, err := capacity.Render(runs, missing, costs)
 	if err != nil {
 		return err
 	}
-	text, err := os.ReadFile(cmd.String("page"))
+	path := cmd.String("page")
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	page, err := capacity.Replace(string(text), section)
 	if err != nil {
-		return fmt.Errorf("%s: %w", cmd.String("page"), err)
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	return os.WriteFile(cmd.String("page"), []byte(page), 0o644)
+	return os.WriteFile(path, []byte(page), 0o644)
 }
--- a/cmd/brokerbench/dashboard.go
+++ b/cmd/brokerbench/dashboard.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
-	_ "embed"
+	_ "embed" // for the dashboard's template
 	"encoding/json"
 	"fmt"
 	"io"
 	"net/url"
 	"os"
+	"strings"
 	"text/template"
 
 	"github.com/urfave/cli/v3"
@@ -49,6 +50,13 @@
 	},
 }).Parse(dashboardText))
 
+// dashboardData is what the template shows.
+type dashboardData struct {
+	Name   string
+	Graphs []graph
+}
+
+// writeDashboard writes the dashboard of one broker, or of all for "*".
 func writeDashboard(w io.Writer, prefix, broker string, top int) error {
 	if err := graphite.CheckPrefix(prefix); err != nil {
 		return fmt.Errorf("--prefix: %w", err)
@@ -59,41 +67,61 @@
 	if top < 1 || top > 100 {
 		return fmt.Errorf("--top: %d is not within 1 to 100", top)
 	}
-	at := prefix + "." + broker
-	rate := func(path string) string { return "perSecond(" + at + "." + path + ")" }
-	heaviest := func(kind, last string) string {
-		return fmt.Sprintf("highestAverage(groupByNode(perSecond(%s.%s.*.%s),%d,'sum'),%d)", at, kind, last, nodesOf(at)+1, top)
-	}
-	slowest := func(kind string) string {
-		return fmt.Sprintf("highestMax(groupByNode(%s.%s.*.whole_us.p99,%d,'max'),%d)", at, kind, nodesOf(at)+1, top)
-	}
-	graphs := []graph{
-		{"Requests a second, by end", []string{rate("all.served"), rate("all.busy"), rate("all.failed"), rate("all.left")}},
-		{"Refused a second, by class", []string{heaviest("class", "busy")}},
-		{"Refused a second, by plan", []string{heaviest("plan", "busy")}},
-		{"Which volume: units a second", []string{heaviest("volume", "units_milli")}},
-		{"Which volume: slowest p99, us", []string{slowest("volume")}},
-		{"Which node: attempts a second", []string{heaviest("node", "attempts")}},
-		{"Which node: attempts not answered a second", []string{heaviest("node", "attempts_timed_out"), heaviest("node", "attempts_broken")}},
-		{"Which node: p99 at the node, us", []string{fmt.Sprintf("highestMax(groupByNode(%s.node.*.at_node_us.p99,%d,'max'),%d)", at, nodesOf(at)+1, top)}},
-		{"Latency by class: p99, us", []string{slowest("class")}},
-		{"Waiting in the broker: p99, us", []string{at + ".class.*.waiting_us.p99"}},
-		{"Nodes listed and avoided", []string{at + ".hosts_listed", at + ".hosts_down"}},
-		{"Telemetry itself", []string{at + ".telemetry.*.queue_bytes", at + ".telemetry.*.dropped_intervals", at + ".telemetry.series"}},
-	}
-	return dashboardTemplate.Execute(w, struct {
-		Name   string
-		Graphs []graph
-	}{"junctionwharf " + prefix + " " + broker, graphs})
+	return dashboardTemplate.Execute(w, dashboardData{
+		Name:   "junctionwharf " + prefix + " " + broker,
+		Graphs: dashboardGraphs(targets{root: prefix + "." + broker, top: top}),
+	})
+}
+
+// targets builds expressions of Graphite over the series below root.
+type targets struct {
+	root string
+	top  int // series that a ranking shows
+}
+
+// series is a path below the root.
+func (t targets) series(path string) string { return t.root + "." + path }
+
+// rate is a counter's increase a second.
+func (t targets) rate(path string) string { return "perSecond(" + t.series(path) + ")" }
+
+// nameIndex is the index in a path of the name of a class, plan, volume or node: behind the root and the dimension.
+func (t targets) nameIndex() int { return strings.Count(t.root, ".") + 2 }
+
+// highestRates ranks the names of a dimension by the rate of a counter.
+func (t targets) highestRates(dimension, counter string) string {
+	counters := t.rate(dimension + ".*." + counter)
+	return fmt.Sprintf("highestAverage(groupByNode(%s,%d,'sum'),%d)", counters, t.nameIndex(), t.top)
+}
+
+// highestMaxima ranks the names of a dimension by the largest value of a figure.
+func (t targets) highestMaxima(dimension, figure string) string {
+	figures := t.series(dimension + ".*." + figure)
+	return fmt.Sprintf("highestMax(groupByNode(%s,%d,'max'),%d)", figures, t.nameIndex(), t.top)
 }
 
-// nodesOf counts the parts of a path.
-func nodesOf(path string) int {
-	n := 1
-	for i := range len(path) {
-		if path[i] == '.' {
-			n++
-		}
+// dashboardGraphs are the graphs in the order of an on-call engineer's questions: is something wrong, for whom, where.
+func dashboardGraphs(t targets) []graph {
+	return []graph{
+		{"Requests a second, by end", []string{
+			t.rate("all.served"), t.rate("all.busy"), t.rate("all.failed"), t.rate("all.left"),
+		}},
+		{"Refused a second, by class", []string{t.highestRates("class", "busy")}},
+		{"Refused a second, by plan", []string{t.highestRates("plan", "busy")}},
+		{"Which volume: units a second", []string{t.highestRates("volume", "units_milli")}},
+		{"Which volume: slowest p99, us", []string{t.highestMaxima("volume", "whole_us.p99")}},
+		{"Which node: attempts a second", []string{t.highestRates("node", "attempts")}},
+		{"Which node: attempts not answered a second", []string{
+			t.highestRates("node", "attempts_timed_out"), t.highestRates("node", "attempts_broken"),
+		}},
+		{"Which node: p99 at the node, us", []string{t.highestMaxima("node", "at_node_us.p99")}},
+		{"Latency by class: p99, us", []string{t.highestMaxima("class", "whole_us.p99")}},
+		{"Waiting in the broker: p99, us", []string{t.series("class.*.waiting_us.p99")}},
+		{"Nodes listed and avoided", []string{t.series("hosts_listed"), t.series("hosts_down")}},
+		{"Telemetry itself", []string{
+			t.series("telemetry.*.queue_bytes"),
+			t.series("telemetry.*.dropped_intervals"),
+			t.series("telemetry.series"),
+		}},
 	}
-	return n
 }
--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -27,6 +27,8 @@
 	demoQueue = 30
 	// demoStall is how long each node stalls once, so that there are timeouts and retries to see.
 	demoStall = 150 * time.Millisecond
+	// demoConnections is the clients' connections: more than the default rate needs at once.
+	demoConnections = 256
 	// demoSeries begins the series of the demonstration's broker.
 	demoSeries = "wharf.demo."
 )
@@ -181,7 +183,8 @@
 	if err != nil {
 		return nil, err
 	}
-	running, stop := context.WithCancel(context.Background()) // the broker ends after the load, also when ctx ends first
+	// not of ctx: the broker ends after the load, also when ctx ends first
+	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error, 1)
 	go func() { ended <- daemon.Serve(running, c, log, nil, nil) }()
@@ -191,7 +194,10 @@
 	fmt.Fprintf(os.Stderr, "%d nodes and a broker on loopback; %.0f requests a second for %v\n",
 		traffic.Shards, traffic.Rate, traffic.Duration)
 	result, err := load.Run(ctx, traffic, load.Options{
-		Addresses: []string{c.Listen}, MaxConnections: 256, WaitForConnection: true, Progress: progress(traffic.Duration),
+		Addresses:         []string{c.Listen},
+		MaxConnections:    demoConnections,
+		WaitForConnection: true,
+		Progress:          progress(traffic.Duration),
 	})
 	clearProgress()
 	if err != nil {
--- a/cmd/brokerbench/disconnects.go
+++ b/cmd/brokerbench/disconnects.go
@@ -29,6 +29,8 @@
 	settleTime = time.Second
 	// backgroundLength is longer than a measurement takes; it ends the load beside it.
 	backgroundLength = 5 * time.Minute
+	// backgroundConnections is its connections; with fewer the clients, not the broker, would be the limit.
+	backgroundConnections = 1000
 )
 
 func disconnectsCommand() *cli.Command {
@@ -217,7 +219,9 @@
 		Duration: backgroundLength,
 		Seed:     uint64(cmd.Uint("seed")),
 	}
-	_, err := load.Run(ctx, traffic, load.Options{Addresses: []string{address}, MaxConnections: 1000, WaitForConnection: true})
+	_, err := load.Run(ctx, traffic, load.Options{
+		Addresses: []string{address}, MaxConnections: backgroundConnections, WaitForConnection: true,
+	})
 	return err
 }
 
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -20,8 +20,10 @@
 		Name:  "dns",
 		Usage: "serve SRV records from a script, for trying things by hand",
 		Description: "A script is read from standard input, a line at a time:\n" +
-			"  set SERVICE TTL [TARGET,PORT,PRIORITY,WEIGHT,ADDRESS,TEXT ...]   list these records (TEXT may be empty)\n" +
-			"  play honest|silent|late|servfail|refused|nxdomain|nodata|truncated|torn|wrongid|spoofed|rubbish|loop|third\n" +
+			"  set SERVICE TTL [TARGET,PORT,PRIORITY,WEIGHT,ADDRESS,TEXT ...]   " +
+			"list these records (TEXT may be empty)\n" +
+			"  play honest|silent|late|servfail|refused|nxdomain|nodata|" +
+			"truncated|torn|wrongid|spoofed|rubbish|loop|third\n" +
 			"  alias NAME OF\n  wait SECONDS",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "address", Value: "127.0.0.1:5353", Usage: "serve at `ADDR`, UDP and TCP"},
--- a/cmd/brokerbench/fleet_report_test.go
+++ b/cmd/brokerbench/fleet_report_test.go
@@ -13,12 +13,11 @@
 func TestFleetPageShowsPhases(t *testing.T) {
 	report := &fleetharness.Report{Scenario: "s", Brokers: 3, Nodes: 2}
 	report.Phases = []fleetharness.Phase{{Sent: 11, Served: 7, Rejected: 4321, IdleNodes: 5678}}
-	run := fleetRun{Version: "now", Report: report}
-	version := &fleetVersion{Version: "now", first: run, Phases: run.Phases}
-	version.sum([]fleetRun{run})
-	part := &fleetPart{Name: "s", Brokers: 3, Nodes: 2, Versions: []*fleetVersion{version}}
+	var sections fleetSections
+	sections.add(fleetRun{Version: "now", Report: report})
+	sections[0].Versions[0].summarize()
 	var page bytes.Buffer
-	if err := fleetPage.Execute(&page, []*fleetPart{part}); err != nil {
+	if err := fleetPage.Execute(&page, sections); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"4321", "5678"} {
--- a/cmd/brokerbench/hollow.go
+++ b/cmd/brokerbench/hollow.go
@@ -22,33 +22,38 @@
 	return &cli.Command{
 		Name:  "hollow",
 		Usage: "run the control side of many brokers in one process, without clients and nodes: the rig starts it",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "brokers", Required: true, Usage: "`FILE` with the configurations, in JSON"}},
+		Flags: []cli.Flag{
+			&cli.StringFlag{Name: "brokers", Required: true, Usage: "`FILE` with the configurations, in JSON"},
+		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			text, err := os.ReadFile(cmd.String("brokers"))
-			if err != nil {
-				return err
-			}
-			var all []fleetharness.HollowBroker
-			if err := json.Unmarshal(text, &all); err != nil {
-				return fmt.Errorf("%s: %w", cmd.String("brokers"), err)
-			}
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			return runHollow(ctx, all)
+			return runHollowFile(ctx, cmd.String("brokers"))
 		},
 	}
 }
 
-// runHollow runs brokers until ctx ends, or one of them does.
-func runHollow(ctx context.Context, all []fleetharness.HollowBroker) error {
+// runHollowFile runs the brokers that a file describes.
+func runHollowFile(ctx context.Context, path string) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	var brokers []fleetharness.HollowBroker
+	if err := json.Unmarshal(text, &brokers); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return runHollow(ctx, brokers)
+}
+
+// runHollow runs brokers until ctx ends, or one of them does. All have ended when it returns, unless a configuration is
+// wrong: then the process is about to end.
+func runHollow(ctx context.Context, brokers []fleetharness.HollowBroker) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	var wait sync.WaitGroup
-	for i, h := range all {
-		c, err := config.Parse(h.Config, func(string) string { return "" })
-		if err == nil && h.Site != "" {
-			c.Site, err = config.LoadSite(h.Site, c.Settings.Scheduler)
-		}
+	for i, broker := range brokers {
+		c, err := parseHollowConfig(broker)
 		if err != nil {
 			return fmt.Errorf("brokers[%d]: %w", i, err)
 		}
@@ -57,7 +62,7 @@
 			return err
 		}
 		wait.Go(func() {
-			if err := daemon.ServeHollow(ctx, c, h.Demand, log); err != nil {
+			if err := daemon.ServeHollow(ctx, c, broker.Demand, log); err != nil {
 				stop(fmt.Errorf("%s: %w", c.Name, err))
 			}
 		})
@@ -69,3 +74,14 @@
 	}
 	return nil
 }
+
+// parseHollowConfig reads a broker's configuration and site file. The environment does not count: all brokers of the
+// process would share it.
+func parseHollowConfig(broker fleetharness.HollowBroker) (*config.Config, error) {
+	c, err := config.Parse(broker.Config, func(string) string { return "" })
+	if err != nil || broker.Site == "" {
+		return c, err
+	}
+	c.Site, err = config.LoadSite(broker.Site, c.Settings.Scheduler)
+	return c, err
+}
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -19,8 +19,8 @@
 func sinksCommand() *cli.Command {
 	return &cli.Command{
 		Name: "sinks",
-		Usage: "measure in paired runs whether sinks of figures that are healthy, stalled or dead change what clients " +
-			"see, and check that the counts received are the broker's",
+		Usage: "measure in paired runs whether sinks of figures that are healthy, stalled or dead change what " +
+			"clients see, and check that the counts received are the broker's",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "broker", Value: "bin/junctionwharf", Usage: "the broker's program"},
 			&cli.IntFlag{Name: "rounds", Value: 10},
--- a/cmd/brokerbench/spread_policies.go
+++ b/cmd/brokerbench/spread_policies.go
@@ -35,7 +35,7 @@
 	policySubset, policyRendezvous, policyBalancerAll, policyBalancer, policyOracle,
 }
 
-// spreadPolicy chooses nodes for the requests of one broker, and is told what came of them.
+// spreadPolicy chooses nodes for the requests of one broker and receives their outcomes.
 type spreadPolicy interface {
 	choose(now time.Duration) int
 	sent(now time.Duration, node int)
--- a/internal/conformance/attempts_test.go
+++ b/internal/conformance/attempts_test.go
@@ -19,7 +19,7 @@
 	b.want(b.run(write, "w"), served)
 }
 
-// A node runs a write and closes the connection. A retry would run it twice, so the client is told of a failure.
+// A node runs a write and closes the connection. A retry would run it twice, so the client gets an error.
 func testWriteThatLostItsAnswer(b *testbed) {
 	b.client.prepare(b.T, "w")
 	b.recorder.play(firstAttempt(closeAfterExecution))
