--- a/internal/collectd/encoder_test.go
+++ b/internal/collectd/encoder_test.go
@@ -138,12 +138,12 @@
 		t.Fatal(err)
 	}
 	want := fakes.Notification{
-		Severity: 1,
-		Host:     "n1",
-		Plugin:   "junctionwharf",
-		Instance: "sinks",
-		Text:     "graphite lost",
-		Timestamp:    testTime.Unix(),
+		Severity:  1,
+		Host:      "n1",
+		Plugin:    "junctionwharf",
+		Instance:  "sinks",
+		Text:      "graphite lost",
+		Timestamp: testTime.Unix(),
 	}
 	_, got, err := fakes.ParsePacket(packet, testSecrets, true)
 	if err != nil || len(got) != 1 || got[0] != want {
