--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -161,9 +161,45 @@
 	close(connected)
 	runtime.Gosched()
 	d.mu.Unlock()
+	result := <-d.results
+	// The dial may end just before a handshake returns, which then counts as failed: nobody waits for it either.
+	ended := errors.Is(result.err, context.Canceled) || errors.Is(result.err, errHandshake)
+	if result.conn != nil || !ended {
+		t.Errorf("%+v", result)
+	}
+	expectNoSlots(t, p)
+}
+
+// The same crossing without a race: both connections are up, handshakes and all, when the attempt ends, and only then
+// they are delivered. The attempt's own error is the result, and neither connection stays.
+func TestDeliveryToAnAttemptThatIsGone(t *testing.T) {
+	node := newTestNode(t)
+	p := New(testOptions())
+	attempt, leave := context.WithCancel(context.Background())
+	d := &dial{pool: p, address: node.address, waiter: attempt, results: make(chan dialResult, 1)}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	defer d.cancel()
+	var connections []*connection
+	for range 2 {
+		if err := p.acquireSlot(d.ctx); err != nil {
+			t.Fatal(err)
+		}
+		conn, err := p.connect(d.ctx, d.address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		connections = append(connections, conn)
+	}
+	leave()
+	for _, conn := range connections {
+		d.deliver(conn)
+	}
 	if result := <-d.results; result.conn != nil || !errors.Is(result.err, context.Canceled) {
 		t.Errorf("%+v", result)
 	}
+	if p.HasIdle(node.address) {
+		t.Error("a connection was kept")
+	}
 	expectNoSlots(t, p)
 }
 
