--- a/internal/fleetharness/checker_test.go
+++ b/internal/fleetharness/checker_test.go
@@ -140,3 +140,15 @@
 		t.Errorf("one that went back is not found: %+v", c)
 	}
 }
+
+// A program of an earlier version is compared with the present one. Its log lines have the earlier messages, and are
+// found all the same: if they were not, its run would show no versions, and no contradiction either.
+func TestEarlierMessagesAreFound(t *testing.T) {
+	r := newRecorder(0)
+	for earlier, present := range map[string]string{"acts": logViewApplied, "version in force": logVersionActivated} {
+		line := r.parseLine("broker-1", []byte(`{"msg":"`+earlier+`","mono_us":5,"version":2}`))
+		if !line.hasMessage(present) || line.Attributes["version"] != "2" {
+			t.Errorf("%q is read as %+v", earlier, line)
+		}
+	}
+}
--- a/internal/fleetharness/logs.go
+++ b/internal/fleetharness/logs.go
@@ -19,6 +19,13 @@
 	logKilled           = "killed" // the harness itself: a process has ended
 )
 
+// presentMessages maps messages of earlier versions, which `fleet run --broker NAME=PROGRAM` compares, to those of now.
+// Without it a run of an earlier program would show no versions and look clean.
+var presentMessages = map[string]string{
+	"acts":             logViewApplied,
+	"version in force": logVersionActivated,
+}
+
 // maxLogLineSize is the longest line in bytes that is read of a process; what follows a longer one is lost.
 const maxLogLineSize = 1 << 20
 
@@ -55,6 +62,9 @@
 		switch key {
 		case "msg":
 			line.Message = fmt.Sprint(value)
+			if present, found := presentMessages[line.Message]; found {
+				line.Message = present
+			}
 		case "mono_us":
 			if micros, ok := value.(float64); ok {
 				line.At = time.Duration(micros*float64(time.Microsecond)) - startedAt
