--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// reload loads the configuration and applies its discovery and settings; all else is in force from the next start on.
-// It returns the configuration in force. It guards against a faulty file, of which only a part would be applied: then
-// the old configuration stays in force as a whole.
+// reload loads the configuration and applies what config.ApplyReload lists; the rest waits for a restart, and the log
+// names it. It returns the configuration in force. It guards against a faulty file, of which only a part would be
+// applied: then the old configuration stays in force as a whole.
 func (s *service) reload(old *config.Config, load func() (*config.Config, error)) *config.Config {
 	loaded, err := load()
 	if err == nil {
