--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -54,7 +54,7 @@
 	DrainGrace    time.Duration // within which requests to a draining node must end; 0 for none
 	SharedService bool          // all brokers poll one service; otherwise an agent on this machine has the list
 	Local         net.IP        // from which polls are made; nil for the system's choice
-	Log           *slog.Logger  // gets a line when the service falls silent and when it is back
+	Log           *slog.Logger  // gets a line when polls begin to fail and when one succeeds again
 }
 
 // pollTimeouts is how long a Watcher waits before it takes silence for loss.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -108,7 +108,7 @@
 // watch polls one address until ctx ends.
 func (w *Watcher) watch(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	request := pollRequest{full: true}
-	silent := false
+	failing := false // the latest poll failed
 	backoff := firstBackoff
 	for {
 		list, err := w.poll(ctx, request)
@@ -121,19 +121,19 @@
 			}
 		}
 		if err == nil {
-			if silent {
-				w.log.Info("discovery back")
+			if failing {
+				w.log.Info("discovery recovered")
 			}
-			silent = false
+			failing = false
 			backoff = firstBackoff
 			request = pollRequest{version: list.Version}
 			w.apply(list, clock, post)
 			continue
 		}
-		if !silent {
-			w.log.Warn("discovery silent", "reason", err)
+		if !failing {
+			w.log.Warn("discovery poll failed", "reason", err)
 		}
-		silent = true
+		failing = true
 		// An overloaded service has the version still; after any other failure it may have lost it.
 		request.full = request.full || !errors.Is(err, errBadStatus)
 		wait(ctx, backoff/2+rand.N(backoff))
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -176,7 +176,7 @@
 			t.Errorf("version %d, want %d", event.Version, version)
 		}
 	}
-	if line := <-lines; line != "discovery silent reason=list 41 is older than 43, which is held" {
+	if line := <-lines; line != "discovery poll failed reason=list 41 is older than 43, which is held" {
 		t.Error(line)
 	}
 }
--- a/internal/fleetharness/discovery_test.go
+++ b/internal/fleetharness/discovery_test.go
@@ -139,7 +139,7 @@
 	fleet.expectServed(t, 10, false)
 	fleet.inject(t, ctx, Event{Kind: ViewUnavailable, Brokers: []int{0}})
 	fleet.inject(t, ctx, Event{Kind: NodeReset, Nodes: []int{0, 1}})
-	fleet.awaitLog(t, ctx, 0, "discovery silent")
+	fleet.awaitLog(t, ctx, 0, "discovery poll failed")
 	openIdleClients(t, fleet.brokers[0].address, 500)
 	fleet.expectServed(t, 20, false)
 	fleet.inject(t, ctx, Event{Kind: NodeJoin, Nodes: []int{0}})
@@ -149,7 +149,7 @@
 		t.Error("notified of a drain while discovery was down")
 	}
 	fleet.discovery.setView(0, discoveryView{})
-	fleet.awaitLog(t, ctx, 0, "discovery back")
+	fleet.awaitLog(t, ctx, 0, "discovery recovered")
 	fleet.TakeAttemptCounts()
 	fleet.expectServed(t, 20, false)
 	if counts := fleet.TakeAttemptCounts(); counts[2] == 0 {
