--- a/internal/agreement/tree_test.go
+++ b/internal/agreement/tree_test.go
@@ -58,7 +58,7 @@
 }
 
 // A broker asks to connect. Each reason to reject it must be found; a rejection by a full broker names its children.
-func TestAdmission(t *testing.T) {
+func TestHandshakeRejections(t *testing.T) {
 	const cluster, shared = "c", "options"
 	voters := []Voter{{Name: "v0"}, {Name: "v1"}, {Name: "v2"}}
 	valid := hello{Cluster: cluster, SharedOptions: shared, Name: "n"}
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -51,14 +51,14 @@
 }
 
 // closeAsRequested ends the connection if it was asked to end and nothing has come. Only the goroutine that reads
-// calls it; commandRead says that it has just read a command. It reports whether the connection has ended, and if not,
-// whether the command was rejected here.
+// calls it; commandRead says that it has just read a command. It reports whether the connection has ended, and
+// otherwise whether the reader goes on with its next read: the command, if there was one, was answered here.
 //
 // A request may cross the end. If it has been read, or stands unread, it is taken, or rejected where the slot
 // belongs to another connection. Only a connection without input is closed, both ways at once: closed with unread
 // input, the reset could overtake the answers before; closed one way first, a request that comes meanwhile would
 // count as taken.
-func (c *client) closeAsRequested(commandRead bool) (ended, rejected bool) {
+func (c *client) closeAsRequested(commandRead bool) (ended, readOn bool) {
 	c.mu.Lock()
 	request := c.closeRequest
 	partial := c.input.phase.Load() == insideCommand && !commandRead
@@ -89,7 +89,7 @@
 		clientconn.DiscardInput(c.socket, time.Now().Add(inputGrace), maxDiscardedBytes)
 	}
 	c.close()
-	return true, true
+	return true, false
 }
 
 // writeBusy rejects the command that has been read. No answer is owed, so that the socket has room for a line; if it
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -26,11 +26,11 @@
 		cmd, err := c.reader.ReadCommand()
 		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 		if err == nil || timedOut {
-			ended, rejected := c.closeAsRequested(err == nil)
+			ended, readOn := c.closeAsRequested(err == nil)
 			if ended {
 				return
 			}
-			if rejected {
+			if readOn {
 				continue
 			}
 		}
