--- a/broker/events.go
+++ b/broker/events.go
@@ -15,9 +15,9 @@
 // RequestCancelled reports that a client no longer waits.
 type RequestCancelled struct{ ID uint64 }
 
-// RequestExpedited reports that a client sends nothing more and may have disconnected, while it is still due an
-// answer: that is given now.
-type RequestExpedited struct{ ID uint64 }
+// ClientHalfClosed reports that a client closed its sending side: it may have disconnected altogether, while it is
+// still due an answer. That is given now.
+type ClientHalfClosed struct{ ID uint64 }
 
 // AttemptEnded reports how an attempt ended by itself.
 type AttemptEnded struct {
@@ -85,7 +85,7 @@
 
 func (RequestArrived) event()   {}
 func (RequestCancelled) event() {}
-func (RequestExpedited) event() {}
+func (ClientHalfClosed) event() {}
 func (AttemptEnded) event()     {}
 func (AttemptStopped) event()   {}
 func (StreamEnded) event()      {}
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -77,8 +77,9 @@
 // Cancel reports that the client of a request no longer waits.
 func (l *Loop) Cancel(id uint64) { l.Post(RequestCancelled{ID: id}) }
 
-// Expedite reports that the client of a request may have disconnected, but wants an answer if it has not.
-func (l *Loop) Expedite(id uint64) { l.Post(RequestExpedited{ID: id}) }
+// ClientHalfClosed reports that the client of a request closed its sending side: it may have disconnected, and wants
+// an answer now if it has not.
+func (l *Loop) ClientHalfClosed(id uint64) { l.Post(ClientHalfClosed{ID: id}) }
 
 // OpenRequests reports how many requests wait for their final answer.
 func (l *Loop) OpenRequests() int { return int(l.Metrics.open.Load()) }
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -11,7 +11,7 @@
 // inbox.mu, since goroutines of clients call it.
 type overload struct {
 	maxOpen        int64         // admission.Settings.MaxOpenOverloaded, 0 for none
-	lagWanted      chan struct{} // holds one token, so that telling never blocks
+	lagWanted      chan struct{} // holds one token, so that signalling never blocks
 	lagging        atomic.Bool   // the scheduling lag is above admission.OverloadLag
 	shedding       atomic.Bool   // admission control rejects requests
 	rejectedUnread atomic.Bool   // RejectOverload was called since the last RecordSchedulingLag
@@ -24,7 +24,7 @@
 	o.lagWanted = make(chan struct{}, 1)
 }
 
-// manyOpen is how many open requests are worth measuring the lag for: half of the bound that depends on it.
+// manyOpen is how many open requests justify measuring the lag: half of the bound that depends on it.
 func (o *overload) manyOpen() int64 { return max(1, o.maxOpen/2) }
 
 // noteOpen asks for measurements when the open requests have become many.
@@ -118,7 +118,7 @@
 // measure.
 func (l *Loop) LagMeasurementWanted() <-chan struct{} { return l.overload.lagWanted }
 
-// KeepMeasuringLag reports whether it is worth measuring on: many requests are open, or work lately waited for a
+// KeepMeasuringLag reports whether to go on measuring: many requests are open, or work lately waited for a
 // processor.
 func (l *Loop) KeepMeasuringLag() bool {
 	return l.Metrics.open.Load() >= l.overload.manyOpen() || l.overload.lagging.Load() || l.overload.shedding.Load()
--- a/broker/requests.go
+++ b/broker/requests.go
@@ -104,12 +104,12 @@
 func (s *State) handleShutdown() {
 	s.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
-		s.expedite(id)
+		s.answerNow(id)
 	}
 }
 
-// expedite answers a request now: an attempt in flight is stopped, and what was never sent is rejected.
-func (s *State) expedite(id uint64) {
+// answerNow answers a request now: an attempt in flight is stopped, and what was never sent is rejected.
+func (s *State) answerNow(id uint64) {
 	r := s.requests[id]
 	if r == nil {
 		return
--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -6,7 +6,8 @@
 	"junctionwharf/scheduler"
 )
 
-func TestServed(t *testing.T) {
+// A node answers a request. Its client gets the one answer, and nothing is kept of the request.
+func TestServedRequestIsAnsweredOnceAndForgotten(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
 	if len(h.starts) != 1 || h.starts[0].Attempt.Node != "n1" || h.starts[0].Attempt.Timeout != 750_000 {
@@ -37,14 +38,15 @@
 	}
 }
 
-func TestCancelled(t *testing.T) {
+// A client leaves while its attempt is in flight. The node's answer goes to nobody, and nothing is kept or sent again.
+func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
 	h.turn(RequestCancelled{1})
 	h.turn(AttemptEnded{1, 0, served("v")})
 	h.pass(Second)
 	if len(h.responses) > 0 || len(h.state.requests) > 0 || len(h.starts) != 1 {
-		t.Errorf("%+v, %d held, %d sent", h.responses, len(h.state.requests), len(h.starts))
+		t.Errorf("%+v, %d kept, %d sent", h.responses, len(h.state.requests), len(h.starts))
 	}
 }
 
@@ -90,7 +92,7 @@
 	h.response(4, Rejected)
 	h.pass(Second)
 	if len(h.state.requests) > 0 || len(h.starts) != 2 {
-		t.Errorf("%d held, %d sent", len(h.state.requests), len(h.starts))
+		t.Errorf("%d kept, %d sent", len(h.state.requests), len(h.starts))
 	}
 }
 
--- a/broker/state.go
+++ b/broker/state.go
@@ -36,12 +36,12 @@
 
 // NewState returns the state of a broker that has no requests and knows no nodes.
 func NewState(settings scheduler.Settings, seed uint64) (*State, error) {
-	decider, err := scheduler.New(settings, seed)
+	s, err := scheduler.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &State{
-		scheduler: decider,
+		scheduler: s,
 		requests:  map[uint64]*requestState{},
 		nodes:     map[string]*nodeState{},
 		streaming: map[uint64]telemetry.Observation{},
@@ -124,8 +124,8 @@
 		s.handleArrival(e)
 	case RequestCancelled:
 		s.handleCancellation(e.ID)
-	case RequestExpedited:
-		s.expedite(e.ID)
+	case ClientHalfClosed:
+		s.answerNow(e.ID)
 	case StreamEnded:
 		s.handleStreamEnd(e)
 	case AttemptEnded:
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -5,6 +5,7 @@
 	"junctionwharf/timingwheel"
 )
 
+// timerKind says what a timer is for.
 type timerKind int
 
 const (
@@ -14,6 +15,7 @@
 	deadlineTimer                     // the client's time is up
 )
 
+// timer is an entry of the loop's timing wheel.
 type timer struct {
 	kind    timerKind
 	id      uint64 // a request's id, or the token of a schedulerTimer
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -123,7 +123,7 @@
 	}
 	c.mu.Unlock()
 	for _, id := range waiting {
-		c.server.loop.Expedite(id)
+		c.server.loop.ClientHalfClosed(id)
 	}
 }
 
