--- a/admission/doc.go
+++ b/admission/doc.go
@@ -13,7 +13,7 @@
 // weight of their class counts. Ranks are admitted from the first on; of the last that has a share left, an even part
 // is.
 //
-// Two bounds on open requests hold beside that, one always and one only while the broker itself is overloaded.
+// Two bounds on open requests also apply, one always and one only while the broker itself is overloaded.
 //
 // # State and owner
 //
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -1,6 +1,6 @@
 package admission
 
-// Micros is a time or span in whole microseconds, as in package broker.
+// Micros is a time or span in whole microseconds, an alias of int64, so that values of other packages' time types convert plainly.
 type Micros = int64
 
 // Settings of a Controller.
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -26,7 +26,7 @@
 	// a few brokers.
 	drawsPerPeer = 4
 	// gossipNames is how many replicas a message names: it stays below 256 bytes. Higher, it may not fit a
-	// datagram; lower, an outage of a zone is told in part only.
+	// datagram; lower, an outage of a zone is reported only in part.
 	gossipNames = 60
 	// returnTimeMin and returnTimeMax bound the time over which brokers try a replica again that a peer says
 	// is back. Higher, it takes its load again later; lower, all brokers rush at it.
@@ -44,7 +44,7 @@
 	gossipHashBytes    = 4
 )
 
-// gossipReport is a peer's word that a replica is unresponsive.
+// gossipReport is a peer's report that a replica is unresponsive.
 type gossipReport struct {
 	from int // ordinal of the peer
 	at   Time
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// What a broker knows of a replica rests on few answers, so outlier detection goes by intervals: a weight
-// falls by what the answers make sure of, and no further.
+// What a broker knows of a replica rests on few answers, so outlier detection goes by intervals. An error rate
+// counts by the lower end of its interval; slowness counts in full once it is significant.
 const (
 	// unresponsivePeriod is the least time between two findings of one replica's silence. Higher, trials of a
 	// dead replica begin late; lower, a burst of lost attempts doubles its backoff many times.
@@ -182,19 +182,19 @@
 		return max(b.options.TrialShare, doubtFactor), reasonDoubted
 	}
 	factor = 1.0
-	if rate := r.sureErrorRate(); rate > normalErrorRate {
+	if rate := r.errorRateLowerBound(); rate > normalErrorRate {
 		factor = max(b.options.TrialShare, (1-rate)*(1-rate))
 		reason = reasonErrors
 	}
-	if slowness := r.sureSlowness(median); slowness > 0 {
+	if slowness := r.significantSlowness(median); slowness > 0 {
 		factor = max(minSlowFactor, factor*math.Exp(-slowness))
 		reason = reasonSlow
 	}
 	return factor, reason
 }
 
-// sureErrorRate is the lower end of the interval of a replica's rate of errors, 0 where there are too few.
-func (s *statistics) sureErrorRate() float64 {
+// errorRateLowerBound is the lower end of the interval of a replica's rate of errors, 0 where there are too few.
+func (s *statistics) errorRateLowerBound() float64 {
 	if s.failures <= minFailures {
 		return 0
 	}
@@ -202,9 +202,9 @@
 	return rate.Quantile(errorQuantile)
 }
 
-// sureSlowness is by how much a replica's mean logarithm of latency is above the median, 0 where it is not
-// surely slow.
-func (s *statistics) sureSlowness(median float64) float64 {
+// significantSlowness is by how much a replica's mean logarithm of latency is above the median: the whole excess, 0
+// where it is not significant.
+func (s *statistics) significantSlowness(median float64) float64 {
 	if s.samples <= minSamples || math.IsNaN(median) {
 		return 0
 	}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -20,7 +20,7 @@
 // Real voters, lease holders with drifting clocks, and everything between them late, lost and out of order; voters
 // crash, stop, are partitioned, and lose their disks. Nobody may act on what the latest version forbids, voters must
 // hold the same values, and the histories of proposals and reads must be linearizable.
-func TestCluster(t *testing.T) {
+func TestClusterIsLinearizableUnderFaults(t *testing.T) {
 	activated, replaced, operations := 0, 0, 0
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		c := simulate(t, uint64(seed), noFault, simSpan)
