--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -9,7 +9,8 @@
 // Action is something that a Scheduler wants done.
 type Action interface{ action() }
 
-// Forward begins an attempt of a request at a node. A Timeout of 0 waits as long as the client does.
+// Forward begins an attempt of a request at a node. A Timeout of 0 waits as long as the client does; no rule
+// of this version sets another.
 type Forward struct {
 	ID      uint64
 	Node    string
@@ -31,7 +32,7 @@
 	Attempt int // from 0
 }
 
-// HealthCheck checks a node.
+// HealthCheck checks a node. No rule of this version emits it.
 type HealthCheck struct{ Node string }
 
 // SendToPeer sends bytes to one peer by its ordinal, or to all others with AllPeers.
@@ -52,10 +53,10 @@
 // WatchEndpoints opens or closes the subscription to the endpoint list.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks for the whole endpoint list once.
+// FetchEndpoints asks for the whole endpoint list once. No rule of this version emits it.
 type FetchEndpoints struct{}
 
-// CloseIdleConnections closes idle connections to a node.
+// CloseIdleConnections closes idle connections to a node. No rule of this version emits it.
 type CloseIdleConnections struct{ Node string }
 
 // Log is a line for the engineers on call: a fixed message, and what differs as attributes.
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// admit takes a request: it works out since when its client waits, by when it is due and what it is worth,
-// and queues it. A request of an unknown class or plan fails at once.
-func (s *Scheduler) admit(e Request) {
+// handleArrival takes a request and rejects none: it works out since when its client waits, by when it is
+// due and what it is worth, and queues it. A request of an unknown class or plan fails at once.
+func (s *Scheduler) handleArrival(e Request) {
 	if s.requests[e.ID] != nil {
 		return
 	}
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -36,7 +36,7 @@
 
 // Ticks work on the nodes with requests and on no others, and know the capacity of the others without a look
 // at them. Nodes that drain, leave and come back meanwhile are not left out. A tick over all nodes decides
-// alike: see TestScansDecideAlike.
+// alike: see TestIncrementalScanEqualsFullScan.
 func TestTicksWorkOnActiveNodes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -84,7 +84,7 @@
 	paced := n.limit.value < 1 || r.valueShare < 1 && n.congested(s.minObjective)
 	free = free && !(paced && n.isPaced(s.now, r.valueShare))
 	n.limit.reached = n.limit.reached || !free
-	return free && s.now >= n.health.restUntil
+	return free && s.now >= n.health.backoffUntil
 }
 
 // congested tells whether even the quickest of a node's recent answers are slow: a queue stands there.
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -292,8 +292,8 @@
 	})
 }
 
-// The decisions are those that were recorded: a change that is meant to leave them alone does. Without the
-// balancer they are those of the version before it.
+// Golden test: the decisions of simulated days equal the recorded ones. Record them anew (-record) only for a change
+// that is meant to alter decisions. decisions.txt is with the balancer off.
 func TestDecisions(t *testing.T) {
 	for name, balancerDisabled := range map[string]bool{"decisions.txt": true, "decisions-balanced.txt": false} {
 		count := seedCount()
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -87,6 +87,8 @@
 	}
 }
 
+// addNode adds a node that was not listed before. One of the first list is taken for warm, any later one has
+// just started.
 func (s *Scheduler) addNode(endpoint Endpoint, first bool) *node {
 	n := &node{sequence: s.nodes.seen}
 	n.limit.value = limitInitial
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is something that a Scheduler is told.
+// Event is something that a Scheduler receives.
 type Event interface{ event() }
 
 // Request is a client's request, which is owed one final answer.
@@ -17,16 +17,17 @@
 	Shard     int  // that holds the data, -1 for a new object
 	Brokers   int  // through which the volume's requests come
 	Retry     bool // the client says that it asked before
-	Write     bool
+	Write     bool // no rule reads it
 }
 
 // TimerFired says that a timer, set by SetTimer, is due.
 type TimerFired struct{ Token uint64 }
 
-// ClientGone says that a request is over because its client left.
+// ClientGone says that a request needs no final answer of the scheduler any more: its client left, or the
+// owner answered it, as at its deadline and on shutdown.
 type ClientGone struct{ ID uint64 }
 
-// HealthCheckResult is the result of a HealthCheck.
+// HealthCheckResult is the result of a HealthCheck. No rule asks for one, and Reduce ignores it.
 type HealthCheckResult struct {
 	Node    string
 	Latency time.Duration
@@ -47,10 +48,10 @@
 	Node            string
 	Outcome         Outcome
 	Latency         time.Duration
-	Finished        bool    // the request is over; if unset the final answer is still owed
-	RateUsed        int     // 1 + percent of the plan's rate served in a past period, 0 for unknown
-	ServedElsewhere float64 // units that the shard served the volume through other brokers meanwhile
-	Load            LoadReport
+	Finished        bool       // the request is over; if unset the final answer is still owed
+	RateUsed        int        // 1 + percent of the plan's rate served, 0 for unknown; no rule reads it
+	ServedElsewhere float64    // units of the volume through other brokers; no rule reads it
+	Load            LoadReport // no rule reads it
 }
 
 // ResponseStarted says that a streamed response has begun; its attempt now belongs to the client.
@@ -64,7 +65,7 @@
 // EndpointUpdate is a watch event of the endpoint list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
-	Version   uint64
+	Version   uint64 // no rule reads it
 	Endpoints []Endpoint
 }
 
@@ -112,7 +113,7 @@
 type Endpoint struct {
 	Name      string // of the node
 	Zone      string
-	Kind      string
+	Kind      string // no rule reads it
 	Shard     int
 	State     NodeState
 	Weight    float64
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -11,24 +11,25 @@
 	// may say nothing before it counts as unresponsive. Higher, requests pile up at a dead node for longer;
 	// lower, a pause of a sound node takes it out of the capacity that tokens are granted from.
 	unresponsiveObjectives = 3.0
-	// faultsToRest is how many connections in a row must break before the node rests. Higher, a node that
-	// closes all of them is asked for longer; lower, one lost answer among good ones makes the requests of
-	// its shard wait.
-	faultsToRest = 2
+	// faultsToBackOff is how many connections in a row must break before the node backs off. Higher, a node
+	// that closes all of them is asked for longer; lower, one lost answer among good ones makes the requests
+	// of its shard wait.
+	faultsToBackOff = 2
 )
 
 // nodeHealth is what a node's outcomes show of it.
 type nodeHealth struct {
 	lastAnswer          Time          // of any kind
 	waitingSince        Time          // the last outcome, or a later forward with nothing in flight
-	restUntil           Time          // nothing is forwarded before: it rejected attempts
-	restPeriod          time.Duration // doubles with each fault up to the smallest latency objective
+	backoffUntil        Time          // nothing is forwarded before: it rejected attempts
+	backoff             time.Duration // doubles with each fault up to the smallest latency objective
 	faults              int           // since the last success
 	canceledSinceAnswer bool          // a late attempt was canceled since the last success
 }
 
 // unresponsive tells whether a node with attempts in flight has said nothing for long, be it dead, cut off or
-// stuck.
+// stuck. It holds for any shard and ends with the node's next outcome. balancer.Replica.Unresponsive is
+// another state: the replica was silent while others of its shard answered, and its trials end that.
 func (n *node) unresponsive(now Time, objective time.Duration) bool {
 	if len(n.attempts) == 0 {
 		return false
@@ -68,7 +69,7 @@
 	}
 	n.latency.answers++
 	n.latency.sum += latency.Seconds()
-	n.health.restPeriod = 0
+	n.health.backoff = 0
 	n.health.canceledSinceAnswer = false
 	n.health.faults = 0
 	for _, other := range n.attempts {
@@ -98,17 +99,17 @@
 	}
 }
 
-// recordFault has a node rest that rejected an attempt, can't be reached, or broke connections repeatedly.
+// recordFault has a node back off that rejected an attempt, can't be reached, or broke connections in a row.
 // An error that the node answers with is no fault in this sense: a shard may have no other node, and what
-// waits while that one rests is given up.
+// waits while that one backs off is given up.
 func (s *Scheduler) recordFault(n *node, outcome Outcome) {
 	n.health.faults++
-	if n.health.faults < faultsToRest && outcome == ConnectionBroken {
+	if n.health.faults < faultsToBackOff && outcome == ConnectionBroken {
 		return
 	}
 	n.limit.value = max(min(1, n.limit.value), n.limit.value*limitDecrease)
-	n.health.restPeriod = min(max(2*n.health.restPeriod, s.tickPeriod), s.minObjective)
-	n.health.restUntil = s.now + n.health.restPeriod
+	n.health.backoff = min(max(2*n.health.backoff, s.tickPeriod), s.minObjective)
+	n.health.backoffUntil = s.now + n.health.backoff
 }
 
 // reportToBalancer tells the shard's balancer what an outcome shows of its node.
@@ -139,5 +140,5 @@
 // reportUnresponsive tells the balancer of a node's shard that it said nothing while others answered.
 func (s *Scheduler) reportUnresponsive(n *node) {
 	n.shard.balancer.RecordUnresponsive(s.now, n.replica)
-	s.log(messageUnresponsivePeer, slog.String("node", n.Name), slog.Int("shard", n.Shard))
+	s.log(messageUnresponsiveReplica, slog.String("node", n.Name), slog.Int("shard", n.Shard))
 }
--- a/scheduler/log.go
+++ b/scheduler/log.go
@@ -10,15 +10,17 @@
 // The messages of log lines. They are fixed, since the limit counts by message; what differs is in the
 // attributes.
 const (
-	messageUnknownClass     = "unknown class or plan"
-	messageAttemptLost      = "attempt lost"
-	messageUnresponsive     = "node unresponsive"
-	messageUnresponsivePeer = "node unresponsive while others of its shard answer"
-	messageUpdateFailed     = "endpoint update failed"
-	messageNodeLeaves       = "node leaves"
+	messageUnknownClass        = "unknown class or plan"
+	messageAttemptLost         = "attempt lost"
+	messageUnresponsive        = "node unresponsive"
+	messageUnresponsiveReplica = "node unresponsive while others of its shard answer"
+	messageUpdateFailed        = "endpoint update failed"
+	messageNodeLeaves          = "node leaves"
 )
 
-// logLimiter bounds log lines: a message is written at most once in logIntervalTicks.
+// logLimiter bounds log lines: a message is written at most once in logIntervalTicks. The budget is one
+// for all nodes: a line on a second node that fails within the interval is dropped. What is dropped here is
+// not counted: the key `left_out` of log lines counts only what internal/logging drops.
 type logLimiter struct {
 	lastTick map[string]int // tick of the last line, by message
 }
--- a/scheduler/nodes_test.go
+++ b/scheduler/nodes_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// The discovery fails for 20 s. Each failed list once started one more chain of timers, and the list was
-// asked for ever more often.
+// The discovery fails for 20 s. One timer asks for the list again: a chain of timers for each failed list would
+// ask ever more often.
 func TestFailedListsKeepOneTimer(t *testing.T) {
 	settings := basicSettings()
 	settings.Subscribe = true
@@ -42,7 +42,7 @@
 	}
 }
 
-// An attempt gets no answer. It once held its slot up to the deadline, so that the requests behind it were
+// An attempt gets no answer. Its slot is free again before its deadline: else the requests behind it would be
 // given up.
 func TestLostAttemptsGiveTheirSlotsBack(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
@@ -63,7 +63,7 @@
 	}
 }
 
-// A node that has just started once stood idle behind its slow-start budget though it served all that it got.
+// A node that has just started gets as much as it serves: it must not stand idle behind its slow-start budget.
 func TestStartingNodeGetsWhatItServes(t *testing.T) {
 	settings := basicSettings()
 	settings.SlowStartUnits = 8
@@ -88,8 +88,8 @@
 	}
 }
 
-// After many restarts all new objects once went to the few nodes that had not restarted: a starting node
-// takes what it surely bears.
+// A starting node gets the new objects that it surely bears: else, after many restarts, all would go to the few
+// nodes that had not restarted.
 func TestStartingNodesGetNewObjects(t *testing.T) {
 	settings := basicSettings()
 	settings.SlowStartUnits = 40
@@ -112,7 +112,7 @@
 	}
 }
 
-// Brokers that know nothing of the nodes once all put their new objects on the first.
+// Brokers that know nothing of the nodes spread their new objects: they must not all choose the first node.
 func TestBrokersSpreadNewObjects(t *testing.T) {
 	var endpoints []scheduler.Endpoint
 	for i := range 40 {
@@ -151,8 +151,8 @@
 	return count
 }
 
-// A node is slow and many brokers use it. One attempt of each once buried it under a hundred requests, and
-// held the queue at every node just under a latency objective.
+// A node is slow and many brokers use it. They pace their forwards to it: one attempt of each would bury it under a
+// hundred requests, and hold the queue at every node just under a latency objective.
 func TestManyBrokersPaceTheirForwardsToACongestedNode(t *testing.T) {
 	for _, latency := range []time.Duration{400 * ms, 200 * ms} {
 		t.Run(latency.String(), func(t *testing.T) {
@@ -164,15 +164,15 @@
 	}
 }
 
-// A sound node that pauses now and then, or puts off work, was once taken for a congested one.
+// A sound node that pauses now and then, or puts off work, is not taken for a congested one.
 func TestSlowAnswersAmongQuickOnesAreNoCongestion(t *testing.T) {
 	if count := forwardsOf(t, 100, "high", 20*ms, 200*ms, 200*ms); count < 12 {
 		t.Errorf("%d of 12 requests go to a node that pauses", count)
 	}
 }
 
-// Requests beyond the reserved rate at one broker once took the slots of reserved ones at others: they yield
-// while a queue stands at the node, reserved ones do not.
+// Requests beyond the reserved rate yield while a queue stands at the node, reserved ones do not: else those at one
+// broker would take the slots of reserved ones at others.
 func TestUnreservedRequestsYieldAtACongestedNode(t *testing.T) {
 	reserved, unreserved := forwardsOf(t, 4, "high", 200*ms), forwardsOf(t, 4, "low", 200*ms)
 	if reserved < 12 || unreserved > 8 {
@@ -183,8 +183,8 @@
 	}
 }
 
-// A broker with few requests once took a node for congested long after it had recovered, and rejected at
-// once.
+// A broker with few requests takes a node for congested for a while only: else it would reject at once long after
+// the node had recovered.
 func TestCongestionFades(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 100
@@ -206,8 +206,8 @@
 	}
 }
 
-// An attempt that is only late was once canceled and retried, twice the work for a congested node. One that
-// later attempts overtook is canceled.
+// An attempt that later attempts overtook is canceled and retried; one that is only late is not, which would be
+// twice the work for a congested node.
 func TestLateAttemptsAreRetriedOnlyIfOvertaken(t *testing.T) {
 	settings := basicSettings()
 	settings.Classes[0].LatencyObjective = 400 * ms
@@ -254,8 +254,8 @@
 	return d.takeActions()
 }
 
-// Congested nodes once worked mostly at what was late already, and did half of what they could. At a quick
-// node a late answer is still waited for.
+// At a congested node late attempts are canceled: else it works mostly at what is late already, and does half of what
+// it could. At a quick node a late answer is still waited for.
 func TestLateAttemptsAreCanceledAtACongestedNode(t *testing.T) {
 	if quick := actionsOfLateAttempt(t, 20*ms); hasAction[scheduler.Cancel](quick) {
 		t.Errorf("canceled at a quick node: %v", quick)
@@ -267,8 +267,8 @@
 }
 
 // A lost or broken answer now and then says nothing of a node's capacity: its next request is forwarded at
-// once. After two in a row the node rests, and a success clears the count. Errors that a node answers with
-// never have it rest: it answers, and no other node holds its shard.
+// once. After two in a row the node backs off, and a success clears the count. Errors that a node answers with
+// never have it back off: it answers, and no other node holds its shard.
 func TestOneBrokenConnectionDoesNotRestANode(t *testing.T) {
 	for _, outcome := range []scheduler.Outcome{scheduler.ConnectionBroken, scheduler.Failure} {
 		t.Run(fmt.Sprint("outcome=", outcome), func(t *testing.T) {
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -20,7 +20,7 @@
 	start := s.rng.IntN(max(1, len(nodes)))
 	for i := 0; i < len(nodes) && choices > 0; i++ {
 		n := nodes[(start+i)%len(nodes)]
-		sound := n.state == Ready && !n.unresponsive(s.now, s.minObjective) && s.now >= n.health.restUntil
+		sound := n.state == Ready && !n.unresponsive(s.now, s.minObjective) && s.now >= n.health.backoffUntil
 		if !sound || !inScope(r, n) || !s.slowStartAllows(n, r.Units) {
 			continue
 		}
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// The files of the decision module are read aloud after outages, so their size is bounded: lines that are not
+// The files of this package hold the decisions (`policy` in deploy/balancer.toml). They are read aloud after outages,
+// so their size is bounded: lines that are not
 // blank, and characters with a tab as four. The operators have lifted the limit on the lines of the module as a
 // whole, so their sum is not bounded.
 const (
@@ -18,8 +19,8 @@
 	maxWidth = 110
 )
 
-func TestPolicyFilesStayShort(t *testing.T) {
-	for _, path := range policyFiles(t) {
+func TestDecisionFilesStayShort(t *testing.T) {
+	for _, path := range decisionFiles(t) {
 		data, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
@@ -41,7 +42,7 @@
 
 // The deploy file names the files that hold the decisions; a file left out would be changed without being
 // seen as policy.
-func TestDeployFileNamesPolicy(t *testing.T) {
+func TestDeployFileNamesDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +52,7 @@
 		t.Fatal("deploy/balancer.toml has no policy")
 	}
 	var want []string
-	for _, path := range policyFiles(t) {
+	for _, path := range decisionFiles(t) {
 		want = append(want, fmt.Sprintf("%q", "scheduler/"+path))
 	}
 	named := strings.Split(line[1], ", ")
@@ -61,8 +62,8 @@
 	}
 }
 
-// policyFiles is the files of the decision module, sorted.
-func policyFiles(t *testing.T) []string {
+// decisionFiles is the files of the decision module, sorted.
+func decisionFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	if err != nil {
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -144,10 +144,10 @@
 }
 
 // isSaturated tells whether none of the shard's nodes may take anything now: each has in flight what its
-// limit allows, rests, or is paced and got something too lately even for a request of the highest value.
+// limit allows, backs off, or is paced and got something too lately even for a request of the highest value.
 func (s *Scheduler) isSaturated(sh *shard) bool {
 	return !slices.ContainsFunc(sh.nodes, func(n *node) bool {
-		if n.state != Ready || s.now < n.health.restUntil || !n.hasFreeSlot() {
+		if n.state != Ready || s.now < n.health.backoffUntil || !n.hasFreeSlot() {
 			return false
 		}
 		return n.limit.value >= 1 || !n.isPaced(s.now, s.settings.maxValueShare())
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -13,7 +13,7 @@
 // A scan that passes by what cannot have changed decides as one of all that is queued, in queues that volumes
 // without tokens fill, with arrivals that are due earlier and later than what waits, and clients that leave
 // from the middle.
-func TestScansDecideAlike(t *testing.T) {
+func TestIncrementalScanEqualsFullScan(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		m := newSimulation(t, queueSettings(), seed)
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -77,6 +77,7 @@
 }
 
 // onAttemptEnded takes the outcome of an attempt: the request is over, is retried, or gets its final answer.
+// TimedOut is never retried: it means that the client's own time is up.
 func (s *Scheduler) onAttemptEnded(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || r.inFlightAt == nil || r.inFlightAt.Name != e.Node || e.Attempt != r.attempts-1 {
@@ -99,7 +100,7 @@
 		r.volume.quota.Settle(r.ID)
 	}
 	if r.keyQueue != nil && e.Outcome.mayStillRun() {
-		r.keyQueue.quietUntil = s.now + s.settings.Rules.QuietPeriod + 1
+		r.keyQueue.quietUntil = s.now + s.settings.Rules.QuietPeriod + 1 // past its end, not at it
 	}
 	switch {
 	case e.Finished || r.answered || e.Outcome == Success:
--- a/scheduler/scan.go
+++ b/scheduler/scan.go
@@ -10,7 +10,7 @@
 const (
 	paidPass      = iota // requests whose volume has the tokens
 	overdraftPass        // and those whose volume goes into overdraft
-	shedPass             // and those that were shed
+	lastPass             // and those that were deprioritized
 	passes
 )
 
@@ -122,7 +122,7 @@
 	for scan.pass = range passes {
 		scan.beginPass()
 		for r := scan.current(); r != nil; r = scan.current() {
-			if r.shed != (scan.pass == shedPass) || !s.mayForward(r, scan.pass > paidPass) {
+			if r.deprioritized != (scan.pass == lastPass) || !s.mayForward(r, scan.pass > paidPass) {
 				scan.skipUnpaid(r)
 			} else if n := s.selectNode(sh, r); n != nil {
 				sh.dequeue(r)
@@ -219,11 +219,11 @@
 }
 
 // finishScan notes a scan of a shard that had so many requests before: one that moved something is followed
-// by another, as is one beside a resting node.
+// by another, as is one of a shard with a node that backs off.
 func (s *Scheduler) finishScan(sh *shard, before int) {
 	clear(sh.unscanned)
 	sh.unscanned = sh.unscanned[:0]
-	resting := func(n *node) bool { return s.now < n.health.restUntil }
-	sh.changed = len(sh.queue) != before || slices.ContainsFunc(sh.nodes, resting)
+	backingOff := func(n *node) bool { return s.now < n.health.backoffUntil }
+	sh.changed = len(sh.queue) != before || slices.ContainsFunc(sh.nodes, backingOff)
 	s.summarize(sh)
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -39,7 +39,7 @@
 	nodes     nodeTable
 	shards    shardTable
 	scans     scanSchedule
-	shedding  lowestValueFirst // memory for shedLoad
+	kept      lowestValueFirst // memory for deprioritizeLate
 
 	demand    demandAggregator
 	budget    retryBudget
@@ -65,7 +65,7 @@
 
 	queuedAt      *shard // nil while it is not queued
 	timeDependent bool   // while it is queued, time alone may make it forwardable
-	shed          bool   // not all that is queued can be in time, and this one is worth least
+	deprioritized bool   // not all that is queued can be in time, and this one is worth least
 
 	valueShare float64 // part of its value that its volume still earns, 0 to 1
 	value      float64 // of a unit, by class, plan and valueShare
@@ -130,16 +130,16 @@
 // Classes returns the classes of requests that it knows.
 func (s *Scheduler) Classes() []Class { return s.settings.Classes }
 
-// Nodes counts the listed nodes, and those of them that get nothing now: draining, unresponsive, or resting
-// for long.
+// Nodes counts the listed nodes, and those of them that are avoided: draining, unresponsive (one
+// attempt at a time) or backing off for a whole objective.
 func (s *Scheduler) Nodes() (listed, avoided int) {
 	for _, n := range s.nodes.list {
 		if n.state == Removed {
 			continue
 		}
 		listed++
-		resting := s.now < n.health.restUntil && n.health.restPeriod >= s.minObjective
-		if n.state != Ready || n.unresponsive(s.now, s.minObjective) || resting {
+		backingOff := s.now < n.health.backoffUntil && n.health.backoff >= s.minObjective
+		if n.state != Ready || n.unresponsive(s.now, s.minObjective) || backingOff {
 			avoided++
 		}
 	}
@@ -168,7 +168,7 @@
 func (s *Scheduler) handle(event Event) {
 	switch e := event.(type) {
 	case Request:
-		s.admit(e)
+		s.handleArrival(e)
 	case AttemptEnded:
 		s.onAttemptEnded(e)
 	case ResponseStarted:
@@ -220,7 +220,7 @@
 	}
 	s.retireNodes()
 	for _, sh := range s.scans.queued {
-		s.shedLoad(sh)
+		s.deprioritizeLate(sh)
 	}
 	s.budget.trim(s.now, s.settings.Rules.RetryBudgetWindow)
 	s.forget()
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -79,6 +79,7 @@
 	}
 	if sh.balancer == nil {
 		options := s.settings.Balancer
+		// A broker without a name: its ordinal as one character. Decisions depend on its hash.
 		options.Name = cmp.Or(options.Name, string(rune(s.settings.Ordinal)))
 		options.Ordinal = s.settings.Ordinal
 		options.Brokers = s.settings.Brokers
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -11,7 +11,7 @@
 // Time is a point on the caller's clock, counted from any fixed start.
 type Time = time.Duration
 
-// Settings is what a Scheduler is told when it starts, and again by SettingsChanged. The zero value of a
+// Settings is what a Scheduler receives when it starts, and again by SettingsChanged. The zero value of a
 // field means that the deployment has no such thing: no limit, no load reports, no peers.
 type Settings struct {
 	Brokers        int    // in the tier, this one included
@@ -25,7 +25,7 @@
 	MeanUnits      float64       // mean size of a request
 	MaxUnits       float64       // largest size of a request
 	SlowStartUnits float64       // what a starting node bears from all brokers within an OverloadWindow
-	MeterPeriod    time.Duration // period of the meter behind AttemptEnded.RateUsed, 0 for none
+	MeterPeriod    time.Duration // of the meter of AttemptEnded.RateUsed, 0 for none; no rule reads it
 	ShareWeight    float64       // part of the value earned beyond the reserved rate, inside the normal rate
 	SpareWeight    float64       // part of the value earned beyond both
 	Balancer       balancer.Options
@@ -96,15 +96,15 @@
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // an answer within it earns its full value
-	ObjectiveStretch float64       // further objective, as a multiple of the request's work
+	ObjectiveStretch float64       // further objective, a multiple of the work; no rule reads it
 	Deadline         time.Duration // how long the client waits over all its attempts
 	PriorityWeight   float64       // value of a unit answered in time
-	LateWeight       float64       // part of the value earned after the objective
+	LateWeight       float64       // part of the value earned after the objective; no rule reads it
 	Idempotency      Idempotency
 	Scope            Scope
 	DedupWindow      time.Duration // how long repeats of an idempotency key are dropped
 	Ordered          bool          // requests with one key run in the order of arrival
-	Stream           bool          // the answer is streamed
+	Stream           bool          // the answer is streamed; no rule reads it
 }
 
 // Plan is the contract of a volume. Rates are units a second over all brokers and nodes.
@@ -115,7 +115,7 @@
 	Limit          float64 // rate limit, 0 for none
 	LimitBurst     float64 // units that the limit's store holds
 	LimitOverdraft float64 // units that the store may fall below zero
-	Weight         float64
+	Weight         float64 // no rule reads it, Validate alone checks it
 	Price          float64 // multiplies the value
 }
 
@@ -126,20 +126,20 @@
 	RetryAfter     bool          // clients are told when to come back
 	Cancel         bool          // attempts may be canceled
 	Peers          bool          // brokers exchange messages
-	HealthChecks   bool
-	HedgedRequests bool // two attempts of a request may be in flight at once
+	HealthChecks   bool          // no rule reads it
+	HedgedRequests bool          // two attempts of a request may be in flight at once; no rule reads it
 }
 
 // Rules holds the figures of the rules that no run may break.
 type Rules struct {
-	AnswerSlack       time.Duration // by which a final answer may come after the deadline
-	DrainGrace        time.Duration // in which forwards to a draining node must end
+	AnswerSlack       time.Duration // by which a final answer may be late; no rule reads it
+	DrainGrace        time.Duration // in which its forwards end; internal/discovery's, no rule reads it here
 	WarmUpTime        time.Duration // a node that has started is warm after this
 	InitialCapacity   float64       // part of its capacity that it starts with, at least
 	OverloadWindow    time.Duration // a node goes down that gets too much within it; 0 for no such rule
 	OverloadMultiple  float64       // too much, as a multiple of its present capacity
 	PollDeadline      time.Duration // the endpoint list must be asked for within it
-	QuietPeriod       time.Duration // rest of a key after an attempt that may still run
+	QuietPeriod       time.Duration // pause of a key after an attempt that may still run
 	RetryBudgetMin    float64       // retries that need no request
 	RetryBudgetRatio  float64       // retries for each request
 	RetryBudgetWindow time.Duration // 0 where no budget holds
