--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 func emptyEnvironment(string) string { return "" }
 
 // Each section of the platform's file reaches its place, and what it leaves out has its default.
-func TestParse(t *testing.T) {
+func TestEachSectionIsRead(t *testing.T) {
 	c, err := Parse([]byte(configText), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -66,7 +66,7 @@
 }
 
 // What a command leaves out comes from its class, and the rest from defaults.
-func TestSite(t *testing.T) {
+func TestSiteDefaultsComeFromClasses(t *testing.T) {
 	site, err := loadSite(t, siteText)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -51,7 +51,7 @@
 }
 
 // Each connection carries one line and gets one answer, whatever the line.
-func TestAnswers(t *testing.T) {
+func TestEachLineGetsOneAnswer(t *testing.T) {
 	var accepting atomic.Bool
 	s := startServer(t, Handlers{
 		Check: func() error {
@@ -99,7 +99,7 @@
 
 // Callers hold more connections than the server keeps, without a whole call, and one call panics. The oldest
 // connections are closed, and a whole call is answered all the same.
-func TestHeldConnections(t *testing.T) {
+func TestHeldConnectionsAreEvicted(t *testing.T) {
 	s := startServer(t, Handlers{Check: func() error { return nil }, Vars: func() []byte { panic("fault") }})
 	var held []net.Conn
 	for range 3 * maxConnections {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -170,7 +170,7 @@
 
 // Where the list of sockets cannot be read, another process counts while one may run: from the start on after
 // one that listened before, and from SIGTERM on.
-func TestOtherMayRun(t *testing.T) {
+func TestOtherProcessCountsWhileItMayRun(t *testing.T) {
 	for _, c := range []struct {
 		presence presence
 		want     bool
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -157,7 +157,7 @@
 }
 
 // The file in deploy fits settings like the platform's.
-func TestSiteFile(t *testing.T) {
+func TestDeployedSiteFileIsValid(t *testing.T) {
 	const moreClasses = `"importance":1},` +
 		`{"name":"record-write","aim":200000,"deadline":1200000,"effect":"unsafe"},` +
 		`{"name":"bulk-export","aim":750000,"deadline":2500000,"effect":"safe"}]`
--- a/internal/daemon/subsystems_test.go
+++ b/internal/daemon/subsystems_test.go
@@ -9,7 +9,7 @@
 
 // The second of three subsystems cannot start. The third is not started; all are stopped, the last one first, since
 // their constructors have been called.
-func TestSubsystems(t *testing.T) {
+func TestFailedStartStopsAllSubsystems(t *testing.T) {
 	var calls []string
 	errPort := errors.New("port in use")
 	part := func(name string, err error) subsystem {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -54,7 +54,7 @@
 
 // The watch goes on from the last version, also where the service is overloaded, and after a lost poll begins with
 // the full list. A poll that is cut on a connection used before is sent again by the client of net/http itself.
-func TestWatch(t *testing.T) {
+func TestWatchGoesOnFromTheLastVersion(t *testing.T) {
 	service := newScriptedService(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -99,7 +99,7 @@
 }
 
 // All brokers poll one overloaded service. Each polls less and less often, so that the service can recover.
-func TestBackoff(t *testing.T) {
+func TestFailedPollsBackOff(t *testing.T) {
 	polls := make(chan struct{}, 1000)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		polls <- struct{}{}
--- a/internal/dnssrv/mapping_test.go
+++ b/internal/dnssrv/mapping_test.go
@@ -8,7 +8,7 @@
 )
 
 // TXT strings override the pattern, which overrides the defaults.
-func TestMapping(t *testing.T) {
+func TestTXTOverridesPattern(t *testing.T) {
 	mapping := Mapping{
 		Pattern: regexp.MustCompile(`^s(?P<shard>\d+)-(?P<zone>[a-z])\.`),
 		UseTXT:  true,
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -116,7 +116,7 @@
 }
 
 // Five hundred records do not fit into a datagram.
-func TestManyRecords(t *testing.T) {
+func TestLargeAnswerIsReadWhole(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 30, testNames(500)...)
 	got, err := newTestResolver(t, server).Lookup(context.Background(), service, false)
@@ -125,7 +125,7 @@
 
 // Addresses and texts that do not come with the SRV records are asked for and cached. When the server falls silent
 // they serve on past their lifetime, but not for hours.
-func TestCache(t *testing.T) {
+func TestCachedAnswersOutliveASilentServer(t *testing.T) {
 	server := startServer(t)
 	server.OmitAdditional()
 	server.Set(service, 30, testNames(10)...)
@@ -161,7 +161,7 @@
 }
 
 // Lifetimes are kept within the options.
-func TestLifetimes(t *testing.T) {
+func TestTTLIsKeptWithinOptions(t *testing.T) {
 	server := startServer(t)
 	resolver := newTestResolver(t, server)
 	for ttl, want := range map[uint32]time.Duration{0: time.Second, 7: 7 * time.Second, 7 * 86400: time.Minute} {
@@ -174,7 +174,7 @@
 }
 
 // Aliases are followed a bounded way.
-func TestAliases(t *testing.T) {
+func TestAliasChainsAreBounded(t *testing.T) {
 	server := startServer(t)
 	resolver := newTestResolver(t, server)
 	server.Set(service, 7, testNames(2)...)
@@ -191,7 +191,7 @@
 }
 
 // The bound on queries holds for the process, whatever is asked.
-func TestRate(t *testing.T) {
+func TestQueryRateIsBounded(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 1, testNames(1)...)
 	resolver := newTestResolver(t, server)
--- a/internal/dnssrv/watcher_test.go
+++ b/internal/dnssrv/watcher_test.go
@@ -32,7 +32,7 @@
 // A list gets shorter, a target loses its address, the server falls silent, and then there are no records. The
 // watcher passes on each list, an empty one where there is no record, and failures; the target without an address
 // stays.
-func TestWatch(t *testing.T) {
+func TestWatcherPassesOnListsAndFailures(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 1, testNames(3)...)
 	watcher := &Watcher{
--- a/internal/members/console_test.go
+++ b/internal/members/console_test.go
@@ -10,7 +10,7 @@
 )
 
 // The console's answer and the metrics of a source are read by people and dashboards: their names stay.
-func TestConsoleNames(t *testing.T) {
+func TestConsoleAndMetricNamesStay(t *testing.T) {
 	c := newCore(t)
 	if text := string(c.members.Table()); text != "discovery alone is followed\n" {
 		t.Errorf("without settings: %q", text)
--- a/internal/members/snapshot_test.go
+++ b/internal/members/snapshot_test.go
@@ -97,6 +97,8 @@
 	}
 }
 
+// A broker starts for the first time, without a snapshot; or the snapshot's directory is missing. Both are errors, and
+// the first can be told from the others.
 func TestSnapshotErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
 	if _, err := readSnapshot(path); !errors.Is(err, os.ErrNotExist) {
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -10,6 +10,7 @@
 	"junctionwharf/broker"
 )
 
+// Exchanges follow each other on one connection.
 func TestConnectionIsReused(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
--- a/internal/sftp/mapping_test.go
+++ b/internal/sftp/mapping_test.go
@@ -6,7 +6,9 @@
 	"junctionwharf/broker"
 )
 
-func TestMappingOfRequests(t *testing.T) {
+// A path under two prefixes belongs to the longer one's volume; a path under none has no volume and gets no request.
+// The units are those of the bytes, up to the most that a request may have.
+func TestRequestsGetVolumeAndUnitsOfTheirPath(t *testing.T) {
 	m := testMapping(t)
 	for _, test := range []struct {
 		op     operation
@@ -35,7 +37,7 @@
 }
 
 // Commands on one file keep their order only where that can be seen.
-func TestConflicts(t *testing.T) {
+func TestConflictingOperationsKeepTheirOrder(t *testing.T) {
 	read := func(at uint64) *operation { return &operation{command: Read, path: "/d/f", offset: at, length: 10} }
 	write := func(at uint64) *operation {
 		return &operation{command: Write, path: "/d/f", offset: at, data: make([]byte, 10)}
--- a/internal/sftp/packet_test.go
+++ b/internal/sftp/packet_test.go
@@ -85,6 +85,7 @@
 	}
 }
 
+// A client sees from the text of a status whether its command was rejected, and when to come again, or may have run.
 func TestEncodeResponse(t *testing.T) {
 	for want, response := range map[string]broker.Response{
 		"BUSY: come again after 151 ms":      {Verdict: broker.Rejected, RetryAfter: 150_001},
--- a/membership/options_test.go
+++ b/membership/options_test.go
@@ -7,7 +7,7 @@
 
 // Settings change in service, and there is no gap: what an ended source claimed stays until the new one has answered.
 // So it is with a state that began empty, and with one that was restored.
-func TestApplyOptions(t *testing.T) {
+func TestSourcesChangeWithoutAGap(t *testing.T) {
 	t.Run("empty at first", func(t *testing.T) {
 		s := newState(t, Options{})
 		s.Reduce(1*second, snapshot(discovery, 1, "a", "b"))
@@ -45,7 +45,7 @@
 }
 
 // A broker starts from a snapshot, which stands until all sources have answered.
-func TestRestore(t *testing.T) {
+func TestRestoredListStandsUntilAllAnswer(t *testing.T) {
 	checkRestore(t, newState(t, Options{}))
 }
 
@@ -69,7 +69,8 @@
 	}
 }
 
-func TestValidate(t *testing.T) {
+// Options with a fault are not taken, and the error names the option.
+func TestOptionFaultsNameTheOption(t *testing.T) {
 	adds := Permissions{Add: true}
 	for _, c := range []struct {
 		options Options
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -16,9 +16,9 @@
 	announced map[string]Node // by name, as the changes add up
 }
 
-// Whatever sources say in whatever order: no silence, failure or empty answer takes a node away; who removes is
-// obeyed at once; the changes add up to the list; and what is remembered stays bounded.
-func TestAnyOrder(t *testing.T) {
+// Property: whatever sources say in whatever order, no silence, failure or empty answer takes a node away; a removal by
+// a source that may remove counts at once; the changes add up to the list; and what is remembered stays bounded.
+func TestSilenceRemovesNothingAndRemovalsAreObeyed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, err := New(Options{Sources: []SourceOptions{
 			{Name: "a", Permissions: allPermissions},
--- a/membership/rules_test.go
+++ b/membership/rules_test.go
@@ -14,88 +14,90 @@
 	removeA = changes(discovery, 20e6, Entry{Name: "a", State: Removed})
 )
 
+// ruleScripts are named after the numbers in the package comment.
 var ruleScripts = map[string][]step{
-	"any source adds": {
+	"rule 2: any source adds": {
 		{1, snapshot(discovery, 1, "a"), "a"},
 		{2, snapshot(dns, 2, "b"), "a b"},
 	},
-	"failure takes nothing": {
+	"rule 2: failure takes nothing": {
 		{1, snapshot(dns, 1, "a", "b"), "a b"},
 		{2, SourceFailed{dns, "no answer"}, "a b"},
 		{3600, SourceFailed{dns, "no answer"}, "a b"},
 		{7200, nil, "a b"},
 	},
-	"nothing is never believed": {
+	"rule 5: an empty answer is never believed": {
 		{1, snapshot(dns, 1, "a"), "a"},
 		{2, snapshot(dns, 2), "a"},
 		{3600, snapshot(dns, 3600e6), "a"},
 	},
-	"removed from DNS alone": {
+	"rule 3: removed from DNS alone": {
 		{1, snapshot(discovery, 1, "a", "b"), "a b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
 		{4, snapshot(discovery, 4e6, "a", "b"), "b"},
 	},
-	"removed from discovery": {
+	"rule 3: removed from discovery": {
 		{1, snapshot(dns, 1, "a", "b"), "a b"},
 		{2, snapshot(discovery, 2e6, "a", "b"), "a b"},
 		{20, removeA, "b"},
 		{21, snapshot(dns, 21e6, "a", "b"), "b"},
 	},
-	"listed anew by the remover": {
+	"rule 3: listed anew by the remover": {
 		{1, snapshot(discovery, 1, "a", "b"), "a b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
 		{9, snapshot(dns, 9e6, "a", "b"), "a b"},
 	},
-	"listed anew by another": {
+	"rule 3: listed anew by another": {
 		{1, snapshot(discovery, 1, "b"), "b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
 		{4, snapshot(discovery, 4e6, "a", "b"), "a b"},
 	},
-	"a silent remover": {
+	"rule 3: a silent remover's removals expire": {
 		{1, snapshot(discovery, 1, "a", "b"), "a b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
 		{602, SourceFailed{dns, "x"}, "b"},
 		{604, nil, "a b"},
 	},
-	"draining": {
+	"rule 4: drained by one source": {
 		{1, snapshot(discovery, 1, "a"), "a"},
 		{2, snapshot(dns, 2, "a"), "a"},
 		{20, drainA, "a!"},
 		{21, snapshot(dns, 21e6, "a"), "a!"},
 		{22, snapshot(discovery, 22e6, "a"), "a"},
 	},
-	"a sudden loss is deferred": {
+	"rule 5: a sudden loss is deferred": {
 		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
 		{2, snapshot(dns, 2e6, "a"), "a b c d"},
 		{20, snapshot(dns, 20e6, "a"), "a b c d"},
 		{33, snapshot(dns, 33e6, "a"), "a"},
 	},
-	"a loss that was none": {
+	"rule 5: a loss that is taken back": {
 		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
 		{2, snapshot(dns, 2e6, "a"), "a b c d"},
 		{3, snapshot(dns, 3e6, "a", "b", "c", "d"), "a b c d"},
 		{40, snapshot(dns, 40e6, "a"), "a b c d"},
 	},
-	"one that leaves, at once": {
+	"rule 5: one that leaves is removed at once": {
 		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
 		{2, snapshot(dns, 2e6, "a", "b", "c"), "a b c"},
 	},
-	"named as removed, at once": {
+	"rule 5: one named as removed is removed at once": {
 		{1, snapshot(discovery, 1, "a", "b", "c"), "a b c"},
 		{20, removeA, "b c"},
 	},
-	"an older answer": {
+	"rule 6: an older answer is not taken": {
 		{1, snapshot(dns, 5e6, "a", "b"), "a b"},
 		{2, snapshot(dns, 4e6, "a"), "a b"},
 	},
 }
 
-// Each part of the rule, as a script.
-func TestRules(t *testing.T) {
+// Sources say something at each second of a script, and the list after it is what the rule of the package comment
+// asks for that gives the script its name.
+func TestRuleScripts(t *testing.T) {
 	for name, steps := range ruleScripts {
 		t.Run(name, func(t *testing.T) {
 			s := newState(t, Options{})
@@ -110,7 +112,7 @@
 }
 
 // Permissions bound what a source does: one that may only add neither removes nor drains what others claim.
-func TestPermissions(t *testing.T) {
+func TestPermissionsBoundASource(t *testing.T) {
 	const (
 		discovery Source = iota
 		file
@@ -136,7 +138,7 @@
 
 // One address is one node, under the first source's name; a name that moves is a new node, and the old one is removed
 // first.
-func TestNames(t *testing.T) {
+func TestAddressIsTheIdentityOfANode(t *testing.T) {
 	s := newState(t, Options{})
 	x := Entry{Name: "x.example.org", Address: "10.0.0.1:1", LastStart: UnknownStart}
 	y := Entry{Name: "y.example.org", Address: "10.0.0.2:1", LastStart: UnknownStart}
