--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -11,11 +11,11 @@
 	"junctionwharf/membership"
 )
 
-// The kinds of sources.
+// The kinds of sources, as the site file names them in EndpointSource.Kind.
 const (
-	kindDiscovery = "discovery"
-	kindDNS       = "dns"
-	kindFile      = "file"
+	SourceDiscovery = "discovery" // the platform's discovery service
+	SourceDNS       = "dns"       // SRV records
+	SourceFile      = "file"      // a file on this machine
 )
 
 // What a source may be allowed to do.
@@ -117,7 +117,7 @@
 		if err := source.complete(); err != nil {
 			return fmt.Errorf("source[%d].%w", i, err)
 		}
-		if source.Kind == kindDiscovery {
+		if source.Kind == SourceDiscovery {
 			discoveries++
 		}
 	}
@@ -143,11 +143,11 @@
 		return err
 	}
 	switch s.Kind {
-	case kindDiscovery:
+	case SourceDiscovery:
 		return nil
-	case kindDNS:
+	case SourceDNS:
 		return s.completeDNS()
-	case kindFile:
+	case SourceFile:
 		return s.checkFile()
 	}
 	return fmt.Errorf("kind: %q is neither \"discovery\", \"dns\" nor \"file\"", s.Kind)
--- a/internal/members/console_test.go
+++ b/internal/members/console_test.go
@@ -15,7 +15,7 @@
 	if text := string(c.members.Table()); text != "discovery alone is followed\n" {
 		t.Errorf("without settings: %q", text)
 	}
-	c.apply(config.Membership{Sources: []config.EndpointSource{{Name: "list", Kind: kindDiscovery}}})
+	c.apply(config.Membership{Sources: []config.EndpointSource{{Name: "list", Kind: config.SourceDiscovery}}})
 	c.members.HandleDiscovery(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{
 		{Endpoint: scheduler.Endpoint{Name: "n1", Zone: "z"}, Address: "192.0.2.1:1"},
 	}})
--- a/internal/members/harness_test.go
+++ b/internal/members/harness_test.go
@@ -153,7 +153,7 @@
 func dnsSource(d *fakes.DNS) config.EndpointSource {
 	return config.EndpointSource{
 		Name:        "dns",
-		Kind:        kindDNS,
+		Kind:        config.SourceDNS,
 		SRV:         service,
 		Resolvers:   []string{d.Address()},
 		TimeoutMS:   100,
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -14,13 +14,6 @@
 	"junctionwharf/scheduler"
 )
 
-// The kinds of sources, as the settings name them.
-const (
-	kindDiscovery = "discovery"
-	kindDNS       = "dns"
-	kindFile      = "file"
-)
-
 // The names under which what was listed before a restart stands among the sources, for the console.
 const (
 	sourceSnapshot = "snapshot" // from the snapshot file
@@ -65,7 +58,7 @@
 	m.settings = settings
 	m.stopSources(settings.Sources)
 	for _, s := range settings.Sources {
-		if _, runs := m.running[s.Name]; runs || s.Kind == kindDiscovery {
+		if _, runs := m.running[s.Name]; runs || s.Kind == config.SourceDiscovery {
 			continue
 		}
 		ctx, stop := context.WithCancel(context.Background())
@@ -157,7 +150,7 @@
 	defer m.mu.Unlock()
 	name := ""
 	for _, s := range m.settings.Sources {
-		if s.Kind == kindDiscovery {
+		if s.Kind == config.SourceDiscovery {
 			name = s.Name
 		}
 	}
--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -22,14 +22,14 @@
 // startSource asks a source from now on, until ctx ends.
 func (m *Members) startSource(ctx context.Context, s config.EndpointSource) error {
 	switch s.Kind {
-	case kindDNS:
+	case config.SourceDNS:
 		resolver, err := dnssrv.NewResolver(s.Resolver())
 		if err != nil {
 			return err
 		}
 		w := &dnssrv.Watcher{Resolver: resolver, Name: s.SRV, Mapping: s.Mapping()}
 		go w.Run(ctx, func(u dnssrv.Update) { m.handleDNS(ctx, s.Name, u) })
-	case kindFile:
+	case config.SourceFile:
 		go m.pollFile(ctx, s)
 	}
 	return nil
--- a/internal/members/sources_test.go
+++ b/internal/members/sources_test.go
@@ -68,7 +68,7 @@
 }
 
 func discoverySource() config.EndpointSource {
-	return config.EndpointSource{Name: "discovery", Kind: kindDiscovery}
+	return config.EndpointSource{Name: "discovery", Kind: config.SourceDiscovery}
 }
 
 // expectKept waits until a DNS fault was met, and checks that the list is as before.
@@ -142,7 +142,7 @@
 	c.awaitList("a b")
 	path := filepath.Join(t.TempDir(), "nodes.toml")
 	writeFile(t, path, fileOfF)
-	file := config.EndpointSource{Name: "file", Kind: kindFile, Path: path}
+	file := config.EndpointSource{Name: "file", Kind: config.SourceFile, Path: path}
 	c.apply(config.Membership{Sources: []config.EndpointSource{file}})
 	c.awaitList("f")
 	writeFile(t, path, fileOfFAndG)
