--- a/internal/agreement/status.go
+++ b/internal/agreement/status.go
@@ -13,6 +13,7 @@
 	roleFollower = "follower"
 )
 
+// microsPerMilli converts to the milliseconds of the console and of metrics.
 const microsPerMilli = 1000
 
 // Status is what a broker says of its part in the cluster configuration. The tags are its names on the console.
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -32,7 +32,6 @@
 
 // Controller returns the admission controller. maxOpenOverloaded is that of admission.Settings, 0 for none.
 func (a Admission) Controller(set scheduler.Settings, maxOpenOverloaded int) *admission.Controller {
-	const microsPerMilli = 1000
 	settings := admission.Settings{
 		TargetLag:         int64(a.LagMS * microsPerMilli),
 		MaxOpen:           a.MaxOpen,
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -59,7 +59,6 @@
 
 // Timing is the lease, and how far clocks may drift apart meanwhile.
 func (a Agreement) Timing() clusterconfig.Timing {
-	const microsPerMilli = 1000
 	lease := a.BoundMS * microsPerMilli / 2
 	return clusterconfig.Timing{Lease: int64(lease), DriftPPM: clusterconfig.DefaultTiming.DriftPPM}
 }
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -25,9 +25,6 @@
 	allowRemove = "remove"
 )
 
-// microsPerSecond converts the file's seconds to package membership's unit.
-const microsPerSecond = 1_000_000
-
 // Membership is where the list of storage nodes comes from. Without a source discovery alone is followed, and its
 // list is applied as it is.
 type Membership struct {
--- a/internal/daemon/lag.go
+++ b/internal/daemon/lag.go
@@ -43,8 +43,7 @@
 	if waits == 0 {
 		return 0
 	}
-	const microsPerSecond = 1e6
-	return broker.Micros(sum / float64(waits) * microsPerSecond)
+	return broker.Micros(sum / float64(waits) * float64(broker.Second))
 }
 
 // watchLag reports the scheduling lag to admission control, until ctx ends. Unless it is wanted always, it measures
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -37,6 +37,7 @@
 		MaxTimeout: defaultMaxTimeout,
 	}
 	if settings.Capabilities.RetryAfter && len(settings.Classes) > 0 {
+		// As scheduler.retryAfter has it for a request that it rejects: one client sees one rule.
 		shortest := slices.MinFunc(settings.Classes, func(a, b scheduler.Class) int {
 			return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
 		}).LatencyObjective
