--- a/internal/agreement/listener.go
+++ b/internal/agreement/listener.go
@@ -152,7 +152,8 @@
 	return w
 }
 
-// Why a broker is rejected. The texts are shown in the other broker's log.
+// Why a broker is rejected. The texts are in the other broker's log, at level debug; this broker logs those of
+// rejection, as "peer rejected", but none of childRejection.
 const (
 	rejectedOptions = "lease, limits or members are set differently here"
 	rejectedName    = "that name is not yours"
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -10,5 +10,5 @@
 // takes over what ApplyReload lists; RestartOnlyChanges names the rest.
 //
 // Units are in the names: _ms, _s, _mb and _bytes in the site file; the platform's settings count spans in
-// microseconds.
+// microseconds, and its memory_mb is in MiB.
 package config
--- a/internal/console/handlers.go
+++ b/internal/console/handlers.go
@@ -20,7 +20,7 @@
 	Agree func(call string) []byte // agree calls, which may take AgreementTimeout; nil for no such call
 }
 
-// answer is the whole answer to a call; readError is of one that did not come whole.
+// answer is the whole answer to a call; readError is of one that is incomplete.
 func (h Handlers) answer(call string, readError error) []byte {
 	switch {
 	case readError != nil:
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -36,7 +36,7 @@
 	exporter  *metricsexport.Exporter
 	console   *console.Server // nil if off
 
-	// What whoever builds on the control may set before it starts.
+	// Hooks, which newControl sets; newService replaces some before the start.
 	postEndpoints     func(broker.Event)             // lists of discovery and of other sources
 	handlePeerMessage func(broker.PeerMessage)       // datagrams of peers
 	initialEndpoints  func() *discovery.EndpointList // the list held before the start; nil for none
@@ -63,7 +63,7 @@
 	if k.peers != nil {
 		dependencies.SendToPeer = k.peers.Send
 	}
-	loop := &lateLoop{}
+	loop := &loopProxy{}
 	if err := k.joinAgreement(loop); err != nil {
 		k.closePeers()
 		return nil, err
@@ -92,9 +92,9 @@
 	return k, nil
 }
 
-// lateLoop stands for the loop before there is one: the exporter and the replicated configuration need it, and it
+// loopProxy stands for the loop before there is one: the exporter and the replicated configuration need it, and it
 // needs them.
-type lateLoop struct {
+type loopProxy struct {
 	*broker.Loop
 }
 
@@ -109,7 +109,7 @@
 }
 
 // joinAgreement listens for other brokers of the replicated configuration, if it is on.
-func (k *control) joinAgreement(loop *lateLoop) error {
+func (k *control) joinAgreement(loop *loopProxy) error {
 	settings := k.config.Site.Agreement
 	if !settings.Enabled() {
 		return nil
@@ -296,10 +296,10 @@
 	}
 }
 
-// errNothingToControl is of a process for control without the replicated configuration.
+// errNothingToControl is of a control process without the replicated configuration.
 var errNothingToControl = errors.New("agreement: no cluster and listen: a process for control has nothing else to do")
 
-// errSendsNothing is of an attempt in a process for control.
+// errSendsNothing is of an attempt in a control process.
 var errSendsNothing = errors.New("a process for control sends nothing")
 
 // ServeControl runs what a machine set aside for control does, until ctx ends: it votes on the replicated
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -16,5 +16,5 @@
 //
 // Goroutines: subsystems.go says who ends them. All but the caller of Serve end with the context that stop cancels.
 //
-// Units: durations are time.Duration, memory is in bytes, but for the configuration's megabytes.
+// Units: durations are time.Duration, memory is in bytes, but for the configuration's memory_mb, in MiB.
 package daemon
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -27,7 +27,7 @@
 type SyntheticLoad struct {
 	Rate         float64       `json:"Rate"`    // requests a second, each at its own time; 0 for none
 	Volumes      int           `json:"Volumes"` // drawn from evenly, the same ones at all brokers; at least 1
-	ResponseTime time.Duration `json:"Answer"`  // a node's, in the mean; exponential
+	ResponseTime time.Duration `json:"Answer"`  // of a node, in the mean; exponential
 	Seed         uint64        `json:"Seed"`
 }
 
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -41,7 +41,7 @@
 	failed    chan error     // gets the error of a server that ended by itself
 
 	coordinator     *handover.Coordinator   // nil if processes cannot connect
-	handoverOff     bool                    // another process may serve beside this one without a connection to it
+	handoverOff     bool                    // another process may serve at the same time without a connection to it
 	addressWasInUse bool                    // another process listened at the address before this one did
 	handedOver      *discovery.EndpointList // the list of the old process
 	accepting       atomic.Bool             // clients are accepted
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -25,7 +25,8 @@
 	sharedMaxBackoff    = 3 * time.Second
 
 	// notifiedAfter is when a change counts as notified, whatever became of the polls before: so long after the
-	// service had it and could be reached. The rules fix it; a node that drains gets nothing more from then on.
+	// service had it and could be reached. The platform's rule fixes it: a node that drains gets nothing more from
+	// notifiedAfter and the drain grace on.
 	notifiedAfter = 6 * time.Second
 	// maxJitter is the longest pause after a failed poll, against its mean. watch draws from half of the mean up to
 	// this.
@@ -64,7 +65,9 @@
 	maxBackoff time.Duration // the longest mean pause after a failed poll
 }
 
-// pollTimeouts guards the rule on drains; where it fails, a draining node still gets requests. What an agent on this
+// pollTimeouts guards the platform's rule on drains: a broker must have applied a drain notifiedAfter and the drain
+// grace after the service had it. Where it fails, a draining node still gets requests. The worst case is a lost poll, a
+// pause, another lost poll, another pause, and the answer that comes: lostAnswers and lostPauses. What an agent on this
 // machine has counts as notified, whether or not it answers: all that it got while it was silent from the moment of
 // its return, and what a poll that fell silent misses 2 s after that poll's hold. So a lost poll, the pause behind it
 // and the next poll together stay within the grace. For any service, a poll that was begun too soon and is lost, the
--- a/internal/members/console.go
+++ b/internal/members/console.go
@@ -31,8 +31,8 @@
 	textNeverAnswered = "never"
 )
 
-// healthWords are the console's words for a node's state.
-var healthWords = [...]string{
+// stateWords are the console's words for a node's state.
+var stateWords = [...]string{
 	membership.Ready:    "ready",
 	membership.Draining: "draining",
 	membership.Removed:  "gone",
@@ -86,7 +86,7 @@
 			up = fmt.Sprint((now - n.LastStart) / int64(broker.Second))
 		}
 		writeLine(table, fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%d\t%g\t%s\t%s\t%s", n.Name, n.Address, n.Shard, n.Zone,
-			healthWords[n.State], n.Priority, n.TrafficWeight, up, strings.Join(claimedBy[i], ","), n.Reason))
+			stateWords[n.State], n.Priority, n.TrafficWeight, up, strings.Join(claimedBy[i], ","), n.Reason))
 	}
 }
 
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -157,6 +157,14 @@
 	return name
 }
 
+// A node's state is converted by number between the core and package membership. Unless the numbers are the same these
+// indices are out of range, and the package does not compile.
+var (
+	_ = [1]struct{}{}[int(membership.Ready)-int(scheduler.Ready)]
+	_ = [1]struct{}{}[int(membership.Draining)-int(scheduler.Draining)]
+	_ = [1]struct{}{}[int(membership.Removed)-int(scheduler.Removed)]
+)
+
 func entriesOf(l broker.NodesListed) []membership.Entry {
 	var all []membership.Entry
 	for _, n := range l.Nodes {
@@ -167,7 +175,7 @@
 			Kind:      n.Kind,
 			Shard:     n.Shard,
 			Capacity:  n.Weight,
-			State:     membership.Health(n.State),
+			State:     membership.NodeState(n.State),
 			LastStart: int64(n.LastStart),
 		})
 	}
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -76,7 +76,7 @@
 		Zone:          n.Zone,
 		Kind:          n.Kind,
 		Shard:         n.Shard,
-		State:         membership.Health(n.State),
+		State:         membership.NodeState(n.State),
 		Capacity:      n.Capacity,
 		TrafficWeight: n.TrafficWeight,
 		Priority:      n.Priority,
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -55,9 +55,9 @@
 	return size
 }
 
-// Send writes a message. Once its first decisive bytes are written the attempt may have been executed, even if what
-// follows them is lost; 0 is for a message that executes nothing.
-func (e *Exchange) Send(message net.Buffers, decisive int) error {
+// Send writes a message. Once its first executableAfter bytes are written the node may execute the attempt, even if
+// what follows them is lost; 0 is for a message that executes nothing.
+func (e *Exchange) Send(message net.Buffers, executableAfter int) error {
 	e.writing.Lock()
 	defer e.writing.Unlock()
 	e.mu.Lock()
@@ -68,15 +68,15 @@
 		return errSendingStopped
 	}
 	written, err := message.WriteTo(conn)
-	e.recordWritten(written, decisive)
+	e.recordWritten(written, executableAfter)
 	return err
 }
 
 // recordWritten moves the progress on after a write.
-func (e *Exchange) recordWritten(written int64, decisive int) {
+func (e *Exchange) recordWritten(written int64, executableAfter int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if decisive > 0 && written >= int64(decisive) {
+	if executableAfter > 0 && written >= int64(executableAfter) {
 		if e.progress != broker.FullyWritten && e.onWritten != nil {
 			e.onWritten()
 		}
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -12,9 +12,9 @@
 	"junctionwharf/internal/logging"
 )
 
-// An exchange fails before it has a connection, before its decisive message, or after it. Its error says which, for
-// only what was fully written may have been executed. All parts share a pool of two connections, and none may keep a
-// slot: with two slots kept, the third would wait for ever.
+// An exchange fails before it has a connection, before the message that executes it, or after it. Its error says which,
+// for only what was fully written may have been executed. All parts share a pool of two connections, and none may keep
+// a slot: with two slots kept, the third would wait for ever.
 func TestErrorTellsProgress(t *testing.T) {
 	p := newUnhedgedPool(testOptions())
 	t.Run("not connected", func(t *testing.T) {
@@ -36,7 +36,7 @@
 		expectProgress(t, results, broker.FullyWritten)
 		expectNoSlots(t, p)
 	})
-	t.Run("before the decisive message", func(t *testing.T) {
+	t.Run("before the message that executes", func(t *testing.T) {
 		node := newTestNode(t)
 		_, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 			if err := e.Send(net.Buffers{[]byte(echoRequest)}, 0); err != nil {
@@ -64,15 +64,15 @@
 		t.Errorf("stopped %v", progress)
 	}
 	node.expectEnd(conn)
-	for decisive, want := range map[int]broker.Progress{
+	for executableAfter, want := range map[int]broker.Progress{
 		largeMessage: broker.PartiallyWritten,
 		0:            broker.PartiallyWritten,
 		1:            broker.FullyWritten,
 	} {
-		handle, _ = start(p, node.address, sendLarge(decisive))
+		handle, _ = start(p, node.address, sendLarge(executableAfter))
 		node.expectBytes(node.accept(), 1)
 		if progress := handle.Stop(); progress != want {
-			t.Errorf("stopped %v in the middle of a write of which %d bytes are decisive", progress, decisive)
+			t.Errorf("stopped %v in the middle of a write that executes after %d bytes", progress, executableAfter)
 		}
 	}
 	select {
--- a/internal/pool/helpers_test.go
+++ b/internal/pool/helpers_test.go
@@ -108,10 +108,10 @@
 }
 
 // sendLarge returns an exchange that sends a message which blocks until the node reads.
-func sendLarge(decisive int) ExchangeFunc {
+func sendLarge(executableAfter int) ExchangeFunc {
 	message := make([]byte, largeMessage)
 	return func(e *Exchange) (broker.Result, error) {
-		return broker.Result{}, e.Send(net.Buffers{message}, decisive)
+		return broker.Result{}, e.Send(net.Buffers{message}, executableAfter)
 	}
 }
 
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// noSettlingWait is how long an attempt waits for its dial when no idle connection will become usable by itself: longer
+// noReuseWait is how long an attempt waits for its dial when no idle connection will become usable by itself: longer
 // than any connect timeout.
-const noSettlingWait = time.Hour
+const noReuseWait = time.Hour
 
-// alwaysClosed makes an attempt look for an idle connection once more as soon as its dial has begun: one may have been
+// recheckAtOnce makes an attempt look for an idle connection once more as soon as its dial has begun: one may have been
 // given back in between.
-var alwaysClosed = func() chan struct{} {
+var recheckAtOnce = func() chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
 	return channel
@@ -27,7 +27,7 @@
 	defer p.mu.Unlock()
 	conns := p.idle[address]
 	now := time.Now()
-	wait = noSettlingWait
+	wait = noReuseWait
 	for i := len(conns) - 1; i >= 0; i-- {
 		left := p.options.ReuseDelay - now.Sub(conns[i].lastUsed)
 		if left <= 0 {
@@ -38,7 +38,7 @@
 		wait = min(wait, left)
 	}
 	if !waiting {
-		return nil, wait, alwaysClosed
+		return nil, wait, recheckAtOnce
 	}
 	if p.idleChanged[address] == nil {
 		p.idleChanged[address] = make(chan struct{})
--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -34,26 +34,26 @@
 	pending       []*pendingReply
 	hasSpace      *sync.Cond // signalled when pending becomes shorter, or released is set
 	lastReplyAt   time.Time
-	awaitingFirst bool         // it came while the server drains and has had no request
-	hasRequest    bool         // a request came
-	writing       bool         // an answer is being written
-	directReply   bool         // by the reader
-	closeRequest  closeRequest // set by whoever wants it to end, and when it has
-	inputEnded    bool         // nothing more is read; what is owed is still written unless gone is set
-	gone          bool         // the client has left
-	released      bool         // the writer has ended and released all pending replies
+	awaitingFirst bool       // it came while the server drains and has had no request
+	hasRequest    bool       // a request came
+	writing       bool       // an answer is being written
+	directReply   bool       // by the reader
+	closeState    closeState // set by whoever wants it to end, and when it has
+	inputEnded    bool       // nothing more is read; what is owed is still written unless gone is set
+	gone          bool       // the client has left
+	released      bool       // the writer has ended and released all pending replies
 }
 
 // pendingReply is an answer that is owed. The replies of a connection stand in the order of the commands.
 type pendingReply struct {
-	loopID    uint64 // of the request in the loop, 0 for none
-	requestID string // the client's id for it, empty for none
-	ready     bool
-	rejection bool // by admission control
-	last      bool // the connection ends after it
-	reserved  int  // bytes of the budget
-	text      net.Buffers
-	value     *stream // the value that follows text, nil for none
+	loopID          uint64 // of the request in the loop, 0 for none
+	clientRequestID string // the client's id for it, empty for none
+	ready           bool
+	rejection       bool // by admission control
+	last            bool // the connection ends after it
+	reserved        int  // bytes of the budget
+	text            net.Buffers
+	value           *stream // the value that follows text, nil for none
 }
 
 func newClient(server *Server, reader commandReader, input *inputGuard) *client {
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -8,14 +8,14 @@
 	"junctionwharf/internal/pool"
 )
 
-// closeRequest is whether a connection is to end. A higher one replaces a lower one.
-type closeRequest int
+// closeState is whether a connection is to end. A higher one replaces a lower one.
+type closeState int
 
 const (
-	noCloseRequest closeRequest = iota
-	closeIfIdle                 // it is to end unless a request comes
-	closeEvicted                // it is to end: its slot was given away
-	closeDone                   // the reader has ended it
+	notClosing   closeState = iota
+	closeIfIdle             // it is to end unless a request comes
+	closeEvicted            // it is to end: its slot was given away
+	closeDone               // the reader has ended it
 )
 
 const (
@@ -32,18 +32,18 @@
 // requestClose asks the connection to end unless an answer is owed or a request has come, and reports whether it
 // will. It only wakes the goroutine that reads, since no other can tell that nothing has been read at this moment. A
 // connection that has sent no request and is evicted is closed at once, since others wait for its slot.
-func (c *client) requestClose(request closeRequest) bool {
+func (c *client) requestClose(state closeState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.owesReply() || c.closeRequest >= request || c.released {
+	if c.owesReply() || c.closeState >= state || c.released {
 		return false
 	}
 	phase := c.input.phase.Load()
-	if phase == takingCommand || phase == insideCommand && request == closeIfIdle || !pool.IsQuiet(c.socket) {
+	if phase == takingCommand || phase == insideCommand && state == closeIfIdle || !pool.IsQuiet(c.socket) {
 		return false
 	}
-	c.closeRequest = request
-	if request == closeEvicted && phase == waitingForCommand && !c.hasRequest {
+	c.closeState = state
+	if state == closeEvicted && phase == waitingForCommand && !c.hasRequest {
 		c.close()
 	}
 	c.input.interrupt()
@@ -60,14 +60,14 @@
 // count as taken.
 func (c *client) closeAsRequested(commandRead bool) (ended, readOn bool) {
 	c.mu.Lock()
-	request := c.closeRequest
+	state := c.closeState
 	partial := c.input.phase.Load() == insideCommand && !commandRead
 	switch {
-	case request == noCloseRequest:
+	case state == notClosing:
 		c.mu.Unlock()
 		return false, false
-	case c.owesReply() || request == closeIfIdle && (commandRead || partial || !pool.IsQuiet(c.socket)):
-		c.closeRequest = noCloseRequest
+	case c.owesReply() || state == closeIfIdle && (commandRead || partial || !pool.IsQuiet(c.socket)):
+		c.closeState = notClosing
 		c.input.clearInterrupt()
 		c.mu.Unlock()
 		return false, false
@@ -81,7 +81,7 @@
 		c.mu.Unlock()
 		return false, true
 	}
-	c.closeRequest = closeDone
+	c.closeState = closeDone
 	c.mu.Unlock()
 	if partial {
 		c.writeBusy()
@@ -163,6 +163,6 @@
 	c.mu.Unlock()
 	for _, reply := range cancelled {
 		c.server.loop.Cancel(reply.loopID)
-		c.server.ids.remove(reply.requestID)
+		c.server.ids.remove(reply.clientRequestID)
 	}
 }
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -67,7 +67,7 @@
 func TestRequestReadWhileClosing(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		request closeRequest
+		request closeState
 		want    string
 	}{
 		{"drained", closeIfIdle, servedValue},
--- a/internal/resp/figures.go
+++ b/internal/resp/figures.go
@@ -9,7 +9,8 @@
 	"junctionwharf/broker"
 )
 
-// The figures of nodes: those on use, and those of a load report, some of which have two names.
+// The figures of nodes: those on use, and those of a load report, some of which have two names. They are part of the
+// platform's protocol and reach the scheduler, but no rule of this version reads them.
 const (
 	figureUsed         = "used" // the volume's use in percent of its plan's rate, less 1
 	figureCost         = "cost" // what other brokers have had served
--- a/internal/resp/inputguard.go
+++ b/internal/resp/inputguard.go
@@ -14,10 +14,10 @@
 // without a word would hold their slots for longer; lower, clients would have to connect more often.
 const idleTimeout = 10 * time.Second
 
-// detachCommand is the first command of each connection. The guard makes it, no client sends it: redcon then calls the
-// handler, which takes the connection over, so that all that a client sends is read where a panic ends its connection
-// only.
-const detachCommand = "*1\r\n$6\r\nATTACH\r\n"
+// takeOverCommand is the first command of each connection. The guard makes it, no client sends it: redcon then calls
+// the handler, which takes the connection over, so that all that a client sends is read where a panic ends its
+// connection only.
+const takeOverCommand = "*1\r\n$6\r\nATTACH\r\n"
 
 // inputError is the error of input that is no sequence of commands. Its text goes to the client.
 type inputError string
@@ -69,7 +69,7 @@
 func (g *inputGuard) Read(p []byte) (int, error) {
 	if !g.detached {
 		g.detached = true
-		return copy(p, detachCommand), nil
+		return copy(p, takeOverCommand), nil
 	}
 	if g.err != nil {
 		return 0, g.err
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -89,13 +89,13 @@
 	if rejection := loop.Admit(request); rejection != nil {
 		return c.replyRejection(rejection)
 	}
-	reply := &pendingReply{reserved: len(cmd.Raw), requestID: string(cmd.Args[argID])}
-	if err := c.server.ids.add(reply.requestID); err != nil {
+	reply := &pendingReply{reserved: len(cmd.Raw), clientRequestID: string(cmd.Args[argID])}
+	if err := c.server.ids.add(reply.clientRequestID); err != nil {
 		c.failMalformed(err)
 		return false
 	}
 	if !c.reserve(reply.reserved) || !c.push(reply) {
-		c.server.ids.remove(reply.requestID)
+		c.server.ids.remove(reply.clientRequestID)
 		return false
 	}
 	c.submit(request, reply)
@@ -116,7 +116,7 @@
 // submit hands an admitted request to the loop and fills its reply with the response.
 func (c *client) submit(request *broker.Request, reply *pendingReply) {
 	id := c.server.loop.SubmitAdmitted(request, func(response broker.Response) {
-		c.server.ids.remove(reply.requestID)
+		c.server.ids.remove(reply.clientRequestID)
 		c.complete(reply, response)
 		c.Wake()
 	})
@@ -161,7 +161,7 @@
 	} else {
 		c.pending = append(c.pending, reply)
 	}
-	isRequest := reply.requestID != "" || reply.rejection
+	isRequest := reply.clientRequestID != "" || reply.rejection
 	c.awaitingFirst = false
 	c.hasRequest = c.hasRequest || isRequest
 	c.mu.Unlock()
--- a/internal/sftp/exchange.go
+++ b/internal/sftp/exchange.go
@@ -15,8 +15,8 @@
 type effect bool
 
 const (
-	harmless effect = false
-	decisive effect = true
+	noEffect effect = false
+	executes effect = true
 )
 
 // exchange is one operation's talk with a node. An operation that needs a handle opens one for itself and closes it
@@ -46,11 +46,11 @@
 func (x *exchange) request(has effect, kind byte, parts ...[]byte) (packet, error) {
 	x.id++
 	message := encodePacket(kind, x.id, parts...)
-	decisiveBytes := 0
-	if has == decisive {
-		decisiveBytes = pool.MessageSize(message)
+	executableAfter := 0
+	if has == executes {
+		executableAfter = pool.MessageSize(message)
 	}
-	if err := x.Send(message, decisiveBytes); err != nil {
+	if err := x.Send(message, executableAfter); err != nil {
 		return packet{}, err
 	}
 	return x.readAnswer(x.id)
@@ -67,7 +67,7 @@
 
 // simple carries an operation out that is one packet.
 func (x *exchange) simple(kind byte, op *operation) (broker.Result, error) {
-	p, err := x.request(decisive, kind, encodeString(op.path))
+	p, err := x.request(executes, kind, encodeString(op.path))
 	if err != nil {
 		return broker.Result{Load: scheduler.NoLoadReport}, err
 	}
@@ -97,23 +97,23 @@
 
 // open opens the file and closes it again: the client's handle is the server's own.
 func (x *exchange) open(op *operation) (broker.Result, error) {
-	handle, result, err := x.openHandle(decisive, typeOpen, encodeString(op.path), encodeUint32(op.flags), op.attrs)
+	handle, result, err := x.openHandle(executes, typeOpen, encodeString(op.path), encodeUint32(op.flags), op.attrs)
 	if handle == nil {
 		return result, err
 	}
-	x.closeHandle(decisive, handle)
+	x.closeHandle(executes, handle)
 	return broker.Result{Value: answer{kind: typeHandle}, Load: scheduler.NoLoadReport}, nil
 }
 
 // transfer reads or writes. Opening the file has no effect of its own, since OPEN as the client sent it was answered
-// before: only the READ or WRITE is decisive, and until its last byte is written nothing has been executed.
+// before: only the READ or WRITE executes, and until its last byte is written nothing has been executed.
 func (x *exchange) transfer(op *operation) (broker.Result, error) {
 	flags := uint32(flagRead)
 	if op.command == Write {
 		flags = op.flags & (flagWrite | flagAppend)
 	}
 	noAttrs := encodeUint32(0)
-	handle, result, err := x.openHandle(harmless, typeOpen, encodeString(op.path), encodeUint32(flags), noAttrs)
+	handle, result, err := x.openHandle(noEffect, typeOpen, encodeString(op.path), encodeUint32(flags), noAttrs)
 	if handle == nil {
 		return result, err
 	}
@@ -126,9 +126,9 @@
 		length := encodeUint32(uint32(len(op.data)))
 		message = encodePacket(typeWrite, transferID, handleField, encodeUint64(op.offset), length, op.data)
 	}
-	decisiveBytes := pool.MessageSize(message) // a CLOSE that is cut after it changes nothing
+	executableAfter := pool.MessageSize(message) // a CLOSE that is cut after it changes nothing
 	message = append(message, encodePacket(typeClose, closeID, handleField)...)
-	if err := x.Send(message, decisiveBytes); err != nil {
+	if err := x.Send(message, executableAfter); err != nil {
 		return broker.Result{}, err
 	}
 	p, err := x.readAnswer(transferID)
@@ -148,13 +148,13 @@
 // list reads a whole directory. It sends packet after packet, so that a drain of the node must end it: after
 // StopSending the next one fails.
 func (x *exchange) list(op *operation) (broker.Result, error) {
-	handle, result, err := x.openHandle(harmless, typeOpendir, encodeString(op.path))
+	handle, result, err := x.openHandle(noEffect, typeOpendir, encodeString(op.path))
 	if handle == nil {
 		return result, err
 	}
 	var names [][]byte
 	for size := 0; ; {
-		p, err := x.request(harmless, typeReaddir, encodeString(handle))
+		p, err := x.request(noEffect, typeReaddir, encodeString(handle))
 		if err != nil {
 			return broker.Result{}, err
 		}
@@ -175,6 +175,6 @@
 	if err != nil || p.kind != typeStatus || p.statusCode() != statusEOF {
 		return result, err
 	}
-	x.closeHandle(harmless, handle)
+	x.closeHandle(noEffect, handle)
 	return broker.Result{Value: answer{kind: typeName, names: names}, Load: scheduler.NoLoadReport}, nil
 }
--- a/membership/events.go
+++ b/membership/events.go
@@ -3,12 +3,12 @@
 // Source is an index into Options.Sources.
 type Source int
 
-// Health is what a source says of a node.
-type Health int
+// NodeState is what a source says of a node.
+type NodeState int
 
-// The healths.
+// The states. Package members converts them to the core's.
 const (
-	Ready Health = iota
+	Ready NodeState = iota
 	Draining
 	Removed // only in an answer of changes
 )
@@ -20,7 +20,7 @@
 	Zone          string
 	Kind          string
 	Shard         int
-	State         Health
+	State         NodeState
 	Capacity      float64 // its size, as discovery tells it; 0 counts as 1
 	TrafficWeight float64 // against others of its shard and priority, as SRV weights tell it; 0 counts as 1
 	Priority      int     // lower goes first
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -171,7 +171,7 @@
 			now := Micros(1)
 			for i := 0; b.Loop(); i++ {
 				now += 1e9
-				entry := Entry{Name: "x", Address: "x:1", State: Health(i % 2), LastStart: UnknownStart}
+				entry := Entry{Name: "x", Address: "x:1", State: NodeState(i % 2), LastStart: UnknownStart}
 				s.Reduce(now, changes(discovery, now, entry))
 			}
 		})
