--- a/internal/members/console_test.go
+++ b/internal/members/console_test.go
@@ -10,12 +10,12 @@
 )
 
 // The console's answer and the metrics of a source are read by people and dashboards: their names stay.
-func TestConsoleNames(t *testing.T) {
+func TestConsoleAndMetricNamesStay(t *testing.T) {
 	c := newCore(t)
 	if text := string(c.members.Table()); text != "discovery alone is followed\n" {
 		t.Errorf("without settings: %q", text)
 	}
-	c.apply(config.Membership{Sources: []config.EndpointSource{{Name: "list", Kind: kindDiscovery}}})
+	c.apply(config.Membership{Sources: []config.EndpointSource{{Name: "list", Kind: config.SourceDiscovery}}})
 	c.members.HandleDiscovery(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{
 		{Endpoint: scheduler.Endpoint{Name: "n1", Zone: "z"}, Address: "192.0.2.1:1"},
 	}})
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -14,13 +14,6 @@
 	"junctionwharf/scheduler"
 )
 
-// The kinds of sources, as the settings name them.
-const (
-	kindDiscovery = "discovery"
-	kindDNS       = "dns"
-	kindFile      = "file"
-)
-
 // The names under which what was listed before a restart stands among the sources, for the console.
 const (
 	sourceSnapshot = "snapshot" // from the snapshot file
@@ -65,7 +58,7 @@
 	m.settings = settings
 	m.stopSources(settings.Sources)
 	for _, s := range settings.Sources {
-		if _, runs := m.running[s.Name]; runs || s.Kind == kindDiscovery {
+		if _, runs := m.running[s.Name]; runs || s.Kind == config.SourceDiscovery {
 			continue
 		}
 		ctx, stop := context.WithCancel(context.Background())
@@ -157,13 +150,21 @@
 	defer m.mu.Unlock()
 	name := ""
 	for _, s := range m.settings.Sources {
-		if s.Kind == kindDiscovery {
+		if s.Kind == config.SourceDiscovery {
 			name = s.Name
 		}
 	}
 	return name
 }
 
+// A node's state is converted by number between the core and package membership. Unless the numbers are the same these
+// indices are out of range, and the package does not compile.
+var (
+	_ = [1]struct{}{}[int(membership.Ready)-int(scheduler.Ready)]
+	_ = [1]struct{}{}[int(membership.Draining)-int(scheduler.Draining)]
+	_ = [1]struct{}{}[int(membership.Removed)-int(scheduler.Removed)]
+)
+
 func entriesOf(l broker.NodesListed) []membership.Entry {
 	var all []membership.Entry
 	for _, n := range l.Nodes {
@@ -174,7 +175,7 @@
 			Kind:      n.Kind,
 			Shard:     n.Shard,
 			Capacity:  n.Weight,
-			State:     membership.Health(n.State),
+			State:     membership.NodeState(n.State),
 			LastStart: int64(n.LastStart),
 		})
 	}
