--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -25,7 +25,7 @@
 	unscanned    []*request // of them those that came since the last scan
 	lateArrivals []*request // and those that came since the marks were set
 	marks        [passes]scanMark
-	marksSet     uint64 // scanSchedule.generation when the marks were set, plus 1
+	marksSet     uint64 // scanSchedule.generation when the marks were set, 0 for never
 	scan         scan   // memory for the scan under way
 	summary      queueSummary
 	changed      bool // the last scan moved a request, or something happened here since that could
@@ -37,7 +37,7 @@
 // queueSummary is what is known of all that is queued at a shard. It holds for one generation and one service
 // time.
 type queueSummary struct {
-	generation    uint64  // scanSchedule.generation plus 1, 0 for none
+	generation    uint64  // scanSchedule.generation, 0 for none
 	serviceTime   float64 // seconds
 	timeDependent int     // requests that time alone may make forwardable
 	giveUpAt      Time    // when the first is given up, a little early
@@ -112,11 +112,11 @@
 // summarize brings a shard's summary up to date.
 func (s *Scheduler) summarize(sh *shard) {
 	serviceTime := sh.serviceTime()
-	if sh.summary.generation == s.scans.generation+1 && sh.summary.serviceTime == serviceTime {
+	if sh.summary.generation == s.scans.generation && sh.summary.serviceTime == serviceTime {
 		return
 	}
 	sh.summary = queueSummary{
-		generation:  s.scans.generation + 1,
+		generation:  s.scans.generation,
 		serviceTime: serviceTime,
 		giveUpAt:    endOfTime,
 	}
@@ -127,7 +127,7 @@
 
 // nothingExpires tells whether no queued request is to be given up now, by a summary that still holds.
 func (s *Scheduler) nothingExpires(sh *shard, serviceTime float64) bool {
-	current := sh.summary.generation == s.scans.generation+1 && sh.summary.serviceTime == serviceTime
+	current := sh.summary.generation == s.scans.generation && sh.summary.serviceTime == serviceTime
 	return current && s.now < sh.summary.giveUpAt
 }
 
--- a/scheduler/scan.go
+++ b/scheduler/scan.go
@@ -17,8 +17,8 @@
 // scanSchedule says which shards are to be scanned. It spares those in which nothing can have changed: what a
 // call of Reduce costs must not grow with the shards.
 type scanSchedule struct {
-	generation uint64     // counts what may make requests of any shard forwardable
-	woken      uint64     // generation when all shards were last woken, plus 1
+	generation uint64     // counts what may make requests of any shard forwardable; 1 or more from New on
+	woken      uint64     // generation when all shards were last woken, 0 for never
 	pending    []*shard   // to be scanned in this call, by id
 	queued     []*shard   // those with a queue, by id, and some that had one
 	wakeups    wakeupHeap // those in which time alone changes something
@@ -62,8 +62,8 @@
 // wakeDue wakes the shards in which something may have changed since the last call: all with a queue in a new
 // generation, else those whose time has come.
 func (c *scanSchedule) wakeDue(now Time) {
-	if c.woken != c.generation+1 {
-		c.woken = c.generation + 1
+	if c.woken != c.generation {
+		c.woken = c.generation
 		c.wakeAll()
 	}
 	for len(c.wakeups) > 0 && c.wakeups[0].at <= now {
@@ -167,8 +167,8 @@
 	if nothingChanged {
 		return &sh.scan
 	}
-	if sh.marksSet != s.scans.generation+1 || sh.summary.timeDependent > 0 || s.scans.exhaustive {
-		sh.marksSet = s.scans.generation + 1
+	if sh.marksSet != s.scans.generation || sh.summary.timeDependent > 0 || s.scans.exhaustive {
+		sh.marksSet = s.scans.generation
 		sh.marks = [passes]scanMark{}
 		clear(sh.lateArrivals)
 		sh.lateArrivals = sh.lateArrivals[:0]
