--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// A broker without a path to the shard finds all its replicas unresponsive and says so. One peer's word moves
-// nothing; two lower a weight, within the bound; peers that lie about all replicas leave each some, and a
-// replica that answers is believed. Messages stay within a datagram, and foreign bytes are dropped.
+// A broker without a path to the shard finds all its replicas unresponsive and reports it. Messages stay within a
+// datagram. Each subtest goes on where the one before it ended.
 func TestGossip(t *testing.T) {
 	sender := New(Options{Name: "a", Brokers: 9})
 	b := New(Options{Name: "b", Ordinal: 1, Brokers: 9})
@@ -28,30 +27,40 @@
 		}
 		return sum
 	}
-	b.ReceiveGossip(time.Second, 3, messages[0])
-	if left() < 100 {
-		t.Error("one peer's word lowered a weight")
-	}
-	for from := range 9 {
-		b.ReceiveGossip(2*time.Second, from, messages[0])
-	}
-	if sum := left(); sum < 49.9 || sum >= 100 {
-		t.Errorf("%.1f of 100 is left after many peers' word", sum)
-	}
-	for _, r := range replicas {
-		b.RecordAnswer(3*time.Second, r, time.Millisecond)
-	}
-	if left() < 100 {
-		t.Error("replicas that answered are not believed")
-	}
+	t.Run("one peer's report lowers no weight", func(t *testing.T) {
+		b.ReceiveGossip(time.Second, 3, messages[0])
+		if left() < 100 {
+			t.Error("one peer's report lowered a weight")
+		}
+	})
+	t.Run("reports of all peers lower weights within the bound", func(t *testing.T) {
+		for from := range 9 {
+			b.ReceiveGossip(2*time.Second, from, messages[0])
+		}
+		if sum := left(); sum < 49.9 || sum >= 100 {
+			t.Errorf("%.1f of 100 is left after many peers' reports", sum)
+		}
+	})
+	t.Run("a replica that answers has its weight back", func(t *testing.T) {
+		for _, r := range replicas {
+			b.RecordAnswer(3*time.Second, r, time.Millisecond)
+		}
+		if left() < 100 {
+			t.Error("replicas that answered are not believed")
+		}
+	})
 	foreign := [][]byte{nil, {GossipUnresponsive}, {GossipUnresponsive, 1, 2, 3}, {99, 1, 2, 3, 4}, make([]byte, 257)}
-	for _, data := range foreign {
-		b.ReceiveGossip(4*time.Second, 2, data)
-	}
-	if left() < 100 {
-		t.Error("foreign bytes were taken")
-	}
-	if peers := b.GossipPeers(5 * time.Second); len(peers) == 0 || len(peers) > gossipFanOut {
-		t.Errorf("%v are told", peers)
-	}
+	t.Run("foreign bytes are dropped", func(t *testing.T) {
+		for _, data := range foreign {
+			b.ReceiveGossip(4*time.Second, 2, data)
+		}
+		if left() < 100 {
+			t.Error("foreign bytes were taken")
+		}
+	})
+	t.Run("a message goes to few peers", func(t *testing.T) {
+		if peers := b.GossipPeers(5 * time.Second); len(peers) == 0 || len(peers) > gossipFanOut {
+			t.Errorf("it goes to %v", peers)
+		}
+	})
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// A replica's weight was lowered and is back. Its turn was once left where the low weight had put it, far
-// behind the others, so that it got nothing for a while.
+// A replica's weight was lowered and is back. Its turn follows: left where the low weight had put it, far behind
+// the others, the replica would get nothing for a while.
 func TestTurnFollowsWeight(t *testing.T) {
 	b := New(Options{Name: "b", Brokers: 9})
 	replicas := newReplicas(4)
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -54,8 +54,8 @@
 	return count
 }
 
-// Reports of demand to all peers once grew with the square of the brokers: at 150 brokers simulated days were
-// cut off by it.
+// A broker's reports of demand follow its own requests, however many peers there are: reports to all peers grow
+// with the square of the brokers, and at 150 brokers simulated days were cut off by that.
 func TestReportsFollowTheBrokersOwnRequests(t *testing.T) {
 	if few, many := reportsOf(t, 3), reportsOf(t, 300); few == 0 || many > 40 {
 		t.Errorf("%d messages among 3 brokers, %d among 300, for 40 requests", few, many)
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// A client that comes with little time left was once taken for one whose latency objective is over: it is due
-// when it leaves. A client's retry is due by its first request.
+// A client that comes with little time left is due when it leaves: it must not be taken for one whose latency
+// objective is over. A client's retry is due by its first request.
 func TestImpatientClientsAreDueWhenTheyLeave(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
 	request := func(key string, remaining time.Duration) uint64 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// A volume whose requests came through one broker was once out of tokens there while its node was idle.
+// A volume whose requests all come through one broker uses an idle node: it must not run out of tokens there.
 func TestVolumeThroughOneBrokerUsesAnIdleNode(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 10
