--- a/admission/controller.go
+++ b/admission/controller.go
@@ -28,7 +28,9 @@
 	DeadlineTooClose               // it could not be served before its client gives up
 )
 
-func (r Reason) String() string { return [...]string{"none", "rank", "full", "too late"}[r] }
+func (r Reason) String() string {
+	return [...]string{"none", "low priority", "too many open", "deadline too close"}[r]
+}
 
 // Controller decides which requests are admitted.
 type Controller struct {
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -1,6 +1,6 @@
 package admission
 
-// Micros is a time or span in whole microseconds, an alias of int64, so that values of other packages' time types convert plainly.
+// Micros is a time or span in whole microseconds: an alias, so that int64 passes, unlike broker.Micros.
 type Micros = int64
 
 // Settings of a Controller.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Time is a point on the caller's clock.
+// Time is a point on the caller's clock: an alias, so that time.Duration and scheduler.Time pass.
 type Time = time.Duration
 
 // Options are those of one broker. The zero value stands for the defaults.
--- a/clusterconfig/doc.go
+++ b/clusterconfig/doc.go
@@ -22,5 +22,5 @@
 // of its two phases, in proportion to the size of the change and not of the document.
 package clusterconfig
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a span in whole microseconds: an alias, so that int64 passes, unlike broker.Micros.
 type Micros = int64
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -23,7 +23,7 @@
 
 import "time"
 
-// Time is a point on the caller's clock.
+// Time is a point on the caller's clock: an alias, so that time.Duration and scheduler.Time pass.
 type Time = time.Duration
 
 // Limit is the rate limit that all processes share.
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -8,7 +8,7 @@
 	"junctionwharf/balancer"
 )
 
-// Time is a point on the caller's clock, counted from any fixed start.
+// Time is a point on the caller's clock, counted from any fixed start. It is an alias: time.Duration passes.
 type Time = time.Duration
 
 // Settings is what a Scheduler receives when it starts, and again by SettingsChanged. The zero value of a
