--- a/internal/agreement/listener.go
+++ b/internal/agreement/listener.go
@@ -97,20 +97,20 @@
 		raftID:        f.Hello.RaftID,
 		uninitialized: f.Hello.Uninitialized,
 	}, &s.traffic)
-	admitted := make(chan error, 1)
-	s.do(func() { admitted <- s.answerHello(c, *f.Hello) })
+	answered := make(chan error, 1)
+	s.do(func() { answered <- s.answerHello(c, *f.Hello) })
 	select {
-	case err := <-admitted:
+	case err := <-answered:
 		return c, err
 	case <-s.done:
 		return nil, errStopping
 	}
 }
 
-// answerHello admits or rejects a broker. The answer is short: it fits the socket's buffer, and writing it does not
+// answerHello accepts or rejects a broker. The answer is short: it fits the socket's buffer, and writing it does not
 // block the service goroutine.
 func (s *Service) answerHello(c *connection, h hello) error {
-	w := s.admit(c, h)
+	w := s.decideHandshake(c, h)
 	_, err := writeFrame(c.conn, frame{Welcome: &w})
 	if err == nil && w.Rejection != "" {
 		err = errRejected
@@ -121,8 +121,8 @@
 	return err
 }
 
-// admit decides who may attach, and takes in a broker that may.
-func (s *Service) admit(c *connection, h hello) welcome {
+// decideHandshake decides who may attach, and takes in a broker that may.
+func (s *Service) decideHandshake(c *connection, h hello) welcome {
 	w := welcome{Name: s.options.Name}
 	if s.voting != nil {
 		w.RaftID = s.voting.voter.ID()
--- a/internal/agreement/tree_test.go
+++ b/internal/agreement/tree_test.go
@@ -87,13 +87,13 @@
 			attached(tr)
 			tr.addChild("a", newTestConnection(t, peer{name: "a", listenAddress: "address of a"}))
 		}, rejectedFull},
-		{"admitted", valid, attached, ""},
+		{"accepted", valid, attached, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &Service{sharedOptions: shared, tree: newTree()}
 			s.options = Options{Name: "self", Cluster: cluster, Voters: voters, MaxChildren: 1, Log: discardLog}
 			c.setUp(&s.tree)
-			w := s.admit(newTestConnection(t, peer{name: c.hello.Name}), c.hello)
+			w := s.decideHandshake(newTestConnection(t, peer{name: c.hello.Name}), c.hello)
 			if w.Rejection != c.want || w.Name != "self" {
 				t.Errorf("%+v, want %q", w, c.want)
 			}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -111,7 +111,7 @@
 	"cell": scheduler.ScopeShard,
 }
 
-// micros is a span of the settings, in microseconds.
+// micros is a span of the settings, in microseconds. It is a float, since the file's figures may have fractions.
 type micros float64
 
 func (m micros) duration() time.Duration {
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -41,19 +41,19 @@
 	t.Helper()
 	c := parseConfig(t, fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":"127.0.0.1:1","console":%q,"settings":%s}`,
 		unusedAddress(t), unusedAddress(t), settingsText))
-	k, err := newControl(c, noTransport{}, nil, logging.Discard())
+	ctl, err := newControl(c, noTransport{}, nil, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.parts = k.ports()
-	t.Cleanup(func() { k.parts.stop() })
-	if err := k.openConsole(check, more); err != nil {
+	ctl.parts = ctl.ports()
+	t.Cleanup(func() { ctl.parts.stop() })
+	if err := ctl.openConsole(check, more); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.parts.start(t.Context()); err != nil {
+	if err := ctl.parts.start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return ctl
 }
 
 // Operators' programs read the console's answers: those of a broker that has just started have the same bytes in each
@@ -64,10 +64,10 @@
 	more := func() []broker.Metric {
 		return []broker.Metric{{Name: "connections_turned_away", Value: 3, Counter: true}}
 	}
-	k := startConsoleOnly(t, check, more)
+	ctl := startConsoleOnly(t, check, more)
 	checkAnswer := func(golden, call string) {
 		t.Helper()
-		checkGolden(t, golden, callConsole(t, k.config.Console, call))
+		checkGolden(t, golden, callConsole(t, ctl.config.Console, call))
 	}
 	checkAnswer("check-failure.txt", "check")
 	notAccepting = nil
@@ -86,13 +86,13 @@
 	const nodes = "[[node]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\nzone = \"z1\"\nshare = 1.0\n\n" +
 		"[[node]]\nname = \"b\"\naddress = \"127.0.0.1:7002\"\nshard = 3\nshare = 0.5\npriority = 2\ndraining = true\n"
 	source := config.EndpointSource{Name: "file", Kind: "file", Path: writeFile(t, t.TempDir(), "nodes.toml", nodes)}
-	k := startConsoleOnly(t, func() error { return nil }, func() []broker.Metric { return nil })
-	if err := k.endpoints.ApplySettings(config.Membership{Sources: []config.EndpointSource{source}}); err != nil {
+	ctl := startConsoleOnly(t, func() error { return nil }, func() []broker.Metric { return nil })
+	if err := ctl.endpoints.ApplySettings(config.Membership{Sources: []config.EndpointSource{source}}); err != nil {
 		t.Fatal(err)
 	}
 	var answer string
 	await(t, "the file's nodes are not listed", func() bool {
-		answer = callConsole(t, k.config.Console, "nodes")
+		answer = callConsole(t, ctl.config.Console, "nodes")
 		return strings.Contains(answer, "127.0.0.1:7002")
 	})
 	checkGolden(t, "nodes-merged.txt", age.ReplaceAllString(answer, "(age) "))
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -55,41 +55,41 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &control{config: c, log: log, clock: broker.NewClock()}
+	ctl := &control{config: c, log: log, clock: broker.NewClock()}
 	dependencies := broker.Dependencies{Log: log, Admission: gate}
-	if err := k.listenForPeers(); err != nil {
+	if err := ctl.listenForPeers(); err != nil {
 		return nil, err
 	}
-	if k.peers != nil {
-		dependencies.SendToPeer = k.peers.Send
+	if ctl.peers != nil {
+		dependencies.SendToPeer = ctl.peers.Send
 	}
 	loop := &loopProxy{}
-	if err := k.joinAgreement(loop); err != nil {
-		k.closePeers()
+	if err := ctl.joinAgreement(loop); err != nil {
+		ctl.closePeers()
 		return nil, err
 	}
-	if k.agreement != nil {
-		dependencies.ConfigChanges = k.agreement.ConfigChanges
+	if ctl.agreement != nil {
+		dependencies.ConfigChanges = ctl.agreement.ConfigChanges
 	}
-	k.exportedMetrics = k.ownMetrics
-	k.exporter = metricsexport.New(metricsexport.Options{
+	ctl.exportedMetrics = ctl.ownMetrics
+	ctl.exporter = metricsexport.New(metricsexport.Options{
 		Name:    c.Name,
 		Loop:    loop,
-		Metrics: func() []broker.Metric { return k.exportedMetrics() },
+		Metrics: func() []broker.Metric { return ctl.exportedMetrics() },
 		Log:     log,
 	})
-	dependencies.Observe = k.exporter.Observe
-	k.loop = broker.NewLoop(state, k.clock, transport, dependencies)
-	loop.Loop = k.loop
-	k.postEndpoints = k.loop.Post
-	if k.agreement != nil {
-		k.postEndpoints = k.agreement.HandleEndpoints
+	dependencies.Observe = ctl.exporter.Observe
+	ctl.loop = broker.NewLoop(state, ctl.clock, transport, dependencies)
+	loop.Loop = ctl.loop
+	ctl.postEndpoints = ctl.loop.Post
+	if ctl.agreement != nil {
+		ctl.postEndpoints = ctl.agreement.HandleEndpoints
 	}
-	k.handlePeerMessage = func(message broker.PeerMessage) { k.loop.Post(message) }
-	k.initialEndpoints = func() *discovery.EndpointList { return c.CachedEndpoints }
-	k.watcher = discovery.NewWatcher(c.Discovery, k.watcherOptions(c))
-	k.endpoints = members.New(k.clock, k.postEndpoints, log)
-	return k, nil
+	ctl.handlePeerMessage = func(message broker.PeerMessage) { ctl.loop.Post(message) }
+	ctl.initialEndpoints = func() *discovery.EndpointList { return c.CachedEndpoints }
+	ctl.watcher = discovery.NewWatcher(c.Discovery, ctl.watcherOptions(c))
+	ctl.endpoints = members.New(ctl.clock, ctl.postEndpoints, log)
+	return ctl, nil
 }
 
 // loopProxy stands for the loop before there is one: the exporter and the replicated configuration need it, and it
@@ -98,34 +98,34 @@
 	*broker.Loop
 }
 
-func (k *control) listenForPeers() error {
-	c := k.config
+func (ctl *control) listenForPeers() error {
+	c := ctl.config
 	if c.PeerListen == "" || !c.Settings.Scheduler.Capabilities.Peers {
 		return nil
 	}
 	var err error
-	k.peers, err = peer.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Scheduler.Ordinal)
+	ctl.peers, err = peer.Listen(c.PeerListen, c.Peers, c.PeersAll, c.Settings.Scheduler.Ordinal)
 	return err
 }
 
 // joinAgreement listens for other brokers of the replicated configuration, if it is on.
-func (k *control) joinAgreement(loop *loopProxy) error {
-	settings := k.config.Site.Agreement
+func (ctl *control) joinAgreement(loop *loopProxy) error {
+	settings := ctl.config.Site.Agreement
 	if !settings.Enabled() {
 		return nil
 	}
 	options := agreement.Options{
-		Name:          k.config.Name,
+		Name:          ctl.config.Name,
 		Cluster:       settings.Cluster,
 		ListenAddress: settings.Listen,
 		DataDir:       settings.Dir,
-		LocalIP:       net.ParseIP(k.config.LocalAddress),
+		LocalIP:       net.ParseIP(ctl.config.LocalAddress),
 		Timing:        settings.Timing(),
 		LimitFloors:   settings.Limits,
 		MaxChildren:   settings.MaxChildren,
-		Seed:          k.config.Seed,
-		Now:           k.clock.Now,
-		Log:           k.log,
+		Seed:          ctl.config.Seed,
+		Now:           ctl.clock.Now,
+		Log:           ctl.log,
 	}
 	for _, voter := range settings.Members {
 		options.Voters = append(options.Voters, agreement.Voter{Name: voter.Name, Address: voter.Address})
@@ -133,157 +133,157 @@
 	post := func(event broker.Event) { loop.Post(event) }
 	wake := func() { loop.Wake() }
 	var err error
-	k.agreement, err = agreement.New(options, k.config.Settings.Scheduler, post, wake)
+	ctl.agreement, err = agreement.New(options, ctl.config.Settings.Scheduler, post, wake)
 	return err
 }
 
 // openConsole opens the admin server, where there is one. check reports whether clients are accepted, more are further
 // metrics.
-func (k *control) openConsole(check func() error, more func() []broker.Metric) error {
-	if k.config.Console == "" {
+func (ctl *control) openConsole(check func() error, more func() []broker.Metric) error {
+	if ctl.config.Console == "" {
 		return nil
 	}
 	handlers := console.Handlers{
 		Check: check,
-		Vars:  func() []byte { return metrics.FormatStatsD(k.consoleMetrics(more())) },
-		Nodes: func() []byte { return append(k.endpoints.Table(), formatShares(k.loop.NodeShares())...) },
+		Vars:  func() []byte { return metrics.FormatStatsD(ctl.consoleMetrics(more())) },
+		Nodes: func() []byte { return append(ctl.endpoints.Table(), formatShares(ctl.loop.NodeShares())...) },
 	}
-	if k.agreement != nil {
-		handlers.Agree = k.agreement.HandleCommand
+	if ctl.agreement != nil {
+		handlers.Agree = ctl.agreement.HandleCommand
 	}
 	var err error
-	k.console, err = console.Listen(k.config.Console, handlers, k.log)
+	ctl.console, err = console.Listen(ctl.config.Console, handlers, ctl.log)
 	return err
 }
 
 // ownMetrics are those of the core, the sources of the endpoint list and the replicated configuration.
-func (k *control) ownMetrics() []broker.Metric {
-	return slices.Concat(k.loop.Metrics.Read(), k.endpoints.Metrics(), k.agreementMetrics())
+func (ctl *control) ownMetrics() []broker.Metric {
+	return slices.Concat(ctl.loop.Metrics.Read(), ctl.endpoints.Metrics(), ctl.agreementMetrics())
 }
 
 // consoleMetrics are those that the console shows.
-func (k *control) consoleMetrics(more []broker.Metric) []broker.Metric {
+func (ctl *control) consoleMetrics(more []broker.Metric) []broker.Metric {
 	return slices.Concat(
-		k.loop.Metrics.Read(),
-		k.exporter.Metrics(),
-		k.endpoints.Metrics(),
-		k.agreementMetrics(),
-		shareMetrics(k.loop.NodeShares()),
+		ctl.loop.Metrics.Read(),
+		ctl.exporter.Metrics(),
+		ctl.endpoints.Metrics(),
+		ctl.agreementMetrics(),
+		shareMetrics(ctl.loop.NodeShares()),
 		more,
 	)
 }
 
-func (k *control) agreementMetrics() []broker.Metric {
-	if k.agreement == nil {
+func (ctl *control) agreementMetrics() []broker.Metric {
+	if ctl.agreement == nil {
 		return nil
 	}
-	return k.agreement.Metrics()
+	return ctl.agreement.Metrics()
 }
 
 // ports are the subsystems that hold ports, and the sources of the endpoint list. They are stopped last.
-func (k *control) ports() subsystems {
+func (ctl *control) ports() subsystems {
 	return subsystems{
-		{stop: k.closePeers},
-		{stop: k.endpoints.Close},
-		{start: k.startConsole, stop: k.closeConsole},
+		{stop: ctl.closePeers},
+		{stop: ctl.endpoints.Close},
+		{start: ctl.startConsole, stop: ctl.closeConsole},
 	}
 }
 
 // workers are the subsystems that run until the context ends.
-func (k *control) workers() subsystems {
+func (ctl *control) workers() subsystems {
 	return subsystems{
-		{start: k.startEndpoints},
-		background(k.loop.Run),
-		{start: k.startAgreement},
-		background(func(ctx context.Context) { k.watcher.Run(ctx, k.clock, k.endpointHandler()) }),
-		{start: k.startPeers},
+		{start: ctl.startEndpoints},
+		background(ctl.loop.Run),
+		{start: ctl.startAgreement},
+		background(func(ctx context.Context) { ctl.watcher.Run(ctx, ctl.clock, ctl.endpointHandler()) }),
+		{start: ctl.startPeers},
 	}
 }
 
 // metricsExport starts with the settings of the start.
-func (k *control) metricsExport() subsystem {
+func (ctl *control) metricsExport() subsystem {
 	return subsystem{start: func(ctx context.Context) error {
-		k.exporter.ApplySettings(exportSettings(k.config))
-		go k.exporter.Run(ctx)
+		ctl.exporter.ApplySettings(exportSettings(ctl.config))
+		go ctl.exporter.Run(ctx)
 		return nil
 	}}
 }
 
-func (k *control) closePeers() {
-	if k.peers != nil {
-		_ = k.peers.Close() // a datagram socket; its receiver ends with it
+func (ctl *control) closePeers() {
+	if ctl.peers != nil {
+		_ = ctl.peers.Close() // a datagram socket; its receiver ends with it
 	}
 }
 
-func (k *control) startPeers(context.Context) error {
-	if k.peers != nil {
-		go k.peers.Run(k.handlePeerMessage) // ends with closePeers
+func (ctl *control) startPeers(context.Context) error {
+	if ctl.peers != nil {
+		go ctl.peers.Run(ctl.handlePeerMessage) // ends with closePeers
 	}
 	return nil
 }
 
-func (k *control) startConsole(context.Context) error {
-	if k.console == nil {
+func (ctl *control) startConsole(context.Context) error {
+	if ctl.console == nil {
 		return nil
 	}
-	go k.console.Serve() // ends with closeConsole
-	k.log.Info("serving", "what", "operators", "address", k.config.Console)
+	go ctl.console.Serve() // ends with closeConsole
+	ctl.log.Info("serving", "what", "operators", "address", ctl.config.Console)
 	return nil
 }
 
-func (k *control) closeConsole() {
-	if k.console != nil {
-		_ = k.console.Close() // a listener; calls under way end by their deadlines
+func (ctl *control) closeConsole() {
+	if ctl.console != nil {
+		_ = ctl.console.Close() // a listener; calls under way end by their deadlines
 	}
 }
 
-func (k *control) startAgreement(ctx context.Context) error {
-	if k.agreement != nil {
-		go k.agreement.Run(ctx)
+func (ctl *control) startAgreement(ctx context.Context) error {
+	if ctl.agreement != nil {
+		go ctl.agreement.Run(ctx)
 	}
 	return nil
 }
 
 // mergesSources reports whether the endpoint list comes from several sources, of which discovery may be one.
-func (k *control) mergesSources() bool {
-	return len(k.config.Site.Membership.Sources) > 0
+func (ctl *control) mergesSources() bool {
+	return len(ctl.config.Site.Membership.Sources) > 0
 }
 
 // startEndpoints starts the sources of the endpoint list and passes on the list held before the start.
-func (k *control) startEndpoints(context.Context) error {
-	initial := k.initialEndpoints()
-	if k.mergesSources() {
-		if err := k.endpoints.ApplySettings(k.config.Site.Membership); err != nil {
+func (ctl *control) startEndpoints(context.Context) error {
+	initial := ctl.initialEndpoints()
+	if ctl.mergesSources() {
+		if err := ctl.endpoints.ApplySettings(ctl.config.Site.Membership); err != nil {
 			return fmt.Errorf("membership: %w", err)
 		}
 		if initial != nil {
-			k.endpoints.Restore(initial.Event(scheduler.CachedUpdate, k.clock))
+			ctl.endpoints.Restore(initial.Event(scheduler.CachedUpdate, ctl.clock))
 		}
 		return nil
 	}
 	if initial != nil {
-		k.postEndpoints(initial.Event(scheduler.CachedUpdate, k.clock))
+		ctl.postEndpoints(initial.Event(scheduler.CachedUpdate, ctl.clock))
 	}
 	return nil
 }
 
 // endpointHandler takes the lists of discovery: they are applied as they are, or merged with other sources.
-func (k *control) endpointHandler() func(broker.Event) {
-	if k.mergesSources() {
-		return k.endpoints.HandleDiscovery
+func (ctl *control) endpointHandler() func(broker.Event) {
+	if ctl.mergesSources() {
+		return ctl.endpoints.HandleDiscovery
 	}
-	return k.postEndpoints
+	return ctl.postEndpoints
 }
 
 // watcherOptions are what a configuration says of the watch of discovery.
-func (k *control) watcherOptions(c *config.Config) discovery.Options {
+func (ctl *control) watcherOptions(c *config.Config) discovery.Options {
 	set := c.Settings.Scheduler
 	return discovery.Options{
 		Brokers:       set.Brokers,
 		DrainGrace:    set.Rules.DrainGrace,
 		SharedService: set.Subscribe,
 		Local:         net.ParseIP(c.LocalAddress),
-		Log:           k.log,
+		Log:           ctl.log,
 	}
 }
 
@@ -309,14 +309,14 @@
 	if !c.Site.Agreement.Enabled() || c.Site.Agreement.Listen == "" {
 		return errNothingToControl
 	}
-	k, err := newControl(c, noTransport{}, nil, log)
+	ctl, err := newControl(c, noTransport{}, nil, log)
 	if err != nil {
 		return err
 	}
-	if err := k.startAlone(ctx, func() error { return nil }); err != nil {
+	if err := ctl.startAlone(ctx, func() error { return nil }); err != nil {
 		return err
 	}
-	defer k.parts.stop()
+	defer ctl.parts.stop()
 	log.Info("serving", "what", "control", "address", c.Site.Agreement.Listen)
 	<-ctx.Done()
 	log.Info("stopped")
@@ -324,15 +324,15 @@
 }
 
 // startAlone starts a control without servers and nodes; its parts end with ctx and parts.stop.
-func (k *control) startAlone(ctx context.Context, check func() error) error {
+func (ctl *control) startAlone(ctx context.Context, check func() error) error {
 	noMetrics := func() []broker.Metric { return nil }
-	k.parts = slices.Concat(k.ports(), k.workers(), subsystems{k.metricsExport()})
-	err := k.openConsole(check, noMetrics)
+	ctl.parts = slices.Concat(ctl.ports(), ctl.workers(), subsystems{ctl.metricsExport()})
+	err := ctl.openConsole(check, noMetrics)
 	if err == nil {
-		err = k.parts.start(ctx)
+		err = ctl.parts.start(ctx)
 	}
 	if err != nil {
-		k.parts.stop()
+		ctl.parts.stop()
 	}
 	return err
 }
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -40,21 +40,21 @@
 		random:       rand.New(rand.NewPCG(load.Seed, answerStream)),
 		responseTime: load.ResponseTime,
 	}
-	k, err := newControl(c, transport, nil, log)
+	ctl, err := newControl(c, transport, nil, log)
 	if err != nil {
 		return err
 	}
-	if err := k.startAlone(ctx, func() error { return errHollow }); err != nil {
+	if err := ctl.startAlone(ctx, func() error { return errHollow }); err != nil {
 		return err
 	}
-	defer k.parts.stop()
-	k.submitRequests(ctx, load)
+	defer ctl.parts.stop()
+	ctl.submitRequests(ctx, load)
 	<-ctx.Done()
 	return nil
 }
 
 // submitRequests has made-up requests come until ctx ends.
-func (k *control) submitRequests(ctx context.Context, load SyntheticLoad) {
+func (ctl *control) submitRequests(ctx context.Context, load SyntheticLoad) {
 	random := rand.New(rand.NewPCG(load.Seed, requestStream))
 	for load.Rate > 0 {
 		timer := time.NewTimer(time.Duration(random.ExpFloat64() / load.Rate * float64(time.Second)))
@@ -64,16 +64,16 @@
 			return
 		case <-timer.C:
 		}
-		k.loop.Submit(k.drawRequest(random, load), func(broker.Response) {})
+		ctl.loop.Submit(ctl.drawRequest(random, load), func(broker.Response) {})
 	}
 }
 
 // drawRequest makes up a request. The order of the draws is part of a seed's meaning.
-func (k *control) drawRequest(random *rand.Rand, load SyntheticLoad) *broker.Request {
-	set := k.config.Settings.Scheduler
+func (ctl *control) drawRequest(random *rand.Rand, load SyntheticLoad) *broker.Request {
+	set := ctl.config.Settings.Scheduler
 	class := set.Classes[random.IntN(len(set.Classes))]
 	volume := random.IntN(max(1, load.Volumes))
-	shard := random.IntN(max(1, k.config.Settings.Shards))
+	shard := random.IntN(max(1, ctl.config.Settings.Shards))
 	return &broker.Request{
 		Class:   class.Name,
 		Plan:    set.Plans[volume%len(set.Plans)].Name,
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	loop := broker.NewLoop(state, broker.NewClock(), nil, broker.Dependencies{Log: log})
-	k := &control{
+	ctl := &control{
 		config:   c,
 		log:      log,
 		loop:     loop,
@@ -104,7 +104,7 @@
 		watcher:  discovery.NewWatcher(c.Discovery, discovery.Options{Brokers: 1, Log: log}),
 	}
 	limits := resp.NewRequestLimits(c.Settings.Scheduler, 0)
-	return &service{control: k, clients: resp.NewServer(loop, limits, 1, 1, 1, log)}
+	return &service{control: ctl, clients: resp.NewServer(loop, limits, 1, 1, 1, log)}
 }
 
 // An operator reloads faulty files one after the other: each changes nothing and the log names the key. One that is
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -62,14 +62,14 @@
 	}
 	nodes := pool.New(poolOptions)
 	gate := c.Site.Admission.Controller(c.Settings.Scheduler, size.maxOpen)
-	k, err := newControl(c, resp.NewTransport(nodes), gate, log)
+	ctl, err := newControl(c, resp.NewTransport(nodes), gate, log)
 	if err != nil {
 		return nil, err
 	}
-	s := &service{control: k, failed: make(chan error, 2)}
-	k.handlePeerMessage = s.handlePeerDatagram
-	k.initialEndpoints = s.newestEndpoints
-	k.exportedMetrics = func() []broker.Metric { return append(k.ownMetrics(), s.clientMetric()) }
+	s := &service{control: ctl, failed: make(chan error, 2)}
+	ctl.handlePeerMessage = s.handlePeerDatagram
+	ctl.initialEndpoints = s.newestEndpoints
+	ctl.exportedMetrics = func() []broker.Metric { return append(ctl.ownMetrics(), s.clientMetric()) }
 	s.addClients(nodes, size)
 	s.noteSettings(c.Settings.Scheduler)
 	s.resize(1)
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -66,9 +66,9 @@
 // file.
 func TestRequestReadWhileClosing(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		request closeState
-		want    string
+		name  string
+		state closeState
+		want  string
 	}{
 		{"drained", closeIfIdle, servedValue},
 		{"evicted", closeEvicted, "-BUSY\r\n"},
@@ -77,7 +77,7 @@
 			f := newFixture(t)
 			c, peer := f.accept(nil)
 			c.hasRequest = true
-			if !c.requestClose(test.request) {
+			if !c.requestClose(test.state) {
 				t.Fatal("it does not end")
 			}
 			c.input.clearInterrupt() // as if the read had ended just before it was interrupted
@@ -85,7 +85,7 @@
 			f.expectInput(c)
 			f.server.Drain()
 			c.start()
-			if test.request != closeEvicted {
+			if test.state != closeEvicted {
 				f.attempt().serve()
 			}
 			if got, err := io.ReadAll(peer); string(got) != test.want || err != nil {
--- a/membership/options.go
+++ b/membership/options.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// Micros is a point on the monotonic clock, or a span of it, in µs.
+// Micros is a point on the monotonic clock, or a span of it, in µs. It is an alias, so that an int64 needs no
+// conversion.
 type Micros = int64
 
 // Permissions are what a source may do.
