--- a/broker/timers.go
+++ b/broker/timers.go
@@ -10,7 +10,7 @@
 
 const (
 	schedulerTimer   timerKind = iota // the scheduler asked for it
-	attemptTimer                      // an attempt takes longer than the scheduler allowed it
+	attemptTimer                      // an attempt takes longer than the scheduler allowed it; no rule sets it
 	idempotencyTimer                  // from now on nodes would run a repeat a second time
 	deadlineTimer                     // the client's time is up
 )
--- a/clusterconfig/lessor.go
+++ b/clusterconfig/lessor.go
@@ -83,7 +83,9 @@
 	return nil
 }
 
-// HandleRenewal answers a renewal. It returns nil if this leader may have been replaced, or must not grant yet.
+// HandleRenewal answers a renewal, and notes what the holder has prepared. It returns nil, and logs nothing, in three
+// cases: this leader may have been replaced; it knows no version, and leases of before the bootstrap may be in force;
+// the holder knows a later version than it does.
 //
 // Safety: the lease is noted before the grant is sent, and counted from the renewal's arrival with the drift added.
 // However long the way takes, the holder's own lease ends sooner.
