--- a/cmd/brokerbench/fleet.go
+++ b/cmd/brokerbench/fleet.go
@@ -20,7 +20,7 @@
 	return &cli.Command{
 		Name: "fleet",
 		Usage: "run many brokers as processes among stand-ins, with faults between them, and check the rules; " +
-			"docs/fleetrig.md",
+			"docs/fleetharness.md",
 		Commands: []*cli.Command{
 			{
 				Name:      "run",
--- a/internal/fakes/discovery_test.go
+++ b/internal/fakes/discovery_test.go
@@ -10,7 +10,8 @@
 // changed its name would leave them without nodes.
 func TestDiscoveryAnswers(t *testing.T) {
 	d, err := NewDiscovery("127.0.0.1:0", Endpoint{
-		Name: "n1", Address: "127.0.0.1:6379", Zone: "a", Class: "m1", Shard: 2, Health: "SERVING", Share: 0.5, StartedMS: 7,
+		Name: "n1", Address: "127.0.0.1:6379", Zone: "a", Class: "m1", Shard: 2,
+		Health: "SERVING", Share: 0.5, StartedMS: 7,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleetharness/agreementchange_test.go
+++ b/internal/fleetharness/agreementchange_test.go
@@ -54,7 +54,8 @@
 // expectHistory wants the commands and calls about history to tell of a rollback to version 1 as version 3.
 func expectHistory(t *testing.T, fleet *Fleet) {
 	t.Helper()
-	output, exitCode, err := runCommand(fleet, 2, "propose", "--author", "operator", "--reason", "late", "--expected", "1",
+	output, exitCode, err := runCommand(fleet, 2, "propose", "--author", "operator", "--reason", "late",
+		"--expected", "1",
 		"plan.basico.limit=1500")
 	if exitCode != 3 || !strings.Contains(output, "another version is in force") {
 		t.Errorf("%q, %v", output, err)
--- a/internal/fleetharness/checker_test.go
+++ b/internal/fleetharness/checker_test.go
@@ -73,7 +73,8 @@
 // stopped, or restricted, or had prepared.
 func TestCheckerFindsConflicts(t *testing.T) {
 	const ms = time.Millisecond
-	applied := func(process string, at time.Duration, version, pending, restricted string, before time.Duration) LogLine {
+	applied := func(process string, at time.Duration,
+		version, pending, restricted string, before time.Duration) LogLine {
 		return viewApplied(process, at, map[string]string{
 			"version":    version,
 			"preparing":  pending,
--- a/internal/fleetharness/conflict.go
+++ b/internal/fleetharness/conflict.go
@@ -16,8 +16,8 @@
 	Trace     string `json:"story,omitempty"`
 	Versions  int    `json:"versions"`
 	Spans     int    `json:"spans"` // of time in which a broker acted on one view
-	// CommitToAllUS is, of each version, the time from its commit to the last broker with a lease that acts on it, in µs,
-	// shortest first.
+	// CommitToAllUS is, of each version, the time from its commit to the last broker with a lease that acts on it,
+	// in µs, shortest first.
 	CommitToAllUS []int64 `json:"commit_to_all_us"`
 }
 
@@ -147,7 +147,8 @@
 			conflict.LongestUS = micros
 			conflict.Trace = fmt.Sprintf("seed %d: %s acted on version %d (preparing %d) until %.4f s, "+
 				"version %d was acted on from %.4f s on",
-				r.seed, span.process, span.version, span.pending, span.to.Seconds(), version.version, firstUse.Seconds())
+				r.seed, span.process, span.version, span.pending, span.to.Seconds(),
+				version.version, firstUse.Seconds())
 		}
 	}
 	return conflict
--- a/internal/fleetharness/golden_test.go
+++ b/internal/fleetharness/golden_test.go
@@ -81,8 +81,9 @@
 		},
 		HollowBrokers: 18,
 		Costs: []Cost{{
-			Broker: 19, Hollow: true, Role: "leaf", Children: 20, Sent: 21, Received: 22, PeerSent: 23, PeerReceived: 24,
-			CPU: 25, MemoryMB: 26,
+			Broker: 19, Hollow: true, Role: "leaf", Children: 20, Sent: 21, Received: 22, PeerSent: 23,
+			PeerReceived: 24,
+			CPU:          25, MemoryMB: 26,
 		}},
 		SlowStart:      []SlowStartSecond{{Node: "node-0", AgeS: 27, Units: 28, Limit: 29}},
 		RestartMS:      []float64{30},
--- a/internal/fleetharness/phase.go
+++ b/internal/fleetharness/phase.go
@@ -27,7 +27,8 @@
 	Rejected    int     `json:"busy"`
 	Failed      int     `json:"failed"`
 	Lost        int     `json:"lost"`
-	// Excluded are those whose broker was ended or stopped meanwhile, or whose client broke off; they count nowhere else.
+	// Excluded are those whose broker was ended or stopped meanwhile, or whose client broke off.
+	// They count nowhere else.
 	Excluded      int     `json:"broker_down"`
 	Late          int     `json:"late"` // answered after the deadline and protocolSlack
 	P50           int64   `json:"p50_us"`
--- a/internal/fleetharness/run.go
+++ b/internal/fleetharness/run.go
@@ -10,7 +10,8 @@
 const (
 	// hotBrokerPart is the part of the brokers, one in so many, that Scenario.HotFactor is about.
 	hotBrokerPart = 20
-	// minRatePart is the least that the others keep of the mean rate, one in so many: no broker is left without traffic.
+	// minRatePart is the least that the others keep of the mean rate, one in so many. No broker is left without
+	// traffic.
 	minRatePart = 10
 )
 
--- a/internal/pool/helpers_test.go
+++ b/internal/pool/helpers_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// newUnhedgedPool returns a pool that hedges no dial. On a busy machine a dial takes longer than minHedgeDelay: the hedge
-// may then serve the attempt, and a test that waits for the request on the first connection waits in vain.
+// newUnhedgedPool returns a pool that hedges no dial. On a busy machine a dial takes longer than minHedgeDelay: the
+// hedge may then serve the attempt, and a test that waits for the request on the first connection waits in vain.
 func newUnhedgedPool(options Options) *Pool {
 	p := New(options)
 	p.dialTimes.hedgeTokens = math.Inf(-1)
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -177,7 +177,9 @@
 					t.Fatal(err)
 				}
 				if len(unread) == len(pipelined) {
-					eventually(t, longWaitLimit, "all that may wait do", func() bool { return f.loop.OpenRequests() == maxPipeline })
+					eventually(t, longWaitLimit, "all that may wait do", func() bool {
+						return f.loop.OpenRequests() == maxPipeline
+					})
 				}
 				hangUp(t, conn, reset)
 				left++
