--- a/clusterconfig/document.go
+++ b/clusterconfig/document.go
@@ -60,21 +60,21 @@
 	}
 	seen := map[string]bool{}
 	for i, c := range p.Changes {
-		field := fmt.Sprintf("changes[%d]: %s", i, c.Key)
+		addChange := func(err error) { add(fmt.Sprintf("changes[%d]: %s", i, c.Key), err) }
 		lattice, known := schema(c.Key)
 		if !known {
-			add(field, ErrUnknownKey)
+			addChange(ErrUnknownKey)
 			continue
 		}
 		if seen[c.Key] {
-			add(field, ErrDuplicateKey)
+			addChange(ErrDuplicateKey)
 		}
 		seen[c.Key] = true
 		if c.Value == "" {
 			continue
 		}
 		if err := lattice.Check(c.Value); err != nil {
-			add(field, err)
+			addChange(err)
 		}
 	}
 	return errors.Join(faults...)
