--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -92,7 +92,8 @@
 	l.Wake()
 }
 
-// Do has a function run between two turns, on the loop's own goroutine. It must be short.
+// Do has a function run between two turns, on the loop's own goroutine. Functions run in the order of Do, and must be
+// short.
 func (l *Loop) Do(call func()) {
 	l.inbox.mu.Lock()
 	l.inbox.calls = append(l.inbox.calls, call)
--- a/internal/metricsexport/exporter.go
+++ b/internal/metricsexport/exporter.go
@@ -24,7 +24,7 @@
 	Log     *slog.Logger
 }
 
-// Loop runs calls on the broker's loop, between events. Do does not wait for the call.
+// Loop runs calls on the broker's loop, between events and in the order of Do. Do does not wait for the call.
 type Loop interface{ Do(func()) }
 
 // Settings are what may change while the broker runs. A sink without an address is off.
--- a/internal/metricsexport/harness_test.go
+++ b/internal/metricsexport/harness_test.go
@@ -26,21 +26,37 @@
 	collectdServed = "n1/junctionwharf-all/junctionwharf_requests/0"
 )
 
-// fakeLoop stands in for the broker's loop: it runs one call at a time, never beside an observation.
+// fakeLoop stands in for the broker's loop: it runs one call at a time, in the order of Do, never beside an
+// observation.
 type fakeLoop struct {
 	mu       sync.Mutex
 	served   uint64
 	exporter *Exporter
+
+	callsMu sync.Mutex
+	calls   []func() // that have not begun, oldest first
 }
 
+// Do queues a call. The goroutine that it starts runs the oldest one, whichever goroutine gets the lock first.
 func (l *fakeLoop) Do(call func()) {
+	l.callsMu.Lock()
+	l.calls = append(l.calls, call)
+	l.callsMu.Unlock()
 	go func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		call()
+		l.takeOldest()()
 	}()
 }
 
+func (l *fakeLoop) takeOldest() func() {
+	l.callsMu.Lock()
+	defer l.callsMu.Unlock()
+	oldest := l.calls[0]
+	l.calls = l.calls[1:]
+	return oldest
+}
+
 func (l *fakeLoop) observe(observations ...telemetry.Observation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,14 +181,31 @@
 
 // awaitEnabled waits until the registry counts.
 func (h *harness) awaitEnabled() {
+	h.t.Helper()
+	h.awaitRegistry(true)
+}
+
+// awaitDisabled waits until the registry does not count. A test that turns the sinks on again calls it first: else
+// awaitEnabled could still see the registry of before, whose counts are dropped.
+func (h *harness) awaitDisabled() {
+	h.t.Helper()
+	h.awaitRegistry(false)
+}
+
+func (h *harness) awaitRegistry(want bool) {
+	h.t.Helper()
 	for {
 		h.fakeLoop.mu.Lock()
 		enabled := h.exporter.enabled
 		h.fakeLoop.mu.Unlock()
-		if enabled {
+		if enabled == want {
 			return
 		}
-		time.Sleep(time.Millisecond)
+		select {
+		case <-h.timeout:
+			h.t.Fatalf("the registry counts: %v, want %v, log %q", enabled, want, h.logLines())
+		case <-time.After(time.Millisecond):
+		}
 	}
 }
 
--- a/internal/metricsexport/lifecycle_test.go
+++ b/internal/metricsexport/lifecycle_test.go
@@ -28,6 +28,7 @@
 	})
 	h.exporter.ApplySettings(testSettings("", ""))
 	h.awaitMetrics("a sink that is off", func(metrics map[string]uint64) bool { return len(metrics) == 0 })
+	h.awaitDisabled()
 	second := newFakeCarbon(t)
 	h.exporter.ApplySettings(testSettings(second.Address(), ""))
 	h.awaitMetrics("a sink that is on", func(metrics map[string]uint64) bool { return len(metrics) > 0 })
