--- a/cmd/junctionwharf/agree_print_test.go
+++ b/cmd/junctionwharf/agree_print_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
-)
 
-var record = flag.Bool("record", false, "write the golden files anew")
+	"junctionwharf/internal/golden"
+)
 
 // Operators read the answers of the agree calls as tables: they stay as they are.
 func TestPrintAnswers(t *testing.T) {
@@ -28,19 +27,7 @@
 		if err := printAgree(&printed, c.call, answer); err != nil {
 			t.Fatal(err)
 		}
-		golden := filepath.Join("testdata", c.call+"-of-"+c.answer+".txt")
-		if *record {
-			if err := os.WriteFile(golden, printed.Bytes(), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		want, err := os.ReadFile(golden)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if printed.String() != string(want) {
-			t.Errorf("%s of %s:\n%s\nwant:\n%s", c.call, c.answer, printed.String(), want)
-		}
+		golden.Check(t, c.call+"-of-"+c.answer+".txt", printed.Bytes())
 	}
 }
 
--- a/internal/agreement/console_golden_test.go
+++ b/internal/agreement/console_golden_test.go
@@ -1,50 +1,18 @@
 package agreement
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
 	"testing"
 
 	"junctionwharf/clusterconfig"
+	"junctionwharf/internal/golden"
 )
 
-var recordAnswers = flag.Bool("record-answers", false, "write the golden files anew")
-
 // checkAnswer encodes a value as the console does, compares it with a golden file, and reads that file into to and
 // back.
 func checkAnswer(t *testing.T, name string, value, to any) {
 	t.Helper()
-	path := "testdata/" + name
-	encoded, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	encoded = append(encoded, '\n')
-	if *recordAnswers {
-		if err := os.WriteFile(path, encoded, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(encoded, golden) {
-		t.Errorf("%s: encoded:\n%s\nwant:\n%s", name, encoded, golden)
-	}
-	if err := json.Unmarshal(golden, to); err != nil {
-		t.Fatal(err)
-	}
-	again, err := json.Marshal(to)
-	if err != nil {
-		t.Fatal(err)
-	}
-	again = append(again, '\n')
-	if !bytes.Equal(again, golden) {
-		t.Errorf("%s: encoded again:\n%s", name, again)
-	}
+	golden.CheckJSON(t, name, value, to, "\n")
 }
 
 // Operators' programs read the answers of the console's agree calls as JSON. Their bytes must stay the same.
--- a/internal/agreement/golden_answers_test.go
+++ b/internal/agreement/golden_answers_test.go
@@ -8,6 +8,7 @@
 
 	"junctionwharf/clusterconfig"
 	"junctionwharf/internal/consensus"
+	"junctionwharf/internal/golden"
 )
 
 // answers are what scripts and people read, by name: the console's JSON, and the texts of errors.
@@ -169,14 +170,14 @@
 // they are, whatever the types are called that they come from.
 func TestGoldenAnswers(t *testing.T) {
 	got := collectAnswers(t)
-	if *recordGolden {
+	if golden.Recording() {
 		writeGolden(t, goldenAnswers, got)
 	}
-	golden := readGolden(t, goldenAnswers)
-	if len(golden) != len(got) {
-		t.Errorf("%d golden answers, want %d", len(golden), len(got))
+	recorded := readGolden(t, goldenAnswers)
+	if len(recorded) != len(got) {
+		t.Errorf("%d recorded answers, want %d", len(recorded), len(got))
 	}
-	for name, want := range golden {
+	for name, want := range recorded {
 		if got[name] != want {
 			t.Errorf("%s:\n%s, want\n%s", name, got[name], want)
 		}
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -16,12 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"junctionwharf/clusterconfig"
+	"junctionwharf/internal/golden"
 )
 
-// recordGolden writes the golden files again. Do so only for a change of the format that is meant, with a way to talk
-// to older brokers.
-var recordGolden = flag.Bool("record", false, "write the golden files under testdata again")
-
 const (
 	goldenFrames  = "testdata/frames.golden"  // one frame a line: name and hex
 	goldenAnswers = "testdata/answers.golden" // one text a line: name and what the console or a peer receives
@@ -193,20 +189,20 @@
 // Brokers of two builds talk to each other during a rolling upgrade. A frame of each kind must be read as what the
 // other build meant, and be written with the same bytes.
 func TestGoldenFrames(t *testing.T) {
-	if *recordGolden {
+	if golden.Recording() {
 		values := map[string]string{}
 		for _, c := range goldenTable() {
 			values[c.name] = hex.EncodeToString(write(t, c.frame, sortedMaps(t, c.frame)))
 		}
 		writeGolden(t, goldenFrames, values)
 	}
-	golden := readGolden(t, goldenFrames)
-	if len(golden) != len(goldenTable()) {
-		t.Fatalf("%d golden frames, want %d", len(golden), len(goldenTable()))
+	recorded := readGolden(t, goldenFrames)
+	if len(recorded) != len(goldenTable()) {
+		t.Fatalf("%d recorded frames, want %d", len(recorded), len(goldenTable()))
 	}
 	for _, c := range goldenTable() {
 		t.Run(c.name, func(t *testing.T) {
-			want, err := hex.DecodeString(golden[c.name])
+			want, err := hex.DecodeString(recorded[c.name])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -2,32 +2,12 @@
 
 import (
 	"encoding/json"
-	"flag"
 	"fmt"
-	"os"
 	"strings"
 	"testing"
-)
-
-var record = flag.Bool("record", false, "write the golden files anew")
 
-// checkGolden compares a text with a golden file.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := "testdata/" + name
-	if *record {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s:\n%s\nwant:\n%s", name, got, want)
-	}
-}
+	"junctionwharf/internal/golden"
+)
 
 // settingsKeys are all keys of the settings, with the JSON of a value.
 var settingsKeys = []struct{ path, value string }{
@@ -131,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, "settings.txt", fmt.Sprintf("%v\n", *settings))
+		golden.Check(t, "settings.txt", []byte(fmt.Sprintf("%v\n", *settings)))
 	}
 }
 
@@ -142,5 +122,5 @@
 		_, err := ParseSettings(settingsWith(t, setting.path))
 		fmt.Fprintf(&faults, "%s: %v\n", setting.path, err)
 	}
-	checkGolden(t, "settings-faults.txt", faults.String())
+	golden.Check(t, "settings-faults.txt", []byte(faults.String()))
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/hex"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -17,12 +16,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"junctionwharf/clusterconfig"
+	"junctionwharf/internal/golden"
 )
 
-// recordGolden writes the golden files again. Do so only for a change of the format that is meant, with a way to read
-// the old one.
-var recordGolden = flag.Bool("record", false, "write the golden files under testdata again")
-
 const (
 	goldenValues = "testdata/values.golden"    // one encoded value a line: name and hex
 	goldenDisk   = "testdata/agreement.golden" // a voter's bbolt file: its size, then the rows that are not zero
@@ -151,20 +147,20 @@
 // side during a rolling upgrade. Each value that goes into raft's log or snapshot must decode to what it was, and
 // encode to the same bytes.
 func TestGoldenValues(t *testing.T) {
-	if *recordGolden {
+	if golden.Recording() {
 		var text strings.Builder
 		for _, c := range goldenTable() {
 			fmt.Fprintf(&text, "%s: %x\n", c.name, encodeSorted(t, c.value))
 		}
 		writeFile(t, goldenValues, []byte(text.String()))
 	}
-	golden := readGolden(t, goldenValues)
-	if len(golden) != len(goldenTable()) {
-		t.Fatalf("%d golden values, want %d", len(golden), len(goldenTable()))
+	recorded := readGolden(t, goldenValues)
+	if len(recorded) != len(goldenTable()) {
+		t.Fatalf("%d recorded values, want %d", len(recorded), len(goldenTable()))
 	}
 	for _, c := range goldenTable() {
 		t.Run(c.name, func(t *testing.T) {
-			want := golden[c.name]
+			want := recorded[c.name]
 			if err := msgpack.Unmarshal(want, c.empty); err != nil {
 				t.Fatal(err)
 			}
@@ -214,7 +210,7 @@
 	dir := t.TempDir()
 	fresh, kept := filepath.Join(dir, "fresh"), filepath.Join(dir, "kept")
 	writeGoldenDisk(t, fresh)
-	if *recordGolden {
+	if golden.Recording() {
 		writeFile(t, goldenDisk, []byte(dump(readFile(t, fresh))))
 	}
 	file := readDump(t, goldenDisk)
--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -2,40 +2,18 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 
 	"junctionwharf/broker"
 	"junctionwharf/internal/config"
+	"junctionwharf/internal/golden"
 	"junctionwharf/internal/logging"
 	"junctionwharf/scheduler"
 )
 
-var record = flag.Bool("record", false, "write the golden files anew")
-
-// checkGolden compares an answer with a golden file.
-func checkGolden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *record {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // startConsoleOnly builds a control of which only the console runs.
 func startConsoleOnly(t *testing.T, check func() error, more func() []broker.Metric) *control {
 	t.Helper()
@@ -65,9 +43,9 @@
 		return []broker.Metric{{Name: "connections_turned_away", Value: 3, Counter: true}}
 	}
 	ctl := startConsoleOnly(t, check, more)
-	checkAnswer := func(golden, call string) {
+	checkAnswer := func(name, call string) {
 		t.Helper()
-		checkGolden(t, golden, callConsole(t, ctl.config.Console, call))
+		golden.Check(t, name, []byte(callConsole(t, ctl.config.Console, call)))
 	}
 	checkAnswer("check-failure.txt", "check")
 	notAccepting = nil
@@ -95,7 +73,7 @@
 		answer = callConsole(t, ctl.config.Console, "nodes")
 		return strings.Contains(answer, "127.0.0.1:7002")
 	})
-	checkGolden(t, "nodes-merged.txt", age.ReplaceAllString(answer, "(age) "))
+	golden.Check(t, "nodes-merged.txt", []byte(age.ReplaceAllString(answer, "(age) ")))
 }
 
 // The same for what the console shows of load balancing.
@@ -104,6 +82,6 @@
 		{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Share: 0.75},
 		{Node: "b", Shard: 1, Weight: 2, Factor: 0.25, Share: 0.25, Reason: "slow"},
 	}
-	checkGolden(t, "nodes-spread.txt", string(formatShares(shares)))
-	checkGolden(t, "vars-spread.txt", fmt.Sprintf("%v\n", shareMetrics(shares)))
+	golden.Check(t, "nodes-spread.txt", formatShares(shares))
+	golden.Check(t, "vars-spread.txt", []byte(fmt.Sprintf("%v\n", shareMetrics(shares))))
 }
--- a/internal/fleetharness/golden_test.go
+++ b/internal/fleetharness/golden_test.go
@@ -1,49 +1,18 @@
 package fleetharness
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"junctionwharf/internal/daemon"
+	"junctionwharf/internal/golden"
 )
 
-var recordGolden = flag.Bool("record-journal", false, "write the golden files anew")
-
 // checkGolden compares a value's JSON with a golden file, and reads that file into decoded and back.
 func checkGolden(t *testing.T, name string, value, decoded any) {
 	t.Helper()
-	path := filepath.Join("testdata", name)
-	encoded, err := json.Marshal(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if *recordGolden {
-		if err := os.WriteFile(path, encoded, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(encoded, golden) {
-		t.Errorf("%s: encoded:\n%s\nwant:\n%s", name, encoded, golden)
-	}
-	if err := json.Unmarshal(golden, decoded); err != nil {
-		t.Fatal(err)
-	}
-	again, err := json.Marshal(decoded)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(again, golden) {
-		t.Errorf("%s: encoded again:\n%s", name, again)
-	}
+	golden.CheckJSON(t, name, value, decoded, "")
 }
 
 // A journal of an earlier run is read after an upgrade, and the file of hollow brokers is read by another program:
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -1,19 +1,15 @@
 package handover
 
 import (
-	"bytes"
 	"encoding/json"
-	"flag"
-	"os"
 	"reflect"
 	"testing"
 
 	"junctionwharf/internal/discovery"
+	"junctionwharf/internal/golden"
 	"junctionwharf/scheduler"
 )
 
-var record = flag.Bool("record", false, "write the golden files anew")
-
 // fullMessage has every field set.
 var fullMessage = StateMessage{
 	Endpoints: &discovery.EndpointList{Version: 7, Full: true, Endpoints: []discovery.Endpoint{
@@ -38,37 +34,11 @@
 
 // During an upgrade the two processes are of different versions: the message has the same bytes in both.
 func TestMessageBytes(t *testing.T) {
-	const path = "testdata/message.json"
-	var encoded bytes.Buffer
-	if err := json.NewEncoder(&encoded).Encode(fullMessage); err != nil {
-		t.Fatal(err)
-	}
-	if *record {
-		if err := os.WriteFile(path, encoded.Bytes(), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	golden, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(encoded.Bytes(), golden) {
-		t.Errorf("encoded:\n%s\nwant:\n%s", encoded.Bytes(), golden)
-	}
 	var decoded StateMessage
-	if err := json.Unmarshal(golden, &decoded); err != nil {
-		t.Fatal(err)
-	}
+	golden.CheckJSON(t, "message.json", fullMessage, &decoded, "\n")
 	if !reflect.DeepEqual(decoded, fullMessage) {
 		t.Errorf("decoded: %+v", decoded)
 	}
-	again, err := json.Marshal(decoded)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if again = append(again, '\n'); !bytes.Equal(again, golden) {
-		t.Errorf("encoded again:\n%s", again)
-	}
 }
 
 // A field without a value is left out of the message.
