--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -10,6 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
+	"junctionwharf/clusterconfig"
 	"junctionwharf/internal/agreement"
 )
 
@@ -113,19 +114,6 @@
 	}
 }
 
-// proposal is the argument of the propose call.
-type proposal struct {
-	Expected uint64   `json:"expected"` // the version on which it builds
-	Author   string   `json:"author"`
-	Reason   string   `json:"reason"`
-	Changes  []change `json:"changes"`
-}
-
-type change struct {
-	Key   string `json:"key"`
-	Value string `json:"value"`
-}
-
 func propose(_ context.Context, cmd *cli.Command) error {
 	changes, err := parseChanges(cmd.Args().Slice())
 	if err != nil {
@@ -135,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(proposal{
+	text, err := json.Marshal(clusterconfig.Proposal{
 		Expected: expected,
 		Author:   cmd.String(authorFlag),
 		Reason:   cmd.String(reasonFlag),
@@ -148,17 +136,17 @@
 }
 
 // parseChanges reads KEY=VALUE arguments.
-func parseChanges(arguments []string) ([]change, error) {
+func parseChanges(arguments []string) ([]clusterconfig.Change, error) {
 	if len(arguments) == 0 {
 		return nil, errNoChange
 	}
-	var changes []change
+	var changes []clusterconfig.Change
 	for _, argument := range arguments {
 		key, value, found := strings.Cut(argument, "=")
 		if !found {
 			return nil, fmt.Errorf("%q is no KEY=VALUE", argument)
 		}
-		changes = append(changes, change{Key: key, Value: value})
+		changes = append(changes, clusterconfig.Change{Key: key, Value: value})
 	}
 	return changes, nil
 }
@@ -198,7 +186,7 @@
 		_, err := os.Stdout.Write(answer)
 		return err
 	}
-	var entry historyEntry
+	var entry clusterconfig.Entry
 	if err := json.Unmarshal(answer, &entry); err != nil {
 		return err
 	}
--- a/cmd/junctionwharf/agree_print.go
+++ b/cmd/junctionwharf/agree_print.go
@@ -8,6 +8,7 @@
 	"strings"
 	"text/tabwriter"
 
+	"junctionwharf/clusterconfig"
 	"junctionwharf/internal/agreement"
 )
 
@@ -17,17 +18,6 @@
 // columnGap is the space between the columns of a table.
 const columnGap = 2
 
-// historyEntry is a version in the answer to the history call, and the answer to a change.
-type historyEntry struct {
-	Version  uint64 `json:"version"`
-	Hash     string `json:"hash"`
-	Proposal struct {
-		Author  string   `json:"author"`
-		Reason  string   `json:"reason"`
-		Changes []change `json:"changes"`
-	} `json:"proposal"`
-}
-
 // printAgree prints an answer for people.
 func printAgree(w io.Writer, call string, answer []byte) error {
 	switch call {
@@ -58,7 +48,7 @@
 }
 
 func printHistory(w io.Writer, answer []byte) error {
-	var entries []historyEntry
+	var entries []clusterconfig.Entry
 	if err := json.Unmarshal(answer, &entries); err != nil {
 		return err
 	}
@@ -72,7 +62,7 @@
 }
 
 // summarize words the first changes of a version.
-func summarize(changes []change) string {
+func summarize(changes []clusterconfig.Change) string {
 	var words []string
 	for _, c := range changes {
 		words = append(words, c.Key+"="+c.Value)
--- a/internal/fleetharness/agreement.go
+++ b/internal/fleetharness/agreement.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"junctionwharf/clusterconfig"
 	"junctionwharf/internal/agreement"
 	"junctionwharf/internal/console"
 )
@@ -100,29 +101,16 @@
 	return -1, errNoLeader
 }
 
-// proposal is a proposed change in the console's form.
-type proposal struct {
-	Expected uint64   `json:"expected"` // the version that it was made for
-	Author   string   `json:"author"`
-	Reason   string   `json:"reason"`
-	Changes  []change `json:"changes"`
-}
-
-type change struct {
-	Key   string `json:"key"`
-	Value string `json:"value"`
-}
-
 // repeatKey is the setting that proposals change: whether reads may be retried.
 const repeatKey = "class." + readClass + ".repeat"
 
 // propose proposes a change of one key at a broker, and returns the console's answer.
 func (f *Fleet) proposeChange(broker int, expected uint64, author, reason, key, value string) (string, error) {
-	text, err := json.Marshal(proposal{
+	text, err := json.Marshal(clusterconfig.Proposal{
 		Expected: expected,
 		Author:   author,
 		Reason:   reason,
-		Changes:  []change{{Key: key, Value: value}},
+		Changes:  []clusterconfig.Change{{Key: key, Value: value}},
 	})
 	if err != nil {
 		return "", err
