--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -114,9 +114,7 @@
 	if len(l.inbox.events) == 0 && l.dependencies.Admission != nil {
 		l.inbox.since = l.clock.Now()
 	}
-	if changed, is := e.(SettingsChanged); is && l.dependencies.Admission != nil {
-		l.dependencies.Admission.ApplySettings(changed.Settings)
-	}
+	l.applyToAdmission(e)
 	if _, is := e.(RequestCancelled); is {
 		l.inbox.cancellations = append(l.inbox.cancellations, e)
 		return
@@ -124,6 +122,14 @@
 	l.inbox.events = append(l.inbox.events, e)
 }
 
+// applyToAdmission has admission control follow settings at once, before the turn that takes them: it admits requests
+// outside the turns. The caller holds inbox.mu.
+func (l *Loop) applyToAdmission(e Event) {
+	if changed, is := e.(SettingsChanged); is && l.dependencies.Admission != nil {
+		l.dependencies.Admission.ApplySettings(changed.Settings)
+	}
+}
+
 // Backlogged reports whether the loop is far behind, so that WaitForCapacity would wait.
 func (l *Loop) Backlogged() bool {
 	l.inbox.mu.Lock()
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -131,9 +131,7 @@
 	}
 	l.inbox.mu.Lock()
 	for _, e := range changes {
-		if changed, is := e.(SettingsChanged); is && l.dependencies.Admission != nil {
-			l.dependencies.Admission.ApplySettings(changed.Settings)
-		}
+		l.applyToAdmission(e)
 	}
 	l.inbox.mu.Unlock()
 	l.safeTurn(now, changes)
