--- a/clusterconfig/bench_test.go
+++ b/clusterconfig/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkChange is one change of a key, from its proposal until a holder acts on it, in documents of several sizes:
-// the cost must follow the change, not the size.
+// BenchmarkChange measures one change of a key, from its proposal until a holder acts on it, in documents of several
+// sizes. The cost must depend on the size of the change and not of the document.
 func BenchmarkChange(b *testing.B) {
 	for _, keys := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) { benchmarkChange(b, keys) })
@@ -29,7 +29,7 @@
 	h := NewLeaseHolder("h", 1, DefaultTiming, schema)
 	renew := func() {
 		if g := l.HandleRenewal(now, h.Renew(now)); g == nil || !h.HandleGrant(now, *g) {
-			b.Fatal("not granted")
+			b.Fatal("the renewal was not granted")
 		}
 		h.View(now)
 		h.TakeChangedKeys()
@@ -47,9 +47,9 @@
 			b.Fatal(err)
 		}
 		renew()
-		renew() // reports the preparation
+		renew() // reports that the holder prepared the change
 		if !l.CanActivate(now) {
-			b.Fatal("the change cannot be activated")
+			b.Fatal("the change cannot be activated although its only holder prepared it")
 		}
 		if err := l.Activate(); err != nil {
 			b.Fatal(err)
--- a/clusterconfig/document.go
+++ b/clusterconfig/document.go
@@ -10,23 +10,23 @@
 	"slices"
 )
 
-// The tags of the types below are their names on disk, between brokers (msgpack) and on the console (JSON).
+// The tags of the types below are the field names on disk and between brokers (msgpack) and on the console (JSON).
 
-// Change sets a key, or removes it with an empty value.
+// Change sets a key to a value. An empty value removes the key.
 type Change struct {
 	Key   string `msgpack:"Key" json:"key"`
 	Value string `msgpack:"Value" json:"value"`
 }
 
-// Proposal is a change of a document that is accepted completely or not at all.
+// Proposal is a set of changes to a document, which is applied completely or not at all.
 type Proposal struct {
-	Expected uint64   `msgpack:"Expected" json:"expected"` // the version on which it builds
+	Expected uint64   `msgpack:"Expected" json:"expected"` // version that the proposal is based on
 	Author   string   `msgpack:"Author" json:"author"`
 	Reason   string   `msgpack:"Reason" json:"reason"`
 	Changes  []Change `msgpack:"Changes" json:"changes"`
 }
 
-// Entry is a version in the history. It names all versions before it by a hash chain.
+// Entry is one version in the history. Its hash covers all earlier versions by a hash chain.
 type Entry struct {
 	Version      uint64   `msgpack:"Version" json:"version"`
 	Proposal     Proposal `msgpack:"Proposal" json:"proposal"`
@@ -34,15 +34,15 @@
 	Hash         string   `msgpack:"Hash" json:"hash"`
 }
 
-// Document is the configuration at one version. Applying a change costs in proportion to the change.
+// Document is the configuration at one version. The cost of applying a change is proportional to the change.
 type Document struct {
-	Epoch     uint64            `msgpack:"Epoch" json:"Epoch"` // random number of the cluster's bootstrap, 0 for none
+	Epoch     uint64            `msgpack:"Epoch" json:"Epoch"` // random number of the cluster's bootstrap, 0 before
 	Version   uint64            `msgpack:"Version" json:"Version"`
 	Values    map[string]string `msgpack:"Values" json:"Values"`
 	LastEntry Entry             `msgpack:"Last" json:"Last"`
 }
 
-// Validate returns every fault of a proposal, joined.
+// Validate returns all faults of a proposal as joined FieldErrors, nil for a valid proposal.
 func (d *Document) Validate(schema Schema, p Proposal) error {
 	var faults []error
 	add := func(field string, err error) { faults = append(faults, &FieldError{field, err}) }
@@ -80,7 +80,7 @@
 	return errors.Join(faults...)
 }
 
-// NextEntry returns the entry that a valid proposal makes.
+// NextEntry returns the history entry that follows the document's last entry and applies a valid proposal.
 func (d *Document) NextEntry(p Proposal) Entry {
 	p.Changes = slices.Clone(p.Changes)
 	sortChanges(p.Changes)
@@ -89,8 +89,8 @@
 	return e
 }
 
-// Apply brings the document to the version of the last entry. If an entry does not follow the one before it or was
-// altered, the document stays as it is.
+// Apply applies entries in order. If an entry does not follow its predecessor or does not match its hash, Apply returns
+// an error and the document stays unchanged.
 func (d *Document) Apply(entries ...Entry) error {
 	last := d.LastEntry
 	for _, e := range entries {
@@ -120,12 +120,12 @@
 	d.LastEntry = e
 }
 
-// Clone returns a copy that changes independently.
+// Clone returns a copy of the document. Applying entries to one does not change the other.
 func (d *Document) Clone() *Document {
 	return &Document{Epoch: d.Epoch, Version: d.Version, Values: maps.Clone(d.Values), LastEntry: d.LastEntry}
 }
 
-// Revert returns the proposal that restores the values of another version.
+// Revert returns the proposal that restores the values of another version of the document.
 func (d *Document) Revert(to *Document, author, reason string) Proposal {
 	p := Proposal{Expected: d.Version, Author: author, Reason: reason}
 	for key, value := range to.Values {
@@ -146,7 +146,7 @@
 	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// computeHash hashes the entry and, through PreviousHash, all entries before it.
+// computeHash returns the hash of the entry, which covers all earlier entries through PreviousHash.
 func (e Entry) computeHash() string {
 	h := sha256.New() // writing to it never fails
 	_, _ = fmt.Fprintf(h, "%d %q %q %q", e.Version, e.PreviousHash, e.Proposal.Author, e.Proposal.Reason)
@@ -156,13 +156,14 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// verifyFollows returns why the entry cannot come directly after last.
+// verifyFollows returns an error unless the entry directly follows last and matches its own hash.
 func (e Entry) verifyFollows(last Entry) error {
 	if e.Version != last.Version+1 {
 		return outOfSequence(e.Version, last.Version)
 	}
 	if e.PreviousHash != last.Hash {
-		return fmt.Errorf("%w: version %d has previous hash %q, want %q", ErrForkedHistory, e.Version, e.PreviousHash, last.Hash)
+		return fmt.Errorf("%w: version %d has previous hash %q, want %q",
+			ErrForkedHistory, e.Version, e.PreviousHash, last.Hash)
 	}
 	return e.verifyHash()
 }
--- a/clusterconfig/errors.go
+++ b/clusterconfig/errors.go
@@ -7,11 +7,11 @@
 
 // Errors of rejected proposals. Operators read the texts. Code must compare the values with errors.Is.
 var (
-	// ErrVersionConflict is the fault of a proposal that builds on another version than the active one.
+	// ErrVersionConflict is returned for a proposal or an entry that is not based on the active version.
 	ErrVersionConflict = errors.New("proposal is not based on the active version")
-	// ErrChangePending is the fault of a proposal that comes while another change is pending.
+	// ErrChangePending is returned for a proposal that is made while another change is pending.
 	ErrChangePending = errors.New("another change is pending")
-	// ErrNotLeader is returned by a voter that does not lead, or cannot be sure that it still does.
+	// ErrNotLeader is returned by a voter that is not the leader, or whose leadership is not confirmed.
 	ErrNotLeader = errors.New("this voter cannot act as leader")
 
 	ErrMissing      = errors.New("must not be empty")
@@ -20,7 +20,7 @@
 	ErrDuplicateKey = errors.New("duplicate key")
 )
 
-// Why an entry or a command does not apply.
+// Errors of entries, commands and versions that do not apply.
 var (
 	ErrOutOfSequence  = errors.New("entry is out of sequence")
 	ErrForkedHistory  = errors.New("entry belongs to another history")
@@ -32,20 +32,20 @@
 	ErrEmptyCommand   = errors.New("command is empty")
 )
 
-// FieldError is a fault of one field of a proposal.
+// FieldError is a fault in one field of a proposal.
 type FieldError struct {
-	Field string // as in the proposal's JSON, with the key for a change
+	Field string // JSON name of the field; for a change, its index and its key follow
 	Err   error
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the fault itself.
+// Unwrap returns the fault without the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// TruncatedError is returned for a version or a value that the kept history does not reach.
+// TruncatedError is returned for a version or a value that is older than the kept history.
 type TruncatedError struct {
-	Key     string // empty if the whole version is out of reach
+	Key     string // empty if the whole version is too old
 	Version uint64
 }
 
@@ -56,9 +56,9 @@
 	return fmt.Sprintf("%s: the value at version %d was set before the kept history begins", e.Key, e.Version)
 }
 
-// HeadError is returned for a history that does not end at the document's version.
+// HeadError is returned for a history that does not end at the document's last entry.
 type HeadError struct {
-	History, Document uint64 // versions
+	History, Document uint64 // last version of each
 }
 
 func (e *HeadError) Error() string {
--- a/clusterconfig/history.go
+++ b/clusterconfig/history.go
@@ -5,7 +5,7 @@
 	"maps"
 )
 
-// VerifyHistory checks the hash chain up to the document and returns the first version that does not hold.
+// VerifyHistory checks the hash chain of the history and that it ends at the document. It returns the first fault.
 func (s *State) VerifyHistory() error {
 	for i, e := range s.History {
 		if err := e.verifyHash(); err != nil {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// DocumentAt returns the document as it was at a version. For each key that a later entry changed it needs an earlier
-// entry that set the key; if the history does not reach one, it returns a TruncatedError.
+// DocumentAt returns the document at a version. To restore a key that a later entry changed, it needs an earlier entry
+// that set the key. If the history was truncated and holds no such entry, DocumentAt returns a TruncatedError.
 func (s *State) DocumentAt(version uint64) (*Document, error) {
 	if version > s.Document.Version {
 		return nil, fmt.Errorf("%w: got %d, active version is %d", ErrNotYetActive, version, s.Document.Version)
@@ -38,8 +38,8 @@
 		return nil, &TruncatedError{Version: version}
 	}
 	document := &Document{Epoch: s.Document.Epoch, Version: version, Values: maps.Clone(s.Document.Values)}
-	earlier := map[string]string{}    // values set up to the version
-	changedLater := map[string]bool{} // keys set after it
+	earlier := map[string]string{}    // latest values set at or before version
+	changedLater := map[string]bool{} // keys changed after version
 	for _, e := range s.History {
 		if e.Version == version {
 			document.LastEntry = e
--- a/clusterconfig/lattice.go
+++ b/clusterconfig/lattice.go
@@ -6,41 +6,42 @@
 	"strconv"
 )
 
-// The values of a Permission and of a Drain.
+// Values of a Permission and of a Drain.
 const (
 	Yes = "yes"
 	No  = "no"
 )
 
-// Lattice orders the values of a key by what they allow. A value a is at most b if Meet(a, b) is a: a broker that acts
-// on a does nothing that b forbids.
+// Lattice orders the values of a key by what they allow. A value a is at most b if Meet(a, b) is a. In that case, a
+// broker that acts on a does nothing that b forbids.
 type Lattice interface {
-	// Check returns what is wrong with a value. The empty value stands for an absent key and is not checked.
+	// Check returns an error for an invalid value. An empty value means that the key is absent and is not checked.
 	Check(value string) error
-	// Meet returns the largest value that is at most a and at most b. Brokers act on it while a change is pending.
+	// Meet returns the largest value that is at most a and at most b. Brokers act on it while a change between a and
+	// b is pending.
 	Meet(a, b string) string
 	// Bottom returns a value that is at most every value that Check accepts. Brokers without a lease act on it.
 	Bottom() string
 }
 
-// Schema finds the lattice of a key; false for a key that does not exist. It must be the same on all brokers.
+// Schema returns the lattice of a key, or false for an unknown key. It must be the same on all brokers.
 type Schema func(key string) (Lattice, bool)
 
 // AtMost reports whether a broker that acts on a does nothing that b forbids.
 func AtMost(l Lattice, a, b string) bool { return l.Meet(a, b) == a }
 
-// leaseless is implemented by lattices whose values stay in use without a lease.
+// leaseless is implemented by lattices whose values brokers keep using without a lease.
 type leaseless interface{ holdsWithoutLease() }
 
-// Limit is the lattice of a number of which less is always allowed, such as a rate limit.
+// Limit is the lattice of a number that may always be lowered, such as a rate limit.
 type Limit struct {
-	Min float64 // the bottom: no lower limit can be configured, in the unit of the limit
+	Min float64 // bottom, in the unit of the limit; a lower limit cannot be configured
 }
 
-// ErrNotNumber is the fault of a limit that is no number.
+// ErrNotNumber is returned for a limit that is not a number.
 var ErrNotNumber = errors.New("limit is not a number")
 
-// ErrBelowMin is the fault of a limit that is lower than what brokers without a lease use.
+// ErrBelowMin is returned for a limit below Limit.Min, the value that brokers use without a lease.
 var ErrBelowMin = errors.New("limit is below the value that brokers use without a lease")
 
 // Check implements Lattice.
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Meet implements Lattice: the smaller number.
+// Meet implements Lattice. It returns the smaller number, or the bottom if a or b is not a number.
 func (l Limit) Meet(a, b string) string {
 	x, errA := strconv.ParseFloat(a, 64)
 	y, errB := strconv.ParseFloat(b, 64)
@@ -71,11 +72,11 @@
 // Bottom implements Lattice.
 func (l Limit) Bottom() string { return strconv.FormatFloat(l.Min, 'g', -1, 64) }
 
-// Permission is the lattice of something that may be done or not, Yes or No; not doing it is always allowed. Examples:
-// whether requests of a class may be retried, whether a zone is open.
+// Permission is the lattice of an action that is allowed (Yes) or not (No). Brokers may always omit the action, so No
+// is the bottom. Examples are whether requests of a class may be retried, and whether a zone is open.
 type Permission struct{}
 
-// ErrNotYesNo is the fault of a permission that is neither Yes nor No.
+// ErrNotYesNo is returned for a permission that is neither Yes nor No.
 var ErrNotYesNo = errors.New("value is neither yes nor no")
 
 // Check implements Lattice.
@@ -87,7 +88,7 @@
 	return fmt.Errorf("%w: %q", ErrNotYesNo, value)
 }
 
-// Meet implements Lattice: Yes only if both are.
+// Meet implements Lattice. It returns Yes only if both values are Yes.
 func (Permission) Meet(a, b string) string {
 	if a == Yes && b == Yes {
 		return Yes
@@ -98,8 +99,8 @@
 // Bottom implements Lattice.
 func (Permission) Bottom() string { return No }
 
-// Exact is the lattice of a value that is compatible with itself alone. While a change from one value to another is
-// pending, brokers act on neither.
+// Exact is the lattice of a value that is compatible only with itself. While a change between two values is pending,
+// brokers act on neither of them.
 type Exact struct{}
 
 // Check implements Lattice.
@@ -117,11 +118,11 @@
 func (Exact) Bottom() string { return "" }
 
 // Drain is the lattice of a node that may have to drain. Draining a node is always allowed, so Yes is at most No. A
-// broker that has received a drain keeps to it without a lease: one that is partitioned keeps what it received last,
-// and Bottom is not used.
+// broker without a lease, such as a partitioned one, keeps acting on the last value that it received. Bottom is not
+// used.
 type Drain struct{ Permission }
 
-// Meet implements Lattice: Yes if one of them is.
+// Meet implements Lattice. It returns Yes if either value is Yes.
 func (Drain) Meet(a, b string) string {
 	if a == Yes || b == Yes {
 		return Yes
--- a/clusterconfig/lattice_test.go
+++ b/clusterconfig/lattice_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// For any two values the meet is at most both, whichever comes first, and the bottom is at most every value. The
-// safety of a pending change rests on this.
+// For any two values, the meet is at most both and does not depend on their order. The bottom is at most every value.
+// The safety of a pending change depends on these laws.
 func TestLatticeLaws(t *testing.T) {
 	number := rapid.Map(rapid.IntRange(1, 99), func(n int) string { return fmt.Sprint(n) })
 	values := map[string]*rapid.Generator[string]{
@@ -23,7 +23,7 @@
 		a, b := values[name].Draw(t, "a"), values[name].Draw(t, "b")
 		meet := lattice.Meet(a, b)
 		if !AtMost(lattice, meet, a) || !AtMost(lattice, meet, b) || meet != lattice.Meet(b, a) {
-			t.Fatalf("the meet of %q and %q is %q", a, b, meet)
+			t.Fatalf("Meet(%q, %q) = %q is not at most both values, or depends on their order", a, b, meet)
 		}
 		if bottom := lattice.Bottom(); !AtMost(lattice, bottom, a) {
 			t.Fatalf("the bottom %q is not at most %q", bottom, a)
@@ -34,7 +34,7 @@
 	})
 }
 
-// An operator proposes a value that cannot be used. The fault must name why.
+// An operator proposes an invalid value. The error must say why the value is invalid.
 func TestLatticeCheckRejects(t *testing.T) {
 	for _, c := range []struct {
 		lattice Lattice
@@ -48,7 +48,7 @@
 		{Drain{}, "maybe", ErrNotYesNo},
 	} {
 		if err := c.lattice.Check(c.value); !errors.Is(err, c.want) {
-			t.Errorf("%T: %q: %v, want %v", c.lattice, c.value, err, c.want)
+			t.Errorf("%T: Check(%q) = %v, want %v", c.lattice, c.value, err, c.want)
 		}
 	}
 }
--- a/clusterconfig/lease.go
+++ b/clusterconfig/lease.go
@@ -2,42 +2,43 @@
 
 const microsPerSecond = 1_000_000
 
-// Timing is what all brokers of a cluster must configure alike.
+// Timing holds the lease parameters. All brokers of a cluster must configure the same values.
 type Timing struct {
-	Lease    Micros // a lease runs this long from when its renewal was sent
-	DriftPPM Micros // the rates of two clocks differ by at most so many microseconds in a second
+	Lease    Micros // duration of a lease, counted from when its renewal was sent
+	DriftPPM Micros // maximum difference between the rates of two clocks, in microseconds per second
 }
 
-// DefaultTiming has a broker that is partitioned restrict itself after a second, which is also about how long it can
-// delay a change. A shorter lease costs more renewals and restricts brokers in short network faults; a longer one
-// makes operators wait longer for a change while a broker is unreachable. Crystal clocks stay well below 500 ppm.
+// DefaultTiming restricts a partitioned broker after one second. This is also about how long such a broker can delay a
+// change. A shorter lease costs more renewals and restricts brokers during short network faults. A longer lease makes
+// operators wait longer for a change while a broker is unreachable. Crystal clocks stay well below 500 ppm.
 var DefaultTiming = Timing{Lease: 1_000_000, DriftPPM: 500}
 
-// ExpiryBound returns a span after which, measured on one clock, a lease has ended on any other.
+// ExpiryBound returns how long a clock must run until a lease of the given length has ended on every other clock.
 func (t Timing) ExpiryBound(lease Micros) Micros {
 	drift := 2 * lease * t.DriftPPM / microsPerSecond
 	return lease + drift + 1
 }
 
-// Renewal asks the leader for a lease. The tags are its names between brokers.
+// Renewal asks the leader for a lease. The tags are the field names between brokers.
 type Renewal struct {
 	Holder      string `msgpack:"Holder"`
-	Seq         uint64 `msgpack:"Number"`  // counts the holder's renewals
-	Incarnation uint64 `msgpack:"Life"`    // random at each start: a restarted holder is another one
-	Epoch       uint64 `msgpack:"Epoch"`   // of the document
-	Version     uint64 `msgpack:"Version"` // the active one, as far as the holder knows
-	Prepared    uint64 `msgpack:"Ready"`   // the pending version that the holder has prepared, 0 for none
+	Seq         uint64 `msgpack:"Number"`  // sequence number of the renewal, counted by the holder
+	Incarnation uint64 `msgpack:"Life"`    // random at each start, so that a restarted holder counts as a new one
+	Epoch       uint64 `msgpack:"Epoch"`   // of the holder's document
+	Version     uint64 `msgpack:"Version"` // active version known to the holder
+	Prepared    uint64 `msgpack:"Ready"`   // pending version that the holder has prepared, 0 for none
 }
 
-// Grant answers a renewal. It brings what the holder lacks: entries, or the full document if there are too many.
+// Grant answers a renewal. It carries the entries that the holder lacks, or the full document if entries do not
+// suffice.
 type Grant struct {
 	Holder      string
 	RenewalSeq  uint64
 	Incarnation uint64
 	Epoch       uint64
 	Term        uint64
-	GrantSeq    uint64    // orders the grants of a term: renewals may overtake each other on their way
+	GrantSeq    uint64    // orders the grants of a term, since renewals may overtake each other
 	Document    *Document // full document, nil if the entries suffice
-	Entries     []Entry   // up to the active version
-	Pending     *Entry    // nil for none
+	Entries     []Entry   // entries up to the active version
+	Pending     *Entry    // pending version, nil for none
 }
--- a/clusterconfig/lease_test.go
+++ b/clusterconfig/lease_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// A holder sends two renewals and the second overtakes the first. The leader grants the second, begins a change, and
-// grants the first with it. The holder receives the grant with the change and reports that it has prepared it, so the
-// leader may activate. Then the older grant arrives, which knows nothing of the change: it must not count, or the
-// holder would act on the old version alone. (Found by seed 16568 of the cluster in internal/consensus.)
+// A holder sends two renewals, and the second overtakes the first. The leader grants the second, begins a change, and
+// sends the pending change with the grant of the first. The holder receives that grant and reports that it has prepared
+// the change, so the leader may activate it. Then the older grant arrives, without the change. The holder must reject
+// it, or else it would act on the old version alone. (Found by seed 16568 of the simulated cluster in
+// internal/consensus.)
 func TestOvertakenGrantDoesNotUndoPreparation(t *testing.T) {
 	schema := func(string) (Lattice, bool) { return Permission{}, true }
 	l := NewLessor(0, 1, testTiming, schema, &Document{Epoch: 1}, nil, 0)
@@ -22,13 +23,13 @@
 		t.Fatal(err)
 	}
 	if !h.HandleGrant(now+40, *l.HandleRenewal(now+30, first)) {
-		t.Fatal("not granted")
+		t.Fatal("the grant with the pending change was rejected")
 	}
-	l.HandleRenewal(now+50, h.Renew(now+45)) // reports the preparation
+	l.HandleRenewal(now+50, h.Renew(now+45)) // reports that the holder prepared the change
 	if !l.CanActivate(now + 60) {
-		t.Fatal("the change cannot be activated")
+		t.Fatal("the change cannot be activated although its only holder prepared it")
 	}
 	if h.HandleGrant(now+70, *overtaken) || h.View(now+70).PendingVersion != 1 {
-		t.Error("the holder went back to the active version alone, though it had reported the preparation")
+		t.Error("the holder dropped the pending change after it had reported it as prepared")
 	}
 }
--- a/clusterconfig/leaseholder.go
+++ b/clusterconfig/leaseholder.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// maxOutstandingRenewals bounds the renewals whose grants still count. With four renewals a lease, sixteen cover a few
-// leases; a grant that is later would be of no use. Fewer would drop usable grants on a slow path.
+// maxOutstandingRenewals limits the renewals whose grants are still accepted. With four renewals per lease, sixteen
+// span four leases, and a grant that arrives later is useless. A smaller limit would drop usable grants on a slow path.
 const maxOutstandingRenewals = 16
 
-// LeaseHolder is a broker's side of the leases. With a lease it acts on the active version, or, while a change is
-// pending, on the meet of both versions, key by key. Without a lease it acts on the bottom of each key.
+// LeaseHolder is a broker's side of the leases. With a lease, the broker acts on the active version. While a change is
+// pending, it acts on the meet of both versions for each key. Without a lease, it acts on the bottom of each key; keys
+// with the lattice Drain keep their value.
 type LeaseHolder struct {
 	name        string
 	incarnation uint64
@@ -18,15 +19,15 @@
 	grantSeq      uint64 // of the latest grant in the term
 	document      *Document
 	pending       *Entry
-	pendingValues map[string]string // meets of both versions, for the keys that the pending one changes
+	pendingValues map[string]string // for each key that the pending version changes: meet of both versions
 	leaseEnd      Micros
 	outstanding   []sentRenewal // oldest first
 	renewalSeq    uint64
 
-	restrictedSince Micros // 0 while there is a lease
+	restrictedSince Micros // 0 while the holder has a lease
 
-	changedKeys []string // keys whose value in a view may have changed since TakeChangedKeys
-	allChanged  bool     // the value of any key may have
+	changedKeys []string // keys whose value in a view may have changed since the last TakeChangedKeys
+	allChanged  bool     // the value of any key may have changed since then
 }
 
 type sentRenewal struct {
@@ -46,7 +47,7 @@
 	}
 }
 
-// Renew returns the renewal to be sent now.
+// Renew returns a renewal, which the caller must send immediately.
 func (h *LeaseHolder) Renew(now Micros) Renewal {
 	h.renewalSeq++
 	h.outstanding = append(h.outstanding, sentRenewal{h.renewalSeq, now})
@@ -66,10 +67,11 @@
 	return r
 }
 
-// HandleGrant takes a grant and reports whether it counted.
+// HandleGrant applies a grant and reports whether the holder accepted it.
 //
-// Safety: the lease runs from when the renewal was sent, on this holder's clock. The lessor counts it from when the
-// renewal arrived, which is later, and adds the drift; so the lease ends here before the lessor believes that it has.
+// Safety: the lease runs from when the renewal was sent, on this holder's clock. The lessor counts the lease from the
+// arrival of the renewal, which is later, and adds the maximum drift. The lease therefore ends here before the lessor
+// considers it expired.
 func (h *LeaseHolder) HandleGrant(now Micros, g Grant) bool {
 	if !h.accepts(now, g) {
 		return false
@@ -80,7 +82,7 @@
 	}
 	sent := h.outstanding[at].at
 	if now-sent >= h.timing.Lease {
-		return false // the lease ended on the way
+		return false // the lease expired before the grant arrived
 	}
 	document, entries, ok := h.granted(g)
 	if !ok {
@@ -100,9 +102,10 @@
 	return true
 }
 
-// accepts reports whether a grant is meant for this holder as it is now. It drops what was granted to an earlier
-// incarnation, by an earlier leader, or by this leader before a grant that has arrived already. A cluster that was
-// bootstrapped again (a new epoch) is believed only once there is no lease of the old one.
+// accepts reports whether a grant is valid for the present state of this holder. It rejects grants to an earlier
+// incarnation, grants of an earlier leader, and grants of this leader that are older than the latest accepted one. A
+// new epoch means that the cluster was bootstrapped again. Its grant is accepted only with the full document, and only
+// after the lease of the old epoch has ended.
 func (h *LeaseHolder) accepts(now Micros, g Grant) bool {
 	if g.Holder != h.name || g.Incarnation != h.incarnation {
 		return false
@@ -113,8 +116,8 @@
 	return g.Term > h.term || g.Term == h.term && g.GrantSeq > h.grantSeq
 }
 
-// granted returns the document that a grant makes active and the entries that were new. It is not ok if something
-// between the holder's version and the granted ones is missing; a later grant brings that.
+// granted returns the document that a grant makes active and the entries that are new to the holder. ok is false if
+// entries between the holder's version and the granted ones are missing. A later grant will carry them.
 func (h *LeaseHolder) granted(g Grant) (document *Document, entries []Entry, ok bool) {
 	document = h.document
 	if g.Document != nil {
@@ -134,7 +137,7 @@
 	return document, entries, true
 }
 
-// setPending has views keep to what both versions allow from now on.
+// setPending replaces the pending entry, nil for none. From now on, views return values that both versions allow.
 func (h *LeaseHolder) setPending(e *Entry) {
 	if h.pending != nil && (e == nil || e.Hash != h.pending.Hash) {
 		h.markChanged(*h.pending)
@@ -161,8 +164,8 @@
 	}
 }
 
-// TakeChangedKeys returns the keys whose value in a view may have changed since the last call, or all for any key. It
-// lets a broker follow the document in proportion to its changes.
+// TakeChangedKeys returns the keys whose value in a view may have changed since the last call. all reports that any key
+// may have changed. With these keys a broker can follow the document at a cost proportional to the changes.
 func (h *LeaseHolder) TakeChangedKeys() (keys []string, all bool) {
 	keys, all = h.changedKeys, h.allChanged
 	h.changedKeys = nil
@@ -170,11 +173,11 @@
 	return keys, all
 }
 
-// RestrictedSince returns since when there is no lease, 0 if there is one.
+// RestrictedSince returns the time since which the holder has had no lease, 0 while it has one.
 func (h *LeaseHolder) RestrictedSince() Micros { return h.restrictedSince }
 
-// LeaseRemaining returns how much of the lease is left, 0 for none.
+// LeaseRemaining returns the remaining duration of the lease, 0 without a lease.
 func (h *LeaseHolder) LeaseRemaining(now Micros) Micros { return max(0, h.leaseEnd-now) }
 
-// Document returns what the holder knows to be active. It must not be changed.
+// Document returns the active document known to the holder. The caller must not change it.
 func (h *LeaseHolder) Document() *Document { return h.document }
--- a/clusterconfig/lessor.go
+++ b/clusterconfig/lessor.go
@@ -6,43 +6,45 @@
 	"slices"
 )
 
-// maxRecentEntries bounds the entries that the lessor keeps for holders that lag; others get the full document. More
-// would cost the leader memory, fewer would cost bytes after a short partition with many changes.
+// maxRecentEntries limits the entries that the lessor keeps for lagging holders. A holder that lacks more of them
+// receives the full document. A larger limit would cost the leader memory. A smaller limit would cost bytes after a
+// short partition with many changes.
 const maxRecentEntries = 64
 
-// forgetAfterLeases is how many leases after the end of its own a holder is forgotten. Sooner would not be unsafe, but
-// would have Lagging forget brokers that an operator looks for.
+// forgetAfterLeases is how many lease durations after the end of its lease a holder is removed. A smaller value would
+// also be safe, since only holders whose leases have not ended delay a change.
 const forgetAfterLeases = 10
 
-// Lessor is the leader's side: it grants leases on the active version and leads changes. A change stays pending until
-// every lease holder has prepared it or has lost its lease; only then may it be activated.
+// Lessor is the leader's side. It grants leases on the active version and coordinates changes. A change stays pending
+// until every lease holder has prepared it or has lost its lease. Only then may the change be activated.
 //
-// Safety: the lessor of a term knows from the raft log which entries are active and which one is pending, but not who
-// holds leases of earlier terms. Until all leases that earlier leaders can have granted have ended, it activates
-// nothing.
+// Safety: the lessor of a term knows the active entries and the pending one from the raft log, but it does not know who
+// holds leases of earlier terms. It activates nothing until all leases that earlier leaders can have granted have
+// ended.
 type Lessor struct {
 	term             uint64
 	timing           Timing
 	schema           Schema
 	document         *Document
-	recent           []Entry // the latest entries up to document.Version
+	recent           []Entry // latest entries up to document.Version
 	pending          *Entry
 	leases           map[string]*lease // by holder
 	grantSeq         uint64
-	earlierLeasesEnd Micros // all leases of earlier terms have ended
-	leadershipEnd    Micros // a majority elects no other leader before
+	earlierLeasesEnd Micros // when all leases of earlier terms have ended
+	leadershipEnd    Micros // until then, no majority elects another leader
 }
 
-// lease is what the lessor knows of a holder.
+// lease is what the lessor knows about a holder.
 type lease struct {
 	incarnation uint64
-	end         Micros // on the lessor's clock, at the latest
-	prepared    uint64 // pending version that the holder prepared in this term
-	version     uint64 // that the holder acted on when it renewed last
+	end         Micros // latest possible end, on the lessor's clock
+	prepared    uint64 // latest pending version that the holder prepared in this term
+	version     uint64 // version that the holder acted on at its last renewal
 }
 
-// NewLessor starts a term with what the log holds. earlierLeadership is the longest time from now for which an earlier
-// leader may go on granting; it follows from the election timeout.
+// NewLessor returns the lessor of a new term with the document and the pending entry from the raft log.
+// earlierLeadership is the longest time from now for which an earlier leader may still grant leases. It follows from
+// the election timeout.
 func NewLessor(now Micros, term uint64, timing Timing, schema Schema, document *Document, pending *Entry,
 	earlierLeadership Micros,
 ) *Lessor {
@@ -57,10 +59,10 @@
 	}
 }
 
-// ConfirmLeadership notes until when no other leader can have been elected: a majority answered this leader.
+// ConfirmLeadership records that a majority answered this leader, so that no other leader can be elected before until.
 func (l *Lessor) ConfirmLeadership(until Micros) { l.leadershipEnd = max(l.leadershipEnd, until) }
 
-// Propose validates a proposal and returns the entry to be committed. Nothing has changed before Begin is called.
+// Propose validates a proposal and returns the entry to commit. It does not change the lessor; Begin does.
 func (l *Lessor) Propose(now Micros, p Proposal) (Entry, error) {
 	if !l.LeadershipConfirmed(now) {
 		return Entry{}, ErrNotLeader
@@ -74,7 +76,7 @@
 	return l.document.NextEntry(p), nil
 }
 
-// Begin takes an entry that was committed as pending.
+// Begin makes a committed entry pending.
 func (l *Lessor) Begin(e Entry) error {
 	if l.pending != nil || e.Version != l.document.Version+1 {
 		return outOfSequence(e.Version, l.document.Version)
@@ -83,12 +85,12 @@
 	return nil
 }
 
-// HandleRenewal answers a renewal, and notes what the holder has prepared. It returns nil, and logs nothing, in three
-// cases: this leader may have been replaced; it knows no version, and leases of before the bootstrap may be in force;
-// the holder knows a later version than it does.
+// HandleRenewal answers a renewal and records what the holder has prepared. It returns nil and grants no lease in three
+// cases: another leader may have been elected; the lessor has no version yet, and leases from before the bootstrap may
+// not have ended; the holder knows a later version than the lessor.
 //
-// Safety: the lease is noted before the grant is sent, and counted from the renewal's arrival with the drift added.
-// However long the way takes, the holder's own lease ends sooner.
+// Safety: the lease is recorded before the grant is sent. Its end is counted from the renewal's arrival and includes
+// the maximum drift. The holder's own lease therefore ends sooner, even if the messages take long.
 func (l *Lessor) HandleRenewal(now Micros, r Renewal) *Grant {
 	if !l.LeadershipConfirmed(now) {
 		return nil
@@ -98,16 +100,16 @@
 		known = &lease{}
 		l.leases[r.Holder] = known
 	}
-	if known.incarnation != r.Incarnation { // a restarted holder knows nothing of what it had prepared
+	if known.incarnation != r.Incarnation { // a restarted holder has lost what it prepared
 		known.incarnation = r.Incarnation
 		known.prepared = 0
 	}
 	newEpoch := r.Epoch != l.document.Epoch
 	if l.document.Version == 0 && !l.EarlierLeasesExpired(now) {
-		return nil // another broker may still act on what was active before the bootstrap
+		return nil // another broker may still act on the version from before the bootstrap
 	}
 	if !newEpoch && r.Version > l.document.Version {
-		return nil // the holder knows more: this must be an earlier leader
+		return nil // the holder knows a later version, so a newer leader must exist
 	}
 	known.end = max(known.end, now+l.timing.ExpiryBound(l.timing.Lease))
 	known.version = r.Version
@@ -118,7 +120,7 @@
 }
 
 func (l *Lessor) grant(now Micros, r Renewal, newEpoch bool) *Grant {
-	// The clock keeps the sequence rising when this voter makes another lessor in the same term.
+	// Using the clock keeps the sequence increasing if this voter creates another lessor in the same term.
 	l.grantSeq = max(l.grantSeq+1, uint64(max(0, now)))
 	g := &Grant{
 		Holder:      r.Holder,
@@ -143,7 +145,8 @@
 }
 
 // CanActivate reports whether the pending change may be activated: every holder has prepared it or has lost its lease,
-// and no lease of an earlier leader is left. The caller has the log commit the activation, then calls Activate.
+// and all leases of earlier leaders have ended. The caller must commit the activation to the log and then call
+// Activate.
 func (l *Lessor) CanActivate(now Micros) bool {
 	if l.pending == nil || !l.LeadershipConfirmed(now) || !l.EarlierLeasesExpired(now) {
 		return false
@@ -156,12 +159,13 @@
 	return true
 }
 
-// blocks reports whether the pending change has to wait for a holder.
+// blocks reports whether the pending change must wait for a holder to prepare it or to lose its lease.
 func (l *Lessor) blocks(known *lease, now Micros) bool {
 	return known.prepared != l.pending.Version && now < known.end
 }
 
-// NextCheck returns when CanActivate should be asked at the latest, false if nothing is pending.
+// NextCheck returns the time at which CanActivate should be called at the latest. pending is false if there is no
+// pending change.
 func (l *Lessor) NextCheck() (at Micros, pending bool) {
 	if l.pending == nil {
 		return 0, false
@@ -175,7 +179,7 @@
 	return at, true
 }
 
-// Activate makes the pending version the active one, once that is committed.
+// Activate makes the pending version the active one. The activation must be committed before.
 func (l *Lessor) Activate() error {
 	if l.pending == nil {
 		return ErrNothingPending
@@ -192,21 +196,21 @@
 	return nil
 }
 
-// LeadershipConfirmed reports whether no other leader can have been elected yet, so that what this one knows to be
-// active is.
+// LeadershipConfirmed reports whether no other leader can have been elected yet. While it is true, no other leader can
+// have activated a later version.
 func (l *Lessor) LeadershipConfirmed(now Micros) bool { return now < l.leadershipEnd }
 
 // EarlierLeasesExpired reports whether all leases of earlier leaders have ended.
 func (l *Lessor) EarlierLeasesExpired(now Micros) bool { return now >= l.earlierLeasesEnd }
 
-// RemoveExpired forgets holders whose leases ended long ago.
+// RemoveExpired removes holders whose leases ended at least forgetAfterLeases lease durations ago.
 func (l *Lessor) RemoveExpired(now Micros) {
 	maps.DeleteFunc(l.leases, func(_ string, known *lease) bool {
 		return now >= known.end+forgetAfterLeases*l.timing.Lease
 	})
 }
 
-// Unprepared returns the holders for which the pending change waits, sorted.
+// Unprepared returns the names of the holders that block the pending change, sorted.
 func (l *Lessor) Unprepared(now Micros) []string {
 	if l.pending == nil {
 		return nil
@@ -221,8 +225,7 @@
 	return names
 }
 
-// Lagging returns the lease holders that did not act on the active version when they renewed last, with the version
-// that they acted on.
+// Lagging returns the lease holders whose last renewal named an older version than the active one, with that version.
 func (l *Lessor) Lagging(now Micros) map[string]uint64 {
 	lagging := map[string]uint64{}
 	for name, known := range l.leases {
@@ -233,10 +236,10 @@
 	return lagging
 }
 
-// Document returns the active configuration. It must not be changed.
+// Document returns the active configuration. The caller must not change it.
 func (l *Lessor) Document() *Document { return l.document }
 
-// Pending returns the pending version, nil for none.
+// Pending returns the pending entry, nil for none.
 func (l *Lessor) Pending() *Entry { return l.pending }
 
 func changePending(version uint64) error {
--- a/clusterconfig/sim_test.go
+++ b/clusterconfig/sim_test.go
@@ -10,18 +10,18 @@
 	"junctionwharf/internal/simtime"
 )
 
-var seedCount = flag.Int("seeds", 80, "seeds of the simulated cluster")
+var seedCount = flag.Int("seeds", 80, "number of seeds of the simulated cluster")
 
-// plantedFault is a fault of the implementation; the checker must find each.
+// plantedFault is a deliberate fault of the implementation. The checker must find each.
 type plantedFault int
 
 const (
 	noFault                plantedFault = iota
-	leaseFromGrant                      // the lease runs from when its grant arrived
-	majorityActivates                   // a change is activated once most holders have prepared it
-	noWaitForEarlierLeases              // a new leader does not wait for the end of the leases of the one before
+	leaseFromGrant                      // the lease runs from the arrival of its grant
+	majorityActivates                   // a change is activated once a majority of the holders has prepared it
+	noWaitForEarlierLeases              // a new leader does not wait until the leases of earlier leaders end
 	actsOnPending                       // a holder acts on a version as soon as it is pending
-	sameIncarnation                     // a restarted holder counts as the one before
+	sameIncarnation                     // a restarted holder keeps its incarnation
 )
 
 func testSchema(key string) (Lattice, bool) {
@@ -29,23 +29,23 @@
 	return lattice, known
 }
 
-// Clocks here run 2.5% fast or slow, so that a second shows what a day would.
+// Simulated clocks run up to 2.5% fast or slow, so that a second shows the drift of a day.
 var testTiming = Timing{Lease: 300_000, DriftPPM: 50_000}
 
 const (
-	simSpan         = 8_000_000 // µs that a cluster is simulated
+	simSpan         = 8_000_000 // simulated time of a run, in µs
 	electionTimeout = 200_000   // µs
 )
 
-// cluster simulates lease holders and a leader on one true time axis, with the log that outlives leaders. The consensus
-// under it is an oracle that keeps its own promises: what it commits stays, and no leader starts before the one before
-// it has lost its confirmation. Everything follows from the seed.
+// cluster simulates lease holders and a leader on one true time axis, with the log that survives a change of leader. An
+// oracle replaces raft: a committed entry stays committed, and no leader starts before the confirmation of the previous
+// leader has expired. The seed determines the whole run.
 type cluster struct {
 	simtime.Clock
 	random *rand.Rand
 	fault  plantedFault
 
-	log          []Entry // activated
+	log          []Entry // active entries
 	pending      *Entry
 	lessor       *Lessor
 	term         uint64
@@ -54,11 +54,11 @@
 	nextElection Micros // true time before which no other leader starts
 
 	holders []*simHolder
-	values  []map[string]string // by version
+	values  []map[string]string // values of all keys, by version
 	newest  uint64              // the latest version that any holder has acted on
-	breach  string              // of the promise, empty for none
+	breach  string              // violation of the guarantee, empty for none
 
-	activated   int // changes
+	activated   int // number of changes
 	turns       int
 	leasedTurns int
 }
@@ -76,8 +76,8 @@
 	clock            simClock
 	incarnation      uint64
 	stopped          bool
-	partitionedUntil Micros // neither sends nor receives
-	receivesFrom     Micros // receives nothing before
+	partitionedUntil Micros // until then, the holder neither sends nor receives
+	receivesFrom     Micros // until then, the holder receives nothing
 	waiting          []func()
 }
 
@@ -125,7 +125,7 @@
 	c.pending = nil
 }
 
-// elect starts a leader with what the log holds.
+// elect starts a leader with the entries of the log.
 func (c *cluster) elect() {
 	c.term++
 	c.leaderClock = c.drawClock()
@@ -145,10 +145,10 @@
 	c.tryActivate(c.term)
 }
 
-// leads reports whether the leader of a term is still there.
+// leads reports whether the leader of a term still leads.
 func (c *cluster) leads(term uint64) bool { return term == c.term && c.leaderUp }
 
-// confirm has a majority confirm the leader from time to time.
+// confirm periodically confirms the leader, as a majority would.
 func (c *cluster) confirm(term uint64) {
 	if !c.leads(term) {
 		return
@@ -206,7 +206,7 @@
 	}
 }
 
-// drawDelay returns how long a message takes, -1 if it is lost.
+// drawDelay returns the delay of a message, -1 if the message is lost.
 func (c *cluster) drawDelay() Micros {
 	switch c.random.IntN(20) {
 	case 0:
@@ -223,7 +223,7 @@
 		return
 	}
 	r := h.Renew(h.clock.read(c.Now))
-	for range 1 + c.random.IntN(10)/9 { // some arrive twice
+	for range 1 + c.random.IntN(10)/9 { // some renewals arrive twice
 		if d := c.drawDelay(); d >= 0 && c.Now >= h.partitionedUntil {
 			c.After(d, func() { c.grant(h, r) })
 		}
@@ -242,7 +242,7 @@
 }
 
 func (c *cluster) receive(h *simHolder, g Grant) {
-	if h.stopped { // the kernel keeps the message until the process runs
+	if h.stopped { // the kernel keeps the message until the process runs again
 		h.waiting = append(h.waiting, func() { c.receive(h, g) })
 		return
 	}
@@ -260,8 +260,8 @@
 	}
 }
 
-// turn is a scheduling turn of a holder. Whatever it acts on must be allowed by the latest version that any holder has
-// acted on.
+// turn simulates a scheduling turn of a holder. The latest version that any holder has acted on must allow every value
+// that the holder acts on.
 func (c *cluster) turn(h *simHolder) {
 	c.After(Micros(300+c.random.IntN(4000)), func() { c.turn(h) })
 	if h.stopped {
@@ -276,13 +276,13 @@
 	for key, newest := range c.values[c.newest] {
 		lattice, _ := testSchema(key)
 		if got := v.Value(key); !AtMost(lattice, got, newest) {
-			c.breach = fmt.Sprintf("at %d h%d acts on %s = %q of %+v, while version %d with %q is in use",
+			c.breach = fmt.Sprintf("at %d µs h%d acts on %s = %q of view %+v, while version %d with %q is in use",
 				c.Now, h.index, key, got, v, c.newest, newest)
 		}
 	}
 }
 
-// disturb plants an outer fault from time to time.
+// disturb injects a random fault of a leader, a link or a process, and schedules the next one.
 func (c *cluster) disturb() {
 	c.After(Micros(20_000+c.random.IntN(500_000)), c.disturb)
 	h := c.holders[c.random.IntN(len(c.holders))]
@@ -311,7 +311,8 @@
 	c.After(max(0, c.nextElection-c.Now)+Micros(c.random.IntN(100_000)), c.elect)
 }
 
-// suspend stops a process; when it runs again it takes a turn before it receives what has arrived meanwhile.
+// suspend stops a process. When the process runs again, it takes a turn before it receives the messages that arrived
+// meanwhile.
 func (c *cluster) suspend(h *simHolder, span Micros) {
 	if h.stopped {
 		return
@@ -327,7 +328,7 @@
 	})
 }
 
-// crash restarts a holder, and maybe again as soon as it is up.
+// crash restarts a holder, and then up to three more times shortly afterwards.
 func (c *cluster) crash(h *simHolder) {
 	for n := range 1 + c.random.IntN(4) {
 		c.After(Micros(n*(50_000+c.random.IntN(250_000))), func() {
@@ -349,9 +350,10 @@
 	}
 }
 
-// Messages are lost, doubled, late and reordered; links are partitioned both ways or one way; processes stop for a
-// while, crash and restart; leaders change; clocks drift. No holder may ever act on what a version forbids that
-// another holder acts on. Changes must still be activated, and most turns must have a lease.
+// Messages are lost, duplicated, delayed and reordered. Links are partitioned in one or both directions. Processes stop
+// for a while, crash and restart. Leaders change, and clocks drift. No holder may ever act on a value that is forbidden
+// by a version that another holder acts on. Changes must still be activated, and at least a third of the turns must
+// have a lease.
 func TestNoContradiction(t *testing.T) {
 	activated, turns, leased := 0, 0, 0
 	for seed := range uint64(*seedCount) {
@@ -364,11 +366,12 @@
 		leased += c.leasedTurns
 	}
 	if activated < 3**seedCount || leased*3 < turns {
-		t.Errorf("%d changes in %d runs; %d of %d turns with a lease", activated, *seedCount, leased, turns)
+		t.Errorf("%d changes in %d runs, want 3 a run; %d of %d turns with a lease, want a third",
+			activated, *seedCount, leased, turns)
 	}
 }
 
-// A checker that finds nothing proves nothing: each fault that is planted into the implementation must be found.
+// A checker that cannot find faults proves nothing. It must find each fault that is planted into the implementation.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	for name, fault := range map[string]plantedFault{
 		"lease from grant":            leaseFromGrant,
@@ -383,7 +386,7 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("the checker did not find the fault")
 		})
 	}
 }
--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Command is an entry of the raft log. Exactly one of the fields is set. The tags are its names on disk.
+// Command is an entry of the raft log. Exactly one of the fields is set. The tags are the field names on disk.
 type Command struct {
-	Begin    *Entry    `msgpack:"Begin"`    // this version becomes pending
-	Activate uint64    `msgpack:"Activate"` // the pending version becomes active
-	Adopt    *Document `msgpack:"Adopt"`    // take over the document of an earlier epoch, if there is none yet
+	Begin    *Entry    `msgpack:"Begin"`    // makes this entry pending
+	Activate uint64    `msgpack:"Activate"` // makes this pending version active
+	Adopt    *Document `msgpack:"Adopt"`    // adopts a document of an earlier epoch if this epoch has no version yet
 }
 
 // Member is a voter's raft identity. A voter that loses its disk gets a new one.
@@ -18,25 +18,26 @@
 	ID   uint64 `msgpack:"ID"`
 }
 
-// State is what the raft log replicates: all voters apply the same commands in the same order, and reject the same
-// ones. The tags are its names in the snapshot.
+// State is the state that the raft log replicates. All voters apply the same commands in the same order, and reject the
+// same ones. The tags are the field names in the snapshot.
 type State struct {
 	Document *Document         `msgpack:"Doc"`
 	Pending  *Entry            `msgpack:"Pending"` // nil for none
-	History  []Entry           `msgpack:"Trail"`   // the latest entries up to Document.Version
+	History  []Entry           `msgpack:"Trail"`   // latest entries up to Document.Version
 	Members  map[string]uint64 `msgpack:"Members"` // raft identities by name
 }
 
-// MaxHistory bounds the history. What is older is covered by the hash that the oldest kept entry names. More would
-// enlarge each snapshot; fewer would shorten what an operator can compare and roll back to.
+// MaxHistory limits the number of entries in the history. The hash in the oldest kept entry covers all earlier ones. A
+// larger limit would enlarge each snapshot. A smaller limit would shorten the range of versions that an operator can
+// compare and roll back to.
 const MaxHistory = 1000
 
-// NewState starts an epoch.
+// NewState returns the empty state of a new epoch.
 func NewState(epoch uint64, members map[string]uint64) *State {
 	return &State{Document: &Document{Epoch: epoch, Values: map[string]string{}}, Members: members}
 }
 
-// Apply carries out a committed command. A rejected command changes nothing.
+// Apply applies a committed command. A rejected command changes nothing.
 func (s *State) Apply(c Command) error {
 	switch {
 	case c.Begin != nil:
--- a/clusterconfig/state_test.go
+++ b/clusterconfig/state_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// numberedSchema knows the keys of testSchema with one more digit.
+// numberedSchema has the keys of testSchema with a digit appended.
 func numberedSchema(key string) (Lattice, bool) { return testSchema(key[:len(key)-1]) }
 
 var numberedKeys = []string{"limit1", "limit2", "repeat1", "repeat2", "zone1", "zone2"}
 
-// drawProposal draws a change of up to four keys of every lattice; some are removed.
+// drawProposal draws a proposal that changes one to four keys. Some changes remove their key.
 func drawProposal(t *rapid.T, expected uint64) Proposal {
 	p := Proposal{Expected: expected, Author: "a", Reason: "r"}
 	keys := rapid.SliceOfNDistinct(rapid.SampledFrom(numberedKeys), 1, 4, rapid.ID[string]).Draw(t, "keys")
@@ -38,29 +38,29 @@
 	return rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone")
 }
 
-// stateTest is a state under drawn commands, beside the values that each version is known to have.
+// stateTest applies random commands to a state and keeps the expected values of each version.
 type stateTest struct {
 	*rapid.T
 	state    *State
 	versions []map[string]string
 }
 
-// rejectWrongCommands applies commands that do not fit.
+// rejectWrongCommands applies invalid commands, which the state must reject without any change.
 func (s *stateTest) rejectWrongCommands() {
 	values, pending := maps.Clone(s.state.Document.Values), s.state.Pending
 	e := s.state.Document.NextEntry(drawProposal(s.T, s.state.Document.Version))
 	e.Version += uint64(rapid.IntRange(1, 2).Draw(s.T, "off"))
 	for _, c := range []Command{{Begin: &e}, {Activate: s.state.Document.Version + 5}, {}} {
 		if s.state.Apply(c) == nil {
-			s.Fatalf("%+v was accepted", c)
+			s.Fatalf("invalid command %+v was accepted", c)
 		}
 	}
 	if !maps.Equal(values, s.state.Document.Values) || s.state.Pending != pending {
-		s.Fatal("a rejected command changed something")
+		s.Fatal("a rejected command changed the state")
 	}
 }
 
-// rollBack brings back the values of a drawn version, unless a change is pending.
+// rollBack restores the values of a random version, unless a change is pending.
 func (s *stateTest) rollBack() {
 	to := rapid.IntRange(0, len(s.versions)-1).Draw(s.T, "to")
 	if s.state.Pending != nil {
@@ -83,11 +83,11 @@
 	}
 	s.activate(e.Version)
 	if !maps.Equal(s.state.Document.Values, s.versions[to]) {
-		s.Fatalf("rolled back to %d: %v, want %v", to, s.state.Document.Values, s.versions[to])
+		s.Fatalf("values after a rollback to version %d: %v, want %v", to, s.state.Document.Values, s.versions[to])
 	}
 }
 
-// change begins a drawn change, which must be rejected while another is pending, and may activate what is pending.
+// change begins a random change, which must be rejected while another is pending. It may then activate the pending one.
 func (s *stateTest) change() {
 	pending := s.state.Pending
 	p := drawProposal(s.T, s.state.Document.Version)
@@ -97,7 +97,7 @@
 	e := s.state.Document.NextEntry(p)
 	err := s.state.Apply(Command{Begin: &e})
 	if (err == nil) != (pending == nil) || err != nil && !errors.Is(err, ErrChangePending) {
-		s.Fatalf("begun while %v is pending: %v", pending, err)
+		s.Fatalf("begin while entry %v is pending: %v", pending, err)
 	}
 	if rapid.Bool().Draw(s.T, "activate") {
 		s.activate(s.state.Document.Version + 1)
@@ -111,9 +111,9 @@
 	s.versions = append(s.versions, maps.Clone(s.state.Document.Values))
 }
 
-// A state under any commands: one that does not fit is rejected and changes nothing; every version in the history is
-// found again as it was; a rollback brings its values back as a new version; the hash chain holds, and no longer does
-// once an entry is altered.
+// A state receives random commands. It must reject an invalid command and stay unchanged, return every version of the
+// history as it was, and roll back to earlier values by a new version. The hash chain must verify, and must no longer
+// verify after an entry was altered.
 func TestStateUnderAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &stateTest{T: t, state: NewState(1, nil), versions: []map[string]string{{}}}
@@ -130,7 +130,7 @@
 		for version, want := range s.versions {
 			document, err := s.state.DocumentAt(uint64(version))
 			if err != nil || !maps.Equal(document.Values, want) {
-				t.Fatalf("version %d: %v, want %v, %v", version, document, want, err)
+				t.Fatalf("document at version %d: %v, want values %v, error %v", version, document, want, err)
 			}
 		}
 		if err := s.state.VerifyHistory(); err != nil {
@@ -142,12 +142,13 @@
 		at := rapid.IntRange(0, len(s.state.History)-1).Draw(t, "altered")
 		s.state.History[at].Proposal.Reason = "another"
 		if err := s.state.VerifyHistory(); !errors.Is(err, ErrAltered) {
-			t.Fatalf("an altered history: %v", err)
+			t.Fatalf("verification of an altered history: %v, want %v", err, ErrAltered)
 		}
 	})
 }
 
-// A history that has lost its oldest entries reports what it no longer knows, and never a wrong value.
+// A history that has lost its oldest entries must report a version or a value that it no longer knows, and must never
+// return a wrong value.
 func TestTruncatedHistory(t *testing.T) {
 	s := NewState(1, nil)
 	for i := range MaxHistory + 10 {
@@ -164,17 +165,17 @@
 		}
 	}
 	if err := s.VerifyHistory(); len(s.History) != MaxHistory || err != nil {
-		t.Errorf("%d entries, %v", len(s.History), err)
+		t.Errorf("%d entries in the history, want %d; verification: %v", len(s.History), MaxHistory, err)
 	}
 	var truncated *TruncatedError
 	if _, err := s.DocumentAt(3); !errors.As(err, &truncated) {
-		t.Errorf("a version before the history: %v", err)
+		t.Errorf("document before the kept history: %v, want a TruncatedError", err)
 	}
 	document, err := s.DocumentAt(MaxHistory)
 	if err != nil || document.Values["zone1"] != "a" || document.Values["limit6"] != "994" {
-		t.Errorf("%v, %v", document, err)
+		t.Errorf("document at version %d: %v, %v", MaxHistory, document, err)
 	}
 	if _, err := s.DocumentAt(s.Document.Version + 1); !errors.Is(err, ErrNotYetActive) {
-		t.Errorf("a future version: %v", err)
+		t.Errorf("document at a future version: %v, want %v", err, ErrNotYetActive)
 	}
 }
--- a/clusterconfig/view.go
+++ b/clusterconfig/view.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// View is what one scheduling turn acts on. It is valid until the holder changes.
+// View is the configuration that one scheduling turn acts on. It must not be used after the holder has changed.
 type View struct {
-	Version        uint64 // active, as far as this broker knows
+	Version        uint64 // active version known to this broker
 	PendingVersion uint64 // 0 for none
-	Restricted     bool   // there is no lease
+	Restricted     bool   // the holder has no lease
 	holder         *LeaseHolder
 }
 
-// View is taken at the start of each turn, by the clock that the turn reads: a process that was stopped for minutes
-// finds its lease ended before it decides anything.
+// View returns the view for one turn. It must be called at the start of each turn, with the clock reading that the turn
+// uses. A process that was stopped for minutes then finds its lease expired before it makes any decision.
 func (h *LeaseHolder) View(now Micros) View {
 	v := View{Version: h.document.Version, Restricted: now >= h.leaseEnd, holder: h}
 	if h.pending != nil {
@@ -26,7 +26,7 @@
 	return v
 }
 
-// Value returns what to act on for a key.
+// Value returns the value of a key that the broker must act on.
 func (v View) Value(key string) string {
 	lattice, known := v.holder.schema(key)
 	if !known {
@@ -41,7 +41,7 @@
 	return v.holder.document.Values[key]
 }
 
-// Keys returns the keys that have an active or a pending value, in no order.
+// Keys returns the keys that have an active or a pending value, in no particular order.
 func (v View) Keys() []string {
 	keys := slices.Collect(maps.Keys(v.holder.document.Values))
 	for key := range v.holder.pendingValues {
