--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -12,16 +12,17 @@
 	"junctionwharf/clusterconfig"
 )
 
-// Term and index of the snapshot from which all voters of a new cluster start.
+// Term and index of the snapshot with which all voters of a new cluster start.
 const (
 	bootstrapTerm  = 1
 	bootstrapIndex = 1
 )
 
-// RandomID draws a raft identity. It is never 0, which raft takes for no voter, and fits a signed integer.
+// RandomID draws a raft identity. It is never 0, which means no voter in raft, and it fits a signed integer.
 func RandomID(random *rand.Rand) uint64 { return random.Uint64()>>1 | 1 }
 
-// Bootstrap fills an empty storage with what all voters start from that make up a new cluster.
+// Bootstrap writes the initial state of a new cluster to an empty storage. All voters of the cluster need the same
+// epoch and members.
 func Bootstrap(s Storage, epoch uint64, members map[string]uint64) error {
 	data, err := msgpack.Marshal(clusterconfig.NewState(epoch, members))
 	if err != nil {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	firstSeed = flag.Int("seed", 0, "the first seed of the simulated cluster")
-	seedCount = flag.Int("seeds", 40, "seeds of the simulated cluster")
+	firstSeed = flag.Int("seed", 0, "first seed of the simulated cluster")
+	seedCount = flag.Int("seeds", 40, "number of seeds of the simulated cluster")
 )
 
 const simSpan = 20_000_000 // µs
 
-// Real voters, lease holders with drifting clocks, and everything between them late, lost and out of order; voters
-// crash, stop, are partitioned, and lose their disks. Nobody may act on what the latest version forbids, voters must
-// hold the same values, and the histories of proposals and reads must be linearizable.
+// Real voters and lease holders with drifting clocks exchange messages that are delayed, lost and reordered. Voters
+// crash, stop, are partitioned, and lose their disks. No holder may act on a value that the latest version forbids.
+// Voters must hold the same values. The histories of proposals and reads must be linearizable.
 func TestClusterIsLinearizableUnderFaults(t *testing.T) {
 	activated, replaced, operations := 0, 0, 0
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
@@ -36,19 +36,19 @@
 	}
 	t.Logf("%d changes, %d voters replaced, %d calls", activated, replaced, operations)
 	if activated < 5**seedCount || replaced < *seedCount/4 {
-		t.Errorf("too little happened: %d changes, %d voters lost their state", activated, replaced)
+		t.Errorf("too few events: %d changes, %d voters lost their state", activated, replaced)
 	}
 }
 
-// A checker that finds nothing proves nothing: each fault that is planted into the implementation must be found.
+// A checker that cannot find faults proves nothing. It must find each fault that is planted into the implementation.
 func TestClusterFindsPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
 		fault plantedFault
 		name  string
 	}{
 		{reusedIdentity, "a lost identity votes again"},
-		{staleRead, "a leader reads what it may not know"},
-		{uncommittedDone, "what is not committed is prepared"},
+		{staleRead, "an unconfirmed leader serves reads"},
+		{uncommittedDone, "an uncommitted change is prepared"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(150) {
@@ -57,40 +57,40 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no checker found the fault")
 		})
 	}
 }
 
-// findBreach returns what a checker, or raft itself, finds wrong in a simulation.
+// findBreach returns the first fault that a checker or raft itself finds in a simulation, empty for none.
 func findBreach(t *testing.T, seed uint64, fault plantedFault) (found string) {
 	t.Helper()
-	defer func() { // raft panics on what cannot be
+	defer func() { // raft panics when its invariants are broken
 		if r := recover(); r != nil {
 			found = fmt.Sprint("raft: ", r)
 		}
 	}()
 	c := simulate(t, seed, fault, simSpan)
 	if c.breach == "" && !porcupine.CheckOperations(versionRegister, c.operations) {
-		return "not linearizable"
+		return "the history is not linearizable"
 	}
 	return c.breach
 }
 
-// Voters without disks restart one after another, as in a rolling upgrade, and each loses its state. Each must be taken
-// in again, whoever leads, and the cluster must lead again before the next one restarts.
+// Voters without disks restart one after another, as in a rolling upgrade, and each loses its state. The cluster must
+// add each voter again, no matter which voter is the leader, and must have a leader before the next voter restarts.
 func TestVotersReplacedOneByOne(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, rand.New(rand.NewPCG(seed, 0xc1)), noFault)
-		c.stepUntil(seed, "led", c.hasLeader)
+		c.stepUntil(seed, "a leader", c.hasLeader)
 		for _, v := range c.voters {
 			v.storage = NewMemoryStorage()
 			id := RandomID(c.random)
 			c.startVoter(v, id)
-			c.stepUntil(seed, "taken in", func() bool {
+			c.stepUntil(seed, "the restarted voter to be a member", func() bool {
 				return v.State().Members[v.name] == id && !v.inJointConfig()
 			})
-			c.stepUntil(seed, "led again", c.hasLeader)
+			c.stepUntil(seed, "a leader after the membership change", c.hasLeader)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	return false
 }
 
-// stepUntil lets time pass until a condition holds, for simSpan at the most.
+// stepUntil runs the simulation until a condition holds, for at most simSpan.
 func (c *cluster) stepUntil(seed uint64, what string, holds func() bool) {
 	c.t.Helper()
 	for end := c.Now + simSpan; !holds(); {
@@ -115,6 +115,6 @@
 			c.t.Logf("%s id %x uninitialized %v: %+v, conf %v, applied %d, leads %v",
 				v.name, v.ID(), v.Uninitialized(), v.raw.BasicStatus(), v.conf, v.applied, v.IsLeader())
 		}
-		c.t.Fatalf("seed %d: never %s", seed, what)
+		c.t.Fatalf("seed %d: timed out waiting for %s", seed, what)
 	}
 }
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The names in the bbolt file. An entry's key in the log bucket is its index in eight bytes, big-endian.
+// Names in the bbolt file. The key of an entry in the log bucket is its index in eight bytes, big-endian.
 const (
 	metaBucket  = "meta"
 	logBucket   = "log"
@@ -24,20 +24,20 @@
 
 const (
 	filePermission = 0o600
-	// lockTimeout is how long a start waits for another process to release the file: a predecessor closes it within its
-	// shutdown. Longer would have a start with two brokers on one directory hang instead of fail.
+	// lockTimeout is how long a start waits for another process to release the file. A predecessor closes the file
+	// during its shutdown. With a longer timeout, a second broker on the same directory would hang instead of fail.
 	lockTimeout = 2 * time.Second
 	idBytes     = 8
 )
 
-// DiskStorage is a storage in a bbolt file, with a copy in memory that raft reads. Each change is one transaction:
-// after a crash at any byte of it the file holds either what it held before, or the complete change.
+// DiskStorage is a storage in a bbolt file, with a copy in memory that raft reads. Each change is one transaction.
+// After a crash at any byte of the write, the file holds either its previous content or the complete change.
 type DiskStorage struct {
 	MemoryStorage
 	db *bbolt.DB
 }
 
-// OpenDisk opens a file or creates it, and returns the identity that it holds. newID draws the identity of a new file.
+// OpenDisk opens or creates a file and returns the identity stored in it. newID draws the identity of a new file.
 func OpenDisk(path string, newID func() uint64) (d *DiskStorage, id uint64, err error) {
 	db, err := bbolt.Open(path, filePermission, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -49,13 +49,13 @@
 		err = d.load()
 	}
 	if err != nil {
-		_ = db.Close() // the file was not changed, or its transaction has ended
+		_ = db.Close() // no transaction is open that closing could lose
 		return nil, 0, fmt.Errorf("%s: %w", path, err)
 	}
 	return d, id, nil
 }
 
-// initialize makes sure that the file has its buckets and an identity.
+// initialize creates the buckets and the identity unless the file has them, and returns the identity.
 func (d *DiskStorage) initialize(newID func() uint64) (id uint64, err error) {
 	err = d.db.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists([]byte(metaBucket))
@@ -75,7 +75,7 @@
 	return id, err
 }
 
-// load copies what the file holds into memory.
+// load copies the content of the file into memory.
 func (d *DiskStorage) load() error {
 	return d.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket([]byte(metaBucket))
@@ -133,7 +133,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	// A new leader's entries replace all that an earlier leader wrote from there on.
+	// The entries of a new leader replace all entries that an earlier leader wrote from that index on.
 	if err := deleteEntries(log, entries[0].GetIndex(), math.MaxUint64); err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 // Close implements Storage.
 func (d *DiskStorage) Close() error { return d.db.Close() }
 
-// Destroy implements Storage: it removes the file.
+// Destroy implements Storage. It removes the file.
 func (d *DiskStorage) Destroy() error { return errors.Join(d.Close(), os.Remove(d.db.Path())) }
 
 func put(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
@@ -180,7 +180,7 @@
 
 // deleteEntries deletes the entries with from <= index < before.
 func deleteEntries(log *bbolt.Bucket, from, before uint64) error {
-	var keys [][]byte // deleting through the cursor would make it lose its place
+	var keys [][]byte // deleting during the iteration would make the cursor lose its position
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(encodeUint64(from)); key != nil; key, _ = cursor.Next() {
 		if binary.BigEndian.Uint64(key) >= before {
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if id != testID || !d.isBootstrapped(t) {
-		t.Fatalf("id %d, bootstrapped %v", id, d.isBootstrapped(t))
+		t.Fatalf("reopened file: id %d, bootstrapped %v", id, d.isBootstrapped(t))
 	}
 	return d
 }
@@ -61,7 +61,7 @@
 	return hasSnapshot(snapshot)
 }
 
-// content is the hard state and the entries of a file, as text.
+// content returns the hard state and the entries of a file as text.
 func (d *DiskStorage) content(t *testing.T) string {
 	t.Helper()
 	hard, _, errState := d.InitialState()
@@ -86,14 +86,14 @@
 	return data
 }
 
-// tornWrite is a file before and after a change, with what each holds.
+// tornWrite is a file before and after a change, and its content at both times.
 type tornWrite struct {
 	path          string
 	before, after []byte
 	was, is       string
 }
 
-// newTornWrite overwrites an entry of an earlier leader.
+// newTornWrite returns a change that overwrites an entry of an earlier leader.
 func newTornWrite(t *testing.T, dir string) *tornWrite {
 	t.Helper()
 	path := filepath.Join(dir, "a")
@@ -111,12 +111,13 @@
 		t.Fatal(err)
 	}
 	if w.was == w.is || len(w.before) != len(w.after) {
-		t.Fatalf("%q, %q; %d and %d bytes", w.was, w.is, len(w.before), len(w.after))
+		t.Fatalf("content %q before and %q after the change, in %d and %d bytes",
+			w.was, w.is, len(w.before), len(w.after))
 	}
 	return w
 }
 
-// contentOf is what a reopened file holds.
+// contentOf reopens a file with the given bytes and returns its content.
 func (w *tornWrite) contentOf(t *testing.T, file []byte) string {
 	t.Helper()
 	if err := os.WriteFile(w.path, file, filePermission); err != nil {
@@ -127,11 +128,12 @@
 	return d.content(t)
 }
 
-// The machine loses power while a transaction is written. Whatever of its pages came to the disk before the meta page
-// that commits it, and whatever part of that page: the file must hold what it held before, or the complete change.
+// The machine loses power while a transaction is written. Any part of its pages may have reached the disk before the
+// meta page that commits them, and any part of that page. The file must hold either its previous content or the
+// complete change.
 func TestWriteTornAtEveryByte(t *testing.T) {
 	w := newTornWrite(t, t.TempDir())
-	const metaPages = 2 * 4096 // of which one commits a transaction; they are written last
+	const metaPages = 2 * 4096 // two meta pages, written last; one of them commits a transaction
 	torn := bytes.Clone(w.before)
 	steps := 0
 	for _, span := range [][2]int{{metaPages, len(w.after)}, {0, metaPages}} {
@@ -143,16 +145,16 @@
 			steps++
 			got := w.contentOf(t, torn)
 			if got != w.was && got != w.is || i >= metaPages && got != w.was {
-				t.Fatalf("torn after byte %d: %q", i, got)
+				t.Fatalf("write torn after byte %d: content %q", i, got)
 			}
 		}
 	}
 	if got := w.contentOf(t, torn); got != w.is || steps < 100 {
-		t.Errorf("after %d steps: %q, want %q", steps, got, w.is)
+		t.Errorf("content after %d steps: %q, want %q", steps, got, w.is)
 	}
 }
 
-// A voter restarts after its log was compacted: the snapshot and the entries behind it must be found.
+// A voter restarts after its log was compacted. It must find the snapshot and the entries after it.
 func TestCompactedFileReopens(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	d := createDisk(t, path)
@@ -171,10 +173,10 @@
 	defer func() { _ = d.Close() }()
 	snapshot, err := d.Snapshot()
 	if err != nil || snapshot.GetMetadata().GetIndex() != 150 || string(snapshot.GetData()) != "state" {
-		t.Errorf("%v, %v", snapshot, err)
+		t.Errorf("snapshot %v, error %v", snapshot, err)
 	}
 	if last, err := d.LastIndex(); last != 200 || err != nil {
-		t.Errorf("last %d, %v", last, err)
+		t.Errorf("last index %d, want 200; error %v", last, err)
 	}
 }
 
@@ -184,7 +186,8 @@
 
 func (fullStorage) Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error { return errDiskFull }
 
-// A voter's disk is full. What it can't store it must not say: it must neither vote nor grant a lease.
+// A voter's disk is full. The voter must not send messages that depend on state that it cannot store: it must neither
+// vote nor grant a lease.
 func TestVoterWithFullDiskIsSilent(t *testing.T) {
 	storage := fullStorage{bootstrapped(t, map[string]uint64{"a": 1, "b": 2, "c": 3})}
 	v, err := New(0, Options{ID: 1, Timing: testTiming, Schema: testSchema}, storage)
@@ -193,7 +196,7 @@
 	}
 	for now := clusterconfig.Micros(0); now < 5_000_000; now += TickInterval {
 		if e := v.Tick(now); len(e.Messages) > 0 && v.Err() != nil {
-			t.Fatalf("it sent %v", e.Messages)
+			t.Fatalf("the stopped voter sent %v", e.Messages)
 		}
 		term, index := uint64(9), uint64(1)
 		kind := pb.MsgVote
@@ -206,13 +209,13 @@
 			LogTerm: &index,
 		})
 		if len(e.Messages) > 0 {
-			t.Fatalf("it voted without storing that: %v", e.Messages)
+			t.Fatalf("the voter voted without storing its vote: %v", e.Messages)
 		}
 	}
 	if !errors.Is(v.Err(), errDiskFull) {
-		t.Errorf("stopped for %v", v.Err())
+		t.Errorf("the voter stopped with error %v, want %v", v.Err(), errDiskFull)
 	}
 	if v.HandleRenewal(0, clusterconfig.Renewal{Holder: "h"}) != nil {
-		t.Error("it granted a lease")
+		t.Error("the stopped voter granted a lease")
 	}
 }
--- a/internal/consensus/golden_disk_test.go
+++ b/internal/consensus/golden_disk_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// bootstrapGoldenDisk bootstraps a file whose map of members comes out sorted.
+// bootstrapGoldenDisk bootstraps a file. It tries again until the encoded map of members is sorted.
 func bootstrapGoldenDisk(t *testing.T, path string) *DiskStorage {
 	t.Helper()
 	sorted := sortedMaps(t, clusterconfig.NewState(77, goldenMembers()))
@@ -48,11 +48,11 @@
 			t.Fatal(err)
 		}
 	}
-	t.Fatal("the members never came in order")
+	t.Fatalf("the members were not in order in %d encodings", encodeTries)
 	return nil
 }
 
-// goldenEntry is an entry of term 2; a nil value stands for the empty entry with which a leader starts.
+// goldenEntry returns an entry of term 2. A nil value gives the empty entry with which a leader starts its term.
 func goldenEntry(t *testing.T, index uint64, value any) *pb.Entry {
 	t.Helper()
 	kind := pb.EntryNormal
@@ -63,7 +63,7 @@
 	return e
 }
 
-// goldenMemberChange is the entry that replaces v2.
+// goldenMemberChange returns the entry that replaces the identity of voter v2.
 func goldenMemberChange(t *testing.T, index uint64) *pb.Entry {
 	t.Helper()
 	add, remove, kind := pb.ConfChangeAddNode, pb.ConfChangeRemoveNode, pb.EntryConfChangeV2
@@ -80,8 +80,8 @@
 	return &pb.Entry{Type: &kind, Index: proto.Uint64(index), Term: proto.Uint64(2), Data: data}
 }
 
-// writeGoldenDisk does what a voter does to its file: it is bootstrapped, takes entries, compacts its log, takes more,
-// and is stopped.
+// writeGoldenDisk writes a file as a voter does: it bootstraps the file, saves entries, compacts the log, saves more
+// entries, and closes the file.
 func writeGoldenDisk(t *testing.T, path string) {
 	t.Helper()
 	d := bootstrapGoldenDisk(t, path)
@@ -112,7 +112,7 @@
 	}
 }
 
-// bboltValues are the values of a bbolt file, by bucket and key.
+// bboltValues returns the values of a bbolt file, by bucket and key.
 func bboltValues(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	db, err := bbolt.Open(path, filePermission, &bbolt.Options{ReadOnly: true})
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	goldenValues = "testdata/values.golden"    // one encoded value a line: name and hex
-	goldenDisk   = "testdata/agreement.golden" // a voter's bbolt file: its size, then the rows that are not zero
+	goldenValues = "testdata/values.golden"    // one encoded value per line: name and hex
+	goldenDisk   = "testdata/agreement.golden" // a voter's bbolt file: its size, then the rows that are not all zero
 	rowBytes     = 32
-	encodeTries  = 1000 // msgpack writes a map in the order of a Go range, which is random
+	encodeTries  = 1000 // msgpack writes a map in the random order of a Go range
 )
 
-// goldenEntries are two versions: the second builds on the first.
+// goldenEntries returns the entries of two versions, the second of which builds on the first.
 func goldenEntries() (first, second clusterconfig.Entry) {
 	document := &clusterconfig.Document{Epoch: 77}
 	first = document.NextEntry(clusterconfig.Proposal{
@@ -49,7 +49,7 @@
 	return map[string]uint64{"v0": 0x1111111111111111, "v1": 0x2222222222222222, "v2": 0x3333333333333333}
 }
 
-// goldenState is the replicated state with the first version active and the second pending.
+// goldenState returns the replicated state with the first version active and the second one pending.
 func goldenState() *clusterconfig.State {
 	first, second := goldenEntries()
 	state := clusterconfig.NewState(77, goldenMembers())
@@ -61,7 +61,7 @@
 	return state
 }
 
-// goldenValue is a value that leaves the process as msgpack, and an empty one to decode it into.
+// goldenValue is a value that leaves the process as msgpack, and an empty value into which it is decoded.
 type goldenValue struct {
 	name  string
 	value any
@@ -86,7 +86,7 @@
 	}
 }
 
-// encode returns the encoding of a value whose maps come out in the order that accept wants.
+// encode returns an encoding of a value that accept approves, or the last one after encodeTries attempts.
 func encode(t *testing.T, value any, accept func([]byte) bool) []byte {
 	t.Helper()
 	var data []byte
@@ -102,14 +102,14 @@
 	return data
 }
 
-// encodeSorted returns the encoding of a value whose maps come out sorted.
+// encodeSorted returns the encoding of a value in which maps are sorted by key.
 func encodeSorted(t *testing.T, value any) []byte {
 	t.Helper()
 	return encode(t, value, sortedMaps(t, value))
 }
 
-// sortedMaps reports whether the keys of the maps in an encoding come in order. The encoder itself sorts maps of text
-// only.
+// sortedMaps returns a function that reports whether an encoding of the value has its maps sorted by key. The encoder
+// cannot sort the map of members, so sortedMaps encodes the value again until the members are in order.
 func sortedMaps(t *testing.T, value any) func([]byte) bool {
 	t.Helper()
 	for range encodeTries {
@@ -125,7 +125,7 @@
 			return func(got []byte) bool { return bytes.Equal(got, data) }
 		}
 	}
-	t.Fatal("the members never came in order")
+	t.Fatalf("the members were not in order in %d encodings", encodeTries)
 	return nil
 }
 
@@ -143,9 +143,9 @@
 	return values
 }
 
-// A voter of an earlier build wrote its log and its snapshot, and a voter of this build reads them, or both run side by
-// side during a rolling upgrade. Each value that goes into raft's log or snapshot must decode to what it was, and
-// encode to the same bytes.
+// A voter reads the log and the snapshot that an earlier build wrote, or both builds run side by side during a rolling
+// upgrade. Each recorded value of raft's log or snapshot must decode to the expected value and encode to the same
+// bytes.
 func TestGoldenValues(t *testing.T) {
 	if golden.Recording() {
 		var text strings.Builder
@@ -174,7 +174,7 @@
 	}
 }
 
-// dump is a file as text: its size, and each row that is not zero.
+// dump returns a file as text: its size, and each row that is not all zero.
 func dump(file []byte) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "size: %x\n", encodeUint64(uint64(len(file))))
@@ -187,7 +187,7 @@
 	return text.String()
 }
 
-// readDump reads what dump wrote.
+// readDump returns the file from which dump wrote the text at path.
 func readDump(t *testing.T, path string) []byte {
 	t.Helper()
 	rows := readGolden(t, path)
@@ -203,9 +203,9 @@
 	return file
 }
 
-// A broker is upgraded in place, and its voter opens the file that the build before wrote. It must find its identity,
-// its vote, its snapshot and the entries behind it, and carry on; and a build that writes the same history must write
-// the same file.
+// A broker is upgraded in place, and its voter opens the file that the previous build wrote. The voter must find its
+// identity, its vote, its snapshot and the entries after it, and continue from them. If this build writes the same
+// history, it must write the same file.
 func TestGoldenDisk(t *testing.T) {
 	dir := t.TempDir()
 	fresh, kept := filepath.Join(dir, "fresh"), filepath.Join(dir, "kept")
@@ -215,9 +215,9 @@
 	}
 	file := readDump(t, goldenDisk)
 	writeFile(t, kept, file)
-	if os.Getpagesize() == 4096 { // bbolt takes the system's
+	if os.Getpagesize() == 4096 { // bbolt uses the page size of the system
 		if now := readFile(t, fresh); !bytes.Equal(now, file) {
-			t.Errorf("the file is another:\n%s", dump(now))
+			t.Errorf("the written file differs from the recorded one:\n%s", dump(now))
 		}
 	}
 	old, now := bboltValues(t, kept), bboltValues(t, fresh)
@@ -227,7 +227,7 @@
 	checkGoldenVoter(t, kept)
 }
 
-// checkGoldenVoter has a voter start with the golden file.
+// checkGoldenVoter starts a voter with the golden file and checks the state that it finds.
 func checkGoldenVoter(t *testing.T, path string) {
 	t.Helper()
 	d, id, err := OpenDisk(path, newTestID)
@@ -242,38 +242,38 @@
 	v.Tick(TickInterval)
 	document := v.State().Document
 	if id != 0x1111111111111111 || v.Err() != nil || document.Epoch != 77 || document.Version != 2 {
-		t.Errorf("id %x, %v, %+v", id, v.Err(), document)
+		t.Errorf("id %x, error %v, document %+v", id, v.Err(), document)
 	}
 	want := map[string]string{"limit": "40", "repeat": "yes", "zone": "a"}
 	if !maps.Equal(document.Values, want) {
-		t.Errorf("%v, want %v", document.Values, want)
+		t.Errorf("values %v, want %v", document.Values, want)
 	}
 	if members := v.State().Members; members["v2"] != 0x4444444444444444 {
 		t.Errorf("members %x", members)
 	}
 	if err := v.State().VerifyHistory(); err != nil || len(v.State().History) != 2 {
-		t.Errorf("%v, %+v", err, v.State().History)
+		t.Errorf("verification: %v, history %+v", err, v.State().History)
 	}
 	if _, term := v.LeaderAndTerm(); term != 2 {
-		t.Errorf("term %d", term)
+		t.Errorf("term %d, want 2", term)
 	}
 	hard, _, err := d.InitialState()
 	if err != nil || hard.GetVote() != 0x2222222222222222 {
-		t.Errorf("%v, %v", hard, err)
+		t.Errorf("hard state %v, error %v", hard, err)
 	}
 }
 
-// Somebody renames a field of a type that is kept on disk, and the next build no longer finds what the one before
-// wrote. Each exported field must therefore carry its name on disk as a tag.
+// If a field of a type that is stored on disk is renamed, the next build no longer finds the stored value. Each
+// exported field must therefore have its name on disk as a tag.
 func TestFieldsOnDiskAreTagged(t *testing.T) {
 	for _, value := range []any{clusterconfig.Command{}, clusterconfig.State{}, clusterconfig.Member{}} {
 		if missing := untaggedFields(reflect.TypeOf(value), map[reflect.Type]bool{}); len(missing) > 0 {
-			t.Errorf("no msgpack tag: %v", slices.Compact(missing))
+			t.Errorf("fields without a msgpack tag: %v", slices.Compact(missing))
 		}
 	}
 }
 
-// untaggedFields names the exported fields of a struct, and of all structs in it, that lack a msgpack tag.
+// untaggedFields returns the exported fields without a msgpack tag, in a type and in all structs that it contains.
 func untaggedFields(of reflect.Type, seen map[reflect.Type]bool) []string {
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -12,62 +12,65 @@
 	"junctionwharf/clusterconfig"
 )
 
-// The leader's timing, in microseconds.
+// Timing of the leader, in microseconds.
 const (
-	// LeadershipLease is how long a leader grants after a majority has confirmed it; a new leader waits that out. It is
-	// the shortest election timeout: no other leader can have been elected sooner.
+	// LeadershipLease is how long a leader may grant leases after a majority has confirmed it. A new leader
+	// assumes that its predecessor may grant for this long. It is the shortest election timeout, so no other leader can
+	// have been elected sooner.
 	LeadershipLease clusterconfig.Micros = electionTicks * TickInterval
-	// confirmInterval is how often a leader has itself confirmed. Longer than the lease would interrupt grants, shorter
-	// would cost messages.
+	// confirmInterval is how often a leader asks a majority for confirmation. An interval above LeadershipLease would
+	// interrupt grants. A shorter interval would cost messages.
 	confirmInterval = 100_000
-	// retryInterval is after what a command that was proposed and not committed is proposed again. Shorter than a
-	// commit would fill the log with duplicates.
+	// retryInterval is the time after which the leader proposes a command again that was not committed. If it were
+	// shorter than a commit, the log would fill with duplicates.
 	retryInterval = 300_000
-	// proposalTimeout is after what a proposal that was not committed no longer keeps others out. Were it committed
-	// later, it would be rejected, or become pending as if it had just been proposed.
+	// proposalTimeout is the time after which an uncommitted proposal no longer blocks other proposals. If the proposal
+	// is committed later, it is rejected, or it becomes pending as if it had just been proposed.
 	proposalTimeout = 10 * retryInterval
 )
 
 const (
-	// maxProposals bounds the proposals whose callers wait for an end. Beyond, a proposal is rejected as if another
-	// change were pending; each costs the leader one entry in a map.
+	// maxProposals limits the proposals whose callers wait for an outcome. Above the limit, a proposal is rejected with
+	// ErrChangePending. Each waiting proposal costs the leader one map entry.
 	maxProposals = 1024
-	// maxConfirmations bounds the confirmations in flight. Only the latest matter: one has to arrive within
-	// LeadershipLease, in which a leader asks for five.
+	// maxConfirmations limits the confirmations in flight. Only the latest ones matter: one must arrive within
+	// LeadershipLease, during which a leader requests five.
 	maxConfirmations = 64
 )
 
-// errEarlierLeases is returned while a broker may hold a lease on a document that this cluster does not know.
-var errEarlierLeases = fmt.Errorf("%w: brokers may still hold leases on a document from before the bootstrap", clusterconfig.ErrNotLeader)
+// errEarlierLeases is returned while a broker may hold a lease on a document from before the bootstrap.
+var errEarlierLeases = fmt.Errorf("%w: brokers may still hold leases on a document from before the bootstrap",
+	clusterconfig.ErrNotLeader)
 
-// leadership is what a voter knows as a leader. Voter owns it.
+// leadership is the state that a voter needs as the leader. Voter owns it.
 type leadership struct {
-	isLeader bool                  // by raft's own state
+	isLeader bool                  // according to raft
 	lessor   *clusterconfig.Lessor // nil until the leader has applied all entries of earlier terms
 
-	confirmations map[uint64]clusterconfig.Micros // read index requests in flight: when each was sent
-	confirmSeq    uint64                          // of the latest of them
+	confirmations map[uint64]clusterconfig.Micros // send times of the read index requests in flight, by sequence number
+	confirmSeq    uint64                          // of the latest read index request
 	nextConfirm   clusterconfig.Micros
 
-	proposed     string // hash of the entry that was proposed and is not yet pending, empty for none
+	proposed     string // hash of the entry that was proposed but is not yet pending, empty for none
 	proposedAt   clusterconfig.Micros
-	nextActivate clusterconfig.Micros // 0 if the pending version was not proposed for activation
-	callers      map[string]Outcome   // of proposals, by hash
+	nextActivate clusterconfig.Micros // earliest time to propose the activation again, 0 if it was not proposed
+	callers      map[string]Outcome   // callers of open proposals, by entry hash
 
-	offer       *clusterconfig.Document // the latest document of an earlier epoch that a lease holder brought
+	offer       *clusterconfig.Document // latest document of an earlier epoch that a lease holder sent
 	nextAdopt   clusterconfig.Micros
 	nextReplace clusterconfig.Micros
 }
 
-// Outcome is called with the end of a proposal: the entry once it is active, or why it was rejected, or
-// ErrOutcomeUnknown.
+// Outcome receives the outcome of a proposal: the entry once it is active, or an error, which is the reason
+// for its rejection or ErrOutcomeUnknown.
 type Outcome func(clusterconfig.Entry, error)
 
 func newLeadership() leadership {
 	return leadership{confirmations: map[uint64]clusterconfig.Micros{}, callers: map[string]Outcome{}}
 }
 
-// setLeader notes whether raft has this voter lead. Who no longer does can't know the end of what it proposed.
+// setLeader records whether this voter is the leader according to raft. A voter that is no longer the leader cannot
+// learn the outcome of its proposals, so it ends them with ErrOutcomeUnknown.
 func (l *leadership) setLeader(isLeader bool) {
 	l.isLeader = isLeader
 	if isLeader {
@@ -83,7 +86,7 @@
 	}
 }
 
-// finish calls the outcome of a proposal, if it was made here.
+// finish reports the outcome of a proposal to its caller, if the proposal was made at this voter.
 func (l *leadership) finish(hash string, e clusterconfig.Entry, err error) {
 	outcome := l.callers[hash]
 	if outcome == nil {
@@ -93,8 +96,9 @@
 	outcome(e, err)
 }
 
-// confirm notes that a majority has answered a read index request. No voter that answered elects another leader within
-// the election timeout from when the request was sent (raft's CheckQuorum), so the leader may grant until then.
+// confirm records that a majority has answered a read index request. A voter that answered elects no other leader
+// within the election timeout, counted from when the request was sent (raft's CheckQuorum). The leader may grant leases
+// until then.
 func (l *leadership) confirm(request []byte) {
 	seq := binary.BigEndian.Uint64(request)
 	sent := l.confirmations[seq]
@@ -105,7 +109,7 @@
 	maps.DeleteFunc(l.confirmations, func(n uint64, _ clusterconfig.Micros) bool { return n <= seq })
 }
 
-// began follows a committed Begin; err is why the state rejected it.
+// began handles a committed Begin. err is the error with which the state rejected it, nil if it was accepted.
 func (l *leadership) began(e clusterconfig.Entry, err error) error {
 	if l.proposed == e.Hash {
 		l.proposed = ""
@@ -119,7 +123,7 @@
 	return err
 }
 
-// activated follows a committed Activate.
+// activated handles a committed Activate.
 func (l *leadership) activated() error {
 	l.nextActivate = 0
 	if l.lessor == nil {
@@ -128,19 +132,19 @@
 	return l.lessor.Activate()
 }
 
-// adopted follows a committed Adopt. The entry itself has the lessor started again, with the document.
+// adopted handles a committed Adopt. It drops the lessor. applyEntry then starts a new one with the adopted document.
 func (l *leadership) adopted() {
 	l.lessor = nil
 	l.offer = nil
 }
 
-// IsLeader reports whether the voter grants leases and takes proposals.
+// IsLeader reports whether the voter grants leases and accepts proposals.
 func (v *Voter) IsLeader() bool { return v.leadership.lessor != nil && v.err == nil }
 
-// Lessor returns the leader's lessor, nil while the voter does not lead.
+// Lessor returns the leader's lessor, nil while the voter is not the leader.
 func (v *Voter) Lessor() *clusterconfig.Lessor { return v.leadership.lessor }
 
-// Read returns the active document, nil if this voter can't be sure of it.
+// Read returns the active document, nil if this voter cannot be sure which document is active.
 func (v *Voter) Read(now clusterconfig.Micros) *clusterconfig.Document {
 	if !v.IsLeader() || !v.leadership.lessor.LeadershipConfirmed(now) {
 		return nil
@@ -148,7 +152,7 @@
 	return v.state.Document
 }
 
-// HandleRenewal answers a renewal; nil if this voter does not lead, or can't be sure that it does.
+// HandleRenewal answers a renewal. It returns nil if this voter is not the leader or must not grant a lease.
 func (v *Voter) HandleRenewal(now clusterconfig.Micros, r clusterconfig.Renewal) *clusterconfig.Grant {
 	if !v.IsLeader() {
 		return nil
@@ -156,8 +160,8 @@
 	return v.leadership.lessor.HandleRenewal(now, r)
 }
 
-// WantsDocument reports whether a lease holder should send its document: it may be all that is left of the
-// configuration after voters without disks were all restarted.
+// WantsDocument reports whether the sender of a renewal should send its document. After a
+// restart of all voters without disks, that document may be the only remaining copy of the configuration.
 func (v *Voter) WantsDocument(r clusterconfig.Renewal) bool {
 	if !v.IsLeader() || v.state.Document.Version > 0 {
 		return false
@@ -166,7 +170,8 @@
 	return r.Epoch != v.state.Document.Epoch && r.Version > 0 && (offer == nil || r.Version > offer.Version)
 }
 
-// OfferDocument takes such a document. The latest is adopted once every broker that can act on one has lost its lease.
+// OfferDocument handles a document that WantsDocument asked for. The latest such document is adopted once all brokers
+// that can act on an earlier document have lost their leases.
 func (v *Voter) OfferDocument(document *clusterconfig.Document) {
 	if !v.IsLeader() || v.state.Document.Version > 0 {
 		return
@@ -176,10 +181,10 @@
 	}
 }
 
-// HasOffer reports whether a lease holder has brought a document of an earlier epoch.
+// HasOffer reports whether a lease holder has sent a document of an earlier epoch.
 func (v *Voter) HasOffer() bool { return v.leadership.offer != nil }
 
-// Propose proposes a change. outcome is called with its end, maybe before Propose returns.
+// Propose proposes a change. It passes the result to outcome, possibly before it returns.
 func (v *Voter) Propose(now clusterconfig.Micros, p clusterconfig.Proposal, outcome Outcome) Effects {
 	e, err := v.prepareProposal(now, p)
 	if err == nil {
@@ -195,7 +200,7 @@
 	return v.process(now)
 }
 
-// prepareProposal returns the entry to be committed, or why the proposal is rejected.
+// prepareProposal returns the entry to commit, or the reason for which the proposal is rejected.
 func (v *Voter) prepareProposal(now clusterconfig.Micros, p clusterconfig.Proposal) (clusterconfig.Entry, error) {
 	l := &v.leadership
 	if !v.IsLeader() {
@@ -218,7 +223,7 @@
 	return v.raw.Propose(data)
 }
 
-// ReplaceMember replaces the identity of a voter that has lost its state, by a joint change of members.
+// ReplaceMember replaces the identity of a voter that has lost its state, by a joint membership change.
 func (v *Voter) ReplaceMember(now clusterconfig.Micros, m clusterconfig.Member) Effects {
 	old, known := v.state.Members[m.Name]
 	if !v.IsLeader() || !known || old == m.ID || now < v.leadership.nextReplace || v.inJointConfig() {
@@ -243,10 +248,10 @@
 	return v.process(now)
 }
 
-// inJointConfig reports whether a change of members is not complete.
+// inJointConfig reports whether a membership change is incomplete.
 func (v *Voter) inJointConfig() bool { return len(v.conf.GetVotersOutgoing()) > 0 }
 
-// runLeader does what a leader has to do now, and reports whether raft has work through it.
+// runLeader performs the next action that is due for a leader, and reports whether raft has work to process after it.
 func (v *Voter) runLeader(now clusterconfig.Micros) bool {
 	l := &v.leadership
 	if l.isLeader && now >= l.nextConfirm {
@@ -277,7 +282,7 @@
 	return l.lessor.EarlierLeasesExpired(now) && now >= l.nextAdopt
 }
 
-// requestConfirmation asks a majority, by a read index request, whether this voter still leads.
+// requestConfirmation asks a majority, by a read index request, whether this voter is still the leader.
 func (v *Voter) requestConfirmation(now clusterconfig.Micros) {
 	l := &v.leadership
 	l.nextConfirm = now + confirmInterval
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger writes raft's own log lines at the debug level, and its errors as warnings. Raft calls Fatal and Panic
-// when its invariants are broken; going on would break the promise, so both panic.
+// raftLogger writes raft's log lines at debug level, and its errors as warnings. Raft calls Fatal and Panic when its
+// invariants are broken. Both panic here, because continuing would break the guarantees of the package.
 type raftLogger struct{ log *slog.Logger }
 
 func (l raftLogger) Debug(v ...any)                   { l.log.Debug(fmt.Sprint(v...)) }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -11,14 +11,15 @@
 	"junctionwharf/clusterconfig"
 )
 
-// LogVersionActivated is logged by each voter that activates a version. The fleet harness finds it by its text.
+// LogVersionActivated is the message that each voter logs when it activates a version. The fleet harness searches for
+// this text.
 const LogVersionActivated = "version activated"
 
-// minCompactBytes is the size of the log below which it is not compacted. Smaller would write snapshots more often,
-// larger would have a restarted voter replay more.
+// minCompactBytes is the minimum size of the log before it is compacted. A smaller value would write snapshots more
+// often. A larger value would make a restarted voter replay more entries.
 const minCompactBytes = 1 << 20
 
-// process carries out what raft has ready and what the leader has to do, until there is nothing left.
+// process handles raft's ready batches and the leader's due actions until there are no more.
 func (v *Voter) process(now clusterconfig.Micros) Effects {
 	var effects Effects
 	for v.err == nil {
@@ -36,12 +37,12 @@
 	return effects
 }
 
-// handleReady carries out raft's next batch and reports whether the voter goes on. The order matters: the state is
-// saved before any message that rests on it is returned.
+// handleReady handles raft's next batch and reports whether the voter continues. The order matters: the state must be
+// saved before any message that depends on it is returned.
 func (v *Voter) handleReady(now clusterconfig.Micros, effects *Effects) bool {
 	ready := v.raw.Ready()
 	if err := v.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
-		v.fail(err) // none of the batch was sent: it is as if the voter had crashed
+		v.fail(err) // no message of the batch was sent, as if the voter had crashed
 		return false
 	}
 	if hasSnapshot(ready.Snapshot) {
@@ -58,7 +59,7 @@
 		v.leadership.confirm(s.RequestCtx)
 	}
 	for _, m := range ready.Messages {
-		if m.GetType() == pb.MsgSnap { // whether it arrived shows in the follower's next answer
+		if m.GetType() == pb.MsgSnap { // the follower's next answer shows whether the snapshot arrived
 			v.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
@@ -108,7 +109,7 @@
 func (v *Voter) applyCommandEntry(e *pb.Entry) error {
 	var c clusterconfig.Command
 	if err := msgpack.Unmarshal(e.GetData(), &c); err != nil {
-		return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
+		return fmt.Errorf("decode log entry %d: %w", e.GetIndex(), err)
 	}
 	v.applyCommand(c)
 	return nil
@@ -133,7 +134,8 @@
 	v.changed = v.changed || err == nil
 }
 
-// activated brings the leader up to a version that the log has activated.
+// activated activates a version at the leader's lessor after the state has activated it, and reports the version to the
+// caller of its proposal.
 func (v *Voter) activated() error {
 	e := v.state.Document.LastEntry
 	if err := v.leadership.activated(); err != nil {
@@ -145,8 +147,8 @@
 	return nil
 }
 
-// maybeStartLessor starts the leader's lessor once the leader has applied an entry of its own term, and so all that
-// earlier leaders committed.
+// maybeStartLessor starts the leader's lessor once the leader has applied an entry of its own term. By then it has also
+// applied all entries that earlier leaders committed.
 func (v *Voter) maybeStartLessor(now clusterconfig.Micros, entryTerm uint64) {
 	_, term := v.LeaderAndTerm()
 	if !v.leadership.isLeader || v.leadership.lessor != nil || entryTerm != term {
@@ -158,9 +160,9 @@
 	v.options.Logger.Info("became leader", "term", term, "version", document.Version)
 }
 
-// maybeCompact replaces the log by a snapshot once the log is larger than the snapshot: the cost stays in proportion to
-// the changes. It also does so after a change of members: a voter that is taken in believes only a snapshot that knows
-// it.
+// maybeCompact replaces the log by a snapshot once the log is twice as large as the last snapshot, so that the cost
+// stays proportional to the changes. It also does so after a membership change, because an added voter accepts only a
+// snapshot that contains it as a member.
 func (v *Voter) maybeCompact() {
 	if v.err != nil || v.conf == nil {
 		return
--- a/internal/consensus/sim_clients_test.go
+++ b/internal/consensus/sim_clients_test.go
@@ -10,17 +10,17 @@
 	"junctionwharf/clusterconfig"
 )
 
-// outcomeKind is how a client saw its proposal end.
+// outcomeKind is the outcome of a proposal, as seen by its client.
 type outcomeKind int
 
 const (
-	notTaken outcomeKind = iota // rejected for a reason that says nothing of the version
+	rejected outcomeKind = iota // rejected for a reason that does not depend on the version
 	accepted
 	conflict
 	unknown
 )
 
-// The operations of a history: a read, or a proposal that builds on a version.
+// The input and the output of an operation, which is a read or a proposal based on the expected version.
 type (
 	operationInput struct {
 		read     bool
@@ -52,7 +52,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// read is a read of a voter, which may decline it.
+// read records a read of a voter. The voter may decline the read.
 func (c *cluster) read(client int, v *simVoter) {
 	document := v.Read(v.clock.read(c.Now))
 	if c.fault == staleRead && v.IsLeader() {
@@ -70,7 +70,8 @@
 	})
 }
 
-// callAsClient proposes or reads, one call at a time, at a voter that says that it leads.
+// callAsClient sends a proposal or a read to a voter that considers itself the leader. Each client makes one call at a
+// time.
 func (c *cluster) callAsClient(id int) {
 	v := c.voters[c.random.IntN(len(c.voters))]
 	if v.stopped || !v.IsLeader() {
@@ -119,7 +120,7 @@
 			case errors.Is(err, ErrOutcomeUnknown):
 				end(operationOutput{kind: unknown})
 			default:
-				end(operationOutput{kind: notTaken})
+				end(operationOutput{kind: rejected})
 			}
 		}))
 	})
@@ -128,7 +129,7 @@
 	c.openCalls = append(c.openCalls, timeout)
 }
 
-// openCall returns the function that ends a proposal, once, and has the client go on.
+// openCall returns the function that ends a proposal and schedules the client's next call. Only its first call counts.
 func (c *cluster) openCall(id int, expected uint64) (end func(operationOutput)) {
 	ended, start := false, c.Now
 	return func(out operationOutput) {
@@ -140,7 +141,7 @@
 		if out.kind == unknown {
 			returned = math.MaxInt64
 		}
-		if out.kind != notTaken {
+		if out.kind != rejected {
 			c.operations = append(c.operations, porcupine.Operation{
 				ClientId: id,
 				Input:    operationInput{expected: expected},
@@ -150,7 +151,7 @@
 			})
 		}
 		if out.kind == unknown {
-			id += clientCount // its call is open for ever: the client is another one from now on
+			id += clientCount // the call stays open forever, so the client continues under a new id
 		}
 		c.callLater(id)
 	}
--- a/internal/consensus/sim_faults_test.go
+++ b/internal/consensus/sim_faults_test.go
@@ -6,7 +6,7 @@
 	"junctionwharf/clusterconfig"
 )
 
-// disturb plants an outer fault from time to time.
+// disturb injects a random fault of a voter, a link or a lease holder, and schedules the next one.
 func (c *cluster) disturb() {
 	if c.Now > c.lastFault {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// suspend stops a process; when it runs again it is read from before it receives anything, and receives what
-// has arrived meanwhile before its clock ticks.
+// suspend stops a voter. When the voter runs again, a client reads from it before it receives anything. The voter then
+// receives the messages that arrived meanwhile, before its clock ticks.
 func (c *cluster) suspend(v *simVoter, span clusterconfig.Micros) {
 	if v.stopped {
 		return
@@ -60,7 +60,7 @@
 	})
 }
 
-// crash has the callers of a leader get no answer any more.
+// crash ends the open calls of a leader with an unknown outcome.
 func crash(v *simVoter) {
 	if !v.leadership.isLeader {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// loseState has a voter lose its disk while the others are there.
+// loseState restarts a voter with an empty disk if othersComplete allows it.
 func (c *cluster) loseState(v *simVoter) {
 	if !c.othersComplete() {
 		return
@@ -86,8 +86,8 @@
 	c.startVoter(v, id)
 }
 
-// othersComplete reports whether all voters are reachable, and the last one that lost its state has been taken in
-// again: else a majority would be lost, and nothing would go on.
+// othersComplete reports whether all voters are reachable, and the last voter that lost its state has been added again.
+// If they are not, losing the state of another voter would lose the majority, and the cluster could not continue.
 func (c *cluster) othersComplete() bool {
 	for _, v := range c.voters {
 		if v.stopped || c.Now < v.receivesFrom || c.Now < v.sendsFrom || v.inJointConfig() {
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -16,14 +16,14 @@
 	"junctionwharf/internal/simtime"
 )
 
-// plantedFault is a fault of the implementation; one of the checkers must find each.
+// plantedFault is a deliberate fault of the implementation. One of the checkers must find each.
 type plantedFault int
 
 const (
 	noFault         plantedFault = iota
-	reusedIdentity               // a voter whose state was lost comes back under its old identity
-	staleRead                    // a leader reads without being sure that it still leads
-	uncommittedDone              // a leader has holders prepare what is not committed
+	reusedIdentity               // a voter that lost its state restarts under its old identity
+	staleRead                    // a leader serves reads while its leadership is not confirmed
+	uncommittedDone              // a leader lets holders prepare an uncommitted change
 )
 
 func testSchema(key string) (clusterconfig.Lattice, bool) {
@@ -42,7 +42,7 @@
 	voterCount  = 3
 	holderCount = 4
 	clientCount = 2
-	quietSpan   = 8_000_000 // µs without new faults at the end, in which all must recover
+	quietSpan   = 8_000_000 // µs without new faults at the end of a run, in which the cluster must recover
 	maxWaiting  = 200       // messages that the kernel keeps for a stopped voter
 )
 
@@ -62,8 +62,8 @@
 	storage      Storage
 	stopped      bool
 	waiting      []func()
-	receivesFrom clusterconfig.Micros // receives nothing before
-	sendsFrom    clusterconfig.Micros // what it sends before is lost
+	receivesFrom clusterconfig.Micros // until then, the voter receives nothing
+	sendsFrom    clusterconfig.Micros // until then, messages from the voter are lost
 }
 
 type simHolder struct {
@@ -74,7 +74,7 @@
 	partitionedUntil clusterconfig.Micros
 }
 
-// cluster simulates real voters and lease holders on one true time axis. Everything follows from the seed.
+// cluster simulates real voters and lease holders on one true time axis. The seed determines the whole run.
 type cluster struct {
 	simtime.Clock
 	t      *testing.T
@@ -84,21 +84,21 @@
 	voters  []*simVoter
 	holders []*simHolder
 
-	values     map[uint64]map[string]string // by version, as it became active
+	values     map[uint64]map[string]string // by version, as read when the version became active
 	newest     uint64                       // the latest version that any holder has acted on
-	breach     string                       // of the promise, empty for none
+	breach     string                       // violation of the guarantees, empty for none
 	activated  int
-	replaced   int // voters that lost their state
+	replaced   int // number of voters that lost their state
 	operations []porcupine.Operation
 	lastFault  clusterconfig.Micros
-	openCalls  []func() // ends of calls, for those that are open at the end
+	openCalls  []func() // functions that end the calls still open at the end of the run
 }
 
 func simulate(t *testing.T, seed uint64, fault plantedFault, span clusterconfig.Micros) *cluster {
 	t.Helper()
 	var key [32]byte
 	binary.BigEndian.PutUint64(key[:], seed)
-	cryptorand.Reader = rand.NewChaCha8(key) // raft draws its election timeouts from it
+	cryptorand.Reader = rand.NewChaCha8(key) // raft draws its election timeouts from this reader
 	c := newCluster(t, rand.New(rand.NewPCG(seed, 0xc0)), fault)
 	for i := range holderCount {
 		h := &simHolder{clock: c.drawClock()}
@@ -121,21 +121,21 @@
 	return c
 }
 
-// checkRecovered finds a cluster that has not recovered long after the last fault.
+// checkRecovered records a breach if the cluster has not recovered long after the last fault.
 func (c *cluster) checkRecovered() {
 	leaderFound := false
 	for _, v := range c.voters {
 		leaderFound = leaderFound || v.IsLeader()
 		if v.Uninitialized() && c.breach == "" {
-			c.breach = v.name + " was not taken in again"
+			c.breach = v.name + " was not added again after it lost its state"
 		}
 	}
 	if !leaderFound && c.breach == "" {
-		c.breach = "nobody leads, long after the last fault"
+		c.breach = "no voter is the leader, long after the last fault"
 	}
 }
 
-// newCluster starts voters that were bootstrapped alike.
+// newCluster starts voters that were bootstrapped with the same members.
 func newCluster(t *testing.T, random *rand.Rand, fault plantedFault) *cluster {
 	t.Helper()
 	c := &cluster{t: t, random: random, fault: fault, values: map[uint64]map[string]string{0: {}}}
@@ -171,10 +171,10 @@
 	h.LeaseHolder = clusterconfig.NewLeaseHolder(fmt.Sprint("h", index), h.incarnation, testTiming, testSchema)
 }
 
-// send delivers the messages that a voter's call led to.
+// send delivers the messages that a voter returned.
 func (c *cluster) send(from *simVoter, e Effects) {
 	for _, m := range e.Messages {
-		m := proto.Clone(m).(*pb.Message) // as over a wire: the storage changes its snapshot in place
+		m := proto.Clone(m).(*pb.Message) // as over a network: the storage changes its snapshot in place
 		d := c.drawDelay()
 		if d < 0 || c.Now < from.sendsFrom {
 			continue
@@ -189,7 +189,7 @@
 	}
 }
 
-// run has a voter do something, once it is not stopped, and checks it after that.
+// run calls do, or queues it while the voter is stopped, and then checks the voter.
 func (c *cluster) run(v *simVoter, do func()) {
 	if v.stopped {
 		if len(v.waiting) < maxWaiting {
@@ -208,7 +208,7 @@
 	}
 	for key, value := range c.values[document.Version] {
 		if document.Values[key] != value {
-			c.breach = fmt.Sprintf("two voters hold different versions %d: %v and %v",
+			c.breach = fmt.Sprintf("two voters hold different values of version %d: %v and %v",
 				document.Version, document.Values, c.values[document.Version])
 		}
 	}
@@ -220,7 +220,7 @@
 		return
 	}
 	c.run(v, func() { c.send(v, v.Tick(v.clock.read(c.Now))) })
-	for _, other := range c.voters { // a voter that lost its state asks to be taken in
+	for _, other := range c.voters { // a voter that lost its state asks to be added again
 		reachable := !other.stopped && c.Now >= v.receivesFrom && c.Now >= other.sendsFrom
 		if other != v && reachable && c.fault != reusedIdentity {
 			m := clusterconfig.Member{Name: other.name, ID: other.ID()}
@@ -229,7 +229,7 @@
 	}
 }
 
-// drawDelay returns how long a message takes, -1 if it is lost.
+// drawDelay returns the delay of a message, -1 if the message is lost.
 func (c *cluster) drawDelay() clusterconfig.Micros {
 	switch c.random.IntN(20) {
 	case 0:
@@ -266,8 +266,8 @@
 	})
 }
 
-// turn is a scheduling turn of a holder: every value that it acts on must be allowed by the latest version that any
-// holder has acted on.
+// turn simulates a scheduling turn of a holder. The latest version that any holder has acted on must allow every value
+// that the holder acts on.
 func (c *cluster) turn(h *simHolder) {
 	c.After(clusterconfig.Micros(1000+c.random.IntN(9000)), func() { c.turn(h) })
 	if h.stopped {
@@ -281,7 +281,7 @@
 		lattice, _ := testSchema(key)
 		newest, set := c.values[c.newest][key]
 		if value := view.Value(key); set && !clusterconfig.AtMost(lattice, value, newest) {
-			c.breach = fmt.Sprintf("%s: %q at version %d (restricted %v) against %q of version %d",
+			c.breach = fmt.Sprintf("%s: acting on %q at version %d (restricted %v), while %q of version %d is in use",
 				key, value, view.Version, view.Restricted, newest, c.newest)
 		}
 	}
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -5,25 +5,25 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// retainedEntries is how many entries stay in the log behind a snapshot. A voter that is less far behind gets these;
-// one that is further behind gets the snapshot, which is larger.
+// retainedEntries is the number of entries that stay in the log before the end of a snapshot. A voter that lags by no
+// more receives these entries. A voter that lags further receives the snapshot, which is larger.
 const retainedEntries = 64
 
-// Storage is where a voter keeps its state. Save and Compact return once the state is as durable as the storage makes
-// it: the messages that a voter sends rest on that.
+// Storage stores the state of a voter. Save and Compact return once the state is as durable as the storage makes it.
+// The messages that a voter sends depend on this.
 type Storage interface {
 	raft.Storage
-	// Save stores what raft has to keep before its messages are sent. Each argument may be empty.
+	// Save stores the state that raft must keep before its messages are sent. Each argument may be empty.
 	Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error
 	// Compact replaces the log up to index by a snapshot.
 	Compact(index uint64, conf *pb.ConfState, data []byte) error
-	// Close releases the storage and keeps what is in it.
+	// Close releases the storage and keeps its content.
 	Close() error
-	// Destroy closes the storage and removes what is in it: the identity is gone for good.
+	// Destroy closes the storage and removes its content. The identity is lost permanently.
 	Destroy() error
 }
 
-// MemoryStorage is a storage that does not survive the process. Who loses it loses its identity.
+// MemoryStorage is a storage that does not survive the process. A voter that loses it also loses its identity.
 type MemoryStorage struct{ *raft.MemoryStorage }
 
 // NewMemoryStorage returns an empty storage.
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -12,25 +12,26 @@
 	"junctionwharf/clusterconfig"
 )
 
-// Raft's timing.
+// Timing of raft.
 const (
-	// TickInterval is raft's unit of time, in microseconds. Shorter ticks would cost idle wake-ups.
+	// TickInterval is the duration of a raft tick, in microseconds. A shorter tick would cost idle wake-ups.
 	TickInterval clusterconfig.Micros = 50_000
-	// electionTicks is how long a voter waits for a leader before it stands for election: half a second to a second.
-	// Shorter would elect anew when a process is stopped briefly; longer would keep changes waiting when a leader dies.
+	// electionTicks is the minimum election timeout. Raft draws the timeout of each voter between half a second and a
+	// second. A shorter timeout would cause elections when a process is stopped briefly. A longer timeout would delay
+	// changes after the leader has died.
 	electionTicks = 10
-	// heartbeatTicks has a follower miss several heartbeats before it stands for election.
+	// heartbeatTicks is the heartbeat interval. A follower must miss several heartbeats before it starts an election.
 	heartbeatTicks = 2
-	// maxMissedTicks bounds the ticks that a voter that stood still makes up for: others may lead by now, and an
-	// election for a reason that has passed would disturb them.
+	// maxMissedTicks limits the ticks that a voter makes up for after its process was stopped. Another voter may be the
+	// leader by then, and an election for an outdated reason would disturb it.
 	maxMissedTicks = 2
 )
 
-// Raft's bounds.
+// Limits of raft.
 const (
-	maxMessageBytes     = 1 << 20  // of entries in a message: a larger change goes out alone
-	maxUncommittedBytes = 32 << 20 // proposals beyond are rejected: bounds the leader's memory without a majority
-	maxInflightMessages = 64       // to a follower without an answer: bounds what a slow one has in its queue
+	maxMessageBytes     = 1 << 20  // entries per message; a larger entry is sent alone
+	maxUncommittedBytes = 32 << 20 // further proposals are rejected; limits the leader's memory without a majority
+	maxInflightMessages = 64       // unanswered messages per follower; limits the queue of a slow follower
 )
 
 // ErrOutcomeUnknown is the outcome of a proposal whose leader lost its leadership before the outcome was known. The
@@ -38,8 +39,8 @@
 var ErrOutcomeUnknown = errors.New("leadership was lost: the change may or may not become active")
 
 var (
-	errNoDocument         = errors.New("the record has no document")
-	errUnknownMemberEntry = errors.New("a change of voters of an unknown kind")
+	errNoDocument         = errors.New("replicated state contains no document")
+	errUnknownMemberEntry = errors.New("membership change has the unsupported type EntryConfChange")
 )
 
 // Options configures a voter.
@@ -50,32 +51,32 @@
 	Logger *slog.Logger // nil for none
 }
 
-// Effects is what a call leads to.
+// Effects is the result of a call that may change the voter's state.
 type Effects struct {
-	Messages []*pb.Message // to the voters that To names
-	Changed  bool          // a version became pending or active: lease holders should renew
+	Messages []*pb.Message // addressed to the voters named in To
+	Changed  bool          // a version became pending or active, so lease holders should renew
 }
 
-// Voter is one voter. It is not safe for concurrent use.
+// Voter is one voter of a cluster. It is not safe for concurrent use.
 type Voter struct {
 	options Options
 	storage Storage
 	raw     *raft.RawNode
-	state   *clusterconfig.State // what the log has built up to applied
-	conf    *pb.ConfState        // nil without a cluster
-	applied uint64               // index
-	err     error                // why the voter takes no further part
+	state   *clusterconfig.State // built from the log up to applied
+	conf    *pb.ConfState        // nil if the voter belongs to no cluster
+	applied uint64               // index of the last applied entry
+	err     error                // why the voter stopped, nil while it runs
 
 	bytesSinceSnapshot int
 	snapshotBytes      int
-	membersChanged     bool // since the snapshot
+	membersChanged     bool // since the last snapshot
 
 	nextTick   clusterconfig.Micros
 	changed    bool // to be reported by the next Effects
 	leadership leadership
 }
 
-// New returns a voter with what its storage holds: nothing, for one that waits to be taken into a cluster.
+// New returns a voter with the state in its storage. With an empty storage, the voter waits to be added to a cluster.
 func New(now clusterconfig.Micros, o Options, s Storage) (*Voter, error) {
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
@@ -113,18 +114,18 @@
 	return v, err
 }
 
-// restore takes over the state in a snapshot.
+// restore replaces the voter's state by the state in a snapshot.
 func (v *Voter) restore(snapshot *pb.Snapshot) error {
 	index := snapshot.GetMetadata().GetIndex()
 	var state clusterconfig.State
 	if err := msgpack.Unmarshal(snapshot.GetData(), &state); err != nil {
-		return fmt.Errorf("the record at index %d: %w", index, err)
+		return fmt.Errorf("decode snapshot at index %d: %w", index, err)
 	}
 	if state.Document == nil {
-		return errNoDocument
+		return fmt.Errorf("snapshot at index %d: %w", index, errNoDocument)
 	}
 	if err := state.VerifyHistory(); err != nil {
-		return err
+		return fmt.Errorf("snapshot at index %d: %w", index, err)
 	}
 	v.state = &state
 	v.conf = snapshot.GetMetadata().GetConfState()
@@ -134,38 +135,38 @@
 	return nil
 }
 
-// Uninitialized reports whether the voter belongs to no cluster yet: none was bootstrapped with it or has taken it in.
+// Uninitialized reports whether the voter belongs to no cluster yet: it was neither bootstrapped nor added to one.
 func (v *Voter) Uninitialized() bool { return v.conf == nil && v.applied == 0 }
 
 // LeaderElected reports whether the cluster has ever had a leader, as far as this voter knows.
 func (v *Voter) LeaderElected() bool { return v.applied > bootstrapIndex }
 
-// Err returns why the voter takes no further part, nil while it does.
+// Err returns the error that stopped the voter, nil while it runs.
 func (v *Voter) Err() error { return v.err }
 
-// State returns what the log has built so far. It must not be changed.
+// State returns the state built from the log so far. The caller must not change it.
 func (v *Voter) State() *clusterconfig.State { return v.state }
 
 // ID returns the voter's raft identity.
 func (v *Voter) ID() uint64 { return v.options.ID }
 
-// LeaderAndTerm returns the identity of the leader, 0 if none is known, and the term.
+// LeaderAndTerm returns the raft identity of the leader, 0 if it is unknown, and the term.
 func (v *Voter) LeaderAndTerm() (leader, term uint64) {
 	status := v.raw.BasicStatus()
 	return status.Lead, status.GetTerm()
 }
 
-// Step takes a message of another voter. A message to another identity, such as the one that this voter had before it
-// lost its disk, is dropped: the voter must not vote again under it.
+// Step handles a message from another voter. It drops a message to another identity, such as the identity that this
+// voter had before it lost its disk, because the voter must not vote again under that identity.
 func (v *Voter) Step(now clusterconfig.Micros, m *pb.Message) Effects {
 	if v.err != nil || m.GetTo() != v.options.ID {
 		return Effects{}
 	}
-	_ = v.raw.Step(m) // fails for messages that arrive too late
+	_ = v.raw.Step(m) // returns an error for outdated messages
 	return v.process(now)
 }
 
-// NextTick returns when Tick should be called at the latest.
+// NextTick returns the time at which Tick should be called at the latest.
 func (v *Voter) NextTick() clusterconfig.Micros {
 	at := v.nextTick
 	if v.leadership.lessor == nil || v.leadership.nextActivate != 0 {
@@ -177,7 +178,7 @@
 	return at
 }
 
-// Tick has time pass.
+// Tick advances the voter's time to now.
 func (v *Voter) Tick(now clusterconfig.Micros) Effects {
 	if v.err != nil {
 		return Effects{}
@@ -192,7 +193,7 @@
 	return v.process(now)
 }
 
-// fail ends the voter's part: it neither votes nor grants any more.
+// fail stops the voter: from then on, it neither votes nor grants leases.
 func (v *Voter) fail(err error) {
 	v.err = err
 	v.options.Logger.Error("voter stopped", "reason", err)
