--- a/clusterconfig/errors.go
+++ b/clusterconfig/errors.go
@@ -14,7 +14,7 @@
 	// ErrNotLeader is returned by a voter that is not the leader, or whose leadership is not confirmed.
 	ErrNotLeader = errors.New("this voter cannot act as leader")
 
-	ErrMissing      = errors.New("must not be empty")
+	ErrMissing      = errors.New("value is missing")
 	ErrNoChanges    = errors.New("proposal contains no changes")
 	ErrUnknownKey   = errors.New("unknown key")
 	ErrDuplicateKey = errors.New("duplicate key")
--- a/clusterconfig/sim_test.go
+++ b/clusterconfig/sim_test.go
@@ -29,7 +29,7 @@
 	return lattice, known
 }
 
-// Simulated clocks run up to 2.5% fast or slow, so that a second shows the drift of a day.
+// Simulated clocks run up to 2.5% fast or slow, so that drift has an effect within seconds of simulated time.
 var testTiming = Timing{Lease: 300_000, DriftPPM: 50_000}
 
 const (
@@ -328,7 +328,7 @@
 	})
 }
 
-// crash restarts a holder, and then up to three more times shortly afterwards.
+// crash restarts a holder once, and then up to three more times shortly afterwards.
 func (c *cluster) crash(h *simHolder) {
 	for n := range 1 + c.random.IntN(4) {
 		c.After(Micros(n*(50_000+c.random.IntN(250_000))), func() {
--- a/clusterconfig/state.go
+++ b/clusterconfig/state.go
@@ -12,7 +12,7 @@
 	Adopt    *Document `msgpack:"Adopt"`    // adopts a document of an earlier epoch if this epoch has no version yet
 }
 
-// Member is a voter's raft identity. A voter that loses its disk gets a new one.
+// Member is a voter's raft identity. A voter that loses its disk gets a new ID.
 type Member struct {
 	Name string `msgpack:"Name"`
 	ID   uint64 `msgpack:"ID"`
--- a/internal/agreement/golden_answers_test.go
+++ b/internal/agreement/golden_answers_test.go
@@ -167,7 +167,7 @@
 }
 
 // rewordedTexts maps texts as they were recorded to the texts of today, for errors that were reworded after the
-// recording. Scripts act on the kind of an error and not on its text.
+// recording. Scripts act on the kind of an error and not on its text. A new recording must empty this table.
 var rewordedTexts = [][2]string{
 	{"version 9 was altered", "entry does not match its hash: version 9"},
 	{"version 2 was altered", "entry does not match its hash: version 2"},
@@ -193,8 +193,8 @@
 	{"another version is in force", "proposal is not based on the active version"},
 	{"another change is under way", "another change is pending"},
 	{"this member does not lead", "this voter cannot act as leader"},
-	{"author: missing", "author: must not be empty"},
-	{"reason: missing", "reason: must not be empty"},
+	{"author: missing", "author: value is missing"},
+	{"reason: missing", "reason: value is missing"},
 	{"changes: none", "changes: proposal contains no changes"},
 	{
 		"9 is below 100, on which brokers act that do not know better",
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -84,7 +84,7 @@
 	voters  []*simVoter
 	holders []*simHolder
 
-	values     map[uint64]map[string]string // by version, as read when the version became active
+	values     map[uint64]map[string]string // values of each version, as read when it became active
 	newest     uint64                       // the latest version that any holder has acted on
 	breach     string                       // violation of the guarantees, empty for none
 	activated  int
