--- a/admission/controller.go
+++ b/admission/controller.go
@@ -71,7 +71,7 @@
 	calm           int     // windows in which all would have come in
 	marginalRank   int     // the rank that is admitted in part
 	marginalPart   float64 // that part
-	marginalDue    float64 // what requests of that rank have earned towards the next admission
+	marginalCredit float64 // what requests of that rank have earned towards the next admission
 }
 
 // New returns a controller that admits everybody.
@@ -182,11 +182,11 @@
 	if rank != c.marginalRank {
 		return rank < c.marginalRank
 	}
-	c.marginalDue += c.marginalPart
-	if c.marginalDue < 1 {
+	c.marginalCredit += c.marginalPart
+	if c.marginalCredit < 1 {
 		return false
 	}
-	c.marginalDue--
+	c.marginalCredit--
 	return true
 }
 
--- a/admission/window.go
+++ b/admission/window.go
@@ -76,7 +76,7 @@
 	if !c.shedding {
 		c.shedding = true
 		c.calm = 0
-		c.marginalDue = 0
+		c.marginalCredit = 0
 		base = c.meanAdmitted
 	} else if c.cutPause > 0 {
 		return
--- a/broker/attempts_test.go
+++ b/broker/attempts_test.go
@@ -9,7 +9,7 @@
 			h := newHarness(t)
 			h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
 			h.turn(AttemptEnded{1, 0, broken(progress)})
-			h.pass(200_000)
+			h.advance(200_000)
 			if got := len(h.starts) == 2; got != retried {
 				t.Errorf("sent %d times", len(h.starts))
 			}
@@ -43,7 +43,7 @@
 
 // The broker's own waits are not the node's time: a busy broker must not think sound nodes slow, and give them less
 // load.
-func TestOwnLagIsNotTheNodes(t *testing.T) {
+func TestNodeTimeExcludesSchedulingLag(t *testing.T) {
 	h := newHarness(t)
 	for _, c := range []struct{ lag, took, want Micros }{{0, 9000, 9000}, {1000, 9000, 5000}, {8000, 9000, 900}} {
 		h.state.schedulingLag = c.lag
--- a/broker/harness_test.go
+++ b/broker/harness_test.go
@@ -104,10 +104,10 @@
 	responses map[uint64][]Response
 	effects   []Effect
 
-	starts   []StartAttempt
-	stops    []StopAttempt
-	barred   []StopSending
-	canceled []CancelUnlessWritten
+	starts    []StartAttempt
+	stops     []StopAttempt
+	sendStops []StopSending
+	canceled  []CancelUnlessWritten
 }
 
 // newHarness knows a node of shard 0 and one of shard 1.
@@ -139,15 +139,15 @@
 		case StopAttempt:
 			h.stops = append(h.stops, e)
 		case StopSending:
-			h.barred = append(h.barred, e)
+			h.sendStops = append(h.sendStops, e)
 		case CancelUnlessWritten:
 			h.canceled = append(h.canceled, e)
 		}
 	}
 }
 
-// pass lets time go by, timer after timer.
-func (h *harness) pass(span Micros) {
+// advance lets time go by, timer after timer.
+func (h *harness) advance(span Micros) {
 	for end := h.now + span; ; h.turn() {
 		at, ok := h.state.Next()
 		if !ok || at > end {
--- a/broker/idempotency_test.go
+++ b/broker/idempotency_test.go
@@ -90,7 +90,7 @@
 	c.breakFirst(h, class, settings)
 	c.answerSecond(h, class)
 	// From here on nodes drop its repeats no longer: nothing that is not fully written by now may be.
-	h.pass(max(0, end+1-h.now))
+	h.advance(max(0, end+1-h.now))
 	open := len(h.starts) == 2 && !c.served && len(h.responses[1]) == 0
 	if open && len(h.canceled)+len(h.stops) == 0 {
 		t.Errorf("the retry may still be written past the window")
@@ -101,7 +101,7 @@
 	for _, stop := range h.stops {
 		h.turn(AttemptStopped{stop.ID, stop.Number, NotConnected})
 	}
-	h.pass(MicrosOf(class.Deadline) + Second)
+	h.advance(MicrosOf(class.Deadline) + Second)
 	c.checkEnd(h, class)
 }
 
@@ -128,7 +128,7 @@
 	if len(h.starts) != 1 {
 		h.Fatalf("%d attempts at once", len(h.starts))
 	}
-	h.pass(Micros(c.brokenAt * float64(c.span(class))))
+	h.advance(Micros(c.brokenAt * float64(c.span(class))))
 	if c.between != nil {
 		c.between(h, settings)
 	}
@@ -138,7 +138,7 @@
 }
 
 func (c retryCase) answerSecond(h *harness, class scheduler.Class) {
-	h.pass(Micros(c.answeredIn * float64(c.span(class))))
+	h.advance(Micros(c.answeredIn * float64(c.span(class))))
 	if len(h.starts) > 1 && c.answeredIn > 0 {
 		h.turn(AttemptEnded{1, 1, served("v")})
 	}
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -90,10 +90,10 @@
 // would fill the disk.
 func TestSchedulerLinesAreSampledByMessage(t *testing.T) {
 	const (
-		nodes       = 10
-		passing     = 5 // of one message in a window
-		nodeLeaves  = "node leaves"
-		attemptLost = "attempt lost"
+		nodes          = 10
+		linesPerWindow = 5 // of one message in a window
+		nodeLeaves     = "node leaves"
+		attemptLost    = "attempt lost"
 	)
 	var output bytes.Buffer
 	log, err := logging.New(&output, logging.Options{Name: "b1", Format: "json"})
@@ -107,15 +107,15 @@
 	}
 	loop.execute(Log{Message: attemptLost, Attributes: []slog.Attr{slog.Float64("after_ms", 2.5)}}, 0)
 	lines := decodeLines(t, &output)
-	if len(lines) != passing+1 {
+	if len(lines) != linesPerWindow+1 {
 		t.Fatalf("%d lines: %v", len(lines), lines)
 	}
-	for i, line := range lines[:passing] {
+	for i, line := range lines[:linesPerWindow] {
 		if line["msg"] != nodeLeaves || line["node"] != fmt.Sprint("n", i) || line["level"] != "INFO" {
 			t.Errorf("line %d: %v", i, line)
 		}
 	}
-	if last := lines[passing]; last["msg"] != attemptLost || last["after_ms"] != 2.5 {
+	if last := lines[linesPerWindow]; last["msg"] != attemptLost || last["after_ms"] != 2.5 {
 		t.Errorf("of another message: %v", last)
 	}
 }
--- a/broker/nodes_test.go
+++ b/broker/nodes_test.go
@@ -16,11 +16,11 @@
 	draining := testNode("n1", 0, scheduler.Draining)
 	h.turn(changedNodes(2, draining, testNode("n3", 0, scheduler.Ready)))
 	h.turn(changedNodes(3, draining))
-	if len(h.barred) != 1 {
-		t.Fatalf("barred %d times", len(h.barred))
+	if len(h.sendStops) != 1 {
+		t.Fatalf("barred %d times", len(h.sendStops))
 	}
 	h.turn(AttemptEnded{1, 0, broken(PartiallyWritten)})
-	h.pass(100_000)
+	h.advance(100_000)
 	if len(h.starts) < 2 || h.starts[1].Attempt.Node != "n3" {
 		t.Errorf("%+v", h.starts)
 	}
@@ -31,7 +31,7 @@
 	h := newHarness(t)
 	h.turn(fullList(2, testNode("n2", 1, scheduler.Ready)))
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
-	h.pass(Second)
+	h.advance(Second)
 	if len(h.starts) > 0 {
 		t.Error("sent to a node that is gone")
 	}
@@ -73,7 +73,7 @@
 	}
 	h.turn(list(2, "a"))
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 5)})
-	h.barred = nil
+	h.sendStops = nil
 	h.turn(list(3, "b"))
 	if left := len(h.state.nodes); left != 10_000 {
 		t.Errorf("%d nodes are known", left)
@@ -84,8 +84,8 @@
 			leaving++
 		}
 	}
-	if leaving != 10_000 || len(h.barred) != 1 {
-		t.Errorf("%d leave, %d attempts are barred", leaving, len(h.barred))
+	if leaving != 10_000 || len(h.sendStops) != 1 {
+		t.Errorf("%d leave, %d attempts are barred", leaving, len(h.sendStops))
 	}
 	h.now += Second
 	h.turn(RequestArrived{ID: 2, Request: testRequest("read", 7)})
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -44,7 +44,7 @@
 	if l.dependencies.Admission == nil {
 		return nil
 	}
-	asked := admission.Request{
+	admissionRequest := admission.Request{
 		Class:   request.Class,
 		Plan:    request.Plan,
 		Volume:  request.Volume,
@@ -55,7 +55,7 @@
 	now := int64(l.clock.Now())
 	open := l.OpenRequests()
 	l.inbox.mu.Lock()
-	reason, retryAfter := l.dependencies.Admission.Admit(now, open, &asked)
+	reason, retryAfter := l.dependencies.Admission.Admit(now, open, &admissionRequest)
 	if reason != admission.Admitted && len(l.inbox.rejections) < maxQueuedRejections && l.dependencies.Observe != nil {
 		l.inbox.rejections = append(l.inbox.rejections, telemetry.Observation{
 			Kind:           telemetry.RequestEnded,
@@ -126,11 +126,11 @@
 
 // SetLagMeasured reports that RecordSchedulingLag will be called from now on, or not any more: what was known before
 // counts no longer.
-func (l *Loop) SetLagMeasured(begins bool) {
+func (l *Loop) SetLagMeasured(measuring bool) {
 	l.inbox.mu.Lock()
 	l.inbox.lag = 0
 	l.inbox.mu.Unlock()
-	if !begins {
+	if !measuring {
 		l.Post(LagMeasured{Unknown: true})
 	}
 }
--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -18,7 +18,7 @@
 	if response := h.response(1, Served); response.Value != "v" {
 		t.Errorf("%+v", response)
 	}
-	h.pass(2 * Second)
+	h.advance(2 * Second)
 	h.response(1, Served)
 	if len(h.state.requests) != 0 {
 		t.Error("the request is not forgotten")
@@ -29,7 +29,7 @@
 func TestRejectedWithoutNode(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 7)})
-	h.pass(750_000)
+	h.advance(750_000)
 	if response := h.response(1, Rejected); response.RetryAfter <= 0 {
 		t.Errorf("%+v names no time to come again", response)
 	}
@@ -44,7 +44,7 @@
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
 	h.turn(RequestCancelled{1})
 	h.turn(AttemptEnded{1, 0, served("v")})
-	h.pass(Second)
+	h.advance(Second)
 	if len(h.responses) > 0 || len(h.state.requests) > 0 || len(h.starts) != 1 {
 		t.Errorf("%+v, %d kept, %d sent", h.responses, len(h.state.requests), len(h.starts))
 	}
@@ -56,7 +56,7 @@
 		t.Run(progress.String(), func(t *testing.T) {
 			h := newHarness(t)
 			h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
-			h.pass(1_200_000)
+			h.advance(1_200_000)
 			if len(h.stops) != 1 || h.now != clockStart+1_200_000 {
 				t.Fatalf("%d stops", len(h.stops))
 			}
@@ -90,7 +90,7 @@
 	h.response(3, Rejected)
 	h.turn(RequestArrived{ID: 4, Request: testRequest("write", 0)})
 	h.response(4, Rejected)
-	h.pass(Second)
+	h.advance(Second)
 	if len(h.state.requests) > 0 || len(h.starts) != 2 {
 		t.Errorf("%d kept, %d sent", len(h.state.requests), len(h.starts))
 	}
@@ -127,7 +127,7 @@
 		request.Brokers = 2
 		request.Volume = []string{"v", "w", "x", "y"}[i%4]
 		h.turn(RequestArrived{ID: i + 1, Request: request})
-		h.pass(25_000)
+		h.advance(25_000)
 	}
 	for _, e := range h.effects {
 		message, is := e.(SendToPeer)
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -209,7 +209,7 @@
 
 // A client disconnects while its handler runs. The core is told, and the handler's context ends: without that, the
 // handler would go on working for nobody, and the request would count as open until its deadline.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop := newLoop(ctx)
@@ -220,10 +220,10 @@
 		<-r.Context().Done()
 		close(ended)
 	}))
-	clientContext, leave := context.WithCancel(context.Background())
+	clientContext, disconnect := context.WithCancel(context.Background())
 	go func() {
 		<-began
-		leave()
+		disconnect()
 	}()
 	request := httptest.NewRequest("POST", "/", nil).WithContext(clientContext)
 	handler.ServeHTTP(httptest.NewRecorder(), request)
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -52,18 +52,18 @@
 	}
 }
 
-// move is what happens to a broker in one step of a play.
-type move struct {
+// brokerStep is what happens to a broker in one step of a play.
+type brokerStep struct {
 	start bool          // another process starts beside it
 	kill  bool          // its oldest process is killed
 	delay time.Duration // after which units that it takes now arrive
 	units float64       // of each request
 }
 
-// play has brokers take all that they may for some steps. Each has a process, beside which another may start
+// simulate has brokers take all that they may for some steps. Each has a process, beside which another may start
 // and of which either may be killed with units in transit. next draws what happens to a broker; limits are in
 // force one after the other.
-func play(steps, brokers int, limits []Limit, next func() move) (lowest, taken float64) {
+func simulate(steps, brokers int, limits []Limit, next func() brokerStep) (lowest, taken float64) {
 	s := newStore(limits[0])
 	now, id := Time(0), uint64(0)
 	running := make([][]*process, brokers)
@@ -81,7 +81,7 @@
 				running[i] = append(running[i], newProcess(now))
 			}
 			if m.kill && len(running[i]) > 0 {
-				s.lose(now, running[i][0], n%2 == 0)
+				s.dropInTransit(now, running[i][0], n%2 == 0)
 				running[i] = running[i][1:]
 			}
 			for _, p := range running[i] {
@@ -101,8 +101,8 @@
 	return s.lowest, taken
 }
 
-// lose has what a killed process has in transit arrive in the next step, or never.
-func (s *store) lose(now Time, p *process, arrives bool) {
+// dropInTransit has what a killed process has in transit arrive in the next step, or never.
+func (s *store) dropInTransit(now Time, p *process, arrives bool) {
 	for id, at := range p.arrivals {
 		if at <= now {
 			continue // it has arrived, in this step
@@ -132,10 +132,10 @@
 		delays := rapid.SliceOfN(rapid.IntRange(0, 300), 64, 64).Draw(t, "delays in steps")
 		events := rapid.SliceOfN(rapid.IntRange(0, 12), 64, 64).Draw(t, "events")
 		n := 0
-		lowest, _ := play(1500, brokers, limits, func() move {
+		lowest, _ := simulate(1500, brokers, limits, func() brokerStep {
 			n++
 			event, delay := events[n*7%64], delays[n%64]
-			return move{
+			return brokerStep{
 				start: event == 0,
 				kill:  event == 1 && n%3 == 0,
 				delay: time.Duration(delay) * step,
@@ -154,10 +154,10 @@
 	for _, brokers := range []int{1, 2, 5} {
 		t.Run(fmt.Sprint("brokers=", brokers), func(t *testing.T) {
 			n := 0
-			lowest, taken := play(1500, brokers, []Limit{{Rate: 36, Burst: 56}}, func() move {
+			lowest, taken := simulate(1500, brokers, []Limit{{Rate: 36, Burst: 56}}, func() brokerStep {
 				n++
 				step := n / brokers
-				return move{start: step > 200, kill: step > 200 && step%40 == 0, units: 1}
+				return brokerStep{start: step > 200, kill: step > 200 && step%40 == 0, units: 1}
 			})
 			if lowest < -rounding || taken < 36.0/2*15/2 {
 				t.Errorf("the store fell to %v with %v units taken", lowest, taken)
@@ -168,7 +168,7 @@
 
 // The check of these plays can fail: where each of two processes takes the whole of its broker's share, the
 // store falls far below empty.
-func TestCheckSeesSharesAboveOne(t *testing.T) {
+func TestCheckDetectsSharesAboveOne(t *testing.T) {
 	limit := Limit{Rate: 36, Burst: 56}
 	s := newStore(limit)
 	quotas := []Quota{New(0), New(0)}
@@ -204,8 +204,8 @@
 	} {
 		t.Run(fmt.Sprintf("brokers=%d/delay=%v/units=%v", c.brokers, c.delay, c.units), func(t *testing.T) {
 			limit := Limit{Rate: 36, Burst: 56}
-			steady := move{delay: c.delay, units: c.units}
-			_, taken := play(3000, c.brokers, []Limit{limit}, func() move { return steady })
+			steady := brokerStep{delay: c.delay, units: c.units}
+			_, taken := simulate(3000, c.brokers, []Limit{limit}, func() brokerStep { return steady })
 			if want := limit.Rate / 2 * 30 * c.minShare; taken < want {
 				t.Errorf("%v units in 30 s, want %v", taken, want)
 			}
@@ -214,7 +214,7 @@
 }
 
 // A share or a rate that rises gives nothing for the time before; one that falls counts at once.
-func TestRefillByLimitInForce(t *testing.T) {
+func TestRefillUsesPreviousLimit(t *testing.T) {
 	q := New(0)
 	low, high := Limit{Rate: 10, Burst: 100}, Limit{Rate: 1000, Burst: 100}
 	q.Refill(0, low, 0.5)
--- a/timingwheel/timingwheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -75,8 +75,8 @@
 	c.over[id] = true
 }
 
-// pass lets time go by, and takes out all that is due.
-func (c *comparison) pass() {
+// advance lets time go by, and takes out all that is due.
+func (c *comparison) advance() {
 	c.Helper()
 	if next, ok := c.wheel.Next(); ok && c.random.IntN(3) > 0 {
 		c.now = max(c.now, next)
@@ -138,7 +138,7 @@
 			case 2:
 				c.cancel()
 			default:
-				c.pass()
+				c.advance()
 			}
 		}
 		if waiting := c.waiting(); c.wheel.Len() != waiting {
