--- a/internal/daemon/console_test.go
+++ b/internal/daemon/console_test.go
@@ -14,7 +14,7 @@
 	"junctionwharf/scheduler"
 )
 
-// startConsoleOnly builds a control of which only the console runs.
+// startConsoleOnly builds a control and starts only its console.
 func startConsoleOnly(t *testing.T, check func() error, more func() []broker.Metric) *control {
 	t.Helper()
 	c := parseConfig(t, fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":"127.0.0.1:1","console":%q,"settings":%s}`,
@@ -34,8 +34,8 @@
 	return ctl
 }
 
-// Operators' programs read the console's answers: those of a broker that has just started have the same bytes in each
-// version.
+// Operators' programs parse the console's answers. The answers of a broker that has just started must have the same
+// bytes in each version.
 func TestConsoleAnswers(t *testing.T) {
 	notAccepting := errors.New("no clients are taken")
 	check := func() error { return notAccepting }
@@ -56,10 +56,11 @@
 	checkAnswer("unknown.txt", "drop all")
 }
 
-// age is the only part of the list of nodes that depends on time.
+// age matches the only part of the list of nodes that depends on the time.
 var age = regexp.MustCompile(`[0-9.]+m?s ago *`)
 
-// The same for a broker that merges lists of several sources.
+// The answer to the nodes call must have the same bytes in each version, also if the list is merged from several
+// sources.
 func TestMergedNodesAnswer(t *testing.T) {
 	const nodes = "[[node]]\nname = \"a\"\naddress = \"127.0.0.1:7001\"\nzone = \"z1\"\nshare = 1.0\n\n" +
 		"[[node]]\nname = \"b\"\naddress = \"127.0.0.1:7002\"\nshard = 3\nshare = 0.5\npriority = 2\ndraining = true\n"
@@ -69,14 +70,14 @@
 		t.Fatal(err)
 	}
 	var answer string
-	await(t, "the file's nodes are not listed", func() bool {
+	await(t, "the file source's nodes are not listed", func() bool {
 		answer = callConsole(t, ctl.config.Console, "nodes")
 		return strings.Contains(answer, "127.0.0.1:7002")
 	})
 	golden.Check(t, "nodes-merged.txt", []byte(age.ReplaceAllString(answer, "(age) ")))
 }
 
-// The same for what the console shows of load balancing.
+// The load balancing section and metrics of the console must have the same bytes in each version.
 func TestNodeShareAnswers(t *testing.T) {
 	shares := []scheduler.NodeShare{
 		{Node: "a", Shard: 1, Weight: 0.5, Factor: 1, Share: 0.75},
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -21,11 +21,11 @@
 	"junctionwharf/scheduler"
 )
 
-// control is what a broker does beside carrying requests: the core with its decisions, the watch of discovery and of
+// control is the part of a broker that carries no requests: the core with its decisions, the watch of discovery and of
 // other sources, messages between brokers, the replicated configuration, and metrics. A service adds servers and
-// connections to nodes; a hollow broker makes up what those would say.
+// connections to nodes. A hollow broker replaces them with synthetic requests and answers.
 type control struct {
-	config    *config.Config // of the start
+	config    *config.Config // as loaded at the start
 	log       *slog.Logger
 	clock     *broker.Clock
 	loop      *broker.Loop
@@ -36,17 +36,17 @@
 	exporter  *metricsexport.Exporter
 	console   *console.Server // nil if off
 
-	// Hooks, which newControl sets; newService replaces some before the start.
-	postEndpoints     func(broker.Event)             // lists of discovery and of other sources
-	handlePeerMessage func(broker.PeerMessage)       // datagrams of peers
-	initialEndpoints  func() *discovery.EndpointList // the list held before the start; nil for none
-	exportedMetrics   func() []broker.Metric         // the broker's own, as they are exported
+	// Hooks. newControl sets them; newService replaces some of them before the start.
+	postEndpoints     func(broker.Event)             // receives endpoint lists from discovery and other sources
+	handlePeerMessage func(broker.PeerMessage)       // receives datagrams of peers
+	initialEndpoints  func() *discovery.EndpointList // returns the list known before the start, or nil
+	exportedMetrics   func() []broker.Metric         // returns the broker's own metrics for export
 
 	parts subsystems
 }
 
-// newControl builds it; nothing runs yet, but ports are bound. Attempts of requests that name no transport go through
-// transport; gate decides whom to admit, nil for everybody.
+// newControl builds a control without starting it. It already binds the ports for other brokers. Attempts of requests
+// that do not name a transport use the argument transport. gate decides which requests to admit; nil admits all.
 func newControl(
 	c *config.Config, transport broker.Transport, gate *admission.Controller, log *slog.Logger,
 ) (*control, error) {
@@ -92,8 +92,8 @@
 	return ctl, nil
 }
 
-// loopProxy stands for the loop before there is one: the exporter and the replicated configuration need it, and it
-// needs them.
+// loopProxy is a reference to the loop that is set once the loop exists. It resolves a cycle: the constructors of the
+// exporter and of the replicated configuration need the loop, and the loop's constructor needs both.
 type loopProxy struct {
 	*broker.Loop
 }
@@ -108,7 +108,7 @@
 	return err
 }
 
-// joinAgreement listens for other brokers of the replicated configuration, if it is on.
+// joinAgreement binds the port for other brokers of the replicated configuration, if the configuration is enabled.
 func (ctl *control) joinAgreement(loop *loopProxy) error {
 	settings := ctl.config.Site.Agreement
 	if !settings.Enabled() {
@@ -137,8 +137,8 @@
 	return err
 }
 
-// openConsole opens the admin server, where there is one. check reports whether clients are accepted, more are further
-// metrics.
+// openConsole opens the admin server, if one is configured. check returns an error while clients are not accepted. more
+// returns further metrics for the console.
 func (ctl *control) openConsole(check func() error, more func() []broker.Metric) error {
 	if ctl.config.Console == "" {
 		return nil
@@ -156,12 +156,12 @@
 	return err
 }
 
-// ownMetrics are those of the core, the sources of the endpoint list and the replicated configuration.
+// ownMetrics returns the metrics of the core, the sources of the endpoint list and the replicated configuration.
 func (ctl *control) ownMetrics() []broker.Metric {
 	return slices.Concat(ctl.loop.Metrics.Read(), ctl.endpoints.Metrics(), ctl.agreementMetrics())
 }
 
-// consoleMetrics are those that the console shows.
+// consoleMetrics returns the metrics that the console shows.
 func (ctl *control) consoleMetrics(more []broker.Metric) []broker.Metric {
 	return slices.Concat(
 		ctl.loop.Metrics.Read(),
@@ -180,7 +180,7 @@
 	return ctl.agreement.Metrics()
 }
 
-// ports are the subsystems that hold ports, and the sources of the endpoint list. They are stopped last.
+// ports returns the subsystems that own ports or sources of the endpoint list. They are stopped last.
 func (ctl *control) ports() subsystems {
 	return subsystems{
 		{stop: ctl.closePeers},
@@ -189,7 +189,7 @@
 	}
 }
 
-// workers are the subsystems that run until the context ends.
+// workers returns the subsystems that run until the context ends.
 func (ctl *control) workers() subsystems {
 	return subsystems{
 		{start: ctl.startEndpoints},
@@ -200,7 +200,7 @@
 	}
 }
 
-// metricsExport starts with the settings of the start.
+// metricsExport returns the subsystem that exports metrics, initially with the settings loaded at the start.
 func (ctl *control) metricsExport() subsystem {
 	return subsystem{start: func(ctx context.Context) error {
 		ctl.exporter.ApplySettings(exportSettings(ctl.config))
@@ -211,7 +211,7 @@
 
 func (ctl *control) closePeers() {
 	if ctl.peers != nil {
-		_ = ctl.peers.Close() // a datagram socket; its receiver ends with it
+		_ = ctl.peers.Close() // a datagram socket; its receiving goroutine ends with it
 	}
 }
 
@@ -233,7 +233,7 @@
 
 func (ctl *control) closeConsole() {
 	if ctl.console != nil {
-		_ = ctl.console.Close() // a listener; calls under way end by their deadlines
+		_ = ctl.console.Close() // a listener; pending calls end by their deadlines
 	}
 }
 
@@ -244,12 +244,12 @@
 	return nil
 }
 
-// mergesSources reports whether the endpoint list comes from several sources, of which discovery may be one.
+// mergesSources reports whether the endpoint list is merged from several sources, one of which may be discovery.
 func (ctl *control) mergesSources() bool {
 	return len(ctl.config.Site.Membership.Sources) > 0
 }
 
-// startEndpoints starts the sources of the endpoint list and passes on the list held before the start.
+// startEndpoints starts the sources of the endpoint list and forwards the list known before the start.
 func (ctl *control) startEndpoints(context.Context) error {
 	initial := ctl.initialEndpoints()
 	if ctl.mergesSources() {
@@ -267,7 +267,8 @@
 	return nil
 }
 
-// endpointHandler takes the lists of discovery: they are applied as they are, or merged with other sources.
+// endpointHandler returns the receiver of discovery's lists: either they are applied unchanged, or they are merged with
+// those of other sources.
 func (ctl *control) endpointHandler() func(broker.Event) {
 	if ctl.mergesSources() {
 		return ctl.endpoints.HandleDiscovery
@@ -275,7 +276,7 @@
 	return ctl.postEndpoints
 }
 
-// watcherOptions are what a configuration says of the watch of discovery.
+// watcherOptions returns a configuration's options for the watch of discovery.
 func (ctl *control) watcherOptions(c *config.Config) discovery.Options {
 	set := c.Settings.Scheduler
 	return discovery.Options{
@@ -287,7 +288,7 @@
 	}
 }
 
-// exportSettings are what a configuration says of the export of metrics.
+// exportSettings returns a configuration's settings for the export of metrics.
 func exportSettings(c *config.Config) metricsexport.Settings {
 	return metricsexport.Settings{
 		Registry: c.Site.Telemetry.Options(c.Settings.Scheduler),
@@ -296,15 +297,15 @@
 	}
 }
 
-// errNothingToControl is of a control process without the replicated configuration.
-var errNothingToControl = errors.New("agreement: no cluster and listen: a process for control has nothing else to do")
+// errNothingToControl is returned if a control process has no replicated configuration, its only task.
+var errNothingToControl = errors.New("agreement: cluster and listen must be set for a control process")
 
-// errSendsNothing is of an attempt in a control process.
-var errSendsNothing = errors.New("a process for control sends nothing")
+// errNoRequests is the error of an attempt or a health check in a control process.
+var errNoRequests = errors.New("a control process does not send requests")
 
-// ServeControl runs what a machine set aside for control does, until ctx ends: it votes on the replicated
-// configuration, and passes it on to brokers that have no children themselves. It accepts no clients and sends
-// nothing to storage nodes.
+// ServeControl runs a control process until ctx ends, usually on a dedicated machine. A control process votes on the
+// replicated configuration and forwards it to brokers that have no children themselves. It accepts no clients and
+// sends no requests to storage nodes.
 func ServeControl(ctx context.Context, c *config.Config, log *slog.Logger) error {
 	if !c.Site.Agreement.Enabled() || c.Site.Agreement.Listen == "" {
 		return errNothingToControl
@@ -323,7 +324,7 @@
 	return nil
 }
 
-// startAlone starts a control without servers and nodes; its parts end with ctx and parts.stop.
+// startAlone starts a control without servers and connections to nodes. Its subsystems end with ctx and parts.stop.
 func (ctl *control) startAlone(ctx context.Context, check func() error) error {
 	noMetrics := func() []broker.Metric { return nil }
 	ctl.parts = slices.Concat(ctl.ports(), ctl.workers(), subsystems{ctl.metricsExport()})
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,20 +1,21 @@
-// Package daemon puts the parts of a broker together, and starts, reloads, hands over and stops them. It holds no
-// decisions.
+// Package daemon builds a broker from its parts, and starts, reloads, hands over and stops it. It makes no load
+// balancing or admission decisions.
 //
-//	sizing.go       what a process may use of the machine: sockets, memory, requests
-//	wiring.go       the constructors, called in order; who calls whom
-//	subsystems.go   the list in which parts are started, and stopped in reverse
+//	sizing.go       limits of a process: sockets, memory, requests
+//	wiring.go       calls the constructors in order and connects the parts
+//	subsystems.go   the list of parts, which are started in order and stopped in reverse order
 //	lifecycle.go    Serve: start, wait for SIGTERM or a failure, stop
 //	reload.go       SIGHUP: which settings change while the broker runs
 //	handover.go     two processes of one broker during an upgrade
-//	shutdown.go     SIGTERM: who gets an answer until when
+//	shutdown.go     SIGTERM: until when requests are accepted and answered
 //	control.go      the part of a broker that carries no requests; ServeControl and ServeHollow run it alone
 //
-// State: a service owns the servers, the connection pools and the listeners; its control owns the core's loop and all
-// that informs it. Neither outlives the process: what a restart keeps is in the snapshot of package members and in
-// the voter's state of package agreement.
+// State: a service owns the servers, the connection pools and the listeners; its control owns the core's loop and
+// everything that posts events to the loop. Neither outlives the process. What survives a restart is in the snapshot
+// of package members and in the voter's state of package agreement.
 //
-// Goroutines: subsystems.go says who ends them. All but the caller of Serve end with the context that stop cancels.
+// Goroutines: all except the caller of Serve end with the context that stop cancels. The comments in subsystems.go
+// describe which function ends them.
 //
-// Units: durations are time.Duration, memory is in bytes, but for the configuration's memory_mb, in MiB.
+// Units: durations are time.Duration. Memory is in bytes, except for the setting memory_mb, which is in MiB.
 package daemon
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -14,7 +14,7 @@
 
 const dnsService = "_resp._tcp.storage.example.org"
 
-// startFakeNode starts a node that answers at once.
+// startFakeNode starts a node that answers each request after 1 ms.
 func startFakeNode(t *testing.T, name string) *fakes.Node {
 	t.Helper()
 	work := func(float64) time.Duration { return time.Millisecond }
@@ -26,7 +26,7 @@
 	return node
 }
 
-// dnsName is a node's target in DNS.
+// dnsName returns the SRV record of a node.
 func dnsName(t *testing.T, node *fakes.Node, priority uint16) fakes.SRVRecord {
 	t.Helper()
 	_, port, err := net.SplitHostPort(node.Endpoint().Address)
@@ -45,16 +45,16 @@
 	}
 }
 
-// dnsTest is a broker whose two nodes come from DNS.
+// dnsTest is a broker that discovers its two nodes over DNS.
 type dnsTest struct {
 	*testing.T
 	server *fakes.DNS
 	nodes  [2]*fakes.Node
 	names  [2]fakes.SRVRecord
-	admin  string // the console
+	admin  string // address of the console
 	broker *testBroker
 	client *testClient
-	sent   int // requests so far
+	sent   int // number of requests so far
 }
 
 func newDNSTest(t *testing.T) *dnsTest {
@@ -90,7 +90,7 @@
 	return d
 }
 
-// awaitConsole waits until a call's answer has all of some texts and none of others.
+// awaitConsole waits until the answer to a console call contains each text in with and no text in without.
 func (d *dnsTest) awaitConsole(call string, with, without []string) {
 	d.Helper()
 	await(d.T, call, func() bool {
@@ -109,7 +109,7 @@
 	})
 }
 
-// serve wants so many reads to be served.
+// serve sends count reads one after the other and fails the test unless each gets a value.
 func (d *dnsTest) serve(count int) {
 	d.Helper()
 	for range count {
@@ -121,28 +121,29 @@
 	}
 }
 
-// checkServedBy wants the nodes to have served so many requests.
+// checkServedBy checks how many requests each node has served.
 func (d *dnsTest) checkServedBy(what string, first, second int) {
 	d.Helper()
 	if got := [2]int{d.nodes[0].Served(), d.nodes[1].Served()}; got != [2]int{first, second} {
-		d.Errorf("%s: %v served, want %d and %d", what, got, first, second)
+		d.Errorf("%s: nodes served %v requests, want %d and %d", what, got, first, second)
 	}
 }
 
-// A broker's nodes come from DNS. It serves by priority, drains what leaves the zone, and goes on while the server
-// fails. A write that is in flight where its node leaves, while another comes back, is sent to no other.
+// A broker discovers its nodes over DNS. It prefers the node with the lower priority value, stops using a node that is
+// removed from the zone, and keeps serving while the DNS server fails. A write that is in flight
+// when its node is removed and the other node is added again is not sent to the other node.
 func TestNodesFromDNS(t *testing.T) {
 	d := newDNSTest(t)
 	const node0, node1 = "node0.example.org", "node1.example.org"
 	d.awaitConsole("nodes", []string{node0, node1}, nil)
 	d.serve(20)
-	d.checkServedBy("the lower priority goes first", 20, 0)
+	d.checkServedBy("with both nodes", 20, 0)
 	d.server.Set(dnsService, 1, d.names[1])
 	d.awaitConsole("nodes", nil, []string{node0})
 	d.server.SetFault(fakes.NoAnswer)
 	d.awaitConsole("vars", []string{"source.dns.failures:"}, []string{"source.dns.failures:0|c"})
 	d.serve(20)
-	d.checkServedBy("after the first left", 20, 20)
+	d.checkServedBy("after the first node was removed", 20, 20)
 
 	d.server.SetFault(fakes.NoDNSFault)
 	d.nodes[1].Stall(1500 * time.Millisecond)
@@ -151,9 +152,9 @@
 	d.server.Set(dnsService, 1, d.names[0])
 	d.awaitConsole("nodes", []string{node0}, []string{node1})
 	if first, _, err := d.client.answer(); err != nil {
-		t.Errorf("%q, %v", first, err)
+		t.Errorf("answer to the write: %q, %v", first, err)
 	}
-	d.checkServedBy("the write", 20, 21)
+	d.checkServedBy("after the write", 20, 21)
 	d.broker.stop()
 	d.broker.waitEnd(t)
 }
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// maxOverlap is how long a process that is replaced may live beside the one that replaces it: until SIGTERM
-	// comes, and then SIGKILL. Higher, the new one keeps to half of a plan's limit for longer where the list of
-	// sockets cannot be read; lower, both together may exceed it.
+	// maxOverlap is the longest time for which a replaced process may run beside its successor: first until SIGTERM,
+	// then until SIGKILL. It matters if the list of sockets cannot be read. With a larger value, the successor uses
+	// only half of a plan's limit for longer. With a smaller value, both processes together may exceed the limit.
 	maxOverlap = time.Second + maxWait + killDelay
-	// redirectTime is how long the successor's listener has had all new connections before the old one closes. Lower,
-	// a connection that the kernel is just setting up is reset.
+	// redirectTime is the time between redirecting new connections to the successor and closing this process's
+	// listeners. With a smaller value, a connection that the kernel is still setting up is reset.
 	redirectTime = 20 * time.Millisecond
 )
 
-// startHandover connects to the process that this one replaces, if there is one, and waits for a successor from then
-// on. Without a place for the socket the broker serves all the same: its clients matter more than a smooth
+// startHandover connects to the process that this one replaces, if there is one, and from then on accepts a successor.
+// If the socket cannot be created, the broker serves without handover: serving clients matters more than a smooth
 // replacement.
 func (s *service) startHandover(context.Context) error {
 	if s.config.HandoverDisabled {
 		s.handoverOff = true
 		s.log.Info("handover off", "reason",
-			"--handover=false: a process that starts beside this one shares nothing with it")
+			"--handover=false: this process shares no state with another process of the broker")
 		return nil
 	}
 	path := handover.SocketPath(os.TempDir(), s.config.Listen)
@@ -61,7 +61,8 @@
 	}
 }
 
-// otherConnected shares the limits and the rules with the other process.
+// otherConnected halves the limits of this process, which both processes now share, and returns the first message for a
+// successor.
 func (s *service) otherConnected() handover.StateMessage {
 	s.resize(2)
 	s.loop.Post(broker.ProcessesChanged{Processes: 2})
@@ -71,7 +72,7 @@
 	}
 }
 
-// receiveState applies what the other process sends.
+// receiveState applies a message from the other process.
 func (s *service) receiveState(message handover.StateMessage) {
 	if message.Endpoints != nil {
 		s.handedOver = message.Endpoints
@@ -82,7 +83,7 @@
 	}
 }
 
-// otherDisconnected follows the end of the other process: all is this one's again.
+// otherDisconnected gives this process the full limits again after the end of the other process.
 func (s *service) otherDisconnected() {
 	s.clients.ForgetRemoteRequests()
 	s.resize(1)
@@ -90,7 +91,7 @@
 	s.log.Info("handover: the other process disconnected")
 }
 
-// newestEndpoints is the newest list that is held at the start: the configuration's or the old process's.
+// newestEndpoints returns the newest endpoint list known at the start: the configuration's or the predecessor's.
 func (s *service) newestEndpoints() *discovery.EndpointList {
 	list := s.config.CachedEndpoints
 	if s.handedOver != nil && (list == nil || s.handedOver.Version >= list.Version) {
@@ -100,7 +101,8 @@
 	return list
 }
 
-// handlePeerDatagram takes a peer's message. While two processes share the address, each message reaches one of them.
+// handlePeerDatagram posts a peer's message to the loop and forwards it to the other process of this broker: while two
+// processes share the address, the kernel delivers each message to only one of them.
 func (s *service) handlePeerDatagram(message broker.PeerMessage) {
 	s.loop.Post(message)
 	if s.coordinator != nil {
@@ -108,7 +110,8 @@
 	}
 }
 
-// redirectClients has new connections go to the successor, and accepts those that wait in the listeners' queues.
+// redirectClients redirects new connections to the successor, and accepts those that are already queued at this
+// process's listeners.
 func (s *service) redirectClients() {
 	for _, listener := range s.listeners {
 		if err := handover.RedirectNewConnections(listener); err != nil {
@@ -121,7 +124,7 @@
 	}
 }
 
-// startPresenceWatch starts the watch for other processes where none would connect to this one.
+// startPresenceWatch starts the watch for other processes, if the handover is off and they cannot connect to this one.
 func (s *service) startPresenceWatch(ctx, ending context.Context) error {
 	if s.handoverOff {
 		go s.watchPresence(ctx, ending)
@@ -129,15 +132,15 @@
 	return nil
 }
 
-// presence is what is known of another process that would not connect to this one.
+// presence is what this process knows about another process of the broker that cannot connect to it.
 type presence struct {
 	observed   handover.Presence
-	atStart    bool // one listened before this process did, and may not have ended yet
-	terminated bool // SIGTERM came: a successor may be there
+	atStart    bool // another process listened when this one started, and may still run
+	terminated bool // this process received SIGTERM, so a successor may run
 }
 
-// otherMayRun reports whether another process has to be counted. Where the system's list of sockets cannot be read, one
-// that may run is counted.
+// otherMayRun reports whether the limits must be shared with another process. If the system's list of sockets cannot be
+// read, they are shared whenever another process may be running.
 func (p presence) otherMayRun() bool {
 	if p.observed == handover.Unknown {
 		return p.atStart || p.terminated
@@ -145,10 +148,10 @@
 	return p.observed == handover.Present
 }
 
-// watchPresence has the core share the plans' limits with another process that does not connect to it: one that it
-// replaces, or that replaces it. Without this both would use a whole limit. Where no plan has a limit nothing is
-// watched. Where the system's list of sockets cannot be read, a process that listened at the start counts until it must
-// have ended, and a successor counts from SIGTERM on. It runs until ctx ends.
+// watchPresence makes the core share the plans' limits with a predecessor or successor that does not connect to this
+// process. Otherwise each process would use a whole limit. If no plan has a limit, nothing is watched. If the system's
+// list of sockets cannot be read, limits are shared with a process that listened at the start for maxOverlap, and with
+// a successor from SIGTERM on. watchPresence runs until ctx ends; the context ending is done on SIGTERM.
 func (s *service) watchPresence(ctx, ending context.Context) {
 	observed := make(chan handover.Presence, 1)
 	post := func(state handover.Presence) {
@@ -178,7 +181,7 @@
 	}
 }
 
-// postPresence informs the core whether another process has to be counted.
+// postPresence informs the core whether the limits must be shared with another process.
 func (s *service) postPresence(otherMayRun bool) {
 	unseen := 0
 	if otherMayRun {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/internal/handover"
 )
 
-// startWithConsole starts one process of a broker and waits until it accepts clients.
+// startWithConsole starts one process of a broker and waits until the process accepts clients.
 func startWithConsole(t *testing.T, address, files, discovery string) *testBroker {
 	t.Helper()
 	adminAddress := unusedAddress(t)
@@ -24,23 +24,24 @@
 	return broker
 }
 
-// awaitAccepting waits until the console says that clients are accepted.
+// awaitAccepting waits until the console's check call succeeds.
 func awaitAccepting(t *testing.T, adminAddress string) {
 	t.Helper()
 	_ = dial(t, adminAddress).Close()
 	await(t, "clients are not accepted", func() bool { return callConsole(t, adminAddress, "check") == "SUCCESS\n" })
 }
 
-// checkServed wants a request on a new connection to be answered with its own id.
+// checkServed sends a request on a new connection and checks that the answer is the request's id.
 func checkServed(t *testing.T, address, id string) {
 	t.Helper()
 	if got := dialClient(t, address).ask(t, testRequest{id: id, units: 2}); got != id {
-		t.Errorf("%s was not served: %q", id, got)
+		t.Errorf("answer to request %s: %q", id, got)
 	}
 }
 
-// A second process takes over while the first still waits for an answer: no id is open at both, new connections reach
-// the second, and what the first had accepted is answered.
+// A second process takes over while the first still waits for a node's answer. An id that is open at one process is
+// rejected by both, new connections reach the second process, and the first process answers the request that it had
+// accepted.
 func TestReplaceProcess(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	held, release := make(chan struct{}), make(chan struct{})
@@ -60,9 +61,9 @@
 	<-held
 
 	newProcess := startWithConsole(t, address, files, discovery)
-	for i := range 8 { // they reach either process
+	for i := range 8 { // the kernel chooses the process for each connection
 		if got := dialClient(t, address).ask(t, testRequest{id: "hold", units: 2}); !strings.HasPrefix(got, "-ERR") {
-			t.Errorf("an id that is open: %q", got)
+			t.Errorf("answer to a request whose id is already open: %q", got)
 		}
 		checkServed(t, address, fmt.Sprint("beside", i))
 	}
@@ -72,7 +73,7 @@
 	}
 	close(release)
 	if got := <-answer; got != "hold" {
-		t.Errorf("what the first had accepted: %q", got)
+		t.Errorf("answer to the request accepted by the first process: %q", got)
 	}
 	oldProcess.waitEnd(t)
 	checkServed(t, address, "last")
@@ -81,15 +82,15 @@
 	newProcess.waitEnd(t)
 }
 
-// arrivals notes when requests come to the node.
+// arrivals records when requests reach the node.
 type arrivals struct {
 	mu    sync.Mutex
 	times []time.Time
-	count int           // of the arrivals that a test waits for
-	done  chan struct{} // closed with the last of them
+	count int           // number of arrivals that the test waits for
+	done  chan struct{} // closed at the last of them
 }
 
-// nodeValue is what the node answers.
+// nodeValue records a request and returns the node's answer.
 func (a *arrivals) nodeValue(string) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +101,8 @@
 	return "v"
 }
 
-// lowestLevel is how far the arrivals empty a token bucket, which they may overdraw.
+// lowestLevel returns the lowest level of a token bucket from which each arrival takes one token. The level is negative
+// if the arrivals overdraw the bucket.
 func (a *arrivals) lowestLevel(rate, burst float64) float64 {
 	level, lowest, last := burst, burst, a.times[0]
 	for _, at := range a.times {
@@ -111,7 +113,7 @@
 	return lowest
 }
 
-// runLimitedClient makes requests on one connection until enough of them came to the node.
+// runLimitedClient sends requests on one connection until enough is closed.
 func runLimitedClient(t *testing.T, address string, client int, enough <-chan struct{}) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -133,14 +135,14 @@
 	}
 }
 
-// A broker is started beside itself without a handover, and clients ask both processes for far more than their
-// volume's limit. What comes to the node keeps to the limit: burst, overdraft, and what the rate gives.
+// Two processes of a broker run without a handover, and clients send far more requests to both than their volume's
+// limit allows. The requests that reach the node must keep to the limit: the burst, the overdraft and the rate.
 func TestLimitWithoutHandover(t *testing.T) {
 	const rate, burst, overdraft, enough = 200.0, 40.0, 4.0, 260
 	limit := fmt.Sprintf(`"nominal":10000,"ceilingRate":%v,"capDepth":%v,"tolerance":%v`, rate, burst, overdraft)
 	settings := strings.Replace(quickSettings, `"nominal":10000`, limit, 1)
-	came := &arrivals{count: enough, done: make(chan struct{})}
-	node := startNode(t, came.nodeValue)
+	received := &arrivals{count: enough, done: make(chan struct{})}
+	node := startNode(t, received.nodeValue)
 	discovery := startDiscovery(t, readyHost("a", node))
 	address := unusedAddress(t)
 	for range 2 {
@@ -153,23 +155,23 @@
 		awaitAccepting(t, c.Console)
 	}
 	var clients sync.WaitGroup
-	for i := range 24 { // the kernel gives some to either process
-		clients.Go(func() { runLimitedClient(t, address, i, came.done) })
+	for i := range 24 { // the kernel distributes them over both processes
+		clients.Go(func() { runLimitedClient(t, address, i, received.done) })
 	}
 	clients.Wait()
-	came.mu.Lock()
-	defer came.mu.Unlock()
-	if len(came.times) < enough {
-		t.Fatalf("%d requests came to the node", len(came.times))
+	received.mu.Lock()
+	defer received.mu.Unlock()
+	if len(received.times) < enough {
+		t.Fatalf("%d requests reached the node", len(received.times))
 	}
-	const delayed = 0.15 * rate // what may come late to the node, and so with the next ones
-	if lowest := came.lowestLevel(rate, burst); lowest < -overdraft-delayed {
-		t.Errorf("the volume's token bucket fell to %.0f", lowest)
+	const delayed = 0.15 * rate // tokens of requests that may be delayed on their way and arrive with later ones
+	if lowest := received.lowestLevel(rate, burst); lowest < -overdraft-delayed {
+		t.Errorf("the volume's token bucket fell to %.0f, below the overdraft", lowest)
 	}
 }
 
-// Where the list of sockets cannot be read, another process counts while one may run: from the start on after
-// one that listened before, and from SIGTERM on.
+// If the list of sockets cannot be read, the limits are shared whenever another process may be running: after the start
+// if another process listened then, and from SIGTERM on.
 func TestOtherProcessCountsWhileItMayRun(t *testing.T) {
 	for _, c := range []struct {
 		presence presence
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -13,28 +13,29 @@
 	"junctionwharf/scheduler"
 )
 
-// The streams of random numbers of one seed: requests do not change with what the answers draw.
+// Streams of random numbers of one seed. Requests and answers draw from different streams, so that the answers do not
+// influence the requests.
 const (
 	requestStream = 1
 	answerStream  = 2
 )
 
-// errHollow is what the check of a hollow broker says.
+// errHollow is the result of the console's check call at a hollow broker.
 var errHollow = errors.New("no clients are taken: this broker is hollow")
 
-// SyntheticLoad is what the clients and nodes of a hollow broker are made up to do. It is JSON between the fleet
-// harness and its processes.
+// SyntheticLoad describes the simulated clients and nodes of a hollow broker. The fleet harness passes it to its
+// processes as JSON.
 type SyntheticLoad struct {
-	Rate         float64       `json:"Rate"`    // requests a second, each at its own time; 0 for none
-	Volumes      int           `json:"Volumes"` // drawn from evenly, the same ones at all brokers; at least 1
-	ResponseTime time.Duration `json:"Answer"`  // of a node, in the mean; exponential
+	Rate         float64       `json:"Rate"`    // requests per second, at random times; 0 for none
+	Volumes      int           `json:"Volumes"` // number of distinct volumes, at least 1; the same at all brokers
+	ResponseTime time.Duration `json:"Answer"`  // mean response time of a node; exponentially distributed
 	Seed         uint64        `json:"Seed"`
 }
 
-// ServeHollow runs the part of a broker that carries no requests, as Serve builds it, until ctx ends: the watch of
-// discovery, the replicated configuration, messages between brokers, metrics, and the decisions on requests that are
-// made up and never sent. Many may run in one process. It measures what that part costs in a fleet larger than a
-// machine could hold as processes.
+// ServeHollow runs the part of a broker that carries no requests, built as by Serve, until ctx ends: the watch of
+// discovery, the replicated configuration, messages between brokers, metrics, and the decisions on synthetic requests,
+// which are never sent. Many hollow brokers can run in one process. They show what that part costs in a fleet of more
+// brokers than would fit on one machine as processes.
 func ServeHollow(ctx context.Context, c *config.Config, load SyntheticLoad, log *slog.Logger) error {
 	transport := &syntheticTransport{
 		random:       rand.New(rand.NewPCG(load.Seed, answerStream)),
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// submitRequests has made-up requests come until ctx ends.
+// submitRequests submits random requests at load.Rate until ctx ends.
 func (ctl *control) submitRequests(ctx context.Context, load SyntheticLoad) {
 	random := rand.New(rand.NewPCG(load.Seed, requestStream))
 	for load.Rate > 0 {
@@ -68,7 +69,7 @@
 	}
 }
 
-// drawRequest makes up a request. The order of the draws is part of a seed's meaning.
+// drawRequest returns a random request. The order of the draws determines the requests of a seed and must not change.
 func (ctl *control) drawRequest(random *rand.Rand, load SyntheticLoad) *broker.Request {
 	set := ctl.config.Settings.Scheduler
 	class := set.Classes[random.IntN(len(set.Classes))]
@@ -86,7 +87,7 @@
 	}
 }
 
-// syntheticTransport answers attempts after random times, without a node. The loop calls it from one goroutine.
+// syntheticTransport answers attempts after random times without a node. The loop calls it from one goroutine.
 type syntheticTransport struct {
 	random       *rand.Rand
 	responseTime time.Duration
@@ -108,7 +109,7 @@
 // CloseIdle implements broker.Transport.
 func (t *syntheticTransport) CloseIdle(string) {}
 
-// syntheticAttempt is an attempt whose answer is on its way.
+// syntheticAttempt is an attempt whose answer is pending.
 type syntheticAttempt struct {
 	timer *time.Timer
 }
@@ -119,8 +120,8 @@
 	return broker.FullyWritten
 }
 
-// StopSending implements broker.Handle. What was fully written stays.
+// StopSending implements broker.Handle. It does nothing, since the attempt is already fully written.
 func (a *syntheticAttempt) StopSending() {}
 
-// CancelUnlessWritten implements broker.Handle, as StopSending.
+// CancelUnlessWritten implements broker.Handle. It does nothing, for the same reason as StopSending.
 func (a *syntheticAttempt) CancelUnlessWritten() {}
--- a/internal/daemon/hollow_test.go
+++ b/internal/daemon/hollow_test.go
@@ -18,28 +18,28 @@
 	"junctionwharf/internal/logging"
 )
 
-// peersOfTier is how many brokers there are, of which one is under test.
-const peersOfTier = 3
+// brokerCount is the number of brokers, including the one under test.
+const brokerCount = 3
 
-// surroundings are what stands around one broker and notes what it sends: discovery and two peers.
-type surroundings struct {
+// trafficRecorder fakes discovery and two peers of a broker, and records what the broker sends to them.
+type trafficRecorder struct {
 	*testing.T
 	discovery *httptest.Server
 	peers     []*net.UDPConn
 
 	mu       sync.Mutex
-	polls    []string        // of discovery, in order
-	messages map[string]bool // kind and volume of each message, and to whom
+	polls    []string        // requests to discovery, in order
+	messages map[string]bool // length, receiver, kind and volume of each message to a peer
 }
 
-func newSurroundings(t *testing.T, node string) *surroundings {
+func newTrafficRecorder(t *testing.T, node string) *trafficRecorder {
 	t.Helper()
-	s := &surroundings{T: t, messages: map[string]bool{}}
+	s := &trafficRecorder{T: t, messages: map[string]bool{}}
 	s.discovery = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.serveList(w, r, node)
 	}))
 	t.Cleanup(s.discovery.Close)
-	for range peersOfTier {
+	for range brokerCount {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
@@ -47,15 +47,15 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		s.peers = append(s.peers, conn)
 	}
-	_ = s.peers[0].Close() // the broker's own
+	_ = s.peers[0].Close() // the address of the broker under test
 	for i, conn := range s.peers[1:] {
 		go s.receive(i+1, conn)
 	}
 	return s
 }
 
-// serveList answers with one node, and holds polls for changes.
-func (s *surroundings) serveList(w http.ResponseWriter, r *http.Request, node string) {
+// serveList answers the first poll with one node, and never answers the long polls for changes.
+func (s *trafficRecorder) serveList(w http.ResponseWriter, r *http.Request, node string) {
 	s.mu.Lock()
 	s.polls = append(s.polls, r.URL.String())
 	s.mu.Unlock()
@@ -67,8 +67,9 @@
 	_, _ = fmt.Fprintf(w, list, node) // the broker may have ended
 }
 
-// receive notes a peer's messages. What follows the first bytes is the sender's demand just then.
-func (s *surroundings) receive(peer int, conn *net.UDPConn) {
+// receive records the messages to one peer. It ignores the bytes after the volume, since they depend on the sender's
+// demand at that moment.
+func (s *trafficRecorder) receive(peer int, conn *net.UDPConn) {
 	const kindAndVolume = 5 // bytes
 	buffer := make([]byte, 512)
 	for {
@@ -82,12 +83,12 @@
 	}
 }
 
-// config is that of the broker.
-func (s *surroundings) config() *config.Config {
+// config returns the configuration of the broker under test.
+func (s *trafficRecorder) config() *config.Config {
 	s.Helper()
 	settings := strings.NewReplacer(
 		`"maxAttempts":3`, `"maxAttempts":3,"peers":true`,
-		`"nInstances":1`, fmt.Sprintf(`"nInstances":%d`, peersOfTier),
+		`"nInstances":1`, fmt.Sprintf(`"nInstances":%d`, brokerCount),
 		`"maxUnits":8`, `"maxUnits":8,"nShards":1`,
 	).Replace(settingsText)
 	var peers []string
@@ -101,27 +102,27 @@
 	return c
 }
 
-// awaitMessages waits until so many different messages came.
-func (s *surroundings) awaitMessages(count int) {
+// awaitMessages waits until the broker has sent count different messages.
+func (s *trafficRecorder) awaitMessages(count int) {
 	s.Helper()
-	await(s.T, "messages to peers", func() bool {
+	await(s.T, "too few messages to peers", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.messages) >= count
 	})
 }
 
-// sent returns the messages and the first polls of discovery.
-func (s *surroundings) sent() (messages, polls []string) {
+// sent returns the messages and the first two polls of discovery.
+func (s *trafficRecorder) sent() (messages, polls []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.messages)), slices.Clone(s.polls[:min(2, len(s.polls))])
 }
 
-// runVolumes makes requests of so many volumes in turn until ctx ends.
+// runVolumes sends requests of the given number of volumes in turn until ctx ends.
 func (c *testClient) runVolumes(ctx context.Context, volumes int) {
 	for n := 0; ctx.Err() == nil; n++ {
-		request := testRequest{id: fmt.Sprint("r", n), volume: volumeName(n % volumes), brokers: peersOfTier}
+		request := testRequest{id: fmt.Sprint("r", n), volume: volumeName(n % volumes), brokers: brokerCount}
 		if first, err := c.tryRequest(request); err != nil || first[0] != '$' {
 			return
 		}
@@ -132,25 +133,26 @@
 	return fmt.Sprintf("%016x", n)
 }
 
-// volumesOfPeers counts the volumes whose demand another broker aggregates: that of the others is sent to nobody.
+// volumesOfPeers counts the volumes whose demand another broker aggregates. The broker does not send the demand of the
+// others to any peer.
 func volumesOfPeers(volumes int) int {
 	count := 0
 	for n := range volumes {
 		hash := fnv.New32a()
 		_, _ = hash.Write([]byte(volumeName(n))) // a hash never fails
-		if hash.Sum32()%peersOfTier != 0 {
+		if hash.Sum32()%brokerCount != 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// A hollow broker sends to discovery and to its peers what a full one sends that gets requests of the same volumes:
-// the same polls, and messages of the same kinds and lengths on the same volumes to the same aggregators.
+// A hollow broker must send the same to discovery and to its peers as a full broker that gets requests of the same
+// volumes: the same polls, and messages of the same kinds and lengths on the same volumes to the same aggregators.
 func TestHollowSendsTheSame(t *testing.T) {
 	const volumes = 12
 	node := startNode(t, func(string) string { return "v" })
-	full, hollow := newSurroundings(t, node.Addr().String()), newSurroundings(t, node.Addr().String())
+	full, hollow := newTrafficRecorder(t, node.Addr().String()), newTrafficRecorder(t, node.Addr().String())
 	ctx, stop := context.WithCancel(context.Background())
 	var programs sync.WaitGroup
 	defer programs.Wait()
@@ -181,9 +183,9 @@
 	fullMessages, fullPolls := full.sent()
 	hollowMessages, hollowPolls := hollow.sent()
 	if !slices.Equal(fullMessages, hollowMessages) || len(fullMessages) < 3 {
-		t.Errorf("the full one sent %v\nthe hollow one %v", fullMessages, hollowMessages)
+		t.Errorf("messages of the full broker: %v\nmessages of the hollow broker: %v", fullMessages, hollowMessages)
 	}
 	if !slices.Equal(fullPolls, hollowPolls) || len(fullPolls) < 2 {
-		t.Errorf("the full one polled %v, the hollow one %v", fullPolls, hollowPolls)
+		t.Errorf("polls of the full broker: %v, polls of the hollow broker: %v", fullPolls, hollowPolls)
 	}
 }
--- a/internal/daemon/lag.go
+++ b/internal/daemon/lag.go
@@ -9,23 +9,24 @@
 	"junctionwharf/broker"
 )
 
-// latencyMetric is Go's histogram of how long goroutines that could run waited for a processor, in seconds.
+// latencyMetric is the Go runtime's histogram of the time that runnable goroutines waited for a processor, in seconds.
 const latencyMetric = "/sched/latencies:seconds"
 
-// lagMeter reads the scheduling lag from Go's runtime.
+// lagMeter reads the scheduling lag from the Go runtime.
 type lagMeter struct {
 	sample []metrics.Sample
 	before []uint64 // the histogram's counts at the last read
 }
 
-// read is the mean lag since the last read, 0 if no goroutine ran. Of a bucket of the histogram its lower bound counts.
+// read returns the mean lag since the last read, or 0 if no goroutine was scheduled. Each wait is counted with the
+// lower bound of its histogram bucket.
 func (m *lagMeter) read() broker.Micros {
 	if m.sample == nil {
 		m.sample = []metrics.Sample{{Name: latencyMetric}}
 	}
 	metrics.Read(m.sample)
 	if m.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
-		return 0 // this runtime has no such metric
+		return 0 // this version of the runtime lacks the metric
 	}
 	histogram := m.sample[0].Value.Float64Histogram()
 	if m.before == nil {
@@ -36,7 +37,7 @@
 	for i, count := range histogram.Counts {
 		if added := count - m.before[i]; added > 0 {
 			waits += added
-			sum += float64(added) * max(0, histogram.Buckets[i]) // the first begins at minus infinity
+			sum += float64(added) * max(0, histogram.Buckets[i]) // the first bucket begins at minus infinity
 		}
 		m.before[i] = count
 	}
@@ -46,9 +47,9 @@
 	return broker.Micros(sum / float64(waits) * float64(broker.Second))
 }
 
-// watchLag reports the scheduling lag to admission control, until ctx ends. Unless it is wanted always, it measures
-// only from when many requests wait at once until nothing waits for the processor any more: an idle broker is not
-// woken for it.
+// watchLag reports the scheduling lag to admission control until ctx ends. Unless always is set, it starts to measure
+// when many requests are open at once, and stops when no work waits for the processor any more, so that an idle broker
+// is not woken up.
 func watchLag(ctx context.Context, loop *broker.Loop, always bool) {
 	for {
 		if !always {
@@ -64,10 +65,10 @@
 	}
 }
 
-// measureLag reports the lag for as long as it is wanted; false if ctx ended.
+// measureLag reports the lag until the loop no longer needs it. It returns false if ctx ended first.
 func measureLag(ctx context.Context, loop *broker.Loop, always bool) bool {
 	var meter lagMeter
-	meter.read() // what came before does not count
+	meter.read() // discards the waits before this call
 	loop.SetLagMeasured(true)
 	ticker := time.NewTicker(time.Duration(admission.DefaultWindow) * time.Microsecond)
 	defer ticker.Stop()
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -15,15 +15,16 @@
 	"junctionwharf/internal/pool"
 )
 
-// expiryInterval is the time between two looks for idle connections to nodes that are over their timeout. Higher,
-// they stay longer than the settings say; lower, an idle broker wakes up more often.
+// expiryInterval is the time between two checks for connections to nodes that exceeded their idle timeout. With a
+// larger value, connections stay open longer than the settings allow. With a smaller value, an idle broker wakes up
+// more often.
 const expiryInterval = time.Second
 
-// errNotAccepting is what the check says before the start is done and after the end has begun.
+// errNotAccepting is the result of the console's check call before the broker has started and while it stops.
 var errNotAccepting = errors.New("no clients are taken")
 
-// Serve runs the broker until ctx ends, and then until what it accepted is answered. On reload it loads the
-// configuration again.
+// Serve runs the broker until ctx ends, and then until all accepted requests are answered. On each signal from reload
+// it loads the configuration again with load. It returns an error if the broker cannot start or a server fails.
 func Serve(
 	ctx context.Context, c *config.Config, log *slog.Logger,
 	reload <-chan os.Signal, load func() (*config.Config, error),
@@ -43,7 +44,7 @@
 
 	select {
 	case err := <-s.failed:
-		return fmt.Errorf("clients: %w", err)
+		return fmt.Errorf("serve clients: %w", err)
 	case <-ctx.Done():
 	}
 	s.shutDown()
@@ -51,13 +52,14 @@
 	return nil
 }
 
-// start starts all parts. They outlive ending, which begins the shutdown, and end with parts.stop.
+// start starts all subsystems. They end with parts.stop. They keep running after the end of the context ending, which
+// begins the shutdown.
 func (s *service) start(ending context.Context, reload <-chan os.Signal, load func() (*config.Config, error)) error {
 	running, cancel := context.WithCancel(context.Background())
 	s.parts = slices.Concat(
 		s.ports(),
 		subsystems{
-			{stop: cancel}, // the goroutines of all parts that follow
+			{stop: cancel}, // ends the goroutines of all parts below
 			{start: s.startHandover, stop: s.closeHandover},
 		},
 		s.workers(),
@@ -75,7 +77,7 @@
 	return s.parts.start(running)
 }
 
-// requestParts are the subsystems that carry requests, but for the server of clients, which starts last.
+// requestParts returns the subsystems that carry requests, without the server for clients, which starts last.
 func (s *service) requestParts() subsystems {
 	always := s.config.Site.Admission.LagMS > 0
 	parts := subsystems{background(func(ctx context.Context) { watchLag(ctx, s.loop, always) })}
@@ -85,7 +87,7 @@
 	return append(parts, subsystem{start: s.listen}, subsystem{start: s.startFiles})
 }
 
-// check tells operators whether clients are accepted.
+// check returns an error while clients are not accepted.
 func (s *service) check() error {
 	if !s.accepting.Load() {
 		return errNotAccepting
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// listen binds the clients' port.
+// listen binds the port for clients.
 func (s *service) listen(context.Context) error {
 	s.addressWasInUse = handover.AddressInUse(s.config.Listen)
 	listener, err := handover.Listen(s.config.Listen)
@@ -104,8 +106,8 @@
 	return nil
 }
 
-// startFiles binds the port for file commands and serves it, if it is on. The server ends with shutDown, or with the
-// process.
+// startFiles binds the port for file commands and starts its server, if it is enabled. The server ends with shutDown or
+// with the process.
 func (s *service) startFiles(context.Context) error {
 	if s.files == nil {
 		return nil
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// startClients serves clients. The server ends with shutDown, or with the process.
+// startClients starts the server for clients. The server ends with shutDown or with the process.
 func (s *service) startClients(context.Context) error {
 	listener := s.listeners[0]
 	go s.serveClients(listener)
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -16,7 +16,7 @@
 	"junctionwharf/internal/fakes"
 )
 
-// holdingNode is a node that answers one request only once it is told to.
+// holdingNode is a node that receives one request and answers it once release is closed.
 type holdingNode struct {
 	net.Listener
 	received chan string // the request's id
@@ -58,7 +58,7 @@
 	return carbon
 }
 
-// awaitMetrics waits until some series have their values, or late is closed.
+// awaitMetrics waits until each series has its wanted value, and fails the test if late is closed first.
 func awaitMetrics(t *testing.T, carbon *fakes.Carbon, late <-chan struct{}, want map[string]float64) {
 	t.Helper()
 	fits := func(latest map[string]fakes.Point, _ []string) bool {
@@ -70,11 +70,11 @@
 		return true
 	}
 	if !carbon.Await(late, fits) {
-		t.Errorf("%v, want %v", carbon.Latest(), want)
+		t.Errorf("metrics are %v, want %v", carbon.Latest(), want)
 	}
 }
 
-// checkListeningFileServer dials once: the file server listens as soon as clients are served.
+// checkListeningFileServer checks the file server, which must listen as soon as clients are served: it dials only once.
 func checkListeningFileServer(t *testing.T, address string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -86,8 +86,8 @@
 	checkFileConn(t, conn)
 }
 
-// The whole program starts, and is told to stop with a request under way. The request is answered, the last metrics
-// are exported, and nothing listens any more.
+// A broker is stopped while a request is in flight. The request is answered, the last metrics are exported, and the
+// broker no longer listens.
 func TestServe(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	node := startHoldingNode(t)
@@ -107,10 +107,10 @@
 	client.ping(t)
 	client.write(t, testRequest{id: "id", units: 2}.encode())
 	if id := <-node.received; id != "id" {
-		t.Errorf("the node got %q", id)
+		t.Errorf("the node received the request id %q", id)
 	}
 	checkListeningFileServer(t, files)
-	late := make(chan struct{}) // one limit for both waits
+	late := make(chan struct{}) // one timeout for both waits
 	timer := time.AfterFunc(testTimeout, func() { close(late) })
 	defer timer.Stop()
 	awaitMetrics(t, carbon, late, map[string]float64{
@@ -121,17 +121,17 @@
 	broker.stop()
 	close(node.release)
 	if got, err := io.ReadAll(client.reader); err != nil || string(got) != "$5\r\nvalue\r\n" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q after the stop, %v", got, err)
 	}
 	broker.waitEnd(t)
 	if conn, err := net.Dial("tcp", address); err == nil {
 		_ = conn.Close()
-		t.Error("it still listens")
+		t.Error("the broker still listens after its end")
 	}
 	awaitMetrics(t, carbon, late, map[string]float64{"wharf.n1.all.served": 1})
 }
 
-// lockedBuffer takes log lines from several goroutines.
+// lockedBuffer collects log lines from several goroutines.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -144,14 +144,15 @@
 	return b.text.Write(p)
 }
 
-// String is what was written so far.
+// String returns the text written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// Where the platform has no Unix sockets the handover stays off: the broker serves, says so once, and leaves no socket.
+// On a platform without Unix sockets the handover is disabled: the broker serves, logs that the handover is off, and
+// creates no socket.
 func TestServeWithoutHandover(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -164,7 +165,7 @@
 	client := dialClient(t, address)
 	client.ping(t)
 	if files, err := filepath.Glob(filepath.Join(dir, "*.sock*")); err != nil || len(files) > 0 {
-		t.Errorf("a socket was made: %v, %v", files, err)
+		t.Errorf("sockets in the directory: %v, %v", files, err)
 	}
 	if !strings.Contains(lines.String(), "handover off") {
 		t.Errorf("the log does not say that the handover is off:\n%s", lines.String())
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,10 +11,10 @@
 	"junctionwharf/internal/resp"
 )
 
-// noticeReloadRejected begins the notification of collectd; operators' rules on it know the words.
+// noticeReloadRejected begins the text of the notification to collectd. Operators' alerting rules match this text.
 const noticeReloadRejected = "reload turned down: "
 
-// runReloads loads the configuration again at each signal, until ctx ends.
+// runReloads reloads the configuration on each signal until ctx ends.
 func (s *service) runReloads(ctx context.Context, reload <-chan os.Signal, load func() (*config.Config, error)) {
 	current := s.config
 	for {
@@ -27,9 +27,9 @@
 	}
 }
 
-// reload loads the configuration and applies what config.ApplyReload lists; the rest waits for a restart, and the log
-// names it. It returns the configuration in force. It guards against a faulty file, of which only a part would be
-// applied: then the old configuration stays in force as a whole.
+// reload loads the configuration, applies the keys that config.ApplyReload lists, and returns the active configuration.
+// Other changed keys take effect after a restart, and the log names them. A faulty file is never applied in part: the
+// previous configuration then stays active as a whole.
 func (s *service) reload(old *config.Config, load func() (*config.Config, error)) *config.Config {
 	loaded, err := load()
 	if err == nil {
@@ -37,7 +37,7 @@
 	}
 	s.loop.Metrics.CountReload(err == nil)
 	if err != nil {
-		s.log.Error("reload rejected, the old configuration stays in force", "reason", err)
+		s.log.Error("reload rejected; the previous configuration stays active", "reason", err)
 		s.exporter.Notify(collectd.Notification{
 			Severity: collectd.Failure,
 			Instance: "reload",
@@ -58,11 +58,11 @@
 	return &current
 }
 
-// applySettings applies the settings of a configuration. The core comes first: what a server then accepts by the new
-// limits, the core knows.
+// applySettings applies the settings of a configuration. The core receives them first, so that it already knows the new
+// limits when a server accepts requests by them.
 func (s *service) applySettings(c *config.Config) {
 	set := c.Settings
-	set.Scheduler.Balancer = s.config.Site.Balancer.Options(s.config.Name) // as at the start
+	set.Scheduler.Balancer = s.config.Site.Balancer.Options(s.config.Name) // fixed at the start
 	if s.agreement != nil {
 		s.agreement.SettingsChanged(set.Scheduler)
 	} else {
@@ -78,15 +78,16 @@
 	s.applySources(c.Site.Membership)
 	s.watcher.UpdateOptions(s.watcherOptions(c))
 	s.exporter.ApplySettings(exportSettings(c))
-	s.noteSettings(set.Scheduler)
+	s.storeSettings(set.Scheduler)
 }
 
-// applySources applies the sources of the endpoint list. Whether there are any is fixed at the start.
+// applySources applies the sources of the endpoint list. It does nothing if the list was not merged from sources at the
+// start, or if the new settings name no source.
 func (s *service) applySources(membership config.Membership) {
 	if !s.mergesSources() || len(membership.Sources) == 0 {
 		return
 	}
-	if err := s.endpoints.ApplySettings(membership); err != nil { // the configuration checks them before
-		s.log.Error("endpoint sources unchanged", "reason", err)
+	if err := s.endpoints.ApplySettings(membership); err != nil { // unexpected: the configuration was validated
+		s.log.Error("failed to apply endpoint sources; keeping the previous ones", "reason", err)
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -16,7 +16,7 @@
 	"junctionwharf/internal/resp"
 )
 
-// writeFile writes a file into a directory and returns its path.
+// writeFile writes a file into a directory and returns the file's path.
 func writeFile(t *testing.T, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
@@ -26,7 +26,7 @@
 	return path
 }
 
-// fileServerSite is a site file with file commands at an address.
+// fileServerSite returns a site file with a file server at the address.
 func fileServerSite(address string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[sftp]\nlisten = %q\n[sftp.command]\n", address)
@@ -40,8 +40,8 @@
 	return text.String()
 }
 
-// An operator moves discovery and sends SIGHUP. The broker asks the new one; neither the program nor a connection of
-// either server ends.
+// A reload changes the address of discovery. The broker then uses the new discovery service, keeps running, and keeps
+// the connections of both servers open.
 func TestReloadMovesDiscovery(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	var services [2]string
@@ -72,11 +72,11 @@
 	broker := startBroker(c, logging.Discard(), reload, load)
 	client, fileConn := dialClient(t, address), dial(t, files)
 	if got := client.ask(t, testRequest{id: "id", units: 2}); got != "0" {
-		t.Fatalf("served by %q", got)
+		t.Fatalf("before the reload: answer %q", got)
 	}
 	configure(services[1])
 	reload <- syscall.SIGHUP
-	awaitWithin(t, testTimeout/2, "discovery did not move", func() bool {
+	awaitWithin(t, testTimeout/2, "discovery address not changed by the reload", func() bool {
 		return client.ask(t, testRequest{id: "id", units: 2}) == "1"
 	})
 	checkFileConn(t, fileConn)
@@ -84,10 +84,10 @@
 	broker.waitEnd(t)
 }
 
-// reloadFault is a change of a configuration that makes it faulty, and the reason in the log.
+// reloadFault is a replacement that makes a configuration faulty, and the reason that the reload then logs.
 type reloadFault struct{ old, new, reason string }
 
-// newReloadService is a service that can reload, but does not run.
+// newReloadService returns a service that can reload but does not run.
 func newReloadService(t *testing.T, c *config.Config, logLine func(string)) *service {
 	t.Helper()
 	log := logging.ToFunc(logLine)
@@ -107,8 +107,9 @@
 	return &service{control: ctl, clients: resp.NewServer(loop, limits, 1, 1, 1, log)}
 }
 
-// An operator reloads faulty files one after the other: each changes nothing and the log names the key. One that is
-// sound but for a key of the start is applied, and the log names that key.
+// Faulty files are reloaded one after the other. Each leaves the configuration unchanged, and the log names the faulty
+// key. Then a valid file is reloaded in which also a key changed that needs a restart: the reload applies the other
+// keys, and the log names that key.
 func TestReloadOfFaultyConfig(t *testing.T) {
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":%s}`, settingsText)
 	c := parseConfig(t, text)
@@ -133,30 +134,30 @@
 	for _, fault := range faults {
 		lines = nil
 		current := s.reload(c, loadChanged(fault.old, fault.new))
-		want := "reload rejected, the old configuration stays in force reason=" + fault.reason
+		want := "reload rejected; the previous configuration stays active reason=" + fault.reason
 		if current != c || len(lines) != 1 || lines[0] != want {
-			t.Errorf("%s: %q", fault.new, lines)
+			t.Errorf("reload with %s logged %q", fault.new, lines)
 		}
 	}
 	lines = nil
 	moved := loadChanged(`"127.0.0.1:1","discovery":"127.0.0.1:2"`, `"127.0.0.1:3","discovery":"127.0.0.1:4"`)
 	current := s.reload(c, moved)
 	if current.Discovery != "127.0.0.1:4" || current.Listen != c.Listen {
-		t.Errorf("%+v", current)
+		t.Errorf("configuration after the reload: %+v", current)
 	}
 	if len(lines) != 2 || lines[0] != "reload: some keys need a restart keys=listen" {
-		t.Errorf("%q", lines)
+		t.Errorf("reload of a valid file logged %q", lines)
 	}
 	counts := map[string]uint64{}
 	for _, metric := range s.loop.Metrics.Read() {
 		counts[metric.Name] = metric.Value
 	}
 	if counts["reconfig_ok"] != 1 || counts["reconfig_failed"] != uint64(len(faults)) {
-		t.Errorf("%v", counts)
+		t.Errorf("metrics: %v", counts)
 	}
 }
 
-// The file in deploy fits settings like the platform's.
+// The site file in the deploy folder must be valid with settings like those of the platform.
 func TestDeployedSiteFileIsValid(t *testing.T) {
 	const moreClasses = `"importance":1},` +
 		`{"name":"record-write","aim":200000,"deadline":1200000,"effect":"unsafe"},` +
@@ -172,6 +173,6 @@
 	}
 	site, err := config.LoadSite("../../deploy/site.toml", set.Scheduler)
 	if err != nil || site.SFTP.Listen == "" || site.Graphite.Address != "" || site.Collectd.Address != "" {
-		t.Errorf("%+v, %v", site, err)
+		t.Errorf("site file %+v, %v", site, err)
 	}
 }
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -10,34 +10,36 @@
 	"junctionwharf/scheduler"
 )
 
-// maxNodeMetrics bounds the nodes that have metrics of their own on the console. Higher, its answer for a large
-// deployment is long; lower, an operator misses nodes there, but not in the table.
+// maxNodeMetrics is the maximum number of nodes with their own metrics on the console. With a larger value, the
+// console's answer gets long in a large deployment. With a smaller value, more nodes are missing from the metrics, but
+// not from the table of nodes.
 const maxNodeMetrics = 200
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// thousandths is the unit of the shares among the metrics.
+// thousandths is the unit of shares in metrics.
 const thousandths = 1000
 
-// formatShares is what the console's nodes call shows of load balancing: of each node of a shard that has several its
-// weight, what outlier detection leaves of it, the share of this broker's requests that it gets, and why.
+// formatShares formats the load balancing section of the answer to the console's nodes call. It lists the nodes of all
+// shards that have several nodes. The columns are the node's weight, the factor that outlier detection applies to the
+// weight, the share of this broker's requests that the node receives, and the reason for the factor.
 func formatShares(shares []scheduler.NodeShare) []byte {
 	if len(shares) == 0 {
 		return nil
 	}
 	var text bytes.Buffer
 	table := tabwriter.NewWriter(&text, 0, 0, columnGap, ' ', 0)
-	_, _ = fmt.Fprintln(table, "\nnode\tshard\tweight\tleft of it\tpart\twhy") // to memory
+	_, _ = fmt.Fprintln(table, "\nnode\tshard\tweight\tleft of it\tpart\twhy") // a write to memory never fails
 	for _, s := range shares {
 		_, _ = fmt.Fprintf(table, "%s\t%d\t%g\t%.2f\t%.3f\t%s\n",
 			s.Node, s.Shard, s.Weight, s.Factor, s.Share, s.Reason)
 	}
-	_ = table.Flush() // to memory
+	_ = table.Flush() // a write to memory never fails
 	return text.Bytes()
 }
 
-// shareMetrics is the same in thousandths, and how many nodes get less than their weight.
+// shareMetrics returns the factors and shares in thousandths, and the number of nodes whose factor is below 1.
 func shareMetrics(shares []scheduler.NodeShare) []broker.Metric {
 	if len(shares) == 0 {
 		return nil
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -7,40 +7,43 @@
 	"junctionwharf/scheduler"
 )
 
-// After SIGTERM clients go on with the connections they have, and where each request comes on a new one, with new
-// ones; they have nowhere else to go. SIGKILL follows once the longest deadline (or maxWait) and killDelay have
-// passed, and the next start comes no sooner, however early this one ends.
+// If there is no successor at SIGTERM, clients cannot connect to another process: they keep using their connections
+// and keep opening new ones. The platform sends SIGKILL after the longest deadline (at most maxWait) plus killDelay.
+// It does not start the next process before that time, even if this process ends earlier.
 const (
-	// minDrain is the least time for clients to go over to other brokers. Lower, they see connections refused.
+	// minDrain is the minimum time that clients have to move to other brokers. With a smaller value, their connections
+	// are refused.
 	minDrain = 450 * time.Millisecond
-	// maxWait is the longest that the platform waits for answers, and killDelay how long after that, or after the
-	// longest deadline, SIGKILL comes. The platform's rules fix both; higher figures here lose answers to it.
+	// maxWait is the longest time for which the platform waits for answers. killDelay is the time between the end of
+	// that wait, or the longest deadline if that is shorter, and SIGKILL. The platform's rules fix both. With larger
+	// values here, SIGKILL comes before the last answers are sent.
 	maxWait   = 3 * time.Second
 	killDelay = 700 * time.Millisecond
-	// closeBeforeKill is how long before SIGKILL connections are drained, answerBeforeKill when all that is still
-	// owed is answered, and exitBeforeKill when the program ends at the latest. Higher, requests fail that could be
-	// served; lower, a busy machine is killed before their answers are out.
+	// These are times before SIGKILL: closeBeforeKill is when connections are drained, answerBeforeKill is when all
+	// requests that are still open are answered, and exitBeforeKill is the latest end of the process. With larger
+	// values, requests fail that could be served. With smaller values, a process on a busy machine is killed before the
+	// answers are sent.
 	closeBeforeKill  = 400 * time.Millisecond
 	answerBeforeKill = 250 * time.Millisecond
 	exitBeforeKill   = 100 * time.Millisecond
-	// crossingTime is for requests that crossed the end of their connection. Lower, one of them is reset without an
-	// answer.
+	// crossingTime is the time between draining connections and closing the servers, for requests that a client sent
+	// while its connection was being closed. With a smaller value, such a request is reset without an answer.
 	crossingTime = 100 * time.Millisecond
-	// shutdownPoll is the time between two looks whether anything is owed. Higher, the process ends later; lower, it
-	// wakes up more often.
+	// shutdownPoll is the time between two checks for open requests and connected clients. With a larger value, the
+	// process ends later. With a smaller value, it wakes up more often.
 	shutdownPoll = 20 * time.Millisecond
 )
 
-// shutdownTimes is what happens when after SIGTERM.
+// shutdownTimes holds the times of the shutdown steps, measured from SIGTERM.
 type shutdownTimes struct {
-	drain  time.Duration // connections end as soon as they wait for nothing
+	drain  time.Duration // connections without open requests are closed from here on
 	close  time.Duration // all servers close
-	answer time.Duration // what is still owed is answered
-	exit   time.Duration // the program ends at the latest
+	answer time.Duration // requests that are still open are answered
+	exit   time.Duration // latest end of the process
 }
 
-// computeShutdownTimes guards the clients of a planned restart, who would otherwise see failures: each is served for
-// as long as its answer can still come.
+// computeShutdownTimes returns the times of the shutdown steps. Clients are served for as long as an answer can still
+// be sent before SIGKILL, so that a planned restart causes no failures.
 func computeShutdownTimes(classes []scheduler.Class) shutdownTimes {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -56,9 +59,9 @@
 	}
 }
 
-// shutDown hands clients over after SIGTERM and waits for the answers that are owed. With a successor there, clients
-// have somewhere to go at once: new connections are redirected to it, and the old ones end as soon as they wait for
-// nothing.
+// shutDown stops serving clients after SIGTERM and waits until all accepted requests are answered. If there is a
+// successor, new connections are redirected to it at once, and each old connection is closed as soon as it has no open
+// requests.
 func (s *service) shutDown() {
 	times := computeShutdownTimes(*s.classes.Load())
 	began := time.Now()
@@ -81,10 +84,11 @@
 	}
 	s.awaitAnswers(began, times)
 	lastFlush := max(times.exit, time.Since(began)+shutdownPoll)
-	s.exporter.Shutdown(began.Add(lastFlush)) // no client waits any more
+	s.exporter.Shutdown(began.Add(lastFlush)) // all clients have their answers
 }
 
-// awaitAnswers waits until nothing is owed, and has the core answer the rest in time.
+// awaitAnswers waits until no request is open and no client is connected. At times.answer it makes the core answer all
+// requests that are still open.
 func (s *service) awaitAnswers(began time.Time, times shutdownTimes) {
 	notified := false
 	for s.owesAnswers() && time.Since(began) < times.exit {
@@ -96,12 +100,12 @@
 	}
 }
 
-// owesAnswers reports whether a request is open or a client connected.
+// owesAnswers reports whether a request is open or a client is connected.
 func (s *service) owesAnswers() bool {
 	return s.loop.OpenRequests() > 0 || s.clientCount() > 0
 }
 
-// drain has all servers end connections that wait for nothing.
+// drain makes all servers close connections that have no open requests.
 func (s *service) drain() {
 	for _, server := range s.servers {
 		server.Drain()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -14,17 +14,17 @@
 	"junctionwharf/scheduler"
 )
 
-// quickSettings has deadlines of a third of a second, so that SIGKILL would come 1 s after SIGTERM.
+// quickSettings have deadlines of 0.3 s, so that SIGKILL would come 1 s after SIGTERM.
 const quickSettings = `{"bounds":{"maxAttempts":3},"nInstances":1,"ordinal":0,"specifics":{"usualUnits":2,"maxUnits":8},
  "classes":[{"name":"read","aim":200000,"deadline":300000,"effect":"safe","importance":1},
   {"name":"write","aim":200000,"deadline":300000,"effect":"unsafe","importance":1}],
  "serviceLevels":[{"name":"plan","nominal":10000,"floorRate":10000,"parts":1,"price":1}],
  "invariants":{"answerSlack":8000,"drainGrace":2000000}}`
 
-// quickDeadline is that of quickSettings.
+// quickDeadline is the deadline of all classes of quickSettings.
 const quickDeadline = 300 * time.Millisecond
 
-// Clients of a planned restart are served for as long as answers can still come before SIGKILL.
+// During a planned restart, clients are served for as long as answers can still be sent before SIGKILL.
 func TestShutdownTimes(t *testing.T) {
 	const ms = time.Millisecond
 	for longest, want := range map[time.Duration]shutdownTimes{
@@ -33,23 +33,23 @@
 		100 * ms:  {drain: 450 * ms, close: 550 * ms, answer: 550 * ms, exit: 700 * ms},
 	} {
 		if got := computeShutdownTimes([]scheduler.Class{{Deadline: ms}, {Deadline: longest}}); got != want {
-			t.Errorf("%v: %v, want %v", longest, got, want)
+			t.Errorf("longest deadline %v: %v, want %v", longest, got, want)
 		}
 	}
 }
 
-// shutdownTest is a broker that ends while clients send on.
+// shutdownTest is a broker that is stopped while clients keep sending requests.
 type shutdownTest struct {
 	*testing.T
 	address string
 	clients sync.WaitGroup
-	started chan struct{} // gets a value for each client once it has sent a request, or found no broker
+	started chan struct{} // receives a value from each client that has sent a request or could not connect
 
 	mu   sync.Mutex
-	seen map[string]int // how often each request came to the node
+	seen map[string]int // how often each request reached the node
 }
 
-// nodeValue is what the node answers: it hangs with some requests and serves others.
+// nodeValue records a request and returns the node's answer, which is empty if the node must not answer.
 func (s *shutdownTest) nodeValue(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	return "v"
 }
 
-// requestOf is a client's request: every second client writes, every third hangs at the node.
+// requestOf returns a client's request. Every second client writes; the node does not answer every third client.
 func requestOf(client, number int) testRequest {
 	request := testRequest{id: fmt.Sprintf("serve-%d-%d", client, number), wait: int(quickDeadline.Milliseconds())}
 	if client%3 == 0 {
@@ -73,12 +73,12 @@
 	return request
 }
 
-// runClient sends requests on one connection until the broker ends it.
+// runClient sends requests on one connection until the broker closes it.
 func (s *shutdownTest) runClient(client int) {
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
 		s.started <- struct{}{}
-		return // the broker ended before
+		return // the broker has already ended
 	}
 	defer func() { _ = conn.Close() }()
 	setDeadline(s.T, conn, 2*testTimeout)
@@ -93,24 +93,25 @@
 		if err == nil {
 			line, _, err = c.answer()
 		}
-		if err != nil { // the end came between two requests, or crossed this one
+		if err != nil { // closed between two requests or during this one
 			s.checkEnd(request.id, number, line, err)
 			return
 		}
 	}
 }
 
-// checkEnd wants that a request without an answer was not read: nothing of it reached the node, and no reset came.
+// checkEnd checks that a request without an answer did not reach the node and got no partial answer. At a client's
+// first request, only a closed or reset connection is allowed.
 func (s *shutdownTest) checkEnd(id string, number int, line string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unexpected := number == 0 && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.EOF)
 	if s.seen[id] > 0 || line != "" || unexpected {
-		s.Errorf("%s: %q, %v, at the node %d times", id, line, err, s.seen[id])
+		s.Errorf("request %s: answer %q, %v; it reached the node %d times", id, line, err, s.seen[id])
 	}
 }
 
-// checkWrites wants that no write was sent again: a read may be.
+// checkWrites checks that no write was sent again. Reads may be.
 func (s *shutdownTest) checkWrites() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,15 +124,14 @@
 			s.Error(err)
 		}
 		if client%2 == 0 {
-			s.Errorf("%s came to the node %d times", id, times)
+			s.Errorf("write %s reached the node %d times", id, times)
 		}
 	}
 }
 
-// The program is told to end while its node hangs with some requests and serves others, and clients go on sending on
-// each connection that stays open, new ones among them, until the last is closed. Each request whose bytes were read
-// gets its one answer; where a connection is closed before an answer, nothing of that request has reached the node.
-// The program ends before SIGKILL would come.
+// The broker is stopped while its node answers only some requests, and clients keep sending on old and new connections
+// until the broker closes them. Each request that the broker has read gets exactly one answer. If a connection is
+// closed before an answer, no byte of that request has reached the node. The broker ends before SIGKILL would come.
 func TestShutdownAnswersAll(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	const clients = 12
@@ -152,12 +152,12 @@
 	}
 	began := time.Now()
 	broker.stop()
-	for i := range clients { // new connections keep coming
+	for i := range clients { // clients also keep connecting
 		s.clients.Go(func() { s.runClient(clients + i) })
 	}
 	broker.waitEnd(t)
 	if took := time.Since(began); took > quickDeadline+killDelay {
-		t.Errorf("it ended %v after SIGTERM", took)
+		t.Errorf("the broker ended %v after SIGTERM", took)
 	}
 	s.clients.Wait()
 	s.checkWrites()
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -8,80 +8,84 @@
 	"junctionwharf/internal/config"
 )
 
-// Memory. The limit is the whole process's, which the platform ends when it is over.
+// Memory. The platform kills the process when its whole memory exceeds the limit.
 const (
-	// heapPart is the part of the memory limit for Go's heap; the rest is for the program itself, sockets and late
-	// collections. Higher, the process is killed under overload; lower, fewer clients fit.
-	heapPart = 0.6
-	// plentyMB is the limit, in MiB, from which the program itself takes a small part of the memory. Lower, a small
-	// machine gets plentyHeapPart and its process is killed under overload; higher, a larger one rejects clients.
-	plentyMB = 128
-	// plentyHeapPart is heapPart from plentyMB on.
-	plentyHeapPart = 0.8
-	// requestPart is the part of the limit for requests and answers that wait. Higher, they push connections out of
-	// memory; lower, large values are rejected.
-	requestPart = 0.2
-	// gcPercent and plentyGCPercent set how far the heap grows between collections. Higher, a small machine's heap
-	// grows through its first hours; lower, collections take a part of the processor for as long as there are
-	// connections.
-	gcPercent       = 100
-	plentyGCPercent = 400
-	// clientBytes is a client's connection with a request: buffers, stacks, and what the core holds of it. Higher,
-	// clients are rejected that would fit; lower, they fill the heap.
+	// heapFraction is the fraction of the memory limit that Go's heap may use. The rest is for the program itself,
+	// sockets and late collections. With a larger value, the process is killed under overload. With a smaller value,
+	// fewer clients fit.
+	heapFraction = 0.6
+	// largeMemoryMB is the memory limit in MiB from which on the program itself uses only a small part of the memory.
+	// With a smaller value, a process on a small machine uses largeHeapFraction and is killed under overload. With a
+	// larger value, a larger machine rejects clients that it could serve.
+	largeMemoryMB = 128
+	// largeHeapFraction replaces heapFraction from largeMemoryMB on.
+	largeHeapFraction = 0.8
+	// requestFraction is the fraction of the memory limit for buffered requests and answers. With a larger value, less
+	// memory is left for connections. With a smaller value, large values are rejected.
+	requestFraction = 0.2
+	// gcPercent and largeGCPercent set how far the heap grows between collections. With larger values, the heap of a
+	// small machine keeps growing for its first hours. With smaller values, collections use processor time for as long
+	// as there are connections.
+	gcPercent      = 100
+	largeGCPercent = 400
+	// clientBytes is the memory of one client connection with a request, in bytes: buffers, stacks, and the request's
+	// state in the core. With a larger value, clients are rejected that would fit. With a smaller value, clients fill
+	// the heap.
 	clientBytes = 20 << 10
-	// clientHeapPart is the part of the heap that clients may fill. Higher, live memory comes near the limit and
-	// collections take the processor; lower, clients are rejected that could be served.
-	clientHeapPart = 0.5
+	// clientHeapFraction is the fraction of the heap that clients may fill. With a larger value, live memory approaches
+	// the limit and collections use up the processor. With a smaller value, clients are rejected that could be served.
+	clientHeapFraction = 0.5
 )
 
 // Sockets and requests.
 const (
-	// reservedSockets are for all that is neither a client nor a node: peers, discovery, the console, metrics. Lower,
-	// one of these fails under overload.
+	// reservedSockets is the number of sockets for everything except clients and nodes: peers, discovery, the console,
+	// metrics. With a smaller value, one of these fails under overload.
 	reservedSockets = 40
-	// nodeSocketDivisor gives nodes a quarter of the sockets, up to maxNodeSockets. Fewer, requests wait for
-	// connections; more, clients are rejected.
+	// nodeSocketDivisor reserves a quarter of the sockets for nodes, up to maxNodeSockets. With fewer, requests wait
+	// for connections. With more, clients are rejected.
 	nodeSocketDivisor = 4
 	maxNodeSockets    = 256
-	// idleSocketDivisor gives idle clients a quarter of the sockets; beyond it the oldest are closed. Fewer, clients
-	// have to connect anew for each request; more, forgotten connections keep others out.
+	// idleSocketDivisor limits idle clients to a quarter of the sockets; beyond it the oldest are closed. With fewer,
+	// clients have to reconnect for each request. With more, abandoned connections keep other clients out.
 	idleSocketDivisor = 4
-	// overflowDivisor and minOverflow bound the connections beyond the clients' that are being rejected or closed.
-	// Fewer, clients see a connection refused in place of an answer; more, they take sockets from clients.
+	// overflowDivisor and minOverflow bound the sockets for connections above the client limit, which are being
+	// rejected or closed. With fewer, clients see a refused connection instead of an error answer. With more, fewer
+	// sockets are left for clients.
 	overflowDivisor = 16
 	minOverflow     = 16
-	// maxOpenPerCore bounds the requests that are open at once while the processor is the bottleneck. Higher, all of
-	// them are late; lower, the processor idles.
+	// maxOpenPerCore is the maximum number of open requests per core while the processor is the bottleneck. With a
+	// larger value, all of them are late. With a smaller value, the processor idles.
 	maxOpenPerCore = 64
 )
 
-// sizes is what a process may use.
+// sizes holds the limits of one process.
 type sizes struct {
 	nodeSockets   int
 	clientSockets int
-	idleClients   int // sockets of clients that wait for nothing
-	overflow      int // sockets beyond the clients'
-	maxOpen       int // requests open at once while the processor is the bottleneck
+	idleClients   int // sockets of clients without open requests
+	overflow      int // sockets above the client limit
+	maxOpen       int // open requests while the processor is the bottleneck
 	heapBytes     int
 	requestBytes  int
 }
 
-// computeSizes shares the limits out among so many processes of one broker: during a handover there are two.
+// computeSizes divides the configured limits by the number of processes of this broker, which is 2 during a handover.
 func computeSizes(c *config.Config, processes int) sizes {
 	sockets := c.Limits.Sockets / processes
 	memory := c.Limits.MemoryMB * (1 << 20) / float64(processes)
 	s := sizes{
 		nodeSockets:  min(maxNodeSockets, sockets/nodeSocketDivisor),
 		idleClients:  sockets / idleSocketDivisor,
-		heapBytes:    int(heapPart * memory),
-		requestBytes: int(requestPart * memory),
+		heapBytes:    int(heapFraction * memory),
+		requestBytes: int(requestFraction * memory),
 		maxOpen:      maxOpenPerCore * processors(c.Limits),
 	}
-	if c.Limits.MemoryMB >= plentyMB {
-		s.heapBytes = int(plentyHeapPart * memory)
+	if c.Limits.MemoryMB >= largeMemoryMB {
+		s.heapBytes = int(largeHeapFraction * memory)
 	}
 	bySockets := sockets - reservedSockets/processes - s.nodeSockets
-	byMemory := max(1, int(clientHeapPart*float64(s.heapBytes)/clientBytes))
+	byMemory := max(1, int(clientHeapFraction*float64(s.heapBytes)/clientBytes))
 	s.overflow = min(sockets/overflowDivisor, minOverflow/processes+max(0, bySockets-byMemory))
 	s.clientSockets = min(bySockets, byMemory)
 	if files := c.Site.SFTP; files.Listen != "" {
@@ -91,22 +95,22 @@
 	return s
 }
 
-// processors is how many the process may use.
+// processors returns the number of processors that the process may use.
 func processors(limits config.Limits) int {
 	return max(1, int(math.Ceil(limits.Cores)))
 }
 
-// limitRuntime has Go's runtime keep to the limits. The heap's limit follows with the sizes.
+// limitRuntime applies the limits to the Go runtime, except for the heap limit, which resize sets.
 func limitRuntime(limits config.Limits) {
 	runtime.GOMAXPROCS(processors(limits))
-	if limits.MemoryMB >= plentyMB {
-		debug.SetGCPercent(plentyGCPercent)
+	if limits.MemoryMB >= largeMemoryMB {
+		debug.SetGCPercent(largeGCPercent)
 	} else {
 		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// resize has the parts keep to the limits as one of so many processes.
+// resize applies the limits of one process to the parts, given the number of processes of this broker.
 func (s *service) resize(processes int) {
 	size := computeSizes(s.config, processes)
 	debug.SetMemoryLimit(int64(size.heapBytes))
--- a/internal/daemon/sizing_test.go
+++ b/internal/daemon/sizing_test.go
@@ -6,9 +6,9 @@
 	"junctionwharf/internal/config"
 )
 
-// Connections are bounded by memory as well as by sockets: 3,800 of them on 128 MB once left the collector no room,
-// and it took half of the processor while three quarters of the requests found no answer. A small machine keeps what
-// its sockets allow.
+// Both memory and sockets bound the number of client connections. 3,800 connections on 128 MB once left no memory for
+// the garbage collector, which then used half of the processor, and three quarters of the requests got no answer. On a
+// small machine the sockets are the tighter bound.
 func TestSizes(t *testing.T) {
 	for _, c := range []struct {
 		memoryMB float64
@@ -27,8 +27,8 @@
 		if s.clientSockets != c.clients || s.maxOpen != c.maxOpen {
 			t.Errorf("%v MB, %d sockets: %+v", c.memoryMB, c.sockets, s)
 		}
-		if float64(s.clientSockets*clientBytes) > clientHeapPart*float64(s.heapBytes) {
-			t.Errorf("%v MB: %d clients take over half of %d bytes", c.memoryMB, s.clientSockets, s.heapBytes)
+		if float64(s.clientSockets*clientBytes) > clientHeapFraction*float64(s.heapBytes) {
+			t.Errorf("%v MB, %d clients use over half of a heap of %d bytes", c.memoryMB, s.clientSockets, s.heapBytes)
 		}
 		used := s.clientSockets + s.nodeSockets + s.overflow + reservedSockets - minOverflow
 		if s.overflow < minOverflow || used > c.sockets {
--- a/internal/daemon/subsystems.go
+++ b/internal/daemon/subsystems.go
@@ -2,18 +2,19 @@
 
 import "context"
 
-// subsystem is a part of a broker that is started and stopped with it. Its constructor has been called before; start
-// begins its goroutines, which end with the context, and stop releases what the constructor or start acquired. Either
-// may be nil.
+// subsystem is a part of a broker that is started and stopped with it, after its constructor was called. start starts
+// its goroutines, which end with the context. stop releases the resources that the constructor or start acquired.
+// Either may be nil.
 type subsystem struct {
 	start func(ctx context.Context) error
 	stop  func()
 }
 
-// subsystems are the parts of a broker, in the order in which they are started.
+// subsystems lists the parts of a broker in the order in which they are started.
 type subsystems []subsystem
 
-// start starts all of them, or returns the first error. In either case stop has to be called.
+// start starts the subsystems in order until one returns an error, and returns that error. In either case the caller
+// must call stop.
 func (list subsystems) start(ctx context.Context) error {
 	for _, part := range list {
 		if part.start == nil {
@@ -26,7 +27,7 @@
 	return nil
 }
 
-// stop stops all of them, the last one first.
+// stop stops all subsystems in reverse order, whether or not they were started.
 func (list subsystems) stop() {
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].stop != nil {
@@ -35,7 +36,7 @@
 	}
 }
 
-// background is a subsystem of one goroutine that ends with the context.
+// background returns a subsystem with one goroutine, which ends with the context.
 func background(run func(ctx context.Context)) subsystem {
 	return subsystem{start: func(ctx context.Context) error {
 		go run(ctx)
--- a/internal/daemon/subsystems_test.go
+++ b/internal/daemon/subsystems_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The second of three subsystems cannot start. The third is not started; all are stopped, the last one first, since
+// The second of three subsystems cannot start. The third is not started. All three are stopped in reverse order, since
 // their constructors have been called.
 func TestFailedStartStopsAllSubsystems(t *testing.T) {
 	var calls []string
--- a/internal/daemon/testkit_test.go
+++ b/internal/daemon/testkit_test.go
@@ -20,16 +20,16 @@
 	"junctionwharf/internal/logging"
 )
 
-// testTimeout bounds all that a test waits for.
+// testTimeout bounds each wait of a test.
 const testTimeout = 10 * time.Second
 
-// settingsText are settings whose deadline no test reaches.
+// settingsText holds settings with a deadline longer than any test.
 const settingsText = `{"bounds":{"maxAttempts":3},"nInstances":1,"ordinal":0,"specifics":{"usualUnits":2,"maxUnits":8},
  "classes":[{"name":"read","aim":5000000,"deadline":6000000,"effect":"safe","importance":1}],
  "serviceLevels":[{"name":"plan","nominal":100,"floorRate":100,"parts":1,"price":1}],
  "invariants":{"answerSlack":8000,"drainGrace":2000000}}`
 
-// writeClass is a class of writes, to be added to settingsText.
+// writeClass is a class of writes that can be added to settingsText.
 const writeClass = `{"name":"write","aim":5000000,"deadline":6000000,"effect":"unsafe"}`
 
 // withWriteClass adds writeClass to settings.
@@ -39,7 +39,7 @@
 
 func emptyEnvironment(string) string { return "" }
 
-// parseConfig reads a configuration's JSON.
+// parseConfig parses a configuration in JSON.
 func parseConfig(t *testing.T, text string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(text), emptyEnvironment)
@@ -49,7 +49,7 @@
 	return c
 }
 
-// newConfig is the configuration of one broker that listens at address and asks discovery there.
+// newConfig returns the configuration of a broker with the given address, address of discovery and settings.
 func newConfig(t *testing.T, address, discovery, settings string) *config.Config {
 	t.Helper()
 	const text = `{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`
@@ -66,7 +66,7 @@
 	return listener
 }
 
-// unusedAddress returns an address at which nothing listens.
+// unusedAddress returns an address without a listener.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener := listenLocally(t)
@@ -74,7 +74,7 @@
 	return listener.Addr().String()
 }
 
-// dial waits until something listens.
+// dial connects to an address, and retries until a process listens there.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for end := time.Now().Add(testTimeout / 2); ; time.Sleep(time.Millisecond) {
@@ -97,13 +97,13 @@
 	}
 }
 
-// await waits until fits says so.
+// await waits until fits returns true. what describes the failure.
 func await(t *testing.T, what string, fits func() bool) {
 	t.Helper()
 	awaitWithin(t, testTimeout, what, fits)
 }
 
-// awaitWithin is await with a limit of its own.
+// awaitWithin is await with a timeout.
 func awaitWithin(t *testing.T, limit time.Duration, what string, fits func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !fits(); time.Sleep(time.Millisecond) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// callConsole makes one call.
+// callConsole makes a console call and returns the answer.
 func callConsole(t *testing.T, address, call string) string {
 	t.Helper()
 	answer, err := console.Call(address, call, testTimeout)
@@ -123,13 +123,13 @@
 	return string(answer)
 }
 
-// testBroker is a broker that runs in this process.
+// testBroker is a broker that runs in the test's process.
 type testBroker struct {
 	stop  func()
 	ended chan error
 }
 
-// startBroker runs Serve, without reloads if load is nil.
+// startBroker runs Serve in a goroutine. load may be nil if the test sends no reload signals.
 func startBroker(
 	c *config.Config, log *slog.Logger, reload chan os.Signal, load func() (*config.Config, error),
 ) *testBroker {
@@ -139,12 +139,12 @@
 	return b
 }
 
-// startSimpleBroker runs Serve without a log and reloads.
+// startSimpleBroker runs Serve without a log and without reloads.
 func startSimpleBroker(c *config.Config) *testBroker {
 	return startBroker(c, logging.Discard(), nil, nil)
 }
 
-// waitEnd waits until the broker has ended without an error.
+// waitEnd waits until the broker has ended, and fails the test if Serve returned an error.
 func (b *testBroker) waitEnd(t *testing.T) {
 	t.Helper()
 	if err := <-b.ended; err != nil {
@@ -163,13 +163,13 @@
 	return service
 }
 
-// readyHost is a host of discovery's list.
+// readyHost returns the entry of a node that is ready in discovery's list.
 func readyHost(name string, node net.Listener) fakes.Endpoint {
 	return fakes.Endpoint{Name: name, Address: node.Addr().String(), Health: "SERVING", Share: 1}
 }
 
-// startNode runs a fake node: it answers each request with the value that it has for its id, and says nothing where
-// that is empty.
+// startNode starts a fake node. It answers each request with the result of value for the request's id, or not at all if
+// the result is empty.
 func startNode(t *testing.T, value func(id string) string) net.Listener {
 	t.Helper()
 	listener := listenLocally(t)
@@ -203,19 +203,19 @@
 	}
 }
 
-// testRequest is a request of a client. The zero value of a field but the id means the usual one.
+// testRequest is a request of a client. A field with the zero value means the default in the field's comment.
 type testRequest struct {
 	id      string
-	class   string // "read"
-	body    string // of a write
-	wait    int    // milliseconds; 6000
-	volume  string
-	units   int // 1
-	brokers int // 1
+	class   string // default "read"
+	body    string // of a write; empty for a read
+	wait    int    // milliseconds, default 6000
+	volume  string // default defaultVolume
+	units   int    // default 1
+	brokers int    // default 1
 }
 
-// usualVolume is the volume of requests that name none.
-const usualVolume = "00000003b4d60021"
+// defaultVolume is the volume of requests that do not name one.
+const defaultVolume = "00000003b4d60021"
 
 func orDefault[T comparable](value, fallback T) T {
 	var zero T
@@ -225,10 +225,10 @@
 	return value
 }
 
-// encode is the request's bytes.
+// encode returns the request's bytes.
 func (r testRequest) encode() string {
 	list := fmt.Sprintf("c=%s,t=plan,d=%d,volume=%s,units=%d,shard=0,hosts=%d",
-		orDefault(r.class, "read"), orDefault(r.wait, 6000), orDefault(r.volume, usualVolume),
+		orDefault(r.class, "read"), orDefault(r.wait, 6000), orDefault(r.volume, defaultVolume),
 		orDefault(r.units, 1), orDefault(r.brokers, 1))
 	const object = "7f3a9c21e0b4d655"
 	arguments := []string{"BLK.READ", object, r.id, list}
@@ -238,7 +238,7 @@
 	return encodeCommand(arguments...)
 }
 
-// encodeCommand is a command in RESP2.
+// encodeCommand returns a command in RESP2.
 func encodeCommand(arguments ...string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(arguments))
@@ -254,7 +254,7 @@
 	reader *bufio.Reader
 }
 
-// dialClient waits until the broker listens.
+// dialClient connects to the broker, and retries until the broker listens.
 func dialClient(t *testing.T, address string) *testClient {
 	t.Helper()
 	return newTestClient(dial(t, address))
@@ -264,7 +264,7 @@
 	return &testClient{conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// ping makes sure that the broker serves this connection.
+// ping checks that the broker serves this connection.
 func (c *testClient) ping(t *testing.T) {
 	t.Helper()
 	c.write(t, encodeCommand("PING"))
@@ -280,7 +280,7 @@
 	}
 }
 
-// tryRequest makes a request and reads the first line of its answer. The broker may have ended.
+// tryRequest sends a request and reads the first line of the answer. It returns an error if the broker has ended.
 func (c *testClient) tryRequest(request testRequest) (string, error) {
 	if _, err := io.WriteString(c.conn, request.encode()); err != nil {
 		return "", err
@@ -289,7 +289,7 @@
 	return first, err
 }
 
-// answer reads one answer: its first line, and the value if that announces one.
+// answer reads one answer and returns the first line and, for a bulk string, the value.
 func (c *testClient) answer() (first, value string, err error) {
 	first, err = c.reader.ReadString('\n')
 	if err == nil && first[0] == '$' {
@@ -298,7 +298,7 @@
 	return first, strings.TrimSpace(value), err
 }
 
-// ask makes a request and reads its answer: the value, or an error's line.
+// ask sends a request and reads the answer. It returns the value, or the line of an error.
 func (c *testClient) ask(t *testing.T, request testRequest) string {
 	t.Helper()
 	c.write(t, request.encode())
@@ -312,13 +312,13 @@
 	return value
 }
 
-// checkFileServer wants the file server to answer the opening of a session.
+// checkFileServer connects to the file server and checks that it answers the start of a session.
 func checkFileServer(t *testing.T, address string) {
 	t.Helper()
 	checkFileConn(t, dial(t, address))
 }
 
-// checkFileConn wants the answer to the opening of a session.
+// checkFileConn checks that the file server answers the start of a session on the connection.
 func checkFileConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(conn, "\x00\x00\x00\x05\x01\x00\x00\x00\x03"); err != nil {
@@ -326,6 +326,6 @@
 	}
 	version := make([]byte, 9)
 	if _, err := io.ReadFull(conn, version); err != nil || string(version) != "\x00\x00\x00\x05\x02\x00\x00\x00\x03" {
-		t.Errorf("the file server: %q, %v", version, err)
+		t.Errorf("version answer of the file server: %q, %v", version, err)
 	}
 }
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -17,8 +17,9 @@
 	"junctionwharf/scheduler"
 )
 
-// reuseDelay is how long a connection to a node rests before its next request, so that the end of the last one is
-// seen. Higher, more connections are needed; lower, a request may be sent on a connection that the node is closing.
+// reuseDelay is the minimum idle time of a connection to a node before its next request, so that the node's close is
+// noticed. With a larger value, more connections are needed. With a smaller value, a request may be sent on a
+// connection that the node is closing.
 const reuseDelay = 5 * time.Millisecond
 
 // clientServer is a server that can hand its clients over to a successor.
@@ -29,27 +30,27 @@
 	Count() int
 }
 
-// service is a running broker: a control, and what carries requests.
+// service is a whole broker: a control, and the servers and connection pools that carry requests.
 type service struct {
 	*control
-	pools   []*pool.Pool // of connections to nodes, one for each server
+	pools   []*pool.Pool // connections to nodes, one pool for each server
 	clients *resp.Server
 	files   *sftp.Server // nil if off
 	servers []clientServer
 
-	listeners []net.Listener // of the servers, in their order
-	failed    chan error     // gets the error of a server that ended by itself
+	listeners []net.Listener // of the servers, in the same order
+	failed    chan error     // receives the error of a server that ended unexpectedly
 
-	coordinator     *handover.Coordinator   // nil if processes cannot connect
-	handoverOff     bool                    // another process may serve at the same time without a connection to it
-	addressWasInUse bool                    // another process listened at the address before this one did
-	handedOver      *discovery.EndpointList // the list of the old process
-	accepting       atomic.Bool             // clients are accepted
+	coordinator     *handover.Coordinator   // nil if the handover is off
+	handoverOff     bool                    // another process may serve at the same time, not connected to this one
+	addressWasInUse bool                    // another process listened at the address when this one started
+	handedOver      *discovery.EndpointList // the predecessor's list; nil for none
+	accepting       atomic.Bool             // whether clients are accepted
 	classes         atomic.Pointer[[]scheduler.Class]
 	plansHaveLimits atomic.Bool
 }
 
-// newService builds a broker; nothing runs yet, but ports other than the clients' are bound.
+// newService builds a broker without starting it. It already binds the ports for other brokers.
 func newService(c *config.Config, log *slog.Logger) (*service, error) {
 	size := computeSizes(c, 1)
 	poolOptions := pool.Options{
@@ -71,7 +72,7 @@
 	ctl.initialEndpoints = s.newestEndpoints
 	ctl.exportedMetrics = func() []broker.Metric { return append(ctl.ownMetrics(), s.clientMetric()) }
 	s.addClients(nodes, size)
-	s.noteSettings(c.Settings.Scheduler)
+	s.storeSettings(c.Settings.Scheduler)
 	s.resize(1)
 	if c.Site.SFTP.Listen != "" {
 		s.addFiles(poolOptions)
@@ -88,7 +89,7 @@
 	s.pools = append(s.pools, nodes)
 }
 
-// addFiles adds the server for file commands, with connections of its own.
+// addFiles adds the server for file commands, with its own connections to nodes.
 func (s *service) addFiles(options pool.Options) {
 	settings := &s.config.Site.SFTP
 	options.Handshake = sftp.Handshake
@@ -99,12 +100,12 @@
 	s.pools = append(s.pools, nodes)
 }
 
-// clientMetric counts the clients of all servers.
+// clientMetric returns the number of connected clients of all servers.
 func (s *service) clientMetric() broker.Metric {
 	return broker.Metric{Name: "clients", Value: uint64(s.clientCount())}
 }
 
-// consoleOnlyMetrics are those that are not exported.
+// consoleOnlyMetrics returns the metrics that the console shows but that are not exported.
 func (s *service) consoleOnlyMetrics() []broker.Metric {
 	return []broker.Metric{{Name: "connections_turned_away", Value: s.clients.Rejected(), Counter: true}}
 }
@@ -117,8 +118,8 @@
 	return sum
 }
 
-// noteSettings notes what the life of the process depends on in the settings that are in force.
-func (s *service) noteSettings(set scheduler.Settings) {
+// storeSettings stores the parts of the active settings that the shutdown and the presence watch read.
+func (s *service) storeSettings(set scheduler.Settings) {
 	s.classes.Store(&set.Classes)
 	hasLimit := func(plan scheduler.Plan) bool { return plan.Limit > 0 }
 	s.plansHaveLimits.Store(slices.ContainsFunc(set.Plans, hasLimit))
