--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -13,45 +13,48 @@
 )
 
 const (
-	// greetTimeout bounds the connection to the old process and its first message. Higher, a start beside a hanging
-	// process is late by as much; lower, a busy old process hands nothing over, and open ids are accepted twice.
+	// greetTimeout bounds the time to connect to the predecessor, and then the time until its first message. With a
+	// larger value, a hanging predecessor delays the start for longer. With a smaller value, a busy predecessor hands
+	// over no state, and ids of open requests are accepted twice.
 	greetTimeout = 500 * time.Millisecond
-	// writeTimeout bounds the writing of one message; a process that does not read for so long counts as gone.
-	// Higher, the queue below fills behind a hanging process; lower, a short stall of the machine ends a sound
-	// handover.
+	// writeTimeout bounds the time to write one message. A process that does not read for that long is disconnected.
+	// With a larger value, the send queue to a hanging process fills up. With a smaller value, a short stall of the
+	// machine ends a working handover.
 	writeTimeout = 500 * time.Millisecond
-	// acceptRetryDelay is the pause after a failed accept, such as for want of file descriptors. Higher, a successor
-	// waits longer and gives up after greetTimeout; lower, the loop takes processor time from requests.
+	// acceptRetryDelay is the pause after a failed accept, for example if there are no file descriptors left. With a
+	// larger value, a successor waits longer and gives up after greetTimeout. With a smaller value, the loop uses
+	// processor time that requests need.
 	acceptRetryDelay = 500 * time.Millisecond
-	// sendQueueLength is how many messages may wait for the other process. Higher, a hanging process costs more memory;
-	// lower, a burst of requests ends a sound handover.
+	// sendQueueLength is the maximum number of messages queued for the other process. With a larger value, a hanging
+	// process costs more memory. With a smaller value, a burst of requests ends a working handover.
 	sendQueueLength = 4096
 )
 
-// Callbacks is what a process does about the other one. They are called by one goroutine at a time.
+// Callbacks are the functions that a Coordinator calls. One goroutine at a time calls them.
 type Callbacks struct {
-	Connected    func() StateMessage // the other process is there; returns the first message for a successor
-	Received     func(StateMessage)  // the other process sent something
-	Disconnected func()              // the other process is gone
+	Connected    func() StateMessage // the other process has connected; returns the first message for a successor
+	Received     func(StateMessage)  // the other process has sent a message
+	Disconnected func()              // the connection to the other process has ended
 }
 
-// Coordinator holds the place where processes of one broker meet, and the connection to the other one.
+// Coordinator owns the socket at which processes of one broker connect, and the connection to the other process.
 type Coordinator struct {
 	callbacks Callbacks
-	listener  net.Listener // for successors; its goroutine, acceptSuccessors, ends with Close
+	listener  net.Listener // for successors; the goroutine of acceptSuccessors ends when Close closes it
 
 	mu   sync.Mutex
 	peer *peerConn // the other process; nil for none
 }
 
-// SocketPath is the Unix socket at which processes that listen at one address meet.
+// SocketPath returns the path of the Unix socket for the processes of a broker that listens at the address listen.
 func SocketPath(dir, listen string) string {
 	name := strings.NewReplacer(":", "-", "/", "-").Replace(listen)
 	return filepath.Join(dir, "junctionwharf-"+name+".sock")
 }
 
-// Open connects to the process that answers at path, if there is one, and takes its place there. It returns whether it
-// found one; Callbacks.Received has had all that it handed over by then.
+// Open connects to the process that listens at path, if there is one, and replaces its socket. found reports whether
+// there was one; if so, Callbacks.Received has been called with the state that it handed over. Open fails if the socket
+// cannot be created.
 func Open(path string, callbacks Callbacks) (c *Coordinator, found bool, err error) {
 	c = &Coordinator{callbacks: callbacks}
 	predecessor := c.connectToPredecessor(path)
@@ -70,7 +73,8 @@
 	return c, predecessor != nil, nil
 }
 
-// connectToPredecessor returns the connection to the process at path, whose state it has passed on, or nil.
+// connectToPredecessor connects to the process at path and passes its first message to Callbacks.Received. It returns
+// nil if no process answers.
 func (c *Coordinator) connectToPredecessor(path string) *peerConn {
 	conn, err := net.DialTimeout("unix", path, greetTimeout)
 	if err != nil {
@@ -88,11 +92,11 @@
 	return peer
 }
 
-// replaceSocket listens at path. A file that is left of a killed process, or the old process's, gives way to the new
-// socket by a rename, without a moment in which nobody answers.
+// replaceSocket listens at path. It renames the new socket over an existing file, which a killed process or the
+// predecessor left there, so that a process listens at path at any time.
 func replaceSocket(path string) (net.Listener, error) {
 	temporary := path + "." + strconv.Itoa(os.Getpid())
-	_ = os.Remove(temporary) // left by a process of the same id; usually there is none
+	_ = os.Remove(temporary) // a killed process with the same id may have left it
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
@@ -120,8 +124,8 @@
 	}
 }
 
-// serveSuccessor keeps the connection to a successor until that is gone. With another process already there it is
-// refused.
+// serveSuccessor exchanges messages with a successor until the connection ends. It closes the connection at once if
+// another process is already connected.
 func (c *Coordinator) serveSuccessor(conn net.Conn) {
 	peer := newPeerConn(conn)
 	peer.successor = true
@@ -134,7 +138,7 @@
 	c.readFrom(peer)
 }
 
-// setPeer makes peer the other process, unless there is one.
+// setPeer stores peer as the connection to the other process. It returns false if another process is already connected.
 func (c *Coordinator) setPeer(peer *peerConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +149,8 @@
 	return true
 }
 
-// readFrom passes on what the other process sends until it is gone.
+// readFrom passes the messages of the other process to Callbacks.Received until the connection ends, and then calls
+// Callbacks.Disconnected.
 func (c *Coordinator) readFrom(peer *peerConn) {
 	for {
 		message, err := peer.read()
@@ -162,8 +167,8 @@
 	c.callbacks.Disconnected()
 }
 
-// Send sends a message to the other process, if there is one. It does not block: a process that reads nothing any
-// more is disconnected once its queue is full.
+// Send queues a message to the other process, if one is connected. It does not block: if the queue is full, since the
+// other process no longer reads, Send closes the connection.
 func (c *Coordinator) Send(message StateMessage) {
 	c.mu.Lock()
 	peer := c.peer
@@ -185,7 +190,8 @@
 	return c.peer != nil && c.peer.successor
 }
 
-// Close disconnects. The socket's file stays: it may be a successor's, and one at which nobody answers does no harm.
+// Close closes the listener and the connection. It keeps the socket's file, which may already belong to a successor. A
+// file without a listener does no harm.
 func (c *Coordinator) Close() {
 	_ = c.listener.Close()
 	c.mu.Lock()
@@ -195,14 +201,15 @@
 	}
 }
 
-// peerConn is the connection to the other process. Coordinator.readFrom owns it: it ends the writing goroutine by done.
+// peerConn is the connection to the other process. Coordinator.readFrom owns it and ends the writing goroutine by
+// closing done.
 type peerConn struct {
 	conn      net.Conn
 	successor bool // the other process started later than this one
 	decoder   *json.Decoder
 	encoder   *json.Encoder
 	queue     chan StateMessage
-	done      chan struct{} // closed when the other process is gone
+	done      chan struct{} // closed when the connection has ended
 }
 
 func newPeerConn(conn net.Conn) *peerConn {
@@ -215,14 +222,14 @@
 	}
 }
 
-// close ends the connection: the reader fails, and with it the writer.
+// close closes the connection. The reading goroutine then fails, and ends the writing goroutine.
 func (p *peerConn) close() {
 	_ = p.conn.Close()
 }
 
-// readFirst reads the predecessor's first message, which comes at once or not at all.
+// readFirst reads the predecessor's first message, which must arrive within greetTimeout.
 func (p *peerConn) readFirst() (StateMessage, error) {
-	// It fails only on a closed connection, as the read then does.
+	// This fails only on a closed connection, and then the read fails as well.
 	_ = p.conn.SetReadDeadline(time.Now().Add(greetTimeout))
 	message, err := p.read()
 	if err == nil {
@@ -237,14 +244,14 @@
 	return message, err
 }
 
-// writeFrom writes a first message, then the queue.
+// writeFrom writes a first message and then the queued ones.
 func (p *peerConn) writeFrom(first StateMessage) {
 	if p.write(first) {
 		p.writeQueue()
 	}
 }
 
-// writeQueue writes what is queued until the other process is gone.
+// writeQueue writes queued messages until the connection ends.
 func (p *peerConn) writeQueue() {
 	for {
 		select {
@@ -258,9 +265,9 @@
 	}
 }
 
-// write reports whether a message was written; if not, the connection is closed.
+// write writes a message and reports whether it succeeded. On failure it closes the connection.
 func (p *peerConn) write(message StateMessage) bool {
-	// It fails only on a closed connection, as the write then does.
+	// This fails only on a closed connection, and then the write fails as well.
 	_ = p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if p.encoder.Encode(message) != nil {
 		p.close()
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -32,11 +32,11 @@
 	return p
 }
 
-// Two processes connect, though a stale file lies at the socket's path, and send each other what the rules ask for.
-// The old one ends; a third finds the second and dies before it serves.
+// Two processes connect, although there is a stale file at the socket's path, and exchange their state. The old process
+// ends. A third process connects to the second one and ends before it takes over.
 func TestHandoverBetweenProcesses(t *testing.T) {
 	path := SocketPath(t.TempDir(), "127.0.0.1:6379")
-	if err := os.WriteFile(path, nil, 0o600); err != nil { // stale: nobody answers there
+	if err := os.WriteFile(path, nil, 0o600); err != nil { // a stale file without a listener
 		t.Fatal(err)
 	}
 	oldProcess := startProcess(t, path, StateMessage{
@@ -44,15 +44,15 @@
 		OpenedRequests: []string{"a"},
 	})
 	if oldProcess.found || oldProcess.HasSuccessor() {
-		t.Fatal("found another process where there is none")
+		t.Fatal("the first process found another process")
 	}
 	newProcess := startProcess(t, path, StateMessage{})
 	first := <-newProcess.received
 	if !newProcess.found || first.Endpoints.Version != 7 || first.OpenedRequests[0] != "a" {
-		t.Errorf("handed over %+v", first)
+		t.Errorf("first message to the successor: %+v", first)
 	}
 	if !oldProcess.HasSuccessor() || newProcess.HasSuccessor() {
-		t.Error("only the old process has a successor")
+		t.Error("want a successor of the old process only")
 	}
 	exchangeMessages(t, oldProcess, newProcess)
 	oldProcess.Close()
@@ -65,7 +65,7 @@
 	third.Close()
 	<-newProcess.disconnected
 	if newProcess.HasSuccessor() {
-		t.Error("a successor that died still counts")
+		t.Error("the second process still has a successor after the third ended")
 	}
 }
 
@@ -73,7 +73,7 @@
 	t.Helper()
 	oldProcess.Send(StateMessage{EndedRequests: []string{"a"}})
 	if message := <-newProcess.received; message.EndedRequests[0] != "a" {
-		t.Errorf("%+v", message)
+		t.Errorf("message from the old process: %+v", message)
 	}
 	newProcess.Send(StateMessage{PeerOrdinal: 2, PeerMessage: []byte{0, 255}})
 	for message := range oldProcess.received {
@@ -81,13 +81,13 @@
 			continue
 		}
 		if message.PeerOrdinal != 2 || string(message.PeerMessage) != "\x00\xff" {
-			t.Errorf("%+v", message)
+			t.Errorf("message from the new process: %+v", message)
 		}
 		return
 	}
 }
 
-// Where there is no directory for the socket the error says so, and nothing else is harmed.
+// Open returns an error if the directory of the socket does not exist.
 func TestOpenWithoutDirectory(t *testing.T) {
 	if _, _, err := Open(filepath.Join(t.TempDir(), "none", "x.sock"), Callbacks{}); err == nil {
 		t.Error("no error")
--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -1,17 +1,17 @@
 // Package handover lets a new process of a broker take over from the old one while both run.
 //
-// The two processes listen at the same addresses (SO_REUSEPORT) and meet over a Unix socket in $TMPDIR. There they
-// share what the rules ask of them as one broker: the endpoint list, the ids of open requests, and the datagrams of
-// peers, each of which reaches only one of the two. On SIGTERM the old process has the kernel give all new
-// connections to the new one.
+// Both processes listen at the same addresses (SO_REUSEPORT) and connect over a Unix socket in $TMPDIR. Over it they
+// share the state that they need to act as one broker: the endpoint list, the ids of open requests, and the datagrams
+// of peers, each of which reaches only one of the two processes. On SIGTERM the old process makes the kernel direct
+// all new connections to the new process.
 //
-// State: a Coordinator owns the Unix socket and at most one connection, to the predecessor or to the successor.
-// Nothing survives a restart; the socket's file may stay behind and is replaced by the next process. A
-// PresenceWatcher answers a narrower question for processes that do not meet: does another one listen at the same
-// address?
+// If the processes cannot connect, a PresenceWatcher reports whether another process listens at the same address.
 //
-// Goroutines: Open starts them, Coordinator.Close ends them. The callbacks are called from one of them at a time.
+// State: a Coordinator owns the Unix socket and at most one connection, either to the predecessor or to the successor.
+// No state survives a restart. The socket's file may remain; the next process replaces the file.
 //
-// Messages are JSON objects, one a line; their keys stay the same between versions of the program, since during an
-// upgrade the two processes are of different versions.
+// Goroutines: Open starts them, and Coordinator.Close ends them. Callbacks are called by one goroutine at a time.
+//
+// Messages are JSON objects, one per line. Their keys stay the same in all versions of the program, since the two
+// processes are of different versions during an upgrade.
 package handover
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,7 +10,7 @@
 	"junctionwharf/scheduler"
 )
 
-// fullMessage has every field set.
+// fullMessage has a value in every field.
 var fullMessage = StateMessage{
 	Endpoints: &discovery.EndpointList{Version: 7, Full: true, Endpoints: []discovery.Endpoint{
 		{
@@ -32,19 +32,19 @@
 	PeerMessage:    []byte{0, 1, 254, 255},
 }
 
-// During an upgrade the two processes are of different versions: the message has the same bytes in both.
+// During an upgrade the two processes are of different versions. A message must have the same bytes in each version.
 func TestMessageBytes(t *testing.T) {
 	var decoded StateMessage
 	golden.CheckJSON(t, "message.json", fullMessage, &decoded, "\n")
 	if !reflect.DeepEqual(decoded, fullMessage) {
-		t.Errorf("decoded: %+v", decoded)
+		t.Errorf("decoded message: %+v", decoded)
 	}
 }
 
-// A field without a value is left out of the message.
+// Fields without a value must not appear in a message.
 func TestEmptyMessageBytes(t *testing.T) {
 	text, err := json.Marshal(StateMessage{})
 	if err != nil || string(text) != "{}" {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("empty message: %s, %v", text, err)
 	}
 }
--- a/internal/handover/listen_linux.go
+++ b/internal/handover/listen_linux.go
@@ -11,21 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// successorIndex is the place of a successor's listener among two: the kernel keeps them in the order in which they
-// came. Once the first is closed there is no second, and the kernel goes back to its own choice.
+// successorIndex is the index of the successor's listener among the two listeners, which the kernel orders by when they
+// were opened. Once the first is closed, no listener has the index, and the kernel chooses a listener by itself.
 const successorIndex = 1
 
-// errNoSocketAccess is of a listener that does not give access to its socket.
-var errNoSocketAccess = errors.New("no access to the listener's socket")
+// errNoSocketAccess is returned for a listener or connection that does not give access to its socket.
+var errNoSocketAccess = errors.New("socket is not accessible")
 
-// listenShared listens at an address that another process of this user may share.
+// listenShared listens at an address that another process of the same user may listen at too.
 var listenShared = net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 	return withSocket(raw, func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 }}
 
-// withSocket calls set with a connection's file descriptor.
+// withSocket calls set with the file descriptor of raw and returns the error of either call.
 func withSocket(raw syscall.RawConn, set func(fd int) error) error {
 	var setError error
 	if err := raw.Control(func(fd uintptr) { setError = set(int(fd)) }); err != nil {
@@ -34,30 +34,30 @@
 	return setError
 }
 
-// Listen listens for connections at an address that another process of this user may share. Multipath TCP, which Go
-// listens for by default, would not let RedirectNewConnections choose.
+// Listen listens for TCP connections at an address that another process of the same user may listen at too. It turns
+// off Multipath TCP, Go's default, with which RedirectNewConnections does not work.
 func Listen(address string) (net.Listener, error) {
 	config := listenShared
 	config.SetMultipathTCP(false)
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// ListenPacket listens for datagrams in the same way.
+// ListenPacket listens for datagrams at an address that another process of the same user may listen at too.
 func ListenPacket(address string) (*net.UDPConn, error) {
 	conn, err := listenShared.ListenPacket(context.Background(), "udp", address)
 	if err != nil {
 		return nil, err
 	}
 	udp, isUDP := conn.(*net.UDPConn)
-	if !isUDP { // the network "udp" has no other type
+	if !isUDP { // unexpected: the network "udp" has no other type
 		_ = conn.Close()
 		return nil, fmt.Errorf("%s: %w", address, errNoSocketAccess)
 	}
 	return udp, nil
 }
 
-// RedirectNewConnections has the kernel give all new connections to the successor's listener. What waits in the queue
-// of this listener stays there.
+// RedirectNewConnections makes the kernel direct all new connections to the successor's listener. Connections that are
+// already queued at this listener stay there.
 func RedirectNewConnections(listener net.Listener) error {
 	conn, hasSocket := listener.(syscall.Conn)
 	if !hasSocket {
@@ -74,8 +74,9 @@
 	})
 }
 
-// AddressInUse reports whether another process listens at an address, which this one does not yet, or that cannot be
-// known. It only binds and does not listen: no client reaches it.
+// AddressInUse reports whether another process listens at an address. It must be called before this process listens
+// there. It returns true if the answer cannot be determined. It binds a socket but does not listen, so no client can
+// connect to the socket.
 func AddressInUse(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -86,14 +87,14 @@
 	if err != nil {
 		return true
 	}
-	defer func() { _ = unix.Close(fd) }() // it was never connected
-	// Connections that ended a moment ago do not count. If the option fails they do, and the caller is only more
-	// careful.
+	defer func() { _ = unix.Close(fd) }() // the socket was never connected
+	// With this option, connections that ended recently do not keep the address in use. If setting it fails, the
+	// result may be true although no process listens, which is the safe side.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	return unix.Bind(fd, target) != nil
 }
 
-// socketAddress is an address for system calls, with its family.
+// socketAddress converts an address to the arguments of system calls.
 func socketAddress(address netip.AddrPort) (family int, target unix.Sockaddr) {
 	port := int(address.Port())
 	if address.Addr().Is4() {
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// dialTest connects to an address.
+// dialTest connects to an address with a deadline.
 func dialTest(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -21,7 +21,7 @@
 	return conn
 }
 
-// dialMany connects several times.
+// dialMany opens count connections.
 func dialMany(t *testing.T, address string, count int) []net.Conn {
 	t.Helper()
 	var conns []net.Conn
@@ -31,7 +31,7 @@
 	return conns
 }
 
-// answerAll accepts so many connections and answers each with a word.
+// answerAll accepts count connections, writes word to each, and closes them.
 func answerAll(t *testing.T, listener net.Listener, word string, count int) {
 	t.Helper()
 	for range count {
@@ -46,19 +46,19 @@
 	}
 }
 
-// checkAnswers reads a word from each connection.
+// checkAnswers reads each connection to its end and checks the answer.
 func checkAnswers(t *testing.T, what string, conns []net.Conn, want string) {
 	t.Helper()
 	for _, conn := range conns {
 		if got, err := io.ReadAll(conn); string(got) != want {
-			t.Errorf("%s: %q, %v", what, got, err)
+			t.Errorf("%s: answer %q, %v", what, got, err)
 		}
 	}
 }
 
-// Eight connections wait in the queue of the old process's listener when it redirects new ones to its successor. The
-// eight are still accepted by the old process; all later ones reach the successor, also once the old listener is
-// closed.
+// Eight connections are queued at the old process's listener when the process redirects new connections to its
+// successor. The old process still accepts these eight. All later connections reach the successor, also after the old
+// listener is closed.
 func TestRedirectNewConnections(t *testing.T) {
 	oldListener, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -81,6 +81,6 @@
 	_ = oldListener.Close()
 	late := dialMany(t, address, 2)
 	answerAll(t, newListener, "new", len(late))
-	checkAnswers(t, "in the old queue", queued, "old")
-	checkAnswers(t, "redirected", append(redirected, late...), "new")
+	checkAnswers(t, "connections queued at the old listener", queued, "old")
+	checkAnswers(t, "redirected connections", append(redirected, late...), "new")
 }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -2,11 +2,11 @@
 
 import "junctionwharf/internal/discovery"
 
-// StateMessage is what one process sends the other. Each field that is set counts.
+// StateMessage is a message from one process of a broker to the other. Unset fields are ignored.
 type StateMessage struct {
-	Endpoints      *discovery.EndpointList `json:"List,omitempty"`   // the full list that the sender holds
-	OpenedRequests []string                `json:"Opened,omitempty"` // ids of requests that were accepted
+	Endpoints      *discovery.EndpointList `json:"List,omitempty"`   // the sender's full list
+	OpenedRequests []string                `json:"Opened,omitempty"` // ids of accepted requests
 	EndedRequests  []string                `json:"Ended,omitempty"`  // ids of requests that have their final answer
 	PeerOrdinal    int                     `json:"From,omitempty"`   // the peer broker that sent PeerMessage
-	PeerMessage    []byte                  `json:"Heard,omitempty"`  // a peer's datagram, which reached the sender only
+	PeerMessage    []byte                  `json:"Heard,omitempty"`  // a peer's datagram, received only by the sender
 }
--- a/internal/handover/presence.go
+++ b/internal/handover/presence.go
@@ -15,48 +15,50 @@
 )
 
 const (
-	// checkInterval is the time between two looks at the system's list of sockets. Higher, two processes that do not
-	// know of each other both use a whole limit for longer; lower, reading the list costs processor time.
+	// checkInterval is the time between two reads of the system's list of sockets. With a larger value, two processes
+	// that are not connected both use a whole limit for longer. With a smaller value, reading the list costs more
+	// processor time.
 	checkInterval = 50 * time.Millisecond
-	// absentAfter is how long no other listener may be seen before the other process counts as ended: a process
-	// closes its listener first and sends for a while after that. Lower, the two exceed a limit together; higher, the
-	// survivor keeps to half of the limit for longer.
+	// absentAfter is the time without another listener after which the other process counts as ended, since a process
+	// closes its listener first and continues to send requests for a while. With a smaller value, the two processes
+	// exceed a limit together. With a larger value, the remaining process uses only half of the limit for longer.
 	absentAfter = 500 * time.Millisecond
-	// socketListPath lists all listening sockets of IPv4 first, as the kernel's documentation says.
+	// socketListPath is the kernel's list of TCP sockets over IPv4. According to the kernel's documentation, listening
+	// sockets come first.
 	socketListPath = "/proc/net/tcp"
-	// stateListen is the state of a listening socket in that list.
+	// stateListen is the state of a listening socket in the list.
 	stateListen = "0A"
 )
 
-// errNotIPv4 is of an address that the list of sockets cannot show.
+// errNotIPv4 is returned for an address that cannot be in the list of sockets.
 var errNotIPv4 = errors.New("not an IPv4 address and port")
 
-// Presence is whether another process listens at the same address.
+// Presence says whether another process listens at the same address.
 type Presence int
 
-// What may be known of it.
+// The values of Presence.
 const (
 	Unknown Presence = iota // the system's list cannot be read, or lacks this process's own listener
-	Present                 // another process is there, or was a moment ago
-	Absent
+	Present                 // another process listens, or may have listened within the last absentAfter
+	Absent                  // no other process listens
 )
 
-// PresenceWatcher reports, as far as the system's list of sockets shows, whether this process is the only one that
-// listens at an address. It needs no message from the other process, nor its good will: one that hangs still has its
-// listener. It is not safe for concurrent use.
+// PresenceWatcher reports whether another process listens at an address, according to the system's list of sockets. It
+// does not depend on messages from the other process, so it also detects a process that hangs. It is not safe for
+// concurrent use.
 type PresenceWatcher struct {
 	address  string
 	openList func() (io.ReadCloser, error)
-	lastSeen time.Time // when another listener was last seen; at first the time of the first look
+	lastSeen time.Time // when another listener was last seen; initially the time of the first check
 }
 
-// NewPresenceWatcher watches an address that this process listens at.
+// NewPresenceWatcher returns a watcher for an address at which this process listens.
 func NewPresenceWatcher(address string) *PresenceWatcher {
 	openList := func() (io.ReadCloser, error) { return os.Open(socketListPath) }
 	return &PresenceWatcher{address: address, openList: openList}
 }
 
-// Check tells what is known now.
+// Check reads the list of sockets and returns the result at the time now.
 func (w *PresenceWatcher) Check(now time.Time) Presence {
 	count, err := w.countListeners()
 	if err != nil || count == 0 {
@@ -77,12 +79,12 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = list.Close() }() // it was only read
+	defer func() { _ = list.Close() }() // the list was only read
 	return listenersAt(list, w.address)
 }
 
-// Run checks while enabled says so, and notifies of each change until ctx ends. Before its first notification nothing
-// is known.
+// Run checks periodically while enabled returns true, and calls notify on each change of the result, until ctx ends.
+// Before the first call of notify the result is Unknown.
 func (w *PresenceWatcher) Run(ctx context.Context, enabled func() bool, notify func(Presence)) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -125,7 +127,7 @@
 	return count, lines.Err()
 }
 
-// kernelAddress writes an address as the kernel's list does: in hexadecimal, the IP address in the machine's byte
+// kernelAddress formats an address as the kernel's list does: in hexadecimal, with the IP address in the machine's byte
 // order.
 func kernelAddress(address string) (string, error) {
 	parsed, err := netip.ParseAddrPort(address)
@@ -142,7 +144,7 @@
 	state string // in hexadecimal
 }
 
-// parseSocket reads a row of the kernel's list; false for the heading.
+// parseSocket parses a row of the kernel's list. It returns false for the heading.
 func parseSocket(line string) (listedSocket, bool) {
 	const (
 		slotField  = 0 // a number and a colon
--- a/internal/handover/presence_test.go
+++ b/internal/handover/presence_test.go
@@ -21,7 +21,7 @@
 	return "   0: " + address + " 00000000:0000 " + state + " 00000000:00000000 00:00000000 00000000 0 0 1127 1\n"
 }
 
-// scriptedList is a list of sockets that a test sets.
+// scriptedList is a fake list of sockets.
 type scriptedList struct {
 	rows string
 	err  error
@@ -34,8 +34,8 @@
 	return io.NopCloser(strings.NewReader(listHeading + l.rows)), nil
 }
 
-// A process started beside another one, and later a third starts and ends. Each time the process is alone only once
-// the other's listener has been gone for absentAfter.
+// At the start, and again after another process has started and ended, the other process counts as absent only once
+// no other listener has been seen for absentAfter.
 func TestPresenceOfOtherProcess(t *testing.T) {
 	var list scriptedList
 	watcher := NewPresenceWatcher(testAddress)
@@ -50,14 +50,14 @@
 		rows  string
 		want  Presence
 	}{
-		{"at the start", 0, own + other + client + own, Present}, // rows behind a connection are not listeners
-		{"too soon", absentAfter - 1, own + other + client + own, Present},
-		{"in time", 1, own + other + client + own, Absent},
-		{"with another", 0, own + own + other, Present},
-		{"still with another", absentAfter, own + own + other, Present},
-		{"as it goes", 0, own, Present},
-		{"soon after it went", absentAfter - 1, own, Present},
-		{"after it went", 1, own, Absent},
+		{"at the start", 0, own + other + client + own, Present}, // rows after a connection are not listeners
+		{"before absentAfter", absentAfter - 1, own + other + client + own, Present},
+		{"after absentAfter", 1, own + other + client + own, Absent},
+		{"with another listener", 0, own + own + other, Present},
+		{"still with another listener", absentAfter, own + own + other, Present},
+		{"when the listener closed", 0, own, Present},
+		{"before absentAfter since the close", absentAfter - 1, own, Present},
+		{"after absentAfter since the close", 1, own, Absent},
 	} {
 		now = now.Add(step.after)
 		list.rows = step.rows
@@ -67,7 +67,7 @@
 	}
 }
 
-// Nothing is known without a list that shows this process's own listener, also where it was known to be alone before.
+// The result is Unknown if there is no list that contains this process's own listener, even after it was Absent.
 func TestPresenceUnknown(t *testing.T) {
 	var list scriptedList
 	watcher := NewPresenceWatcher(testAddress)
@@ -77,14 +77,14 @@
 	watcher.Check(now)
 	now = now.Add(absentAfter)
 	if got := watcher.Check(now); got != Absent {
-		t.Fatalf("alone: %v, want absent", got)
+		t.Fatalf("without another listener: %v, want absent", got)
 	}
 	for _, step := range []struct {
 		name string
 		list scriptedList
 	}{
-		{"only another's listener", scriptedList{rows: socketRow(otherKernel, stateListen)}},
-		{"an empty list", scriptedList{}},
+		{"only another address", scriptedList{rows: socketRow(otherKernel, stateListen)}},
+		{"empty list", scriptedList{}},
 		{"no list", scriptedList{rows: socketRow(testKernel, stateListen), err: errors.New("no such file")}},
 	} {
 		list = step.list
@@ -94,21 +94,21 @@
 	}
 	for _, address := range []string{"[::1]:6379", "here"} {
 		if got := NewPresenceWatcher(address).Check(now); got != Unknown {
-			t.Errorf("%s, which the list does not show: %v, want unknown", address, got)
+			t.Errorf("address %s, which cannot be in the list: %v, want unknown", address, got)
 		}
 	}
 }
 
-// An address that the list cannot show is a typed error.
+// listenersAt returns errNotIPv4 for an address that cannot be in the list.
 func TestListenersAtOtherAddress(t *testing.T) {
 	for _, address := range []string{"[::1]:6379", "here"} {
 		if _, err := listenersAt(strings.NewReader(""), address); !errors.Is(err, errNotIPv4) {
-			t.Errorf("%s: %v", address, err)
+			t.Errorf("address %s: error %v", address, err)
 		}
 	}
 }
 
-// countOwnList counts listeners in the system's own list.
+// countOwnList counts the listeners at an address in the system's list.
 func countOwnList(t *testing.T, address string) int {
 	t.Helper()
 	count, err := NewPresenceWatcher(address).countListeners()
@@ -118,7 +118,7 @@
 	return count
 }
 
-// The system's own list shows listeners that share an address.
+// The system's list contains all listeners that share an address.
 func TestSystemListShowsListeners(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -127,24 +127,24 @@
 	defer func() { _ = first.Close() }()
 	address := first.Addr().String()
 	if n := countOwnList(t, address); n != 1 {
-		t.Errorf("%d listeners, want one", n)
+		t.Errorf("%d listeners, want 1", n)
 	}
 	if !AddressInUse(address) {
-		t.Error("an address at which somebody listens is free")
+		t.Error("an address with a listener is reported as free")
 	}
 	second, err := Listen(address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := countOwnList(t, address); n != 2 {
-		t.Errorf("%d listeners, want two", n)
+		t.Errorf("%d listeners, want 2", n)
 	}
 	_ = second.Close()
 	if n := countOwnList(t, address); n != 1 {
-		t.Errorf("%d listeners after one closed", n)
+		t.Errorf("%d listeners after one closed, want 1", n)
 	}
 	_ = first.Close()
 	if AddressInUse(address) {
-		t.Error("an address at which nobody listens is in use")
+		t.Error("an address without a listener is reported as in use")
 	}
 }
