--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// dialTimeout bounds the connection to a console, which is on this machine or near it. Higher, a command takes longer
-// to say that no broker runs; lower, it says so of a busy one.
+// dialTimeout bounds the time to connect to a console, which is on the same machine or near it. With a larger value, a
+// command takes longer to report that no broker is running. With a smaller value, it reports this although a broker is
+// running but busy.
 const dialTimeout = time.Second
 
-// Call makes a call at a console and returns the whole answer, within a timeout.
+// Call makes a call to the console at address and returns the whole answer. The timeout bounds the time from the
+// connection to the end of the answer.
 func Call(address, call string, timeout time.Duration) ([]byte, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // the answer has come, or an error says why not
+	defer func() { _ = conn.Close() }() // the answer is complete, or an error is returned
 	setDeadline(conn, timeout)
 	if _, err := io.WriteString(conn, call+"\n"); err != nil {
 		return nil, fmt.Errorf("console: %w", err)
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -24,7 +24,7 @@
 	return s
 }
 
-// dialAndSend connects and sends a text, which may be less than a call.
+// dialAndSend connects and sends a text, which may be an incomplete call.
 func dialAndSend(t *testing.T, s *Server, text string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.listener.Addr().String())
@@ -45,12 +45,12 @@
 	t.Helper()
 	answer, err := io.ReadAll(dialAndSend(t, s, text))
 	if err != nil {
-		t.Errorf("%q: %v", text, err)
+		t.Errorf("call %q: %v", text, err)
 	}
 	return string(answer)
 }
 
-// Each connection carries one line and gets one answer, whatever the line.
+// Each connection sends one line, valid or not, and receives exactly one answer.
 func TestEachLineGetsOneAnswer(t *testing.T) {
 	var accepting atomic.Bool
 	s := startServer(t, Handlers{
@@ -63,7 +63,7 @@
 		Vars: func() []byte { return []byte("edge_balancer.inflight:2|g\n") },
 	})
 	if got := answerTo(t, s, "check\n"); got != "FAILURE starting\n" {
-		t.Errorf("%q", got)
+		t.Errorf("check before clients are accepted: %q", got)
 	}
 	accepting.Store(true)
 	for _, c := range []struct{ call, want string }{
@@ -75,12 +75,12 @@
 		{strings.Repeat("x", maxLineBytes), "FAILURE the line is too long\n"},
 	} {
 		if got := answerTo(t, s, c.call); got != c.want {
-			t.Errorf("%q: %q, want %q", c.call, got, c.want)
+			t.Errorf("call %q: answer %q, want %q", c.call, got, c.want)
 		}
 	}
 }
 
-// An agree call may be longer than others, up to a bound; its answer is that of the replicated configuration.
+// An agree call may be longer than other calls, up to maxAgreementLineBytes. The Agree handler answers it.
 func TestLongAgreeCall(t *testing.T) {
 	s := startServer(t, Handlers{
 		Check: func() error { return nil },
@@ -88,17 +88,17 @@
 	})
 	proposal := "propose " + strings.Repeat("x", 10*maxLineBytes)
 	if got := answerTo(t, s, "agree "+proposal+"\n"); got != proposal+"\nEOT\n" {
-		t.Errorf("%d bytes, want %d", len(got), len(proposal)+len("\nEOT\n"))
+		t.Errorf("answer to a long agree call: %d bytes, want %d", len(got), len(proposal)+len("\nEOT\n"))
 	}
-	// Without an end of the line, so that the server has read all of it: unread bytes would reset the connection.
+	// The call has no line end, so that the server reads all of it: unread bytes would reset the connection.
 	tooLong := "agree " + strings.Repeat("x", maxAgreementLineBytes-len("agree "))
 	if got := answerTo(t, s, tooLong); got != "FAILURE the line is too long\n" {
-		t.Errorf("%q", got)
+		t.Errorf("answer to a call that is too long: %q", got)
 	}
 }
 
-// Callers hold more connections than the server keeps, without a whole call, and one call panics. The oldest
-// connections are closed, and a whole call is answered all the same.
+// Clients open more connections than the server keeps and send incomplete calls. The handler of one more call panics.
+// The server closes the oldest connections and still answers a complete call.
 func TestHeldConnectionsAreEvicted(t *testing.T) {
 	s := startServer(t, Handlers{Check: func() error { return nil }, Vars: func() []byte { panic("fault") }})
 	var held []net.Conn
@@ -106,17 +106,17 @@
 		held = append(held, dialAndSend(t, s, "che"))
 	}
 	if got := answerTo(t, s, "vars\n"); got != "" {
-		t.Errorf("%q", got)
+		t.Errorf("answer of a handler that panics: %q", got)
 	}
 	if got := answerTo(t, s, "check\n"); got != "SUCCESS\n" {
-		t.Errorf("%q", got)
+		t.Errorf("answer to check: %q", got)
 	}
 	if _, err := held[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the oldest: %v", err)
+		t.Errorf("read from the oldest connection: %v", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.open) > maxConnections {
-		t.Errorf("%d are held", len(s.open))
+		t.Errorf("%d connections are open, want at most %d", len(s.open), maxConnections)
 	}
 }
--- a/internal/console/handlers.go
+++ b/internal/console/handlers.go
@@ -1,6 +1,6 @@
 package console
 
-// The words that answers begin or end with, and the calls. Operators' programs and ONCALL.md know them.
+// Words that begin or end answers, and names of calls. Operators' programs and ONCALL.md use them.
 const (
 	success = "SUCCESS"
 	failure = "FAILURE"
@@ -12,15 +12,15 @@
 	agreementPrefix = "agree "
 )
 
-// Handlers are the functions behind the calls. Those but Agree must not block.
+// Handlers are the functions that answer the calls. Only Agree may block.
 type Handlers struct {
-	Check func() error             // nil if clients are accepted
-	Vars  func() []byte            // the figures, in lines
-	Nodes func() []byte            // the storage nodes and the sources of their list, in lines; nil for no such call
-	Agree func(call string) []byte // agree calls, which may take AgreementTimeout; nil for no such call
+	Check func() error             // returns nil if clients are accepted
+	Vars  func() []byte            // returns the metrics, one per line
+	Nodes func() []byte            // returns the storage nodes and the sources of their list; nil if unsupported
+	Agree func(call string) []byte // answers an agree call, within AgreementTimeout; nil if unsupported
 }
 
-// answer is the whole answer to a call; readError is of one that is incomplete.
+// answer returns the whole answer to a call other than agree. readError is not nil if the line was too long.
 func (h Handlers) answer(call string, readError error) []byte {
 	switch {
 	case readError != nil:
@@ -42,7 +42,7 @@
 	return []byte(failure + " " + reason + "\n")
 }
 
-// withEnd adds the line that ends an answer of several lines.
+// withEnd appends the line that ends an answer of several lines.
 func withEnd(lines []byte) []byte {
 	return append(lines, end+"\n"...)
 }
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -14,30 +14,33 @@
 )
 
 const (
-	// maxConnections bounds the connections without an answer; beyond it the oldest is closed. Higher, forgotten
-	// sessions take more of the process's sockets; lower, two operators at once close each other's connections.
+	// maxConnections bounds the connections without an answer; beyond it the oldest is closed. With a larger value,
+	// forgotten sessions use more of the process's sockets. With a smaller value, two operators who work at the same
+	// time close each other's connections.
 	maxConnections = 8
-	// maxLineBytes bounds a call. Higher, each connection takes more memory; lower, a call with arguments does not fit.
+	// maxLineBytes is the maximum length of a call in bytes. With a larger value, each connection uses more memory.
+	// With a smaller value, a call with arguments does not fit.
 	maxLineBytes = 256
-	// maxAgreementLineBytes bounds an agree call, whose proposal is JSON. Higher, eight connections take more memory
-	// than a small machine spares; lower, a large change must be proposed in parts.
+	// maxAgreementLineBytes is the maximum length in bytes of an agree call, whose proposal is JSON. With a larger
+	// value, eight connections use more memory than a small machine can spare. With a smaller value, a large change
+	// must be proposed in several parts.
 	maxAgreementLineBytes = 256 << 10
-	// AgreementTimeout bounds the answer to an agree call: it waits for the leader and for the brokers that take
-	// part. Lower, an operator learns nothing about a change that then comes into force; higher, an outage is seen
-	// later.
+	// AgreementTimeout bounds the time to answer an agree call, which waits for the leader and for the participating
+	// brokers. With a smaller value, an operator gets no result for a change that becomes active later. With a larger
+	// value, an operator notices an outage later.
 	AgreementTimeout = 8 * time.Second
-	// callTimeout bounds the arrival of a call. Lower, an operator who types by hand is cut off; higher, idle
-	// connections are kept for longer.
+	// callTimeout bounds the time until a call is complete. With a smaller value, an operator who types by hand is
+	// disconnected. With a larger value, idle connections stay open for longer.
 	callTimeout = 6 * time.Second
-	// answerTimeout bounds the writing of an answer. Higher, a client that does not read keeps a connection for longer;
-	// lower, a long answer over a slow link is cut.
+	// answerTimeout bounds the time to write an answer. With a larger value, a client that does not read occupies a
+	// connection for longer. With a smaller value, a long answer over a slow link is truncated.
 	answerTimeout = time.Second
-	// acceptRetryDelay is the pause after a failed accept, such as for want of file descriptors. Higher, operators
-	// wait; lower, the loop takes processor time from requests.
+	// acceptRetryDelay is the pause after a failed accept, for example if there are no file descriptors left. With a
+	// larger value, operators wait longer. With a smaller value, the loop uses processor time that requests need.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Server answers calls.
+// Server is the admin server of a broker.
 type Server struct {
 	handlers Handlers
 	log      *slog.Logger
@@ -47,7 +50,7 @@
 	open []net.Conn // connections whose call is not answered yet, the oldest first
 }
 
-// Listen opens a server at an address. Close ends it.
+// Listen opens a server at an address. The caller must run Serve and Close.
 func Listen(address string, handlers Handlers, log *slog.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -56,12 +59,12 @@
 	return &Server{handlers: handlers, log: log, listener: listener}, nil
 }
 
-// Close ends Serve.
+// Close closes the listener, which ends Serve.
 func (s *Server) Close() error {
 	return s.listener.Close()
 }
 
-// Serve answers calls until Close.
+// Serve accepts connections and answers their calls until Close is called.
 func (s *Server) Serve() {
 	for {
 		conn, err := s.listener.Accept()
@@ -78,8 +81,8 @@
 	}
 }
 
-// accept registers a connection. It guards callers with a whole line against those that hold connections without one,
-// which would otherwise lock operators out: the oldest of these is closed.
+// accept registers a connection. If there are already maxConnections without an answer, it closes the oldest one:
+// otherwise connections that never send a whole call would lock operators out.
 func (s *Server) accept(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +93,7 @@
 	s.open = append(s.open, conn)
 }
 
-// release forgets a connection.
+// release removes a connection from the list of those without an answer.
 func (s *Server) release(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,9 +102,9 @@
 	}
 }
 
-// serve reads a call and writes its answer. A panic in one call ends its connection only.
+// serve reads a call and writes its answer. A panic in a handler closes only this connection.
 func (s *Server) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the client has the whole answer, or gave up
+	defer func() { _ = conn.Close() }() // the answer is complete, or the client cannot receive it
 	defer s.release(conn)
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -116,19 +119,21 @@
 	arguments, isAgreement := strings.CutPrefix(call, agreementPrefix)
 	if isAgreement && s.handlers.Agree != nil && err == nil {
 		setDeadline(conn, AgreementTimeout)
-		_, _ = conn.Write(withEnd(s.handlers.Agree(arguments))) // who asked may be gone
+		_, _ = conn.Write(withEnd(s.handlers.Agree(arguments))) // the client may have disconnected
 		return
 	}
 	setDeadline(conn, answerTimeout)
-	_, _ = conn.Write(s.handlers.answer(call, err)) // who asked may be gone
+	_, _ = conn.Write(s.handlers.answer(call, err)) // the client may have disconnected
 }
 
-// setDeadline bounds the next reads and writes. It fails only on a closed connection, as these then do.
+// setDeadline bounds the time of further reads and writes. It fails only on a closed connection, on which they
+// fail too.
 func setDeadline(conn net.Conn, timeout time.Duration) {
 	_ = conn.SetDeadline(time.Now().Add(timeout))
 }
 
-// readCall reads a line; bufio.ErrBufferFull is of one that is too long.
+// readCall reads a line and returns it without surrounding white space. It returns bufio.ErrBufferFull if the line is
+// too long.
 func (s *Server) readCall(conn net.Conn) (string, error) {
 	reader := bufio.NewReaderSize(conn, maxLineBytes)
 	line, err := reader.ReadSlice('\n')
@@ -139,7 +144,8 @@
 	return strings.TrimSpace(string(line)), err
 }
 
-// readLongLine reads the rest of a line whose beginning has come.
+// readLongLine reads the rest of a line that begins with the given bytes. It returns bufio.ErrBufferFull if the line is
+// longer than maxAgreementLineBytes.
 func readLongLine(reader *bufio.Reader, line []byte) ([]byte, error) {
 	for len(line) < maxAgreementLineBytes {
 		part, err := reader.ReadSlice('\n')
