--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -14,7 +14,7 @@
 	"junctionwharf/internal/agreement"
 )
 
-// The names of flags.
+// Names of flags.
 const (
 	jsonFlag     = "json"
 	authorFlag   = "author"
@@ -23,23 +23,23 @@
 )
 
 var (
-	errNoChange  = errors.New("no KEY=VALUE")
-	errNoVersion = errors.New("one VERSION is wanted")
+	errNoChange  = errors.New("no change given: expected KEY=VALUE arguments")
+	errNoVersion = errors.New("expected one argument, VERSION")
 )
 
-// agreeUsage is the help of the agree commands.
+// agreeUsage is the help text of the agree command.
 const agreeUsage = "see and change what the brokers have agreed on, over a running broker's console; " +
 	"exits with 3 if another version is in force, 4 if a proposal is faulty, 5 if no leader answers, " +
 	"6 if the end of a change is not known"
 
 func agreeCommand() *cli.Command {
 	changeFlags := []cli.Flag{
-		&cli.StringFlag{Name: authorFlag, Required: true, Usage: "who wants it"},
-		&cli.StringFlag{Name: reasonFlag, Required: true, Usage: "why"},
+		&cli.StringFlag{Name: authorFlag, Required: true, Usage: "author of the change"},
+		&cli.StringFlag{Name: reasonFlag, Required: true, Usage: "reason for the change"},
 	}
 	proposeFlags := append(changeFlags[:len(changeFlags):len(changeFlags)], &cli.UintFlag{
 		Name:  expectedFlag,
-		Usage: "the `VERSION` on which it builds; without it the one that this broker knows",
+		Usage: "the `VERSION` that the change is based on; default: the version that this broker knows",
 	})
 	return &cli.Command{
 		Name:  "agree",
@@ -90,15 +90,15 @@
 	}
 }
 
-// agreeSubcommand adds the flags that all of them have.
+// agreeSubcommand adds the flags that all agree subcommands have.
 func agreeSubcommand(cmd *cli.Command) *cli.Command {
-	common := []cli.Flag{&cli.BoolFlag{Name: jsonFlag, Usage: "print what the broker answered, as JSON"}}
+	common := []cli.Flag{&cli.BoolFlag{Name: jsonFlag, Usage: "print the broker's answer as JSON"}}
 	common = append(common, configFlags...)
 	cmd.Flags = append(common, cmd.Flags...)
 	return cmd
 }
 
-// showAnswer makes a call with the arguments and prints its answer.
+// showAnswer returns an action that makes a call with the command's arguments and prints the answer.
 func showAnswer(call string) cli.ActionFunc {
 	return func(_ context.Context, cmd *cli.Command) error {
 		arguments := strings.Join(cmd.Args().Slice(), " ")
@@ -135,7 +135,7 @@
 	return makeChange(cmd, proposeCall+" "+string(text))
 }
 
-// parseChanges reads KEY=VALUE arguments.
+// parseChanges parses KEY=VALUE arguments.
 func parseChanges(arguments []string) ([]clusterconfig.Change, error) {
 	if len(arguments) == 0 {
 		return nil, errNoChange
@@ -144,14 +144,14 @@
 	for _, argument := range arguments {
 		key, value, found := strings.Cut(argument, "=")
 		if !found {
-			return nil, fmt.Errorf("%q is no KEY=VALUE", argument)
+			return nil, fmt.Errorf("argument %q is not of the form KEY=VALUE", argument)
 		}
 		changes = append(changes, clusterconfig.Change{Key: key, Value: value})
 	}
 	return changes, nil
 }
 
-// expectedVersion is the version on which a proposal builds: the flag's, or else the one that the broker knows.
+// expectedVersion returns the version that a proposal is based on: the flag's, or by default the one the broker knows.
 func expectedVersion(cmd *cli.Command) (uint64, error) {
 	if cmd.IsSet(expectedFlag) {
 		return uint64(cmd.Uint(expectedFlag)), nil
@@ -171,12 +171,12 @@
 	if cmd.Args().Len() != 1 {
 		return errNoVersion
 	}
-	author := strings.ReplaceAll(cmd.String(authorFlag), " ", "_") // the call ends an author at a space
+	author := strings.ReplaceAll(cmd.String(authorFlag), " ", "_") // in a call the author ends at the first space
 	call := fmt.Sprintf("%s %s %s %s", rollbackCall, cmd.Args().First(), author, cmd.String(reasonFlag))
 	return makeChange(cmd, call)
 }
 
-// makeChange makes a call that changes the configuration, and says which version came into force.
+// makeChange makes a call that changes the configuration and prints the resulting version.
 func makeChange(cmd *cli.Command, call string) error {
 	answer, err := callAgree(cmd, call)
 	if err != nil {
--- a/cmd/junctionwharf/agree_call.go
+++ b/cmd/junctionwharf/agree_call.go
@@ -14,7 +14,7 @@
 	"junctionwharf/internal/console"
 )
 
-// The agree calls of the console.
+// Names of the console's agree calls.
 const (
 	statusCall   = "status"
 	membersCall  = "members"
@@ -25,31 +25,32 @@
 	rollbackCall = "rollback"
 )
 
-// answerEnd ends an answer that came whole.
+// answerEnd is the last line of a complete answer.
 const answerEnd = "EOT\n"
 
-// answerMargin is how long an answer may be on its way, beyond the console's own timeout.
+// answerMargin is the time to transfer an answer, in addition to the console's own timeout.
 const answerMargin = time.Second
 
-// exitCodes are those of refused calls, by the kind of the refusal; 1 is for everything else. Scripts of operators
-// know them.
+// exitCodes maps the kind of a refused call to the exit code of the command. All other failures exit with 1. Operators'
+// scripts depend on these codes.
 var exitCodes = map[string]int{
-	"expected": 3, // another version is in force
-	"invalid":  4, // the proposal is faulty
+	"expected": 3, // another version is active
+	"invalid":  4, // the proposal is invalid
 	"none":     5, // no leader answers
-	"unknown":  6, // whether the change is in force is not known
+	"unknown":  6, // it is unknown whether the change is active
 }
 
-// errNoConsole is of a configuration without a console.
+// errNoConsole is returned if the configuration has no console.
 var errNoConsole = errors.New("console: no address in the configuration")
 
-// refusal is the answer to a call that failed.
+// refusal is the console's JSON answer to a call that failed.
 type refusal struct {
 	Error string `json:"error"`
 	Kind  string `json:"kind"`
 }
 
-// callAgree makes an agree call at the console and returns its answer; a refusal is an error with its exit code.
+// callAgree makes an agree call at the console and returns the answer. For a refused call it returns an error with an
+// exit code.
 func callAgree(cmd *cli.Command, call string) ([]byte, error) {
 	c, err := loadConfig(cmd)
 	if err != nil {
@@ -71,7 +72,7 @@
 		return answer, nil
 	}
 	if cmd.Bool(jsonFlag) {
-		_, _ = os.Stdout.Write(answer) // the exit code says the same
+		_, _ = os.Stdout.Write(answer) // on a write error the exit code still reports the refusal
 	}
 	code, known := exitCodes[refused.Kind]
 	if !known {
--- a/cmd/junctionwharf/agree_print.go
+++ b/cmd/junctionwharf/agree_print.go
@@ -12,13 +12,13 @@
 	"junctionwharf/internal/agreement"
 )
 
-// maxPrintedChanges is how many changes of a version the history shows.
+// maxPrintedChanges is the maximum number of changes per version that the history shows.
 const maxPrintedChanges = 4
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// printAgree prints an answer for people.
+// printAgree prints an answer in readable form: as a table, or as indented JSON.
 func printAgree(w io.Writer, call string, answer []byte) error {
 	switch call {
 	case historyCall:
@@ -36,7 +36,7 @@
 	return err
 }
 
-// printTable prints rows whose cells end with tabs.
+// printTable prints rows whose cells are separated by tabs.
 func printTable(w io.Writer, rows []string) error {
 	table := tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)
 	for _, row := range rows {
@@ -61,7 +61,7 @@
 	return printTable(w, rows)
 }
 
-// summarize words the first changes of a version.
+// summarize formats the first changes of a version.
 func summarize(changes []clusterconfig.Change) string {
 	var words []string
 	for _, c := range changes {
--- a/cmd/junctionwharf/agree_print_test.go
+++ b/cmd/junctionwharf/agree_print_test.go
@@ -9,7 +9,7 @@
 	"junctionwharf/internal/golden"
 )
 
-// Operators read the answers of the agree calls as tables: they stay as they are.
+// Operators read the answers to the agree calls as tables, whose text must not change.
 func TestPrintAnswers(t *testing.T) {
 	for _, c := range []struct{ call, answer string }{
 		{"status", "status"},
@@ -31,11 +31,11 @@
 	}
 }
 
-// An answer that is not JSON is an error, not an empty table.
+// An answer that is not valid JSON must give an error, not an empty table.
 func TestPrintFaultyAnswer(t *testing.T) {
 	for _, call := range []string{"status", "members", "history", "diff", "export"} {
 		if err := printAgree(&bytes.Buffer{}, call, []byte("{")); err == nil {
-			t.Errorf("%s: no error", call)
+			t.Errorf("%s: no error for an answer that is not JSON", call)
 		}
 	}
 }
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -1,7 +1,7 @@
-// Command junctionwharf is the broker: it serves clients in front of storage nodes, and has commands for operators.
+// Command junctionwharf is the broker: it serves clients in front of storage nodes. It also has commands for operators.
 //
-// It only reads flags and the configuration, and prints; package daemon runs the broker. Exit codes: 0, 1 for a
-// failure, and those of the agree commands (exitCodes).
+// The command only reads flags and the configuration, and prints results; package daemon runs the broker. The exit code
+// is 0 on success and 1 on failure; the agree commands have further codes (exitCodes).
 package main
 
 import (
@@ -20,10 +20,10 @@
 	"junctionwharf/internal/logging"
 )
 
-// version is set by the linker for a release.
+// version is the program's version. The linker sets it for a release.
 var version = "devel"
 
-// The names of flags.
+// Names of flags.
 const (
 	siteFlag      = "site"
 	handoverFlag  = "handover"
@@ -32,30 +32,30 @@
 	logLevelFlag  = "log-level"
 )
 
-// configFlags name the file of what is off on the platform.
+// configFlags select the site file, which enables features that are off on the platform.
 var configFlags = []cli.Flag{
 	&cli.StringFlag{
 		Name:  siteFlag,
-		Usage: "read the second front and the metrics from `FILE` (such as deploy/site.toml)",
+		Usage: "read the settings of SFTP, metrics export and other options from `FILE` (such as deploy/site.toml)",
 	},
 }
 
-// serveFlags turn off what a platform may not have.
+// serveFlags turn off features that a platform may not support.
 var serveFlags = []cli.Flag{
 	&cli.BoolFlag{
 		Name:  handoverFlag,
 		Value: true,
-		Usage: "meet a process that replaces this one over a Unix socket in $TMPDIR",
+		Usage: "hand over between the old and the new process of a broker over a Unix socket in $TMPDIR",
 	},
 }
 
 var logFlags = []cli.Flag{
 	&cli.StringFlag{Name: logFormatFlag, Value: "human", Usage: "`FORMAT` of the log: human or json"},
-	&cli.BoolFlag{Name: logAllFlag, Usage: "leave no line out, however often it comes"},
+	&cli.BoolFlag{Name: logAllFlag, Usage: "log every line instead of sampling repeated ones"},
 	&cli.StringFlag{
 		Name:  logLevelFlag,
 		Value: "info",
-		Usage: "least `LEVEL` that is logged: debug, info, warn or error",
+		Usage: "minimum `LEVEL` that is logged: debug, info, warn or error",
 	},
 }
 
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// loadConfig reads the configuration and the site file of the flags.
+// loadConfig loads the configuration and, if the flag is set, the site file.
 func loadConfig(cmd *cli.Command) (*config.Config, error) {
 	c, err := config.Load(os.Getenv)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return c, err
 }
 
-// loadWithLogger reads the configuration and opens the log of the flags.
+// loadWithLogger loads the configuration and opens the log that the flags describe.
 func loadWithLogger(cmd *cli.Command) (*config.Config, *slog.Logger, error) {
 	c, err := loadConfig(cmd)
 	if err != nil {
@@ -133,7 +133,7 @@
 	return c, log, err
 }
 
-// newLogger returns a logger that writes to standard error as the flags say.
+// newLogger returns a logger that writes to standard error in the format and level of the flags.
 func newLogger(cmd *cli.Command, name string) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(cmd.String(logLevelFlag))); err != nil {
@@ -152,14 +152,14 @@
 	return log, nil
 }
 
-// untilSignal ends the context with SIGTERM or an interrupt.
+// untilSignal returns a context that ends on SIGTERM or an interrupt.
 func untilSignal(ctx context.Context) (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 }
 
 func serve(ctx context.Context, cmd *cli.Command) error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before all else: unhandled, the signal would end the process
+	signal.Notify(reload, syscall.SIGHUP) // registered first, since an unhandled SIGHUP ends the process
 	c, log, err := loadWithLogger(cmd)
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 	return daemon.ServeControl(ctx, c, log)
 }
 
-// check says what a sound configuration holds.
+// check loads the configuration and prints a summary of it.
 func check(_ context.Context, cmd *cli.Command) error {
 	c, err := loadConfig(cmd)
 	if err != nil {
--- a/cmd/junctionwharf/nodes.go
+++ b/cmd/junctionwharf/nodes.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// sourcesTimeout is how long sources are asked where no broker runs. Higher, the command takes longer; lower,
-	// slow ones are missing from its list.
+	// sourcesTimeout is how long the sources are queried if no broker is running. With a larger value, the command
+	// takes longer. With a smaller value, the output lacks slow sources.
 	sourcesTimeout = 3 * time.Second
-	// consoleDialTimeout is how long a running broker is looked for.
+	// consoleDialTimeout bounds the time to connect to the console of a running broker.
 	consoleDialTimeout = time.Second
-	// nodesTimeout bounds the answer of a running broker.
+	// nodesTimeout bounds the time to read a running broker's answer.
 	nodesTimeout = 10 * time.Second
 )
 
-// errNoSource is of a command that can ask neither a broker nor a source.
-var errNoSource = errors.New("no broker answers at console, and the site file names no source")
+// errNoSource is returned if there is neither a running broker nor a source to query.
+var errNoSource = errors.New("no broker answers on the console, and the site file does not name a source")
 
-// printNodes prints the list that a running broker holds; where none answers it asks the sources itself, once.
+// printNodes prints the list of nodes of a running broker. If no broker answers, it queries the sources itself, once.
 func printNodes(ctx context.Context, cmd *cli.Command) error {
 	c, err := loadConfig(cmd)
 	if err != nil {
@@ -45,13 +45,13 @@
 	if len(c.Site.Membership.Sources) == 0 {
 		return errNoSource
 	}
-	fmt.Fprintf(os.Stderr, "no broker answers at console %q: asking the sources for %v\n", c.Console, sourcesTimeout)
+	fmt.Fprintf(os.Stderr, "no broker answers on console %q: querying the sources for %v\n", c.Console, sourcesTimeout)
 	return printFromSources(ctx, c)
 }
 
-// copyNodes prints a console's answer as it comes.
+// copyNodes makes the nodes call on a connection to a console and prints the answer as it arrives.
 func copyNodes(conn net.Conn) error {
-	defer func() { _ = conn.Close() }()                // the answer has come, or an error says why not
+	defer func() { _ = conn.Close() }()                // the answer is complete, or an error is returned
 	_ = conn.SetDeadline(time.Now().Add(nodesTimeout)) // fails only on a closed connection
 	if _, err := io.WriteString(conn, "nodes\n"); err != nil {
 		return err
@@ -60,14 +60,14 @@
 	return err
 }
 
-// printFromSources asks the sources as a broker does.
+// printFromSources queries the sources for sourcesTimeout, as a broker does, and prints the merged list.
 func printFromSources(ctx context.Context, c *config.Config) error {
 	ctx, cancel := context.WithTimeout(ctx, sourcesTimeout)
 	defer cancel()
 	clock, log := broker.NewClock(), slog.New(slog.DiscardHandler)
 	sources := members.New(clock, func(broker.Event) {}, log)
 	defer sources.Close()
-	c.Site.Membership.Snapshot = "" // it is the broker's
+	c.Site.Membership.Snapshot = "" // the snapshot belongs to the broker
 	if err := sources.ApplySettings(c.Site.Membership); err != nil {
 		return err
 	}
