--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -8,8 +8,8 @@
 )
 
 // dialTimeout bounds the time to connect to a console, which is on the same machine or near it. With a larger value, a
-// command takes longer to report that no broker is running. With a smaller value, it reports this although a broker is
-// running but busy.
+// command takes longer to report that no broker is running. With a smaller value, it wrongly reports this for a
+// busy broker.
 const dialTimeout = time.Second
 
 // Call makes a call to the console at address and returns the whole answer. The timeout bounds the time from the
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -130,8 +130,8 @@
 }
 
 // A broker discovers its nodes over DNS. It prefers the node with the lower priority value, stops using a node that is
-// removed from the zone, and keeps serving while the DNS server fails. A write that is in flight
-// when its node is removed and the other node is added again is not sent to the other node.
+// removed from the zone, and keeps serving while the DNS server fails. A write that is in
+// flight when its node is removed and the other node is added again is not sent to the other node.
 func TestNodesFromDNS(t *testing.T) {
 	d := newDNSTest(t)
 	const node0, node1 = "node0.example.org", "node1.example.org"
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -124,7 +124,8 @@
 	}
 }
 
-// startPresenceWatch starts the watch for other processes, if the handover is off and they cannot connect to this one.
+// startPresenceWatch starts the watch for other processes if the handover is off, so that they cannot connect to this
+// one.
 func (s *service) startPresenceWatch(ctx, ending context.Context) error {
 	if s.handoverOff {
 		go s.watchPresence(ctx, ending)
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -108,8 +108,8 @@
 }
 
 // Faulty files are reloaded one after the other. Each leaves the configuration unchanged, and the log names the faulty
-// key. Then a valid file is reloaded in which also a key changed that needs a restart: the reload applies the other
-// keys, and the log names that key.
+// key. Then a valid file is reloaded. It also changes a key that needs a restart: the reload applies the other keys,
+// and the log names that key.
 func TestReloadOfFaultyConfig(t *testing.T) {
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":%s}`, settingsText)
 	c := parseConfig(t, text)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// shutDown stops serving clients after SIGTERM and waits until all accepted requests are answered. If there is a
-// successor, new connections are redirected to it at once, and each old connection is closed as soon as it has no open
-// requests.
+// shutDown closes the servers after SIGTERM and waits until all accepted requests are answered. If there is a
+// successor, shutDown redirects new connections to the successor at once, and closes each old connection as soon as the
+// connection has no open requests.
 func (s *service) shutDown() {
 	times := computeShutdownTimes(*s.classes.Load())
 	began := time.Now()
