--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Action is something that a Scheduler wants done.
+// Action is an instruction from a Scheduler to its caller.
 type Action interface{ action() }
 
-// Forward begins an attempt of a request at a node. A Timeout of 0 waits as long as the client does; no rule
-// of this version sets another.
+// Forward starts an attempt of a request at a node. With a Timeout of 0 the attempt may last as long as its
+// client waits. No rule of this version sets another value.
 type Forward struct {
 	ID      uint64
 	Node    string
 	Timeout time.Duration
 }
 
-// Reject is a final answer that says that repeating the request is harmless, with an optional hint when.
+// Reject is a final answer. It states that the client may safely repeat the request.
 type Reject struct {
 	ID    uint64
-	After time.Duration // 0 for no hint
+	After time.Duration // suggested wait before the client repeats the request, 0 for no suggestion
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer. It does not state whether the request executed.
 type Fail struct{ ID uint64 }
 
-// Cancel stops waiting for an attempt.
+// Cancel stops an attempt that is in flight.
 type Cancel struct {
 	ID      uint64
 	Attempt int // from 0
 }
 
-// HealthCheck checks a node. No rule of this version emits it.
+// HealthCheck starts a health check of a node. No rule of this version emits it.
 type HealthCheck struct{ Node string }
 
-// SendToPeer sends bytes to one peer by its ordinal, or to all others with AllPeers.
+// SendToPeer sends bytes to one peer, given by its ordinal, or to all peers with AllPeers.
 type SendToPeer struct {
 	Peer int
 	Data []byte
 }
 
-// AllPeers addresses every other broker of the tier.
+// AllPeers is the SendToPeer.Peer that addresses every other broker of the tier.
 const AllPeers = -1
 
-// SetTimer asks for a TimerFired event after a delay.
+// SetTimer requests a TimerFired event after a delay.
 type SetTimer struct {
 	Token uint64
 	After time.Duration
@@ -53,19 +53,19 @@
 // WatchEndpoints opens or closes the subscription to the endpoint list.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks for the whole endpoint list once. No rule of this version emits it.
+// FetchEndpoints requests the whole endpoint list once. No rule of this version emits it.
 type FetchEndpoints struct{}
 
 // CloseIdleConnections closes idle connections to a node. No rule of this version emits it.
 type CloseIdleConnections struct{ Node string }
 
-// Log is a line for the engineers on call: a fixed message, and what differs as attributes.
+// Log is a log line for the engineers on call: a fixed message with its values as attributes.
 type Log struct {
 	Message    string
 	Attributes []slog.Attr
 }
 
-// Text is the line in one string, for a sink without attributes.
+// Text returns the message and the attributes as one string, for a sink without attributes.
 func (l Log) Text() string {
 	var text strings.Builder
 	text.WriteString(l.Message)
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// handleArrival takes a request and rejects none: it works out since when its client waits, by when it is
-// due and what it is worth, and queues it. A request of an unknown class or plan fails at once.
+// handleArrival computes the first arrival, the deadlines and the value of a request, and queues the request.
+// A request of an unknown class or plan fails at once. No request is rejected here. A request whose ID is
+// already in use is ignored.
 func (s *Scheduler) handleArrival(e Request) {
 	if s.requests[e.ID] != nil {
 		return
@@ -31,23 +32,24 @@
 	s.enqueue(r)
 }
 
-// retryKey is what the requests of a client for one thing have in common.
+// retryKey identifies a request and its retries by the same client: all of them have equal fields.
 type retryKey struct {
 	class, volume, key string
 	units              float64
 }
 
-// unservedRecord remembers a request that was not served, so that the client's retry keeps its first arrival
+// unservedRecord describes a request that was not served. With it, the client's retry keeps the first arrival
 // time.
 type unservedRecord struct {
 	firstArrival Time
-	expires      Time // the client gives up
+	expires      Time // when the client gives up
 }
 
-// firstArrival is when a client first asked: the latency objective runs from there. A request like an
-// unserved one, within the time that its client had left, is taken for its retry; one that only says
-// it is a retry has used up what is missing of its class's deadline. Any other with little time left comes
-// from an impatient client. It errs where two clients ask for the same thing at once.
+// firstArrival returns the time at which a client first sent a request. The latency objective starts there.
+// A request that equals an unserved one and ends within that client's deadline is treated as its retry.
+// A request that is only marked as a retry is assumed to have waited for the missing part of its class's
+// deadline. Any other request with little time left is treated as new, from a client with a short time-out.
+// The result is wrong if two clients send equal requests at the same time.
 func firstArrival(now Time, e *Request, deadline time.Duration, earlier unservedRecord, known bool) Time {
 	if known && now+e.Remaining <= earlier.expires {
 		return earlier.firstArrival
@@ -58,7 +60,7 @@
 	return now
 }
 
-// enqueue queues a request at its shard, or for a new object at the shard where it will wait least.
+// enqueue queues a request at its shard. A new object goes to the shard with the shortest expected wait.
 func (s *Scheduler) enqueue(r *request) {
 	id := r.Shard
 	if id < 0 {
--- a/scheduler/capacity.go
+++ b/scheduler/capacity.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// recountTicks is how many ticks the sum of idle nodes' limits is carried on before it is made anew. With
-// more, rounding errors pile up in the capacity that tokens are granted from; with fewer, a broker of a large
-// fleet spends its ticks on idle nodes.
+// recountTicks is the number of ticks between two full computations of the sum of idle nodes' limits. A
+// larger value lets rounding errors accumulate in the capacity from which tokens are granted. With a smaller
+// value a broker of a large fleet spends its ticks on idle nodes.
 const recountTicks = 1024
 
-// nodeTable holds the nodes of the endpoint list. A tick works on the active nodes, those with attempts in
-// flight or answers since the last one; the idle ones only count with their limits, which are kept as a sum.
-// So what a tick costs follows this broker's requests and not the fleet: with 1,600 nodes, a tick over all
-// took over a hundredth of a core.
+// nodeTable holds the nodes of the endpoint list. A tick processes only the active nodes: those with attempts
+// in flight or with answers since the last tick. Of the idle nodes a tick needs only the sum of their limits,
+// which is stored. The cost of a tick thus depends on this broker's requests and not on the size of the
+// fleet. With 1,600 nodes, a tick over all nodes took over a hundredth of a core.
 type nodeTable struct {
 	byName       map[string]*node
 	list         []*node // in the order in which they were first seen
-	active       []*node // in that order, once sorted
-	unsorted     bool    // some came to active since it was sorted
-	idleLimitSum float64 // limits of the other ready nodes
-	recount      bool    // list, settings or shards changed: active and the sum are made anew
-	recountTick  int     // in which that is done anyway
-	seen         int
+	active       []*node // in the order of list unless unsorted is set
+	unsorted     bool    // nodes were added to active since it was sorted
+	idleLimitSum float64 // sum of the limits of the ready nodes that are not active
+	recount      bool    // the list, settings or shards changed: active and idleLimitSum must be recomputed
+	recountTick  int     // tick of the next periodic recount
+	seen         int     // nodes ever added; the next node's sequence
 }
 
-// availableCapacity is W(t) of equation 11 in units: what ready nodes finished for this broker in this tick
-// plus what they may still take.
+// availableCapacity returns W(t) of equation 11 in units: the units that ready nodes finished for this broker
+// in this tick, plus the units that their free slots can accept.
 func (s *Scheduler) availableCapacity() float64 {
 	capacity := s.nodes.idleLimitSum * s.settings.MeanUnits
 	for _, n := range s.nodes.active {
@@ -38,7 +38,7 @@
 	return capacity
 }
 
-// activate has ticks work on a node from now on.
+// activate adds a node to the active nodes.
 func (t *nodeTable) activate(n *node) {
 	if n.active {
 		return
@@ -51,15 +51,15 @@
 	}
 }
 
-// isIdle tells whether a tick would do nothing to a node: no attempt is in flight, no answer came, and its
-// latency is no longer that of a congestion.
+// isIdle reports whether a tick would not change a node: no attempt is in flight, no answer arrived in this
+// tick, and the node's latency is not above the target.
 func (n *node) isIdle(targetLatency float64) bool {
 	quiet := len(n.attempts) == 0 && n.inFlight == 0 && n.latency.answers == 0 && n.finishedUnits == 0
 	return quiet && n.latency.smoothed <= targetLatency
 }
 
-// sortActiveNodes puts the active nodes in the order in which they were first seen, since sums over them are
-// rounded. After a change of the list it finds anew which are active.
+// sortActiveNodes sorts the active nodes by the order in which they were first seen, because sums over them
+// depend on the order through rounding. After a change of the endpoint list it recomputes the active nodes.
 func (s *Scheduler) sortActiveNodes() {
 	t := &s.nodes
 	switch {
@@ -88,7 +88,7 @@
 	}
 }
 
-// retireNodes takes the nodes out of the active ones that a tick would do nothing to.
+// retireNodes removes idle nodes from the active nodes.
 func (s *Scheduler) retireNodes() {
 	t := &s.nodes
 	target := targetLatency(s.minObjective)
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -7,78 +7,84 @@
 	"time"
 )
 
-// The limit on attempts in flight at a node, as a count of attempts.
+// Limits on the attempts in flight at a node, as a count of attempts.
 const (
-	// limitInitial is that of a new node: it keeps most nodes at work. Higher, all brokers together flood a
-	// node that has just started; lower, nodes idle in the first ticks.
+	// limitInitial is the limit of a new node. It gives most nodes enough work. With a larger value all
+	// brokers together overload a node that has just started. With a smaller value nodes idle in the first
+	// ticks.
 	limitInitial = 2.0
-	// limitMax is the highest. Higher, the queue forms at the node, where neither deadlines nor values order
-	// it, and urgent requests wait; lower, a quick node idles between a broker's requests.
+	// limitMax is the largest limit. With a larger value the queue forms at the node, which does not order
+	// requests by deadline or value, so that urgent requests wait. With a smaller value a fast node idles
+	// between a broker's requests.
 	limitMax = 8.0
-	// limitIncrease is added in a tick in which the limit held a request back and answers were in time.
-	// Higher, the limit swings between too many and too few; lower, a recovered node stays underused for
-	// longer.
+	// limitIncrease is added to the limit after a tick in which the limit delayed a request and answers were
+	// in time. With a larger value the limit oscillates. With a smaller value a recovered node stays
+	// underused for longer.
 	limitIncrease = 0.25
-	// limitDecrease is the factor for a tick with slow answers. Higher, a congestion lasts longer; lower, one
-	// pause of a node empties it.
+	// limitDecrease is the factor applied to the limit after a tick with slow answers. With a larger value
+	// congestion lasts longer. With a smaller value one pause of a node leaves the node without requests.
 	limitDecrease = 0.9
-	// attemptsMax bounds all attempts at a node, also those presumed lost. Higher, a node that answers
-	// nothing piles up connections; lower, a few lost answers block a sound node.
+	// attemptsMax bounds all attempts at a node, including those presumed lost. With a larger value
+	// connections accumulate at a node that does not answer. With a smaller value a few lost answers block a
+	// healthy node.
 	attemptsMax = 2 * limitMax
-	// catchUpTicksMax is the most ticks without an answer that the next one makes up for. Higher, one late
-	// answer moves the limit as much as many; lower, brokers with few requests follow a congestion late.
+	// catchUpTicksMax is the maximum number of ticks without an answer for which the next answer
+	// compensates. With a larger value one late answer moves the limit as much as many answers. With a
+	// smaller value brokers with few requests react late to congestion.
 	catchUpTicksMax = 3
 )
 
-// Latencies, as parts of the smallest latency objective.
+// Latency thresholds, as fractions of the smallest latency objective.
 const (
-	// targetLatencyShare is the part that answers may take before the limit falls. Higher, too little is left
-	// for the queue and requests miss the objective; lower, sound nodes are held under what they can do.
+	// targetLatencyShare is the fraction that answers may take before the limit falls. A larger value leaves
+	// too little time for the queue, and requests miss the objective. A smaller value keeps healthy nodes
+	// below their capacity.
 	targetLatencyShare = 0.22
-	// congestedLatencyShare is the part that even the quickest answers take at a congested node. Higher,
-	// congested nodes are flooded for longer; lower, nodes that are slow by themselves idle.
+	// congestedLatencyShare is the fraction that even the fastest answers of a congested node exceed. With a
+	// larger value congested nodes are overloaded for longer. With a smaller value nodes that are slow
+	// without congestion idle.
 	congestedLatencyShare = 0.36
 )
 
-// latencyFade is the part by which a node's latency falls in a tick in which nothing is in flight there.
-// Higher, a congested node is flooded again at once; lower, a broker with few requests avoids a recovered
-// node for longer.
+// latencyFade is the fraction by which a node's latency falls in a tick without attempts in flight. With a
+// larger value a congested node is overloaded again at once. With a smaller value a broker with few requests
+// avoids a recovered node for longer.
 const latencyFade = 0.03
 
-// concurrencyLimit is the limit on attempts in flight at a node. Below one, forwards are paced instead.
+// concurrencyLimit is the limit on attempts in flight at a node. With a limit below 1, forwards are paced.
 type concurrencyLimit struct {
 	value       float64 // attempts
-	reached     bool    // it held a request back since it was adjusted
-	changedTick int     // in which answers last adjusted it
-	lastForward Time    // from which a limit below one paces the next
+	reached     bool    // the limit delayed a request since the last adjustment
+	changedTick int     // tick in which answers last adjusted the limit
+	lastForward Time    // a limit below 1 delays the next forward relative to this time
 }
 
-// latencyStats is what a node's answers took, in seconds.
+// latencyStats holds statistics of the latencies of a node's answers, in seconds.
 type latencyStats struct {
 	smoothed float64
-	min      float64 // the least of the recent means, which rises slowly
+	min      float64 // running minimum of the mean per tick; rises slowly
 	answers  int     // in this tick
-	sum      float64 // of their latencies
+	sum      float64 // of the latencies of these answers
 }
 
-// targetLatency is up to which a node's latency leaves its limit alone, in seconds.
+// targetLatency returns the latency above which a node's limit falls, in seconds.
 func targetLatency(objective time.Duration) float64 { return targetLatencyShare * objective.Seconds() }
 
-// hasFreeSlot tells whether a node has fewer attempts in flight than its limit.
+// hasFreeSlot reports whether a node has fewer attempts in flight than its limit.
 func (n *node) hasFreeSlot() bool {
 	return float64(n.inFlight) < max(1, math.Floor(n.limit.value)) && len(n.attempts) < attemptsMax
 }
 
-// isPaced tells whether the last forward to a node was too lately for a request that earns this part of its
-// value: the less it earns, the longer it waits.
+// isPaced reports whether the last forward to a node is too recent for a request with a value share. The
+// smaller the share, the longer the request waits.
 func (n *node) isPaced(now Time, valueShare float64) bool {
 	return (now-n.limit.lastForward).Seconds()*valueShare < n.latency.smoothed/n.limit.value
 }
 
-// belowLimit tells whether a node may get a request now. With a limit below one forwards are paced, and at a
-// congested node so are requests beyond their volume's reserved rate in any case. That guards the reserved
-// requests of other brokers, which this one does not see, against a surge. It costs nodes that are slow by
-// themselves some of their throughput.
+// belowLimit reports whether the concurrency limit of a node admits a request now. Forwards are paced if the
+// limit is below 1. At a congested node, requests beyond their volume's reserved rate are always paced. This
+// protects the reserved requests of other brokers, which this broker does not see, from a surge. In return,
+// nodes that are slow without congestion lose some throughput.
 func (s *Scheduler) belowLimit(n *node, r *request) bool {
 	free := n.hasFreeSlot()
 	paced := n.limit.value < 1 || r.valueShare < 1 && n.congested(s.minObjective)
@@ -87,13 +93,14 @@
 	return free && s.now >= n.health.backoffUntil
 }
 
-// congested tells whether even the quickest of a node's recent answers are slow: a queue stands there.
+// congested reports whether even the fastest recent answers of a node are slow, so that requests queue there.
 func (n *node) congested(objective time.Duration) bool {
 	return n.latency.min > congestedLatencyShare*objective.Seconds()
 }
 
-// adjustLimit moves a node's limit by the latency of the last tick's answers: multiplicative decrease while
-// they are slow, additive increase while they are in time and the limit held something back.
+// adjustLimit adjusts a node's limit to the latency of the last tick's answers. The limit decreases
+// multiplicatively while answers are slow. It increases additively while answers are in time and the limit
+// delayed a request.
 func (s *Scheduler) adjustLimit(n *node) {
 	if n.unresponsive(s.now, s.minObjective) {
 		s.log(messageUnresponsive, slog.String("node", n.Name), slog.Int("in_flight", n.inFlight))
@@ -114,8 +121,8 @@
 	n.limit.changedTick = s.ticks
 }
 
-// update takes the answers of a tick into the smoothed and the least latency, with the weight of so many
-// ticks.
+// update adds the mean latency of a tick's answers to smoothed and min, and clears the sums of the tick. The
+// mean has the weight of the given number of ticks in smoothed.
 func (l *latencyStats) update(ticks float64) {
 	mean := l.sum / float64(l.answers)
 	l.smoothed += (1 - math.Pow(1-smoothing, ticks)) * (mean - l.smoothed)
@@ -124,13 +131,13 @@
 	l.sum = 0
 }
 
-// adjust moves the limit for so many ticks. slow is above 0 if the latency is above the target, and
-// below 0 if it is below.
+// adjust adjusts the limit for a number of ticks. slow is positive if the latency is above the target, and
+// negative if it is below.
 //
-// A limit below one is for a node that many brokers share with a few requests each: while it is congested,
-// each goes down to its part of what one broker alone may have in flight. Pauses, flushes and large requests
-// of a sound node don't count as congestion, since some answers are quick then. It costs throughput where
-// only a few of many brokers use a congested node.
+// Limits below 1 serve nodes that many brokers use with a few requests each. While such a node is congested,
+// the limit of each broker falls to limitMax divided by the number of brokers. Pauses, flushes and large
+// requests of a healthy node do not count as congestion, because some of its answers are fast. As a
+// trade-off, a congested node loses throughput if only a few of many brokers use it.
 func (l *concurrencyLimit) adjust(ticks float64, slow int, congested bool, brokers int) {
 	switch {
 	case slow > 0 && l.value > 1:
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// gossipTicks is how many ticks there are between two reports of a volume's demand. Higher, a surge
-	// through several brokers is granted tokens by stale demand; lower, gossip costs more messages.
+	// gossipTicks is the number of ticks between two reports of a volume's demand. With a larger value a
+	// surge through several brokers receives tokens by stale demand. With a smaller value gossip costs more
+	// messages.
 	gossipTicks = 3
-	// reportTicks is for how many ticks a report counts: two messages may be lost. Higher, a broker that died
-	// keeps its part of a volume's tokens for longer; lower, one lost message makes the others grant too
-	// much.
+	// reportTicks is the number of ticks for which a report is valid. It tolerates two lost messages. With a
+	// larger value a failed broker keeps its part of a volume's tokens for longer. With a smaller value one
+	// lost message makes the other brokers grant too many tokens.
 	reportTicks = 9
-	// demandSteps is how many steps of the codec make a unit. Higher, large demand is cut off at 65,535
-	// steps; lower, small volumes are not reported.
+	// demandSteps is the number of steps per unit in the encoding. A larger value truncates large demand, at
+	// 65,535 steps. With a smaller value small volumes are not reported.
 	demandSteps = 16.0
 )
 
-// A message about demand has 7 bytes: its kind, the hash of the volume's name, and its demand in steps,
-// big-endian.
+// A demand message has 7 bytes, big-endian: kind, hash of the volume's name, demand in steps.
 const (
 	messageReport = 2 // from a broker to the volume's aggregator
-	messageAnswer = 3 // the aggregator's answer: the demand at all others
+	messageAnswer = 3 // from the aggregator to the reporting broker: the demand at all other brokers
 	messageBytes  = 7
 )
 
 // demandReport is the demand that a broker reported, in units a tick.
 type demandReport struct {
 	units float64
-	tick  int // of this broker in which it came
+	tick  int // tick of this broker in which the report arrived
 	from  int // ordinal of its sender
 }
 
-// current is what a report still counts for in a tick.
+// current returns the demand of a report in a tick: 0 after reportTicks.
 func (d demandReport) current(tick int) float64 {
 	if tick-d.tick > reportTicks {
 		return 0
@@ -44,13 +44,13 @@
 	return d.units
 }
 
-// demandAggregator adds up what other brokers report of the volumes that this one is the aggregator of.
+// demandAggregator sums the demand that brokers report for the volumes that this broker aggregates.
 type demandAggregator struct {
 	reports map[uint32][]demandReport // by hash of the volume's name
 }
 
-// add notes what one broker reported of a volume and returns the demand at all others. Old reports are
-// dropped.
+// add stores a broker's report about a volume and returns the demand at all other brokers. It drops expired
+// reports.
 func (a *demandAggregator) add(hash uint32, report demandReport) float64 {
 	replaced := func(d demandReport) bool { return d.from == report.from || d.current(report.tick) == 0 }
 	others := slices.DeleteFunc(a.reports[hash], replaced)
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// forgetOld drops volumes whose reports are all old.
+// forgetOld drops the volumes that have only expired reports.
 func (a *demandAggregator) forgetOld(tick int) {
 	for hash, reports := range a.reports {
 		counts := func(d demandReport) bool { return d.current(tick) > 0 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// gossip sends peers what there is to tell them.
+// gossip sends the demand of volumes and the unresponsive nodes to peers.
 func (s *Scheduler) gossip() {
 	if !s.settings.Capabilities.Peers || s.settings.Brokers < 2 {
 		return
@@ -81,10 +81,10 @@
 	s.gossipUnresponsive()
 }
 
-// gossipDemand reports the demand for volumes whose requests come through other brokers too. Each volume has
-// an aggregator among the brokers, by the hash of its name: it adds the reports up and answers with the
-// demand at all others. So messages follow a broker's own requests, however many brokers there are. Without
-// its aggregator a volume falls back on the even split.
+// gossipDemand reports the demand for volumes whose requests also arrive through other brokers. The hash of a
+// volume's name selects one broker as its aggregator. The aggregator sums the reports and answers each with
+// the demand at all other brokers. The number of messages thus depends on a broker's own requests and not on
+// the number of brokers. Without its aggregator a volume falls back to the even split.
 func (s *Scheduler) gossipDemand() {
 	for _, v := range s.volumes.active {
 		if v.brokers < 2 || v.demand*demandSteps < 1 || (s.ticks+v.sequence)%gossipTicks > 0 {
@@ -104,15 +104,14 @@
 	s.emit(SendToPeer{Peer: peer, Data: encodeDemand(kind, hash, units)})
 }
 
-// encodeDemand is the codec of a message about demand. Demand beyond its range counts as the most that it
-// holds.
+// encodeDemand encodes a demand message. Demand above the range of the encoding is truncated.
 func encodeDemand(kind byte, hash uint32, units float64) []byte {
 	data := binary.BigEndian.AppendUint32([]byte{kind}, hash)
 	steps := uint16(min(math.Round(units*demandSteps), math.MaxUint16))
 	return binary.BigEndian.AppendUint16(data, steps)
 }
 
-// decodeDemand is the reverse. ok is false for bytes of another length.
+// decodeDemand decodes a demand message. ok is false if the length is wrong.
 func decodeDemand(data []byte) (kind byte, hash uint32, units float64, ok bool) {
 	if len(data) != messageBytes {
 		return 0, 0, 0, false
@@ -121,7 +120,7 @@
 	return data[0], binary.BigEndian.Uint32(data[1:]), units, true
 }
 
-// receivePeerMessage takes a peer's message. Bytes that are none, and senders that are no peers, are dropped.
+// receivePeerMessage handles a message from a peer. It drops unknown messages and unknown senders.
 func (s *Scheduler) receivePeerMessage(e PeerMessage) {
 	if e.From < 0 || e.From >= s.settings.Brokers || e.From == s.settings.Ordinal {
 		return
@@ -145,7 +144,7 @@
 	}
 }
 
-// gossipUnresponsive tells a few peers which nodes were found unresponsive.
+// gossipUnresponsive notifies a few peers of the nodes that this broker found unresponsive or recovered.
 func (s *Scheduler) gossipUnresponsive() {
 	for _, sh := range s.shards.balanced {
 		for _, data := range sh.balancer.GossipMessages(s.now) {
@@ -156,7 +155,7 @@
 	}
 }
 
-// receiveUnresponsive takes such a message of a peer, and tells whether it was one.
+// receiveUnresponsive handles a gossip message about unresponsive nodes. It reports whether e is one.
 func (s *Scheduler) receiveUnresponsive(e PeerMessage) bool {
 	if len(e.Data) == 0 || e.Data[0] != balancer.GossipUnresponsive && e.Data[0] != balancer.GossipRecovered {
 		return false
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,56 +1,58 @@
-// Package scheduler decides when one broker sends which request to which storage node. It queues, admits,
-// places, retries and gives up requests. It reads no clock, does no I/O and starts no goroutine: its owner
-// calls Scheduler.Reduce with the events of one point in time and carries the returned actions out. Equal
-// events give equal actions.
+// Package scheduler decides for one broker which request is sent to which storage node, and when. It queues,
+// admits, places and retries requests, and rejects those that it cannot serve in time. It reads no clock,
+// does no I/O and starts no goroutine: its caller passes the events of one point in time to Scheduler.Reduce
+// and carries out the returned actions. Equal events give equal actions.
 //
-// The way of a request, with the file of each rule:
+// The path of a request, with the file of each rule:
 //
 //	Request event
 //	   |
-//	arrival.go     first arrival of its client, soft deadline, value
+//	arrival.go     first arrival, soft deadline and value of the request
 //	placement.go   shard of a new object
 //	   |
-//	queue.go       queued at its shard, earliest soft deadline first <-----------------------------+
-//	scan.go        three passes: paid, in overdraft, deprioritized (shedding.go)                  |
+//	queue.go       queue of its shard, earliest soft deadline first <-----------------------------+
+//	scan.go        three passes: paid, overdraft, deprioritized (shedding.go)                     |
 //	   |                                                                                          |
 //	tokens.go      token bucket of its volume (equations 11 and 12, capacity.go, demand.go)       |
 //	limit.go       quota of its volume's rate limit                                               |
-//	ordering.go    requests with one key in the order of arrival                                  |
+//	ordering.go    order of arrival among requests with one key                                   |
 //	   |                                                                                          |
-//	selection.go   the node: ready, below its limit (concurrency.go), not backing off (health.go),|
-//	   |           inside its slow-start budget (slowstart.go), in the scope of its key           |
+//	selection.go   choice of a node: ready, below its limit (concurrency.go), not backing off     |
+//	   |           (health.go), within its slow-start budget (slowstart.go) and its key's scope   |
 //	   |                                                                                          |
 //	Forward action                                                                                |
 //	   |                                                                                          |
-//	AttemptEnded   health.go learns from it; lost.go cancels what is late or lost, and fails over |
-//	   |                                                                                          |
-//	retry.go       may it run again? -- yes ------------------------------------------------------+
+//	AttemptEnded   health.go updates the node's health; lost.go cancels late and lost attempts    |
+//	   |           and fails over                                                                 |
+//	retry.go       may the request run again? -- yes ---------------------------------------------+
 //	   |           no
-//	giveup.go      final answer: Reject or Fail; a node's own answer is passed on by package broker, which
-//	               says so with AttemptEnded.Finished (retry.go, finish)
+//	giveup.go      final answer: Reject or Fail. Package broker passes on a node's own answer and
+//	               reports that with AttemptEnded.Finished (retry.go, finish)
 //
-// A timer ends each tick, which is a sixth of the smallest latency objective: it refills the token buckets,
-// gossips demand, adjusts the limits of nodes, deprioritizes what can't be in time and forgets what
-// is over (memory.go). endpoints.go applies the endpoint list.
+// A timer ends each tick. A tick lasts a sixth of the smallest latency objective. At its end the scheduler
+// refills the token buckets, sends gossip about demand, adjusts the concurrency limits of nodes,
+// deprioritizes requests that cannot be in time and drops expired state (memory.go). endpoints.go applies the
+// endpoint list.
 //
-// A deadline is guarded twice: giveUpExpired answers a little before it, and package broker's handleDeadline
-// answers at it whatever has not been answered, be it in flight or queued.
+// Two functions enforce a request's deadline. giveUpExpired answers the request shortly before its deadline.
+// At the deadline, handleDeadline of package broker answers every request that has no answer yet, whether the
+// request is queued or in flight.
 //
-// Vocabulary without a rule. The platform's files and protocol have settings, events and actions that no rule
-// of this version reads or emits; changing them has no effect on a decision. They are:
+// Vocabulary without a rule. The platform's files and protocol define settings, events and actions that no
+// rule of this version reads or emits. Changing them does not affect any decision. They are:
 //   - of Class: ObjectiveStretch, LateWeight, Stream; Plan.Weight; Settings.MeterPeriod
 //   - of Capabilities: HealthChecks, HedgedRequests; of Rules: AnswerSlack, DrainGrace
 //   - of events: Request.Write, EndpointUpdate.Version, Endpoint.Kind, HealthCheckResult, and of
 //     AttemptEnded: RateUsed, ServedElsewhere, Load
 //   - of actions: HealthCheck, FetchEndpoints, CloseIdleConnections, Forward.Timeout
 //
-// Units. Time is a duration on the caller's clock. A "unit" is the size of requests. Fields that are float64
-// and hold a time are in seconds. A tick is a count.
+// Units. Time is a duration on the caller's clock. A "unit" measures the size of requests. A time in a
+// float64 field is in seconds. A time in ticks is an integer.
 //
-// State and its owner. Scheduler owns all state and is not safe for concurrent use: one goroutine, the
-// broker's loop, calls it. Nothing is stored: after a restart it knows its settings only, and each rule
-// starts on the safe side.
+// State and its owner. Scheduler owns all state and is not safe for concurrent use: only the goroutine of the
+// broker's loop calls it. State is not stored. After a restart a Scheduler has only its settings, and each
+// rule starts with cautious assumptions.
 //
-// What it costs follows the broker's own requests, not the fleet: a tick works on volumes with requests or
-// reports, and on nodes with attempts or recent answers.
+// Cost. The cost of a tick depends on the broker's own requests, not on the size of the fleet: a tick
+// processes volumes with requests or demand reports, and nodes with attempts or recent answers.
 package scheduler
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// subscribeRetryShare is the first wait before the endpoint list is asked for again, as a part of the poll
-// deadline. Higher, a broker that lost its subscription works with an old list for longer; lower, a fleet
-// asks the discovery too often after a common loss.
+// subscribeRetryShare is the first wait before the subscription to the endpoint list is retried, as a
+// fraction of the poll deadline. With a larger value a broker that lost its subscription uses a stale list
+// for longer. With a smaller value a fleet sends discovery too many requests after it lost all subscriptions
+// at once.
 const subscribeRetryShare = 0.25
 
-// endpointWatch keeps the subscription to the endpoint list.
+// endpointWatch is the state of the subscription to the endpoint list.
 type endpointWatch struct {
 	known      bool          // a list has named nodes
-	subscribed bool          // and a list has come since the last failure
-	retryAt    Time          // not before is it asked for again
-	backoff    time.Duration // the wait after that
-	updates    uint64        // counts lists
+	subscribed bool          // a list has arrived since the last failure
+	retryAt    Time          // earliest time of the next subscription attempt
+	backoff    time.Duration // wait after the next subscription attempt
+	updates    uint64        // number of lists received
 }
 
-// subscribe asks for the endpoint list, and again with exponential backoff and jitter until a list comes.
+// subscribe requests the endpoint list. It retries with exponential backoff and jitter until a list arrives.
 func (s *Scheduler) subscribe() {
 	watch := &s.endpoints
 	if !s.settings.Subscribe || watch.subscribed || s.now < watch.retryAt {
@@ -32,8 +33,8 @@
 	watch.retryAt = s.now + wait + time.Duration(s.rng.Float64()*float64(wait)/2)
 }
 
-// applyUpdate applies an endpoint list or changes of it. They hold for all decisions from this call of Reduce
-// on.
+// applyUpdate applies an endpoint list or a change of the list. The update affects all later decisions of the
+// same call of Reduce.
 func (s *Scheduler) applyUpdate(e EndpointUpdate) {
 	watch := &s.endpoints
 	if e.Kind == FailedUpdate {
@@ -63,8 +64,8 @@
 	}
 }
 
-// applyEndpoint applies one entry of a list. first says that no earlier list named a node: those of the first
-// list count as warm unless it says when they started.
+// applyEndpoint applies one entry of an endpoint list. first reports that no earlier list named a node. A
+// node of the first list is treated as warm unless its entry has a start time.
 func (s *Scheduler) applyEndpoint(endpoint Endpoint, first bool) {
 	n := s.nodes.byName[endpoint.Name]
 	if n == nil {
@@ -87,8 +88,8 @@
 	}
 }
 
-// addNode adds a node that was not listed before. One of the first list is taken for warm, any later one has
-// just started.
+// addNode adds a node that was not listed before. A node of the first list is treated as warm. A node of a
+// later list is treated as just started.
 func (s *Scheduler) addNode(endpoint Endpoint, first bool) *node {
 	n := &node{sequence: s.nodes.seen}
 	n.limit.value = limitInitial
@@ -102,9 +103,10 @@
 	return n
 }
 
-// beginSlowStart has the budget of a node that has just started begin below zero by a random part of a
-// request, so that the first requests of many brokers don't reach it together. A lone process begins as if it
-// had saved for a window already; another process of this broker may have spent that.
+// beginSlowStart sets the initial budget of a node that has just started. The budget begins below zero by a
+// random fraction of a request, so that the first requests of many brokers do not arrive at the node
+// together. The only process of a broker begins as if it had saved budget for one overload window. If the
+// broker has another process, that process may already have spent this budget.
 func (s *Scheduler) beginSlowStart(n *node) {
 	window := s.settings.Rules.OverloadWindow
 	if !n.slowStart.warmingUp || n.slowStart.refilledAt >= n.slowStart.startedAt-window {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Event is something that a Scheduler receives.
+// Event is an input of Scheduler.Reduce.
 type Event interface{ event() }
 
-// Request is a client's request, which is owed one final answer.
+// Request is a client's request. It must receive exactly one final answer.
 type Request struct {
 	ID        uint64
 	Class     string
 	Plan      string
-	Key       string        // the piece of data, empty for none
-	Remaining time.Duration // until its deadline
+	Key       string        // identifies the data that the request uses, empty for none
+	Remaining time.Duration // time until the deadline
 	Volume    string
 	Units     float64
-	Shard     int  // that holds the data, -1 for a new object
-	Brokers   int  // through which the volume's requests come
-	Retry     bool // the client says that it asked before
+	Shard     int  // shard that stores the data, -1 for a new object
+	Brokers   int  // number of brokers that receive the volume's requests
+	Retry     bool // the client marked the request as a retry
 	Write     bool // no rule reads it
 }
 
-// TimerFired says that a timer, set by SetTimer, is due.
+// TimerFired reports that a timer set by SetTimer has expired.
 type TimerFired struct{ Token uint64 }
 
-// ClientGone says that a request needs no final answer of the scheduler any more: its client left, or the
-// owner answered it, as at its deadline and on shutdown.
+// ClientGone reports that a request no longer needs a final answer from the scheduler: its client
+// disconnected, or the caller answered it, for example at its deadline or on shutdown.
 type ClientGone struct{ ID uint64 }
 
-// HealthCheckResult is the result of a HealthCheck. No rule asks for one, and Reduce ignores it.
+// HealthCheckResult is the result of a HealthCheck. No rule emits a HealthCheck, and Reduce ignores the
+// result.
 type HealthCheckResult struct {
 	Node    string
 	Latency time.Duration
@@ -41,20 +42,20 @@
 	Data []byte
 }
 
-// AttemptEnded says how one attempt of a request ended. Each Forward gets exactly one.
+// AttemptEnded reports how one attempt of a request ended. Each Forward is followed by exactly one.
 type AttemptEnded struct {
 	ID              uint64
 	Attempt         int // from 0
 	Node            string
 	Outcome         Outcome
 	Latency         time.Duration
-	Finished        bool       // the request is over; if unset the final answer is still owed
+	Finished        bool       // the request has its final answer; if false, one is still due
 	RateUsed        int        // 1 + percent of the plan's rate served, 0 for unknown; no rule reads it
 	ServedElsewhere float64    // units of the volume through other brokers; no rule reads it
 	Load            LoadReport // no rule reads it
 }
 
-// ResponseStarted says that a streamed response has begun; its attempt now belongs to the client.
+// ResponseStarted reports that a streamed response has begun, so that the request needs no other answer.
 type ResponseStarted struct {
 	ID      uint64
 	Attempt int
@@ -62,19 +63,19 @@
 	Latency time.Duration
 }
 
-// EndpointUpdate is a watch event of the endpoint list.
+// EndpointUpdate is one event of the subscription to the endpoint list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Version   uint64 // no rule reads it
 	Endpoints []Endpoint
 }
 
-// SettingsChanged brings new settings, which passed Validate. Brokers and Ordinal count only when a Scheduler
-// starts.
+// SettingsChanged replaces the settings. The new settings must have passed Validate. Their Brokers and
+// Ordinal are ignored: a Scheduler keeps those with which it started.
 type SettingsChanged struct{ Settings Settings }
 
-// ProcessesChanged says how many processes are this broker together, as while one replaces another, and how
-// many more may run without being known.
+// ProcessesChanged reports the number of running processes of this broker, which is 2 while one process
+// replaces another, and the number of further processes that may run undetected.
 type ProcessesChanged struct{ Processes, Unseen int }
 
 func (Request) event()           {}
@@ -88,18 +89,18 @@
 func (SettingsChanged) event()   {}
 func (ProcessesChanged) event()  {}
 
-// UpdateKind says how an EndpointUpdate is to be read.
+// UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
 	DeltaUpdate  UpdateKind = iota // changed entries only
-	FullUpdate                     // all entries; a node that is absent has been removed
-	CachedUpdate                   // all entries as last known before a restart, perhaps stale
-	FailedUpdate                   // a call failed or the subscription broke; no entries
+	FullUpdate                     // all entries; an absent node has been removed
+	CachedUpdate                   // all entries known before a restart, possibly stale
+	FailedUpdate                   // the discovery call failed or the subscription broke; no entries
 )
 
-// NodeState is what the endpoint list says of a node.
+// NodeState is the state of a node in the endpoint list.
 type NodeState int
 
 // The states of a node.
@@ -111,29 +112,29 @@
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Name      string // of the node
+	Name      string // identifies the node
 	Zone      string
 	Kind      string // no rule reads it
 	Shard     int
 	State     NodeState
 	Weight    float64
-	StartedAt Time // when it last started, 0 for long ago
+	StartedAt Time // time of the last start, 0 if long ago or unknown
 
-	Priority      int     // of the nodes of a shard, lower goes first while it has a free slot
-	TrafficWeight float64 // of the load, against others of its priority; 0 counts as 1
+	Priority      int     // in a shard, nodes with a lower value are preferred while they have a slot
+	TrafficWeight float64 // relative load among nodes of equal priority; 0 counts as 1
 }
 
-// LoadReport is a node's report on itself; fields that the node does not report are negative.
+// LoadReport is a node's report about its own load. Fields that the node does not report are negative.
 type LoadReport struct {
 	InFlight    float64 // requests
 	Queued      float64 // requests
-	Utilization float64 // part of the processor that is busy
+	Utilization float64 // busy fraction of the processor
 	ServiceTime time.Duration
 	ServedRate  float64 // requests a second
 	ErrorRate   float64 // errors a second
 }
 
-// NoLoadReport is a report without any field.
+// NoLoadReport is a LoadReport without any reported field.
 var NoLoadReport = LoadReport{
 	InFlight:    -1,
 	Queued:      -1,
@@ -143,20 +144,20 @@
 	ErrorRate:   -1,
 }
 
-// Outcome says how an attempt or a health check ended.
+// Outcome is the result of an attempt or of a health check.
 type Outcome int
 
 // The outcomes. Overloaded, Unreachable and NotSent prove that the attempt never executed.
 const (
 	Success          Outcome = iota
 	Failure                  // the node answered with an error
-	Overloaded               // the node rejected it
-	TimedOut                 // no answer in time
-	Unreachable              // no connection
+	Overloaded               // the node rejected the attempt
+	TimedOut                 // no answer arrived in time
+	Unreachable              // no connection could be made
 	ConnectionBroken         // the connection broke before the answer
-	Canceled                 // by a Cancel
-	NotSent                  // it was over before it left
+	Canceled                 // a Cancel stopped the attempt
+	NotSent                  // the request ended before the attempt was sent
 )
 
-// MayHaveExecuted tells whether an attempt that ended so may have executed.
+// MayHaveExecuted reports whether an attempt with this outcome may have executed.
 func (o Outcome) MayHaveExecuted() bool { return o != Overloaded && o != Unreachable && o != NotSent }
--- a/scheduler/giveup.go
+++ b/scheduler/giveup.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// giveUpExpired gives up, at once, the requests of a shard that can no longer be served within their latency
-// objective, or not before their clients leave.
+// giveUpExpired gives up the requests of a shard that can no longer be answered by their soft deadline, or
+// that are about to reach their deadline.
 func (s *Scheduler) giveUpExpired(sh *shard) {
 	serviceTime := sh.serviceTime()
 	if s.nothingExpires(sh, serviceTime) {
 		return
 	}
-	sh.summary.generation = 0 // the next to be given up is looked for anew
+	sh.summary.generation = 0 // giveUpAt must be recomputed
 	for i := 0; i < len(sh.queue); {
 		r := sh.queue[i]
 		inTime := serviceTime <= (r.softDeadline - s.now).Seconds()
@@ -21,7 +21,8 @@
 	}
 }
 
-// giveUp gives the final answer: a rejection where the client may safely repeat the request, else a failure.
+// giveUp sends the final answer: a rejection if the client may safely repeat the request, otherwise a
+// failure.
 func (s *Scheduler) giveUp(r *request) {
 	mayHaveExecuted := r.executedOn != nil || r.inFlightAt != nil
 	safe := !mayHaveExecuted || r.safeToRepeat()
@@ -33,7 +34,7 @@
 	s.endUnserved(r)
 }
 
-// retryAfter is when a rejected client is told to come back, 0 where it is told nothing.
+// retryAfter returns the wait that a rejection suggests to its client, 0 for no suggestion.
 func (s *Scheduler) retryAfter() time.Duration {
 	if !s.settings.Capabilities.RetryAfter {
 		return 0
@@ -41,7 +42,7 @@
 	return min(s.minObjective, s.settings.Capabilities.MaxRetryAfter)
 }
 
-// endUnserved ends a request that was not served, and remembers it for the client's retry.
+// endUnserved ends a request that was not served, and records it so that the client's retry is recognized.
 func (s *Scheduler) endUnserved(r *request) {
 	if !r.answered {
 		key := retryKey{r.Class, r.Volume, r.Key, r.Units}
@@ -53,7 +54,7 @@
 	s.finish(r)
 }
 
-// finish ends what is owed for a request. It is forgotten when no attempt is in flight either.
+// finish marks a request as answered and dequeues it. It deletes the request unless an attempt is in flight.
 func (s *Scheduler) finish(r *request) {
 	r.answered = true
 	if r.queuedAt != nil {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	// unresponsiveObjectives is how many of the smallest latency objectives a node with attempts in flight
-	// may say nothing before it counts as unresponsive. Higher, requests pile up at a dead node for longer;
-	// lower, a pause of a sound node takes it out of the capacity that tokens are granted from.
+	// unresponsiveObjectives is the time without an answer after which a node with attempts in flight counts
+	// as unresponsive, as a multiple of the smallest latency objective. With a larger value requests pile up
+	// at a dead node for longer. With a smaller value a pause of a healthy node removes the node from the
+	// capacity from which tokens are granted.
 	unresponsiveObjectives = 3.0
-	// faultsToBackOff is how many connections in a row must break before the node backs off. Higher, a node
-	// that closes all of them is asked for longer; lower, one lost answer among good ones makes the requests
-	// of its shard wait.
+	// faultsToBackOff is the number of consecutive broken connections after which the node backs off. With a
+	// larger value a node that closes all connections receives requests for longer. With a smaller value one
+	// lost answer among successful ones makes the requests of its shard wait.
 	faultsToBackOff = 2
 )
 
-// nodeHealth is what a node's outcomes show of it.
+// nodeHealth is the health of a node as its attempts show it.
 type nodeHealth struct {
 	lastAnswer          Time          // of any kind
-	waitingSince        Time          // the last outcome, or a later forward with nothing in flight
-	backoffUntil        Time          // nothing is forwarded before: it rejected attempts
+	waitingSince        Time          // last outcome, or a later forward that found no attempt in flight
+	backoffUntil        Time          // no request is forwarded to the node before this time
 	backoff             time.Duration // doubles with each fault up to the smallest latency objective
 	faults              int           // since the last success
 	canceledSinceAnswer bool          // a late attempt was canceled since the last success
 }
 
-// unresponsive tells whether a node with attempts in flight has said nothing for long, be it dead, cut off or
-// stuck. It holds for any shard and ends with the node's next outcome. balancer.Replica.Unresponsive is
-// another state: the replica was silent while others of its shard answered, and its trials end that.
+// unresponsive reports whether a node with attempts in flight has not answered for long, because it is dead,
+// disconnected or stuck. The state applies to nodes of any shard and ends with the node's next outcome. It
+// differs from balancer.Replica.Unresponsive: that replica did not answer while others of its shard did, and
+// trial requests end that state.
 func (n *node) unresponsive(now Time, objective time.Duration) bool {
 	if len(n.attempts) == 0 {
 		return false
@@ -38,7 +40,7 @@
 	return quiet > time.Duration(unresponsiveObjectives*float64(objective))
 }
 
-// recordOutcome takes what an outcome shows of its node.
+// recordOutcome updates a node's health with the outcome of an attempt.
 func (s *Scheduler) recordOutcome(n *node, r *request, outcome Outcome, latency time.Duration) {
 	if outcome.provesAlive() {
 		n.health.lastAnswer = s.now
@@ -54,7 +56,7 @@
 	}
 }
 
-// provesAlive tells whether an outcome came from the node itself.
+// provesAlive reports whether an outcome was caused by the node itself.
 func (o Outcome) provesAlive() bool {
 	return o != TimedOut && o != Canceled && o != Unreachable && o != NotSent
 }
@@ -82,15 +84,15 @@
 	}
 }
 
-// recordServed takes units into the rate that warm nodes served this broker, in the mean over a span in
-// seconds.
+// recordServed adds units to the rate at which warm nodes of the shard serve this broker. The rate is an
+// exponential mean over span seconds.
 func (sh *shard) recordServed(now Time, units, span float64) {
 	sh.servedRate = sh.servedRate*math.Exp(-(now-sh.servedAt).Seconds()/span) + units/span
 	sh.servedAt = now
 }
 
-// recordNotSent undoes a forward that never left: the node can still bear its units, and a request that is
-// over used up nothing of its volume's tokens and quota.
+// recordNotSent undoes a forward that was never sent. The node's slow-start budget regains the units. If the
+// request is answered and this was its only attempt, its volume's tokens and quota are refunded too.
 func (s *Scheduler) recordNotSent(n *node, r *request) {
 	n.slowStart.tokens += r.Units
 	if r.answered && r.attempts == 1 {
@@ -99,9 +101,9 @@
 	}
 }
 
-// recordFault has a node back off that rejected an attempt, can't be reached, or broke connections in a row.
-// An error that the node answers with is no fault in this sense: a shard may have no other node, and what
-// waits while that one backs off is given up.
+// recordFault makes a node back off after it rejected an attempt, could not be reached, or broke several
+// connections in a row. An error answer of a node does not count as a fault here: the shard may not have
+// another node, and the requests that wait during the backoff would be given up.
 func (s *Scheduler) recordFault(n *node, outcome Outcome) {
 	n.health.faults++
 	if n.health.faults < faultsToBackOff && outcome == ConnectionBroken {
@@ -112,7 +114,7 @@
 	n.health.backoffUntil = s.now + n.health.backoff
 }
 
-// reportToBalancer tells the shard's balancer what an outcome shows of its node.
+// reportToBalancer reports the outcome of an attempt to the balancer of the node's shard.
 func (s *Scheduler) reportToBalancer(n *node, r *request, outcome Outcome, latency time.Duration) {
 	replicas := n.shard.balancer
 	if replicas == nil || n.replica == nil {
@@ -122,7 +124,7 @@
 	case Success:
 		from := r.failover.from
 		if from != nil && from != n && from.health.lastAnswer < r.failover.sentAt && from.replica != nil {
-			s.reportUnresponsive(from) // it has said nothing since, and another answered
+			s.reportUnresponsive(from) // from has not answered since, and another node has
 		}
 		replicas.RecordAnswer(s.now, n.replica, s.latencyOfMeanRequest(latency, r.Units))
 	case Failure, Overloaded:
@@ -132,12 +134,12 @@
 	}
 }
 
-// latencyOfMeanRequest scales the latency of a request of so many units to that of a request of mean size.
+// latencyOfMeanRequest scales the latency of a request with the given units to a request of mean size.
 func (s *Scheduler) latencyOfMeanRequest(latency time.Duration, units float64) time.Duration {
 	return time.Duration(float64(latency) * max(1, s.settings.MeanUnits) / max(1, units))
 }
 
-// reportUnresponsive tells the balancer of a node's shard that it said nothing while others answered.
+// reportUnresponsive reports to the balancer of a node's shard that the node did not answer while others did.
 func (s *Scheduler) reportUnresponsive(n *node) {
 	n.shard.balancer.RecordUnresponsive(s.now, n.replica)
 	s.log(messageUnresponsiveReplica, slog.String("node", n.Name), slog.Int("shard", n.Shard))
--- a/scheduler/log.go
+++ b/scheduler/log.go
@@ -2,12 +2,12 @@
 
 import "log/slog"
 
-// logIntervalTicks is the fewest ticks between two log lines with one message. With fewer, an outage of a
-// node fills the log with a line for each of its requests; with more, a second fault of the same kind stays
-// unseen for longer.
+// logIntervalTicks is the minimum number of ticks between two log lines with the same message. With a smaller
+// value an outage of a node fills the log with one line for each of its requests. With a larger value a
+// second fault of the same kind remains unnoticed for longer.
 const logIntervalTicks = 100
 
-// The messages of log lines. They are fixed, since the limit counts by message; what differs is in the
+// The messages of log lines. They are fixed, because the limit applies to each message. Variable values are
 // attributes.
 const (
 	messageUnknownClass        = "unknown class or plan"
@@ -18,14 +18,14 @@
 	messageNodeLeaves          = "node leaves"
 )
 
-// logLimiter bounds log lines: a message is written at most once in logIntervalTicks. The budget is one
-// for all nodes: a line on a second node that fails within the interval is dropped. What is dropped here is
-// not counted: the key `left_out` of log lines counts only what internal/logging drops.
+// logLimiter limits log lines: each message is logged at most once in logIntervalTicks. All nodes share this
+// limit: a line about a second node that fails within the interval is dropped. Lines that are dropped here
+// are not counted: the key `left_out` of log lines counts only the lines that internal/logging drops.
 type logLimiter struct {
 	lastTick map[string]int // tick of the last line, by message
 }
 
-// allow tells whether a message may be written in a tick, and notes it if so.
+// allow reports whether a message may be logged in a tick. If so, it records the tick.
 func (l *logLimiter) allow(message string, tick int) bool {
 	if last, seen := l.lastTick[message]; seen && tick-last < logIntervalTicks {
 		return false
--- a/scheduler/lost.go
+++ b/scheduler/lost.go
@@ -7,47 +7,52 @@
 )
 
 const (
-	// overtakesToLose is how many later attempts a node must answer before an earlier one is presumed lost.
-	// Higher, a lost answer holds its slot for longer; lower, a node that serves out of order loses sound
-	// attempts.
+	// overtakesToLose is the number of later attempts that a node must answer before an earlier attempt is
+	// presumed lost. With a larger value a lost attempt occupies its slot for longer. With a smaller value
+	// a node that answers out of order loses healthy attempts.
 	overtakesToLose = 4
-	// lateFactor is how many times its expected latency an attempt must be in flight before it may be
-	// presumed lost. Higher, clients wait longer behind lost answers; lower, large requests are cut off.
+	// lateFactor is the time in flight after which an attempt may be presumed lost, as a multiple of its
+	// expected latency. With a larger value clients wait longer behind lost attempts. With a smaller value
+	// large requests are canceled.
 	lateFactor = 3.0
-	// failoverTicks is the least time in flight before an attempt is moved to another node of its shard, in
-	// ticks. Higher, clients wait longer behind a dead node; lower, short pauses double the work of a shard.
+	// failoverTicks is the minimum time in flight before an attempt is moved to another node of its shard,
+	// in ticks. With a larger value clients wait longer for a dead node. With a smaller value short pauses
+	// double the work of a shard.
 	failoverTicks = 4
-	// suspicionEarned is how many attempts may be moved for each forward where no node of the shard has
-	// answered since. Higher, retries add to the load of a shard that is slow as a whole; lower, a dead node
-	// blocks a quiet shard.
+	// suspicionEarned is the number of attempts per forward that may be moved without proof, that is,
+	// although no other node of the shard has answered since. With a larger value retries add to the load
+	// of a shard that is slow as a whole. With a smaller value a dead node blocks a shard with few
+	// requests.
 	suspicionEarned = 0.1
-	// suspicionMax is how many such moves may be made in a row. Higher, a shard that is slow as a whole gets
-	// a burst of retries; lower, the first requests behind a dead node wait longer.
+	// suspicionMax is the maximum number of such moves in a row. With a larger value a shard that is slow
+	// as a whole receives a burst of retries. With a smaller value the first requests at a dead node wait
+	// longer.
 	suspicionMax = 5.0
-	// stallTicks is how many ticks late a tick comes when this broker itself stood still. Higher, a starved
-	// broker blames nodes for answers that it did not read; lower, it looks for dead nodes late on a busy
-	// machine.
+	// stallTicks is the interval between two ticks, in tick periods, above which this broker itself counts
+	// as stalled. With a larger value a broker without processor time blames nodes for answers that it has
+	// not read. With a smaller value a broker on a busy machine detects dead nodes late.
 	stallTicks = 3
-	// settleTicks is how long a broker that stood still judges nobody, in ticks, while it reads what came
-	// meanwhile. Higher, dead nodes are found later; lower, answers already received count as missing.
+	// settleTicks is the time after a stall in which a broker does not fail over, in ticks, while it reads
+	// the answers that arrived meanwhile. With a larger value dead nodes are found later. With a smaller
+	// value answers that were already received count as missing.
 	settleTicks = 2
 )
 
-// failover says that a request was moved to another node on suspicion alone.
+// failover describes the move of a request to another node without proof that the first node failed.
 type failover struct {
 	from   *node // nil for none
-	sentAt Time  // when its attempt there was sent
+	sentAt Time  // when the attempt at that node was sent
 }
 
-// failoverGuard bounds what failOver does on suspicion, and by a broker that stood still.
+// failoverGuard limits the moves that failOver makes without proof, and prevents moves after a stall.
 type failoverGuard struct {
-	lastTick       int // in which attempts were last looked at, and its time
+	lastTick       int // tick in which attempts were last checked
 	lastTickAt     Time
 	stalledUntil   Time
-	suspicionSpent float64 // moves on suspicion, less what forwards have earned
+	suspicionSpent float64 // moves without proof, minus those that forwards have earned
 }
 
-// observeTick notes a tick, and whether it came so late that this broker itself stood still.
+// observeTick records a tick, and detects by the tick's delay whether this broker was stalled.
 func (f *failoverGuard) observeTick(tick int, now Time, period time.Duration) {
 	if tick == f.lastTick {
 		return
@@ -59,17 +64,17 @@
 	f.lastTickAt = now
 }
 
-// recordForward earns part of a move on suspicion.
+// recordForward earns a fraction of a move without proof.
 func (f *failoverGuard) recordForward() { f.suspicionSpent = max(0, f.suspicionSpent-suspicionEarned) }
 
-// exhausted tells whether another move on suspicion would be one too many.
+// exhausted reports whether another move without proof would exceed the limit.
 func (f *failoverGuard) exhausted() bool { return f.suspicionSpent > suspicionMax-1 }
 
-// detectLost finds attempts at a node whose answers will not come: a lost message, a stuck request, a dead
-// node or path. It shows as an attempt that later ones overtook, or that is in flight for far longer than any
-// answer takes. Such an attempt gives its slot back; unless it is just late it is canceled and retried where
-// the rules allow. The guard holds since each attempt is looked at in each tick. It costs nodes that serve
-// out of order, or became slower at one stroke, some retries.
+// detectLost finds the attempts at a node whose answers will not arrive, because of a lost message, a stuck
+// request, or a dead node or network path. Such an attempt was overtaken by later attempts, or is in flight
+// for far longer than any answer takes. Its slot is freed. Unless the attempt is only late, it is canceled
+// and retried if the rules allow it. Every tick checks every attempt, so that no lost attempt is missed. As
+// a trade-off, nodes that answer out of order, or suddenly become slower, cause some retries.
 func (s *Scheduler) detectLost(n *node) {
 	for _, r := range n.attempts {
 		inFlight := (s.now - r.sentAt).Seconds()
@@ -84,17 +89,18 @@
 	}
 }
 
-// relativeSize is how many times larger than the mean a request is, at least 1.
+// relativeSize returns the size of a request as a multiple of the mean size, at least 1.
 func (s *Scheduler) relativeSize(units float64) float64 {
 	return max(1, units/max(1, s.settings.MeanUnits))
 }
 
-// presumeLost gives an attempt's slot back after so many seconds in flight, and cancels it where a retry is
-// allowed and is no second run of what is only late.
+// presumeLost frees the slot of an attempt that is in flight for the given number of seconds. It cancels
+// the attempt if the request may be retried, unless the attempt is only late: a retry would then double the
+// work.
 func (s *Scheduler) presumeLost(n *node, r *request, inFlight float64) {
 	r.lost = true
 	n.inFlight--
-	if r.overtaken < overtakesToLose { // as far as seen, the node is that slow
+	if r.overtaken < overtakesToLose { // no sign of a loss: treat the node as slow
 		n.latency.answers++
 		n.latency.sum += inFlight
 	}
@@ -107,15 +113,17 @@
 	}
 }
 
-// cancelUseless cancels an attempt that is better made elsewhere or not at all, and tells whether it did.
+// cancelUseless fails over or cancels an attempt that is no longer useful at its node. It reports whether
+// it did so.
 func (s *Scheduler) cancelUseless(n *node, r *request) bool {
 	return s.failOver(n, r) || s.cancelLate(n, r)
 }
 
-// cancelLate frees a congested node from work that earns next to nothing: an attempt after its soft deadline
-// is canceled and the request answered, so that the node serves what can still be in time. A node that goes
-// on with what was canceled would hide how slow it is: so after one cancellation the next attempt runs to its
-// end. It costs classes whose late answers earn much.
+// cancelLate cancels an attempt at a congested node after its soft deadline and answers the request. The
+// node can then serve requests that can still be in time. A node that continues to execute canceled
+// attempts would hide how slow it is. Therefore, after one cancellation no other late attempt is canceled
+// until the next success. As a trade-off, classes whose late answers still earn much lose value. cancelLate
+// reports whether it canceled.
 func (s *Scheduler) cancelLate(n *node, r *request) bool {
 	if r.answered || s.now <= r.softDeadline || !n.congested(s.minObjective) {
 		return false
@@ -124,7 +132,7 @@
 		return false
 	}
 	n.health.canceledSinceAnswer = true
-	n.latency.answers++ // it would have taken this long at least
+	n.latency.answers++ // the answer would have taken at least this long
 	n.latency.sum += (s.now - r.sentAt).Seconds()
 	s.cancelAttempt(r)
 	s.giveUp(r)
@@ -136,12 +144,13 @@
 	s.emit(Cancel{ID: r.ID, Attempt: r.attempts - 1})
 }
 
-// failOver moves a request of a shard with several nodes away from a node that says nothing, and tells
-// whether it did. It shows as an attempt that is in flight for far longer than expected while others of the
-// shard answer. The attempt is canceled and made at another node where it may run twice; what was written to
-// the first node stays its own. Where no other has answered since, the moves are bounded: were all nodes
-// slow, they would only add to it. A broker that stood still itself judges nobody until it has read what came
-// meanwhile. It costs a sound node that pauses for as long some of its requests.
+// failOver cancels an attempt at a node that does not answer, so that the request is retried at another
+// node of its shard. It acts if the attempt is in flight for far longer than expected from the latency of
+// another node. Only requests that are safe to repeat are moved; other requests stay at their first node.
+// If no other node has answered since the attempt was sent, the moves are limited: if all nodes are slow,
+// moves would only add load. A broker that was stalled does not fail over until it has read the answers
+// that arrived meanwhile. As a trade-off, a healthy node that pauses for that long loses some requests.
+// failOver reports whether it canceled.
 func (s *Scheduler) failOver(n *node, r *request) bool {
 	s.failovers.observeTick(s.ticks, s.now, s.tickPeriod)
 	if n.replica == nil || n.shard.balancer == nil || r.answered || s.now < s.failovers.stalledUntil {
@@ -177,8 +186,7 @@
 	return true
 }
 
-// alternative is the node of the same shard, besides this one, that may be asked and answered last; nil for
-// none.
+// alternative returns the other ready and responsive node of the shard that answered last, nil for none.
 func (n *node) alternative() *node {
 	var latest *node
 	for _, other := range n.shard.nodes {
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -6,26 +6,28 @@
 )
 
 const (
-	// volumeIdleTicks is for how many ticks without a request a volume is remembered. Higher, memory grows
-	// with all volumes of the last hours; lower, a volume that comes back has a full bucket again, and its
-	// demand is unknown.
+	// volumeIdleTicks is the number of ticks without a request after which a volume is forgotten. With a
+	// larger value memory grows with all volumes of the last hours. With a smaller value a volume that
+	// returns starts with a full bucket, and its demand is unknown.
 	volumeIdleTicks = 2400
-	// expiryTicks is how many ticks there are between two searches for key queues and unserved requests that
-	// are over. Higher, they take memory for longer; lower, ticks take longer.
+	// expiryTicks is the number of ticks between two searches for expired key queues and unserved requests.
+	// With a larger value expired entries use memory for longer. With a smaller value ticks take longer.
 	expiryTicks = 16
-	// sweepMin and sweepFraction are how many volumes a tick looks at, at least and as a fraction of all.
-	// Higher, ticks take longer; lower, memory is freed later.
+	// sweepMin and sweepFraction define the number of volumes that a tick checks: the total divided by
+	// sweepFraction, at least sweepMin. When more volumes are checked, ticks take longer. When fewer are
+	// checked, memory is freed later.
 	sweepMin      = 256
 	sweepFraction = 64
-	// servedWarmUps is for how many warm-up times the served rate of a shard without nodes is remembered.
-	// Higher, memory grows with all shards that ever were; lower, a node that replaces the last one starts
-	// slower than it could.
+	// servedWarmUps is the time for which the served rate of a shard without nodes is kept, as a multiple of
+	// the warm-up time. With a larger value memory grows with all shards that ever existed. With a smaller
+	// value a node that replaces the last node of its shard starts slower than it could.
 	servedWarmUps = 4
 )
 
 // forget bounds the memory of a process that runs for months, while nodes are replaced under new names,
-// volumes come and go and reports get old. A node that is gone is kept while attempts are in flight there, a
-// shard while a new node may be measured by what the last one served.
+// volumes appear and disappear, and reports expire. A removed node is kept while attempts are in flight
+// there. A shard without nodes is kept while the rate that its last node served may set the slow-start budget
+// of a new node.
 func (s *Scheduler) forget() {
 	if s.nodes.recount {
 		s.nodes.recount = s.forgetNodes()
@@ -34,7 +36,7 @@
 	s.demand.forgetOld(s.ticks)
 }
 
-// forgetExpired drops key queues and unserved requests that are over. They count no more, kept or not.
+// forgetExpired drops expired key queues and unserved requests. Dropping them does not change any decision.
 func (s *Scheduler) forgetExpired() {
 	if s.ticks%expiryTicks > 0 {
 		return
@@ -47,7 +49,7 @@
 	})
 }
 
-// forgetNodes drops nodes and shards that are gone, and tells whether some are left for a later tick.
+// forgetNodes drops removed nodes and empty shards. It reports whether some must be dropped in a later tick.
 func (s *Scheduler) forgetNodes() (left bool) {
 	before := len(s.nodes.list)
 	s.nodes.list = slices.DeleteFunc(s.nodes.list, func(n *node) bool {
@@ -70,7 +72,7 @@
 	return s.forgetShards() || left
 }
 
-// forgetShards drops shards without nodes and requests, and tells whether some without nodes are left.
+// forgetShards drops shards without nodes and requests. It reports whether some shards without nodes remain.
 func (s *Scheduler) forgetShards() (left bool) {
 	memory := servedWarmUps*s.settings.Rules.WarmUpTime + s.minObjective
 	s.shards.ids = slices.DeleteFunc(s.shards.ids, func(id int) bool {
@@ -91,7 +93,7 @@
 	return left
 }
 
-// forgetVolumes drops volumes that have been idle for long. A tick looks at a part of them.
+// forgetVolumes drops volumes that have been idle for long. Each tick checks a part of the volumes.
 func (s *Scheduler) forgetVolumes() {
 	t := &s.volumes
 	if t.sweepPosition >= len(t.list) {
@@ -114,7 +116,7 @@
 	t.sweepPosition = kept
 }
 
-// closeGap fills the places from start to end with the last volumes of the list: their order does not count.
+// closeGap fills the places from start to end with the last volumes of the list, whose order is irrelevant.
 func (t *volumeTable) closeGap(start, end int) {
 	if start >= end {
 		return
--- a/scheduler/nodes.go
+++ b/scheduler/nodes.go
@@ -7,19 +7,19 @@
 	"junctionwharf/balancer"
 )
 
-// node is what is known of one node of the endpoint list.
+// node is the state of one node of the endpoint list.
 type node struct {
 	Endpoint
-	state            NodeState // as listed, Removed also once a full list no longer has it
-	listedGeneration uint64    // scanSchedule.generation when a list last had it
-	sequence         int       // in the order in which nodes were first seen
-	shard            *shard    // that it was first listed with
+	state            NodeState // as listed, or Removed if the last full list did not name the node
+	listedGeneration uint64    // scanSchedule.generation of the last list that named the node
+	sequence         int       // position in the order in which nodes were first seen
+	shard            *shard    // shard in the node's first list entry
 	replica          *balancer.Replica
 
-	active        bool       // ticks work on it
+	active        bool       // ticks process the node
 	attempts      []*request // in flight, in the order sent
-	inFlight      int        // of them those that are not presumed lost
-	finishedUnits float64    // answered in this tick
+	inFlight      int        // attempts that are not presumed lost
+	finishedUnits float64    // units answered in this tick
 
 	limit     concurrencyLimit
 	latency   latencyStats
@@ -30,11 +30,11 @@
 // shardTable holds the shards by id.
 type shardTable struct {
 	byID     map[int]*shard
-	ids      []int    // in order
-	balanced []*shard // those with a balancer, by id
+	ids      []int    // sorted
+	balanced []*shard // shards with a balancer, sorted by id
 }
 
-// shardByID returns a shard, which it makes where it is new.
+// shardByID returns the shard with an id. It creates the shard if it does not exist.
 func (s *Scheduler) shardByID(id int) *shard {
 	sh := s.shards.byID[id]
 	if sh == nil {
@@ -47,7 +47,7 @@
 	return sh
 }
 
-// compareShardID orders shards by their ids.
+// compareShardID compares a shard's id with an id.
 func compareShardID(sh *shard, id int) int { return cmp.Compare(sh.id, id) }
 
 func (sh *shard) addNode(n *node) {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// hasSeveralReady tells whether more than one node could serve the shard.
+// hasSeveralReady reports whether more than one node of the shard is ready.
 func (sh *shard) hasSeveralReady() bool {
 	ready := 0
 	for _, n := range sh.nodes {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// fastest is the ready node by which the shard's service time is estimated: of several, the least latency
-// among those that are not unresponsive, since that is where a request goes next.
+// fastest returns the ready node from which the shard's service time is estimated, nil for none. In a shard
+// with a balancer it is the responsive node with the lowest latency, because the next request goes there.
 func (sh *shard) fastest() *node {
 	first := sh.firstReady()
 	if first == nil || sh.balancer == nil {
@@ -97,7 +97,7 @@
 	return best
 }
 
-// serviceTime is how many seconds an attempt at the shard takes, 0 where that is not known.
+// serviceTime returns the expected duration of an attempt at the shard in seconds, 0 if unknown.
 func (sh *shard) serviceTime() float64 {
 	if n := sh.fastest(); n != nil {
 		return n.latency.smoothed
@@ -105,7 +105,7 @@
 	return 0
 }
 
-// workingNodes is how many nodes work at the shard's queue.
+// workingNodes returns the number of nodes that serve the shard's queue.
 func (sh *shard) workingNodes() float64 {
 	if sh.balancer == nil {
 		return 1
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -4,11 +4,11 @@
 
 // keyQueue keeps the requests of ordered classes with one key in the order of arrival.
 type keyQueue struct {
-	waiting    []*request // the first is the next to run
-	quietUntil Time       // an earlier attempt may still run until then
+	waiting    []*request // the first may run next
+	quietUntil Time       // until this time an earlier attempt may still run at its node
 }
 
-// joinKeyQueue puts a request of an ordered class behind the others with its key.
+// joinKeyQueue appends a request of an ordered class to the queue of its key.
 func (s *Scheduler) joinKeyQueue(r *request) {
 	if !r.class.Ordered || r.Key == "" {
 		return
@@ -21,8 +21,8 @@
 	r.keyQueue.waiting = append(r.keyQueue.waiting, r)
 }
 
-// isNextOfKey tells whether a request may run as far as others with its key go. A retry need not wait for its
-// own earlier attempt.
+// isNextOfKey reports whether a request may run according to the order of requests with its key. A retry need
+// not wait for its own earlier attempt.
 func (r *request) isNextOfKey(now Time) bool {
 	if r.keyQueue == nil {
 		return true
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// placementChoices is how many nodes are looked at for a new object. Higher, all brokers choose the same few
-// idle nodes; lower, new objects wait at busy nodes while others idle.
+// placementChoices is the number of nodes that are compared for a new object. With a larger value all brokers
+// choose the same few idle nodes. With a smaller value new objects wait at busy nodes while others idle.
 const placementChoices = 8
 
-// placeNewObject chooses the shard of a new object: of a few sound nodes, from a random one on so that
-// brokers do not all take the same, the one where it will wait least. A node that is warming up counts as far
-// as it surely bears the object: else after many restarts all new objects would crowd the old nodes. A node
-// whose latency is not known counts as no quicker than the target. It costs reads that follow to a node that
-// is still warming up. It returns -1 where no node is sound.
+// placeNewObject chooses the shard of a new object: the shard with the shortest expected wait among a few
+// healthy nodes. The comparison starts at a random node, so that brokers do not all choose the same node. A
+// node that is warming up is a candidate if its slow-start budget covers the object. Without these nodes, all
+// new objects would go to the few old nodes after many restarts. A node whose latency is unknown is assumed
+// to have the target latency. As a trade-off, later reads go to a node that is still warming up. The result
+// is -1 if no node is a candidate.
 func (s *Scheduler) placeNewObject(r *request) int {
 	best := -1
 	leastWait := math.Inf(1)
@@ -35,8 +36,8 @@
 	return best
 }
 
-// inScope tells whether a node drops repeats of a request: one with an idempotency key that may have executed
-// stays with the nodes that know its key.
+// inScope reports whether a request may be sent to a node under the scope of its idempotency key. A request
+// with a key that may have executed must stay within the nodes that recognize the key.
 func inScope(r *request, n *node) bool {
 	if r.executedOn == nil || r.class.Idempotency != IdempotentWithKey || r.class.Scope == ScopeAll {
 		return true
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -9,38 +9,38 @@
 	"junctionwharf/balancer"
 )
 
-// endOfTime is later than any request is given up.
+// endOfTime is later than any deadline.
 const endOfTime = Time(math.MaxInt64)
 
-// shard holds the nodes of one shard and its queue of requests, earliest soft deadline first.
+// shard is one shard: its nodes and its queue of requests, earliest soft deadline first.
 type shard struct {
 	id             int
 	nodes          []*node
-	balancer       *balancer.Balancer // of its nodes, nil until there are several
-	balancerUpdate uint64             // endpointWatch.updates when the balancer last got the nodes
-	servedRate     float64            // units a second that warm nodes served here, over WarmUpTime
-	servedAt       Time               // of the last of them
+	balancer       *balancer.Balancer // of the nodes, nil until there are several
+	balancerUpdate uint64             // endpointWatch.updates when the balancer last received the nodes
+	servedRate     float64            // units a second that warm nodes served, a mean over WarmUpTime
+	servedAt       Time               // when warm nodes last served a request
 
 	queue        []*request
-	unscanned    []*request // of them those that came since the last scan
-	lateArrivals []*request // and those that came since the marks were set
+	unscanned    []*request // queued requests that arrived since the last scan
+	lateArrivals []*request // queued requests that arrived since the marks were set
 	marks        [passes]scanMark
 	marksSet     uint64 // scanSchedule.generation when the marks were set, 0 for never
-	scan         scan   // memory for the scan under way
+	scan         scan   // the current scan; a field to avoid an allocation
 	summary      queueSummary
-	changed      bool // the last scan moved a request, or something happened here since that could
-	pending      bool // it is among scanSchedule.pending
-	queued       bool // it is among scanSchedule.queued
-	wakeupAt     Time // of its earliest wake-up, 0 for none
+	changed      bool // a request may have become forwardable since the last scan or by that scan
+	pending      bool // the shard is in scanSchedule.pending
+	queued       bool // the shard is in scanSchedule.queued
+	wakeupAt     Time // of the shard's earliest wake-up, 0 for none
 }
 
-// queueSummary is what is known of all that is queued at a shard. It holds for one generation and one service
+// queueSummary summarizes the queued requests of a shard. It is valid for one generation and one service
 // time.
 type queueSummary struct {
-	generation    uint64  // scanSchedule.generation, 0 for none
+	generation    uint64  // scanSchedule.generation, 0 if invalid
 	serviceTime   float64 // seconds
-	timeDependent int     // requests that time alone may make forwardable
-	giveUpAt      Time    // when the first is given up, a little early
+	timeDependent int     // number of requests that may become forwardable by the passing of time alone
+	giveUpAt      Time    // slightly before the first request is given up
 }
 
 // enqueueAt queues a request at a shard until it is forwarded or given up.
@@ -58,7 +58,7 @@
 	s.scans.wake(sh)
 }
 
-// dequeue takes a request out of its shard's queue.
+// dequeue removes a request from its shard's queue.
 func (sh *shard) dequeue(r *request) {
 	sh.queue = removeByDeadline(sh.queue, r)
 	sh.unscanned = removeByDeadline(sh.unscanned, r)
@@ -69,7 +69,7 @@
 	r.queuedAt = nil
 }
 
-// compareSoftDeadline orders requests by their soft deadlines, and equal ones by their ids.
+// compareSoftDeadline orders requests by soft deadline, then by id.
 func compareSoftDeadline(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.softDeadline, b.softDeadline), cmp.Compare(a.ID, b.ID))
 }
@@ -79,9 +79,9 @@
 	return slices.Insert(list, at, r)
 }
 
-// removeByDeadline takes a request out of a list, if it is there. Most are first: those are cut off in front,
-// since moving the others up took seconds where all of a queue of 100,000 left at once. The guard is
-// TestAllDueAtOnce.
+// removeByDeadline removes a request from a list if the list contains it. Most removed requests are the first
+// of the list. They are cut off by reslicing: shifting the others took seconds when all requests of a queue
+// of 100,000 left at once. TestAllDueAtOnce guards against that.
 func removeByDeadline(list []*request, r *request) []*request {
 	at, found := slices.BinarySearchFunc(list, r, compareSoftDeadline)
 	switch {
@@ -89,7 +89,7 @@
 		return list
 	case len(list) == 1:
 		list[0] = nil
-		return list[:0] // keeps the memory for the next
+		return list[:0] // keeps the memory for the next request
 	case at == 0:
 		list[0] = nil
 		return list[1:]
@@ -97,8 +97,8 @@
 	return slices.Delete(list, at, at+1)
 }
 
-// add takes one more queued request into the summary. A request depends on time alone if it waits for its
-// key, its retry budget or its quota. giveUpAt is a microsecond early, since the service time is rounded.
+// add adds a queued request to the summary. A request is time-dependent if it may wait for its key, its retry
+// budget or its quota. giveUpAt is a microsecond early, because the service time is rounded.
 func (q *queueSummary) add(r *request, tickPeriod time.Duration) {
 	r.timeDependent = r.keyQueue != nil || r.attempts > 0 || r.volume.plan.Limit > 0
 	if r.timeDependent {
@@ -109,7 +109,7 @@
 	q.giveUpAt = min(q.giveUpAt, lastStart, r.deadline-answerTicks*tickPeriod)
 }
 
-// summarize brings a shard's summary up to date.
+// summarize recomputes a shard's summary if it is no longer valid.
 func (s *Scheduler) summarize(sh *shard) {
 	serviceTime := sh.serviceTime()
 	if sh.summary.generation == s.scans.generation && sh.summary.serviceTime == serviceTime {
@@ -125,14 +125,14 @@
 	}
 }
 
-// nothingExpires tells whether no queued request is to be given up now, by a summary that still holds.
+// nothingExpires reports whether a valid summary shows that no queued request must be given up now.
 func (s *Scheduler) nothingExpires(sh *shard, serviceTime float64) bool {
 	current := sh.summary.generation == s.scans.generation && sh.summary.serviceTime == serviceTime
 	return current && s.now < sh.summary.giveUpAt
 }
 
-// isUniform tells whether the shard's nodes may take either all that is queued or none of it: no request is
-// bound to some of them, and none of them is paced or warming up.
+// isUniform reports whether the shard's nodes can currently accept either every queued request or none. No
+// request is time-dependent or restricted to some of the nodes, and no node paces forwards or is warming up.
 func (s *Scheduler) isUniform(sh *shard) bool {
 	s.summarize(sh)
 	if sh.summary.timeDependent != 0 {
@@ -143,8 +143,8 @@
 	})
 }
 
-// isSaturated tells whether none of the shard's nodes may take anything now: each has in flight what its
-// limit allows, backs off, or is paced and got something too lately even for a request of the highest value.
+// isSaturated reports whether none of the shard's nodes can accept a request now. Each ready node backs off,
+// has no free slot, or is paced even for a request with the largest value share.
 func (s *Scheduler) isSaturated(sh *shard) bool {
 	return !slices.ContainsFunc(sh.nodes, func(n *node) bool {
 		if n.state != Ready || s.now < n.health.backoffUntil || !n.hasFreeSlot() {
@@ -154,10 +154,10 @@
 	})
 }
 
-// maxValueShare is the largest part of its value that a request may earn.
+// maxValueShare returns the largest fraction of its value that a request can earn.
 func (set *Settings) maxValueShare() float64 { return max(1, set.SpareWeight, set.ShareWeight) }
 
-// markChanged notes that something happened at the shard that may make its requests forwardable.
+// markChanged records that an event at the shard may have made requests forwardable.
 func (s *Scheduler) markChanged(sh *shard) {
 	sh.changed = true
 	if len(sh.queue) > 0 {
@@ -165,8 +165,8 @@
 	}
 }
 
-// isSettled tells whether another scan of the queue would move nothing: nothing happened since the last one
-// that could, at this shard, to all shards or by the passing of time.
+// isSettled reports whether another scan of the queue would not move any request: since the last scan,
+// nothing relevant has changed at this shard, for all shards, or by the passing of time.
 func (s *Scheduler) isSettled(sh *shard) bool {
 	if s.scans.exhaustive || sh.changed || len(sh.unscanned) > 0 {
 		return false
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// answerTicks is how many ticks before its deadline a request is answered at the latest, and no longer
-// retried. Higher, requests that could still be served are given up; lower, answers come after the client has
-// left.
+// answerTicks is the number of ticks before its deadline at which a request is given up and no longer
+// retried. With a larger value requests that could still be served are given up. With a smaller value answers
+// arrive after the client has disconnected.
 const answerTicks = 2
 
-// retryBudget bounds retries against requests over a sliding window.
+// retryBudget limits the number of retries relative to the number of requests in a sliding window.
 type retryBudget struct {
 	requests []Time // arrivals within the window, in order
-	retries  []Time // and forwards beyond a request's first
+	retries  []Time // forwards within the window that were not a request's first, in order
 }
 
 func (b *retryBudget) recordRequest(now Time) { b.requests = append(b.requests, now) }
 
 func (b *retryBudget) recordRetry(now Time) { b.retries = append(b.retries, now) }
 
-// trim forgets what is older than the window: requests a moment early and retries a moment late, so that a
-// count at the window's edge is on the safe side.
+// trim drops the entries that are older than the window. Requests exactly as old as the window are dropped
+// and retries of that age are kept, so that the count at the window's edge never exceeds the budget.
 func (b *retryBudget) trim(now, window Time) {
 	for len(b.requests) > 0 && now-b.requests[0] >= window {
 		b.requests = b.requests[1:]
@@ -28,7 +28,7 @@
 	}
 }
 
-// allows tells whether one more retry stays in the budget. A window of 0 is no budget.
+// allows reports whether the budget admits one more retry. With a window of 0 there is no budget.
 func (b *retryBudget) allows(now Time, rules *Rules) bool {
 	if rules.RetryBudgetWindow <= 0 {
 		return true
@@ -38,8 +38,8 @@
 	return float64(len(b.retries)+1) <= budget
 }
 
-// mayRetry tells whether a request may run again: by its attempts, by what a second execution would do, and
-// by the budget.
+// mayRetry reports whether a request may run again: by its number of attempts, the effect of a second
+// execution, and the retry budget.
 func (s *Scheduler) mayRetry(r *request) bool {
 	limit := s.settings.Capabilities.MaxAttempts
 	if limit > 0 && r.attempts >= limit {
@@ -51,8 +51,8 @@
 	return s.budget.allows(s.now, &s.settings.Rules)
 }
 
-// mayExecuteAgain tells whether a request that may have executed does no harm if it does so again: its nodes
-// drop repeats of an idempotency key for a while.
+// mayExecuteAgain reports whether a request that may have executed can safely execute again. Nodes ignore
+// repeats of an idempotency key only within the class's dedup window.
 func (r *request) mayExecuteAgain(now Time) bool {
 	switch r.class.Idempotency {
 	case IdempotentWithKey:
@@ -64,7 +64,7 @@
 	}
 }
 
-// safeToRepeat tells whether a client may repeat a request that may have executed.
+// safeToRepeat reports whether the client may safely repeat the request although it may have executed.
 func (r *request) safeToRepeat() bool {
 	switch r.class.Idempotency {
 	case Idempotent:
@@ -76,12 +76,12 @@
 	}
 }
 
-// onAttemptEnded takes the outcome of an attempt: the request is over, is retried, or gets its final answer.
-// TimedOut is never retried: it means that the client's own time is up.
+// onAttemptEnded handles the outcome of an attempt: it ends the request, retries it, or sends its final
+// answer. A TimedOut attempt is never retried, because the client no longer waits.
 func (s *Scheduler) onAttemptEnded(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || r.inFlightAt == nil || r.inFlightAt.Name != e.Node || e.Attempt != r.attempts-1 {
-		return // of an attempt that is not in flight
+		return // the event is not about the attempt in flight
 	}
 	n := r.inFlightAt
 	r.inFlightAt = nil
@@ -100,7 +100,7 @@
 		r.volume.quota.Settle(r.ID)
 	}
 	if r.keyQueue != nil && e.Outcome.mayStillRun() {
-		r.keyQueue.quietUntil = s.now + s.settings.Rules.QuietPeriod + 1 // past its end, not at it
+		r.keyQueue.quietUntil = s.now + s.settings.Rules.QuietPeriod + 1 // the period includes its end
 	}
 	switch {
 	case e.Finished || r.answered || e.Outcome == Success:
@@ -112,10 +112,10 @@
 	}
 }
 
-// mayStillRun tells whether the node may still be at work on an attempt that ended so.
+// mayStillRun reports whether a node may still execute an attempt that ended with this outcome.
 func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionBroken || o == Canceled }
 
-// requeue queues a request again whose attempt at a node ended without an answer.
+// requeue queues a request again after its attempt at a node ended without an answer.
 func (s *Scheduler) requeue(r *request, n *node) {
 	if n.shard.balancer != nil && n.shard.hasSeveralReady() {
 		s.extendSoftDeadline(r)
@@ -123,8 +123,8 @@
 	s.enqueue(r)
 }
 
-// extendSoftDeadline gives a request that is retried at another node its time there: its latency objective
-// may be missed, and a late answer is worth more than none.
+// extendSoftDeadline gives a request that is retried at another node enough time to run there. The request
+// may miss its latency objective, but a late answer is worth more than none.
 func (s *Scheduler) extendSoftDeadline(r *request) {
 	extended := max(r.softDeadline, s.now+s.minObjective)
 	r.softDeadline = min(r.deadline-answerTicks*s.tickPeriod, extended)
--- a/scheduler/scan.go
+++ b/scheduler/scan.go
@@ -8,48 +8,48 @@
 
 // The passes of a scan.
 const (
-	paidPass      = iota // requests whose volume has the tokens
-	overdraftPass        // and those whose volume goes into overdraft
-	lastPass             // and those that were deprioritized
+	paidPass      = iota // requests whose volume has enough tokens
+	overdraftPass        // requests whose volume must overdraw its tokens
+	lastPass             // deprioritized requests
 	passes
 )
 
-// scanSchedule says which shards are to be scanned. It spares those in which nothing can have changed: what a
-// call of Reduce costs must not grow with the shards.
+// scanSchedule selects the shards to scan. It skips shards in which no request can have become forwardable,
+// so that the cost of a call of Reduce does not grow with the number of shards.
 type scanSchedule struct {
-	generation uint64     // counts what may make requests of any shard forwardable; 1 or more from New on
+	generation uint64     // counts events that may make requests of any shard forwardable; 1 or more
 	woken      uint64     // generation when all shards were last woken, 0 for never
-	pending    []*shard   // to be scanned in this call, by id
-	queued     []*shard   // those with a queue, by id, and some that had one
-	wakeups    wakeupHeap // those in which time alone changes something
-	exhaustive bool       // each scan goes through all, as a reference for tests
+	pending    []*shard   // shards to scan in this call, sorted by id
+	queued     []*shard   // all shards with a queue, sorted by id; some queues may be empty by now
+	wakeups    wakeupHeap // shards that need a scan at a later time
+	exhaustive bool       // each scan checks all queued requests, as a reference for tests
 }
 
-// wakeup has a shard scanned at a time. A shard may have an early one, and is then put off, or two, of which
-// the second finds it awake.
+// wakeup schedules a scan of a shard. A wake-up may be too early, in which case the shard sleeps again. A
+// shard may have two wake-ups; the second one then finds the shard awake.
 type wakeup struct {
 	at    Time
 	shard *shard
 }
 
-// wakeupHeap is a heap of wake-ups, the earliest first.
+// wakeupHeap is a min-heap of wake-ups by time.
 type wakeupHeap []wakeup
 
 func (h wakeupHeap) Len() int           { return len(h) }
 func (h wakeupHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h wakeupHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds a wakeup, for container/heap.
+// Push adds a wake-up, for container/heap.
 func (h *wakeupHeap) Push(x any) { *h = append(*h, x.(wakeup)) }
 
-// Pop takes the last element, for container/heap.
+// Pop removes the last element, for container/heap.
 func (h *wakeupHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// wake has a shard scanned in this call.
+// wake adds a shard to the shards that are scanned in this call.
 func (c *scanSchedule) wake(sh *shard) {
 	if sh.pending {
 		return
@@ -59,8 +59,8 @@
 	c.pending = slices.Insert(c.pending, at, sh)
 }
 
-// wakeDue wakes the shards in which something may have changed since the last call: all with a queue in a new
-// generation, else those whose time has come.
+// wakeDue wakes the shards in which requests may have become forwardable since the last call: in a new
+// generation all shards with a queue, otherwise the shards with an expired wake-up.
 func (c *scanSchedule) wakeDue(now Time) {
 	if c.woken != c.generation {
 		c.woken = c.generation
@@ -89,7 +89,7 @@
 	})
 }
 
-// sleep spares a shard further scans until something can have changed in it, and tells whether that may be.
+// sleep excludes a settled shard from scans until its wake-up or an event. It reports whether it did so.
 func (s *Scheduler) sleep(sh *shard) bool {
 	if !s.isSettled(sh) {
 		return false
@@ -102,7 +102,7 @@
 	return true
 }
 
-// dispatchPending scans the pending shards and gives up what can no longer be in time.
+// dispatchPending scans the pending shards, and gives up their requests that can no longer be in time.
 func (s *Scheduler) dispatchPending() {
 	s.scans.wakeDue(s.now)
 	s.scans.pending = slices.DeleteFunc(s.scans.pending, func(sh *shard) bool {
@@ -117,7 +117,7 @@
 	})
 }
 
-// dispatch forwards what may leave a shard's queue, each pass by earliest soft deadline.
+// dispatch forwards the requests of a shard that may be forwarded, in each pass by earliest soft deadline.
 func (s *Scheduler) dispatch(sh *shard, scan *scan) {
 	for scan.pass = range passes {
 		scan.beginPass()
@@ -128,7 +128,7 @@
 				sh.dequeue(r)
 				s.forward(r, n)
 			} else if s.isUniform(sh) || s.isSaturated(sh) {
-				return // no other request would find a node
+				return // no node would accept another request
 			} else {
 				scan.skipUnplaced()
 			}
@@ -136,19 +136,19 @@
 	}
 }
 
-// scan is one way through a shard's queue. Within a generation the tokens of volumes only fall: who could not
-// pay still can't. So each pass begins at its mark, behind those that it found unable to pay, and with those
-// that came before the mark since.
+// scan is one scan of a shard's queue. Within a generation the tokens of volumes only fall, so that a request
+// that could not pay still cannot. Each pass therefore starts at its mark, after the requests that could not
+// pay. Before that, the pass checks the requests before the mark that arrived since the mark was set.
 type scan struct {
 	shard          *shard
-	unscannedOnly  bool // only those that came since the last scan
+	unscannedOnly  bool // only requests that arrived since the last scan
 	pass           int
-	lateArrivals   bool // among those that came before the mark
+	lateArrivals   bool // the position is in shard.lateArrivals, before the mark
 	index          int
-	skippedPayable bool // one that could pay found no node
+	skippedPayable bool // a request that can pay was skipped because it found no node
 }
 
-// scanMark is a place in the order of the queue: all before it could not pay, but for those that came since.
+// scanMark is a position in the queue. No request before it could pay, except those in shard.lateArrivals.
 type scanMark struct {
 	softDeadline Time
 	id           uint64
@@ -158,8 +158,8 @@
 	return cmp.Or(cmp.Compare(r.softDeadline, mark.softDeadline), cmp.Compare(r.ID, mark.id))
 }
 
-// beginScan begins a scan of all that is queued, or of what came since the last scan if that moved nothing
-// and nothing happened since that could change what it saw.
+// beginScan starts a scan. The scan covers only the requests that arrived since the last scan if that scan
+// moved no request and no later event could change its result. Otherwise it covers the whole queue.
 func (s *Scheduler) beginScan(sh *shard) *scan {
 	nothingChanged := !s.scans.exhaustive && !sh.changed &&
 		s.nothingExpires(sh, sh.serviceTime()) && s.isUniform(sh)
@@ -182,8 +182,8 @@
 	l.skippedPayable = false
 }
 
-// current is the request that the scan is at, nil behind the last. The scan leaves it by skipUnpaid, by
-// skipUnplaced, or by its being dequeued.
+// current returns the request at the position of the scan, nil after the last request. skipUnpaid and
+// skipUnplaced advance the position. If the request is dequeued, the position refers to the next request.
 func (l *scan) current() *request {
 	sh := l.shard
 	list := sh.queue
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// skipUnpaid passes by a request that can't pay in this pass.
+// skipUnpaid skips a request that cannot be forwarded in this pass, for example because it cannot pay.
 func (l *scan) skipUnpaid(r *request) {
 	l.index++
 	if !l.unscannedOnly && !l.lateArrivals && !l.skippedPayable {
@@ -212,14 +212,14 @@
 	}
 }
 
-// skipUnplaced passes by a request that can pay and found no node.
+// skipUnplaced skips a request that can pay but finds no node.
 func (l *scan) skipUnplaced() {
 	l.index++
 	l.skippedPayable = l.skippedPayable || !l.lateArrivals
 }
 
-// finishScan notes a scan of a shard that had so many requests before: one that moved something is followed
-// by another, as is one of a shard with a node that backs off.
+// finishScan ends a scan of a shard whose queue had the given length before. Another scan follows if this
+// scan moved a request or if one of the shard's nodes backs off.
 func (s *Scheduler) finishScan(sh *shard, before int) {
 	clear(sh.unscanned)
 	sh.unscanned = sh.unscanned[:0]
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// ticksPerObjective is how many ticks there are in the smallest latency objective. With fewer, tokens and
-// limits follow a surge late and more answers miss the objective; with more, ticks and gossip cost more
-// processor time.
+// ticksPerObjective is the number of ticks in the smallest latency objective. With a smaller value tokens and
+// limits follow a surge late, and more answers miss the objective. With a larger value ticks and gossip use
+// more processor time.
 const ticksPerObjective = 6.0
 
-// tickTimer is the token of the timer that ends a tick, the only timer that is set.
+// tickTimer is the token of the tick timer. The scheduler sets no other timer.
 const tickTimer = 1
 
-// Scheduler decides for one broker. It is not safe for concurrent use: one goroutine calls it.
+// Scheduler schedules the requests of one broker. It is not safe for concurrent use.
 type Scheduler struct {
 	settings     Settings
 	classes      map[string]*Class
 	plans        map[string]*Plan
-	minObjective time.Duration // the smallest latency objective of a class
+	minObjective time.Duration // smallest latency objective of all classes
 	tickPeriod   time.Duration
 	processes    processCount
 	rng          *rand.Rand
@@ -39,7 +39,7 @@
 	nodes     nodeTable
 	shards    shardTable
 	scans     scanSchedule
-	kept      lowestValueFirst // memory for deprioritizeLate
+	kept      lowestValueFirst // reused by deprioritizeLate
 
 	demand    demandAggregator
 	budget    retryBudget
@@ -47,42 +47,43 @@
 	endpoints endpointWatch
 }
 
-// processCount says how many processes are this broker together, as while one replaces another.
+// processCount is the number of processes of this broker, which is above 1 while one process replaces
+// another.
 type processCount struct {
-	known  float64 // this one included
-	unseen float64 // that may run without being known
+	known  float64 // known processes, including this one
+	unseen float64 // further processes that may run undetected
 }
 
-// request is one client request from its arrival until its final answer and its last outcome.
+// request is a client's request from its arrival until its final answer and the end of its last attempt.
 type request struct {
 	Request
 	class        *Class
 	volume       *volume
-	keyQueue     *keyQueue // the order that it keeps, nil for none
-	firstArrival Time      // when its client first asked
-	softDeadline Time      // when its latency objective ends or its client leaves
+	keyQueue     *keyQueue // queue of the requests with its key, nil if the class is not ordered
+	firstArrival Time      // when the client first sent the request
+	softDeadline Time      // end of the latency objective, or the deadline if that is earlier
 	deadline     Time
 
-	queuedAt      *shard // nil while it is not queued
-	timeDependent bool   // while it is queued, time alone may make it forwardable
-	deprioritized bool   // not all that is queued can be in time, and this one is worth least
+	queuedAt      *shard // shard in whose queue the request is, nil for none
+	timeDependent bool   // while queued, the request may become forwardable by the passing of time alone
+	deprioritized bool   // not all queued requests can be in time, and this one has too low a value
 
-	valueShare float64 // part of its value that its volume still earns, 0 to 1
-	value      float64 // of a unit, by class, plan and valueShare
+	valueShare float64 // fraction of its value that the request earns under its volume's plan, 0 to 1
+	value      float64 // value of a unit: class weight times plan price times valueShare
 
 	attempts       int
-	inFlightAt     *node // where an attempt is in flight, nil for none
-	sentAt         Time  // of the last attempt
-	overtaken      int   // answers to later attempts at that node
-	lost           bool  // its attempt is presumed lost and takes no place in the node's limit
+	inFlightAt     *node // node of the attempt in flight, nil for none
+	sentAt         Time  // when the last attempt was sent
+	overtaken      int   // number of later attempts that the node has answered
+	lost           bool  // the attempt in flight is presumed lost and does not occupy a slot of the node
 	failover       failover
-	executedOn     *node // of the first attempt that may have executed, nil for none
-	firstExecution Time  // when that was sent
-	limitCharged   bool  // its units were taken from the quota of its volume's rate limit
-	answered       bool  // the final answer is out
+	executedOn     *node // node of the first attempt that may have executed, nil for none
+	firstExecution Time  // when that attempt was sent
+	limitCharged   bool  // the quota of the volume's rate limit was charged
+	answered       bool  // the request has its final answer
 }
 
-// New returns a scheduler that knows nothing but its settings. Equal seeds and events give equal actions.
+// New returns a scheduler without nodes and requests. Equal settings, seeds and events give equal actions.
 func New(settings Settings, seed uint64) (*Scheduler, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -103,7 +104,7 @@
 	return s, nil
 }
 
-// applySettings takes settings, at the start or later. Requests that are under way keep their class.
+// applySettings applies settings at the start or later. Requests that have already arrived keep their class.
 func (s *Scheduler) applySettings(settings Settings) {
 	s.settings = settings
 	s.classes = map[string]*Class{}
@@ -127,11 +128,12 @@
 	s.tickPeriod = time.Duration(float64(s.minObjective) / ticksPerObjective)
 }
 
-// Classes returns the classes of requests that it knows.
+// Classes returns the configured classes of requests.
 func (s *Scheduler) Classes() []Class { return s.settings.Classes }
 
-// Nodes counts the listed nodes, and those of them that are avoided: draining, unresponsive (one
-// attempt at a time) or backing off for a whole objective.
+// Nodes returns the number of listed nodes and the number of those that are avoided. A node is avoided if it
+// is draining, unresponsive (it then gets one attempt at a time) or backing off for a whole latency
+// objective.
 func (s *Scheduler) Nodes() (listed, avoided int) {
 	for _, n := range s.nodes.list {
 		if n.state == Removed {
@@ -146,8 +148,8 @@
 	return listed, avoided
 }
 
-// Reduce takes the events of one point in time and returns what is to be done. The slice is good until the
-// next call.
+// Reduce handles the events of one point in time and returns the resulting actions. The slice is valid until
+// the next call.
 func (s *Scheduler) Reduce(now Time, events []Event) []Action {
 	clear(s.actions)
 	s.now = now
@@ -199,10 +201,10 @@
 	}
 }
 
-// emit adds an action to those that Reduce returns.
+// emit appends an action to the result of Reduce.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-// onTick ends a tick. The order of its steps is part of the decisions.
+// onTick ends a tick. The order of its steps affects decisions.
 func (s *Scheduler) onTick() {
 	s.volumes.sortActive()
 	s.sortActiveNodes()
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -8,8 +8,8 @@
 	"junctionwharf/balancer"
 )
 
-// selectNode is the first of a shard's nodes, in the balancer's order, that may serve a request now; nil for
-// none.
+// selectNode returns the first node of a shard, in the balancer's order, that may serve a request now. It
+// returns nil for none.
 func (s *Scheduler) selectNode(sh *shard, r *request) *node {
 	for n := range s.candidates(sh, r) {
 		if s.mayServe(n, r) {
@@ -19,13 +19,13 @@
 	return nil
 }
 
-// mayServe tells whether a request may be forwarded to a node now.
+// mayServe reports whether a request may be forwarded to a node now.
 func (s *Scheduler) mayServe(n *node, r *request) bool {
 	return n.state == Ready && s.belowLimit(n, r) && inScope(r, n) && s.slowStartAllows(n, r.Units)
 }
 
-// candidates yields a shard's nodes, the best choice first. Where only one is ready there is nothing to
-// choose, and the balancer is not asked.
+// candidates yields the nodes of a shard, best choice first. If at most one node is ready, the balancer is
+// not used.
 func (s *Scheduler) candidates(sh *shard, r *request) iter.Seq[*node] {
 	if len(sh.nodes) < 2 || s.settings.Balancer.Disabled || !sh.hasSeveralReady() {
 		return s.leastLoaded(sh, r)
@@ -47,8 +47,8 @@
 	}
 }
 
-// leastLoaded yields the one node that may serve with the fewest attempts in flight against its traffic
-// weight: the first listed of equals.
+// leastLoaded yields the node that may serve a request and has the fewest attempts in flight relative to its
+// traffic weight. Of equal nodes it yields the first listed. It yields the only node of a shard unchecked.
 func (s *Scheduler) leastLoaded(sh *shard, r *request) iter.Seq[*node] {
 	if len(sh.nodes) < 2 {
 		return slices.Values(sh.nodes)
@@ -62,8 +62,8 @@
 	return slices.Values(best)
 }
 
-// isLessLoaded tells whether a node with one more request would be loaded less than another, against their
-// weights.
+// isLessLoaded reports whether a node with one more request would be less loaded than another node with one
+// more request, relative to their weights. Priority takes precedence.
 func (n *node) isLessLoaded(other *node) bool {
 	if n.Priority != other.Priority {
 		return n.Priority < other.Priority
@@ -72,14 +72,15 @@
 	return float64(n.inFlight+1)*weight(other) < float64(other.inFlight+1)*weight(n)
 }
 
-// balancerOf returns a shard's balancer with the nodes of the last endpoint update.
+// balancerOf returns a shard's balancer, updated with the nodes of the last endpoint update.
 func (s *Scheduler) balancerOf(sh *shard) *balancer.Balancer {
 	if sh.balancer != nil && sh.balancerUpdate == s.endpoints.updates {
 		return sh.balancer
 	}
 	if sh.balancer == nil {
 		options := s.settings.Balancer
-		// A broker without a name: its ordinal as one character. Decisions depend on its hash.
+		// A broker without a name is named by its ordinal as one character: decisions depend on the name's
+		// hash.
 		options.Name = cmp.Or(options.Name, string(rune(s.settings.Ordinal)))
 		options.Ordinal = s.settings.Ordinal
 		options.Brokers = s.settings.Brokers
@@ -92,7 +93,7 @@
 	return sh.balancer
 }
 
-// readyReplicas is the shard's ready nodes as the balancer sees them.
+// readyReplicas returns the shard's ready nodes as replicas of the balancer.
 func (sh *shard) readyReplicas() []*balancer.Replica {
 	var ready []*balancer.Replica
 	for _, n := range sh.nodes {
@@ -113,8 +114,8 @@
 	return ready
 }
 
-// forward sends a request to a node. Its first attempt is paid with tokens, a retry counts against the retry
-// budget; the quota of the rate limit is charged once.
+// forward sends a request to a node. A first attempt is paid for with tokens, a retry counts against the
+// retry budget. The quota of the rate limit is charged once per request.
 func (s *Scheduler) forward(r *request, n *node) {
 	if r.attempts == 0 {
 		r.volume.tokens -= r.Units
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -8,52 +8,57 @@
 	"junctionwharf/balancer"
 )
 
-// Time is a point on the caller's clock, counted from any fixed start. It is an alias: time.Duration passes.
+// Time is a point on the caller's clock, measured from any fixed start. It is an alias of time.Duration.
 type Time = time.Duration
 
-// Settings is what a Scheduler receives when it starts, and again by SettingsChanged. The zero value of a
-// field means that the deployment has no such thing: no limit, no load reports, no peers.
+// Settings configures a Scheduler at its start, and later through SettingsChanged. The zero value of an
+// optional field means that the deployment does not have the feature: no limit, no load reports, no peers.
 type Settings struct {
-	Brokers        int    // in the tier, this one included
-	Ordinal        int    // the number of this broker among them, from 0
-	Zone           string // where this broker stands
+	Brokers        int    // number of brokers in the tier, including this one
+	Ordinal        int    // number of this broker among them, from 0
+	Zone           string // zone of this broker
 	Classes        []Class
 	Plans          []Plan
 	Capabilities   Capabilities
 	Rules          Rules
-	Subscribe      bool          // the endpoint list is sent only to a broker that asks for it
+	Subscribe      bool          // the broker must subscribe to receive the endpoint list
 	MeanUnits      float64       // mean size of a request
 	MaxUnits       float64       // largest size of a request
-	SlowStartUnits float64       // what a starting node bears from all brokers within an OverloadWindow
-	MeterPeriod    time.Duration // of the meter of AttemptEnded.RateUsed, 0 for none; no rule reads it
-	ShareWeight    float64       // part of the value earned beyond the reserved rate, inside the normal rate
-	SpareWeight    float64       // part of the value earned beyond both
+	SlowStartUnits float64       // load that a starting node can handle from all brokers in an OverloadWindow
+	MeterPeriod    time.Duration // period of AttemptEnded.RateUsed, 0 for none; no rule reads it
+	ShareWeight    float64       // fraction of value earned between the reserved and the normal rate
+	SpareWeight    float64       // fraction of value earned above both rates
 	Balancer       balancer.Options
 }
 
-// Errors of Validate.
+// Errors that Validate returns or wraps.
 var (
-	ErrTopology = errors.New("brokers, ordinal or classes out of range")
-	ErrClass    = errors.New("class out of range")
-	ErrPlan     = errors.New("plan out of range")
-	ErrRule     = errors.New("a rule has a negative time")
+	ErrTopology = errors.New("number of brokers, ordinal or number of classes is out of range")
+	ErrClass    = errors.New("latency objective, deadline or dedup window of a class is out of range")
+	ErrPlan     = errors.New("rate, limit or weight of a plan is below 0")
+	ErrRule     = errors.New("overload window, warm-up time, retry budget window or quiet period is below 0")
 )
 
-// Validate names settings that make no sense.
+// Validate returns an error that describes the first invalid value that it finds.
 func (set Settings) Validate() error {
 	if set.Brokers < 1 || set.Ordinal < 0 || set.Ordinal >= set.Brokers || len(set.Classes) == 0 {
-		text := fmt.Sprintf("host %d of %d with %d classes", set.Ordinal, set.Brokers, len(set.Classes))
+		text := fmt.Sprintf("ordinal %d, brokers %d, classes %d: want 0 <= ordinal < brokers, classes >= 1",
+			set.Ordinal, set.Brokers, len(set.Classes))
 		return &settingsError{ErrTopology, text}
 	}
 	for _, class := range set.Classes {
 		if class.LatencyObjective <= 0 || min(class.Deadline, class.DedupWindow) < 0 {
-			return &settingsError{ErrClass, fmt.Sprintf("class %q has a time out of range", class.Name)}
+			text := fmt.Sprintf("class %q: latency objective %v is not above 0, or deadline %v or dedup"+
+				" window %v is below 0",
+				class.Name, class.LatencyObjective, class.Deadline, class.DedupWindow)
+			return &settingsError{ErrClass, text}
 		}
 	}
 	for _, plan := range set.Plans {
 		lowestRate := min(plan.Rate, plan.ReservedRate, plan.Limit)
 		if min(lowestRate, plan.LimitBurst, plan.LimitOverdraft, plan.Weight) < 0 {
-			return &settingsError{ErrPlan, fmt.Sprintf("plan %q has a negative figure", plan.Name)}
+			text := fmt.Sprintf("plan %q: a rate, limit or weight is below 0", plan.Name)
+			return &settingsError{ErrPlan, text}
 		}
 	}
 	rules := set.Rules
@@ -63,7 +68,7 @@
 	return nil
 }
 
-// settingsError is an error of Validate with the text that operators know.
+// settingsError is an error of Validate. It replaces the text of the error that it wraps by a specific text.
 type settingsError struct {
 	kind error
 	text string
@@ -72,17 +77,17 @@
 func (e *settingsError) Error() string { return e.text }
 func (e *settingsError) Unwrap() error { return e.kind }
 
-// Idempotency says what happens when a request executes twice.
+// Idempotency describes the effect of executing a request twice.
 type Idempotency int
 
 // The kinds of idempotency that a class may have.
 const (
 	Idempotent        Idempotency = iota // a second execution does no harm
-	IdempotentWithKey                    // nodes of a scope drop repeats of its key for a while
+	IdempotentWithKey                    // the nodes of a scope ignore repeats of its key for a while
 	NotIdempotent                        // must not execute twice
 )
 
-// Scope names the group of nodes that drops repeats of an idempotency key.
+// Scope is the group of nodes that ignores repeats of an idempotency key.
 type Scope int
 
 // The scopes of an idempotency key.
@@ -96,51 +101,51 @@
 type Class struct {
 	Name             string
 	LatencyObjective time.Duration // an answer within it earns its full value
-	ObjectiveStretch float64       // further objective, a multiple of the work; no rule reads it
-	Deadline         time.Duration // how long the client waits over all its attempts
-	PriorityWeight   float64       // value of a unit answered in time
-	LateWeight       float64       // part of the value earned after the objective; no rule reads it
+	ObjectiveStretch float64       // additional objective, a multiple of the work; no rule reads it
+	Deadline         time.Duration // time that the client waits, over all attempts
+	PriorityWeight   float64       // value of a unit answered within the latency objective
+	LateWeight       float64       // fraction of the value earned after the objective; no rule reads it
 	Idempotency      Idempotency
 	Scope            Scope
-	DedupWindow      time.Duration // how long repeats of an idempotency key are dropped
-	Ordered          bool          // requests with one key run in the order of arrival
+	DedupWindow      time.Duration // time for which nodes ignore repeats of an idempotency key
+	Ordered          bool          // requests with the same key run in the order of arrival
 	Stream           bool          // the answer is streamed; no rule reads it
 }
 
-// Plan is the contract of a volume. Rates are units a second over all brokers and nodes.
+// Plan is the service contract of a volume. Rates are in units a second over all brokers and nodes.
 type Plan struct {
 	Name           string
-	Rate           float64 // normal rate
+	Rate           float64 // normal rate, which weights requests beyond the reserved rate
 	ReservedRate   float64
 	Limit          float64 // rate limit, 0 for none
-	LimitBurst     float64 // units that the limit's store holds
-	LimitOverdraft float64 // units that the store may fall below zero
-	Weight         float64 // no rule reads it, Validate alone checks it
-	Price          float64 // multiplies the value
+	LimitBurst     float64 // capacity of the limit's token bucket, in units
+	LimitOverdraft float64 // units by which that bucket may fall below zero
+	Weight         float64 // no rule reads it, only Validate checks it
+	Price          float64 // factor of the value
 }
 
-// Capabilities is what the deployment allows.
+// Capabilities describes what the deployment supports.
 type Capabilities struct {
-	MaxAttempts    int           // of one request, 0 for no bound
-	MaxRetryAfter  time.Duration // the longest that a client is told to wait
-	RetryAfter     bool          // clients are told when to come back
+	MaxAttempts    int           // per request, 0 for no limit
+	MaxRetryAfter  time.Duration // longest wait that a rejection may suggest
+	RetryAfter     bool          // rejections suggest a wait before the retry
 	Cancel         bool          // attempts may be canceled
 	Peers          bool          // brokers exchange messages
 	HealthChecks   bool          // no rule reads it
 	HedgedRequests bool          // two attempts of a request may be in flight at once; no rule reads it
 }
 
-// Rules holds the figures of the rules that no run may break.
+// Rules holds the parameters of the rules that must hold in every run.
 type Rules struct {
-	AnswerSlack       time.Duration // by which a final answer may be late; no rule reads it
-	DrainGrace        time.Duration // in which its forwards end; internal/discovery's, no rule reads it here
-	WarmUpTime        time.Duration // a node that has started is warm after this
-	InitialCapacity   float64       // part of its capacity that it starts with, at least
-	OverloadWindow    time.Duration // a node goes down that gets too much within it; 0 for no such rule
-	OverloadMultiple  float64       // too much, as a multiple of its present capacity
-	PollDeadline      time.Duration // the endpoint list must be asked for within it
+	AnswerSlack       time.Duration // time by which a final answer may be late; no rule reads it
+	DrainGrace        time.Duration // time for a draining node's forwards; only internal/discovery uses it
+	WarmUpTime        time.Duration // time after its start at which a node is warm
+	InitialCapacity   float64       // minimum fraction of its capacity that a starting node has
+	OverloadWindow    time.Duration // window in which too much load makes a node fail; 0 for no such rule
+	OverloadMultiple  float64       // load that is too much, as a multiple of the node's present capacity
+	PollDeadline      time.Duration // time within which the endpoint list must be requested
 	QuietPeriod       time.Duration // pause of a key after an attempt that may still run
-	RetryBudgetMin    float64       // retries that need no request
-	RetryBudgetRatio  float64       // retries for each request
-	RetryBudgetWindow time.Duration // 0 where no budget holds
+	RetryBudgetMin    float64       // retries allowed regardless of the number of requests
+	RetryBudgetRatio  float64       // additional retries allowed per request
+	RetryBudgetWindow time.Duration // 0 for no retry budget
 }
--- a/scheduler/shares.go
+++ b/scheduler/shares.go
@@ -2,17 +2,17 @@
 
 import "cmp"
 
-// NodeShare is what a node gets of this broker's requests to its shard.
+// NodeShare describes the share of a shard's requests that this broker sends to a node.
 type NodeShare struct {
 	Node   string
 	Shard  int
-	Weight float64 // its size against others
-	Factor float64 // what outlier detection leaves of the weight, 0 to 1
-	Share  float64 // of the requests, 0 where this broker does not use the node
-	Reason string  // of the factor
+	Weight float64 // relative to the other nodes of the shard
+	Factor float64 // factor that outlier detection applies to the weight, 0 to 1
+	Share  float64 // fraction of the requests, 0 if this broker does not use the node
+	Reason string  // reason for the factor
 }
 
-// NodeShares tells how requests are spread over the nodes of the shards that have several.
+// NodeShares returns the shares of the nodes of all shards with several ready nodes.
 func (s *Scheduler) NodeShares() []NodeShare {
 	var shares []NodeShare
 	for _, id := range s.shards.ids {
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -5,11 +5,11 @@
 	"container/heap"
 )
 
-// deprioritizeLate marks the requests of a shard that are to be forwarded last, since not all can be in
-// time. It rejects none. Under overload of a node, by a surge or by slowness, earliest soft deadline first
-// would make many requests late: those of the least value yield to those that can still be in time, and
-// leave only where a node has a free slot for them. It costs requests where the service time is estimated
-// too long.
+// deprioritizeLate marks the requests of a shard that must be forwarded last, because not all queued requests
+// can be in time. It does not reject requests. If a surge or slowness overloads a node, earliest soft
+// deadline first alone would make many requests late. Instead, the requests of the lowest value yield to
+// those that can still be in time, and are forwarded only if a node has a free slot left. As a trade-off,
+// requests yield without need if the service time is overestimated.
 func (s *Scheduler) deprioritizeLate(sh *shard) {
 	n := sh.fastest()
 	if n == nil || len(sh.queue) < 2 {
@@ -37,20 +37,19 @@
 	s.kept = kept.requests
 }
 
-// compareValue orders requests by their value, and of equals the later due first.
+// compareValue orders requests by value, and requests of equal value by latest soft deadline first.
 func compareValue(a, b *request) int {
 	return cmp.Or(cmp.Compare(a.value, b.value), compareSoftDeadline(b, a))
 }
 
-// keptSet is the requests that can be in time, the one of the least value first out. It becomes a heap
-// when one must yield: in a queue of thousands an ordered slice made a tick take seconds, and mostly none
-// must.
+// keptSet holds the requests that can be in time. It becomes a heap by lowest value as soon as a request must
+// yield, which is rare. With an ordered slice instead, a tick took seconds for a queue of thousands.
 type keptSet struct {
 	requests lowestValueFirst
 	isHeap   bool
 }
 
-// wouldYieldFirst tells whether a request, once added, would be the first to yield.
+// wouldYieldFirst reports whether a request would have the lowest value in the set.
 func (set *keptSet) wouldYieldFirst(r *request) bool {
 	set.build()
 	return len(set.requests) == 0 || compareValue(r, set.requests[0]) < 0
@@ -75,7 +74,7 @@
 	}
 }
 
-// lowestValueFirst is a heap of requests.
+// lowestValueFirst is a min-heap of requests by value.
 type lowestValueFirst []*request
 
 func (h lowestValueFirst) Len() int           { return len(h) }
@@ -85,7 +84,7 @@
 // Push adds a request, for container/heap.
 func (h *lowestValueFirst) Push(x any) { *h = append(*h, x.(*request)) }
 
-// Pop takes the last element, for container/heap.
+// Pop removes the last element, for container/heap.
 func (h *lowestValueFirst) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// minOverloadMultiple is the least that the overload multiple counts as. Lower, the budget of a node that has
-// just started would fall to nothing, and it would stay idle until it is warm.
+// minOverloadMultiple is the minimum value used for Rules.OverloadMultiple. With a smaller value the budget
+// of a node that has just started would be almost 0, and the node would stay idle until it is warm.
 const minOverloadMultiple = 2.0
 
-// slowStart is the budget of a node that may have just started, from which this broker's forwards are paid in
-// units.
+// slowStart is this broker's budget, in units, for forwards to a node that may have just started.
 type slowStart struct {
 	warmingUp  bool
-	startedAt  Time // the earliest start that fits what is known
+	startedAt  Time // earliest start that is consistent with the endpoint list
 	tokens     float64
 	refilledAt Time
 }
 
-// slowStartAllows guards a node that may have just started, whatever the reason, from a load under which it
-// would go down. It shows as a node that stops right after its start while brokers send to it. What a node
-// served it was able to do; beyond that each broker saves up its part of what a starting node surely bears.
-// Rejected and lost attempts weigh too. A request larger than the whole budget is let go once the budget is
-// full. It costs throughput where few of the brokers have requests for the node.
+// slowStartAllows reports whether a node's slow-start budget admits a request with the given units. The
+// budget protects a node that may have just started, for any reason, from a load under which it would fail.
+// Such a failure shows as a node that stops right after its start while brokers send to it. Units that the
+// node served return to the budget, since the node can handle them. In addition, each broker accumulates its
+// part of the load that a starting node can certainly handle. Rejected and lost attempts also use up budget.
+// A request larger than the whole budget is admitted when the budget is full. As a trade-off, throughput is
+// lost if only a few brokers have requests for the node.
 func (s *Scheduler) slowStartAllows(n *node, units float64) bool {
 	rules := &s.settings.Rules
 	if !n.slowStart.update(s.now, rules) {
@@ -32,7 +33,7 @@
 	return n.slowStart.tokens >= min(units, budget)
 }
 
-// update ends the warm-up when its time is over, and tells whether the node is still warming up.
+// update ends the warm-up after the warm-up time. It reports whether the node is still warming up.
 func (w *slowStart) update(now Time, rules *Rules) bool {
 	if !w.warmingUp || rules.OverloadWindow <= 0 || now-w.startedAt >= rules.WarmUpTime+rules.OverloadWindow {
 		w.warmingUp = false
@@ -40,16 +41,18 @@
 	return w.warmingUp
 }
 
-// refill saves a budget up over a window, and no more than one budget.
+// refill adds budget units per window to the tokens, up to a total of budget.
 func (w *slowStart) refill(now Time, budget float64, window time.Duration) {
 	w.tokens = min(budget, w.tokens+budget*(now-w.refilledAt).Seconds()/window.Seconds())
 	w.refilledAt = now
 }
 
-// slowStartBudget is how many units one process may send to a node of an age within the overload window. The
-// base is the broker's even part of what all may send, or what the shard served this broker when warm, in
-// units a second, as far as a starting node can do it: all brokers together had no more than a whole node. It
-// grows as slowly as a node may warm up, and the processes of one broker have equal parts of it.
+// slowStartBudget returns the units that one process may send within the overload window to a node of the
+// given age. The base is the larger of two values: the broker's even part of the load from all brokers, and
+// the load that the shard served this broker when warm, in units a second, scaled to the capacity of a
+// starting node. The second value is safe, because all brokers together were served by no more than one whole
+// node. The budget grows as slowly as a node may warm up, and is split evenly over the processes of the
+// broker.
 func slowStartBudget(age time.Duration, rules *Rules, even, servedRate, processes float64) float64 {
 	multiple := max(minOverloadMultiple, rules.OverloadMultiple)
 	own := servedRate * rules.InitialCapacity * multiple * rules.OverloadWindow.Seconds()
@@ -61,7 +64,7 @@
 	return budget
 }
 
-// capacityShare is the part of its capacity that the node surely has, from 0 to 1.
+// capacityShare returns the fraction of its capacity that the node certainly has, from 0 to 1.
 func (w *slowStart) capacityShare(now Time, rules *Rules) float64 {
 	if !w.warmingUp || rules.WarmUpTime <= 0 || rules.InitialCapacity <= 0 {
 		return 1
--- a/scheduler/tokens.go
+++ b/scheduler/tokens.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// smoothing is the weight of the newest measurement in a running mean, from 0 to 1. Higher, demand and node
-// latency jump with a single burst or pause; lower, they follow an outage several ticks late.
+// smoothing is the weight of the newest measurement in a running mean, from 0 to 1. With a larger value
+// demand and node latency jump with a single burst or pause. With a smaller value they follow an outage
+// several ticks late.
 const smoothing = 0.2
 
-// bucketCapacity is how many units a volume's token bucket holds: a second of its whole rate, since a volume
-// may send all its requests through one broker, and one largest request.
+// bucketCapacity returns the capacity of a volume's token bucket in units. It is the whole rate over a
+// second, since a volume may send all its requests through one broker, plus one request of the largest size.
 func bucketCapacity(plan *Plan, maxUnits float64) float64 {
 	return max(plan.Rate, plan.ReservedRate) + maxUnits
 }
 
-// refillTokens grants tokens to the active volumes by equation 12 of the paper, with what peers reported in
-// the sum of demand. elapsed is the time since the last tick in seconds.
+// refillTokens grants tokens to the active volumes by equation 12 of the paper. The sum of demand includes
+// the demand that peers reported. elapsed is the time since the last tick in seconds.
 func (s *Scheduler) refillTokens(elapsed float64) {
 	capacity := s.availableCapacity()
 	totalDemand := 0.0
@@ -31,12 +32,12 @@
 	}
 }
 
-// grant is u(t) of equation 12, in units:
+// grant returns u(t) of equation 12, in units:
 //
 //	u(t) = guarantee + V(t) / sum of V(t) * (W(t) - tokens)
 //
 // The guarantee is this broker's even part of the volume's reserved rate over elapsed seconds. capacity is
-// W(t) of equation 11. The demand share counts only where it adds something.
+// W(t) of equation 11. The second term is ignored if it is negative.
 func (v *volume) grant(elapsed, totalDemand, capacity float64) float64 {
 	grant := v.plan.ReservedRate / v.brokers * elapsed
 	if totalDemand > 0 {
@@ -45,9 +46,10 @@
 	return grant
 }
 
-// valueShare is the part of its value that a request of so many units earns: all of it inside the volume's
-// reserved rate, and less beyond the more the volume asks against its normal rate. The reserved rate counts
-// here by where the volume's demand is.
+// valueShare returns the fraction of its value that a request with the given units earns. Within the volume's
+// reserved rate the fraction is 1. Beyond it, the fraction falls as the volume's excess grows relative to its
+// normal rate. For the value, this broker's part of the reserved rate is proportional to its part of the
+// volume's demand.
 func (s *Scheduler) valueShare(v *volume, units float64) float64 {
 	rate := v.plan.ReservedRate * v.demandShare(v.peerDemand.current(s.ticks))
 	v.reserved.refill(s.now, rate, rate+s.settings.MaxUnits)
@@ -61,14 +63,14 @@
 	return spare + (share-spare)/(1+v.excess/max(1, normalRate))
 }
 
-// refill adds what a rate in units a second gave since the last refill, up to a capacity in units.
+// refill adds the units of a rate in units a second since the last refill, up to a capacity in units.
 func (b *reservedBucket) refill(now Time, rate, capacity float64) {
 	b.tokens = min(capacity, b.tokens+rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// demandShare is the part of a volume's demand that is at this broker, and at least its even part. peerDemand
-// is in units a tick.
+// demandShare returns the fraction of a volume's demand that arrives at this broker, at least the broker's
+// even part. peerDemand is in units a tick.
 func (v *volume) demandShare(peerDemand float64) float64 {
 	share := 1 / v.brokers
 	if peerDemand > 0 || v.demand > 0 {
@@ -77,9 +79,9 @@
 	return share
 }
 
-// mayForward tells whether a request's volume has the tokens and the quota for it, whether it is the next of
-// its key, and whether it may run again if it was sent before. With overdraft its tokens may fall below zero
-// by a whole bucket. A retry has paid already.
+// mayForward reports whether a request's volume has enough tokens and quota, whether the request is the next
+// of its key, and whether it may run again if it was sent before. With overdraft, the volume's tokens may
+// fall below zero by the capacity of the bucket. A retry needs no tokens, because its first attempt has paid.
 func (s *Scheduler) mayForward(r *request, overdraft bool) bool {
 	v := r.volume
 	v.catchUp(s.ticks, s.lastTickAt)
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -9,58 +9,59 @@
 	"junctionwharf/quota"
 )
 
-// volume holds the accounts of one volume at this broker. A tick works on the active volumes: those that had
-// requests or demand reports, or whose demand peers are to hear of. What it would do to the others is made up
-// by catchUp when they are next used: by then it depends on the ticks and the time that passed alone.
+// volume is the state of one volume at this broker. A tick processes the active volumes: those with recent
+// requests or demand reports, or whose demand must be reported to peers. For the other volumes, catchUp
+// computes the effect of the missed ticks at the next use. That effect depends only on the number of ticks
+// and the elapsed time.
 type volume struct {
 	name    string
-	hash    uint32 // its name in peer messages
+	hash    uint32 // identifies the volume in peer messages
 	plan    *Plan
-	brokers float64 // through which its requests come
+	brokers float64 // number of brokers that receive the volume's requests
 	quota   quota.Quota
 
-	tokens       float64 // units; below zero is overdraft
-	capacity     float64 // units that the token bucket holds
-	arrivedUnits float64 // in this tick: V(t) of equation 12
+	tokens       float64 // units; negative in overdraft
+	capacity     float64 // capacity of the token bucket in units
+	arrivedUnits float64 // units that arrived in this tick: V(t) of equation 12
 	demand       float64 // units a tick, smoothed
 	peerDemand   demandReport
 	reserved     reservedBucket
-	excess       float64 // units beyond the reserved rate, decaying over a second
-	caughtUpTick int     // the tick up to which tokens, demand and excess count, and its time
-	caughtUpAt   Time
-	lastUsedTick int // tick of the last request
-	sequence     int // in the order in which volumes were first seen
+	excess       float64 // units beyond the reserved rate; decays over a second
+	caughtUpTick int     // tick for which tokens, demand and excess were last computed
+	caughtUpAt   Time    // time of that tick
+	lastUsedTick int     // tick of the last request
+	sequence     int     // position in the order in which volumes were first seen
 	active       bool
 }
 
-// reservedBucket holds the units of a volume's reserved rate that are due at this broker.
+// reservedBucket is a token bucket for this broker's part of a volume's reserved rate, in units.
 type reservedBucket struct {
 	tokens     float64
 	refilledAt Time
 }
 
-// volumeTable holds the volumes that had requests lately.
+// volumeTable holds the volumes with recent requests.
 type volumeTable struct {
 	byName        map[string]*volume
 	byHash        map[uint32]*volume
-	list          []*volume // in no order
-	active        []*volume // those that a tick works on
-	seen          int
-	sweepPosition int // in list, up to which forgetVolumes came
+	list          []*volume // unordered
+	active        []*volume // the volumes that a tick processes
+	seen          int       // volumes ever added; the next volume's sequence
+	sweepPosition int       // index in list at which forgetVolumes continues
 }
 
 func newVolumeTable() volumeTable {
 	return volumeTable{byName: map[string]*volume{}, byHash: map[uint32]*volume{}}
 }
 
-// sortActive puts the active volumes in the order in which they were first seen: the sums over them are
-// rounded, and must not depend on which were idle.
+// sortActive sorts the active volumes by the order in which they were first seen. Sums over them depend on
+// the order through rounding, and must not depend on which volumes were idle before.
 func (t *volumeTable) sortActive() {
 	slices.SortFunc(t.active, func(a, b *volume) int { return cmp.Compare(a.sequence, b.sequence) })
 }
 
-// volumeFor returns a request's volume, which it makes where it is new, and has it count the request's
-// brokers.
+// volumeFor returns a request's volume and marks it as used. It creates the volume if it does not exist, and
+// adopts the request's number of brokers.
 func (s *Scheduler) volumeFor(e *Request, plan *Plan) *volume {
 	v := s.volumes.byName[e.Volume]
 	if v == nil {
@@ -80,7 +81,7 @@
 
 func (s *Scheduler) addVolume(name string, plan *Plan) *volume {
 	hash := fnv.New32a()
-	_, _ = hash.Write([]byte(name)) // a hash takes all
+	_, _ = hash.Write([]byte(name)) // a hash accepts any bytes
 	v := &volume{
 		name:         name,
 		hash:         hash.Sum32(),
@@ -97,14 +98,14 @@
 	return v
 }
 
-// applyPlan takes the new figures of a volume's plan. Tokens never rise with them.
+// applyPlan applies the new values of a volume's plan. The volume's tokens never rise through that.
 func (v *volume) applyPlan(plan *Plan, maxUnits float64) {
 	v.plan = plan
 	v.capacity = bucketCapacity(plan, maxUnits)
 	v.tokens = min(v.tokens, v.capacity)
 }
 
-// activateVolume has the next tick work on a volume.
+// activateVolume adds a volume to the active volumes.
 func (s *Scheduler) activateVolume(v *volume) {
 	v.catchUp(s.ticks, s.lastTickAt)
 	if !v.active {
@@ -113,7 +114,7 @@
 	}
 }
 
-// catchUp makes up for the ticks in which a volume was not active.
+// catchUp applies the ticks in which the volume was not active.
 func (v *volume) catchUp(tick int, tickAt Time) {
 	missed := tick - v.caughtUpTick
 	if missed <= 0 {
@@ -127,8 +128,7 @@
 	v.caughtUpAt = tickAt
 }
 
-// retireVolumes takes the volumes out of the active ones that the next ticks would do nothing to but what
-// catchUp does.
+// retireVolumes removes from the active volumes those for which catchUp alone can compute the next ticks.
 func (s *Scheduler) retireVolumes() {
 	if s.scans.exhaustive {
 		return
