--- a/scheduler/balancing_test.go
+++ b/scheduler/balancing_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// One request comes behind another, each answered in 0.4 ms, so that nothing is in flight when a node is
-// chosen. The nodes of the shard must still be taken in turn.
+// Requests arrive one after another and each is answered in 0.4 ms, so that no attempt is in flight when a node
+// is chosen. The requests must still be spread evenly over the nodes of the shard.
 func TestNodesOfAShardTakeTurns(t *testing.T) {
 	const latency = 400 * time.Microsecond
 	settings := basicSettings()
@@ -42,7 +42,7 @@
 	}
 	for _, endpoint := range endpoints {
 		if n := count[endpoint.Name]; n < 9 || n > 11 {
-			t.Errorf("%s got %d of 50 requests", endpoint.Name, n)
+			t.Errorf("node %s received %d of 50 requests, want 9 to 11", endpoint.Name, n)
 		}
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// benchmarkScheduler returns one of many schedulers with so many nodes, one for each shard.
+// benchmarkScheduler returns the scheduler of one of several brokers, with one shard per node.
 func benchmarkScheduler(b *testing.B, brokers, nodes int, now scheduler.Time) *scheduler.Scheduler {
 	b.Helper()
 	settings := basicSettings()
@@ -23,7 +23,7 @@
 	return s
 }
 
-// reduceAndAnswer gives events to a scheduler and has what it forwards served within a millisecond.
+// reduceAndAnswer passes events to a scheduler and answers each forwarded request after a millisecond.
 func reduceAndAnswer(s *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event) {
 	for _, action := range s.Reduce(now, events) {
 		if forward, ok := action.(scheduler.Forward); ok {
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkStep plays requests with their answers through one scheduler of few or many. Its time for each
-// request should not grow with the brokers.
+// BenchmarkStep sends requests and their answers through the scheduler of one of 10 or 200 brokers. The time for
+// each request should not grow with the number of brokers.
 func BenchmarkStep(b *testing.B) {
 	for _, brokers := range []int{10, 200} {
 		b.Run(fmt.Sprint("hosts=", brokers), func(b *testing.B) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// BenchmarkTick is a tick of a scheduler with few requests among many nodes. Its time should not grow with
-// the nodes.
+// BenchmarkTick runs ticks of a scheduler with few requests and many nodes. The time of a tick should not grow
+// with the number of nodes.
 func BenchmarkTick(b *testing.B) {
 	for _, nodes := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprint("nodes=", nodes), func(b *testing.B) {
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// checkActiveNodes checks that ticks work on all nodes that they must, on few others, and know the limits of
-// the rest.
+// checkActiveNodes checks that every node that is not idle is active, that at most maxActive nodes are active,
+// and that the stored sum of the limits of idle nodes is correct.
 func checkActiveNodes(t *testing.T, s *Scheduler, maxActive int) {
 	t.Helper()
 	active, idleLimits := 0, 0.0
@@ -18,7 +18,7 @@
 		case n.active:
 			active++
 		case !n.isIdle(targetLatency(s.minObjective)):
-			t.Fatalf("%s has %d attempts in flight, and no tick works on it", n.Name, len(n.attempts))
+			t.Fatalf("node %s has %d attempts in flight but is not active", n.Name, len(n.attempts))
 		case n.state == Ready:
 			idleLimits += n.limit.value
 		}
@@ -27,16 +27,16 @@
 		return
 	}
 	if math.Abs(idleLimits-s.nodes.idleLimitSum) > 1e-6 {
-		t.Fatalf("the limits of idle nodes are %.9f, kept is %.9f", idleLimits, s.nodes.idleLimitSum)
+		t.Fatalf("stored sum of the limits of idle nodes is %.9f, want %.9f", s.nodes.idleLimitSum, idleLimits)
 	}
 	if s.ticks > 1 && active > maxActive {
-		t.Fatalf("a tick works on %d nodes, %d have requests", active, maxActive)
+		t.Fatalf("%d nodes are active, want at most the %d nodes with requests", active, maxActive)
 	}
 }
 
-// Ticks work on the nodes with requests and on no others, and know the capacity of the others without a look
-// at them. Nodes that drain, leave and come back meanwhile are not left out. A tick over all nodes decides
-// alike: see TestIncrementalScanEqualsFullScan.
+// A tick must process the nodes with requests and no others, and know the capacity of the other nodes without
+// visiting them. Nodes that drain, are removed or return during the test must be processed too.
+// TestIncrementalScanEqualsFullScan checks that a tick over all nodes makes the same decisions.
 func TestTicksWorkOnActiveNodes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -67,7 +67,7 @@
 				checkActiveNodes(t, s, visited)
 			}
 			if id < 500 || s.ticks < 50 {
-				t.Fatalf("%d requests, %d ticks", id, s.ticks)
+				t.Fatalf("%d requests and %d ticks, want at least 500 and 50", id, s.ticks)
 			}
 		})
 	}
--- a/scheduler/checker_test.go
+++ b/scheduler/checker_test.go
@@ -7,28 +7,28 @@
 	"junctionwharf/scheduler"
 )
 
-// The rules that a checker knows.
+// The rules that a checker checks.
 const (
 	ruleAnswer    = "answer"     // each request gets one final answer in time
 	ruleExecution = "execution"  // no request executes more often than its class allows
-	ruleDrain     = "drain"      // nothing goes to a node that leaves
-	ruleOrder     = "order"      // requests with one key run in the order of arrival
-	ruleBudget    = "budget"     // retries stay in their budget
-	ruleLimit     = "limit"      // volumes stay in their rate limit
-	ruleSlowStart = "slow start" // a node that has started gets no more than it bears
+	ruleDrain     = "drain"      // no request is forwarded to a draining or removed node
+	ruleOrder     = "order"      // requests with the same key run in the order of arrival
+	ruleBudget    = "budget"     // retries do not exceed the retry budget
+	ruleLimit     = "limit"      // volumes do not exceed their rate limit
+	ruleSlowStart = "slow start" // a starting node receives no more load than it can handle
 )
 
-// rounding is by how many units sums may be off.
+// rounding is the tolerance for sums of units.
 const rounding = 1e-6
 
-// checker watches the events and actions of one scheduler and records each broken rule. What counts over all
-// brokers (limit, slow start) is checked against this broker's even part of the figure.
+// checker observes the events and actions of one scheduler and records each violation of a rule. Rules about all
+// brokers together (limit, slow start) are checked against this broker's even part of the figure.
 type checker struct {
 	settings     scheduler.Settings
 	now          scheduler.Time
 	violations   []string
 	requests     map[uint64]*checkedRequest
-	unanswered   []*checkedRequest            // in the order of arrival, and some that were answered
+	unanswered   []*checkedRequest            // in the order of arrival; some may be answered by now
 	byKey        map[string][]*checkedRequest // requests of ordered classes
 	nodes        map[string]*checkedNode
 	requestTimes []scheduler.Time
@@ -63,9 +63,9 @@
 
 type checkedNode struct {
 	scheduler.Endpoint
-	leftAt    scheduler.Time // when the scheduler was told that it leaves, -1 if it was not
-	startedAt scheduler.Time // as far as told, -1 for long ago
-	sent      []sentUnits    // above zero were sent, below zero served
+	leftAt    scheduler.Time // when an update listed the node as draining or removed, -1 for never
+	startedAt scheduler.Time // last start time in an update, -1 for long ago
+	sent      []sentUnits    // units sent as positive values, units served as negative values
 }
 
 type checkedLimit struct {
@@ -106,7 +106,7 @@
 	return scheduler.Plan{}
 }
 
-// observeEvents takes the events of a step before the scheduler acts on them.
+// observeEvents records the events of a step. It must be called before the scheduler handles them.
 func (c *checker) observeEvents(now scheduler.Time, events []scheduler.Event) {
 	c.now = now
 	for _, event := range events {
@@ -182,7 +182,7 @@
 	}
 }
 
-// checkActions checks the actions of a step, and that nothing is owed for too long.
+// checkActions checks the actions of a step, and that no final answer is overdue.
 func (c *checker) checkActions(actions []scheduler.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -199,7 +199,7 @@
 	}
 	for _, r := range c.unanswered {
 		if !r.over && c.now > r.deadline+c.settings.Rules.AnswerSlack {
-			c.violate(ruleAnswer, "request %d has no answer", r.ID)
+			c.violate(ruleAnswer, "request %d has no answer after its deadline", r.ID)
 			r.over = true
 		}
 	}
@@ -208,11 +208,11 @@
 func (c *checker) checkAnswer(id uint64, rejected bool) {
 	r := c.requests[id]
 	if r == nil {
-		c.violate(ruleAnswer, "answer for %d, which never came", id)
+		c.violate(ruleAnswer, "answer for unknown request %d", id)
 		return
 	}
 	if r.over {
-		return // an answer to what is over reaches nobody
+		return // an answer after the end of the request has no recipient
 	}
 	r.over = true
 	r.answers++
@@ -221,13 +221,13 @@
 	}
 	for _, attempt := range r.attempts {
 		if attempt.mayHaveExecuted() {
-			c.violate(ruleExecution, "request %d is rejected though it may have executed", id)
+			c.violate(ruleExecution, "request %d is rejected but may have executed", id)
 			return
 		}
 	}
 }
 
-// safeToRepeat tells whether a client may repeat a request of a class that may have executed.
+// safeToRepeat reports whether a client may repeat a request of a class that may have executed.
 func (c *checker) safeToRepeat(class scheduler.Class) bool {
 	if class.Idempotency == scheduler.IdempotentWithKey {
 		return class.Scope == scheduler.ScopeAll
@@ -239,13 +239,13 @@
 	r, n := c.requests[a.ID], c.nodes[a.Node]
 	switch {
 	case r == nil || r.over:
-		c.violate(ruleAnswer, "request %d is forwarded after its end", a.ID)
+		c.violate(ruleAnswer, "request %d is forwarded but is unknown or has ended", a.ID)
 		return
 	case n == nil:
-		c.violate(ruleDrain, "node %s was never listed", a.Node)
+		c.violate(ruleDrain, "request is forwarded to unknown node %s", a.Node)
 		return
 	case n.leftAt >= 0 && c.now > n.leftAt+c.settings.Rules.DrainGrace:
-		c.violate(ruleDrain, "node %s left at %v, forwarded to at %v", a.Node, n.leftAt, c.now)
+		c.violate(ruleDrain, "node %s left at %v but receives a request at %v", a.Node, n.leftAt, c.now)
 	}
 	c.checkExecution(r, n)
 	c.checkOrder(r)
@@ -258,7 +258,7 @@
 
 func (c *checker) checkExecution(r *checkedRequest, n *checkedNode) {
 	if limit := c.settings.Capabilities.MaxAttempts; limit > 0 && len(r.attempts) >= limit {
-		c.violate(ruleExecution, "request %d has attempt %d", r.ID, len(r.attempts)+1)
+		c.violate(ruleExecution, "request %d has attempt %d, above the limit", r.ID, len(r.attempts)+1)
 	}
 	for _, attempt := range r.attempts {
 		if !attempt.ended && !c.settings.Capabilities.HedgedRequests {
@@ -272,13 +272,13 @@
 		first := c.nodes[attempt.node]
 		switch {
 		case r.class.Idempotency == scheduler.NotIdempotent:
-			c.violate(ruleExecution, "not idempotent request %d is forwarded again", r.ID)
+			c.violate(ruleExecution, "request %d is not idempotent but is forwarded again", r.ID)
 		case r.class.Idempotency != scheduler.IdempotentWithKey:
 		case c.now > attempt.at+r.class.DedupWindow:
-			c.violate(ruleExecution, "request %d is forwarded after its dedup window", r.ID)
+			c.violate(ruleExecution, "request %d is forwarded again after its dedup window", r.ID)
 		case r.class.Scope == scheduler.ScopeZone && first.Zone != n.Zone,
 			r.class.Scope == scheduler.ScopeShard && first.Shard != n.Shard:
-			c.violate(ruleExecution, "request %d leaves the scope of its key", r.ID)
+			c.violate(ruleExecution, "request %d is forwarded outside the scope of its key", r.ID)
 		}
 		return
 	}
@@ -289,7 +289,7 @@
 		return
 	}
 	if len(r.attempts) == 0 && c.now < c.quietUntil[r.Key] {
-		c.violate(ruleOrder, "key %s is not quiet", r.Key)
+		c.violate(ruleOrder, "request with key %s is forwarded within the quiet period", r.Key)
 	}
 	for _, other := range c.byKey[r.Key] {
 		if other == r {
@@ -300,7 +300,7 @@
 			inFlight = inFlight || !attempt.ended
 		}
 		if !other.over || inFlight {
-			c.violate(ruleOrder, "request %d is forwarded before %d is over", r.ID, other.ID)
+			c.violate(ruleOrder, "request %d is forwarded before request %d has ended", r.ID, other.ID)
 		}
 	}
 }
@@ -325,7 +325,8 @@
 	}
 }
 
-// checkLimit has this broker's part start empty, as after a restart that followed a spent burst.
+// checkLimit checks the rate limit. This broker's part of the limit starts empty, as if the burst had been spent before
+// a restart.
 func (c *checker) checkLimit(r *checkedRequest) {
 	plan := c.plan(r.Plan)
 	if plan.Limit <= 0 || r.forwarded {
@@ -341,12 +342,12 @@
 	limit.level = min(plan.LimitBurst/brokers, limit.level+refill) - r.Units
 	limit.at = c.now
 	if limit.level < -plan.LimitOverdraft/brokers-rounding {
-		c.violate(ruleLimit, "volume %s is at %.1f", r.Volume, limit.level)
+		c.violate(ruleLimit, "the token bucket of volume %s is at %.1f units", r.Volume, limit.level)
 	}
 }
 
-// checkSlowStart checks that what is sent within the overload window stays under what a node of that age
-// surely does, which is at least what it served, plus this broker's part of what it bears beyond.
+// checkSlowStart checks that the units sent to a starting node within the overload window are at most what the
+// node can certainly handle at its age: the units that it served, plus this broker's part of the load beyond.
 func (c *checker) checkSlowStart(r *checkedRequest, n *checkedNode) {
 	rules := c.settings.Rules
 	n.sent = append(n.sent, sentUnits{c.now, r.Units})
@@ -362,17 +363,17 @@
 	}
 	growth := 1 + (1-rules.InitialCapacity)/rules.InitialCapacity*float64(age)/float64(rules.WarmUpTime)
 	if sum > c.settings.SlowStartUnits*growth/float64(c.settings.Brokers)+rounding {
-		c.violate(ruleSlowStart, "node %s has %.1f units at age %v", n.Name, sum, age)
+		c.violate(ruleSlowStart, "node %s received %.1f units in the window at age %v", n.Name, sum, age)
 	}
 }
 
-// finish checks that nothing is owed any more.
+// finish checks that no final answer is overdue at the end, and that no request has several final answers.
 func (c *checker) finish(at scheduler.Time) {
 	c.now = at
 	c.checkActions(nil)
 	for _, r := range c.requests {
 		if r.answers > 1 {
-			c.violate(ruleAnswer, "request %d has %d answers", r.ID, r.answers)
+			c.violate(ruleAnswer, "request %d has %d final answers", r.ID, r.answers)
 		}
 	}
 }
--- a/scheduler/decision_text_test.go
+++ b/scheduler/decision_text_test.go
@@ -12,9 +12,9 @@
 	"junctionwharf/scheduler"
 )
 
-// actionText writes an action in words that do not depend on the names of Go types and fields, so that a
-// renamed type is no other decision. Each kind has a fixed word, and each field a fixed key; times are whole
-// nanoseconds, bytes hexadecimal.
+// actionText returns a text for an action that does not depend on the names of Go types and fields, so that
+// renaming a type does not change the recorded decisions. Each kind of action has a fixed word and each field a
+// fixed key. Times are in whole nanoseconds and bytes in hexadecimal.
 func actionText(t testing.TB, action scheduler.Action) string {
 	t.Helper()
 	switch a := action.(type) {
@@ -41,11 +41,12 @@
 	case scheduler.Log:
 		return fmt.Sprintf("log text=%q", recordedLine(t, a))
 	}
-	t.Fatalf("an action without a text: %T", action)
+	t.Fatalf("no text is defined for action type %T", action)
 	return ""
 }
 
-// recordedLog is how the recorded decisions, which are older than messages and attributes, write a log line.
+// recordedLog describes how the recorded decisions contain a log line. They date from before log lines had a
+// fixed message with attributes.
 type recordedLog struct {
 	format string
 	keys   []string // of the attributes, in order
@@ -62,7 +63,7 @@
 	},
 }
 
-// recordedLine writes a log line as recorded. A message or attribute key that is not known fails the test.
+// recordedLine returns a log line as recorded. It fails the test for an unknown message or attribute key.
 func recordedLine(t testing.TB, line scheduler.Log) string {
 	t.Helper()
 	recorded, known := recordedLogs[line.Message]
@@ -73,13 +74,13 @@
 		values = append(values, attribute.Value.Any())
 	}
 	if !known || !slices.Equal(keys, recorded.keys) {
-		t.Fatalf("not as recorded: the log line %q with attributes %v", line.Message, keys)
+		t.Fatalf("no recorded form is defined for the log line %q with attributes %v", line.Message, keys)
 	}
 	return fmt.Sprintf(recorded.format, values...)
 }
 
-// A field that the text leaves out could change without a red test. So each field of each kind of action has
-// a key, and another value of it another text.
+// If the text omitted a field, the field could change without a test failure. Each field of each kind of action
+// must therefore have a key, and a different value of the field must change the text.
 func TestDecisionsTextCoversFields(t *testing.T) {
 	kinds := []scheduler.Action{
 		scheduler.Forward{}, scheduler.Reject{}, scheduler.Fail{}, scheduler.Cancel{}, scheduler.HealthCheck{},
@@ -91,27 +92,27 @@
 		zero := actionText(t, kind)
 		word := strings.Fields(zero)[0]
 		if words[word] {
-			t.Errorf("two kinds of action have the word %q", word)
+			t.Errorf("several kinds of action have the word %q", word)
 		}
 		words[word] = true
 		fields := reflect.TypeOf(kind).NumField()
 		if keys := strings.Count(zero, "="); keys != fields {
-			t.Errorf("%T: %d keys for %d fields: %s", kind, keys, fields, zero)
+			t.Errorf("%T: text has %d keys, want one for each of %d fields: %s", kind, keys, fields, zero)
 		}
 		for i := range fields {
 			changed := reflect.New(reflect.TypeOf(kind)).Elem()
 			setOther(t, changed.Field(i))
 			if text := actionText(t, changed.Interface().(scheduler.Action)); text == zero {
-				t.Errorf("%T: field %d does not show in %s", kind, i, text)
+				t.Errorf("%T: a change of field %d does not change the text %s", kind, i, text)
 			}
 		}
 	}
 }
 
-// The message and each attribute of a log line show in its text, as each field of the other actions does.
+// The text of a log line must depend on its message and on each attribute.
 func TestDecisionsTextCoversLogs(t *testing.T) {
 	if fields := reflect.TypeFor[scheduler.Log]().NumField(); fields != 2 {
-		t.Fatalf("a log line has %d fields: the text covers its message and attributes", fields)
+		t.Fatalf("Log has %d fields, want the 2 that the text covers: message and attributes", fields)
 	}
 	texts := map[string]string{}
 	for message, recorded := range recordedLogs {
@@ -121,20 +122,20 @@
 		}
 		zero := actionText(t, line)
 		if other, taken := texts[zero]; taken {
-			t.Errorf("%q and %q have the text %s", message, other, zero)
+			t.Errorf("messages %q and %q have the same text %s", message, other, zero)
 		}
 		texts[zero] = message
 		for i, key := range recorded.keys {
 			changed := scheduler.Log{Message: message, Attributes: slices.Clone(line.Attributes)}
 			changed.Attributes[i] = slog.String(key, "b")
 			if text := actionText(t, changed); text == zero {
-				t.Errorf("%q: attribute %s does not show in %s", message, key, text)
+				t.Errorf("%q: a change of attribute %s does not change the text %s", message, key, text)
 			}
 		}
 	}
 }
 
-// setOther gives a field a value that is not its zero value, the least by which it can differ.
+// setOther sets a field to the smallest value that differs from its zero value.
 func setOther(t *testing.T, field reflect.Value) {
 	t.Helper()
 	switch field.Interface().(type) {
@@ -151,6 +152,6 @@
 	case []byte:
 		field.SetBytes([]byte{0})
 	default:
-		t.Fatalf("a field of a kind that the text has no rule for: %s", field.Type())
+		t.Fatalf("the text does not support fields of type %s", field.Type())
 	}
 }
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -16,25 +16,26 @@
 	"junctionwharf/scheduler"
 )
 
-// defaultSeeds is how many streams are always played.
+// defaultSeeds is the minimum number of streams to play.
 const defaultSeeds = 10
 
-// record has the decisions recorded anew: only where a change of them is meant, and the commit says so. A
-// change that is meant to leave decisions alone is compared over 80 seeds besides, recorded by the version
-// before it into a folder of their own.
+// record rewrites the recorded decisions. Use it only for a change that is meant to alter decisions, and say so
+// in the commit. For a change that must not alter decisions, also compare 80 seeds with recordings that the
+// version before the change made in a separate folder.
 var (
 	record     = flag.Bool("record", false, "record the decisions of this version")
-	moreSeeds  = flag.Int("seeds", defaultSeeds, "streams to play; no fewer than the usual")
+	moreSeeds  = flag.Int("seeds", defaultSeeds, "number of streams to play, if above the default")
 	recordings = flag.String("recordings", "testdata", "folder of the recorded decisions")
 )
 
-// seedCount is how many streams are played: -seeds only raises it.
+// seedCount returns the number of streams to play. The flag -seeds can only raise it.
 func seedCount() uint64 { return uint64(max(defaultSeeds, *moreSeeds)) }
 
-// decisionStream plays a seeded stream against a scheduler and hashes all its actions. The stream reacts to
-// the actions as a deployment would: nodes of random speeds with pauses, rejections and broken connections;
-// surges of some volumes; nodes that drain and are replaced, new settings, peers' messages, clients that
-// leave, and restarts. The order of its draws is part of what is recorded.
+// decisionStream plays a seeded stream of events against a scheduler and hashes all its actions. The stream
+// reacts to the actions like a deployment. Its nodes have random speeds, pause, reject attempts and break
+// connections. Some volumes have surges. Nodes drain and are replaced, settings change, peers send messages,
+// clients disconnect, and the scheduler restarts. The order of the random draws is part of the recorded
+// decisions.
 type decisionStream struct {
 	t         testing.TB
 	seed      uint64
@@ -49,7 +50,7 @@
 	endpoints []scheduler.Endpoint
 	lastNode  int
 	speeds    map[string]time.Duration
-	freeAt    map[string]scheduler.Time // when a node has served what it got
+	freeAt    map[string]scheduler.Time // when the node has served all its requests
 
 	lastID   uint64
 	open     map[uint64]bool // requests without a final answer
@@ -63,14 +64,14 @@
 	rejects  int
 }
 
-// decisions is what a stream gave.
+// decisions is the result of a stream.
 type decisions struct {
 	hash     uint64
 	forwards int
 	rejects  int
 }
 
-// playDecisions plays a stream without or with the balancer. With oneNode each shard has a single node.
+// playDecisions plays a stream with or without the balancer. With oneNode each shard has a single node.
 func playDecisions(t testing.TB, seed uint64, balancerDisabled, oneNode bool) decisions {
 	t.Helper()
 	d := newDecisionStream(t, seed, balancerDisabled, oneNode)
@@ -126,7 +127,7 @@
 	return d
 }
 
-// newEndpoint draws a node of a shard.
+// newEndpoint returns a new node of a shard with a random zone and speed.
 func (d *decisionStream) newEndpoint(shard int) scheduler.Endpoint {
 	d.lastNode++
 	zone := string(rune('a' + d.rng.IntN(2)))
@@ -135,7 +136,7 @@
 	return endpoint
 }
 
-// start starts the scheduler, also anew.
+// start starts or restarts the scheduler.
 func (d *decisionStream) start() {
 	d.t.Helper()
 	d.scheduler = newScheduler(d.t, d.settings, d.seed)
@@ -145,7 +146,7 @@
 	d.schedule(0, update)
 }
 
-// fullUpdate lists the nodes as they are now.
+// fullUpdate returns a full list of the current nodes.
 func (d *decisionStream) fullUpdate() scheduler.EndpointUpdate {
 	return fullUpdate(append([]scheduler.Endpoint(nil), d.endpoints...)...)
 }
@@ -162,10 +163,10 @@
 	return events
 }
 
-// reduce gives events to the scheduler, and hashes and carries out its actions.
+// reduce passes events to the scheduler, and hashes and carries out the resulting actions.
 func (d *decisionStream) reduce(events ...scheduler.Event) {
 	for _, action := range d.scheduler.Reduce(d.now, events) {
-		_, _ = fmt.Fprintf(d.sum, "%d %s\n", d.now, actionText(d.t, action)) // a hash takes all
+		_, _ = fmt.Fprintf(d.sum, "%d %s\n", d.now, actionText(d.t, action)) // a hash accepts any bytes
 		switch a := action.(type) {
 		case scheduler.SetTimer:
 			d.schedule(a.After, scheduler.TimerFired{Token: a.Token})
@@ -187,7 +188,7 @@
 	}
 }
 
-// drawEnd draws how and when an attempt ends.
+// drawEnd schedules the random end of an attempt.
 func (d *decisionStream) drawEnd(a scheduler.Forward) {
 	service := time.Duration(float64(d.speeds[a.Node]) * (0.5 + d.rng.Float64()))
 	d.freeAt[a.Node] = max(d.freeAt[a.Node], d.now) + service
@@ -218,7 +219,7 @@
 	d.attempts[a.ID]++
 }
 
-// drawPause draws the time to the next event; now and then a surge begins.
+// drawPause returns a random time until the next event. It occasionally starts a surge.
 func (d *decisionStream) drawPause(rate float64) time.Duration {
 	if d.now >= d.surgeUntil && d.rng.IntN(400) == 0 {
 		d.surge = d.rng.IntN(40)
@@ -230,7 +231,7 @@
 	return time.Duration(d.rng.ExpFloat64() / rate * float64(second))
 }
 
-// drawEvent draws what comes from outside, mostly a request.
+// drawEvent generates a random external event, in most cases a request.
 func (d *decisionStream) drawEvent() {
 	switch k := d.rng.IntN(2000); {
 	case k == 0:
@@ -250,7 +251,7 @@
 	}
 }
 
-// replaceNode has a node drain, and another take its place.
+// replaceNode drains a random node, adds a replacement, and later removes the drained node.
 func (d *decisionStream) replaceNode() {
 	i := d.rng.IntN(len(d.endpoints))
 	draining := d.endpoints[i]
@@ -263,7 +264,7 @@
 	d.reduce(deltaUpdate(draining, d.endpoints[i]))
 }
 
-// firstClientLeaves has the client of the open request with the lowest id leave.
+// firstClientLeaves disconnects the client of the open request with the lowest id.
 func (d *decisionStream) firstClientLeaves() {
 	if len(d.open) == 0 {
 		return
@@ -292,8 +293,8 @@
 	})
 }
 
-// Golden test: the decisions of simulated days equal the recorded ones. Record them anew (-record) only for a change
-// that is meant to alter decisions. decisions.txt is with the balancer off.
+// The decisions of simulated days must equal the recorded decisions. decisions.txt was recorded without the
+// balancer. See the flag -record.
 func TestDecisions(t *testing.T) {
 	for name, balancerDisabled := range map[string]bool{"decisions.txt": true, "decisions-balanced.txt": false} {
 		count := seedCount()
@@ -304,7 +305,7 @@
 		for seed := range count {
 			d := playDecisions(t, seed, balancerDisabled, false)
 			if d.forwards < 100 {
-				t.Errorf("seed %d: %d forwards", seed, d.forwards)
+				t.Errorf("seed %d: %d requests forwarded, want at least 100", seed, d.forwards)
 			}
 			lines = append(lines, fmt.Sprintf("%d %016x %d %d", seed, d.hash, d.forwards, d.rejects))
 		}
@@ -335,22 +336,22 @@
 	}
 	want := strings.Split(strings.TrimSuffix(string(recorded), "\n"), "\n")
 	if len(want) != len(lines) {
-		t.Fatalf("%s: %d streams played, %d recorded", path, len(lines), len(want))
+		t.Fatalf("%s: %d streams played, want %d as recorded", path, len(lines), len(want))
 	}
 	for i, line := range lines {
 		if line != want[i] {
-			t.Errorf("%s: seed, hash, forwards, rejections: %s, recorded %s", path, line, want[i])
+			t.Errorf("%s: seed, hash, forwards and rejections are %s, want %s as recorded", path, line, want[i])
 		}
 	}
 }
 
-// Where each shard has one node, the balancer changes no decision.
+// If each shard has one node, the balancer must not change any decision.
 func TestOneNodeDecisionsWithoutBalancer(t *testing.T) {
 	for seed := range seedCount() / 3 {
 		without := playDecisions(t, seed, true, true)
 		with := playDecisions(t, seed, false, true)
 		if with.hash != without.hash || with.forwards < 100 {
-			t.Errorf("seed %d: %+v, without the balancer %+v", seed, with, without)
+			t.Errorf("seed %d: with the balancer %+v, want the hash of %+v and 100 forwards", seed, with, without)
 		}
 	}
 }
--- a/scheduler/example_test.go
+++ b/scheduler/example_test.go
@@ -7,7 +7,7 @@
 	"junctionwharf/scheduler"
 )
 
-// A scheduler takes a request, forwards it and is told that it was served.
+// A scheduler receives a request, forwards it, and is notified that the node served it.
 func Example() {
 	settings := scheduler.Settings{
 		Brokers: 1, MeanUnits: 2, MaxUnits: 8,
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -10,20 +10,20 @@
 	"junctionwharf/scheduler"
 )
 
-// fleet is many schedulers before one node, which serves one unit after another at a fixed rate.
+// fleet simulates many schedulers with one node, which serves units one after another at a fixed rate.
 type fleet struct {
 	schedulers []*scheduler.Scheduler
 	rng        *rand.Rand
 	now        scheduler.Time
 	pending    timedQueue
 	sequence   int
-	freeAt     scheduler.Time // when the node has served what it got
+	freeAt     scheduler.Time // when the node has served all its requests
 	perUnit    time.Duration
 	sent       []sentUnits
 	served     int
 	plan       string
 	volumes    map[uint64]string
-	first      []firstForward // of each request
+	first      []firstForward // first forward of each request
 	units      map[uint64]float64
 	attempts   map[uint64]int
 	rejected   map[uint64]bool
@@ -59,7 +59,7 @@
 	heap.Push(&f.pending, timedEvent{f.now + after, f.sequence, broker, event})
 }
 
-// reduce gives an event to a broker and carries its actions out.
+// reduce passes an event to the scheduler of a broker and carries out the resulting actions.
 func (f *fleet) reduce(broker int, event scheduler.Event) {
 	for _, action := range f.schedulers[broker].Reduce(f.now, []scheduler.Event{event}) {
 		switch a := action.(type) {
@@ -89,7 +89,7 @@
 	f.attempts[a.ID]++
 }
 
-// run plays a span in which requests arrive at a rate a second over all brokers.
+// run simulates a span in which requests arrive at the given rate a second over all brokers.
 func (f *fleet) run(span time.Duration, rate float64) {
 	next, end := f.now, f.now+span
 	for f.now < end {
@@ -114,7 +114,7 @@
 	}
 }
 
-// mostWithin is the most units that were sent within a window.
+// mostWithin returns the maximum number of units sent within any window of the given length.
 func mostWithin(sent []sentUnits, window time.Duration) float64 {
 	most, sum, first := 0.0, 0.0, 0
 	for _, s := range sent {
@@ -127,8 +127,9 @@
 	return most
 }
 
-// A node starts before 120 brokers, whose even part of its slow-start budget is less than a request. It once
-// stood idle until it was warm. All brokers together must use it, and never send more than it bears.
+// A node starts, and the even part of its slow-start budget for each of 120 brokers is less than a request. The
+// node once stayed idle until it was warm. All brokers together must use the node, and must never send it more
+// than it can handle.
 func TestManyBrokersShareAStartingNode(t *testing.T) {
 	for _, multiple := range []float64{2, 4} {
 		t.Run(fmt.Sprint("multiple=", multiple), func(t *testing.T) {
@@ -149,19 +150,19 @@
 			}
 			f.run(6*second, 35)
 			most := mostWithin(f.sent, settings.Rules.OverloadWindow)
-			t.Logf("most %v of %v units, %d served", most, settings.SlowStartUnits, f.served)
+			t.Logf("%v of %v units within the window, %d requests served", most, settings.SlowStartUnits, f.served)
 			if most > settings.SlowStartUnits {
-				t.Errorf("%v units sent within the window, the node bears %v", most, settings.SlowStartUnits)
+				t.Errorf("%v units sent within the window, want at most %v", most, settings.SlowStartUnits)
 			}
 			if f.served < 12 {
-				t.Errorf("a starting node that can serve 60 requests served %d", f.served)
+				t.Errorf("a starting node that can serve 60 requests served %d, want at least 12", f.served)
 			}
 		})
 	}
 }
 
-// A rate limit holds over all brokers of a volume together, also where a broker's part of it is less than a
-// request.
+// The rate limit of a volume must hold over all its brokers together, even if a broker's part of the limit is
+// less than a request.
 func TestManyBrokersKeepALimitTogether(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 120
@@ -172,7 +173,7 @@
 	settings.Plans[0] = plan
 	f := newFleet(t, settings, ms)
 	f.plan = "low"
-	f.run(40*second, 150) // each volume asks for 30 units a second
+	f.run(40*second, 150) // each volume requests 30 units a second
 	level, at, total := map[string]float64{}, map[string]scheduler.Time{}, 0.0
 	for _, s := range f.first {
 		if at[s.volume] == 0 {
@@ -183,10 +184,10 @@
 		at[s.volume] = s.at
 		total += s.units
 		if level[s.volume] < -plan.LimitOverdraft {
-			t.Fatalf("the store of volume %s fell to %.1f", s.volume, level[s.volume])
+			t.Fatalf("the token bucket of volume %s fell to %.1f units", s.volume, level[s.volume])
 		}
 	}
 	if even := total / 10 / 40; even < 0.7*plan.Limit {
-		t.Errorf("volumes got %.1f units a second each of a limit of %v", even, plan.Limit)
+		t.Errorf("each volume got %.1f units a second, want at least 0.7 of the limit of %v", even, plan.Limit)
 	}
 }
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -7,7 +7,7 @@
 	"junctionwharf/scheduler"
 )
 
-func TestForeignPeerBytesAreDropped(t *testing.T) {
+func TestInvalidPeerMessagesAreDropped(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 2
 	settings.Capabilities.Peers = true
@@ -24,15 +24,15 @@
 		d.step(scheduler.PeerMessage{From: 1, Data: data}, scheduler.PeerMessage{From: 7, Data: data})
 	}
 	if actions := d.takeActions(); len(actions) > 0 {
-		t.Errorf("acts on foreign bytes: %v", actions)
+		t.Errorf("invalid peer messages cause the actions %v, want none", actions)
 	}
 	id := d.request("high", "v", 1)
 	if got := d.takeForwarded(); len(got) != 1 || got[0] != id {
-		t.Errorf("forwarded %v, want %d", got, id)
+		t.Errorf("forwarded requests %v, want request %d", got, id)
 	}
 }
 
-// reportsOf counts the messages that one of so many brokers sends for 40 requests.
+// reportsOf returns the number of messages that one of the given number of brokers sends for 40 requests.
 func reportsOf(t *testing.T, brokers int) (count int) {
 	t.Helper()
 	settings := basicSettings()
@@ -46,7 +46,7 @@
 	for _, action := range d.takeActions() {
 		if message, ok := action.(scheduler.SendToPeer); ok {
 			if message.Peer < 0 || message.Peer >= brokers || len(message.Data) > 8 {
-				t.Fatalf("%d bytes to %d", len(message.Data), message.Peer)
+				t.Fatalf("%d bytes sent to peer %d, want at most 8 to a known peer", len(message.Data), message.Peer)
 			}
 			count++
 		}
@@ -54,15 +54,16 @@
 	return count
 }
 
-// A broker's reports of demand follow its own requests, however many peers there are: reports to all peers grow
-// with the square of the brokers, and at 150 brokers simulated days were cut off by that.
+// The number of a broker's demand reports must depend on its own requests and not on the number of peers. If
+// every broker reports to all peers, reports grow with the square of the number of brokers. That cut off
+// simulated days at 150 brokers.
 func TestReportsFollowTheBrokersOwnRequests(t *testing.T) {
 	if few, many := reportsOf(t, 3), reportsOf(t, 300); few == 0 || many > 40 {
-		t.Errorf("%d messages among 3 brokers, %d among 300, for 40 requests", few, many)
+		t.Errorf("%d messages for 40 requests with 3 brokers, want some; %d with 300, want at most 40", few, many)
 	}
 }
 
-// An aggregator answers each report with what the others reported, and no longer with old reports.
+// An aggregator answers each report with the demand that other brokers reported, ignoring expired reports.
 func TestAggregatorAnswersWithTheDemandOfOthers(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 4
@@ -83,6 +84,6 @@
 	d.takeActions()
 	d.step(report(3))
 	if got := fmt.Sprint(d.takeActions()); got != fmt.Sprint([]scheduler.Action{answer(3, 0)}) {
-		t.Errorf("old reports still count: %v", got)
+		t.Errorf("answers %v after the reports expired, want a demand of 0", got)
 	}
 }
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -13,7 +13,7 @@
 	second = time.Second
 )
 
-// basicSettings is a deployment of one class and two plans, with nothing that is optional.
+// basicSettings returns the settings of a deployment with one class, two plans and no optional feature.
 func basicSettings() scheduler.Settings {
 	return scheduler.Settings{
 		Brokers: 1, MeanUnits: 2, MaxUnits: 8, ShareWeight: 0.3, SpareWeight: 0.1,
@@ -31,7 +31,7 @@
 	}
 }
 
-// slowStartRules sets rules by which a node that starts goes down under too much load.
+// slowStartRules sets rules under which a starting node fails if it receives too much load.
 func slowStartRules(rules *scheduler.Rules, multiple float64) {
 	rules.OverloadWindow = 2 * second
 	rules.OverloadMultiple = multiple
@@ -39,20 +39,20 @@
 	rules.InitialCapacity = 0.2
 }
 
-// oneNode is the node that driver.endAttempt answers for.
+// oneNode is the node in whose name driver.endAttempt answers.
 var oneNode = scheduler.Endpoint{Name: "n:1"}
 
-// fullUpdate is a list of all endpoints.
+// fullUpdate returns a list of all endpoints.
 func fullUpdate(endpoints ...scheduler.Endpoint) scheduler.EndpointUpdate {
 	return scheduler.EndpointUpdate{Kind: scheduler.FullUpdate, Endpoints: endpoints}
 }
 
-// deltaUpdate is a list of changed endpoints.
+// deltaUpdate returns a list of changed endpoints.
 func deltaUpdate(endpoints ...scheduler.Endpoint) scheduler.EndpointUpdate {
 	return scheduler.EndpointUpdate{Kind: scheduler.DeltaUpdate, Endpoints: endpoints}
 }
 
-// newScheduler returns a scheduler; settings that it does not take fail the test.
+// newScheduler returns a new scheduler. Invalid settings fail the test.
 func newScheduler(t testing.TB, settings scheduler.Settings, seed uint64) *scheduler.Scheduler {
 	t.Helper()
 	s, err := scheduler.New(settings, seed)
@@ -62,7 +62,7 @@
 	return s
 }
 
-// driver calls a scheduler and carries its timers.
+// driver runs a scheduler on a simulated clock with timers.
 type driver struct {
 	scheduler *scheduler.Scheduler
 	now       scheduler.Time
@@ -93,7 +93,7 @@
 	}
 }
 
-// advance lets time go by in steps of a millisecond.
+// advance advances the clock in steps of a millisecond.
 func (d *driver) advance(span time.Duration) {
 	for end := d.now + span; d.now < end; {
 		d.now += ms
@@ -112,13 +112,13 @@
 // takeForwarded returns the ids of the requests that were forwarded since the last takeActions.
 func (d *driver) takeForwarded() []uint64 { return forwarded(d.takeActions()) }
 
-// request has a request of class read come, and returns its id.
+// request sends a request of class read, and returns its id.
 func (d *driver) request(plan, volume string, units float64) uint64 {
 	return d.requestLike(scheduler.Request{Plan: plan, Volume: volume, Units: units, Brokers: 1})
 }
 
-// requestLike has a request come that has what r leaves open from class read and plan high, and returns its
-// id.
+// requestLike sends the request r and returns its id. Empty fields of r default to class read, plan high, volume
+// v and 2 s until the deadline.
 func (d *driver) requestLike(r scheduler.Request) uint64 {
 	d.lastID++
 	r.ID = d.lastID
@@ -138,7 +138,7 @@
 	return r.ID
 }
 
-// endAttempt has the node answer an attempt.
+// endAttempt ends an attempt at oneNode with an outcome.
 func (d *driver) endAttempt(id uint64, attempt int, outcome scheduler.Outcome, latency time.Duration) {
 	d.step(scheduler.AttemptEnded{
 		ID: id, Attempt: attempt, Node: oneNode.Name, Outcome: outcome, Latency: latency,
@@ -146,12 +146,12 @@
 	})
 }
 
-// succeed has the node serve the first attempt of a request.
+// succeed ends the first attempt of a request with success.
 func (d *driver) succeed(id uint64, latency time.Duration) {
 	d.endAttempt(id, 0, scheduler.Success, latency)
 }
 
-// forwarded returns the ids of the requests that are forwarded.
+// forwarded returns the ids of the forwarded requests.
 func forwarded(actions []scheduler.Action) (ids []uint64) {
 	for _, action := range actions {
 		if forward, ok := action.(scheduler.Forward); ok {
@@ -161,7 +161,7 @@
 	return ids
 }
 
-// hasAction tells whether an action of a kind is among those taken.
+// hasAction reports whether actions contain an action of type A.
 func hasAction[A scheduler.Action](actions []scheduler.Action) bool {
 	return slices.ContainsFunc(actions, func(action scheduler.Action) bool {
 		_, is := action.(A)
@@ -169,7 +169,7 @@
 	})
 }
 
-// timedEvent is an event that will come to a broker at a time.
+// timedEvent is an event that a broker will receive at a given time.
 type timedEvent struct {
 	at       scheduler.Time
 	sequence int
@@ -177,7 +177,7 @@
 	event    scheduler.Event
 }
 
-// timedQueue is a heap of events, the earliest first.
+// timedQueue is a min-heap of events by time.
 type timedQueue []timedEvent
 
 func (q timedQueue) Len() int { return len(q) }
@@ -196,7 +196,7 @@
 	return last
 }
 
-// sentUnits is units that were sent at a time.
+// sentUnits is a number of units that was sent at a given time.
 type sentUnits struct {
 	at    scheduler.Time
 	units float64
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -10,11 +10,11 @@
 	"junctionwharf/scheduler"
 )
 
-// answerTime is how long the node takes for each request.
+// answerTime is the time that the node needs for each request.
 const answerTime = 30 * ms
 
-// tier is a tier of processes before one node that answers each request after a while. A broker may have two
-// processes.
+// tier simulates the processes of a tier with one node that answers each request after answerTime. A broker may
+// have two processes.
 type tier struct {
 	t         *testing.T
 	settings  scheduler.Settings
@@ -28,7 +28,7 @@
 	ordinal   int
 	scheduler *scheduler.Scheduler
 	timers    []scheduler.Time
-	answers   []tierAnswer // in the order in which they come
+	answers   []tierAnswer // in the order of arrival
 	units     map[uint64]float64
 	forwarded map[uint64]bool
 }
@@ -53,7 +53,7 @@
 	r.step(p, scheduler.ProcessesChanged{Processes: 1, Unseen: 1}, fullUpdate(oneNode))
 }
 
-// kill ends a broker's oldest process; what it had in transit is over.
+// kill ends the oldest process of a broker. Its attempts in flight are dropped.
 func (r *tier) kill(ordinal int) {
 	isOf := func(p *tierProcess) bool { return p.ordinal == ordinal }
 	if i := slices.IndexFunc(r.processes, isOf); i >= 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// advance lets time go by while each process is asked for far more than the limit.
+// advance advances the clock while each process receives far more requests than the limit admits.
 func (r *tier) advance(span time.Duration, rng *rand.Rand) {
 	for end := r.now + span; r.now < end; {
 		r.now += 5 * ms
@@ -95,7 +95,7 @@
 	}
 }
 
-// dueEvents takes the timers and answers that are due.
+// dueEvents removes and returns the expired timers and the answers that have arrived.
 func (p *tierProcess) dueEvents(now scheduler.Time) (events []scheduler.Event) {
 	for len(p.timers) > 0 && p.timers[0] <= now {
 		p.timers = p.timers[1:]
@@ -108,7 +108,7 @@
 	return events
 }
 
-// checkLimit checks that what was sent kept to a plan's limit at each moment, and used it.
+// checkLimit checks that the sent units never exceeded a plan's limit, and that they used enough of it.
 func (r *tier) checkLimit(plan scheduler.Plan, start scheduler.Time) {
 	r.t.Helper()
 	level, at, total := plan.LimitBurst, start, 0.0
@@ -117,35 +117,35 @@
 		at = s.at
 		total += s.units
 		if level < -plan.LimitOverdraft-1e-6 {
-			r.t.Fatalf("the store of the limit fell to %.2f at %v", level, s.at-start)
+			r.t.Fatalf("the limit's token bucket fell to %.2f units at %v", level, s.at-start)
 		}
 	}
 	if want := 0.3 * plan.Limit * (r.now - start).Seconds(); total < want {
-		r.t.Errorf("%.0f units sent, want %.0f", total, want)
+		r.t.Errorf("%.0f units sent, want at least %.0f", total, want)
 	}
 }
 
-// disturbances is what happens to each broker in turn while its volume is at its limit.
+// disturbances are the events that each broker in turn undergoes while its volume is at the limit.
 var disturbances = map[string]func(r *tier, ordinal int, rng *rand.Rand){
 	"nothing": func(*tier, int, *rand.Rand) {},
-	"started beside itself": func(r *tier, ordinal int, rng *rand.Rand) {
+	"second process runs beside the first": func(r *tier, ordinal int, rng *rand.Rand) {
 		r.start(ordinal)
 		r.advance(1500*ms, rng)
 		r.kill(ordinal)
 	},
-	"killed and back": func(r *tier, ordinal int, rng *rand.Rand) {
+	"killed and restarted": func(r *tier, ordinal int, rng *rand.Rand) {
 		r.kill(ordinal)
 		r.advance(700*ms, rng)
 		r.start(ordinal)
 	},
-	"killed and back at once": func(r *tier, ordinal int, rng *rand.Rand) {
+	"killed and restarted at once": func(r *tier, ordinal int, rng *rand.Rand) {
 		for range 5 {
 			r.kill(ordinal)
 			r.start(ordinal)
 			r.advance(200*ms, rng)
 		}
 	},
-	"told the same settings": func(r *tier, ordinal int, _ *rand.Rand) {
+	"same settings applied again": func(r *tier, ordinal int, _ *rand.Rand) {
 		for _, p := range r.processes {
 			if p.ordinal == ordinal {
 				r.step(p, scheduler.SettingsChanged{Settings: r.settings})
@@ -154,8 +154,9 @@
 	},
 }
 
-// The rate limit of a volume holds over one, two and five brokers, each started beside itself, killed and
-// back, or told its settings again, with nothing passing between processes; and their quotas are used.
+// The rate limit of a volume must hold over one, two and five brokers, although the processes exchange no
+// messages. Each broker runs a second process, is killed and restarted, or receives its settings again. The
+// brokers must also use enough of the limit.
 func TestRateLimitOverBrokers(t *testing.T) {
 	plans := []struct {
 		maxUnits float64
--- a/scheduler/memory_test.go
+++ b/scheduler/memory_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A process runs for months while nodes are replaced under new names and volumes come and go. What it knows
-// must not grow with those that ever were.
+// A process runs for months, while nodes are replaced under new names and volumes appear and disappear. Its
+// memory must not grow with the number of nodes and volumes that ever existed.
 func TestForgetsWhatIsGone(t *testing.T) {
 	settings := Settings{
 		Brokers: 2, MeanUnits: 2, MaxUnits: 8, Capabilities: Capabilities{Peers: true},
@@ -37,14 +37,14 @@
 		s.Reduce(now, []Event{TimerFired{Token: tickTimer}})
 	}
 	if n := s.nodes.byName["n300"]; n == nil || !n.slowStart.warmingUp {
-		t.Errorf("the last node: %+v", n)
+		t.Errorf("last node is %+v, want a node that is warming up", n)
 	}
 	for what, count := range map[string]int{
 		"nodes": len(s.nodes.byName), "listed nodes": len(s.nodes.list), "shards": len(s.shards.byID),
 		"shard ids": len(s.shards.ids), "nodes of a shard": len(s.shards.byID[0].nodes),
 	} {
 		if count != 1 {
-			t.Errorf("%d %s remembered, not 1", count, what)
+			t.Errorf("%d %s remembered, want 1", count, what)
 		}
 	}
 	for what, count := range map[string]int{
@@ -52,7 +52,7 @@
 		"demand reports": len(s.demand.reports), "requests": len(s.requests), "unserved requests": len(s.unserved),
 	} {
 		if count != 0 {
-			t.Errorf("%d %s remembered, not 0", count, what)
+			t.Errorf("%d %s remembered, want 0", count, what)
 		}
 	}
 }
--- a/scheduler/nodes_test.go
+++ b/scheduler/nodes_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// The discovery fails for 20 s. One timer asks for the list again: a chain of timers for each failed list would
-// ask ever more often.
+// Discovery fails for 20 s. A single timer must retry the subscription. If each failed list started its own chain
+// of timers, the broker would retry more and more often.
 func TestFailedListsKeepOneTimer(t *testing.T) {
 	settings := basicSettings()
 	settings.Subscribe = true
@@ -26,7 +26,7 @@
 		}
 	}
 	if asked < 2 || asked > 12 {
-		t.Errorf("asked %d times in 20 s", asked)
+		t.Errorf("subscribed %d times in 20 s, want 2 to 12", asked)
 	}
 }
 
@@ -38,13 +38,13 @@
 		ID: 50, Class: "read", Plan: "high", Volume: "v", Units: 1, Brokers: 1, Remaining: 2000 * ms,
 	})
 	if got := d.takeForwarded(); len(got) != 0 {
-		t.Errorf("forwarded %v to a draining node", got)
+		t.Errorf("forwarded requests %v to a draining node", got)
 	}
 }
 
-// An attempt gets no answer. Its slot is free again before its deadline: else the requests behind it would be
-// given up.
-func TestLostAttemptsGiveTheirSlotsBack(t *testing.T) {
+// An attempt receives no answer. Its slot must be freed before its deadline, because otherwise the requests queued
+// behind it would be given up.
+func TestLostAttemptsFreeTheirSlots(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
 	served := d.request("high", "v", 1)
 	d.advance(20 * ms)
@@ -54,16 +54,16 @@
 	d.takeActions()
 	queued := d.request("high", "v", 1)
 	if got := d.takeForwarded(); len(got) != 0 {
-		t.Fatalf("forwarded %v over the limit", got)
+		t.Fatalf("forwarded requests %v above the limit", got)
 	}
 	d.advance(370 * ms)
 	next := d.request("high", "v", 1)
 	if got := d.takeForwarded(); len(got) == 0 {
-		t.Errorf("nothing forwarded; requests %d and %d wait behind lost attempts", queued, next)
+		t.Errorf("no request forwarded; requests %d and %d wait behind lost attempts", queued, next)
 	}
 }
 
-// A node that has just started gets as much as it serves: it must not stand idle behind its slow-start budget.
+// A starting node must receive as many requests as it serves, and not stay idle because of its slow-start budget.
 func TestStartingNodeGetsWhatItServes(t *testing.T) {
 	settings := basicSettings()
 	settings.SlowStartUnits = 8
@@ -79,17 +79,17 @@
 		}
 	}
 	if total < 15 {
-		t.Errorf("only %d of 20 were forwarded though each was served", total)
+		t.Errorf("%d of 20 requests forwarded although each was served, want at least 15", total)
 	}
 	d.request("high", "v", 3)
 	d.request("high", "v", 3)
 	if got := d.takeForwarded(); len(got) != 1 {
-		t.Errorf("forwarded %v: more in flight than the budget", got)
+		t.Errorf("forwarded requests %v, want one: the slow-start budget covers no more", got)
 	}
 }
 
-// A starting node gets the new objects that it surely bears: else, after many restarts, all would go to the few
-// nodes that had not restarted.
+// A starting node must receive the new objects that it can certainly handle. Otherwise, after many restarts, all new
+// objects would go to the few nodes that had not restarted.
 func TestStartingNodesGetNewObjects(t *testing.T) {
 	settings := basicSettings()
 	settings.SlowStartUnits = 40
@@ -108,11 +108,11 @@
 		}
 	}
 	if count == 0 || count > 5 {
-		t.Errorf("%d of 8 new objects go to the starting node", count)
+		t.Errorf("%d of 8 new objects go to the starting node, want 1 to 5", count)
 	}
 }
 
-// Brokers that know nothing of the nodes spread their new objects: they must not all choose the first node.
+// Brokers without knowledge of the nodes must spread their new objects, and not all choose the first node.
 func TestBrokersSpreadNewObjects(t *testing.T) {
 	var endpoints []scheduler.Endpoint
 	for i := range 40 {
@@ -131,11 +131,11 @@
 		}
 	}
 	if len(used) < 25 {
-		t.Errorf("100 brokers put their first new object on %d of 40 nodes", len(used))
+		t.Errorf("100 brokers put their first new object on %d of 40 nodes, want at least 25", len(used))
 	}
 }
 
-// forwardsOf counts how many of 12 requests go to a node whose answers take the given times, in turn.
+// forwardsOf returns how many of 12 requests are forwarded to a node whose answers take the given latencies in turn.
 func forwardsOf(t *testing.T, brokers int, plan string, latencies ...time.Duration) (count int) {
 	t.Helper()
 	settings := basicSettings()
@@ -151,40 +151,41 @@
 	return count
 }
 
-// A node is slow and many brokers use it. They pace their forwards to it: one attempt of each would bury it under a
-// hundred requests, and hold the queue at every node just under a latency objective.
+// Many brokers use a slow node. They must pace their forwards to it. Otherwise one attempt of each broker would give
+// the node a hundred requests at once, and keep the queue at every node just below a latency objective.
 func TestManyBrokersPaceTheirForwardsToACongestedNode(t *testing.T) {
 	for _, latency := range []time.Duration{400 * ms, 200 * ms} {
 		t.Run(latency.String(), func(t *testing.T) {
 			few, many := forwardsOf(t, 4, "high", latency), forwardsOf(t, 100, "high", latency)
 			if few < 12 || many > 10 {
-				t.Errorf("%d forwards of one of 4 brokers, %d of one of 100", few, many)
+				t.Errorf("%d forwards with 4 brokers, want 12; %d with 100 brokers, want at most 10", few, many)
 			}
 		})
 	}
 }
 
-// A sound node that pauses now and then, or puts off work, is not taken for a congested one.
+// A healthy node that occasionally pauses or postpones work must not be treated as congested.
 func TestSlowAnswersAmongQuickOnesAreNoCongestion(t *testing.T) {
 	if count := forwardsOf(t, 100, "high", 20*ms, 200*ms, 200*ms); count < 12 {
-		t.Errorf("%d of 12 requests go to a node that pauses", count)
+		t.Errorf("%d of 12 requests go to a node that pauses, want 12", count)
 	}
 }
 
-// Requests beyond the reserved rate yield while a queue stands at the node, reserved ones do not: else those at one
-// broker would take the slots of reserved ones at others.
+// While requests queue at a node, requests beyond the reserved rate must be delayed and reserved requests must not.
+// Otherwise unreserved requests of one broker would occupy the slots of reserved requests of other brokers.
 func TestUnreservedRequestsYieldAtACongestedNode(t *testing.T) {
 	reserved, unreserved := forwardsOf(t, 4, "high", 200*ms), forwardsOf(t, 4, "low", 200*ms)
 	if reserved < 12 || unreserved > 8 {
-		t.Errorf("%d reserved and %d other requests of 12 go to a congested node", reserved, unreserved)
+		t.Errorf("%d of 12 reserved requests go to a congested node, want 12; %d of 12 others, want at most 8",
+			reserved, unreserved)
 	}
 	if idle := forwardsOf(t, 4, "low", 40*ms); idle < 12 {
-		t.Errorf("%d of 12 requests beyond the reserved rate go to an idle node", idle)
+		t.Errorf("%d of 12 requests beyond the reserved rate go to an idle node, want 12", idle)
 	}
 }
 
-// A broker with few requests takes a node for congested for a while only: else it would reject at once long after
-// the node had recovered.
+// A broker with few requests must treat a node as congested only for a limited time. Otherwise it would reject
+// requests long after the node has recovered.
 func TestCongestionFades(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 100
@@ -197,17 +198,17 @@
 	d.takeActions()
 	d.request("high", "v", 2)
 	if actions := d.takeActions(); hasAction[scheduler.Forward](actions) {
-		t.Fatalf("forwards at once to a congested node: %v", actions)
+		t.Fatalf("a request is forwarded at once to a congested node: %v", actions)
 	}
 	d.advance(15 * second)
 	id := d.request("high", "v", 2)
 	if got := d.takeForwarded(); len(got) == 0 || got[len(got)-1] != id {
-		t.Errorf("forwarded %v, want %d after a long quiet time", got, id)
+		t.Errorf("forwarded requests %v, want %d after a long time without requests", got, id)
 	}
 }
 
-// An attempt that later attempts overtook is canceled and retried; one that is only late is not, which would be
-// twice the work for a congested node.
+// An attempt that later attempts overtook must be canceled and retried. An attempt that is only late must not: a
+// retry would double the work of a congested node.
 func TestLateAttemptsAreRetriedOnlyIfOvertaken(t *testing.T) {
 	settings := basicSettings()
 	settings.Classes[0].LatencyObjective = 400 * ms
@@ -218,11 +219,11 @@
 	d.request("high", "v", 1)
 	d.advance(250 * ms)
 	if actions := d.takeActions(); hasAction[scheduler.Cancel](actions) {
-		t.Fatalf("cancels an attempt that nothing overtook: %v", actions)
+		t.Fatalf("an attempt that was not overtaken is canceled: %v", actions)
 	}
 	d = newDriver(t, settings, oneNode)
 	slow := d.request("high", "v", 1)
-	for range 5 { // the node answers what came later
+	for range 5 { // the node answers the later requests
 		id := d.request("high", "v", 1)
 		d.advance(10 * ms)
 		d.succeed(id, 10*ms)
@@ -237,15 +238,15 @@
 	t.Error("an overtaken attempt is not canceled")
 }
 
-// actionsOfLateAttempt is what is done while a node answers all requests but the first after a latency, until
-// the first is late.
+// actionsOfLateAttempt returns the actions of a scheduler while a node answers all requests except the first with a
+// latency, until the first attempt is late.
 func actionsOfLateAttempt(t *testing.T, latency time.Duration) []scheduler.Action {
 	t.Helper()
 	settings := basicSettings()
 	settings.Capabilities.MaxAttempts = 1
 	d := newDriver(t, settings, oneNode)
 	d.request("high", "late", 1)
-	for range 15 { // the node answers what came later
+	for range 15 { // the node answers the later requests
 		id := d.request("high", "v", 1)
 		d.advance(latency)
 		d.succeed(id, latency)
@@ -254,22 +255,22 @@
 	return d.takeActions()
 }
 
-// At a congested node late attempts are canceled: else it works mostly at what is late already, and does half of what
-// it could. At a quick node a late answer is still waited for.
+// Late attempts must be canceled at a congested node. Otherwise the node works mostly on requests that are already
+// late, and does half of what it could. At a fast node the scheduler must still wait for a late answer.
 func TestLateAttemptsAreCanceledAtACongestedNode(t *testing.T) {
 	if quick := actionsOfLateAttempt(t, 20*ms); hasAction[scheduler.Cancel](quick) {
-		t.Errorf("canceled at a quick node: %v", quick)
+		t.Errorf("a late attempt is canceled at a fast node: %v", quick)
 	}
 	slow := actionsOfLateAttempt(t, 200*ms)
 	if !hasAction[scheduler.Cancel](slow) || !hasAction[scheduler.Reject](slow) {
-		t.Errorf("late work goes on at a congested node: %v", slow)
+		t.Errorf("a late attempt is not canceled and rejected at a congested node: %v", slow)
 	}
 }
 
-// A lost or broken answer now and then says nothing of a node's capacity: its next request is forwarded at
-// once. After two in a row the node backs off, and a success clears the count. Errors that a node answers with
-// never have it back off: it answers, and no other node holds its shard.
-func TestOneBrokenConnectionDoesNotRestANode(t *testing.T) {
+// A single lost or broken answer says nothing about a node's capacity: the next request must be forwarded at once.
+// After two consecutive broken connections the node must back off. A success clears the count. Errors that a node
+// answers with must never cause a backoff: the node is alive, and no other node stores the shard.
+func TestNodeBacksOffAfterTwoBrokenConnections(t *testing.T) {
 	for _, outcome := range []scheduler.Outcome{scheduler.ConnectionBroken, scheduler.Failure} {
 		t.Run(fmt.Sprint("outcome=", outcome), func(t *testing.T) {
 			d := newDriver(t, basicSettings(), oneNode)
@@ -280,15 +281,16 @@
 			}
 			first := d.request("high", "v", 1)
 			if got := fail(first, 0); len(got) != 1 {
-				t.Fatalf("forwarded %v after one", got)
+				t.Fatalf("forwarded requests %v after one fault, want one", got)
 			}
 			d.endAttempt(first, 1, scheduler.Success, 20*ms)
 			next := d.request("high", "v", 1)
 			if got := fail(next, 0); len(got) != 1 {
-				t.Errorf("forwarded %v after one behind a success", got)
+				t.Errorf("forwarded requests %v after a fault that follows a success, want one", got)
 			}
 			if got := fail(next, 1); (len(got) == 0) != (outcome == scheduler.ConnectionBroken) {
-				t.Errorf("forwarded %v after two in a row", got)
+				t.Errorf("forwarded requests %v after two consecutive faults, want a backoff only for outcome %d",
+					got, scheduler.ConnectionBroken)
 			}
 		})
 	}
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -10,10 +10,9 @@
 	"testing"
 )
 
-// The files of this package hold the decisions (`policy` in deploy/balancer.toml). They are read aloud after outages,
-// so their size is bounded: lines that are not
-// blank, and characters with a tab as four. The operators have lifted the limit on the lines of the module as a
-// whole, so their sum is not bounded.
+// The files of this package make the decisions (`policy` in deploy/balancer.toml). Engineers read them aloud
+// after outages, so the size of each file is limited: the number of non-blank lines, and the width of a line with a
+// tab as four characters. The total is not limited, because the operators lifted the limit on the lines of the module.
 const (
 	maxLines = 240
 	maxWidth = 110
@@ -31,17 +30,17 @@
 				lines++
 			}
 			if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > maxWidth {
-				t.Errorf("%s:%d is %d characters wide", path, number+1, width)
+				t.Errorf("%s:%d is %d characters wide, want at most %d", path, number+1, width, maxWidth)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d", path, lines, maxLines)
+			t.Errorf("%s has %d non-blank lines, want at most %d", path, lines, maxLines)
 		}
 	}
 }
 
-// The deploy file names the files that hold the decisions; a file left out would be changed without being
-// seen as policy.
+// The deploy file must name all files that hold decisions. Otherwise a change of a missing file would not be
+// recognized as a change of policy.
 func TestDeployFileNamesDecisionFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -49,7 +48,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindStringSubmatch(string(deploy))
 	if line == nil {
-		t.Fatal("deploy/balancer.toml has no policy")
+		t.Fatal("deploy/balancer.toml does not set policy to a list")
 	}
 	var want []string
 	for _, path := range decisionFiles(t) {
@@ -62,7 +61,7 @@
 	}
 }
 
-// decisionFiles is the files of the decision module, sorted.
+// decisionFiles returns the files of this package without tests, sorted.
 func decisionFiles(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// classNames are those of queueSettings.
+// classNames are the names of the classes of queueSettings.
 var classNames = []string{"read", "bulk", "write"}
 
-// A scan that passes by what cannot have changed decides as one of all that is queued, in queues that volumes
-// without tokens fill, with arrivals that are due earlier and later than what waits, and clients that leave
-// from the middle.
+// A scan that skips requests that cannot have become forwardable must make the same decisions as a scan of the whole
+// queue. The queues are filled by volumes without tokens. Requests arrive with earlier and later soft deadlines than
+// the queued requests, and clients of requests in the middle of the queue disconnect.
 func TestIncrementalScanEqualsFullScan(t *testing.T) {
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -40,35 +40,35 @@
 			}
 		}
 		if m.maxQueued < 20 {
-			t.Errorf("seed %d: %d queued at the most", seed, m.maxQueued)
+			t.Errorf("seed %d: at most %d requests were queued, want at least 20", seed, m.maxQueued)
 		}
 	}
 }
 
-// 100,000 requests are queued, and all are due within one millisecond: each gets its one answer at once. A
-// queue that moved all others up for each that left took seconds.
+// 100,000 requests are queued and reach their soft deadline within one millisecond. Each must receive exactly one
+// answer at once. A queue that shifted all other requests for each request that left took seconds.
 func TestAllDueAtOnce(t *testing.T) {
 	m := newSimulation(t, queueSettings(), 1)
-	m.reference = nil // it would scan all that is queued in every step
+	m.reference = nil // the reference would scan the whole queue in every step
 	m.fillQueue(100_000, nil)
 	m.runUntil(m.now + 140*time.Millisecond)
 	if len(m.answers) > 0 {
-		t.Fatalf("%d answers before it was time", len(m.answers))
+		t.Fatalf("%d answers before the latency objective has passed, want 0", len(m.answers))
 	}
-	m.runUntil(m.now + 40*time.Millisecond) // the latency objective, and a tick
+	m.runUntil(m.now + 40*time.Millisecond) // the latency objective and a tick
 	total := 0
 	for id, count := range m.answers {
 		total += count
 		if count != 1 {
-			t.Fatalf("request %d got %d answers", id, count)
+			t.Fatalf("request %d got %d answers, want 1", id, count)
 		}
 	}
 	if total != 100_000 {
-		t.Errorf("%d answers, not 100,000", total)
+		t.Errorf("%d answers, want 100,000", total)
 	}
 }
 
-// The clients of all queued requests leave, in no order: nothing is answered, forwarded or remembered.
+// The clients of all queued requests disconnect in random order. No request must be answered, forwarded or remembered.
 func TestAllClientsLeave(t *testing.T) {
 	m := newSimulation(t, queueSettings(), 1)
 	m.fillQueue(1500, func(i int, r *Request) { r.Class = classNames[i%3] })
@@ -78,12 +78,12 @@
 	m.listNodes(3, 1)
 	m.runUntil(m.now + time.Second)
 	if kept := len(m.scheduler.requests); len(m.answers)+len(m.forwards)+kept > 0 {
-		t.Errorf("%d answers, %d forwards, %d remembered", len(m.answers), len(m.forwards), kept)
+		t.Errorf("%d answers, %d forwards, %d requests remembered, want 0", len(m.answers), len(m.forwards), kept)
 	}
 }
 
-// A node comes back to 10,000 waiting requests. It gets no more at once than its limit, and while it is
-// warming up never more than its slow-start budget.
+// A node returns while 10,000 requests are queued. It must never receive more requests at once than its limit, nor more
+// units than its slow-start budget while it is warming up.
 func TestNodeReturnsToLongQueue(t *testing.T) {
 	settings := queueSettings()
 	settings.SlowStartUnits = 41
@@ -104,23 +104,23 @@
 		m.runUntil(m.now + 5*time.Millisecond)
 		n := m.scheduler.nodes.byName["n0"]
 		if float64(n.inFlight) > max(1, n.limit.value) {
-			t.Fatalf("%d in flight, the limit is %.1f", n.inFlight, n.limit.value)
+			t.Fatalf("%d attempts in flight, want at most the limit of %.1f", n.inFlight, n.limit.value)
 		}
 		if tokens := n.slowStart.tokens; tokens < 0 {
-			t.Fatalf("%.1f units beyond the slow-start budget", -tokens)
+			t.Fatalf("%.1f units sent beyond the slow-start budget", -tokens)
 		}
 	}
 	if len(m.forwards) == 0 {
-		t.Error("nothing was forwarded")
+		t.Error("no request was forwarded")
 	}
 	m.runUntil(m.now + time.Second)
 	if len(m.answers)+len(m.forwards) < 10_000 {
-		t.Errorf("%d answered and %d forwarded", len(m.answers), len(m.forwards))
+		t.Errorf("%d requests answered and %d forwarded, want 10,000 in total", len(m.answers), len(m.forwards))
 	}
 }
 
-// The clock stands still for a while and then jumps by a second, classes vanish under what is queued, and ids
-// come again: each request has one end.
+// The clock stands still for a while and then jumps by a second, the classes of queued requests are removed from the
+// settings, and ids are used again. Each request must end exactly once.
 func TestClockJumpsAndClassesVanish(t *testing.T) {
 	m := newSimulation(t, queueSettings(), 1)
 	m.listNodes(2, 1)
@@ -131,7 +131,7 @@
 	fewer := queueSettings()
 	fewer.Classes, fewer.Plans = fewer.Classes[1:2], fewer.Plans[:1]
 	m.step(SettingsChanged{Settings: fewer})
-	queued := uint64(0) // its id is not taken a second time
+	queued := uint64(0) // id of a queued request: a new request with this id must be ignored
 	for id, r := range m.scheduler.requests {
 		if r.queuedAt != nil && (queued == 0 || id < queued) {
 			queued = id
@@ -146,15 +146,15 @@
 	m.runUntil(m.now + 3*time.Second)
 	for id := uint64(1); id <= 3000; id++ {
 		if m.answers[id]+min(1, m.forwards[id]) != 1 && m.answers[id] != 1 {
-			t.Fatalf("request %d: %d answers, %d forwards", id, m.answers[id], m.forwards[id])
+			t.Fatalf("request %d has %d answers and %d forwards, want one end", id, m.answers[id], m.forwards[id])
 		}
 	}
 	if len(m.scheduler.requests) > 0 {
-		t.Errorf("%d are remembered", len(m.scheduler.requests))
+		t.Errorf("%d requests are remembered, want 0", len(m.scheduler.requests))
 	}
-	again.ID, again.Volume = 1, "new" // the request of this id is over
+	again.ID, again.Volume = 1, "new" // the earlier request with this id has ended
 	m.step(again)
 	if m.scheduler.requests[1] == nil {
-		t.Error("an id that is free again is not taken")
+		t.Error("a request is ignored although the earlier request with its id has ended")
 	}
 }
--- a/scheduler/random_day_test.go
+++ b/scheduler/random_day_test.go
@@ -12,12 +12,12 @@
 	"junctionwharf/scheduler"
 )
 
-// reducer is what a random day drives: a Scheduler, or a stub that breaks a rule.
+// reducer is the object under test of a random day: a Scheduler, or a stub that breaks a rule.
 type reducer interface {
 	Reduce(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
 
-// randomClasses has all kinds of idempotency, scope and order.
+// randomClasses returns classes with all kinds of idempotency, scope and order.
 func randomClasses() []scheduler.Class {
 	class := func(name string, objective, deadline time.Duration) scheduler.Class {
 		return scheduler.Class{Name: name, LatencyObjective: objective, Deadline: deadline, PriorityWeight: 1}
@@ -46,8 +46,8 @@
 	}
 }
 
-// randomSettings draws a deployment with all kinds of classes, limits and budgets. The order of the draws is
-// part of the recorded decisions.
+// randomSettings returns a random deployment with all kinds of classes, limits and budgets. The order of the random
+// draws is part of the recorded decisions.
 func randomSettings(rng *rand.Rand) scheduler.Settings {
 	settings := scheduler.Settings{
 		Brokers: 1 + rng.IntN(4), Zone: "a", Subscribe: rng.IntN(2) == 0,
@@ -77,8 +77,8 @@
 	return settings
 }
 
-// randomDay feeds a reducer with events drawn from a seed. It models no server: each attempt ends at a random
-// time in a random way.
+// randomDay generates random events for a reducer. It does not model servers: each attempt ends at a random time with a
+// random outcome.
 type randomDay struct {
 	rng          *rand.Rand
 	settings     scheduler.Settings
@@ -90,7 +90,7 @@
 	deadlines    map[uint64]scheduler.Time
 	over         map[uint64]bool
 	endpoints    []scheduler.Endpoint
-	faultPercent int // of attempts
+	faultPercent int // percentage of attempts that fail
 	trace        []string
 }
 
@@ -117,7 +117,7 @@
 	d.pending = append(d.pending, timedEvent{d.now + after, d.sequence, 0, event})
 }
 
-// dueEvents takes the events that are due.
+// dueEvents removes and returns the events whose time has come. On the first call it adds an endpoint list.
 func (d *randomDay) dueEvents(start scheduler.Time) []scheduler.Event {
 	var events []scheduler.Event
 	if d.now == start {
@@ -152,7 +152,7 @@
 	return events
 }
 
-// drawRequest draws a request, whose client may leave before its deadline.
+// drawRequest returns a random request. Its client may disconnect before the deadline.
 func (d *randomDay) drawRequest() scheduler.Request {
 	d.lastID++
 	class := d.settings.Classes[d.rng.IntN(len(d.settings.Classes))]
@@ -174,7 +174,8 @@
 	return r
 }
 
-// drawEvents draws what comes from outside: requests, updates, foreign bytes, and ends of what never was.
+// drawEvents returns random external events: requests, updates, invalid peer messages, and events for unknown requests
+// and timers.
 func (d *randomDay) drawEvents(busy bool) []scheduler.Event {
 	var events []scheduler.Event
 	rate := 1
@@ -214,7 +215,7 @@
 	case 2:
 		endpoint.State = scheduler.Ready
 		endpoint.StartedAt = d.now
-	case 3: // a new node takes the place of another
+	case 3: // a new node replaces another node
 		d.sequence++
 		*endpoint = scheduler.Endpoint{
 			Name: fmt.Sprintf("m%d:1", d.sequence), Zone: endpoint.Zone, Shard: endpoint.Shard, StartedAt: d.now,
@@ -226,7 +227,7 @@
 	return deltaUpdate(*endpoint)
 }
 
-// carryOut carries actions out.
+// carryOut carries out actions.
 func (d *randomDay) carryOut(actions []scheduler.Action) {
 	for _, action := range actions {
 		d.trace = append(d.trace, fmt.Sprintf("%v %T %+v", d.now, action, action))
@@ -251,7 +252,7 @@
 	}
 }
 
-// cancel has an attempt end within a millisecond.
+// cancel ends an attempt in flight after a millisecond.
 func (d *randomDay) cancel(a scheduler.Cancel) {
 	for i, pending := range d.pending {
 		if end, ok := pending.event.(scheduler.AttemptEnded); ok && end.ID == a.ID && end.Attempt == a.Attempt {
@@ -261,7 +262,7 @@
 	}
 }
 
-// drawEnd draws how and when an attempt ends.
+// drawEnd schedules the random end of an attempt.
 func (d *randomDay) drawEnd(a scheduler.Forward) {
 	attempt := d.attempts[a.ID]
 	d.attempts[a.ID]++
@@ -280,8 +281,7 @@
 	})
 }
 
-// playRandomDay runs a reducer through a random day and returns the violations of rules and the trace of
-// actions.
+// playRandomDay runs a reducer through a random day. It returns the violations of rules and a trace of the actions.
 func playRandomDay(seed uint64, start func(scheduler.Settings) reducer) (violations, trace []string) {
 	d := newRandomDay(seed)
 	r, c := start(d.settings), newChecker(d.settings)
@@ -303,17 +303,17 @@
 	return c.violations, d.trace
 }
 
-// startScheduler starts the scheduler itself.
+// startScheduler returns a function that creates a Scheduler.
 func startScheduler(t *testing.T) func(scheduler.Settings) reducer {
 	return func(settings scheduler.Settings) reducer { return newScheduler(t, settings, 5) }
 }
 
-// Whatever comes, in whatever order, no rule is broken.
+// No sequence of events must make the scheduler break a rule.
 func TestRandomDaysBreakNoRule(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			if violations, _ := playRandomDay(seed, startScheduler(t)); len(violations) > 0 {
-				t.Errorf("%d violations, first %v", len(violations), violations[:min(3, len(violations))])
+				t.Errorf("%d violations, the first are %v", len(violations), violations[:min(3, len(violations))])
 			}
 		})
 	}
@@ -325,18 +325,19 @@
 			_, first := playRandomDay(seed, startScheduler(t))
 			_, second := playRandomDay(seed, startScheduler(t))
 			if !reflect.DeepEqual(first, second) {
-				t.Error("two runs differ")
+				t.Error("two runs with equal events gave different actions")
 			}
 		})
 	}
 }
 
-// stub breaks rules on purpose, to show that the checker can fail.
+// stub is a reducer that breaks rules on purpose, to show that the checker detects violations.
 type stub func(events []scheduler.Event) []scheduler.Action
 
 func (s stub) Reduce(_ scheduler.Time, events []scheduler.Event) []scheduler.Action { return s(events) }
 
-// forwardAtOnce forwards each request to the first node ever listed for its shard, and again when it fails.
+// forwardAtOnce returns a stub that forwards each request at once, and again after each failed attempt. It uses the
+// node of the request's shard in the first list or, if a node of the shard has started since, that node.
 func forwardAtOnce(scheduler.Settings) reducer {
 	nodes, requests := map[int]string{}, map[uint64]scheduler.Request{}
 	forward := func(r scheduler.Request) []scheduler.Action {
@@ -367,12 +368,12 @@
 	})
 }
 
-// answerNothing answers nothing.
+// answerNothing returns a stub that never answers a request.
 func answerNothing(scheduler.Settings) reducer {
 	return stub(func([]scheduler.Event) []scheduler.Action { return nil })
 }
 
-func TestCheckerSeesEachBrokenRule(t *testing.T) {
+func TestCheckerDetectsEachBrokenRule(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(8) {
 		for _, start := range []func(scheduler.Settings) reducer{forwardAtOnce, answerNothing} {
@@ -386,7 +387,7 @@
 	rules := []string{ruleAnswer, ruleExecution, ruleDrain, ruleSlowStart, ruleOrder, ruleBudget, ruleLimit}
 	for _, rule := range rules {
 		if !seen[rule] {
-			t.Errorf("no stub was caught breaking the rule %q", rule)
+			t.Errorf("the checker detected no violation of the rule %q", rule)
 		}
 	}
 }
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// scheduledEvent is an event that will come at a time.
+// scheduledEvent is an event for a given time.
 type scheduledEvent struct {
 	at       Time
 	sequence int
 	event    Event
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a min-heap of events by time.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -34,9 +34,8 @@
 	return last
 }
 
-// simulation has two schedulers meet the same events: one that scans what may have changed, and a reference
-// that scans all that is queued in every step. Both must decide alike. Each node serves one request after
-// another.
+// simulation sends the same events to two schedulers: one scans only shards that may have changed, the reference scans
+// all queued requests in every step. Both must make the same decisions. Each node serves one request after another.
 type simulation struct {
 	t           *testing.T
 	scheduler   *Scheduler
@@ -45,7 +44,7 @@
 	sequence    int
 	events      eventQueue
 	serviceTime time.Duration
-	freeAt      map[string]Time // when a node has served what it got
+	freeAt      map[string]Time // when the node has served all its requests
 	attempts    map[uint64]int
 	forwards    map[uint64]int
 	answers     map[uint64]int // rejections and failures
@@ -78,19 +77,19 @@
 	return s
 }
 
-// schedule has an event come after a while.
+// schedule schedules an event after a delay.
 func (m *simulation) schedule(after time.Duration, event Event) {
 	m.sequence++
 	heap.Push(&m.events, scheduledEvent{m.now + after, m.sequence, event})
 }
 
-// step gives events to both schedulers, compares their actions and carries them out.
+// step passes events to both schedulers, compares their actions and carries out the actions.
 func (m *simulation) step(events ...Event) {
 	m.t.Helper()
 	actions := m.scheduler.Reduce(m.now, events)
 	if m.reference != nil {
 		if want := m.reference.Reduce(m.now, events); !reflect.DeepEqual(actions, want) {
-			m.t.Fatalf("at %v: %v, but a scan of all gives %v", m.now, actions, want)
+			m.t.Fatalf("actions at %v are %v, want those of the reference: %v", m.now, actions, want)
 		}
 	}
 	queued := 0
@@ -112,7 +111,7 @@
 	}
 }
 
-// serve has a node serve a request behind those that it got before.
+// serve schedules the end of an attempt at a node, after all earlier attempts at the node.
 func (m *simulation) serve(a Forward) {
 	m.forwards[a.ID]++
 	m.freeAt[a.Node] = max(m.freeAt[a.Node], m.now) + m.serviceTime
@@ -124,7 +123,7 @@
 	m.attempts[a.ID]++
 }
 
-// runUntil plays what comes up to a time.
+// runUntil processes the scheduled events up to a time.
 func (m *simulation) runUntil(end Time) {
 	m.t.Helper()
 	for len(m.events) > 0 && m.events[0].at <= end {
@@ -138,15 +137,15 @@
 	m.now = end
 }
 
-// readClass is a class of requests that may run twice.
+// readClass returns a class of idempotent requests.
 func readClass() Class {
 	return Class{
 		Name: "read", LatencyObjective: 300 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1,
 	}
 }
 
-// queueSettings is a deployment with urgent, patient and unrepeatable requests, and volumes with few and many
-// tokens.
+// queueSettings returns the settings of a deployment with urgent, patient and non-idempotent requests, and with volumes
+// that have few or many tokens.
 func queueSettings() Settings {
 	return Settings{
 		Brokers: 1, MeanUnits: 2, MaxUnits: 8, SpareWeight: 0.05, ShareWeight: 0.4,
@@ -172,7 +171,7 @@
 	}
 }
 
-// listNodes lists so many nodes, which serve so many shards in turn.
+// listNodes sends an endpoint list with the given number of nodes, which are distributed over the shards in turn.
 func (m *simulation) listNodes(nodes, shards int) []Endpoint {
 	var list []Endpoint
 	for i := range nodes {
@@ -182,7 +181,7 @@
 	return list
 }
 
-// fillQueue has so many requests come at once, each changed first if change is not nil.
+// fillQueue sends a number of requests at once. If change is not nil, it modifies each request first.
 func (m *simulation) fillQueue(requests int, change func(i int, r *Request)) {
 	m.t.Helper()
 	var events []Event
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -22,17 +22,17 @@
 	d.takeActions()
 	d.succeed(first, 20*ms)
 	if got := d.takeForwarded(); len(got) != 1 || got[0] != soon {
-		t.Errorf("forwarded %v, want %d before %d", got, soon, late)
+		t.Errorf("forwarded requests %v, want request %d before request %d", got, soon, late)
 	}
 }
 
 func TestRequestIsRejectedWhenItsObjectiveIsMissed(t *testing.T) {
-	d := newDriver(t, basicSettings()) // no node at all
+	d := newDriver(t, basicSettings()) // without any node
 	d.request("high", "v", 1)
 	d.takeActions()
 	d.advance(250 * ms)
 	if actions := d.takeActions(); hasAction[scheduler.Reject](actions) {
-		t.Fatal("rejected before its latency objective is over")
+		t.Fatal("request is rejected before its latency objective has passed")
 	}
 	d.advance(150 * ms)
 	for _, action := range d.takeActions() {
@@ -40,12 +40,12 @@
 			return
 		}
 	}
-	t.Error("no rejection with a Retry-After soon after the latency objective")
+	t.Error("request is not rejected with a Retry-After soon after its latency objective has passed")
 }
 
 func TestOverloadShedsTheLowestValue(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
-	for range 6 { // the node is seen to take 60 ms
+	for range 6 { // the scheduler learns that the node takes 60 ms
 		id := d.request("high", "v", 2)
 		d.advance(60 * ms)
 		d.succeed(id, 60*ms)
@@ -68,13 +68,14 @@
 		inFlight = append(inFlight[1:], got...)
 	}
 	if !slices.Equal(after, reserved) {
-		t.Errorf("forwarded %v, want the reserved %v before the surge", after, reserved)
+		t.Errorf("forwarded requests %v, want the reserved requests %v before the surge", after, reserved)
 	}
 }
 
-// A client that comes with little time left is due when it leaves: it must not be taken for one whose latency
-// objective is over. A client's retry is due by its first request.
-func TestImpatientClientsAreDueWhenTheyLeave(t *testing.T) {
+// The soft deadline of a client with little time left must be the end of that time: such a request must not be treated
+// as a retry whose latency objective has passed. The soft deadline of a client's retry must be that of its first
+// request.
+func TestSoftDeadlineOfImpatientClientsAndRetries(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
 	request := func(key string, remaining time.Duration) uint64 {
 		return d.requestLike(scheduler.Request{Key: key, Units: 1, Brokers: 1, Remaining: remaining})
@@ -83,19 +84,20 @@
 		d.request("high", "v", 1)
 	}
 	patient, retried := request("p", 2000*ms), request("r", 100*ms)
-	d.advance(110 * ms) // the second is rejected and comes again
+	d.advance(110 * ms) // the second request is given up, and its client retries
 	d.step(scheduler.ClientGone{ID: retried})
 	again, impatient := request("r", 1880*ms), request("s", 250*ms)
 	d.takeActions()
 	d.succeed(1, 20*ms)
 	d.succeed(2, 20*ms)
 	if got := d.takeForwarded(); !slices.Equal(got, []uint64{patient, again}) {
-		t.Errorf("forwarded %v, want %d and %d, which are due before %d", got, patient, again, impatient)
+		t.Errorf("forwarded requests %v, want %d and %d, whose soft deadlines are before that of %d",
+			got, patient, again, impatient)
 	}
 }
 
-// Requests of odd sizes, brokers and deadlines come, to a shard with a warm, a starting or no node: each is
-// answered once, or forwarded.
+// Requests with unusual sizes, numbers of brokers and deadlines arrive at a shard with a warm, a starting or no node.
+// Each must be forwarded or answered, and none must be answered twice.
 func TestOddRequestsGetOneAnswer(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 1000
@@ -136,14 +138,14 @@
 			}
 			for id := uint64(1); id <= d.lastID; id++ {
 				if answers[id] > 1 || answers[id] == 0 && !forwards[id] {
-					t.Errorf("request %d (%+v) is answered %d times", id, odd[id-1], answers[id])
+					t.Errorf("request %d (%+v) has %d answers, want 1 or a forward", id, odd[id-1], answers[id])
 				}
 			}
 		})
 	}
 }
 
-// A volume whose requests all come through one broker uses an idle node: it must not run out of tokens there.
+// A volume whose requests all arrive through one broker must be able to use an idle node without running out of tokens.
 func TestVolumeThroughOneBrokerUsesAnIdleNode(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 10
@@ -157,6 +159,6 @@
 		}
 	}
 	if count < 14 {
-		t.Errorf("%d of 16 requests go to an idle node", count)
+		t.Errorf("%d of 16 requests go to an idle node, want at least 14", count)
 	}
 }
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countKinds counts forwards and failures.
+// countKinds returns the number of forwards and of failures.
 func countKinds(actions []Action) (forwards, failures int) {
 	for _, action := range actions {
 		switch action.(type) {
@@ -19,8 +19,8 @@
 	return forwards, failures
 }
 
-// New settings change what comes; requests under way keep their class, and what clients of a vanished class
-// were not served must not fault later ticks.
+// New settings must apply to new requests, while earlier requests keep their class. Unserved requests of a removed
+// class must not cause a fault in later ticks.
 func TestSettingsChange(t *testing.T) {
 	class := func(name string, idempotency Idempotency) Class {
 		c := readClass()
@@ -62,7 +62,8 @@
 		AttemptEnded{ID: 2, Node: "n", Outcome: ConnectionBroken},
 	}))
 	if forwards != 1 || failures != 1 {
-		t.Errorf("%d forwards, %d failures; want 1 of the new class, 1 of the vanished one", forwards, failures)
+		t.Errorf("%d forwards and %d failures, want 1 forward of the new class and 1 failure of the removed one",
+			forwards, failures)
 	}
 	checkChangedSettings(t, s)
 	for range 400 {
@@ -70,29 +71,30 @@
 		s.Reduce(now, []Event{TimerFired{Token: tickTimer}})
 	}
 	if len(s.unserved) != 0 {
-		t.Errorf("%d unserved requests remembered", len(s.unserved))
+		t.Errorf("%d unserved requests remembered, want 0", len(s.unserved))
 	}
 }
 
-// checkChangedSettings checks what TestSettingsChange left in force.
+// checkChangedSettings checks the state of the scheduler after the change of settings in TestSettingsChange.
 func checkChangedSettings(t *testing.T, s *Scheduler) {
 	t.Helper()
 	if s.settings.Ordinal != 1 {
-		t.Error("the ordinal changed while running")
+		t.Error("the ordinal changed with new settings")
 	}
 	if s.requests[3].class.Idempotency != NotIdempotent || s.requests[1].class.Idempotency != Idempotent {
-		t.Error("a request has not the class that it came with")
+		t.Error("the class of a request changed with new settings")
 	}
 	if s.volumes.byName["v"].plan.Rate != 5 {
-		t.Error("the plan in force is not the new one")
+		t.Error("the volume does not have the new plan")
 	}
-	// The tokens of a volume without requests must not jump with the new plan.
+	// The tokens of a volume without requests must not rise because of the new plan.
 	if v := s.volumes.byName["idle"]; v.brokers != 1 || v.capacity != 13 || v.tokens >= v.capacity {
-		t.Errorf("an idle volume has %v brokers, %v of %v tokens", v.brokers, v.tokens, v.capacity)
+		t.Errorf("idle volume has %v brokers and %v of %v tokens, want 1 broker, a capacity of 13 and fewer tokens",
+			v.brokers, v.tokens, v.capacity)
 	}
 }
 
-func TestValidateNamesWhatIsWrong(t *testing.T) {
+func TestValidateErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoil func(*Settings)
 		want  error
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// unitsToNewNode is what a broker of so many processes forwards in a while to a node that has just started.
+// unitsToNewNode returns the units that one process of a broker with the given number of processes forwards within span
+// to a node that has just started.
 func unitsToNewNode(t *testing.T, processes int, span time.Duration) float64 {
 	t.Helper()
 	s := newScheduler(t, Settings{
@@ -31,7 +32,7 @@
 		actions := s.Reduce(now, append(events, TimerFired{Token: tickTimer}))
 		events = nil
 		for _, action := range actions {
-			if a, ok := action.(Forward); ok { // what is canceled weighs too, and proves no capacity
+			if a, ok := action.(Forward); ok { // canceled attempts use up budget too, and do not prove capacity
 				units++
 				events = append(events, AttemptEnded{ID: a.ID, Node: "n", Outcome: Canceled, Finished: true})
 			}
@@ -40,11 +41,13 @@
 	return units
 }
 
-// One process of a broker replaces another while a node starts. Two processes must not send it more than one
-// would: the newer one begins with no budget saved, and each saves half as fast.
+// One process of a broker replaces another while a node starts. Together the two processes must not send more to the
+// node than one process would. Therefore the newer process starts without saved budget, and each accumulates budget
+// half as fast.
 func TestProcessesShareSlowStartBudget(t *testing.T) {
 	alone, shared := unitsToNewNode(t, 1, 3*time.Second), unitsToNewNode(t, 2, 3*time.Second)
 	if shared == 0 || shared > alone/2 {
-		t.Errorf("one of two processes sent %v units, one alone %v", shared, alone)
+		t.Errorf("one of two processes sent %v units, want above 0 and at most half of the %v of a single process",
+			shared, alone)
 	}
 }
