--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -23,7 +23,7 @@
 	After time.Duration // suggested wait before the client repeats the request, 0 for no suggestion
 }
 
-// Fail is a final answer. It does not state whether the request executed.
+// Fail is a final answer. It does not state whether the client may safely repeat the request.
 type Fail struct{ ID uint64 }
 
 // Cancel stops an attempt that is in flight.
@@ -41,7 +41,7 @@
 	Data []byte
 }
 
-// AllPeers is the SendToPeer.Peer that addresses every other broker of the tier.
+// AllPeers as SendToPeer.Peer addresses every other broker of the tier.
 const AllPeers = -1
 
 // SetTimer requests a TimerFired event after a delay.
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -45,11 +45,11 @@
 	expires      Time // when the client gives up
 }
 
-// firstArrival returns the time at which a client first sent a request. The latency objective starts there.
-// A request that equals an unserved one and ends within that client's deadline is treated as its retry.
-// A request that is only marked as a retry is assumed to have waited for the missing part of its class's
-// deadline. Any other request with little time left is treated as new, from a client with a short time-out.
-// The result is wrong if two clients send equal requests at the same time.
+// firstArrival returns the time at which a client first sent a request. The latency objective starts there. A
+// request that equals an unserved request, and whose deadline is not later, is treated as the retry of that
+// request. For a request that is only marked as a retry, the client is assumed to have waited for the class's
+// deadline minus the remaining time. Any other request with little time left is treated as new, from a client
+// with a short timeout. The result is wrong if two clients send equal requests at the same time.
 func firstArrival(now Time, e *Request, deadline time.Duration, earlier unservedRecord, known bool) Time {
 	if known && now+e.Remaining <= earlier.expires {
 		return earlier.firstArrival
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// benchmarkScheduler returns the scheduler of one of several brokers, with one shard per node.
+// benchmarkScheduler returns the scheduler of one broker of a tier, with one shard per node.
 func benchmarkScheduler(b *testing.B, brokers, nodes int, now scheduler.Time) *scheduler.Scheduler {
 	b.Helper()
 	settings := basicSettings()
--- a/scheduler/checker_test.go
+++ b/scheduler/checker_test.go
@@ -321,7 +321,7 @@
 	}
 	retries, requests := inWindow(c.retryTimes), inWindow(c.requestTimes)
 	if retries > rules.RetryBudgetMin+rules.RetryBudgetRatio*requests+1e-9 {
-		c.violate(ruleBudget, "%v retries for %v requests", retries, requests)
+		c.violate(ruleBudget, "%v retries for %v requests exceed the retry budget", retries, requests)
 	}
 }
 
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -42,7 +42,7 @@
 	targetLatencyShare = 0.22
 	// congestedLatencyShare is the fraction that even the fastest answers of a congested node exceed. With a
 	// larger value congested nodes are overloaded for longer. With a smaller value nodes that are slow
-	// without congestion idle.
+	// without congestion stay idle.
 	congestedLatencyShare = 0.36
 )
 
@@ -83,8 +83,8 @@
 
 // belowLimit reports whether the concurrency limit of a node admits a request now. Forwards are paced if the
 // limit is below 1. At a congested node, requests beyond their volume's reserved rate are always paced. This
-// protects the reserved requests of other brokers, which this broker does not see, from a surge. In return,
-// nodes that are slow without congestion lose some throughput.
+// protects the reserved requests of other brokers, which this broker does not see, from a surge. As a
+// trade-off, nodes that are slow without congestion lose some throughput.
 func (s *Scheduler) belowLimit(n *node, r *request) bool {
 	free := n.hasFreeSlot()
 	paced := n.limit.value < 1 || r.valueShare < 1 && n.congested(s.minObjective)
@@ -134,9 +134,9 @@
 // adjust adjusts the limit for a number of ticks. slow is positive if the latency is above the target, and
 // negative if it is below.
 //
-// Limits below 1 serve nodes that many brokers use with a few requests each. While such a node is congested,
-// the limit of each broker falls to limitMax divided by the number of brokers. Pauses, flushes and large
-// requests of a healthy node do not count as congestion, because some of its answers are fast. As a
+// A limit below 1 is meant for a node that many brokers use with a few requests each. While such a node is
+// congested, the limit of each broker falls to limitMax divided by the number of brokers. Pauses, flushes and
+// large requests of a healthy node do not count as congestion, because some of its answers are fast. As a
 // trade-off, a congested node loses throughput if only a few of many brokers use it.
 func (l *concurrencyLimit) adjust(ticks float64, slow int, congested bool, brokers int) {
 	switch {
--- a/scheduler/decision_text_test.go
+++ b/scheduler/decision_text_test.go
@@ -45,8 +45,8 @@
 	return ""
 }
 
-// recordedLog describes how the recorded decisions contain a log line. They date from before log lines had a
-// fixed message with attributes.
+// recordedLog is the form of a log line in the recorded decisions. The recordings are older than log lines with a fixed
+// message and attributes.
 type recordedLog struct {
 	format string
 	keys   []string // of the attributes, in order
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -10,15 +10,15 @@
 
 const (
 	// gossipTicks is the number of ticks between two reports of a volume's demand. With a larger value a
-	// surge through several brokers receives tokens by stale demand. With a smaller value gossip costs more
-	// messages.
+	// surge through several brokers is granted tokens based on stale demand. With a smaller value gossip
+	// costs more messages.
 	gossipTicks = 3
 	// reportTicks is the number of ticks for which a report is valid. It tolerates two lost messages. With a
 	// larger value a failed broker keeps its part of a volume's tokens for longer. With a smaller value one
 	// lost message makes the other brokers grant too many tokens.
 	reportTicks = 9
-	// demandSteps is the number of steps per unit in the encoding. A larger value truncates large demand, at
-	// 65,535 steps. With a smaller value small volumes are not reported.
+	// demandSteps is the number of steps per unit in the encoding. With a larger value large demand is
+	// capped, at 65,535 steps. With a smaller value small volumes are not reported.
 	demandSteps = 16.0
 )
 
@@ -104,7 +104,7 @@
 	s.emit(SendToPeer{Peer: peer, Data: encodeDemand(kind, hash, units)})
 }
 
-// encodeDemand encodes a demand message. Demand above the range of the encoding is truncated.
+// encodeDemand encodes a demand message. Demand above the range of the encoding is capped.
 func encodeDemand(kind byte, hash uint32, units float64) []byte {
 	data := binary.BigEndian.AppendUint32([]byte{kind}, hash)
 	steps := uint16(min(math.Round(units*demandSteps), math.MaxUint16))
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -105,8 +105,8 @@
 
 // beginSlowStart sets the initial budget of a node that has just started. The budget begins below zero by a
 // random fraction of a request, so that the first requests of many brokers do not arrive at the node
-// together. The only process of a broker begins as if it had saved budget for one overload window. If the
-// broker has another process, that process may already have spent this budget.
+// together. If this is the only process of the broker, the budget begins as if it had been saved for one
+// overload window. Otherwise another process may already have spent those savings.
 func (s *Scheduler) beginSlowStart(n *node) {
 	window := s.settings.Rules.OverloadWindow
 	if !n.slowStart.warmingUp || n.slowStart.refilledAt >= n.slowStart.startedAt-window {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -118,7 +118,7 @@
 	Shard     int
 	State     NodeState
 	Weight    float64
-	StartedAt Time // time of the last start, 0 if long ago or unknown
+	StartedAt Time // time of the last start, 0 if long ago
 
 	Priority      int     // in a shard, nodes with a lower value are preferred while they have a slot
 	TrafficWeight float64 // relative load among nodes of equal priority; 0 counts as 1
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -39,7 +39,7 @@
 	rules.InitialCapacity = 0.2
 }
 
-// oneNode is the node in whose name driver.endAttempt answers.
+// oneNode is the node whose attempts driver.endAttempt ends.
 var oneNode = scheduler.Endpoint{Name: "n:1"}
 
 // fullUpdate returns a list of all endpoints.
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// disturbances are the events that each broker in turn undergoes while its volume is at the limit.
+// disturbances are events that happen to one broker after another while its volume is at the limit.
 var disturbances = map[string]func(r *tier, ordinal int, rng *rand.Rand){
 	"nothing": func(*tier, int, *rand.Rand) {},
 	"second process runs beside the first": func(r *tier, ordinal int, rng *rand.Rand) {
--- a/scheduler/lost.go
+++ b/scheduler/lost.go
@@ -9,7 +9,7 @@
 const (
 	// overtakesToLose is the number of later attempts that a node must answer before an earlier attempt is
 	// presumed lost. With a larger value a lost attempt occupies its slot for longer. With a smaller value
-	// a node that answers out of order loses healthy attempts.
+	// attempts that would succeed are presumed lost at a node that answers out of order.
 	overtakesToLose = 4
 	// lateFactor is the time in flight after which an attempt may be presumed lost, as a multiple of its
 	// expected latency. With a larger value clients wait longer behind lost attempts. With a smaller value
@@ -52,7 +52,7 @@
 	suspicionSpent float64 // moves without proof, minus those that forwards have earned
 }
 
-// observeTick records a tick, and detects by the tick's delay whether this broker was stalled.
+// observeTick records a tick. It detects a stall of this broker from the time since the last tick.
 func (f *failoverGuard) observeTick(tick int, now Time, period time.Duration) {
 	if tick == f.lastTick {
 		return
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -131,8 +131,9 @@
 	return current && s.now < sh.summary.giveUpAt
 }
 
-// isUniform reports whether the shard's nodes can currently accept either every queued request or none. No
-// request is time-dependent or restricted to some of the nodes, and no node paces forwards or is warming up.
+// isUniform reports whether the shard's nodes can currently accept either every queued request or none. This
+// holds if no request is time-dependent or restricted to some of the nodes, and no node paces forwards or is
+// warming up.
 func (s *Scheduler) isUniform(sh *shard) bool {
 	s.summarize(sh)
 	if sh.summary.timeDependent != 0 {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -38,7 +38,7 @@
 	return float64(len(b.retries)+1) <= budget
 }
 
-// mayRetry reports whether a request may run again: by its number of attempts, the effect of a second
+// mayRetry reports whether a request may run again. It checks the number of attempts, the effect of a second
 // execution, and the retry budget.
 func (s *Scheduler) mayRetry(r *request) bool {
 	limit := s.settings.Capabilities.MaxAttempts
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -64,7 +64,7 @@
 	softDeadline Time      // end of the latency objective, or the deadline if that is earlier
 	deadline     Time
 
-	queuedAt      *shard // shard in whose queue the request is, nil for none
+	queuedAt      *shard // shard whose queue contains the request, nil if the request is not queued
 	timeDependent bool   // while queued, the request may become forwardable by the passing of time alone
 	deprioritized bool   // not all queued requests can be in time, and this one has too low a value
 
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -114,7 +114,7 @@
 	return ready
 }
 
-// forward sends a request to a node. A first attempt is paid for with tokens, a retry counts against the
+// forward sends a request to a node. A first attempt is paid for with tokens, and a retry counts against the
 // retry budget. The quota of the rate limit is charged once per request.
 func (s *Scheduler) forward(r *request, n *node) {
 	if r.attempts == 0 {
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -96,19 +96,19 @@
 
 func TestValidateErrors(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*Settings)
-		want  error
+		invalidate func(*Settings)
+		want       error
 	}{
-		"no brokers":              {func(s *Settings) { s.Brokers = 0 }, ErrTopology},
-		"ordinal out of range":    {func(s *Settings) { s.Ordinal = 1 }, ErrTopology},
-		"no classes":              {func(s *Settings) { s.Classes = nil }, ErrTopology},
-		"no latency objective":    {func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, ErrClass},
-		"negative limit":          {func(s *Settings) { s.Plans[0].Limit = -1 }, ErrPlan},
-		"negative window of rule": {func(s *Settings) { s.Rules.OverloadWindow = -1 }, ErrRule},
+		"no brokers":               {func(s *Settings) { s.Brokers = 0 }, ErrTopology},
+		"ordinal out of range":     {func(s *Settings) { s.Ordinal = 1 }, ErrTopology},
+		"no classes":               {func(s *Settings) { s.Classes = nil }, ErrTopology},
+		"no latency objective":     {func(s *Settings) { s.Classes[0].LatencyObjective = 0 }, ErrClass},
+		"negative limit":           {func(s *Settings) { s.Plans[0].Limit = -1 }, ErrPlan},
+		"negative overload window": {func(s *Settings) { s.Rules.OverloadWindow = -1 }, ErrRule},
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := queueSettings()
-			c.spoil(&settings)
+			c.invalidate(&settings)
 			if _, err := New(settings, 1); !errors.Is(err, c.want) {
 				t.Errorf("error %v, want %v", err, c.want)
 			}
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -6,8 +6,8 @@
 )
 
 // deprioritizeLate marks the requests of a shard that must be forwarded last, because not all queued requests
-// can be in time. It does not reject requests. If a surge or slowness overloads a node, earliest soft
-// deadline first alone would make many requests late. Instead, the requests of the lowest value yield to
+// can be in time. It does not reject requests. When a node is slow or a surge overloads it, serving strictly
+// by earliest soft deadline would make many requests late. Instead, the requests of the lowest value yield to
 // those that can still be in time, and are forwarded only if a node has a free slot left. As a trade-off,
 // requests yield without need if the service time is overestimated.
 func (s *Scheduler) deprioritizeLate(sh *shard) {
--- a/scheduler/tokens.go
+++ b/scheduler/tokens.go
@@ -7,8 +7,9 @@
 // several ticks late.
 const smoothing = 0.2
 
-// bucketCapacity returns the capacity of a volume's token bucket in units. It is the whole rate over a
-// second, since a volume may send all its requests through one broker, plus one request of the largest size.
+// bucketCapacity returns the capacity of a volume's token bucket in units. It is the plan's rate over a
+// second plus one request of the largest size. The rate is not split over brokers, since a volume may send
+// all its requests through one broker.
 func bucketCapacity(plan *Plan, maxUnits float64) float64 {
 	return max(plan.Rate, plan.ReservedRate) + maxUnits
 }
@@ -63,7 +64,8 @@
 	return spare + (share-spare)/(1+v.excess/max(1, normalRate))
 }
 
-// refill adds the units of a rate in units a second since the last refill, up to a capacity in units.
+// refill adds the units that a rate, in units a second, yields since the last refill, up to a capacity in
+// units.
 func (b *reservedBucket) refill(now Time, rate, capacity float64) {
 	b.tokens = min(capacity, b.tokens+rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -98,7 +98,7 @@
 	return v
 }
 
-// applyPlan applies the new values of a volume's plan. The volume's tokens never rise through that.
+// applyPlan applies the new values of a volume's plan. It never raises the volume's tokens.
 func (v *volume) applyPlan(plan *Plan, maxUnits float64) {
 	v.plan = plan
 	v.capacity = bucketCapacity(plan, maxUnits)
