--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -5,7 +5,7 @@
 	"junctionwharf/telemetry"
 )
 
-// send starts an attempt, or reports to the scheduler at once that it was not sent.
+// send starts an attempt, or reports to the scheduler immediately that the attempt was not sent.
 func (s *State) send(a scheduler.Forward) {
 	r := s.requests[a.ID]
 	if r == nil {
@@ -40,8 +40,9 @@
 	}})
 }
 
-// maySend guards the storage nodes and the clients against a decision that events have overtaken: a request that is
-// over or whose time is up, a second copy, a node that was removed from the list, or one of another shard.
+// maySend reports whether an attempt may still be sent although events have occurred that the scheduler did not know
+// when it decided. An attempt may not be sent if the request is answered, past its deadline or already in flight, or if
+// the node has no address, was removed from the list or is in another shard.
 func (s *State) maySend(r *requestState, a scheduler.Forward, node *nodeState) bool {
 	if r.inFlight || r.answered || s.now >= r.deadline || a.Timeout < 0 {
 		return false
@@ -52,7 +53,7 @@
 	return r.request.Shard < 0 || node.shard == r.request.Shard
 }
 
-// limitAttempt returns how long an attempt may take, and sets a timer where that is less than its client waits.
+// limitAttempt returns the timeout of an attempt. It sets a timer if the timeout ends before the client's deadline.
 func (s *State) limitAttempt(r *requestState, a scheduler.Forward) Micros {
 	timeout := r.deadline - s.now
 	if a.Timeout <= 0 || MicrosOf(a.Timeout) >= timeout {
@@ -64,10 +65,10 @@
 	return timeout
 }
 
-// limitIdempotency guards against a retry that runs twice. Nodes drop repeats of a request with an idempotency key
-// for no longer than its class's window, which runs from the first attempt that may have run. The scheduler keeps to
-// the window as it decides, but the connection may come up later than that: so what is not fully written by its end
-// is cancelled.
+// limitIdempotency prevents a retry from running twice. Nodes drop repeats of a request with an idempotency key only
+// within its class's window, which starts with the first attempt that may have run. The scheduler observes the window
+// when it decides on a retry, but the connection may be established later. Therefore a timer cancels the attempt at
+// the end of the window unless it is fully written.
 func (s *State) limitIdempotency(r *requestState, id uint64) {
 	at, limited := s.idempotencyEnd(r)
 	if !limited {
@@ -77,7 +78,8 @@
 	r.idempotencyTimer = s.setTimer(at, timer{kind: idempotencyTimer, id: id, attempt: r.attempts - 1})
 }
 
-// idempotencyEnd reports until when a further attempt of a request may be sent, if its class limits that.
+// idempotencyEnd returns the time until which a further attempt of a request may be sent, and whether the request's
+// class has such a limit.
 func (s *State) idempotencyEnd(r *requestState) (at Micros, limited bool) {
 	if !r.mayHaveRun {
 		return 0, false
@@ -100,8 +102,8 @@
 	s.emit(StopAttempt{ID: id, Number: r.attempts - 1})
 }
 
-// handleAttemptEnd handles the result of an attempt that ended by itself. One that comes after a stop, or after its
-// request is over, is discarded.
+// handleAttemptEnd handles the result of an attempt that ended without being stopped. A result is discarded if the
+// attempt was stopped or its request is no longer tracked.
 func (s *State) handleAttemptEnd(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || !r.awaits(e.Attempt) || r.stopped {
@@ -109,7 +111,7 @@
 		return
 	}
 	outcome := e.Result.outcome()
-	if r.answered && e.Result.Err != nil { // cancelled with its request: that it broke says nothing about the node
+	if r.answered && e.Result.Err != nil { // cancelled with its request: the error says nothing about the node
 		outcome = scheduler.NotSent
 		if e.Result.Err.Progress == FullyWritten {
 			outcome = scheduler.Canceled
@@ -118,7 +120,7 @@
 	s.endAttempt(e.ID, r, outcome, e.Result)
 }
 
-// handleAttemptStop handles how far an attempt came that was stopped.
+// handleAttemptStop handles the progress of an attempt that was stopped.
 func (s *State) handleAttemptStop(e AttemptStopped) {
 	r := s.requests[e.ID]
 	if r == nil || !r.awaits(e.Attempt) {
@@ -126,12 +128,13 @@
 	}
 	outcome := r.stopReason
 	if e.Progress != FullyWritten {
-		outcome = scheduler.Unreachable // proved never to have run
+		outcome = scheduler.Unreachable // the attempt cannot have run
 	}
 	s.endAttempt(e.ID, r, outcome, Result{Load: scheduler.NoLoadReport})
 }
 
-// endAttempt reports an attempt's one outcome to the scheduler and passes a served answer on.
+// endAttempt reports the outcome of an attempt to telemetry and the scheduler, and answers the request if the attempt
+// succeeded.
 func (s *State) endAttempt(id uint64, r *requestState, outcome scheduler.Outcome, result Result) {
 	r.inFlight = false
 	r.stopped = false
@@ -168,7 +171,8 @@
 	s.forget(id, r)
 }
 
-// telemetryOutcomes maps an attempt's outcome to telemetry's. NotSent is one that was cancelled before it was sent.
+// telemetryOutcomes maps scheduler outcomes to telemetry's. NotSent is the outcome of an attempt that was cancelled
+// before it was sent.
 var telemetryOutcomes = [...]telemetry.AttemptOutcome{
 	scheduler.Success:          telemetry.Success,
 	scheduler.Failure:          telemetry.Failure,
@@ -181,20 +185,21 @@
 }
 
 const (
-	// waitsPerAttempt is how often an attempt waits for a processor here: to be written, for its answer to be seen,
-	// read, and taken. If it were lower, a busy broker would take its own lag for slow nodes; if it were higher, it
-	// would overlook them.
+	// waitsPerAttempt is how many times an attempt waits for a processor in this process: to write the request, to
+	// notice the answer, to read it and to handle it. With a smaller value, a busy broker would take its own lag for
+	// slow nodes. With a larger value, it would overlook slow nodes.
 	waitsPerAttempt = 4
-	// minNodeTimeDivisor leaves a node a tenth of the measured time, so that a lag that was measured too high never
-	// makes an attempt look as if it had taken no time.
+	// minNodeTimeDivisor keeps at least a tenth of the measured time as the node's time. Without it, an attempt would
+	// seem to have taken no time if the lag was measured too high.
 	minNodeTimeDivisor = 10
-	// lagSmoothing is the divisor of a new measurement's weight in the mean: four measurements, about 40 ms. If it were
-	// lower, a single pause would distort the latencies; if it were higher, the start of an overload would.
+	// lagSmoothing is the inverse of a measurement's weight in the mean lag. The mean covers about four measurements,
+	// or 40 ms. With a smaller value, a single pause would distort the latencies. With a larger value, the start of an
+	// overload would distort them.
 	lagSmoothing = 4
 )
 
-// timeAtNode takes out of an attempt's time what this process itself let it wait. It guards sound nodes against being
-// thought slow, and given less load, where the broker has too much to do.
+// timeAtNode subtracts from an attempt's duration the time for which the attempt waited for a processor in this
+// process. Otherwise an overloaded broker would consider healthy nodes slow and send them less load.
 func (s *State) timeAtNode(took Micros) Micros {
 	return max(took/minNodeTimeDivisor, took-waitsPerAttempt*s.schedulingLag)
 }
--- a/broker/attempts_test.go
+++ b/broker/attempts_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A connection breaks. A request that is not idempotent is sent again only if the attempt proves never to have run.
+// After a broken connection, a request that is not idempotent is retried only if the attempt cannot have run.
 func TestRetryOnlyIfNotExecuted(t *testing.T) {
 	for progress, retried := range map[Progress]bool{NotConnected: true, PartiallyWritten: true, FullyWritten: false} {
 		t.Run(progress.String(), func(t *testing.T) {
@@ -11,7 +11,7 @@
 			h.turn(AttemptEnded{1, 0, broken(progress)})
 			h.advance(200_000)
 			if got := len(h.starts) == 2; got != retried {
-				t.Errorf("sent %d times", len(h.starts))
+				t.Errorf("retried is %v, want %v: %d attempts started", got, retried, len(h.starts))
 			}
 			if !retried {
 				h.response(1, Failed)
@@ -20,9 +20,9 @@
 	}
 }
 
-// A client disconnects while the connection for its request comes up. What it asked for is not sent on, however late
-// that is, and the attempt's end says nothing of the node: the next request goes there at once. The attempt may be
-// fully written as it is cancelled.
+// A client disconnects while the connection for its request is being established. The attempt is cancelled, and the
+// error with which it ends does not count against the node: the next request is sent there immediately. The attempt
+// may have been fully written when it is cancelled.
 func TestCancelledBeforeItIsSent(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
@@ -30,25 +30,25 @@
 			h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
 			h.turn(RequestCancelled{1})
 			if len(h.canceled) != 1 || h.canceled[0] != (CancelUnlessWritten{1, 0}) {
-				t.Fatalf("%+v", h.canceled)
+				t.Fatalf("cancelled attempts: %+v, want attempt 0 of request 1", h.canceled)
 			}
 			h.turn(AttemptEnded{1, 0, broken(progress)})
 			h.turn(RequestArrived{ID: 2, Request: testRequest("write", 0)})
 			if len(h.starts) != 2 || h.starts[1].ID != 2 {
-				t.Errorf("%d sent", len(h.starts))
+				t.Errorf("attempts started: %+v, want one of each request", h.starts)
 			}
 		})
 	}
 }
 
-// The broker's own waits are not the node's time: a busy broker must not think sound nodes slow, and give them less
-// load.
+// The time that an attempt waits for a processor in the broker does not count as the node's time. Otherwise a busy
+// broker would consider healthy nodes slow and send them less load.
 func TestNodeTimeExcludesSchedulingLag(t *testing.T) {
 	h := newHarness(t)
 	for _, c := range []struct{ lag, took, want Micros }{{0, 9000, 9000}, {1000, 9000, 5000}, {8000, 9000, 900}} {
 		h.state.schedulingLag = c.lag
 		if got := h.state.timeAtNode(c.took); got != c.want {
-			t.Errorf("a lag of %d, %d us: %d", c.lag, c.took, got)
+			t.Errorf("lag %d µs, attempt of %d µs: node time %d µs, want %d µs", c.lag, c.took, got, c.want)
 		}
 	}
 	h.state.schedulingLag = 0
@@ -56,6 +56,6 @@
 		h.turn(LagMeasured{Waited: 2000})
 	}
 	if h.state.schedulingLag < 1900 || h.state.schedulingLag > 2000 {
-		t.Errorf("a lag of %d us", h.state.schedulingLag)
+		t.Errorf("mean lag %d µs after 40 measurements of 2000 µs, want 1900 to 2000 µs", h.state.schedulingLag)
 	}
 }
--- a/broker/bench_test.go
+++ b/broker/bench_test.go
@@ -8,7 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// benchState returns a new state with a class of such a latency objective, a plan that pays for all, and further ones.
+// benchState returns a new state with the class "read" of the given latency objective, the plan "plan" with ample
+// tokens, and the given further plans.
 func benchState(b *testing.B, objective time.Duration, plans ...scheduler.Plan) *State {
 	b.Helper()
 	return newState(b, scheduler.Settings{
@@ -26,7 +27,7 @@
 	})
 }
 
-// benchNodes are nodes with a shard of their own each.
+// benchNodes returns nodes with one shard each.
 func benchNodes(prefix string, count int) []Node {
 	var nodes []Node
 	for i := range count {
@@ -50,14 +51,15 @@
 	}
 }
 
-// settledState returns a state that knows so many nodes, and queues so many requests that no node can take.
+// settledState returns a state with the given number of nodes and about the given number of queued requests for which
+// no node has capacity.
 func settledState(b *testing.B, nodes, queued, volumes int) (*State, []Node) {
 	b.Helper()
 	s := benchState(b, time.Minute)
 	list := benchNodes("n", nodes)
 	s.Reduce(Second, []Event{fullList(1, list...)})
 	var arrivals []Event
-	for i := range queued + 40*min(queued, nodes) { // some are sent
+	for i := range queued + 40*min(queued, nodes) { // the nodes accept some of the requests
 		request := benchRequest(fmt.Sprint("v", i%max(1, volumes)), i%nodes, 60*Second)
 		arrivals = append(arrivals, RequestArrived{ID: uint64(1<<50 + i), Request: request})
 	}
@@ -66,7 +68,7 @@
 	return s, list
 }
 
-// BenchmarkTurn is a turn with an arrival and one with its ending.
+// BenchmarkTurn measures a turn with an arrival and a turn with the end of its attempt.
 func BenchmarkTurn(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -88,7 +90,7 @@
 	}
 }
 
-// BenchmarkFullList is a full list of which one node has changed.
+// BenchmarkFullList measures a full list in which one node has changed.
 func BenchmarkFullList(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -104,8 +106,8 @@
 	}
 }
 
-// BenchmarkQueued is a turn with an arrival that is queued, and one with its cancellation, while so many requests
-// wait for nodes that have no capacity.
+// BenchmarkQueued measures a turn with the arrival of a request that is queued and a turn with its cancellation, while
+// other requests are queued for nodes without capacity.
 func BenchmarkQueued(b *testing.B) {
 	for _, nodes := range []int{10, 1000} {
 		for _, queued := range []int{10, 1000, 10_000, 100_000} {
@@ -126,8 +128,9 @@
 	}
 }
 
-// BenchmarkVolumes is a turn with an arrival and its ending at a node that has capacity again, while so many requests
-// wait of volumes that have used up their tokens: one volume has nine of ten, so many others the rest.
+// BenchmarkVolumes measures a turn with an arrival and a turn with the end of its attempt, at a node with capacity.
+// Meanwhile requests are queued for volumes that have used up their tokens. One volume has nine tenths of these
+// requests, and the remaining tenth is spread over all volumes.
 func BenchmarkVolumes(b *testing.B) {
 	for _, queued := range []int{10, 1000, 10_000, 100_000} {
 		for _, volumes := range []int{10, 1000, 100_000} {
@@ -147,7 +150,7 @@
 	}
 }
 
-// overdrawnState has each volume overdraw its tokens, so that what follows waits.
+// overdrawnState returns a state in which each volume has overdrawn its tokens, so that later requests are queued.
 func overdrawnState(b *testing.B, queued, volumes int) *State {
 	b.Helper()
 	s := benchState(b, 10*time.Minute, scheduler.Plan{Name: "poor", Rate: 0.001, Weight: 1, Price: 1})
@@ -171,12 +174,12 @@
 	}
 	reduceAndServe(s, Second+1, arrivals)
 	if waits := s.OpenRequests(); waits < queued/2 {
-		b.Fatalf("%d wait", waits)
+		b.Fatalf("%d requests are open, want at least %d", waits, queued/2)
 	}
 	return s
 }
 
-// reduceAndServe takes events, and of each attempt that is sent its ending.
+// reduceAndServe reduces events and ends each attempt that they start with a served result.
 func reduceAndServe(s *State, now Micros, events []Event) {
 	for len(events) > 0 {
 		effects := s.Reduce(now, events)
@@ -189,7 +192,7 @@
 	}
 }
 
-// BenchmarkListUpdate is a list's first coming, its replacement by as many others, and one change.
+// BenchmarkListUpdate measures the first list, a list that replaces all nodes, and a change of one node.
 func BenchmarkListUpdate(b *testing.B) {
 	const nodes = 10_000
 	old := benchNodes("a", nodes)
@@ -223,7 +226,7 @@
 	})
 }
 
-// BenchmarkTick is the tick in which volumes get their tokens, while so many requests of so many volumes wait.
+// BenchmarkTick measures the tick that refills the volumes' token buckets, while requests of many volumes are queued.
 func BenchmarkTick(b *testing.B) {
 	for _, c := range []struct{ nodes, queued, volumes int }{
 		{10, 10, 10},
@@ -236,7 +239,7 @@
 		b.Run(fmt.Sprintf("nodes=%d/queued=%d/volumes=%d", c.nodes, c.queued, c.volumes), func(b *testing.B) {
 			s, _ := settledState(b, c.nodes, c.queued, c.volumes)
 			var seen []Event
-			for i := range c.volumes { // volumes that were active
+			for i := range c.volumes { // make the volumes active
 				request := benchRequest(fmt.Sprint("v", i), -1, 60*Second)
 				seen = append(seen, RequestArrived{ID: uint64(1<<43 + i), Request: request})
 			}
--- a/broker/doc.go
+++ b/broker/doc.go
@@ -1,26 +1,26 @@
-// Package broker is the core of junctionwharf: it takes requests, sends attempts to storage nodes as package
-// scheduler decides, and gives each request one final answer. It knows no wire: protocol servers bring requests in
-// through a Loop, and a Transport carries attempts out.
+// Package broker is the core of junctionwharf. It accepts requests, sends attempts to the storage nodes that package
+// scheduler chooses, and gives each request one final answer. It knows no wire protocol: protocol servers submit
+// requests to a Loop, and a Transport sends the attempts.
 //
 // # Rule
 //
-// A request that was submitted gets exactly one final answer, at its deadline plus a small grace at the latest. An
-// attempt that may have run is never sent again unless its class is idempotent, and a request has one attempt in
-// flight at a time.
+// A submitted request gets exactly one final answer, not later than a short grace after its deadline. An attempt that
+// may have run is never repeated unless its class is idempotent. A request has at most one attempt in flight.
 //
 // # Shape
 //
-// State is the decision core: events in, effects out, time as an argument. It does no I/O and reads no clock, so the
-// daemon, the simulator and the tests run the same code. Loop is its driver: it queues events, reads the clock once a
-// turn, carries out the effects through the transports and feeds what came of them back as events.
+// State is the decision core: it turns events into effects, with the time as an argument. It does no I/O and reads no
+// clock, so the daemon, the simulator and the tests run the same code. Loop drives the State: it queues events, reads
+// the clock once a turn, executes the effects through the transports and feeds the results back as events.
 //
 //	RequestArrived -> State -> scheduler -> StartAttempt -> Transport
 //	AttemptEnded   -> State -> scheduler -> Respond      -> the client's reply function
 //
 // # Owner
 //
-// One goroutine, that of Loop.Run, owns State, the waiting clients and the transport handles. Other goroutines reach
-// them by events only; what they share with the loop (the inbox) is guarded by inbox.mu, and metrics are atomics.
+// The goroutine of Loop.Run owns the State, the registered clients and the transport handles. Other goroutines
+// communicate with the loop by events only. inbox.mu guards the state that they share with the loop (the inbox), and
+// metrics are atomics.
 //
 // # Units
 //
--- a/broker/effects.go
+++ b/broker/effects.go
@@ -2,30 +2,30 @@
 
 import "log/slog"
 
-// Effect is something that State.Reduce wants done.
+// Effect is an output of State.Reduce, which the loop executes.
 type Effect interface{ effect() }
 
-// StartAttempt begins an attempt.
+// StartAttempt starts an attempt.
 type StartAttempt struct {
 	ID      uint64
 	Number  int // of the attempt, from 0
 	Attempt Attempt
 }
 
-// StopAttempt ends an attempt and asks for AttemptStopped.
+// StopAttempt ends an attempt. The loop answers with AttemptStopped.
 type StopAttempt struct {
 	ID     uint64
 	Number int
 }
 
-// StopSending bars an attempt from sending more to its node.
+// StopSending prevents an attempt from sending more data to its node.
 type StopSending struct {
 	ID     uint64
 	Number int
 }
 
-// CancelUnlessWritten ends an attempt whose client has disconnected, or which came too late to its node, unless it
-// was fully written.
+// CancelUnlessWritten ends an attempt unless it was fully written. It is used when the client has disconnected or the
+// idempotency window has ended.
 type CancelUnlessWritten struct {
 	ID     uint64
 	Number int
@@ -43,19 +43,20 @@
 	Data []byte
 }
 
-// CheckNodeHealth asks for a health check of a node.
+// CheckNodeHealth starts a health check of a node.
 type CheckNodeHealth struct {
 	Node    string
 	Address string
 }
 
-// CloseIdle asks to close idle connections.
+// CloseIdle closes the idle connections to an address.
 type CloseIdle struct{ Address string }
 
-// DiscardValue releases a value that no client receives any more.
+// DiscardValue releases a value that no client will receive.
 type DiscardValue struct{ Value any }
 
-// Log is a line for the engineers on call: a fixed message, by which lines are sampled, and what differs as attributes.
+// Log is a log line for the operators. Message is fixed, because lines are sampled by message. Variable data goes into
+// Attributes.
 type Log struct {
 	Message    string
 	Attributes []slog.Attr
--- a/broker/events.go
+++ b/broker/events.go
@@ -2,38 +2,39 @@
 
 import "junctionwharf/scheduler"
 
-// Event is something that happened; State.Reduce takes it.
+// Event is an input of State.Reduce.
 type Event interface{ event() }
 
-// RequestArrived reports a new request; its ID is new. Its client's time runs from At, 0 for the time of the turn.
+// RequestArrived reports a new request with a new ID. The client's timeout runs from At, or from the time of the turn
+// if At is 0.
 type RequestArrived struct {
 	ID      uint64
 	Request *Request
 	At      Micros
 }
 
-// RequestCancelled reports that a client no longer waits.
+// RequestCancelled reports that a request's client has disconnected.
 type RequestCancelled struct{ ID uint64 }
 
-// ClientHalfClosed reports that a client closed its sending side: it may have disconnected altogether, while it is
-// still due an answer. That is given now.
+// ClientHalfClosed reports that a request's client has closed its sending side. The client may have disconnected, or
+// may still expect an answer, so the request is answered immediately.
 type ClientHalfClosed struct{ ID uint64 }
 
-// AttemptEnded reports how an attempt ended by itself.
+// AttemptEnded reports the result of an attempt that ended without being stopped.
 type AttemptEnded struct {
 	ID      uint64
 	Attempt int
 	Result  Result
 }
 
-// AttemptStopped reports how far an attempt that StopAttempt ended had come.
+// AttemptStopped reports the progress of an attempt that StopAttempt ended.
 type AttemptStopped struct {
 	ID       uint64
 	Attempt  int
 	Progress Progress
 }
 
-// StreamEnded reports that a Streaming value was delivered to its client complete, or never will be.
+// StreamEnded reports that the delivery of a Streaming value has ended, completely or not.
 type StreamEnded struct {
 	ID       uint64
 	Complete bool
@@ -57,30 +58,31 @@
 type Node struct {
 	scheduler.Endpoint
 	Address   string
-	LastStart Micros // its last start on the loop's clock, 0 for long ago
+	LastStart Micros // on the loop's clock; 0 if unknown or long ago
 }
 
-// PeerMessage is a message of another broker.
+// PeerMessage is a message from another broker.
 type PeerMessage struct {
 	From int
 	Data []byte
 }
 
-// SettingsChanged brings new settings, which were checked. Requests under way keep their class.
+// SettingsChanged reports new, validated settings. Open requests keep their class.
 type SettingsChanged struct{ Settings scheduler.Settings }
 
-// ProcessesChanged reports that so many processes are this broker together, as while one replaces another, and how many
-// more there may be that are not known.
+// ProcessesChanged reports how many processes make up this broker, which are several during a handover, and how many
+// further processes may be running unseen.
 type ProcessesChanged struct{ Processes, Unseen int }
 
-// LagMeasured reports how long whatever could run in this process has lately waited for a processor, in the mean.
-// Unknown says that nobody measures any more.
+// LagMeasured reports the recent mean time for which runnable work in this process waited for a processor. Unknown
+// means that the lag is no longer measured.
 type LagMeasured struct {
 	Waited  Micros
 	Unknown bool
 }
 
-// ShuttingDown reports that the process ends: what is still due is to be answered now, and so is what still comes.
+// ShuttingDown reports that the process is about to exit. Open requests, and requests that arrive later, are answered
+// immediately.
 type ShuttingDown struct{}
 
 func (RequestArrived) event()   {}
--- a/broker/execute.go
+++ b/broker/execute.go
@@ -6,7 +6,7 @@
 	"log/slog"
 )
 
-// execute carries out one effect; that of a StopAttempt is an event.
+// execute executes one effect. For a StopAttempt it returns the resulting event, else nil.
 func (l *Loop) execute(effect Effect, now Micros) Event {
 	switch e := effect.(type) {
 	case StartAttempt:
@@ -54,8 +54,8 @@
 	})
 }
 
-// stopAttempt ends an attempt. One without a handle, as after a panic in Transport.Start, counts as fully written: it
-// may have run, and nothing else is safe to say.
+// stopAttempt ends an attempt. An attempt without a handle, as after a panic in Transport.Start, is reported as fully
+// written: it may have run, and no other report would be safe.
 func (l *Loop) stopAttempt(e StopAttempt) Event {
 	l.Metrics.stopped.Add(1)
 	progress := FullyWritten
@@ -66,7 +66,7 @@
 	return AttemptStopped{ID: e.ID, Attempt: e.Number, Progress: progress}
 }
 
-// respond gives a client its answer. A request counts as open until a Streaming value was delivered.
+// respond passes the final answer to the client. A request with a Streaming value stays open until its delivery ends.
 func (l *Loop) respond(e Respond) {
 	c, waits := l.clients[e.ID]
 	if !waits {
@@ -94,13 +94,13 @@
 	l.Post(StreamEnded{ID: id, Complete: complete})
 }
 
-// log writes a line of the scheduler.
+// log writes a log line of the core at level info.
 func (l *Loop) log(line Log) {
 	l.dependencies.Log.LogAttrs(context.Background(), slog.LevelInfo, line.Message, line.Attributes...)
 }
 
-// closeValue closes a value that no client receives. An error of Close is ignored: the node's connection is dropped
-// either way.
+// closeValue closes a value that no client will receive. An error of Close is ignored, because the node's connection
+// is dropped anyway.
 func closeValue(value any) {
 	if v, is := value.(io.Closer); is {
 		_ = v.Close()
--- a/broker/harness_test.go
+++ b/broker/harness_test.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// testSettings has a class that is idempotent and one that is not, and one plan that pays for all.
+// testSettings returns settings with an idempotent class, a class that is not idempotent, and a plan with ample tokens.
 func testSettings() scheduler.Settings {
 	return scheduler.Settings{
 		Brokers:   2,
@@ -66,7 +66,8 @@
 	return NodesListed{Kind: scheduler.DeltaUpdate, Version: version, Nodes: nodes}
 }
 
-// testRequest is of one of the classes of testSettings.
+// testRequest returns a request of a class of testSettings. Its timeout is the class's deadline if the class is "read"
+// or "write".
 func testRequest(class string, shard int) *Request {
 	timeout := Micros(750_000)
 	if class == "write" {
@@ -85,18 +86,18 @@
 	}
 }
 
-// served is the result of an attempt that was answered.
+// served is the result of an attempt that a node served.
 func served(value any) Result { return Result{Value: value, Load: scheduler.NoLoadReport} }
 
 // broken is the result of an attempt whose connection broke.
 func broken(progress Progress) Result {
 	return Result{
-		Err:  &AttemptError{Progress: progress, Err: errors.New("cut")},
+		Err:  &AttemptError{Progress: progress, Err: errors.New("connection reset")},
 		Load: scheduler.NoLoadReport,
 	}
 }
 
-// harness drives a State by a clock of its own.
+// harness drives a State with a simulated clock and records its effects.
 type harness struct {
 	*testing.T
 	state     *State
@@ -110,7 +111,7 @@
 	canceled  []CancelUnlessWritten
 }
 
-// newHarness knows a node of shard 0 and one of shard 1.
+// newHarness returns a harness with the node n1 of shard 0 and the node n2 of shard 1.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newEmptyHarness(t, testSettings())
@@ -146,7 +147,7 @@
 	}
 }
 
-// advance lets time go by, timer after timer.
+// advance moves the clock forward by span and runs a turn at each timer.
 func (h *harness) advance(span Micros) {
 	for end := h.now + span; ; h.turn() {
 		at, ok := h.state.Next()
@@ -158,11 +159,11 @@
 	}
 }
 
-// response returns the one answer that a request must have.
+// response returns the request's answer. It fails the test unless there is exactly one, with the wanted verdict.
 func (h *harness) response(id uint64, want Verdict) Response {
 	h.Helper()
 	if len(h.responses[id]) != 1 || h.responses[id][0].Verdict != want {
-		h.Fatalf("request %d got %+v, want one answer of kind %d", id, h.responses[id], want)
+		h.Fatalf("request %d got the answers %+v, want one with verdict %d", id, h.responses[id], want)
 	}
 	return h.responses[id][0]
 }
--- a/broker/idempotency_test.go
+++ b/broker/idempotency_test.go
@@ -8,30 +8,30 @@
 	"junctionwharf/scheduler"
 )
 
-// keyedClasses are of deployments whose nodes drop repeats of a request with an idempotency key, each in its own way.
+// keyedClasses are classes whose nodes drop repeats of a request with an idempotency key, by scope and window.
 var keyedClasses = []struct {
 	name  string
 	class scheduler.Class
 }{
-	{"by cell, for as long as clients wait", scheduler.Class{
+	{"shard scope, window as long as the deadline", scheduler.Class{
 		LatencyObjective: 600 * time.Millisecond,
 		Deadline:         4 * time.Second,
 		Scope:            scheduler.ScopeShard,
 		DedupWindow:      4 * time.Second,
 	}},
-	{"by cell, not for long", scheduler.Class{
+	{"shard scope, short window", scheduler.Class{
 		LatencyObjective: 500 * time.Millisecond,
 		Deadline:         1200 * time.Millisecond,
 		Scope:            scheduler.ScopeShard,
 		DedupWindow:      300 * time.Millisecond,
 	}},
-	{"by zone, not for long", scheduler.Class{
+	{"zone scope, short window", scheduler.Class{
 		LatencyObjective: 200 * time.Millisecond,
 		Deadline:         900 * time.Millisecond,
 		Scope:            scheduler.ScopeZone,
 		DedupWindow:      150 * time.Millisecond,
 	}},
-	{"by all, not for long", scheduler.Class{
+	{"scope of all nodes, short window", scheduler.Class{
 		LatencyObjective: 200 * time.Millisecond,
 		Deadline:         900 * time.Millisecond,
 		Scope:            scheduler.ScopeAll,
@@ -39,11 +39,11 @@
 	}},
 }
 
-// retryCase is when the first attempt of a request breaks, and the second, if it comes, is answered.
+// retryCase describes when the first attempt of a request breaks and when a retry is answered.
 type retryCase struct {
 	name       string
-	brokenAt   float64 // part of the window at which the first attempt breaks
-	answeredIn float64 // and after which the second has come up and is answered; 0: never
+	brokenAt   float64 // when the first attempt breaks, as a part of span
+	answeredIn float64 // time from there to the retry's answer, as a part of span; 0: no answer
 	between    func(h *harness, settings scheduler.Settings)
 	maxRetries int
 	served     bool
@@ -51,21 +51,22 @@
 
 var retryCases = []retryCase{
 	{name: "inside the window", brokenAt: 0.2, answeredIn: 0.6, maxRetries: 1, served: true},
-	{name: "inside, with a connection that comes up behind it", brokenAt: 0.2, maxRetries: 1},
+	{name: "inside, and connected after the window", brokenAt: 0.2, maxRetries: 1},
 	{name: "broken just inside", brokenAt: 0.97, maxRetries: 1},
 	{name: "broken at its end", brokenAt: 1.0001},
-	{name: "broken past it", brokenAt: 1.4},
-	{name: "its node leaves", brokenAt: 0.2, between: func(h *harness, _ scheduler.Settings) {
+	{name: "broken after it", brokenAt: 1.4},
+	{name: "its node is draining", brokenAt: 0.2, between: func(h *harness, _ scheduler.Settings) {
 		h.turn(fullList(2, testNode("n1", 0, scheduler.Draining), testNode("n2", 1, scheduler.Ready)))
 	}},
-	{name: "settings are told again", brokenAt: 0.2, maxRetries: 1, between: func(h *harness, s scheduler.Settings) {
+	{name: "settings are repeated", brokenAt: 0.2, maxRetries: 1, between: func(h *harness, s scheduler.Settings) {
 		h.turn(SettingsChanged{Settings: s})
 	}},
 }
 
-// A request with an idempotency key may have run as its connection breaks. It is retried inside its window and its
-// group of nodes or not at all: when that is decided, when the second connection comes up late, and when a list, new
-// settings or a restart come between. If it were written past the window, the nodes would run it twice.
+// The connection of a request with an idempotency key breaks after the request may have run. The request may be
+// retried only within the idempotency window and within its scope of nodes. This must hold when the scheduler decides
+// on the retry, when the second connection is established late, and when a list or new settings arrive in between.
+// Nodes would run a retry that is written after the window a second time.
 func TestRetryWithinIdempotencyWindow(t *testing.T) {
 	for _, keyed := range keyedClasses {
 		for _, c := range retryCases {
@@ -89,11 +90,11 @@
 	end := h.now + window
 	c.breakFirst(h, class, settings)
 	c.answerSecond(h, class)
-	// From here on nodes drop its repeats no longer: nothing that is not fully written by now may be.
+	// From now on nodes no longer drop repeats, so an attempt that is not fully written must not continue.
 	h.advance(max(0, end+1-h.now))
 	open := len(h.starts) == 2 && !c.served && len(h.responses[1]) == 0
 	if open && len(h.canceled)+len(h.stops) == 0 {
-		t.Errorf("the retry may still be written past the window")
+		t.Errorf("the retry is neither answered, cancelled nor stopped at the end of the window")
 	}
 	if len(h.canceled) > 0 {
 		h.turn(AttemptEnded{1, 1, broken(NotConnected)})
@@ -105,7 +106,8 @@
 	c.checkEnd(h, class)
 }
 
-// span is the time that parts of are meant: what is served in time comes within the latency objective, too.
+// span is the time of which brokenAt and answeredIn are parts. A retry that is to be served must also meet the latency
+// objective.
 func (c retryCase) span(class scheduler.Class) Micros {
 	if c.served {
 		return min(MicrosOf(class.DedupWindow), MicrosOf(class.LatencyObjective))
@@ -113,7 +115,7 @@
 	return MicrosOf(class.DedupWindow)
 }
 
-// breakFirst sends a request whose first attempt breaks, fully written.
+// breakFirst sends a request and breaks its first attempt after the attempt was fully written.
 func (c retryCase) breakFirst(h *harness, class scheduler.Class, settings scheduler.Settings) {
 	h.Helper()
 	n1 := testNode("n1", 0, scheduler.Ready)
@@ -126,7 +128,7 @@
 	request.Write = true
 	h.turn(RequestArrived{ID: 1, Request: request})
 	if len(h.starts) != 1 {
-		h.Fatalf("%d attempts at once", len(h.starts))
+		h.Fatalf("%d attempts started on arrival, want 1", len(h.starts))
 	}
 	h.advance(Micros(c.brokenAt * float64(c.span(class))))
 	if c.between != nil {
@@ -147,11 +149,11 @@
 func (c retryCase) checkEnd(h *harness, class scheduler.Class) {
 	h.Helper()
 	if n := len(h.starts) - 1; n > c.maxRetries || c.served && n != 1 {
-		h.Errorf("%d retries, want %d at the most", n, c.maxRetries)
+		h.Errorf("%d retries, want at most %d, and exactly 1 if served (%v)", n, c.maxRetries, c.served)
 	}
 	for _, s := range h.starts[1:] {
 		if s.Attempt.Node != "n1" {
-			h.Errorf("a retry goes to %s", s.Attempt.Node)
+			h.Errorf("retry sent to %s, want n1", s.Attempt.Node)
 		}
 	}
 	want := Failed
@@ -159,7 +161,7 @@
 	case c.served:
 		want = Served
 	case class.Scope == scheduler.ScopeAll && len(h.responses[1]) == 1 && h.responses[1][0].Verdict == Rejected:
-		want = Rejected // a retry by the client is harmless, as nodes of any group drop it
+		want = Rejected // a retry by the client is safe, because nodes of any scope drop it
 	}
 	h.response(1, want)
 }
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -6,26 +6,26 @@
 	"junctionwharf/telemetry"
 )
 
-// inbox holds what other goroutines hand to the loop. mu guards all fields but wakeUp.
+// inbox holds the events and calls that other goroutines queue for the loop. mu guards all fields but wakeUp.
 type inbox struct {
 	mu sync.Mutex
-	// events wait for their turn, in the order in which they came.
+	// events are queued for the next turns, in order of arrival.
 	events []Event
-	// cancellations overtake events: what nobody waits for is not sent on.
+	// cancellations are handled before events, so that no attempt is started for a client that has disconnected.
 	cancellations []Event
-	// calls are run between two turns.
+	// calls are run after the next turn.
 	calls []func()
-	// newClients are those of the requests in events.
+	// newClients are the clients of the requests in events.
 	newClients map[uint64]client
-	// rejections are what admission control rejected, for telemetry.
+	// rejections are observations of requests that admission control rejected, for telemetry.
 	rejections []telemetry.Observation
-	// since is when the first of events came; kept only where admission control wants to know.
+	// since is when the first of events was queued. It is set only if there is an admission controller.
 	since Micros
-	// lag is the longest that one waited since RecordSchedulingLag.
+	// lag is the longest time that an event was queued since the last RecordSchedulingLag.
 	lag Micros
-	// hasCapacity is signalled when events has become shorter, or the loop has ended.
+	// hasCapacity is signaled when events has become shorter, or when the loop has ended.
 	hasCapacity *sync.Cond
-	ended       bool // the loop turns no more
+	ended       bool // the loop runs no more turns
 
 	wakeUp chan struct{} // holds one token, so that waking never blocks
 }
@@ -37,22 +37,22 @@
 }
 
 const (
-	// maxTurnEvents bounds a turn: deadlines, timers and cancellations are looked at between turns, and what came
-	// later waits. If it were higher, answers would come late after a burst; if it were lower, the fixed cost of a turn
-	// would count.
+	// maxTurnEvents bounds the events of one turn. Deadlines, timers and cancellations are handled once a turn, and
+	// later events stay queued. With a larger value, answers would be late after a burst. With a smaller value, the
+	// fixed cost of a turn would become significant.
 	maxTurnEvents = 1 << 10
-	// maxQueuedEvents bounds the events that wait for a turn before a protocol server reads no further request. If it
-	// were lower, short bursts would hold up connections; if it were higher, a loop far behind would hold more
-	// requests that cannot be in time.
+	// maxQueuedEvents is the number of queued events from which on protocol servers read no further requests. With a
+	// smaller value, short bursts would delay connections. With a larger value, a loop that is far behind would queue
+	// more requests that cannot meet their deadlines.
 	maxQueuedEvents = 16 * maxTurnEvents
-	// maxQueuedRejections bounds the observations of rejections that wait for the loop; metrics count the others too.
-	// If it were lower, telemetry would miss rejections of an overload; if it were higher, an overload would take
-	// more memory.
+	// maxQueuedRejections bounds the observations of rejections that are queued for the loop. Metrics also count the
+	// rejections beyond the bound. With a smaller value, telemetry would miss rejections during an overload. With a
+	// larger value, an overload would take more memory.
 	maxQueuedRejections = 1 << 12
 )
 
-// Submit takes a request and returns its id, 0 for one that admission control rejected. reply is called once with the
-// final answer, unless Cancel comes before; it must not block.
+// Submit submits a request and returns its id, or 0 if admission control rejected it. The loop calls reply once with
+// the final answer, unless Cancel is called first. reply must not block.
 func (l *Loop) Submit(request *Request, reply func(Response)) uint64 {
 	if rejected := l.Admit(request); rejected != nil {
 		l.Do(func() { reply(*rejected) })
@@ -74,17 +74,17 @@
 	return id
 }
 
-// Cancel reports that the client of a request no longer waits.
+// Cancel reports that a request's client has disconnected.
 func (l *Loop) Cancel(id uint64) { l.Post(RequestCancelled{ID: id}) }
 
-// ClientHalfClosed reports that the client of a request closed its sending side: it may have disconnected, and wants
-// an answer now if it has not.
+// ClientHalfClosed reports that a request's client has closed its sending side. The client may have disconnected. If
+// not, it expects an answer immediately.
 func (l *Loop) ClientHalfClosed(id uint64) { l.Post(ClientHalfClosed{ID: id}) }
 
-// OpenRequests reports how many requests wait for their final answer.
+// OpenRequests returns the number of requests that have no final answer yet.
 func (l *Loop) OpenRequests() int { return int(l.Metrics.open.Load()) }
 
-// Post hands an event to the loop.
+// Post queues an event for the loop.
 func (l *Loop) Post(e Event) {
 	l.inbox.mu.Lock()
 	l.enqueue(e)
@@ -92,8 +92,8 @@
 	l.Wake()
 }
 
-// Do has a function run between two turns, on the loop's own goroutine. Functions run in the order of Do, and must be
-// short.
+// Do queues a function that the loop's goroutine runs after a turn. Functions run in the order of the calls of Do and
+// must be short.
 func (l *Loop) Do(call func()) {
 	l.inbox.mu.Lock()
 	l.inbox.calls = append(l.inbox.calls, call)
@@ -101,7 +101,7 @@
 	l.Wake()
 }
 
-// Wake has the loop run a turn now, even without an event.
+// Wake makes the loop run a turn immediately, even if no event is queued.
 func (l *Loop) Wake() {
 	select {
 	case l.inbox.wakeUp <- struct{}{}:
@@ -122,24 +122,24 @@
 	l.inbox.events = append(l.inbox.events, e)
 }
 
-// applyToAdmission has admission control follow settings at once, before the turn that takes them: it admits requests
-// outside the turns. The caller holds inbox.mu.
+// applyToAdmission applies changed settings to admission control immediately, before the turn that handles the event,
+// because requests are admitted outside of turns. The caller holds inbox.mu.
 func (l *Loop) applyToAdmission(e Event) {
 	if changed, is := e.(SettingsChanged); is && l.dependencies.Admission != nil {
 		l.dependencies.Admission.ApplySettings(changed.Settings)
 	}
 }
 
-// Backlogged reports whether the loop is far behind, so that WaitForCapacity would wait.
+// Backlogged reports whether so many events are queued that WaitForCapacity would wait.
 func (l *Loop) Backlogged() bool {
 	l.inbox.mu.Lock()
 	defer l.inbox.mu.Unlock()
 	return len(l.inbox.events) >= maxQueuedEvents && !l.inbox.ended
 }
 
-// WaitForCapacity waits while the loop is far behind, unless givenUp is true at the end of a turn. Protocol servers
-// call it before they take a request, holding no lock: so what is read and not yet decided is bounded, whatever
-// clients send.
+// WaitForCapacity blocks while maxQueuedEvents or more events are queued, the loop runs and givenUp returns false.
+// givenUp is checked after each turn. Protocol servers call WaitForCapacity before they read a request, without
+// holding a lock. This bounds the requests that were read and are not handled yet.
 func (l *Loop) WaitForCapacity(givenUp func() bool) {
 	l.inbox.mu.Lock()
 	defer l.inbox.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// end releases those that wait for capacity.
+// end marks the loop as ended and releases the goroutines in WaitForCapacity.
 func (l *Loop) end() {
 	l.inbox.mu.Lock()
 	defer l.inbox.mu.Unlock()
@@ -156,8 +156,8 @@
 	l.inbox.hasCapacity.Broadcast()
 }
 
-// collect takes what came since the last turn, up to the bound, in memory that the inbox gets back by spare. more
-// reports that events are left.
+// collect takes the calls and up to maxTurnEvents events that were queued since the last turn. The inbox reuses spare
+// as its buffer of events. more reports whether events are left.
 func (l *Loop) collect(now Micros, spare []Event) (events []Event, calls []func(), more bool) {
 	clear(spare)
 	l.inbox.mu.Lock()
@@ -180,7 +180,7 @@
 	return events, calls, more
 }
 
-// takeEvents takes the events of one turn and reports whether some are left; the caller holds mu.
+// takeEvents takes the events of one turn and reports whether some are left. The caller holds mu.
 func (b *inbox) takeEvents(spare []Event) (events []Event, more bool) {
 	events = b.events
 	b.events = spare[:0]
@@ -192,9 +192,9 @@
 	return events[:maxTurnEvents], true
 }
 
-// insertCancellations puts cancellations before all else, and behind the arrival of a request that is not known yet:
-// so none waits for as long as the loop is behind, and no request is sent to a storage node for a client that has
-// disconnected.
+// insertCancellations puts the cancellations of known requests before all events, and those of other requests directly
+// behind the arrivals of these requests. This way a cancellation is not delayed while the loop is behind, and no
+// attempt is started for a client that has disconnected.
 func (l *Loop) insertCancellations(cancellations, events []Event) []Event {
 	if len(cancellations) == 0 && len(l.cancelledBeforeArrival) == 0 {
 		return events
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -12,24 +12,25 @@
 	"junctionwharf/telemetry"
 )
 
-// Dependencies is what a Loop acts on besides transports. Its functions do not block.
+// Dependencies are the functions and components that a Loop uses besides transports. The functions must not block.
 type Dependencies struct {
-	// SendToPeer sends bytes to another broker; nil without peers.
+	// SendToPeer sends bytes to another broker. It is nil for a broker without peers.
 	SendToPeer func(peer int, data []byte)
-	// Observe receives observations for telemetry, and does not keep the slice; nil for none.
+	// Observe receives observations for telemetry. It must not keep the slice. It is nil if there is no telemetry.
 	Observe func(observations []telemetry.Observation)
-	// Log is for the engineers on call; nil for none.
+	// Log receives log lines for the operators. If it is nil, nothing is logged.
 	Log *slog.Logger
-	// ConfigChanges returns what a turn has to apply before it decides anything, by the clock that it reads; nil
-	// where no configuration is replicated.
+	// ConfigChanges returns the events that a turn must apply before it makes any decision at the time now. It is nil
+	// if no configuration is replicated.
 	ConfigChanges func(now Micros) []Event
-	// Admission decides who comes in at all, nil for everybody; the loop's own from now on.
+	// Admission decides which requests are admitted. The loop becomes its owner. If it is nil, all requests are
+	// admitted.
 	Admission *admission.Controller
 }
 
-// Loop drives a State: it queues events, reads the clock once a turn and carries out the effects. Its
-// methods may be called from any goroutine unless they say otherwise; Run's goroutine alone touches the fields of the
-// second group.
+// Loop drives a State: it queues events, reads the clock once a turn and executes the effects. Its methods may be
+// called from any goroutine unless their comments say otherwise. Only the goroutine of Run accesses the fields from
+// state on.
 type Loop struct {
 	Metrics Metrics
 
@@ -41,29 +42,30 @@
 	nextID       atomic.Uint64
 	shares       atomic.Pointer[[]scheduler.NodeShare]
 
-	state          *State
-	clients        map[uint64]client
-	handles        map[attemptKey]Handle
-	nodesCountedAt Micros                  // when nodes are to be counted again
-	sharesTakenAt  Micros                  // when shares are to be taken again
-	rejections     []telemetry.Observation // of admission control, taken from the inbox
-	// cancelledBeforeArrival holds requests whose clients have disconnected while the arrival still waits in the inbox.
+	state            *State
+	clients          map[uint64]client
+	handles          map[attemptKey]Handle
+	nextNodeCount    Micros                  // next time to count nodes
+	nextSharesUpdate Micros                  // next time to update shares
+	rejections       []telemetry.Observation // rejections by admission control, moved from the inbox
+	// cancelledBeforeArrival holds the ids of requests whose clients disconnected while the RequestArrived event was
+	// still queued in the inbox.
 	cancelledBeforeArrival map[uint64]struct{}
 }
 
-// attemptKey names an attempt: the request's id and the attempt's number.
+// attemptKey identifies an attempt by the request's id and the attempt's number.
 type attemptKey struct {
 	id     uint64
 	number int
 }
 
-// client is who waits for a request's answer.
+// client receives the answer to a request.
 type client struct {
 	class string
 	reply func(Response)
 }
 
-// NewLoop returns a loop over a new state. Requests that name no transport go through transport.
+// NewLoop returns a loop that drives state. Requests without a transport of their own are sent through transport.
 func NewLoop(state *State, clock *Clock, transport Transport, dependencies Dependencies) *Loop {
 	if dependencies.Log == nil {
 		dependencies.Log = slog.New(slog.DiscardHandler)
@@ -83,11 +85,11 @@
 	return l
 }
 
-// idleWait is how long the loop sleeps when nothing is to be done: any event wakes it, so that the hour is only a
-// bound.
+// idleWait is how long the loop sleeps when no timer is set. Any event wakes the loop, so the value only has to be
+// finite.
 const idleWait = time.Hour
 
-// Run turns until ctx ends. Its goroutine owns the state.
+// Run executes turns until ctx ends. Its goroutine owns the state.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.end()
 	alarm := time.NewTimer(0)
@@ -119,8 +121,8 @@
 	}
 }
 
-// applyConfigChanges has the core switch to what the replicated configuration says as of now, before it decides
-// anything else.
+// applyConfigChanges applies the changes of the replicated configuration that are due by now. It runs before the turn
+// makes any other decision.
 func (l *Loop) applyConfigChanges(now Micros) {
 	if l.dependencies.ConfigChanges == nil {
 		return
@@ -137,8 +139,8 @@
 	l.safeTurn(now, changes)
 }
 
-// safeTurn guards the requests that are open against a fault met by one event, which shows as a panic in the log: the
-// turn ends, and what it left undone is answered by its deadline.
+// safeTurn runs a turn and contains a panic that one of its events causes, so that open requests survive. The panic is
+// logged and the turn ends. Requests that the turn did not finish are answered at their deadlines.
 func (l *Loop) safeTurn(now Micros, events []Event) {
 	l.safely(func() { l.turn(now, events) })
 }
@@ -152,7 +154,7 @@
 	call()
 }
 
-// turn reduces events, and again what stopping attempts brought, at the same point of the clock.
+// turn reduces events. It then reduces the events of stopped attempts at the same time, until there are none.
 func (l *Loop) turn(now Micros, events []Event) {
 	for again := true; again; {
 		for _, e := range events {
@@ -171,7 +173,7 @@
 	}
 }
 
-// track keeps the metrics, the clients and the handles in step with an event.
+// track updates the metrics, the clients and the handles for an event.
 func (l *Loop) track(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
@@ -195,8 +197,8 @@
 	l.Metrics.open.Add(-1)
 }
 
-// observe comes after the effects were carried out, and a fault in it is its own: telemetry costs no request its
-// answer.
+// observe passes observations to telemetry. It runs after the effects were executed and is guarded separately, so that
+// a panic in telemetry costs no request its answer.
 func (l *Loop) observe() {
 	if len(l.rejections) > 0 {
 		l.dependencies.Observe(l.rejections)
@@ -209,22 +211,22 @@
 }
 
 const (
-	// nodeCountInterval is how often the nodes that are avoided are counted: 25 ms. If it were lower, a broker with
-	// thousands of nodes would spend its turns on a look at each; if it were higher, hosts_down would lag behind.
+	// nodeCountInterval is the interval at which avoided nodes are counted: 25 ms. With a smaller value, a broker with
+	// thousands of nodes would spend its turns on counting them. With a larger value, hosts_down would lag behind.
 	nodeCountInterval = Second / 40
-	// sharesInterval is how often the shares of the nodes are taken for the console: a second. If it were lower, each
-	// turn would cost more; if it were higher, the console would lag behind.
+	// sharesInterval is the interval at which the console's copy of the node shares is updated: 1 s. With a smaller
+	// value, turns would cost more. With a larger value, the console would lag behind.
 	sharesInterval = Second
 )
 
-// countNodes keeps the metrics of the list: at once when it changes, else from time to time.
+// countNodes updates the metrics and shares of the nodes: immediately after a new list, else at intervals.
 func (l *Loop) countNodes(now Micros, events []Event) {
-	if now < l.nodesCountedAt && !slices.ContainsFunc(events, isNodeList) {
+	if now < l.nextNodeCount && !slices.ContainsFunc(events, isNodeList) {
 		return
 	}
-	l.nodesCountedAt = now + nodeCountInterval
-	if now >= l.sharesTakenAt {
-		l.sharesTakenAt = now + sharesInterval
+	l.nextNodeCount = now + nodeCountInterval
+	if now >= l.nextSharesUpdate {
+		l.nextSharesUpdate = now + sharesInterval
 		if shares := l.state.scheduler.NodeShares(); len(shares) > 0 || l.shares.Load() != nil {
 			l.shares.Store(&shares)
 		}
@@ -239,7 +241,8 @@
 	return is
 }
 
-// NodeShares reports how requests are spread over the nodes of shards that have several, as of up to a second ago.
+// NodeShares returns how requests are spread over the nodes of shards with several nodes. The shares are up to one
+// second old.
 func (l *Loop) NodeShares() []scheduler.NodeShare {
 	if shares := l.shares.Load(); shares != nil {
 		return *shares
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -13,20 +13,20 @@
 	"junctionwharf/scheduler"
 )
 
-// writtenAttempt is the handle of an attempt that was fully written at once.
+// writtenAttempt is the handle of an attempt that was fully written immediately.
 type writtenAttempt struct{}
 
 func (writtenAttempt) Stop() Progress       { return FullyWritten }
 func (writtenAttempt) StopSending()         {}
 func (writtenAttempt) CancelUnlessWritten() {}
 
-// noHealthChecks is the part of a transport that these tests do not need.
+// noHealthChecks implements the methods of Transport that these tests do not use.
 type noHealthChecks struct{}
 
 func (noHealthChecks) CheckHealth(string, func(Result)) {}
 func (noHealthChecks) CloseIdle(string)                 {}
 
-// panickingTransport panics at its first attempt and serves the others.
+// panickingTransport panics at its first attempt and serves all others.
 type panickingTransport struct {
 	noHealthChecks
 	starts int
@@ -41,7 +41,7 @@
 	return writtenAttempt{}
 }
 
-// echoTransport serves requests in the process itself.
+// echoTransport serves each request with its message and the name of the node.
 type echoTransport struct{ noHealthChecks }
 
 func (echoTransport) Start(a Attempt, done func(Result)) Handle {
@@ -50,7 +50,7 @@
 	return writtenAttempt{}
 }
 
-// recordingTransport notes which requests were started, by their messages, and never answers.
+// recordingTransport records the messages of started requests and never answers.
 type recordingTransport struct {
 	noHealthChecks
 	started map[string]bool
@@ -61,8 +61,8 @@
 	return writtenAttempt{}
 }
 
-// A transport panics. That must end neither the process nor other requests: the turn ends, and the request whose
-// attempt was not started fails at its deadline.
+// A panic in a transport must not end the process or other requests. The turn ends, and the request whose attempt was
+// not started fails at its deadline.
 func TestPanicEndsOneTurn(t *testing.T) {
 	lines := make(chan string, 8)
 	log := logging.ToFunc(func(line string) { lines <- line })
@@ -78,20 +78,20 @@
 	}
 	loop.Submit(testRequest("read", 0), func(r Response) { responses <- r })
 	if r := <-responses; r.Verdict != Served {
-		t.Errorf("the second request: %+v", r)
+		t.Errorf("the request after the panic: %+v, want Served", r)
 	}
 	if r := <-responses; r.Verdict != Failed {
-		t.Errorf("the request whose turn failed: %+v", r)
+		t.Errorf("the request of the turn that panicked: %+v, want Failed", r)
 	}
 }
 
-// Ten nodes leave within one sampling window. Each line has the fixed message, with its node as an attribute: if the
-// node were part of the message, each line would be a kind of its own, none would be left out, and a fault of all nodes
-// would fill the disk.
+// Ten nodes start draining within one sampling window. The log lines have the same fixed message, with the node as an
+// attribute, so that sampling drops some of them. If the node were part of the message, each line would be sampled
+// separately and none would be dropped. A fault of all nodes would then fill the disk.
 func TestSchedulerLinesAreSampledByMessage(t *testing.T) {
 	const (
 		nodes          = 10
-		linesPerWindow = 5 // of one message in a window
+		linesPerWindow = 5 // of one message that are logged in a sampling window
 		nodeLeaves     = "node leaves"
 		attemptLost    = "attempt lost"
 	)
@@ -108,19 +108,19 @@
 	loop.execute(Log{Message: attemptLost, Attributes: []slog.Attr{slog.Float64("after_ms", 2.5)}}, 0)
 	lines := decodeLines(t, &output)
 	if len(lines) != linesPerWindow+1 {
-		t.Fatalf("%d lines: %v", len(lines), lines)
+		t.Fatalf("%d lines, want %d: %v", len(lines), linesPerWindow+1, lines)
 	}
 	for i, line := range lines[:linesPerWindow] {
 		if line["msg"] != nodeLeaves || line["node"] != fmt.Sprint("n", i) || line["level"] != "INFO" {
-			t.Errorf("line %d: %v", i, line)
+			t.Errorf("line %d: %v, want message %q of node n%d at INFO", i, line, nodeLeaves, i)
 		}
 	}
 	if last := lines[linesPerWindow]; last["msg"] != attemptLost || last["after_ms"] != 2.5 {
-		t.Errorf("of another message: %v", last)
+		t.Errorf("line of the other message: %v, want %q with after_ms 2.5", last, attemptLost)
 	}
 }
 
-// decodeLines reads JSON log lines.
+// decodeLines parses JSON log lines.
 func decodeLines(t *testing.T, output *bytes.Buffer) []map[string]any {
 	t.Helper()
 	var lines []map[string]any
@@ -134,7 +134,7 @@
 	return lines
 }
 
-// A node drains. The state hands on the scheduler's message and attributes as they are.
+// When a node starts draining, the state forwards the message and attributes of the scheduler's log line unchanged.
 func TestSchedulerLineKeepsItsAttributes(t *testing.T) {
 	h := newHarness(t)
 	h.turn(changedNodes(2, testNode("n1", 0, scheduler.Draining)))
@@ -146,7 +146,7 @@
 	}
 	if len(lines) != 1 || lines[0].Message != "node leaves" || len(lines[0].Attributes) != 1 ||
 		!lines[0].Attributes[0].Equal(slog.String("node", "n1")) {
-		t.Errorf("%+v", lines)
+		t.Errorf("log lines %+v, want \"node leaves\" with the attribute node=n1", lines)
 	}
 }
 
@@ -189,14 +189,14 @@
 	// Output: lesson 7 from n1
 }
 
-// The loop is far behind. It takes a bounded part of its events in a turn, in their order, and has protocol servers
-// wait until there is capacity again; none is lost. The end of the loop lets them go.
+// More events are queued than the loop may handle in one turn. Each turn handles a bounded number of events in order,
+// and no event is lost. WaitForCapacity blocks protocol servers until there is capacity again, or until the loop ends.
 func TestTurnIsBounded(t *testing.T) {
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{})
 	const requests = maxQueuedEvents + 10
 	submitAll := func() {
 		for range requests {
-			loop.SubmitAdmitted(testRequest("read", 1), func(Response) {}) // of a shard without a node
+			loop.SubmitAdmitted(testRequest("read", 1), func(Response) {}) // the shard has no node
 		}
 	}
 	waited := make(chan bool, 1)
@@ -209,11 +209,11 @@
 	for turn, left := 1, requests; left > 0; turn++ {
 		events, _, more := loop.collect(loop.clock.Now(), nil)
 		if want := min(left, maxTurnEvents); len(events) != want || more != (left > maxTurnEvents) {
-			t.Fatalf("turn %d: %d events, more %v", turn, len(events), more)
+			t.Fatalf("turn %d: %d events with more %v, want %d events of the %d left", turn, len(events), more, want, left)
 		}
 		for i, e := range events {
 			if id := e.(RequestArrived).ID; id != uint64(requests-left+i+1) {
-				t.Fatalf("turn %d: event %d is of request %d", turn, i, id)
+				t.Fatalf("turn %d: event %d is of request %d, want %d", turn, i, id, requests-left+i+1)
 			}
 		}
 		loop.turn(loop.clock.Now(), events)
@@ -226,9 +226,9 @@
 	<-waited
 }
 
-// The loop is far behind. Clients that disconnect are heard of in the next turn, before all that came earlier: one
-// whose request is queued in the scheduler, one whose request stands far back in the inbox, and one whose request is
-// next. None of their requests is started, then or later, and the others are.
+// Clients disconnect while the loop is far behind. The next turn handles their cancellations before all queued events:
+// one request is queued in the scheduler, the arrival of another is next in the inbox, and the arrival of a third is
+// last in the inbox. None of these three requests must be started. The request of a connected client must be started.
 func TestCancellationsOvertake(t *testing.T) {
 	transport := recordingTransport{started: map[string]bool{}}
 	loop := NewLoop(newState(t, testSettings()), NewClock(), transport, Dependencies{})
@@ -255,18 +255,19 @@
 		loop.Cancel(id)
 	}
 	open := loop.OpenRequests()
-	loop.Post(fullList(0, testNode("n1", 0, scheduler.Ready))) // last of all
+	loop.Post(fullList(0, testNode("n1", 0, scheduler.Ready))) // handled after all other events
 	turn()
 	if cancelled := open - loop.OpenRequests(); cancelled != 2 {
-		t.Errorf("%d are cancelled after a turn, want the queued one and the next", cancelled)
+		t.Errorf("%d requests cancelled after one turn, want 2: the queued one and the next one", cancelled)
 	}
 	for more := true; more; {
 		more = turn()
 	}
 	if len(transport.started) != 1 || !transport.started["stays"] {
-		t.Errorf("started %v", transport.started)
+		t.Errorf("started %v, want only \"stays\"", transport.started)
 	}
 	if loop.OpenRequests() != 1 || len(loop.cancelledBeforeArrival) != 0 {
-		t.Errorf("%d open, %d cancelled before arrival", loop.OpenRequests(), len(loop.cancelledBeforeArrival))
+		t.Errorf("%d open and %d cancelled before arrival, want 1 and 0",
+			loop.OpenRequests(), len(loop.cancelledBeforeArrival))
 	}
 }
--- a/broker/metrics.go
+++ b/broker/metrics.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// The names of the metrics, as the console and the sinks give them. Dashboards use them: they must not change.
+// The names of the metrics as reported by the console and the sinks. Dashboards use the names, so they must not change.
 const (
 	metricSuccessPrefix    = "success."
 	metricBusyPrefix       = "busy."
@@ -28,25 +28,25 @@
 	metricNodesUnavailable = "hosts_down"
 )
 
-// Metric is one of a broker's metrics at one moment. A counter only grows.
+// Metric is the value of one of a broker's metrics at one moment. The value of a Counter never decreases.
 type Metric struct {
 	Name    string
 	Value   uint64
 	Counter bool
 }
 
-// Metrics is the one registry of what a broker counts. It is read at any time, without the loop: whoever asks for
-// metrics must get them above all when the loop is busy.
+// Metrics is the registry of a broker's metrics. It can be read at any time without the loop, because metrics are most
+// important when the loop is busy.
 type Metrics struct {
-	open   atomic.Int64 // requests that wait for their final answer
+	open   atomic.Int64 // requests without a final answer
 	listed atomic.Int64 // nodes on the list
-	down   atomic.Int64 // of these, nodes that are avoided
+	down   atomic.Int64 // listed nodes that the scheduler avoids
 
 	received  atomic.Uint64
 	rejected  atomic.Uint64 // by admission control
 	cancelled atomic.Uint64 // by their clients
 
-	attempts     atomic.Uint64 // fully written
+	attempts     atomic.Uint64 // attempts that were fully written
 	stopped      atomic.Uint64
 	healthChecks atomic.Uint64
 
@@ -56,11 +56,11 @@
 	reloads       atomic.Uint64
 	failedReloads atomic.Uint64
 
-	addingClass sync.Mutex                      // among those that add classes; nobody waits for it to count
-	classes     atomic.Pointer[[]*classMetrics] // in the order first seen; a new slice with each new one
+	addingClass sync.Mutex                      // serializes changes of classes; counting and reading take no lock
+	classes     atomic.Pointer[[]*classMetrics] // in order of first use; copied on each addition
 }
 
-// classMetrics counts how requests of one class ended.
+// classMetrics counts the outcomes of the requests of one class.
 type classMetrics struct {
 	name     string
 	served   atomic.Uint64
@@ -68,7 +68,8 @@
 	failed   atomic.Uint64
 }
 
-// addClasses has classes counted from now on. Those that vanished from the settings stay: a counter does not go back.
+// addClasses adds the counters of classes. Counters of classes that are no longer in the settings are kept, because a
+// counter must not decrease.
 func (m *Metrics) addClasses(classes []scheduler.Class) {
 	for _, c := range classes {
 		m.class(c.Name)
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// findClass finds a class without a lock. There are a few; a map would take longer.
+// findClass finds a class without a lock. There are only a few classes, so that a search is faster than a map.
 func (m *Metrics) findClass(name string) *classMetrics {
 	for _, c := range m.allClasses() {
 		if c.name == name {
@@ -120,7 +121,7 @@
 	}
 }
 
-// CountReload counts a configuration that was applied while the broker ran, or rejected.
+// CountReload counts a new configuration that the running broker applied or rejected.
 func (m *Metrics) CountReload(applied bool) {
 	if applied {
 		m.reloads.Add(1)
@@ -129,7 +130,7 @@
 	}
 }
 
-// Read returns all metrics, each class with every way to end, at 0 too.
+// Read returns all metrics. Each class is listed with all its counters, even if they are 0.
 func (m *Metrics) Read() []Metric {
 	var all []Metric
 	for _, c := range m.allClasses() {
@@ -158,8 +159,8 @@
 	return Metric{Name: name, Value: count.Load(), Counter: true}
 }
 
-// gauge reads a value that goes up and down. A reader may see it below 0 for a moment, between two of the loop's
-// updates.
+// gauge reads a gauge. Between two updates by the loop, the value may be below 0 for a moment. It is then reported
+// as 0.
 func gauge(name string, value *atomic.Int64) Metric {
 	return Metric{Name: name, Value: uint64(max(0, value.Load()))}
 }
--- a/broker/metrics_test.go
+++ b/broker/metrics_test.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// Dashboards and the console's callers know the metrics by name: all of them, in their order, and which only grow.
+// Dashboards and the console's clients depend on the names, the order and the kinds of the metrics.
 func TestMetricNames(t *testing.T) {
 	var m Metrics
 	m.countResponse("read", Served)
@@ -27,7 +27,7 @@
 	}
 }
 
-// Classes are counted without a lock, and those that vanish from the settings stay.
+// Responses of an unknown class add its counters, and classes that are no longer in the settings keep theirs.
 func TestMetricsOfClasses(t *testing.T) {
 	var m Metrics
 	m.addClasses([]scheduler.Class{{Name: "read"}})
@@ -36,7 +36,7 @@
 	m.countResponse("new", Rejected)
 	counts := readMetrics(&m)
 	if counts["success.read"] != 1 || counts["busy.new"] != 1 || len(m.allClasses()) != 3 {
-		t.Errorf("%v", counts)
+		t.Errorf("counts %v of %d classes, want success.read 1, busy.new 1 and 3 classes", counts, len(m.allClasses()))
 	}
 }
 
@@ -48,13 +48,13 @@
 	return values
 }
 
-// Every class is listed with every way to end, at 0 too, and an attempt counts once it is fully written.
+// Each class is listed with all its counters, even if they are 0. An attempt counts once it is fully written.
 func TestLoopMetrics(t *testing.T) {
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{})
 	for _, name := range []string{"success.read", "busy.read", "failure.read", "success.write", "busy.write",
 		"failure.write", "backend_calls", "inflight", "hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"} {
 		if value, listed := readMetrics(&loop.Metrics)[name]; !listed || value != 0 {
-			t.Errorf("%s: %d, %v", name, value, listed)
+			t.Errorf("%s: %d, listed %v, want 0, true", name, value, listed)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -84,8 +84,8 @@
 	}
 }
 
-// BenchmarkCountResponse is what counting a final answer costs beside a reader; package telemetry's BenchmarkObserve
-// is what its rows add.
+// BenchmarkCountResponse measures the cost of counting a final answer while another goroutine reads the metrics. The
+// cost of telemetry is measured by package telemetry's BenchmarkObserve.
 func BenchmarkCountResponse(b *testing.B) {
 	var m Metrics
 	m.addClasses([]scheduler.Class{{Name: "lesson-read"}, {Name: "record-write"}, {Name: "bulk-export"}})
--- a/broker/nodes.go
+++ b/broker/nodes.go
@@ -7,16 +7,16 @@
 	"junctionwharf/telemetry"
 )
 
-// nodeState is what the list says of a node.
+// nodeState is the state of a listed node.
 type nodeState struct {
-	address    string // empty until a list has named one
+	address    string // empty until a list contained an address
 	shard      int
-	leaving    bool   // it was listed as draining or gone
-	lastListed uint64 // State.listUpdates when a list last named it
+	leaving    bool   // listed as draining or removed
+	lastListed uint64 // value of State.listUpdates when a list last contained the node
 }
 
-// handleNodeList applies a list: connections to nodes that leave are closed, attempts under way there send no more,
-// and the scheduler gets the list.
+// handleNodeList applies a list of nodes. It closes idle connections to nodes that are draining or removed, stops
+// attempts in flight at these nodes from sending more data, and passes the list to the scheduler.
 func (s *State) handleNodeList(e NodesListed) {
 	s.listUpdates++
 	infos := make([]scheduler.Endpoint, 0, len(e.Nodes))
@@ -44,7 +44,7 @@
 	s.notifyScheduler(scheduler.EndpointUpdate{Kind: e.Kind, Version: e.Version, Endpoints: infos})
 }
 
-// listNode notes what a list says of one node.
+// listNode adds or updates the state of a listed node.
 func (s *State) listNode(n *Node) *nodeState {
 	node := s.nodes[n.Name]
 	if node == nil {
@@ -60,7 +60,8 @@
 	return node
 }
 
-// setLeaving notes whether a node leaves, and adds one that begins to do so to the set that it returns.
+// setLeaving sets whether a node is draining or removed. If the node was not before, setLeaving adds it to the set that
+// it returns.
 func (s *State) setLeaving(set map[string]bool, name string, node *nodeState, leaves bool) map[string]bool {
 	if leaves && !node.leaving {
 		if set == nil {
@@ -74,15 +75,15 @@
 	return set
 }
 
-// removeNode forgets a node that is gone. Without it the process, which may run for months, would grow by each node
-// that was ever replaced: each replacement comes under a new name.
+// removeNode drops the state of a removed node. Replacement nodes have new names, so without removal the memory of a
+// process that runs for months would grow with every node that was ever replaced.
 func (s *State) removeNode(name string, node *nodeState) {
 	s.emit(CloseIdle{Address: node.address})
 	s.record(telemetry.Observation{Kind: telemetry.NodeUnlisted, Node: name})
 	delete(s.nodes, name)
 }
 
-// address is where a node is reached, empty for one that is not known.
+// address returns the address of a node, or "" for an unknown node.
 func (s *State) address(node string) string {
 	if n := s.nodes[node]; n != nil {
 		return n.address
@@ -90,8 +91,9 @@
 	return ""
 }
 
-// stopSendingTo guards the rule on drains against attempts of several messages, which would go on sending to nodes
-// that leave: they are barred at once, while the scheduler may still find them another node in time.
+// stopSendingTo enforces the rule on drains for attempts that consist of several messages. Such attempts would
+// otherwise continue to send to nodes that are draining or removed. They are stopped from sending immediately, so that
+// the scheduler may still choose another node in time.
 func (s *State) stopSendingTo(leaving map[string]bool) {
 	if len(leaving) == 0 {
 		return
@@ -102,7 +104,7 @@
 			ids = append(ids, id)
 		}
 	}
-	slices.Sort(ids) // the order of a map is random, and a simulation must give the same effects each time
+	slices.Sort(ids) // map order is random, but a simulation must produce the same effects each time
 	for _, id := range ids {
 		s.emit(StopSending{ID: id, Number: s.requests[id].attempts - 1})
 	}
--- a/broker/nodes_test.go
+++ b/broker/nodes_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/telemetry"
 )
 
-// A node begins to drain while an attempt of several messages is under way there. It must not go on sending past the
-// rule's grace: it is barred, and retried at another node.
+// A node starts draining while an attempt that consists of several messages is in flight there. The attempt must not
+// continue to send after the drain grace: it is stopped from sending and retried at another node.
 func TestDrainStopsSending(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
@@ -17,28 +17,28 @@
 	h.turn(changedNodes(2, draining, testNode("n3", 0, scheduler.Ready)))
 	h.turn(changedNodes(3, draining))
 	if len(h.sendStops) != 1 {
-		t.Fatalf("barred %d times", len(h.sendStops))
+		t.Fatalf("%d attempts stopped from sending, want 1", len(h.sendStops))
 	}
 	h.turn(AttemptEnded{1, 0, broken(PartiallyWritten)})
 	h.advance(100_000)
 	if len(h.starts) < 2 || h.starts[1].Attempt.Node != "n3" {
-		t.Errorf("%+v", h.starts)
+		t.Errorf("attempts started: %+v, want a second one at n3", h.starts)
 	}
 }
 
-// A node that a full list no longer names is removed.
+// A node that is missing from a full list is removed.
 func TestMissingFromFullList(t *testing.T) {
 	h := newHarness(t)
 	h.turn(fullList(2, testNode("n2", 1, scheduler.Ready)))
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
 	h.advance(Second)
 	if len(h.starts) > 0 {
-		t.Error("sent to a node that is gone")
+		t.Error("request sent to a removed node")
 	}
 }
 
-// Nodes are replaced one after the other, for months: each replacement has a new name. Those that are gone are
-// forgotten, and their idle connections closed.
+// Over months, nodes are replaced one after the other by nodes with new names. The state of removed nodes is dropped,
+// and their idle connections are closed.
 func TestRemovedNodesAreForgotten(t *testing.T) {
 	h := newHarness(t)
 	for i := range 200 {
@@ -48,7 +48,7 @@
 	}
 	h.turn(fullList(300, testNode("n2", 1, scheduler.Ready)))
 	if len(h.state.nodes) != 1 {
-		t.Errorf("kept %d", len(h.state.nodes))
+		t.Errorf("%d nodes known, want 1", len(h.state.nodes))
 	}
 	closed := 0
 	for _, e := range h.effects {
@@ -57,11 +57,12 @@
 		}
 	}
 	if closed == 0 {
-		t.Error("idle connections to a node that is gone stay open")
+		t.Error("idle connections to the removed node o50 were not closed")
 	}
 }
 
-// 10,000 nodes are replaced by as many others in one list: each leaves once, is forgotten, and the new ones serve.
+// One list replaces 10,000 nodes by as many others. Each old node is reported as draining once and its state is
+// dropped, and the new nodes serve requests.
 func TestReplaceAllNodes(t *testing.T) {
 	h := newHarness(t)
 	list := func(version uint64, prefix string) NodesListed {
@@ -76,7 +77,7 @@
 	h.sendStops = nil
 	h.turn(list(3, "b"))
 	if left := len(h.state.nodes); left != 10_000 {
-		t.Errorf("%d nodes are known", left)
+		t.Errorf("%d nodes known, want 10000", left)
 	}
 	leaving := 0
 	for _, o := range h.state.Observations() {
@@ -85,7 +86,7 @@
 		}
 	}
 	if leaving != 10_000 || len(h.sendStops) != 1 {
-		t.Errorf("%d leave, %d attempts are barred", leaving, len(h.sendStops))
+		t.Errorf("%d nodes draining and %d attempts stopped from sending, want 10000 and 1", leaving, len(h.sendStops))
 	}
 	h.now += Second
 	h.turn(RequestArrived{ID: 2, Request: testRequest("read", 7)})
@@ -94,6 +95,6 @@
 		h.turn()
 	}
 	if last := h.starts[len(h.starts)-1]; last.ID != 2 || last.Attempt.Node != "b7" {
-		t.Errorf("%+v", last)
+		t.Errorf("last attempt started: %+v, want request 2 at b7", last)
 	}
 }
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -7,10 +7,10 @@
 	"junctionwharf/telemetry"
 )
 
-// overload is what the loop knows of its own overload without a lock. Admission control itself is guarded by
-// inbox.mu, since goroutines of clients call it.
+// overload is the part of the loop's overload state that is read without a lock. The admission controller is guarded by
+// inbox.mu instead, because the clients' goroutines call it.
 type overload struct {
-	maxOpen        int64         // admission.Settings.MaxOpenOverloaded, 0 for none
+	maxOpen        int64         // admission.Settings.MaxOpenOverloaded, 0 for no bound
 	lagWanted      chan struct{} // holds one token, so that signalling never blocks
 	lagging        atomic.Bool   // the scheduling lag is above admission.OverloadLag
 	shedding       atomic.Bool   // admission control rejects requests
@@ -24,10 +24,11 @@
 	o.lagWanted = make(chan struct{}, 1)
 }
 
-// manyOpen is how many open requests justify measuring the lag: half of the bound that depends on it.
+// manyOpen is the number of open requests from which on the lag is measured: half of maxOpen, which applies only while
+// the broker lags.
 func (o *overload) manyOpen() int64 { return max(1, o.maxOpen/2) }
 
-// noteOpen asks for measurements when the open requests have become many.
+// noteOpen requests lag measurements when the number of open requests reaches manyOpen.
 func (o *overload) noteOpen(open int64) {
 	if open != o.manyOpen() || o.maxOpen <= 0 {
 		return
@@ -38,8 +39,8 @@
 	}
 }
 
-// Admit has admission control decide on a request. What it rejects has its final answer, which is returned, and must
-// not be submitted; nil lets it in.
+// Admit asks admission control for a decision on a request. It returns nil if the request is admitted. Otherwise it
+// returns the final answer, and the request must not be submitted.
 func (l *Loop) Admit(request *Request) *Response {
 	if l.dependencies.Admission == nil {
 		return nil
@@ -76,13 +77,13 @@
 	return &Response{Verdict: Rejected, RetryAfter: Micros(retryAfter)}
 }
 
-// Overloaded reports whether more requests wait than the processor can do, so that a protocol server may reject one
-// before it reads it. It takes no lock.
+// Overloaded reports whether more requests are open than the processor can handle, so that a protocol server may reject
+// a request before it reads the request. It takes no lock.
 func (l *Loop) Overloaded() bool {
 	return l.overload.maxOpen > 0 && l.overload.lagging.Load() && l.Metrics.open.Load() >= l.overload.maxOpen
 }
 
-// RejectOverload counts a request that was rejected unread because of Overloaded.
+// RejectOverload counts a request that a protocol server rejected unread because of Overloaded.
 func (l *Loop) RejectOverload(class string) {
 	l.overload.rejectedUnread.Store(true)
 	l.Metrics.received.Add(1)
@@ -92,12 +93,13 @@
 	}
 }
 
-// SheddingLoad reports whether admission control rejects requests.
+// SheddingLoad reports whether admission control is rejecting requests.
 func (l *Loop) SheddingLoad() bool { return l.overload.shedding.Load() }
 
-// RecordSchedulingLag tells admission control, from time to time, for how long whatever could run waited for a
-// processor meanwhile. The loop's own queue says less: Go runs next what was woken last, which may be the loop, while
-// hundreds wait to read what has come.
+// RecordSchedulingLag reports to admission control how long runnable work in this process has waited for a processor
+// since the last call. It is called at intervals. The delay of the loop's own queue is not a sufficient measure: Go
+// runs the goroutine that was woken last first. This may be the loop, while hundreds of goroutines wait to read their
+// input.
 func (l *Loop) RecordSchedulingLag(waited Micros) {
 	l.inbox.mu.Lock()
 	if controller := l.dependencies.Admission; controller != nil {
@@ -110,22 +112,22 @@
 	}
 	l.inbox.lag = 0
 	l.inbox.mu.Unlock()
-	// It wakes an idle loop: else this would wait for the next event, and count as its lag.
+	// The event wakes an idle loop. Otherwise the event would wait for the next one, and its waiting time would be
+	// recorded as lag.
 	l.Post(LagMeasured{Waited: waited})
 }
 
-// LagMeasurementWanted signals each time many requests have come to be open at once, so that somebody may begin to
-// measure.
+// LagMeasurementWanted returns a channel that receives a value when the number of open requests becomes so large that
+// lag measurements should begin.
 func (l *Loop) LagMeasurementWanted() <-chan struct{} { return l.overload.lagWanted }
 
-// KeepMeasuringLag reports whether to go on measuring: many requests are open, or work lately waited for a
-// processor.
+// KeepMeasuringLag reports whether lag measurements should continue: many requests are open, the broker lags, or it
+// sheds load.
 func (l *Loop) KeepMeasuringLag() bool {
 	return l.Metrics.open.Load() >= l.overload.manyOpen() || l.overload.lagging.Load() || l.overload.shedding.Load()
 }
 
-// SetLagMeasured reports that RecordSchedulingLag will be called from now on, or not any more: what was known before
-// counts no longer.
+// SetLagMeasured reports whether RecordSchedulingLag will be called from now on. Earlier measurements are dropped.
 func (l *Loop) SetLagMeasured(measuring bool) {
 	l.inbox.mu.Lock()
 	l.inbox.lag = 0
--- a/broker/overload_test.go
+++ b/broker/overload_test.go
@@ -10,8 +10,8 @@
 	"junctionwharf/telemetry"
 )
 
-// Admission control is at its bound of open requests. What it rejects has one answer, through Submit as through
-// Admit, is counted, told to telemetry, and never reaches the scheduler.
+// The number of open requests is at admission control's bound. A request that is rejected, by Submit or by Admit, gets
+// one answer, is counted in the metrics, is reported to telemetry and never reaches the scheduler.
 func TestAdmissionRejects(t *testing.T) {
 	observations := make(chan telemetry.Observation, 8)
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{
@@ -27,24 +27,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	loop.Post(fullList(0, testNode("n1", 0, scheduler.Ready)))
-	request := testRequest("read", 1) // of a shard without a node: it waits
+	request := testRequest("read", 1) // the shard has no node, so the request stays open
 	responses := make(chan Response, 2)
 	reply := func(r Response) { responses <- r }
 	if loop.Admit(request) != nil {
-		t.Fatal("rejected while there is capacity")
+		t.Fatal("request rejected although no request is open")
 	}
 	id := loop.SubmitAdmitted(request, reply)
 	if r := loop.Admit(testRequest("read", 0)); r == nil || r.Verdict != Rejected || r.RetryAfter != 150_000 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("Admit: %+v, want Rejected with RetryAfter 150000", r)
 	}
 	loop.Submit(testRequest("write", 0), reply)
 	go loop.Run(ctx)
 	if r := <-responses; r.Verdict != Rejected || r.RetryAfter != 150_000 {
-		t.Errorf("%+v", r)
+		t.Errorf("Submit: %+v, want Rejected with RetryAfter 150000", r)
 	}
 	for range 2 {
 		if o := <-observations; o.RequestOutcome != telemetry.Rejected {
-			t.Errorf("%+v", o)
+			t.Errorf("observation %+v, want outcome Rejected", o)
 		}
 	}
 	for name, want := range map[string]uint64{"door_refused": 2, "busy.read": 1, "busy.write": 1, "inflight": 1} {
@@ -55,8 +55,8 @@
 	loop.Cancel(id)
 }
 
-// Nobody measures how long work waits while few requests are open: the loop says when it is worth it, at half of the
-// bound, and what was measured before counts no longer once nobody does.
+// The scheduling lag is not measured while few requests are open. The loop requests measurements when half of the bound
+// is reached. Once measuring ends, earlier measurements no longer apply.
 func TestLagIsMeasuredOnDemand(t *testing.T) {
 	state := newState(t, testSettings())
 	const bound = 6
@@ -75,27 +75,27 @@
 	for i := range bound + 1 {
 		loop.SubmitAdmitted(testRequest("read", 0), func(Response) {})
 		if got := wanted(); got != (i == bound/2-1) || loop.KeepMeasuringLag() != (i >= bound/2-1) {
-			t.Errorf("with %d open: wanted %v, on %v", i+1, got, loop.KeepMeasuringLag())
+			t.Errorf("%d open: measurement wanted %v, keep measuring %v", i+1, got, loop.KeepMeasuringLag())
 		}
 	}
 	loop.SetLagMeasured(true)
 	for end := time.Now().Add(5 * time.Second); !loop.Overloaded(); loop.RecordSchedulingLag(50_000) {
 		if time.Now().After(end) {
-			t.Fatal("not overloaded where work waits")
+			t.Fatal("not overloaded after 5 s with a lag of 50 ms")
 		}
 	}
 	state.Reduce(loop.clock.Now(), []Event{LagMeasured{Waited: 50_000}})
 	if state.timeAtNode(200_000) == 200_000 {
-		t.Error("the broker's own waits count as the node's")
+		t.Error("the broker's scheduling lag counts as the node's time")
 	}
 	state.Reduce(loop.clock.Now(), []Event{LagMeasured{Unknown: true}})
 	if took := state.timeAtNode(200_000); took != 200_000 {
-		t.Errorf("%d µs of 200,000 are the node's where nobody measures", took)
+		t.Errorf("node time %d µs without lag measurements, want 200000 µs", took)
 	}
 }
 
-// A measurement comes while the broker is idle. It wakes the loop: else the news would wait for the next event, and
-// count as that one's lag.
+// A measurement wakes an idle loop. Otherwise the measurement would be queued until the next event, and its waiting
+// time would be recorded as lag.
 func TestLagWakesIdleLoop(t *testing.T) {
 	settings := admission.Settings{TargetLag: 1000}
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{
@@ -103,6 +103,6 @@
 	})
 	loop.RecordSchedulingLag(0)
 	if len(loop.inbox.wakeUp) != 1 {
-		t.Error("an idle loop is not woken")
+		t.Error("RecordSchedulingLag does not wake an idle loop")
 	}
 }
--- a/broker/request.go
+++ b/broker/request.go
@@ -1,6 +1,6 @@
 package broker
 
-// Request is what a client asks for. The core reads all fields but Message, which is the transport's own.
+// Request is a client's request. The core reads all fields but Message, which only the transport uses.
 type Request struct {
 	Class  string
 	Plan   string
@@ -8,34 +8,35 @@
 	Volume string
 
 	Units     float64
-	Shard     int // the shard that holds the data, -1 for a new object
-	Brokers   int // brokers through which the volume's requests come
+	Shard     int // the shard that stores the data, -1 for a new object
+	Brokers   int // number of brokers that receive requests of the volume
 	Retry     bool
 	Write     bool
-	Timeout   Micros    // how long the client waits, from now
-	Message   any       // what the transport sends
-	Transport Transport // nil for the loop's own
+	Timeout   Micros    // how long the client waits, from the submission on
+	Message   any       // the message that the transport sends
+	Transport Transport // nil for the loop's transport
 }
 
-// Verdict says how a request ended.
+// Verdict is the kind of a final answer.
 type Verdict int
 
 // The verdicts.
 const (
 	Served   Verdict = iota // a storage node's answer is in Response.Value
-	Rejected                // a retry is harmless: it never ran, or its class is idempotent
-	Failed                  // nothing is promised: it may have run
+	Rejected                // a retry is safe: the request never ran, or its class is idempotent
+	Failed                  // the request may have run
 )
 
 // Response is the one final answer to a request.
 type Response struct {
 	Verdict    Verdict
-	Value      any    // of Served, as the transport made it; one that is an io.Closer is closed if no client takes it
-	RetryAfter Micros // of Rejected: when to come again, 0 for no advice
+	Value      any    // the transport's value of a Served request; closed, if an io.Closer, when no client receives it
+	RetryAfter Micros // of a Rejected request: when to retry, 0 for no advice
 }
 
-// Streaming is a value that takes time to be delivered, and may break meanwhile. Its request counts as open until then.
+// Streaming is a value whose delivery takes time and may be interrupted. Its request stays open until then.
 type Streaming interface {
-	// OnEnd has a function called once: when the value was delivered complete, or never will be.
+	// OnEnd registers a function that is called once, when the value was delivered completely or the delivery has
+	// failed.
 	OnEnd(func(complete bool))
 }
--- a/broker/requests.go
+++ b/broker/requests.go
@@ -9,19 +9,19 @@
 	"junctionwharf/timingwheel"
 )
 
-// requestState is a request from its arrival until it is answered and no attempt is in flight.
+// requestState tracks a request from its arrival until it is answered and has no attempt in flight.
 type requestState struct {
 	request   *Request
 	arrivedAt Micros
 	deadline  Micros
 	answered  bool // the final answer was given, or the client has disconnected
 
-	attempts    int    // sent so far; the last one's number is one less
-	node        string // where the last attempt was sent
-	firstSentAt Micros // when the first attempt was sent, 0 before
-	sentAt      Micros // when the last one was
+	attempts    int    // number of attempts sent; the last attempt's number is one less
+	node        string // node of the last attempt
+	firstSentAt Micros // when the first attempt was sent; 0 before that
+	sentAt      Micros // when the last attempt was sent
 	inFlight    bool   // the last attempt has not ended
-	stopped     bool   // it is being stopped, and how far it came is not known yet
+	stopped     bool   // the last attempt is being stopped; its progress is not known yet
 	stopReason  scheduler.Outcome
 
 	mayHaveRun   bool
@@ -32,18 +32,18 @@
 	idempotencyTimer timingwheel.Handle
 }
 
-// awaits reports whether the outcome of this attempt is still to come.
+// awaits reports whether this attempt is in flight, so that its outcome is still expected.
 func (r *requestState) awaits(attempt int) bool { return r.inFlight && r.attempts-1 == attempt }
 
-// maxFreeRequests bounds the request states that are kept for later requests: about half a megabyte. If it were
-// lower, a busy broker would allocate one for each request; if it were higher, memory of one peak would never be
-// given back.
+// maxFreeRequests bounds the request states that are kept for reuse, which take about half a megabyte. With a smaller
+// value, a busy broker would allocate a state for each request. With a larger value, the memory of a single peak would
+// never be released.
 const maxFreeRequests = 1 << 12
 
 func (s *State) handleArrival(e RequestArrived) {
 	request := e.Request
 	at := s.now
-	if e.At > 0 { // it waited for this turn: its client's time, and what is told to the scheduler, is less by that
+	if e.At > 0 { // queued for this turn: the time in the queue counts against the client's timeout
 		at = min(at, e.At)
 	}
 	r := s.newRequestState()
@@ -53,7 +53,7 @@
 		deadline:  max(s.now, at+max(0, request.Timeout)),
 	}
 	s.requests[e.ID] = r
-	if s.shuttingDown { // nobody would be left to answer it
+	if s.shuttingDown { // the process may exit before an attempt would be answered
 		s.conclude(e.ID, Response{Verdict: Rejected})
 		return
 	}
@@ -73,7 +73,7 @@
 	})
 }
 
-// newRequestState returns one that is over, if there is one, for the caller to fill.
+// newRequestState returns a request state, if possible a reused one. The caller sets all fields.
 func (s *State) newRequestState() *requestState {
 	last := len(s.freeRequests) - 1
 	if last < 0 {
@@ -84,8 +84,8 @@
 	return r
 }
 
-// handleCancellation ends a request whose client has disconnected. Its attempt's connection may come up later: what
-// nobody waits for is not sent on.
+// handleCancellation ends a request whose client has disconnected. If the connection of its attempt is established
+// later, the request is not sent.
 func (s *State) handleCancellation(id uint64) {
 	r := s.requests[id]
 	if r == nil || r.answered {
@@ -100,7 +100,7 @@
 	s.forget(id, r)
 }
 
-// handleShutdown answers all that is still due, for the process ends.
+// handleShutdown answers all open requests, because the process is about to exit.
 func (s *State) handleShutdown() {
 	s.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// answerNow answers a request now: an attempt in flight is stopped, and what was never sent is rejected.
+// answerNow makes a request end now: an attempt in flight is stopped, and a request that was never sent is rejected.
 func (s *State) answerNow(id uint64) {
 	r := s.requests[id]
 	if r == nil {
@@ -121,14 +121,16 @@
 	s.handleDeadline(id, r)
 }
 
-// overrule gives a final answer in the scheduler's stead, which forgets the request.
+// overrule gives a final answer that the scheduler did not decide on, and notifies the scheduler, which drops the
+// request.
 func (s *State) overrule(id uint64, r *requestState, verdict Verdict) {
 	s.respond(id, r, Response{Verdict: verdict})
 	s.notifyScheduler(scheduler.ClientGone{ID: id})
 	s.forget(id, r)
 }
 
-// conclude gives the scheduler's own final answer.
+// conclude gives a final answer of which the scheduler need not be notified. It does nothing for a request that is
+// already answered.
 func (s *State) conclude(id uint64, response Response) {
 	if r := s.requests[id]; r != nil && !r.answered {
 		s.respond(id, r, response)
@@ -136,8 +138,8 @@
 	}
 }
 
-// respond gives the final answer. It guards the promise of one answer a request: every answer passes here, answered is
-// set nowhere else but for a client that has disconnected, and all callers check it first.
+// respond gives the final answer. It ensures that a request gets exactly one answer: no other function emits Respond,
+// only handleCancellation also sets answered, and all callers check answered first.
 func (s *State) respond(id uint64, r *requestState, response Response) {
 	r.answered = true
 	observation := s.requestObservation(r, verdictEnds[response.Verdict])
@@ -149,7 +151,7 @@
 	s.emit(Respond{ID: id, Response: response})
 }
 
-// handleStreamEnd records how a request with a Streaming value ended.
+// handleStreamEnd records the outcome of a request with a Streaming value.
 func (s *State) handleStreamEnd(e StreamEnded) {
 	observation, streams := s.streaming[e.ID]
 	if !streams {
@@ -162,7 +164,7 @@
 	s.record(observation)
 }
 
-// forget drops a request that is over.
+// forget drops a request once it is answered and has no attempt in flight.
 func (s *State) forget(id uint64, r *requestState) {
 	if !r.answered || r.inFlight {
 		return
@@ -171,29 +173,29 @@
 	s.timers.Cancel(r.attemptTimer)
 	s.timers.Cancel(r.idempotencyTimer)
 	delete(s.requests, id)
-	// The state may be used again at once: events name a request by its id, which does not come again, so that none of
-	// this request can meet the next one's.
+	// The state may be reused immediately. Events identify a request by its id, and ids are never reused, so no event
+	// of this request can affect the state's next request.
 	if len(s.freeRequests) < maxFreeRequests {
 		*r = requestState{}
 		s.freeRequests = append(s.freeRequests, r)
 	}
 }
 
-// discard releases what a value holds, such as a node's connection, when no client receives it.
+// discard releases the resources of a value that no client will receive, such as a node's connection.
 func (s *State) discard(value any) {
 	if value != nil {
 		s.emit(DiscardValue{Value: value})
 	}
 }
 
-// verdictEnds maps a verdict to telemetry's.
+// verdictEnds maps verdicts to telemetry's request outcomes.
 var verdictEnds = [...]telemetry.RequestOutcome{
 	Served:   telemetry.Served,
 	Rejected: telemetry.Rejected,
 	Failed:   telemetry.Failed,
 }
 
-// requestObservation is what telemetry is told of a request that ends now.
+// requestObservation returns the observation for telemetry of a request that ends now.
 func (s *State) requestObservation(r *requestState, end telemetry.RequestOutcome) telemetry.Observation {
 	firstSentAt := r.firstSentAt
 	if r.attempts == 0 || firstSentAt == 0 {
--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -6,39 +6,40 @@
 	"junctionwharf/scheduler"
 )
 
-// A node answers a request. Its client gets the one answer, and nothing is kept of the request.
+// A node serves a request. The client gets exactly one answer, and the request's state is dropped.
 func TestServedRequestIsAnsweredOnceAndForgotten(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
 	if len(h.starts) != 1 || h.starts[0].Attempt.Node != "n1" || h.starts[0].Attempt.Timeout != 750_000 {
-		t.Fatalf("%+v", h.starts)
+		t.Fatalf("attempts started: %+v, want one at n1 with a timeout of 750000 µs", h.starts)
 	}
 	h.now += 20_000
 	h.turn(AttemptEnded{1, 0, served("v")})
 	if response := h.response(1, Served); response.Value != "v" {
-		t.Errorf("%+v", response)
+		t.Errorf("response %+v, want the value \"v\"", response)
 	}
 	h.advance(2 * Second)
 	h.response(1, Served)
 	if len(h.state.requests) != 0 {
-		t.Error("the request is not forgotten")
+		t.Errorf("%d request states are kept, want 0", len(h.state.requests))
 	}
 }
 
-// No node can serve a request. It is answered before its client gives up, with advice when to come again.
+// A request that no node can serve is rejected before its deadline, with advice when to retry.
 func TestRejectedWithoutNode(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 7)})
 	h.advance(750_000)
 	if response := h.response(1, Rejected); response.RetryAfter <= 0 {
-		t.Errorf("%+v names no time to come again", response)
+		t.Errorf("response %+v, want RetryAfter above 0", response)
 	}
 	if len(h.starts) > 0 {
-		t.Error("it was sent")
+		t.Error("the request was sent to a node")
 	}
 }
 
-// A client leaves while its attempt is in flight. The node's answer goes to nobody, and nothing is kept or sent again.
+// A client disconnects while an attempt is in flight. The node's answer is discarded, the request's state is dropped,
+// and the request is not retried.
 func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
@@ -46,11 +47,12 @@
 	h.turn(AttemptEnded{1, 0, served("v")})
 	h.advance(Second)
 	if len(h.responses) > 0 || len(h.state.requests) > 0 || len(h.starts) != 1 {
-		t.Errorf("%+v, %d kept, %d sent", h.responses, len(h.state.requests), len(h.starts))
+		t.Errorf("responses %+v, %d requests kept, %d attempts, want none, 0 and 1",
+			h.responses, len(h.state.requests), len(h.starts))
 	}
 }
 
-// The deadline ends an attempt however far it came, and its late answer finds no one.
+// An attempt in flight is stopped at the deadline, at any progress. An answer that arrives later is discarded.
 func TestStoppedAtDeadline(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
@@ -58,22 +60,23 @@
 			h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
 			h.advance(1_200_000)
 			if len(h.stops) != 1 || h.now != clockStart+1_200_000 {
-				t.Fatalf("%d stops", len(h.stops))
+				t.Fatalf("%d attempts stopped at %d, want 1 at %d", len(h.stops), h.now, clockStart+1_200_000)
 			}
 			r := h.state.requests[1]
 			if r == nil || !r.stopped || r.stopReason != scheduler.TimedOut {
-				t.Fatalf("%+v", r)
+				t.Fatalf("request state %+v, want one that is stopped because of TimedOut", r)
 			}
 			h.turn(AttemptStopped{1, 0, progress})
 			h.response(1, Failed)
-			h.turn(AttemptEnded{1, 0, Result{Value: "late"}}) // was on its way
+			h.turn(AttemptEnded{1, 0, Result{Value: "late"}}) // was queued before the stop
 			h.response(1, Failed)
 		})
 	}
 }
 
-// The process ends. All that is owed is answered: a request that may have run and is not idempotent has failed, and
-// what was never sent, or is idempotent, may come again. So is what still comes on connections that stayed open.
+// All open requests are answered when the process shuts down. A request that may have run fails, unless it is
+// idempotent. Requests that are idempotent or were never sent are rejected, so that clients may retry them. Requests
+// that arrive later on open connections are rejected, too.
 func TestShutdownAnswersAll(t *testing.T) {
 	h := newHarness(t)
 	h.turn(
@@ -82,7 +85,7 @@
 		RequestArrived{ID: 3, Request: testRequest("read", 7)})
 	h.turn(ShuttingDown{})
 	if len(h.stops) != 2 {
-		t.Fatalf("%d attempts stopped", len(h.stops))
+		t.Fatalf("%d attempts stopped, want 2", len(h.stops))
 	}
 	h.turn(AttemptStopped{1, 0, FullyWritten}, AttemptStopped{2, 0, FullyWritten})
 	h.response(1, Failed)
@@ -92,13 +95,13 @@
 	h.response(4, Rejected)
 	h.advance(Second)
 	if len(h.state.requests) > 0 || len(h.starts) != 2 {
-		t.Errorf("%d kept, %d sent", len(h.state.requests), len(h.starts))
+		t.Errorf("%d requests kept and %d attempts started, want 0 and 2", len(h.state.requests), len(h.starts))
 	}
 }
 
-// A busy loop hears of a request late. It has that much less time: the attempt is told what is left, and the answer is
-// due as long after the request came as its client waits. One whose time was up by then is answered at once and
-// never sent.
+// A busy loop handles an arrival late. The client's timeout runs from the arrival: the attempt gets only the remaining
+// time, and the deadline is one timeout after the arrival. A request whose deadline has passed before the loop handles
+// it is answered immediately and never sent.
 func TestTimeRunsFromArrival(t *testing.T) {
 	h := newHarness(t)
 	request := testRequest("read", 0)
@@ -106,20 +109,20 @@
 	h.now += request.Timeout / 4
 	h.turn(RequestArrived{ID: 1, Request: request, At: arrivedAt})
 	if len(h.starts) != 1 || h.starts[0].Attempt.Timeout != request.Timeout*3/4 {
-		t.Fatalf("%+v", h.starts)
+		t.Fatalf("attempts started: %+v, want one with a timeout of %d µs", h.starts, request.Timeout*3/4)
 	}
 	if at, ok := h.state.Next(); !ok || at > arrivedAt+request.Timeout {
-		t.Errorf("looked at again at %v", at)
+		t.Errorf("next turn at %d, %v, want at most %d", at, ok, arrivedAt+request.Timeout)
 	}
 	h.turn(RequestArrived{ID: 2, Request: request, At: h.now - 2*request.Timeout})
 	h.now++
 	h.turn()
 	if len(h.starts) != 1 || len(h.responses[2]) != 1 {
-		t.Errorf("%d starts, %+v", len(h.starts), h.responses)
+		t.Errorf("%d attempts started and responses %+v, want 1 and one response to request 2", len(h.starts), h.responses)
 	}
 }
 
-// Demand for a shared volume is told to its aggregator; of four volumes this broker does not aggregate all.
+// The demand for a shared volume is reported to its aggregator. This broker does not aggregate all of the four volumes.
 func TestDemandIsGossiped(t *testing.T) {
 	h := newHarness(t)
 	for i := range uint64(40) {
@@ -135,5 +138,5 @@
 			return
 		}
 	}
-	t.Error("no peer was told")
+	t.Error("no demand was sent to peer 1")
 }
--- a/broker/state.go
+++ b/broker/state.go
@@ -9,32 +9,33 @@
 	"junctionwharf/timingwheel"
 )
 
-// State is all that the broker knows. It does no I/O and reads no clock. It is not safe for concurrent use: the loop
-// owns it.
+// State is the complete state of a broker's core. It does no I/O and reads no clock. It is not safe for concurrent
+// use: the loop owns it.
 type State struct {
 	scheduler *scheduler.Scheduler
-	now       Micros // of the Reduce under way
+	now       Micros // time of the current Reduce
 
 	requests     map[uint64]*requestState
-	freeRequests []*requestState                  // that are over, for requests to come
-	streaming    map[uint64]telemetry.Observation // requests whose Streaming value is on its way to the client
+	freeRequests []*requestState                  // finished request states for reuse
+	streaming    map[uint64]telemetry.Observation // by id: requests whose Streaming value is being delivered
 
 	nodes       map[string]*nodeState // by name
-	listUpdates uint64                // how many were applied
+	listUpdates uint64                // number of lists that were applied
 
 	timers timingwheel.Wheel[timer]
 
-	schedulerEvents      []scheduler.Event // for the next round of the scheduler
-	spareSchedulerEvents []scheduler.Event // memory for it
+	schedulerEvents      []scheduler.Event // for the scheduler's next round
+	spareSchedulerEvents []scheduler.Event // buffer that becomes schedulerEvents in the next round
 
 	effects      []Effect
 	observations []telemetry.Observation
 
 	shuttingDown  bool
-	schedulingLag Micros // how long work waits for a processor here, smoothed
+	schedulingLag Micros // smoothed time that runnable work waits for a processor in this process
 }
 
-// NewState returns the state of a broker that has no requests and knows no nodes.
+// NewState returns the state of a broker that has no requests and knows no nodes. It fails if the scheduler rejects
+// the settings.
 func NewState(settings scheduler.Settings, seed uint64) (*State, error) {
 	s, err := scheduler.New(settings, seed)
 	if err != nil {
@@ -48,13 +49,13 @@
 	}, nil
 }
 
-// maxSchedulerRounds bounds how often the scheduler may act on the results of its own actions within one turn. If it
-// were lower, attempts that could not be sent would be placed again a turn later; if it were unbounded, a fault in
-// the scheduler could hold up the loop for ever.
+// maxSchedulerRounds bounds how many times within one turn the scheduler may react to the results of its own actions.
+// With a smaller value, the scheduler would choose another node for an attempt that could not be sent only a turn
+// later. Without a bound, a fault in the scheduler could block the loop forever.
 const maxSchedulerRounds = 8
 
-// Reduce takes the events of one turn of the loop and returns what is to be done, in order. The slice is good until
-// the next Reduce.
+// Reduce applies the events of one turn of the loop and returns the effects to execute, in order. The slice is valid
+// until the next call of Reduce.
 func (s *State) Reduce(now Micros, events []Event) []Effect {
 	s.now = now
 	clear(s.effects)
@@ -71,7 +72,7 @@
 	return s.effects
 }
 
-// runScheduler hands the scheduler its events and applies its actions, which may cause further events.
+// runScheduler passes the pending events to the scheduler and applies its actions, which may cause further events.
 func (s *State) runScheduler() {
 	events := s.schedulerEvents
 	s.schedulerEvents = s.spareSchedulerEvents[:0]
@@ -83,10 +84,12 @@
 	s.spareSchedulerEvents = events[:0]
 }
 
-// Observations returns what the last Reduce tells telemetry, in order. The slice is good until the next Reduce.
+// Observations returns the last Reduce's observations for telemetry, in order. The slice is valid until the next call
+// of Reduce.
 func (s *State) Observations() []telemetry.Observation { return s.observations }
 
-// Next reports when Reduce wants to be called again at the latest.
+// Next returns the latest time at which Reduce must be called again. ok is false if no timer is set and no scheduler
+// event is pending.
 func (s *State) Next() (at Micros, ok bool) {
 	if len(s.schedulerEvents) > 0 {
 		return s.now, true
@@ -95,10 +98,10 @@
 	return Micros(next), ok
 }
 
-// Knows reports whether a request has arrived and is not over.
+// Knows reports whether a request has arrived and is still tracked.
 func (s *State) Knows(id uint64) bool { return s.requests[id] != nil }
 
-// OpenRequests reports how many requests still wait for their final answer.
+// OpenRequests returns the number of requests that have no final answer yet.
 func (s *State) OpenRequests() int {
 	open := 0
 	for _, r := range s.requests {
@@ -154,7 +157,7 @@
 	}
 }
 
-// apply carries out one action of the scheduler.
+// apply executes one action of the scheduler.
 func (s *State) apply(action scheduler.Action) {
 	switch a := action.(type) {
 	case scheduler.Forward:
@@ -177,10 +180,10 @@
 		s.emit(CloseIdle{Address: s.address(a.Node)})
 	case scheduler.Log:
 		s.emit(Log{Message: a.Message, Attributes: a.Attributes})
-	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // discovery is always watched
+	case scheduler.WatchEndpoints, scheduler.FetchEndpoints: // endpoint discovery runs at all times
 	default:
 		s.emit(Log{
-			Message:    "unknown action",
+			Message:    "scheduler returned an unknown action",
 			Attributes: []slog.Attr{slog.String("type", fmt.Sprintf("%T", action))},
 		})
 	}
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -5,31 +5,31 @@
 	"junctionwharf/timingwheel"
 )
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind int
 
 const (
-	schedulerTimer   timerKind = iota // the scheduler asked for it
-	attemptTimer                      // an attempt takes longer than the scheduler allowed it; no rule sets it
-	idempotencyTimer                  // from now on nodes would run a repeat a second time
-	deadlineTimer                     // the client's time is up
+	schedulerTimer   timerKind = iota // set by the scheduler
+	attemptTimer                      // the attempt's timeout, if the scheduler set one; currently no rule does
+	idempotencyTimer                  // end of the idempotency window: nodes would run a repeat a second time
+	deadlineTimer                     // the client's deadline
 )
 
 // timer is an entry of the loop's timing wheel.
 type timer struct {
 	kind    timerKind
-	id      uint64 // a request's id, or the token of a schedulerTimer
-	attempt int    // of attemptTimer and idempotencyTimer
+	id      uint64 // the request's id, or the token of a schedulerTimer
+	attempt int    // the attempt's number, for an attemptTimer or idempotencyTimer
 }
 
-// answerGrace is how long past a deadline the outcome of a stopped attempt may take to come before the request fails
-// without it: 5 ms. If it were lower, requests whose attempt never ran would fail instead of being rejected; if it were
-// higher, clients would wait past their deadline for longer.
+// answerGrace is how long after the deadline a request whose attempt was stopped stays open for the outcome of the
+// attempt and the scheduler's answer: 5 ms. After that the request fails. With a smaller value, requests whose attempt
+// never ran would fail instead of being rejected. With a larger value, clients would wait longer past their deadlines.
 const answerGrace Micros = 5000
 
 func (s *State) setTimer(at Micros, t timer) timingwheel.Handle { return s.timers.Set(int64(at), t) }
 
-// fireTimers takes all timers that are due.
+// fireTimers fires all timers that are due.
 func (s *State) fireTimers() {
 	for {
 		t, _, due := s.timers.Pop(int64(s.now))
@@ -63,7 +63,8 @@
 	}
 }
 
-// handleDeadline ends a request whose time is up: the attempt in flight is stopped, and its outcome decides the answer.
+// handleDeadline ends a request at its deadline. If an attempt is in flight, the attempt is stopped and its outcome
+// determines the answer.
 func (s *State) handleDeadline(id uint64, r *requestState) {
 	if r.inFlight {
 		s.stopAttempt(id, r, scheduler.TimedOut)
@@ -71,7 +72,8 @@
 		return
 	}
 	if !r.answered {
-		// Guards against a scheduler that holds a request past its deadline: the client would never be answered.
+		// A fault in the scheduler left the request open past its deadline. Without this answer, the client would never
+		// get one.
 		s.overrule(id, r, Failed)
 	}
 }
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -6,10 +6,10 @@
 	"junctionwharf/scheduler"
 )
 
-// Progress says how far an attempt had come when it broke.
+// Progress is how far the sending of an attempt had come when it ended.
 type Progress int
 
-// The steps of an attempt. Only one that was fully written may have run.
+// The stages of an attempt. Only an attempt that was fully written may have run.
 const (
 	NotConnected Progress = iota
 	PartiallyWritten
@@ -20,7 +20,7 @@
 	return [...]string{"not connected", "partly written", "written whole"}[p]
 }
 
-// AttemptError is the error of an attempt that got no answer.
+// AttemptError is the error of an attempt that was not answered.
 type AttemptError struct {
 	Progress Progress
 	Err      error
@@ -31,17 +31,17 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Err }
 
-// Reply is the kind of answer that a storage node gave.
+// Reply is the kind of a storage node's answer.
 type Reply int
 
 // The replies.
 const (
-	ReplyOK       Reply = iota // served
-	ReplyError                 // it may have run
-	ReplyRejected              // it never ran
+	ReplyOK       Reply = iota // the request was served
+	ReplyError                 // the request may have run
+	ReplyRejected              // the request did not run
 )
 
-// Result is how an attempt or a health check ended by itself. Err, if set, outweighs all else.
+// Result is the result of an attempt or a health check that was not stopped. If Err is set, Reply is ignored.
 type Result struct {
 	Err             *AttemptError
 	Reply           Reply
@@ -51,35 +51,35 @@
 	Load            scheduler.LoadReport
 }
 
-// Attempt is one sending of a request to one storage node.
+// Attempt is one attempt to have a storage node serve a request.
 type Attempt struct {
-	Node      string // its name in the list
+	Node      string // the node's name in the list
 	Address   string
 	Request   *Request
 	Timeout   Micros // how long the broker waits for the answer
-	OnWritten func() // the transport calls it once the attempt is fully written; it does not block
+	OnWritten func() // called by the transport once the attempt is fully written; it must not block
 }
 
-// Transport carries attempts over a wire. Its methods are called from the loop's goroutine and do not block; done may
-// be called from any goroutine, once at most. A transport never sends an attempt again by itself.
+// Transport sends attempts over a protocol. The loop's goroutine calls its methods, which must not block. done may be
+// called from any goroutine, at most once. A transport never repeats an attempt on its own.
 type Transport interface {
 	Start(a Attempt, done func(Result)) Handle
 	CheckHealth(address string, done func(Result))
 	CloseIdle(address string)
 }
 
-// Handle stands for an attempt in flight. Its methods are called from the loop's goroutine.
+// Handle controls an attempt in flight. The loop's goroutine calls its methods.
 type Handle interface {
-	// Stop ends the attempt before it returns and reports how far it came; done is not called after.
+	// Stop ends the attempt and returns its progress. done is not called afterwards.
 	Stop() Progress
-	// StopSending bars further sending. An attempt that was not fully written yet ends by it.
+	// StopSending prevents the attempt from sending more data. An attempt that is not fully written yet ends.
 	StopSending()
-	// CancelUnlessWritten ends the attempt unless it was fully written, for nobody waits for it any more: not even a
-	// message that is being written goes on. It does not block, and done is called.
+	// CancelUnlessWritten ends the attempt unless it was fully written. Even a message that is partly written is not
+	// completed. CancelUnlessWritten does not block, and done is called.
 	CancelUnlessWritten()
 }
 
-// outcome is what is reported to the scheduler; it follows from the result alone.
+// outcome returns the outcome that is reported to the scheduler. It depends on the result alone.
 func (r Result) outcome() scheduler.Outcome {
 	if r.Err == nil {
 		return replyOutcomes[r.Reply]
