--- a/admission/controller.go
+++ b/admission/controller.go
@@ -7,25 +7,25 @@
 	"junctionwharf/scheduler"
 )
 
-// Request is what admission control sees of one.
+// Request is the part of a request on which admission depends.
 type Request struct {
 	Class   string
 	Plan    string
 	Volume  string
 	Units   float64
-	Brokers int    // brokers through which the volume works
-	Wait    Micros // until its client gives up
+	Brokers int    // number of brokers that receive requests of the volume
+	Wait    Micros // time until the client gives up
 }
 
-// Reason tells why a request was rejected.
+// Reason is why a request was rejected.
 type Reason int
 
 // The reasons.
 const (
-	Admitted         Reason = iota // it was not
-	LowPriority                    // others came first
-	TooManyOpen                    // too many wait for their answers
-	DeadlineTooClose               // it could not be served before its client gives up
+	Admitted         Reason = iota // the request was admitted
+	LowPriority                    // the allowance was needed for requests of higher rank
+	TooManyOpen                    // too many requests are open
+	DeadlineTooClose               // the request could not be served before its client gives up
 )
 
 func (r Reason) String() string {
@@ -37,44 +37,44 @@
 	settings Settings
 
 	// From the settings of the deployment.
-	ranks         map[string]int // of a class, the highest priority weight first
+	ranks         map[string]int // of a class; the highest priority weight has rank 0
 	plans         map[string]scheduler.Plan
-	maxUnits      float64 // of a request
+	maxUnits      float64 // maximum units of a request
 	minObjective  Micros  // the shortest latency objective of a class
 	maxRetryAfter Micros  // 0 for no advice
 
 	// Reserved capacity.
 	volumes    map[string]*reservedCapacity
-	sweepOrder []string // volumes to be looked at for being forgotten
+	sweepOrder []string // order in which volumes are checked for being idle
 
-	// The window under way.
+	// The current window.
 	windowEnd  Micros
 	windowLag  Micros // mean of lagSamples
 	lagSamples int
-	arrived    []int // by rank
+	arrived    []int // requests by rank
 	admitted   int
 	tooMany    bool // requests were rejected for Settings.MaxOpenOverloaded
 
-	// Over windows.
+	// Values over several windows.
 	smoothedLag    Micros
-	offered        []float64 // by rank, a window
+	offered        []float64 // mean number of requests per window, by rank
 	meanAdmitted   float64
-	peakAdmitted   float64 // the most that came in lately in a window without overload
-	excess         float64 // offered for each one admitted
-	tooManyWindows int     // for which tooMany still counts
+	peakAdmitted   float64 // recent peak of the requests admitted in a window without overload
+	excess         float64 // mean number of requests offered per admitted request
+	tooManyWindows int     // remaining windows for which Shedding reports an earlier tooMany
 
-	// While it sheds load.
+	// Load shedding.
 	shedding       bool
-	allowance      float64 // requests a window
-	allowanceAtCut float64 // what it was when it was last cut
-	cutPause       int     // windows until it may be cut again
-	calm           int     // windows in which all would have come in
-	marginalRank   int     // the rank that is admitted in part
-	marginalPart   float64 // that part
-	marginalCredit float64 // what requests of that rank have earned towards the next admission
+	allowance      float64 // requests per window
+	allowanceAtCut float64 // allowance before the last cut
+	cutPause       int     // windows until the next cut is possible
+	calm           int     // successive windows with enough allowance for all requests
+	marginalRank   int     // the rank of which only a part is admitted
+	marginalPart   float64 // the admitted part of that rank, from 0 to 1
+	marginalCredit float64 // sum of marginalPart over requests of that rank; 1 admits one request
 }
 
-// New returns a controller that admits everybody.
+// New returns a controller that admits all requests.
 func New(settings Settings, deployment scheduler.Settings) *Controller {
 	c := &Controller{
 		settings: settings,
@@ -87,7 +87,7 @@
 	return c
 }
 
-// ApplySettings switches to other classes and plans. Classes that vanished count least from now on.
+// ApplySettings switches to other classes and plans. Classes that are no longer in the settings get the lowest rank.
 func (c *Controller) ApplySettings(deployment scheduler.Settings) {
 	lastRank := c.rankClasses(deployment.Classes)
 	c.plans = map[string]scheduler.Plan{}
@@ -99,16 +99,17 @@
 	if deployment.Capabilities.RetryAfter {
 		c.maxRetryAfter = deployment.Capabilities.MaxRetryAfter.Microseconds()
 	}
-	ranks := 2 * (lastRank + 2) // within reserved capacity, and beyond it; the last of each is of unknown classes
+	ranks := 2 * (lastRank + 2) // half within reserved capacity, half beyond; the last of each half: unknown classes
 	c.arrived = make([]int, ranks)
 	c.offered = make([]float64, ranks)
-	if c.shedding { // what is offered by rank is learnt anew
+	if c.shedding { // the offered requests by rank are not known yet
 		c.marginalRank = ranks - 1
 		c.marginalPart = 1
 	}
 }
 
-// rankClasses gives classes of one priority weight one rank, the highest weight rank 0, and returns the last rank.
+// rankClasses assigns one rank to all classes of one priority weight, from rank 0 for the highest weight. It returns
+// the last rank.
 func (c *Controller) rankClasses(all []scheduler.Class) int {
 	classes := slices.Clone(all)
 	slices.SortStableFunc(classes, func(a, b scheduler.Class) int {
@@ -129,7 +130,8 @@
 	return rank
 }
 
-// rank is a request's rank among all: 0 is admitted first.
+// rank returns a request's rank. Rank 0 is admitted first. If the request is within its volume's reserved capacity,
+// rank also deducts the request's units from that capacity.
 func (c *Controller) rank(now Micros, r *Request) int {
 	half := len(c.arrived) / 2
 	rank, known := c.ranks[r.Class]
@@ -142,12 +144,12 @@
 	return rank
 }
 
-// Admit reports whether a request is admitted while so many wait for their answers, else why not and when it may come
-// back (0: no advice).
+// Admit decides on a request while the given number of requests is open. It returns Admitted, or the reason for the
+// rejection and the time after which the client may retry (0: no advice).
 func (c *Controller) Admit(now Micros, open int, r *Request) (reason Reason, retryAfter Micros) {
 	c.advance(now)
 	rank := 0
-	if c.settings.TargetLag > 0 || c.settings.MaxOpen > 0 { // else no rank comes before another
+	if c.settings.TargetLag > 0 || c.settings.MaxOpen > 0 { // the other bounds do not depend on the rank
 		rank = c.rank(now, r)
 	}
 	c.arrived[rank]++
@@ -169,7 +171,8 @@
 	return reason, c.retryAfter()
 }
 
-// tooManyOpen is the bound Settings.MaxOpen, whose last part is for requests within reserved capacity.
+// tooManyOpen reports whether Settings.MaxOpen rejects a request. The last part of the bound is kept for requests
+// within reserved capacity.
 func (c *Controller) tooManyOpen(open int, reserved bool) bool {
 	if open >= c.settings.MaxOpen {
 		return true
@@ -177,7 +180,7 @@
 	return !reserved && float64(open) >= unreservedOpenShare*float64(c.settings.MaxOpen)
 }
 
-// admitsRank reports whether the allowance has a share for a request of a rank.
+// admitsRank reports whether the allowance admits another request of a rank.
 func (c *Controller) admitsRank(rank int) bool {
 	if rank != c.marginalRank {
 		return rank < c.marginalRank
@@ -190,26 +193,27 @@
 	return true
 }
 
-// retryAfter is when to come back: the later, the more are rejected for each one admitted.
+// retryAfter returns when a rejected client may retry. The time grows with the number of requests offered per admitted
+// request.
 func (c *Controller) retryAfter() Micros {
 	return min(c.maxRetryAfter, Micros(float64(c.minObjective)*max(1, c.excess)))
 }
 
-// RecordLag reports how long work has waited since the last call.
+// RecordLag records the scheduling lag since the last call.
 func (c *Controller) RecordLag(now, lag Micros) {
 	c.lagSamples++
 	c.windowLag += (lag - c.windowLag) / Micros(c.lagSamples)
 	c.advance(now)
 }
 
-// RecordOverload reports that requests were rejected for Settings.MaxOpenOverloaded before they came here.
+// RecordOverload records that requests were rejected because of Settings.MaxOpenOverloaded without a call of Admit.
 func (c *Controller) RecordOverload() { c.tooMany = true }
 
-// MaxOpenOverloaded is the bound of that name in the settings.
+// MaxOpenOverloaded returns Settings.MaxOpenOverloaded.
 func (c *Controller) MaxOpenOverloaded() int { return c.settings.MaxOpenOverloaded }
 
-// Overloaded reports whether the lag is above OverloadLag.
+// Overloaded reports whether the smoothed lag is above OverloadLag.
 func (c *Controller) Overloaded() bool { return c.smoothedLag > OverloadLag }
 
-// Shedding reports whether requests are rejected now for want of the broker's own processor.
+// Shedding reports whether requests are currently rejected because the broker's own processor is overloaded.
 func (c *Controller) Shedding() bool { return c.shedding || c.tooMany || c.tooManyWindows > 0 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -8,7 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// testSettings has two classes, of which "read" has the higher priority weight, and a plan with reserved capacity.
+// testSettings returns settings with two classes, of which "read" has the higher priority weight, a plan with reserved
+// capacity and a plan without.
 func testSettings() scheduler.Settings {
 	return scheduler.Settings{
 		MaxUnits:     8,
@@ -21,7 +22,7 @@
 	}
 }
 
-// admitMany asks for a thousand volumes, one request each.
+// admitMany sends one request each for 1,000 volumes.
 func admitMany(c *Controller, now Micros, prefix string) {
 	for i := range 1000 {
 		c.Admit(now, 0, readRequest("reserved", fmt.Sprint(prefix, i)))
@@ -32,7 +33,7 @@
 	return &Request{Class: "read", Plan: plan, Volume: volume, Units: 1, Wait: 1e6}
 }
 
-// simulatedBroker serves so many requests a second, in order, and its loop lags by its queue.
+// simulatedBroker serves rate requests per second in order. Its scheduling lag is the length of its queue.
 type simulatedBroker struct {
 	controller    *Controller
 	rate          float64
@@ -53,7 +54,7 @@
 	}
 }
 
-// offer has one request come after such a pause.
+// offer advances the clock by pause and offers a request.
 func (s *simulatedBroker) offer(pause Micros, r Request) {
 	s.queue = max(0, s.queue-s.rate*float64(pause)/1e6)
 	s.now += pause
@@ -71,8 +72,8 @@
 	s.maxRetryAfter = max(s.maxRetryAfter, retryAfter)
 }
 
-// run offers so many requests a second, of which a quarter is of the better class, and a tenth comes from four
-// volumes with reserved capacity of 100 units a second each.
+// run offers rate requests per second. A quarter of them has the class of higher priority. A tenth comes from four
+// volumes with a reserved capacity of 100 units per second each.
 func (s *simulatedBroker) run(seconds, rate int) {
 	clear(s.admitted)
 	clear(s.rejected)
@@ -91,45 +92,47 @@
 	}
 }
 
-// A broker is offered five times what it can do. The lag comes down to its target, the capacity is used, requests
-// within reserved capacity are admitted, then the better class, and the controller admits everybody again afterwards.
+// A broker is offered five times its capacity. The lag must fall to its target while the capacity is used. Requests
+// within reserved capacity are admitted first, then the class of higher priority. After the overload, the controller
+// admits all requests again.
 func TestOverload(t *testing.T) {
 	s := newSimulatedBroker(Settings{TargetLag: 5000}, 10_000)
 	s.run(1, 8000)
 	if len(s.rejected) > 0 || s.controller.Shedding() {
-		t.Fatalf("rejected below the capacity: %v", s.rejected)
+		t.Fatalf("requests rejected below the capacity: %v", s.rejected)
 	}
-	s.run(2, 50_000) // it settles
+	s.run(2, 50_000) // until the allowance is stable
 	s.run(4, 50_000)
 	sum := 0
 	for _, n := range s.admitted {
 		sum += n
 	}
 	if sum < 36_000 || sum > 42_000 {
-		t.Errorf("%d were admitted, of 40,000 that could be served", sum)
+		t.Errorf("%d requests admitted, want 36000 to 42000 at a capacity of 40000", sum)
 	}
 	if s.maxLag > 25_000 {
-		t.Errorf("a lag of %d us", s.maxLag)
+		t.Errorf("maximum lag %d µs, want at most 25000 µs", s.maxLag)
 	}
 	if reserved := s.admitted["bulk reserved"] + s.admitted["read reserved"]; reserved < 1600 {
-		t.Errorf("%d within reserved capacity of 1,600 were admitted", reserved)
+		t.Errorf("%d requests within reserved capacity admitted, want at least 1600", reserved)
 	}
 	if all := s.admitted["read spare"] + s.rejected["read spare"]; s.admitted["bulk spare"] > all/50 {
-		t.Errorf("%d of the lowest class were admitted, while of %d better ones %d were rejected",
-			s.admitted["bulk spare"], all, s.rejected["read spare"])
+		t.Errorf("%d requests of the lower class admitted, want at most %d: %d of %d of the higher class rejected",
+			s.admitted["bulk spare"], all/50, s.rejected["read spare"], all)
 	}
 	if s.maxRetryAfter <= 150_000 || s.maxRetryAfter > 1_000_000 {
-		t.Errorf("come back after %d us", s.maxRetryAfter)
+		t.Errorf("maximum retry-after %d µs, want above 150000 and at most 1000000 µs", s.maxRetryAfter)
 	}
 	s.run(3, 8000)
 	clear(s.rejected)
 	s.run(1, 8000)
 	if len(s.rejected) > 0 || s.controller.Shedding() {
-		t.Errorf("the controller does not open again: %v", s.rejected)
+		t.Errorf("still shedding load after the overload: %v, rejected %v", s.controller.Shedding(), s.rejected)
 	}
 }
 
-// The bound on open requests holds, its last tenth for requests within reserved capacity.
+// At the bound on open requests, all requests are rejected. Above nine tenths of the bound, only requests within
+// reserved capacity are admitted.
 func TestTooManyOpen(t *testing.T) {
 	c := New(Settings{MaxOpen: 100}, testSettings())
 	spare := readRequest("spare", "a")
@@ -147,13 +150,14 @@
 	} {
 		reason, retryAfter := c.Admit(1000, step.open, step.request)
 		if reason != step.want || (retryAfter == 0) != (reason == Admitted) {
-			t.Errorf("%d open, %s: %v, after %d", step.open, step.request.Plan, reason, retryAfter)
+			t.Errorf("%d open, plan %s: %v, want %v; retry after %d µs",
+				step.open, step.request.Plan, reason, step.want, retryAfter)
 		}
 	}
 }
 
-// Requests cross several queues of a broker that lags by 50 ms. What cannot be served before its client gives up is
-// rejected, and only that.
+// A request passes several queues of a broker with a lag of 50 ms. Exactly the requests that cannot be served before
+// their clients give up are rejected.
 func TestDeadlineTooClose(t *testing.T) {
 	c := New(Settings{TargetLag: 100_000}, testSettings())
 	for now := Micros(1); now < 1_000_000; now += 1000 {
@@ -163,28 +167,29 @@
 		request := readRequest("spare", "a")
 		request.Wait = wait
 		if reason, _ := c.Admit(1_000_000, 0, request); reason != want {
-			t.Errorf("a wait of %d us: %v", wait, reason)
+			t.Errorf("wait of %d µs: %v, want %v", wait, reason, want)
 		}
 	}
 }
 
-// A client invents volume names. Volumes are bounded: the newest have no reserved capacity until others have been idle.
+// A client invents volume names. The number of tracked volumes is bounded. New volumes get no reserved capacity until
+// other volumes have been idle.
 func TestVolumesAreBounded(t *testing.T) {
 	c := New(Settings{TargetLag: 1000, MaxVolumes: 100}, testSettings())
 	now := Micros(1)
 	admitMany(c, now, "")
 	if len(c.volumes) != 100 || len(c.sweepOrder) != 100 {
-		t.Fatalf("%d volumes, %d to sweep", len(c.volumes), len(c.sweepOrder))
+		t.Fatalf("%d volumes tracked and %d in the sweep order, want 100 each", len(c.volumes), len(c.sweepOrder))
 	}
 	now += reserveIdleTime
 	admitMany(c, now, "new")
 	if c.volumes["new99"] == nil || len(c.volumes) != 100 {
-		t.Errorf("idle volumes are kept: %d", len(c.volumes))
+		t.Errorf("%d volumes tracked, new99 among them: %v, want 100, true", len(c.volumes), c.volumes["new99"] != nil)
 	}
 }
 
-// While load is shed, classes and plans vanish from the settings, and the clock stands still for a second. The
-// controller ends one window for that, goes on, and opens once the lag is over.
+// While load is shed, classes and plans vanish from the settings, and no call is made for a second. The controller ends
+// only one window for that second, continues to work, and stops shedding load once there is no lag.
 func TestSettingsChangeWhileShedding(t *testing.T) {
 	c := New(Settings{TargetLag: 1000, MaxVolumes: 100}, testSettings())
 	now := Micros(1)
@@ -196,14 +201,14 @@
 		c.RecordLag(now, 5000)
 	}
 	if !c.Shedding() {
-		t.Fatal("no load is shed")
+		t.Fatal("no load shed at a lag of 5 ms with a target of 1 ms")
 	}
 	changed := testSettings()
 	changed.Classes = changed.Classes[:1]
 	changed.Plans = changed.Plans[:1]
 	c.ApplySettings(changed)
 	now += 1_000_000
-	for _, class := range []string{"bulk", "read", "unheard"} {
+	for _, class := range []string{"bulk", "read", "unknown"} {
 		request := readRequest("spare", "x")
 		request.Class = class
 		c.Admit(now, 0, request)
@@ -213,12 +218,12 @@
 		c.RecordLag(now, 0)
 	}
 	if c.Shedding() {
-		t.Error("load is shed for good")
+		t.Error("load still shed after 400 windows without lag")
 	}
 }
 
-// Many requests are open. They are rejected beyond MaxOpenOverloaded only while the broker itself is the bottleneck:
-// queued for slow nodes they may wait.
+// Many requests are open. Requests beyond MaxOpenOverloaded are rejected only while the broker itself is the
+// bottleneck. Requests that are queued for slow nodes may stay open.
 func TestTooManyOpenWhileOverloaded(t *testing.T) {
 	c := New(Settings{MaxOpenOverloaded: 10}, scheduler.Settings{})
 	admit := func(now Micros, open int) Reason {
@@ -230,7 +235,7 @@
 		now += DefaultWindow
 		c.RecordLag(now, OverloadLag/4)
 		if reason := admit(now, 1000); reason != Admitted {
-			t.Fatalf("rejected without lag: %v", reason)
+			t.Fatalf("rejected at a lag below OverloadLag: %v", reason)
 		}
 	}
 	for range 50 {
@@ -238,14 +243,14 @@
 		c.RecordLag(now, 4*OverloadLag)
 	}
 	if admit(now, 9) != Admitted || admit(now, 10) != TooManyOpen || !c.Shedding() {
-		t.Error("too many wait for the processor and more are admitted")
+		t.Error("overloaded: want 9 open requests admitted, 10 open requests rejected, and shedding reported")
 	}
 	for range 2 * calmWindows {
 		now += DefaultWindow
 		c.RecordLag(now, 0)
 	}
 	if admit(now, 1000) != Admitted || c.Shedding() {
-		t.Error("the overload is over and the controller stays shut")
+		t.Error("requests rejected or shedding reported after the end of the overload")
 	}
 }
 
--- a/admission/reserve.go
+++ b/admission/reserve.go
@@ -1,12 +1,13 @@
 package admission
 
-// reservedCapacity follows what a volume has left of its reserved capacity: a token bucket.
+// reservedCapacity is the token bucket of a volume's reserved capacity.
 type reservedCapacity struct {
 	units     float64
 	updatedAt Micros
 }
 
-// takeReserved reports whether a request is within its volume's reserved capacity, and takes it from there.
+// takeReserved reports whether a request is within its volume's reserved capacity, and deducts the request's units if
+// so.
 func (c *Controller) takeReserved(now Micros, r *Request) bool {
 	rate := c.plans[r.Plan].ReservedRate / float64(max(1, r.Brokers))
 	if rate <= 0 {
@@ -16,7 +17,7 @@
 	v := c.volumes[r.Volume]
 	if v == nil {
 		if len(c.volumes) >= c.settings.MaxVolumes && !c.forgetIdleVolume(now) {
-			return false // more volumes than are followed: those that came first keep their reserved capacity
+			return false // too many volumes: volumes that are tracked already keep their reserved capacity
 		}
 		v = &reservedCapacity{units: capacity, updatedAt: now}
 		c.volumes[r.Volume] = v
@@ -31,7 +32,8 @@
 	return true
 }
 
-// forgetIdleVolume drops a volume that has been idle for long, if it finds one among the next few.
+// forgetIdleVolume checks the next few volumes of the sweep order. If one has been idle for reserveIdleTime,
+// forgetIdleVolume drops it and returns true.
 func (c *Controller) forgetIdleVolume(now Micros) bool {
 	for range min(sweepBatch, len(c.sweepOrder)) {
 		name := c.sweepOrder[0]
--- a/admission/window.go
+++ b/admission/window.go
@@ -1,7 +1,8 @@
 package admission
 
-// advance ends the window when it is over. It guards against a clock that stood still, as in a suspended machine: one
-// window ends, however late, so that the allowance is not cut for each window that nobody saw.
+// advance ends the current window once now is past the end of the window. If the clock has jumped over several windows,
+// as after a machine was suspended, only one window ends. Otherwise the allowance would be cut for windows without
+// measurements.
 func (c *Controller) advance(now Micros) {
 	if now < c.windowEnd {
 		return
@@ -43,7 +44,7 @@
 	}
 }
 
-// foldArrivals takes the window's arrivals into what is offered by rank, and returns their number.
+// foldArrivals adds the window's arrivals to the means of offered requests by rank, and returns the number of arrivals.
 func (c *Controller) foldArrivals() int {
 	total := 0
 	for rank, n := range c.arrived {
@@ -58,7 +59,7 @@
 	if c.lagSamples > 0 {
 		c.smoothedLag += (c.windowLag - c.smoothedLag) / lagSmoothingDivisor
 	} else if arrived == 0 {
-		c.smoothedLag /= idleLagDivisor // nothing came, nothing waited
+		c.smoothedLag /= idleLagDivisor // no work arrived, so none waited
 	}
 }
 
@@ -70,7 +71,8 @@
 	c.tooMany = false
 }
 
-// cutAllowance begins to shed load, or sheds more, unless the last cut is too recent to show.
+// cutAllowance starts load shedding or reduces the allowance further. It does nothing if the last cut is too recent to
+// have had an effect.
 func (c *Controller) cutAllowance() {
 	base := c.allowance
 	if !c.shedding {
@@ -86,11 +88,11 @@
 	c.allowance = max(c.floor(), cutFactor*base)
 }
 
-// floor is the least allowance.
+// floor returns the minimum allowance.
 func (c *Controller) floor() float64 { return max(minAllowance, minPeakShare*c.peakAdmitted) }
 
-// growAllowance raises the allowance: fast up to near where it was cut, fast as well while the lag is far below its
-// target, and slowly else.
+// growAllowance raises the allowance. It grows fast until it is near its value before the last cut, fast as well while
+// the lag is far below its target, and slowly otherwise.
 func (c *Controller) growAllowance(lag Micros) {
 	light := float64(lag) < lightLoadLag*float64(c.settings.TargetLag)
 	switch {
@@ -103,8 +105,8 @@
 	}
 }
 
-// divideAllowance finds the rank up to which all are admitted, by what was offered lately, and the part of the next.
-// It ends the shedding of load when there was enough for all for long.
+// divideAllowance determines, from the recently offered requests, the ranks that are fully admitted and the part of the
+// next rank that is admitted. It ends load shedding after calmWindows windows with enough allowance for all ranks.
 func (c *Controller) divideAllowance() {
 	left := c.allowance
 	for rank, n := range c.offered {
