--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,53 +1,60 @@
-// Package quota keeps one process's quota of a rate limit that many processes share: a token bucket that is
-// refilled at the process's share of the limit's rate, up to its share of the limit's burst.
+// Package quota implements one process's quota of a rate limit that several processes share. A quota is a token bucket
+// that is refilled at the process's share of the limit's rate, up to the process's share of the limit's burst.
 //
-// The rule. Each process has a share of the rate and of the burst; the shares of all that may run at a time
-// add up to one at the most. A quota starts empty, since whoever had that share before may have spent it just
-// now. An overdraft that the limit's store allows counts as a part of the burst. Units that were taken and
-// have not arrived at a storage node count against the burst: the store may still be full, and gains nothing
-// meanwhile.
+// # Rule
 //
-// What it promises needs no message, nor that any process knows of another: over any window all processes
-// together take no more than the burst and what the rate gives, whoever dies, starts, stalls or is cut off,
-// and however late what was taken arrives. For each quota, its tokens and what is in transit stay within its
-// share of the store: they grow only as the store does, and fall when units arrive, as the store does. What a
-// process that is killed has in transit arrives then or never: its connections end with it.
+// Each process has a share of the rate and of the burst. The shares of all processes that may run at the same time add
+// up to at most one. A quota starts empty, because a previous process with the same share may have just spent it. An
+// overdraft that the limit's store allows counts as part of the burst. Units that were taken and have not arrived at a
+// storage node are deducted from the burst: until then the store may be full and gain no tokens.
 //
-// What it costs: memory for each request in transit. The quota of a process that does not use it is lost to
-// the others, and so is that of a process that might run and does not.
+// The processes need neither messages nor knowledge of each other. In any window, all processes together take at most
+// the burst plus the refill at the limit's rate. This holds if processes die, start, stall or are cut off, and for any
+// delay until units arrive. For each quota, the sum of its tokens and its units in transit stays within its share of
+// the store's level: both grow only when the store grows, and fall when units arrive. The units that a killed process
+// has in transit arrive immediately or never, because the connections of the process end with it.
 //
-// State and its owner. A Quota belongs to one volume of the scheduler and is lost at a restart. It does no
-// I/O, reads no clock and is not safe for concurrent use. Units are the size of requests, rates are in units
-// a second.
+// A quota needs memory for each request in transit. Other processes cannot use the quota of a process that is idle or
+// is not running.
+//
+// # State and owner
+//
+// A Quota belongs to one volume of the scheduler and is lost at a restart. It does no I/O, reads no clock and is not
+// safe for concurrent use.
+//
+// # Units
+//
+// Units are the size of requests. Rates are in units per second.
 package quota
 
 import "time"
 
-// Time is a point on the caller's clock: an alias, so that time.Duration and scheduler.Time pass.
+// Time is a time on the caller's clock. It is an alias, so that a time.Duration or scheduler.Time can be used without
+// conversion.
 type Time = time.Duration
 
 // Limit is the rate limit that all processes share.
 type Limit struct {
-	Rate  float64 // units a second; 0 for no limit
-	Burst float64 // units that the store holds, with those of its overdraft
+	Rate  float64 // units per second; 0 for no limit
+	Burst float64 // size of the store in units, including its overdraft
 }
 
-// Quota is one process's quota of a Limit. The zero value is an empty quota since time 0, without a limit.
+// Quota is one process's quota of a Limit. The zero value is a quota without a limit that is empty at time 0.
 type Quota struct {
 	limit      Limit
-	share      float64 // of the limit, from 0 to 1
+	share      float64 // part of the limit, from 0 to 1
 	tokens     float64 // units that may be taken
 	refilledAt Time
 
 	inTransit float64            // units that were taken and have not arrived
-	requests  map[uint64]float64 // of them, by request; nil for none
+	requests  map[uint64]float64 // units in transit by request; may be nil
 }
 
-// New returns a quota that is empty now.
+// New returns a quota that is empty at the time now.
 func New(now Time) Quota { return Quota{refilledAt: now} }
 
-// Refill brings a quota up to now by the limit and share of the last call, and goes over to those given: a
-// limit or a share that rises gives nothing for the time before.
+// Refill adds the tokens for the time since the last call, at that call's limit and share, and then switches to the
+// given limit and share. A larger limit or share thus has no effect on the time before the call.
 func (q *Quota) Refill(now Time, limit Limit, share float64) {
 	q.tokens += q.limit.Rate * q.share * (now - q.refilledAt).Seconds()
 	q.tokens = min(q.tokens, q.limit.Burst*q.share-q.inTransit, limit.Burst*share-q.inTransit)
@@ -56,12 +63,12 @@
 	q.refilledAt = now
 }
 
-// Allows tells whether so many units may be taken now.
+// Allows reports whether the given number of units may be taken now.
 func (q *Quota) Allows(units float64) bool {
 	return q.limit.Rate <= 0 || q.tokens >= units
 }
 
-// Take takes a request's units, which are in transit from now on. Without a limit nothing is noted.
+// Take takes the units of a request, which are then in transit. Without a limit, Take does nothing.
 func (q *Quota) Take(request uint64, units float64) {
 	if q.limit.Rate <= 0 {
 		return
@@ -74,17 +81,17 @@
 	q.inTransit += units
 }
 
-// Settle notes that what a request took has arrived, or never will, and returns it. Each request that took
-// something is settled once; further calls do nothing.
+// Settle records that the units of a request have arrived, or never will, and returns the units. Each request that took
+// units must be settled once. Further calls do nothing.
 func (q *Quota) Settle(request uint64) (units float64) {
 	units = q.requests[request]
 	delete(q.requests, request)
 	q.inTransit -= units
 	if len(q.requests) == 0 {
-		q.inTransit = 0 // drops what rounding left
+		q.inTransit = 0 // remove rounding errors
 	}
 	return units
 }
 
-// Refund gives back what a request took and never used.
+// Refund returns the units of a request that were taken and never used.
 func (q *Quota) Refund(request uint64) { q.tokens += q.Settle(request) }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// step is the time between two steps of a play.
+// step is the time between two steps of a simulation.
 const step = 10 * time.Millisecond
 
-// rounding is by how many units sums may be off.
+// rounding is the tolerated rounding error of sums, in units.
 const rounding = 1e-6
 
-// store is the one store that the rule is about: it starts full, and units are taken from it as they arrive.
+// store is the shared store that the limit describes. It starts full, and units are deducted when they arrive.
 type store struct {
 	limit    Limit
 	level    float64
 	lowest   float64
-	arriving map[Time]float64 // units, by when they arrive
+	arriving map[Time]float64 // units by time of arrival
 }
 
 func newStore(limit Limit) *store {
@@ -34,10 +34,10 @@
 	s.lowest = min(s.lowest, s.level)
 }
 
-// process takes as much as its quota allows.
+// process takes all units that its quota allows.
 type process struct {
 	quota    Quota
-	arrivals map[uint64]Time // when what a request took arrives
+	arrivals map[uint64]Time // by request: time at which its units arrive
 }
 
 func newProcess(now Time) *process { return &process{New(now), map[uint64]Time{}} }
@@ -52,17 +52,18 @@
 	}
 }
 
-// brokerStep is what happens to a broker in one step of a play.
+// brokerStep describes the actions of a broker in one step of a simulation.
 type brokerStep struct {
-	start bool          // another process starts beside it
-	kill  bool          // its oldest process is killed
-	delay time.Duration // after which units that it takes now arrive
-	units float64       // of each request
+	start bool          // start a second process
+	kill  bool          // kill the oldest process
+	delay time.Duration // time until the units taken in this step arrive
+	units float64       // units of each request
 }
 
-// simulate has brokers take all that they may for some steps. Each has a process, beside which another may start
-// and of which either may be killed with units in transit. next draws what happens to a broker; limits are in
-// force one after the other.
+// simulate runs the given number of steps, in which brokers take all units that their quotas allow. Each broker has one
+// or two processes, which may be killed with units in transit. next returns the actions of a broker in a step. Each of
+// the limits applies for an equal part of the steps. simulate returns the lowest level of the store and the units
+// taken.
 func simulate(steps, brokers int, limits []Limit, next func() brokerStep) (lowest, taken float64) {
 	s := newStore(limits[0])
 	now, id := Time(0), uint64(0)
@@ -101,11 +102,11 @@
 	return s.lowest, taken
 }
 
-// dropInTransit has what a killed process has in transit arrive in the next step, or never.
+// dropInTransit makes the units in transit of a killed process arrive in the next step or, if arrives is false, never.
 func (s *store) dropInTransit(now Time, p *process, arrives bool) {
 	for id, at := range p.arrivals {
 		if at <= now {
-			continue // it has arrived, in this step
+			continue // these units have arrived in this step
 		}
 		units := p.quota.requests[id]
 		s.arriving[at] -= units
@@ -115,8 +116,8 @@
 	}
 }
 
-// Processes start beside others, are killed with requests in transit, or see their requests arrive late,
-// while all send as much as they may. The sum over all of them must keep to the limit at each moment.
+// Processes start while others run, are killed with requests in transit, or have requests that arrive late, while all
+// processes send as much as they may. All processes together must stay within the limit at all times.
 func TestSumKeepsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := Limit{
@@ -124,7 +125,8 @@
 			Burst: rapid.Float64Range(1, 90).Draw(t, "burst"),
 		}
 		limits := []Limit{first}
-		// New settings raise the limit: a lower one would find the store emptied by what was right before.
+		// The settings change only to a larger limit, because units taken under a larger limit may empty a smaller
+		// store.
 		if rapid.Bool().Draw(t, "settings change") {
 			limits = append(limits, Limit{Rate: 2 * first.Rate, Burst: 2 * first.Burst})
 		}
@@ -143,13 +145,13 @@
 			}
 		})
 		if lowest < -rounding {
-			t.Fatalf("the store fell to %v", lowest)
+			t.Fatalf("lowest store level %v, want at least 0", lowest)
 		}
 	})
 }
 
-// A process dies right after it has spent its quota, again and again, and its successor starts at once. The
-// store has nothing for the successor yet, so its quota starts empty.
+// A process repeatedly dies right after it has spent its quota, and its successor starts immediately. The store has no
+// tokens for the successor yet, so the successor's quota must start empty.
 func TestSuccessorsStartEmpty(t *testing.T) {
 	for _, brokers := range []int{1, 2, 5} {
 		t.Run(fmt.Sprint("brokers=", brokers), func(t *testing.T) {
@@ -160,14 +162,15 @@
 				return brokerStep{start: step > 200, kill: step > 200 && step%40 == 0, units: 1}
 			})
 			if lowest < -rounding || taken < 36.0/2*15/2 {
-				t.Errorf("the store fell to %v with %v units taken", lowest, taken)
+				t.Errorf("lowest store level %v, want at least 0; %v units taken, want at least %v",
+					lowest, taken, 36.0/2*15/2)
 			}
 		})
 	}
 }
 
-// The check of these plays can fail: where each of two processes takes the whole of its broker's share, the
-// store falls far below empty.
+// Shows that the simulations can fail. If each of two processes takes the whole share of the broker, the store's level
+// falls far below 0.
 func TestCheckDetectsSharesAboveOne(t *testing.T) {
 	limit := Limit{Rate: 36, Burst: 56}
 	s := newStore(limit)
@@ -184,17 +187,17 @@
 		}
 	}
 	if s.lowest > -8 {
-		t.Errorf("the store fell to %v only", s.lowest)
+		t.Errorf("lowest store level %v, want at most -8", s.lowest)
 	}
 }
 
-// What a process may take at a steady rate is its share, also while what it took needs a while to arrive.
+// A process can take units at its share of the rate, even if the units take time to arrive.
 func TestQuotaIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		brokers  int
 		delay    time.Duration
 		units    float64
-		minShare float64 // of the quota that must be used
+		minShare float64 // minimum part of the quota that must be used
 	}{
 		{1, 0, 1, 0.95},
 		{1, 500 * time.Millisecond, 1, 0.95},
@@ -207,26 +210,26 @@
 			steady := brokerStep{delay: c.delay, units: c.units}
 			_, taken := simulate(3000, c.brokers, []Limit{limit}, func() brokerStep { return steady })
 			if want := limit.Rate / 2 * 30 * c.minShare; taken < want {
-				t.Errorf("%v units in 30 s, want %v", taken, want)
+				t.Errorf("%v units taken in 30 s, want at least %v", taken, want)
 			}
 		})
 	}
 }
 
-// A share or a rate that rises gives nothing for the time before; one that falls counts at once.
+// A larger share or rate has no effect on the time before the change. A smaller share takes effect immediately.
 func TestRefillUsesPreviousLimit(t *testing.T) {
 	q := New(0)
 	low, high := Limit{Rate: 10, Burst: 100}, Limit{Rate: 1000, Burst: 100}
 	q.Refill(0, low, 0.5)
 	q.Refill(time.Second, high, 1)
 	if math.Abs(q.tokens-5) > 1e-9 {
-		t.Errorf("%v tokens after a second at 5 a second", q.tokens)
+		t.Errorf("%v tokens after 1 s at 5 units per second, want 5", q.tokens)
 	}
 	q.Refill(2*time.Second, high, 0.25)
 	if q.tokens != 25 {
-		t.Errorf("%v tokens in a quarter of 100", q.tokens)
+		t.Errorf("%v tokens at a quarter of a burst of 100, want 25", q.tokens)
 	}
-	// what is refunded counts as never taken, and once only
+	// Refunded units count as never taken, and are returned only once.
 	q.Take(1, 20)
 	q.Take(2, 5)
 	q.Refund(1)
@@ -237,12 +240,12 @@
 	}
 }
 
-// A volume without a rate limit is held to none, and costs no memory for its requests.
+// A volume without a rate limit is not limited, and its requests take no memory.
 func TestNoLimit(t *testing.T) {
 	q := New(0)
 	q.Refill(time.Second, Limit{}, 1)
 	q.Take(1, 1e9)
 	if !q.Allows(1e9) || q.requests != nil {
-		t.Error("a volume without a limit is held to one")
+		t.Errorf("without a limit: 1e9 units allowed %v, requests %v, want true and nil", q.Allows(1e9), q.requests)
 	}
 }
--- a/timingwheel/timingwheel.go
+++ b/timingwheel/timingwheel.go
@@ -1,14 +1,14 @@
-// Package timingwheel is a hierarchical timing wheel (Varghese and Lauck, 1987).
+// Package timingwheel implements a hierarchical timing wheel (Varghese and Lauck, 1987).
 //
-// Rule: timers come out in the order of their times, and those of one time in the order in which they were set. To
-// set or to cancel one takes constant time.
+// Rule: timers expire in the order of their times, and timers with the same time expire in the order in which they were
+// set. Setting and canceling a timer takes constant time.
 //
-// State: a Wheel keeps its timers in one slice, so that nothing is allocated for a timer once the wheel has grown to
-// the number that wait at once. They are lost with the process.
+// State: a Wheel stores its timers in one slice, so that setting a timer allocates no memory once the slice has reached
+// the maximum number of timers set at the same time. Timers are lost when the process ends.
 //
-// Owner: a Wheel reads no clock and is not safe for concurrent use; broker.State owns the one that is in use.
+// Owner: a Wheel reads no clock and is not safe for concurrent use. broker.State owns the broker's Wheel.
 //
-// Units: times are whole microseconds, from any fixed start.
+// Units: times are whole microseconds since any fixed start.
 package timingwheel
 
 import (
@@ -17,64 +17,63 @@
 	"slices"
 )
 
-// The geometry. Each level has 64 slots. A slot of the lowest level is 256 µs wide, one of each level above 64 times
-// as wide as one below. Five levels reach 76 hours; what is later waits in the last slot of the highest and is
-// inserted there again.
+// The geometry of the wheel. Each level has 64 slots. A slot of the lowest level is 256 µs wide. A slot of a higher
+// level is 64 times as wide as a slot of the level below. Five levels cover 76 hours. Later timers are put into the
+// last slot of the highest level and are inserted again when that slot is opened.
 const (
-	// slotBits makes a level's slots as many as the bits of a uint64, so that the next one in use is found by one
-	// instruction.
+	// slotBits gives a level as many slots as a uint64 has bits, so that one instruction finds the next occupied slot.
 	slotBits = 6
 	slots    = 1 << slotBits
-	// levels makes the wheel reach 76 hours. If it were lower, timers beyond the reach would be inserted again and
-	// again; if it were higher, each search for the next slot would cost more.
+	// levels makes the wheel cover 76 hours. With fewer levels, later timers would be inserted repeatedly. With more
+	// levels, each search for the next slot would cost more.
 	levels = 5
-	// baseShift makes the lowest slots 256 µs wide. If it were lower, the same times would need a further level; if
-	// it were higher, more timers would have to be sorted when their slot comes up.
+	// baseShift makes the lowest slots 256 µs wide. With a smaller value, the same range would need another level. With
+	// a larger value, more timers would have to be sorted when a slot is opened.
 	baseShift = 8
-	lastShift = baseShift + (levels-1)*slotBits // of the highest level
+	lastShift = baseShift + (levels-1)*slotBits // the shift of the highest level
 )
 
-// Handle names a timer. The zero Handle names none. A handle whose timer came out or was cancelled names none either,
-// however often its entry was used again.
+// Handle identifies a timer. The zero Handle identifies no timer. Neither does the handle of a timer that has expired
+// or was canceled, even if its entry is reused.
 type Handle struct {
 	ref        int32
 	generation uint32
 }
 
-// Wheel holds timers with a value of type T. The zero Wheel is empty.
+// Wheel stores timers with a value of type T. The zero Wheel is empty.
 //
-// A ref is the index of an entry plus 1, so that 0 is none.
+// A ref is the index of an entry plus 1. The ref 0 stands for no entry.
 type Wheel[T any] struct {
 	entries  []entry[T]
-	freeRef  int32                // the first free entry, chained by next
+	freeRef  int32                // first free entry; next links the free entries
 	heads    [levels][slots]int32 // refs of the first entry of each slot
-	occupied [levels]uint64       // a bit for each slot that holds timers
-	reached  int64                // timers before the end of the base slot of this time stand in due
-	due      []int32              // indexes; the last comes out first; those that were cancelled are nowhere
+	occupied [levels]uint64       // one bit for each slot that contains timers
+	reached  int64                // timers before the end of this time's lowest-level slot are in due
+	due      []int32              // indexes in reverse order of expiry; canceled entries have the level nowhere
 	count    int
-	sequence uint64 // of the last timer that was set
+	sequence uint64 // sequence number of the last timer that was set
 }
 
 type entry[T any] struct {
 	at         int64
 	sequence   uint64
 	value      T
-	next       int32 // ref, in its slot's list or in the free list
-	prev       int32 // ref, in its slot's list
+	next       int32 // ref in the slot's list or in the free list
+	prev       int32 // ref in the slot's list
 	generation uint32
-	level      int8 // where it stands: a level, inDue or nowhere
+	level      int8 // level that contains the entry, inDue or nowhere
 	slot       int8
 }
 
 const (
-	nowhere int8 = -1 // free, or cancelled and still in due
+	nowhere int8 = -1 // free, or canceled and still in due
 	inDue   int8 = -2
 )
 
-// Len reports how many timers wait.
+// Len returns the number of timers that have neither expired nor been canceled.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Set adds a timer. One for a time that has passed comes out next.
+// Set adds a timer. The time may be in the past. Then the next Pop treats the timer as due.
 func (w *Wheel[T]) Set(at int64, value T) Handle {
 	index := w.freeRef - 1
 	if index >= 0 {
@@ -93,7 +92,7 @@
 	return Handle{index + 1, e.generation}
 }
 
-// Cancel takes a timer out and reports whether it still waited.
+// Cancel removes a timer. It reports whether the timer had neither expired nor been canceled before.
 func (w *Wheel[T]) Cancel(h Handle) bool {
 	index := h.ref - 1
 	if index < 0 || int(index) >= len(w.entries) {
@@ -103,7 +102,7 @@
 	if e.generation != h.generation || e.level == nowhere {
 		return false
 	}
-	if e.level == inDue { // trimDue gives the entry back once it stands first
+	if e.level == inDue { // trimDue releases the entry once the entry is next in due
 		e.level = nowhere
 		e.generation++
 		w.count--
@@ -114,7 +113,8 @@
 	return true
 }
 
-// Next reports when Pop is to be called again: when the next timer is due, or earlier.
+// Next returns the time at which Pop must be called again, which is the time of the next timer or earlier. ok is false
+// if there are no timers.
 func (w *Wheel[T]) Next() (at int64, ok bool) {
 	w.trimDue()
 	if len(w.due) > 0 {
@@ -124,7 +124,8 @@
 	return at, ok
 }
 
-// Pop takes out the next timer that is due at a point of time.
+// Pop removes the next timer that is due at the time now, and returns its value and time. ok is false if no timer is
+// due.
 func (w *Wheel[T]) Pop(now int64) (value T, at int64, ok bool) {
 	for {
 		w.trimDue()
@@ -148,7 +149,8 @@
 	}
 }
 
-// nextSlot finds the slot that begins earliest; of those that begin together the widest, which is to be opened before.
+// nextSlot returns the slot that begins earliest. Of several slots that begin at the same time, it returns the widest,
+// which must be opened first.
 func (w *Wheel[T]) nextSlot() (level, slot int, start int64, found bool) {
 	for l := range levels {
 		if w.occupied[l] == 0 {
@@ -169,7 +171,8 @@
 	return level, slot, max(start, w.reached), found
 }
 
-// openSlot moves on to a slot and spreads what it holds: over the levels below, or in order of time as due.
+// openSlot advances the wheel to a slot and moves the slot's timers: from the lowest level to due, in order of time,
+// and from other levels to the levels below or to due.
 func (w *Wheel[T]) openSlot(level, slot int, start int64) {
 	w.reached = start
 	index := w.heads[level][slot] - 1
@@ -191,14 +194,14 @@
 	}
 }
 
-// compare orders entries by their times, and those of one time as they were set.
+// compare orders entries by time, and entries with the same time by the order in which they were set.
 func (w *Wheel[T]) compare(a, b int32) int {
 	x := &w.entries[a]
 	y := &w.entries[b]
 	return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.sequence, y.sequence))
 }
 
-// insert puts an entry where its time belongs: in due, or in the lowest level that reaches as far.
+// insert adds an entry to due or, if the entry is later, to the lowest level that covers its time.
 func (w *Wheel[T]) insert(index int32) {
 	e := &w.entries[index]
 	if e.at>>baseShift <= w.reached>>baseShift {
@@ -208,7 +211,7 @@
 		return
 	}
 	level := levels - 1
-	slot := (w.reached>>lastShift + slots - 1) & (slots - 1) // of what is later than the wheel reaches
+	slot := (w.reached>>lastShift + slots - 1) & (slots - 1) // for times that the wheel does not cover
 	for l := range levels {
 		shift := baseShift + l*slotBits
 		if e.at>>shift-w.reached>>shift < slots {
@@ -229,7 +232,7 @@
 	w.occupied[level] |= 1 << slot
 }
 
-// unlink takes an entry out of its slot's list.
+// unlink removes an entry from its slot's list.
 func (w *Wheel[T]) unlink(index int32) {
 	e := &w.entries[index]
 	if e.next > 0 {
@@ -245,14 +248,14 @@
 	}
 }
 
-// release gives back the entry of a timer that is over. Its handles name nothing from now on.
+// release frees the entry of an expired or canceled timer and invalidates the timer's handle.
 func (w *Wheel[T]) release(index int32) {
 	w.count--
 	w.recycle(index)
 	w.entries[index].generation++
 }
 
-// recycle puts an entry into the free list, and drops its value, which could keep memory alive.
+// recycle adds an entry to the free list. It clears the entry's value, which could keep memory reachable.
 func (w *Wheel[T]) recycle(index int32) {
 	e := &w.entries[index]
 	var none T
@@ -262,8 +265,8 @@
 	w.freeRef = index + 1
 }
 
-// trimDue gives back the entries that were cancelled at the end of due that comes out first. What stands in the slot
-// that was reached, from before it was, joins due before that.
+// trimDue frees the canceled entries that would be the next to expire from due. Before that, it moves the timers of the
+// lowest-level slot at the reached time to due.
 func (w *Wheel[T]) trimDue() {
 	slot := int(w.reached >> baseShift & (slots - 1))
 	if w.occupied[0]>>slot&1 == 1 {
--- a/timingwheel/timingwheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// heapTimers is the reference: a heap, in which cancelled timers wait until they are due.
+// heapTimers is the reference implementation: a heap that keeps canceled timers until they are due.
 type heapTimers []heapTimer
 
 type heapTimer struct {
@@ -28,7 +28,7 @@
 	return last
 }
 
-// comparison runs a wheel and the reference side by side.
+// comparison runs a wheel and the reference implementation in parallel.
 type comparison struct {
 	*testing.T
 	seed    uint64
@@ -36,7 +36,7 @@
 	wheel   Wheel[int]
 	heap    heapTimers
 	handles map[int]Handle
-	over    map[int]bool // by id: it came out or was cancelled
+	over    map[int]bool // by id: the timer has expired or was canceled
 	now     int64
 	lastID  int
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// set adds a timer, near or far, or in the past.
+// set adds a timer in the near or far future, or in the past.
 func (c *comparison) set() {
 	c.lastID++
 	id := c.lastID
@@ -62,7 +62,7 @@
 	heap.Push(&c.heap, heapTimer{at, id, id})
 }
 
-// cancel cancels any timer that was ever set.
+// cancel cancels a random timer, which may have expired or been canceled already.
 func (c *comparison) cancel() {
 	c.Helper()
 	if c.lastID == 0 {
@@ -70,12 +70,12 @@
 	}
 	id := 1 + c.random.IntN(c.lastID)
 	if got := c.wheel.Cancel(c.handles[id]); got == c.over[id] {
-		c.Fatalf("seed %d: cancelling gave %v, over is %v", c.seed, got, c.over[id])
+		c.Fatalf("seed %d: Cancel returned %v, want %v", c.seed, got, !c.over[id])
 	}
 	c.over[id] = true
 }
 
-// advance lets time go by, and takes out all that is due.
+// advance moves the clock forward and pops all timers that are due.
 func (c *comparison) advance() {
 	c.Helper()
 	if next, ok := c.wheel.Next(); ok && c.random.IntN(3) > 0 {
@@ -90,11 +90,11 @@
 		heap.Pop(&c.heap)
 	}
 	if next, ok := c.wheel.Next(); ok != (len(c.heap) > 0) || ok && next > c.heap[0].at {
-		c.Fatalf("seed %d: next at %d, %v", c.seed, next, ok)
+		c.Fatalf("seed %d: Next returned %d, %v with %d timers in the heap", c.seed, next, ok, len(c.heap))
 	}
 }
 
-// pop takes one timer out of both, and reports whether one was due.
+// pop pops one timer from the wheel and one from the reference, compares them, and reports whether a timer was due.
 func (c *comparison) pop() bool {
 	c.Helper()
 	got, at, ok := c.wheel.Pop(c.now)
@@ -107,11 +107,11 @@
 		want = timer.id
 		c.over[timer.id] = true
 		if ok && timer.at != at {
-			c.Fatalf("seed %d: at %d, want %d", c.seed, at, timer.at)
+			c.Fatalf("seed %d: timer %d expired with time %d, want %d", c.seed, want, at, timer.at)
 		}
 	}
 	if got != want || ok != (want > 0) {
-		c.Fatalf("seed %d: %d came out, want %d", c.seed, got, want)
+		c.Fatalf("seed %d: popped timer %d, %v, want %d", c.seed, got, ok, want)
 	}
 	return ok
 }
@@ -126,8 +126,8 @@
 	return waiting
 }
 
-// Whatever is set, cancelled and popped in whatever order, near and far, comes out as from the heap, and not before
-// Next.
+// Timers are set, canceled and popped in random order, near and far. They must expire in the same order as from a heap,
+// and not before the time that Next returns.
 func TestMatchesHeap(t *testing.T) {
 	for seed := range uint64(200) {
 		c := newComparison(t, seed)
@@ -142,41 +142,41 @@
 			}
 		}
 		if waiting := c.waiting(); c.wheel.Len() != waiting {
-			t.Fatalf("seed %d: %d wait, want %d", seed, c.wheel.Len(), waiting)
+			t.Fatalf("seed %d: %d timers are set, want %d", seed, c.wheel.Len(), waiting)
 		}
 	}
 }
 
-// The clock stands still, as while a machine is suspended, and then jumps by an hour, with 100,000 timers of one
-// millisecond waiting. None may come out early, none may be lost, and they come out in order; one that is set for a
-// time long past comes out next.
+// The clock stops, as while a machine is suspended, and then jumps forward by an hour. 100,000 timers are set within
+// one millisecond. No timer may expire early or be lost, and the timers must expire in order. A timer that is set for a
+// time in the past expires next.
 func TestClockJump(t *testing.T) {
 	var w Wheel[int]
 	for i := range 100_000 {
 		w.Set(5_000_000+int64(i%1000), i)
 	}
 	if _, _, ok := w.Pop(4_999_999); ok {
-		t.Error("one came out early")
+		t.Error("a timer expired before its time")
 	}
 	last := int64(0)
 	for i := range 100_000 {
 		_, at, ok := w.Pop(3600e6)
 		if !ok || at < last {
-			t.Fatalf("%d: at %d after %d, %v", i, at, last, ok)
+			t.Fatalf("timer %d: time %d after %d, %v, want times in order", i, at, last, ok)
 		}
 		last = at
 	}
 	if w.Len() != 0 {
-		t.Errorf("%d are left", w.Len())
+		t.Errorf("%d timers left, want 0", w.Len())
 	}
-	w.Set(1, 7) // long past
+	w.Set(1, 7) // in the past
 	if v, _, ok := w.Pop(3600e6); !ok || v != 7 {
-		t.Error("a passed time does not come out")
+		t.Errorf("timer in the past: popped %d, %v, want 7, true", v, ok)
 	}
 }
 
-// BenchmarkTimer is one request's: set a deadline, cancel it soon after, with so many others waiting; against the
-// heap, which keeps what is over until it is due.
+// BenchmarkTimer measures the timer of one request, which is set and canceled soon after, while other timers are set.
+// It compares the wheel with a heap that keeps canceled timers until they are due.
 func BenchmarkTimer(b *testing.B) {
 	for _, waiting := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprintf("wheel/waiting=%d", waiting), func(b *testing.B) { benchmarkWheel(b, waiting) })
