--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,16 +1,17 @@
-// Package middleware puts the broker's core before net/http handlers. The core decides when a request runs and for
-// which storage node; a handler finds that node with NodeFromContext.
+// Package middleware puts the broker's core in front of net/http handlers. The core decides when a request runs and at
+// which storage node. A handler gets the node from NodeFromContext.
 //
-// Rule: a handler runs at most once at a time for a request, and again only where the core may retry it. Its answer
-// is recorded and goes to the client once it is final. A request that is rejected is answered 503 with Retry-After,
-// one without an answer in time 504, one that may have run without an answer 502.
+// Rule: the handler runs at most once at a time for a request, and repeatedly only if the core may retry the request.
+// The handler's answer is recorded and is sent to the client once it is final. A rejected request is answered with 503
+// and Retry-After. A request that was not answered in time is answered with 504. A request that may have run and failed
+// is answered with 502.
 //
-// State: body and recorded answer of each request, in memory, as long as the request is open.
+// State: the body and the recorded answer of each open request, in memory.
 //
-// Owner: the goroutine of the HTTP server owns a request; each attempt has a goroutine of its own, which ends with
-// its handler. The attempt's context is cancelled when the core stops it, and when the client disconnects.
+// Owner: the HTTP server's goroutine owns a request. Each attempt has its own goroutine, which ends with the handler.
+// The attempt's context is canceled when the core stops the attempt or the client disconnects.
 //
-// Units: bodies are bytes; Retry-After is whole seconds, rounded up.
+// Units: body sizes are in bytes. Retry-After is in whole seconds, rounded up.
 package middleware
 
 import (
@@ -24,16 +25,17 @@
 )
 
 const (
-	// maxBody is in bytes, held for a retry. If it were lower, larger requests would be answered 413; if it were
-	// higher, clients could make the broker hold more memory.
+	// maxBody is the maximum size of a request body in bytes. Bodies are kept for retries. With a smaller value, larger
+	// requests would be answered with 413. With a larger value, clients could make the broker use more memory.
 	maxBody = 64 << 10
-	// maxAnswer is in bytes of a handler's answer, held until it is final. If it were lower, larger answers would fail
-	// with 502; if it were higher, a burst of them would take more memory.
+	// maxAnswer is the maximum size of a handler's answer in bytes. Answers are kept until they are final. With a
+	// smaller value, larger answers would fail with 502. With a larger value, a burst of large answers would use more
+	// memory.
 	maxAnswer = 1 << 20
 )
 
-// Classify turns an HTTP request into the core's terms. Message and Transport are set by the middleware. An error
-// answers the request as bad.
+// Classify converts an HTTP request to a request of the core. The middleware sets Message and Transport. If Classify
+// returns an error, the request is answered with 400 and the error's text.
 type Classify func(*http.Request) (*broker.Request, error)
 
 // Node is the storage node that the core chose for an attempt.
@@ -44,7 +46,7 @@
 
 type attemptKey struct{}
 
-// NodeFromContext returns the node of the attempt that a handler runs.
+// NodeFromContext returns the node of the attempt to which a handler's context belongs.
 func NodeFromContext(ctx context.Context) (Node, bool) {
 	a, ok := ctx.Value(attemptKey{}).(*attempt)
 	if !ok {
@@ -53,15 +55,16 @@
 	return a.node, true
 }
 
-// MarkNotExecuted tells the core that the attempt has had no effect, so that even a request that is not idempotent
-// may be retried at another node. A handler calls it when, say, its node refused the connection.
+// MarkNotExecuted reports to the core that the attempt had no effect. The core may then retry the request at another
+// node even if the request is not idempotent. A handler calls MarkNotExecuted if, for example, its node refused the
+// connection.
 func MarkNotExecuted(ctx context.Context) {
 	if a, ok := ctx.Value(attemptKey{}).(*attempt); ok {
 		a.notExecuted.Store(true)
 	}
 }
 
-// New returns a middleware over a running loop.
+// New returns a middleware that submits requests to a running loop.
 func New(loop *broker.Loop, classify Classify) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// newLoop runs a loop that knows one node, until ctx ends.
+// newLoop starts a loop with one node. The loop runs until ctx ends.
 func newLoop(ctx context.Context) *broker.Loop {
 	state, err := broker.NewState(testSettings(), 1)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return loop
 }
 
-// classify maps GET to a class that is idempotent, and the path's first part to a shard.
+// classify assigns an idempotent class to GET requests, and a shard without a node to paths that begin with /elsewhere.
 func classify(r *http.Request) (*broker.Request, error) {
 	class := "write"
 	if r.Method == http.MethodGet {
@@ -95,7 +95,8 @@
 	// Output: 200 lesson 7 from n1
 }
 
-// answerCase is a handler's behaviour, what the client gets of it, and how often the handler runs.
+// answerCase describes a handler's behavior, the status code that the client gets, and the number of runs of the
+// handler.
 type answerCase struct {
 	name    string
 	method  string
@@ -118,7 +119,7 @@
 		runs: 1,
 	},
 	{
-		name:    "a client's fault is an answer",
+		name:    "a 404 is a final answer",
 		method:  "GET",
 		path:    "/",
 		handler: func(_ int32, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(404) },
@@ -138,7 +139,7 @@
 		runs: 2,
 	},
 	{
-		name:    "one that is not idempotent is not",
+		name:    "a request that is not idempotent is not retried",
 		method:  "POST",
 		path:    "/",
 		handler: func(int32, http.ResponseWriter, *http.Request) { panic("lost") },
@@ -146,7 +147,7 @@
 		runs:    1,
 	},
 	{
-		name:   "unless it was not executed",
+		name:   "a request marked as not executed is retried",
 		method: "POST",
 		path:   "/",
 		handler: func(run int32, w http.ResponseWriter, r *http.Request) {
@@ -166,7 +167,7 @@
 		runs:   0,
 	},
 	{
-		name:    "too late",
+		name:    "no answer by the deadline",
 		method:  "POST",
 		path:    "/",
 		handler: func(_ int32, _ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
@@ -188,7 +189,7 @@
 	var runs, inFlight atomic.Int32
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if inFlight.Add(1) > 1 {
-			t.Error("two attempts at once")
+			t.Error("two attempts run at the same time")
 		}
 		defer inFlight.Add(-1)
 		c.handler(runs.Add(1), w, r)
@@ -197,18 +198,18 @@
 	request := httptest.NewRequest(c.method, c.path, strings.NewReader("body"))
 	middleware.New(newLoop(ctx), classify)(handler).ServeHTTP(w, request)
 	if w.Code != c.code || runs.Load() != c.runs {
-		t.Errorf("%d after %d runs, want %d after %d", w.Code, runs.Load(), c.code, c.runs)
+		t.Errorf("status %d after %d runs, want %d after %d", w.Code, runs.Load(), c.code, c.runs)
 	}
 	if (w.Code == 503) != (w.Header().Get("Retry-After") != "") {
-		t.Errorf("Retry-After is %q", w.Header().Get("Retry-After"))
+		t.Errorf("status %d with Retry-After %q, want it exactly with 503", w.Code, w.Header().Get("Retry-After"))
 	}
 	if c.method == "POST" && w.Code < 300 && w.Body.String() != "body" {
-		t.Errorf("%q", w.Body)
+		t.Errorf("response body %q, want \"body\"", w.Body)
 	}
 }
 
-// A client disconnects while its handler runs. The core is told, and the handler's context ends: without that, the
-// handler would go on working for nobody, and the request would count as open until its deadline.
+// A client disconnects while its handler runs. The core is notified, and the handler's context is canceled. Otherwise
+// the handler would continue to work without a client, and the request would stay open until its deadline.
 func TestClientDisconnects(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -230,7 +231,7 @@
 	<-ended
 	for end := time.Now().Add(5 * time.Second); loop.OpenRequests() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the core still holds the request")
+			t.Fatalf("%d requests open 5 s after the client disconnected, want 0", loop.OpenRequests())
 		}
 	}
 }
--- a/middleware/recorder.go
+++ b/middleware/recorder.go
@@ -6,10 +6,10 @@
 	"net/http"
 )
 
-// errAnswerTooLarge is what a handler's Write returns beyond maxAnswer.
-var errAnswerTooLarge = errors.New("the answer is too large")
+// errAnswerTooLarge is the error of a handler's Write that exceeds maxAnswer.
+var errAnswerTooLarge = errors.New("response body exceeds the maximum size")
 
-// recorder holds a handler's answer until it is final.
+// recorder records a handler's answer until it is final.
 type recorder struct {
 	header      http.Header
 	code        int
@@ -39,8 +39,8 @@
 	return r.body.Write(p)
 }
 
-// copyTo gives the answer to the client. A client that has gone takes no answer, and there is nothing to be done
-// about it.
+// copyTo writes the recorded answer to the client. A write error is ignored, because it means that the client has
+// disconnected.
 func (r *recorder) copyTo(w http.ResponseWriter) {
 	for name, values := range r.header {
 		w.Header()[name] = values
--- a/middleware/responses_test.go
+++ b/middleware/responses_test.go
@@ -7,7 +7,7 @@
 	"junctionwharf/broker"
 )
 
-// Clients of an HTTP service see these answers: their codes, texts and Retry-After stay.
+// HTTP clients depend on the status codes, the texts and the Retry-After of these answers.
 func TestResponseTexts(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -25,7 +25,7 @@
 			retryAfter: "1",
 		},
 		{
-			name:       "rejected, advice is rounded up",
+			name:       "rejected with advice, rounded up",
 			response:   broker.Response{Verdict: broker.Rejected, RetryAfter: 2*broker.Second + 1},
 			late:       true,
 			code:       503,
--- a/middleware/transport.go
+++ b/middleware/transport.go
@@ -14,11 +14,11 @@
 	"junctionwharf/scheduler"
 )
 
-// errNotChecked is the result of every health check: the nodes behind handlers are not known here.
-var errNotChecked = errors.New("handlers are not probed")
+// errNotChecked is the result of every health check, because the middleware does not know the nodes behind handlers.
+var errNotChecked = errors.New("HTTP handlers do not support health checks")
 
-// handlerTransport is the transport of one HTTP request: an attempt is a run of the next handler. running keeps
-// attempts apart: one that was stopped but has not returned yet holds up the next.
+// handlerTransport is the transport of one HTTP request. An attempt is a run of the next handler. running serializes
+// the attempts: an attempt that was stopped but has not returned yet delays the next.
 type handlerTransport struct {
 	next    http.Handler
 	request *http.Request
@@ -26,8 +26,8 @@
 	running sync.Mutex
 }
 
-// attempt is a run of the handler. The goroutine that Start begins owns it; mu guards begun and over, which the loop's
-// goroutine sets and reads by Stop.
+// attempt is a run of the handler. The goroutine that Start starts owns it. mu guards begun and over, which the loop's
+// goroutine accesses by Stop.
 type attempt struct {
 	node        Node
 	cancel      context.CancelFunc
@@ -35,13 +35,13 @@
 
 	mu    sync.Mutex
 	begun bool // the handler was called
-	over  bool // it has returned, or was stopped
+	over  bool // the handler has returned, or the attempt was stopped
 }
 
 // Start implements broker.Transport.
 func (t *handlerTransport) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
-	// The core ends the attempt in time. A deadline of the context's own could come first, and what a handler then
-	// returns without having done its work would pass for its answer.
+	// The core ends the attempt in time. The context therefore has no deadline: a handler could return early at that
+	// deadline without having done its work, and its answer would be taken as final.
 	ctx, cancel := context.WithCancel(t.request.Context())
 	run := &attempt{node: Node{Name: a.Node, Address: a.Address}, cancel: cancel}
 	go func() {
@@ -65,7 +65,7 @@
 func (t *handlerTransport) run(ctx context.Context, a *attempt) (result broker.Result) {
 	result = broker.Result{Reply: broker.ReplyError, Load: scheduler.NoLoadReport}
 	defer func() {
-		if p := recover(); p != nil { // a handler's fault ends its request only
+		if p := recover(); p != nil { // a panic in a handler ends only its own request
 			result.Err = &broker.AttemptError{Progress: broker.FullyWritten, Err: fmt.Errorf("panic: %v", p)}
 		}
 		if a.notExecuted.Load() {
@@ -83,7 +83,7 @@
 	return result
 }
 
-// CheckHealth implements broker.Transport: handlers are not checked.
+// CheckHealth implements broker.Transport. Health checks of handlers always fail.
 func (t *handlerTransport) CheckHealth(_ string, done func(broker.Result)) {
 	go done(broker.Result{Err: &broker.AttemptError{Err: errNotChecked}})
 }
@@ -91,7 +91,7 @@
 // CloseIdle implements broker.Transport.
 func (t *handlerTransport) CloseIdle(string) {}
 
-// begin reports whether the handler is to be called: not once the attempt was stopped.
+// begin reports whether the handler may be called. It returns false if the attempt was stopped.
 func (a *attempt) begin() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,7 +99,7 @@
 	return a.begun
 }
 
-// finish reports whether the result counts: not once the attempt was stopped.
+// finish reports whether the handler's result is used. It returns false if the attempt was stopped.
 func (a *attempt) finish() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,7 +108,8 @@
 	return counts
 }
 
-// Stop implements broker.Handle. A handler that has begun may have run; no other begins before it returns.
+// Stop implements broker.Handle. A handler that was called may have run. The next attempt's handler is called only
+// after this one has returned.
 func (a *attempt) Stop() broker.Progress {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,8 +121,9 @@
 	return broker.NotConnected
 }
 
-// StopSending implements broker.Handle. A handler's own sending ends with its context, at the deadline at the latest.
+// StopSending implements broker.Handle. It does nothing: a handler's own sending ends when its context is canceled, at
+// which is at the deadline or earlier.
 func (a *attempt) StopSending() {}
 
-// CancelUnlessWritten implements broker.Handle. A handler runs from its start on, so that there is nothing left to bar.
+// CancelUnlessWritten implements broker.Handle. It does nothing: a handler that was called counts as fully written.
 func (a *attempt) CancelUnlessWritten() {}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -60,8 +60,8 @@
 	units float64       // units of each request
 }
 
-// simulate runs the given number of steps, in which brokers take all units that their quotas allow. Each broker has one
-// or two processes, which may be killed with units in transit. next returns the actions of a broker in a step. Each of
+// simulate runs the given number of steps, in which brokers take all units that their quotas allow. Each broker has up
+// to two processes, which may be killed with units in transit. next returns the actions of a broker in a step. Each of
 // the limits applies for an equal part of the steps. simulate returns the lowest level of the store and the units
 // taken.
 func simulate(steps, brokers int, limits []Limit, next func() brokerStep) (lowest, taken float64) {
--- a/timingwheel/timingwheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// The clock stops, as while a machine is suspended, and then jumps forward by an hour. 100,000 timers are set within
-// one millisecond. No timer may expire early or be lost, and the timers must expire in order. A timer that is set for a
-// time in the past expires next.
+// The clock stops, as while a machine is suspended, and then jumps forward by an hour. 100,000 timers have times within
+// the same millisecond. No timer may expire early or be lost, and the timers must expire in order. A timer that is set
+// for a time in the past expires next.
 func TestClockJump(t *testing.T) {
 	var w Wheel[int]
 	for i := range 100_000 {
