--- a/admission/controller.go
+++ b/admission/controller.go
@@ -23,7 +23,7 @@
 // The reasons.
 const (
 	Admitted         Reason = iota // the request was admitted
-	LowPriority                    // the allowance was needed for requests of higher rank
+	LowPriority                    // the allowance did not suffice for the request's rank
 	TooManyOpen                    // too many requests are open
 	DeadlineTooClose               // the request could not be served before its client gives up
 )
@@ -74,7 +74,8 @@
 	marginalCredit float64 // sum of marginalPart over requests of that rank; 1 admits one request
 }
 
-// New returns a controller that admits all requests.
+// New returns a controller that admits all requests until it detects overload. deployment contains the classes and
+// plans.
 func New(settings Settings, deployment scheduler.Settings) *Controller {
 	c := &Controller{
 		settings: settings,
@@ -171,8 +172,8 @@
 	return reason, c.retryAfter()
 }
 
-// tooManyOpen reports whether Settings.MaxOpen rejects a request. The last part of the bound is kept for requests
-// within reserved capacity.
+// tooManyOpen reports whether Settings.MaxOpen rejects a request. From unreservedOpenShare of the bound on, only
+// requests within reserved capacity are admitted.
 func (c *Controller) tooManyOpen(open int, reserved bool) bool {
 	if open >= c.settings.MaxOpen {
 		return true
@@ -193,8 +194,8 @@
 	return true
 }
 
-// retryAfter returns when a rejected client may retry. The time grows with the number of requests offered per admitted
-// request.
+// retryAfter returns the time after which a rejected client may retry. The time grows with the number of requests
+// offered per admitted request.
 func (c *Controller) retryAfter() Micros {
 	return min(c.maxRetryAfter, Micros(float64(c.minObjective)*max(1, c.excess)))
 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -33,7 +33,8 @@
 	return &Request{Class: "read", Plan: plan, Volume: volume, Units: 1, Wait: 1e6}
 }
 
-// simulatedBroker serves rate requests per second in order. Its scheduling lag is the length of its queue.
+// simulatedBroker serves rate requests per second in order. Its scheduling lag is the time that it needs to serve its
+// queue.
 type simulatedBroker struct {
 	controller    *Controller
 	rate          float64
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -10,8 +10,8 @@
 // microservices", Zhou et al. 2018, applies this method to priorities.)
 //
 // Requests are ranked: requests within the reserved capacity of their volume precede all others, and then the priority
-// weight of their class decides. Ranks are admitted in order. Of the rank at which the allowance is used up, an evenly
-// spaced part is admitted.
+// weight of their class decides. Ranks are admitted in order. The rank at which the allowance is used up is admitted in
+// part, and its admitted requests are spread evenly.
 //
 // There are also two bounds on open requests. One always applies, and the other applies only while the broker itself is
 // overloaded.
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -49,8 +49,9 @@
 	// lightLoadFactor replaces growthFactor while the lag is below lightLoadLag, because the broker has spare capacity.
 	// With a smaller value, capacity would stay unused for longer. With a larger value, the lag would oscillate.
 	lightLoadFactor = 1.05
-	// lightLoadLag is a part of the target lag. With a smaller value, the allowance of a lightly loaded broker would
-	// grow slowly. With a larger value, the allowance of a broker near its limit would grow fast.
+	// lightLoadLag is the lag below which the broker is lightly loaded, as a part of the target lag. With a smaller
+	// value, the allowance of a lightly loaded broker would grow slowly. With a larger value, the allowance of a broker
+	// near its limit would grow fast.
 	lightLoadLag = 0.125
 	// minAllowance is in requests per window. If it were 0, no requests would be admitted, and the lag could no longer
 	// be measured.
--- a/admission/window.go
+++ b/admission/window.go
@@ -91,8 +91,8 @@
 // floor returns the minimum allowance.
 func (c *Controller) floor() float64 { return max(minAllowance, minPeakShare*c.peakAdmitted) }
 
-// growAllowance raises the allowance. It grows fast until it is near its value before the last cut, fast as well while
-// the lag is far below its target, and slowly otherwise.
+// growAllowance raises the allowance. The allowance grows fast until it is near its value before the last cut. It also
+// grows fast while the lag is far below its target and the allowance is well below the peak. Otherwise it grows slowly.
 func (c *Controller) growAllowance(lag Micros) {
 	light := float64(lag) < lightLoadLag*float64(c.settings.TargetLag)
 	switch {
--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -111,7 +111,7 @@
 		return
 	}
 	outcome := e.Result.outcome()
-	if r.answered && e.Result.Err != nil { // cancelled with its request: the error says nothing about the node
+	if r.answered && e.Result.Err != nil { // canceled with its request: the error says nothing about the node
 		outcome = scheduler.NotSent
 		if e.Result.Err.Progress == FullyWritten {
 			outcome = scheduler.Canceled
@@ -171,7 +171,7 @@
 	s.forget(id, r)
 }
 
-// telemetryOutcomes maps scheduler outcomes to telemetry's. NotSent is the outcome of an attempt that was cancelled
+// telemetryOutcomes maps scheduler outcomes to telemetry's. NotSent is the outcome of an attempt that was canceled
 // before it was sent.
 var telemetryOutcomes = [...]telemetry.AttemptOutcome{
 	scheduler.Success:          telemetry.Success,
--- a/broker/attempts_test.go
+++ b/broker/attempts_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// A client disconnects while the connection for its request is being established. The attempt is cancelled, and the
+// A client disconnects while the connection for its request is being established. The attempt is canceled, and the
 // error with which it ends does not count against the node: the next request is sent there immediately. The attempt
-// may have been fully written when it is cancelled.
+// may have been fully written when it is canceled.
 func TestCancelledBeforeItIsSent(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
@@ -30,7 +30,7 @@
 			h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
 			h.turn(RequestCancelled{1})
 			if len(h.canceled) != 1 || h.canceled[0] != (CancelUnlessWritten{1, 0}) {
-				t.Fatalf("cancelled attempts: %+v, want attempt 0 of request 1", h.canceled)
+				t.Fatalf("canceled attempts: %+v, want attempt 0 of request 1", h.canceled)
 			}
 			h.turn(AttemptEnded{1, 0, broken(progress)})
 			h.turn(RequestArrived{ID: 2, Request: testRequest("write", 0)})
--- a/broker/idempotency_test.go
+++ b/broker/idempotency_test.go
@@ -50,12 +50,12 @@
 }
 
 var retryCases = []retryCase{
-	{name: "inside the window", brokenAt: 0.2, answeredIn: 0.6, maxRetries: 1, served: true},
-	{name: "inside, and connected after the window", brokenAt: 0.2, maxRetries: 1},
-	{name: "broken just inside", brokenAt: 0.97, maxRetries: 1},
-	{name: "broken at its end", brokenAt: 1.0001},
-	{name: "broken after it", brokenAt: 1.4},
-	{name: "its node is draining", brokenAt: 0.2, between: func(h *harness, _ scheduler.Settings) {
+	{name: "retry answered inside the window", brokenAt: 0.2, answeredIn: 0.6, maxRetries: 1, served: true},
+	{name: "retry connected after the window", brokenAt: 0.2, maxRetries: 1},
+	{name: "broken just inside the window", brokenAt: 0.97, maxRetries: 1},
+	{name: "broken at the end of the window", brokenAt: 1.0001},
+	{name: "broken after the window", brokenAt: 1.4},
+	{name: "node starts draining", brokenAt: 0.2, between: func(h *harness, _ scheduler.Settings) {
 		h.turn(fullList(2, testNode("n1", 0, scheduler.Draining), testNode("n2", 1, scheduler.Ready)))
 	}},
 	{name: "settings are repeated", brokenAt: 0.2, maxRetries: 1, between: func(h *harness, s scheduler.Settings) {
@@ -94,7 +94,7 @@
 	h.advance(max(0, end+1-h.now))
 	open := len(h.starts) == 2 && !c.served && len(h.responses[1]) == 0
 	if open && len(h.canceled)+len(h.stops) == 0 {
-		t.Errorf("the retry is neither answered, cancelled nor stopped at the end of the window")
+		t.Errorf("the retry is neither answered, canceled nor stopped at the end of the window")
 	}
 	if len(h.canceled) > 0 {
 		h.turn(AttemptEnded{1, 1, broken(NotConnected)})
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// enqueue queues an event; the caller holds inbox.mu.
+// enqueue queues an event. The caller holds inbox.mu.
 func (l *Loop) enqueue(e Event) {
 	if len(l.inbox.events) == 0 && l.dependencies.Admission != nil {
 		l.inbox.since = l.clock.Now()
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -154,7 +154,8 @@
 	call()
 }
 
-// turn reduces events. It then reduces the events of stopped attempts at the same time, until there are none.
+// turn reduces events and executes the effects. Stopping attempts produces further events, which turn reduces with the
+// same time, until there are none.
 func (l *Loop) turn(now Micros, events []Event) {
 	for again := true; again; {
 		for _, e := range events {
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -209,7 +209,7 @@
 	for turn, left := 1, requests; left > 0; turn++ {
 		events, _, more := loop.collect(loop.clock.Now(), nil)
 		if want := min(left, maxTurnEvents); len(events) != want || more != (left > maxTurnEvents) {
-			t.Fatalf("turn %d: %d events with more %v, want %d events of the %d left", turn, len(events), more, want, left)
+			t.Fatalf("turn %d: %d events, more %v, want %d events of %d left", turn, len(events), more, want, left)
 		}
 		for i, e := range events {
 			if id := e.(RequestArrived).ID; id != uint64(requests-left+i+1) {
@@ -258,7 +258,7 @@
 	loop.Post(fullList(0, testNode("n1", 0, scheduler.Ready))) // handled after all other events
 	turn()
 	if cancelled := open - loop.OpenRequests(); cancelled != 2 {
-		t.Errorf("%d requests cancelled after one turn, want 2: the queued one and the next one", cancelled)
+		t.Errorf("%d requests canceled after one turn, want 2: the queued one and the next one", cancelled)
 	}
 	for more := true; more; {
 		more = turn()
@@ -267,7 +267,7 @@
 		t.Errorf("started %v, want only \"stays\"", transport.started)
 	}
 	if loop.OpenRequests() != 1 || len(loop.cancelledBeforeArrival) != 0 {
-		t.Errorf("%d open and %d cancelled before arrival, want 1 and 0",
+		t.Errorf("%d open and %d canceled before arrival, want 1 and 0",
 			loop.OpenRequests(), len(loop.cancelledBeforeArrival))
 	}
 }
--- a/broker/nodes.go
+++ b/broker/nodes.go
@@ -60,8 +60,8 @@
 	return node
 }
 
-// setLeaving sets whether a node is draining or removed. If the node was not before, setLeaving adds it to the set that
-// it returns.
+// setLeaving sets whether a node is draining or removed. A node that was neither before is added to the set, which
+// setLeaving creates if necessary and returns. The idle connections to such a node are closed.
 func (s *State) setLeaving(set map[string]bool, name string, node *nodeState, leaves bool) map[string]bool {
 	if leaves && !node.leaving {
 		if set == nil {
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -11,7 +11,7 @@
 // inbox.mu instead, because the clients' goroutines call it.
 type overload struct {
 	maxOpen        int64         // admission.Settings.MaxOpenOverloaded, 0 for no bound
-	lagWanted      chan struct{} // holds one token, so that signalling never blocks
+	lagWanted      chan struct{} // holds one token, so that signaling never blocks
 	lagging        atomic.Bool   // the scheduling lag is above admission.OverloadLag
 	shedding       atomic.Bool   // admission control rejects requests
 	rejectedUnread atomic.Bool   // RejectOverload was called since the last RecordSchedulingLag
@@ -98,7 +98,7 @@
 
 // RecordSchedulingLag reports to admission control how long runnable work in this process has waited for a processor
 // since the last call. It is called at intervals. The delay of the loop's own queue is not a sufficient measure: Go
-// runs the goroutine that was woken last first. This may be the loop, while hundreds of goroutines wait to read their
+// first runs the goroutine that was woken last. This may be the loop, while hundreds of goroutines wait to read their
 // input.
 func (l *Loop) RecordSchedulingLag(waited Micros) {
 	l.inbox.mu.Lock()
@@ -127,7 +127,7 @@
 	return l.Metrics.open.Load() >= l.overload.manyOpen() || l.overload.lagging.Load() || l.overload.shedding.Load()
 }
 
-// SetLagMeasured reports whether RecordSchedulingLag will be called from now on. Earlier measurements are dropped.
+// SetLagMeasured sets whether RecordSchedulingLag will be called from now on. It drops earlier measurements.
 func (l *Loop) SetLagMeasured(measuring bool) {
 	l.inbox.mu.Lock()
 	l.inbox.lag = 0
--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -118,7 +118,7 @@
 	h.now++
 	h.turn()
 	if len(h.starts) != 1 || len(h.responses[2]) != 1 {
-		t.Errorf("%d attempts started and responses %+v, want 1 and one response to request 2", len(h.starts), h.responses)
+		t.Errorf("%d attempts and responses %+v, want 1 and one response to request 2", len(h.starts), h.responses)
 	}
 }
 
--- a/broker/state.go
+++ b/broker/state.go
@@ -50,8 +50,8 @@
 }
 
 // maxSchedulerRounds bounds how many times within one turn the scheduler may react to the results of its own actions.
-// With a smaller value, the scheduler would choose another node for an attempt that could not be sent only a turn
-// later. Without a bound, a fault in the scheduler could block the loop forever.
+// With a smaller value, an attempt that could not be sent would be assigned to another node one turn later. Without a
+// bound, a fault in the scheduler could block the loop forever.
 const maxSchedulerRounds = 8
 
 // Reduce applies the events of one turn of the loop and returns the effects to execute, in order. The slice is valid
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -11,7 +11,7 @@
 const (
 	schedulerTimer   timerKind = iota // set by the scheduler
 	attemptTimer                      // the attempt's timeout, if the scheduler set one; currently no rule does
-	idempotencyTimer                  // end of the idempotency window: nodes would run a repeat a second time
+	idempotencyTimer                  // end of the idempotency window: from then on, nodes no longer drop repeats
 	deadlineTimer                     // the client's deadline
 )
 
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,10 +1,10 @@
 // Package middleware puts the broker's core in front of net/http handlers. The core decides when a request runs and at
 // which storage node. A handler gets the node from NodeFromContext.
 //
-// Rule: the handler runs at most once at a time for a request, and repeatedly only if the core may retry the request.
-// The handler's answer is recorded and is sent to the client once it is final. A rejected request is answered with 503
-// and Retry-After. A request that was not answered in time is answered with 504. A request that may have run and failed
-// is answered with 502.
+// Rule: the handler runs at most once at a time for a request, and more than once in total only if the core may retry
+// the request. The handler's answer is recorded and is sent to the client once it is final. A rejected request is
+// answered with 503 and Retry-After. A request that was not answered in time is answered with 504. A request that may
+// have run and failed is answered with 502.
 //
 // State: the body and the recorded answer of each open request, in memory.
 //
--- a/middleware/transport.go
+++ b/middleware/transport.go
@@ -121,8 +121,8 @@
 	return broker.NotConnected
 }
 
-// StopSending implements broker.Handle. It does nothing: a handler's own sending ends when its context is canceled, at
-// which is at the deadline or earlier.
+// StopSending implements broker.Handle. It does nothing: a handler's own sending ends when its context is canceled, not
+// later than the deadline.
 func (a *attempt) StopSending() {}
 
 // CancelUnlessWritten implements broker.Handle. It does nothing: a handler that was called counts as fully written.
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -9,10 +9,11 @@
 // storage node are deducted from the burst: until then the store may be full and gain no tokens.
 //
 // The processes need neither messages nor knowledge of each other. In any window, all processes together take at most
-// the burst plus the refill at the limit's rate. This holds if processes die, start, stall or are cut off, and for any
-// delay until units arrive. For each quota, the sum of its tokens and its units in transit stays within its share of
-// the store's level: both grow only when the store grows, and fall when units arrive. The units that a killed process
-// has in transit arrive immediately or never, because the connections of the process end with it.
+// the burst plus the refill at the limit's rate. This holds if processes die, start, stall or lose their connections,
+// and for any delay until units arrive. For each quota, the sum of its tokens and its units in transit stays within its
+// share of the store's level. The sum grows only when the store's level does, and it falls when units arrive, as the
+// store's level does. The units that a killed process has in transit arrive immediately or never, because the
+// connections of the process end with it.
 //
 // A quota needs memory for each request in transit. Other processes cannot use the quota of a process that is idle or
 // is not running.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Shows that the simulations can fail. If each of two processes takes the whole share of the broker, the store's level
-// falls far below 0.
+// The check of the lowest store level can fail: if each of two processes takes the whole share of the broker, the
+// store's level falls far below 0.
 func TestCheckDetectsSharesAboveOne(t *testing.T) {
 	limit := Limit{Rate: 36, Burst: 56}
 	s := newStore(limit)
