--- a/admission/controller.go
+++ b/admission/controller.go
@@ -49,7 +49,7 @@
 
 	// The current window.
 	windowEnd  Micros
-	windowLag  Micros // mean of lagSamples
+	windowLag  Micros // mean of the lags recorded in the window
 	lagSamples int
 	arrived    []int // requests by rank
 	admitted   int
--- a/broker/clock.go
+++ b/broker/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Micros is a point on the monotonic clock, or a span of it, in whole microseconds.
+// Micros is a time on the monotonic clock, or a duration, in whole microseconds.
 type Micros int64
 
 // Second is one second.
--- a/broker/effects.go
+++ b/broker/effects.go
@@ -37,7 +37,7 @@
 	Response Response
 }
 
-// SendToPeer sends bytes to one broker, or to all others.
+// SendToPeer sends bytes to one other broker, or to all others if Peer is scheduler.AllPeers.
 type SendToPeer struct {
 	Peer int
 	Data []byte
--- a/broker/events.go
+++ b/broker/events.go
@@ -40,28 +40,28 @@
 	Complete bool
 }
 
-// HealthCheckEnded is the result of a health check.
+// HealthCheckEnded reports the result of a health check.
 type HealthCheckEnded struct {
 	Node    string
 	Latency Micros
 	Result  Result
 }
 
-// NodesListed is an update of the list of storage nodes.
+// NodesListed reports an update of the list of storage nodes.
 type NodesListed struct {
 	Kind    scheduler.UpdateKind
 	Version uint64
 	Nodes   []Node
 }
 
-// Node is an entry of the list with the address at which this broker reaches it.
+// Node is a listed storage node, with the address at which this broker reaches the node.
 type Node struct {
 	scheduler.Endpoint
 	Address   string
 	LastStart Micros // on the loop's clock; 0 if unknown or long ago
 }
 
-// PeerMessage is a message from another broker.
+// PeerMessage reports a message from another broker.
 type PeerMessage struct {
 	From int
 	Data []byte
--- a/broker/harness_test.go
+++ b/broker/harness_test.go
@@ -66,8 +66,7 @@
 	return NodesListed{Kind: scheduler.DeltaUpdate, Version: version, Nodes: nodes}
 }
 
-// testRequest returns a request of a class of testSettings. Its timeout is the class's deadline if the class is "read"
-// or "write".
+// testRequest returns a request of a class of testSettings, with the class's deadline as its timeout.
 func testRequest(class string, shard int) *Request {
 	timeout := Micros(750_000)
 	if class == "write" {
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -14,7 +14,8 @@
 
 // Dependencies are the functions and components that a Loop uses besides transports. The functions must not block.
 type Dependencies struct {
-	// SendToPeer sends bytes to another broker. It is nil for a broker without peers.
+	// SendToPeer sends bytes to another broker, or to all others if peer is scheduler.AllPeers. It is nil for a broker
+	// without peers.
 	SendToPeer func(peer int, data []byte)
 	// Observe receives observations for telemetry. It must not keep the slice. It is nil if there is no telemetry.
 	Observe func(observations []telemetry.Observation)
@@ -199,7 +200,7 @@
 }
 
 // observe passes observations to telemetry. It runs after the effects were executed and is guarded separately, so that
-// a panic in telemetry costs no request its answer.
+// a panic in telemetry leaves no request without an answer.
 func (l *Loop) observe() {
 	if len(l.rejections) > 0 {
 		l.dependencies.Observe(l.rejections)
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -74,7 +74,7 @@
 	loop.Submit(testRequest("write", 0), func(r Response) { responses <- r })
 	go loop.Run(ctx)
 	if line := <-lines; line != "panic front=core panic=first" {
-		t.Fatal(line)
+		t.Fatalf("first log line %q, want the panic of the transport", line)
 	}
 	loop.Submit(testRequest("read", 0), func(r Response) { responses <- r })
 	if r := <-responses; r.Verdict != Served {
--- a/middleware/responses_test.go
+++ b/middleware/responses_test.go
@@ -33,13 +33,13 @@
 			retryAfter: "3",
 		},
 		{
-			name:     "failed in time",
+			name:     "failed before the deadline",
 			response: broker.Response{Verdict: broker.Failed},
 			code:     502,
 			text:     "failed: it may or may not have run\n",
 		},
 		{
-			name:     "failed late",
+			name:     "failed after the deadline",
 			response: broker.Response{Verdict: broker.Failed},
 			late:     true,
 			code:     504,
@@ -50,7 +50,7 @@
 			w := httptest.NewRecorder()
 			writeResponse(w, c.response, c.late)
 			if w.Code != c.code || w.Body.String() != c.text {
-				t.Errorf("%d %q, want %d %q", w.Code, w.Body, c.code, c.text)
+				t.Errorf("status %d with body %q, want %d with %q", w.Code, w.Body, c.code, c.text)
 			}
 			if got := w.Header().Get("Retry-After"); got != c.retryAfter {
 				t.Errorf("Retry-After %q, want %q", got, c.retryAfter)
