--- a/internal/agreement/batch.go
+++ b/internal/agreement/batch.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// batchDelay is how long what goes upstream waits for more. Longer would delay each phase of a change by that at
-	// every level of the tree, shorter would send more frames.
+	// batchDelay is how long a batch waits for more messages before it is sent upstream. A longer delay would delay
+	// each phase of a change by that time at every level of the tree. A shorter delay would send more frames.
 	batchDelay = 15 * time.Millisecond
-	// maxBatchCalls bounds the operator calls in a batch, as well as the calls and changes that one broker has open.
+	// maxBatchCalls is the maximum number of operator calls in a batch, of pending calls of one broker, and of changes
+	// in a drain proposal.
 	maxBatchCalls = 64
 )
 
-// batch collects what goes upstream. The service goroutine owns it.
+// batch collects the messages to send upstream. The service goroutine owns it.
 type batch struct {
 	message upstreamMessage
-	flushAt clusterconfig.Micros // 0 for an empty batch
+	flushAt clusterconfig.Micros // 0 while the batch is empty
 }
 
 func (b *batch) empty() bool {
 	return len(b.message.Renewals)+len(b.message.Calls)+len(b.message.Documents) == 0
 }
 
-// add takes a message, or drops it if the batch is full: all in it is sent again.
+// add appends a message, or drops it if the batch is full. Dropping is safe: renewals, documents and proposals are sent
+// again, and an operator's call times out.
 func (b *batch) add(m upstreamMessage, now clusterconfig.Micros) {
 	if b.empty() {
 		b.flushAt = now + batchDelay.Microseconds()
@@ -46,7 +48,7 @@
 	return m
 }
 
-// sendUpstream has a message go towards the leader: to this broker itself if it leads.
+// sendUpstream sends a message towards the leader. If this broker leads, it handles the message itself.
 func (s *Service) sendUpstream(m upstreamMessage) {
 	if s.isLeader() {
 		s.handleAsLeader(m)
@@ -55,7 +57,8 @@
 	s.batch.add(m, s.now())
 }
 
-// flushBatch sends the batch to the leader, or to the parent. Without one it is dropped: all in it is sent again.
+// flushBatch sends the batch to the parent or, on a voter, to the leader. Without a connection the batch is dropped,
+// which is safe for the reasons given at add.
 func (s *Service) flushBatch() {
 	m := s.batch.take()
 	if s.isLeader() {
@@ -71,7 +74,7 @@
 	}
 }
 
-// receiveUpstream takes a message from below, and notes by which way answers go.
+// receiveUpstream forwards a message from a broker below, and records the connection as the route for the answers.
 func (s *Service) receiveUpstream(from *connection, m upstreamMessage) {
 	now := s.now()
 	for _, r := range m.Renewals {
@@ -83,7 +86,7 @@
 	s.sendUpstream(m)
 }
 
-// handleAsLeader answers what comes to the leader.
+// handleAsLeader answers the renewals and calls of an upstream message.
 func (s *Service) handleAsLeader(m upstreamMessage) {
 	now, voter := s.now(), s.voting.voter
 	var grants []*clusterconfig.Grant
--- a/internal/agreement/batch_test.go
+++ b/internal/agreement/batch_test.go
@@ -10,8 +10,8 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// Renewals of many brokers come within a few milliseconds. They must go up together, the first waiting for
-// batchDelay.
+// Many brokers renew within a few milliseconds. Their renewals must be sent upstream in one batch, batchDelay after the
+// first was added.
 func TestBatchIsFlushedAfterItsFirstMessage(t *testing.T) {
 	var b batch
 	renewal := upstreamMessage{Renewals: []clusterconfig.Renewal{{Holder: "a"}}}
@@ -25,11 +25,11 @@
 		t.Errorf("due at %d, want %d", b.flushAt, flushAt)
 	}
 	if m := b.take(); len(m.Renewals) != 2 || !b.empty() || b.due(1<<60) {
-		t.Errorf("%+v, left %+v", m, b)
+		t.Errorf("took %+v, left %+v; want two renewals and an empty batch", m, b)
 	}
 }
 
-// The way up is blocked while calls keep coming. A batch must not grow without bound.
+// The connection upstream is blocked while more calls arrive. The batch must stay bounded.
 func TestBatchIsBounded(t *testing.T) {
 	var b batch
 	for range 2 * maxBatchCalls {
@@ -39,12 +39,12 @@
 		b.add(upstreamMessage{Renewals: []clusterconfig.Renewal{{Holder: "a"}}}, 0)
 	}
 	if m := b.take(); len(m.Calls) != maxBatchCalls || len(m.Renewals) > maxRoutes {
-		t.Errorf("%d calls, %d renewals", len(m.Calls), len(m.Renewals))
+		t.Errorf("%d calls and %d renewals in a batch", len(m.Calls), len(m.Renewals))
 	}
 }
 
-// No leader answers, and operators call again and again. What waits must stay bounded; a late reply to a call that was
-// forgotten must do nothing.
+// The leader does not answer, and operators send more calls. The number of pending calls must stay bounded. A late
+// reply to a dropped call must have no effect.
 func TestPendingCallsAreBounded(t *testing.T) {
 	p := newPendingCalls(rand.New(rand.NewPCG(1, 1)))
 	answered := 0
@@ -55,15 +55,15 @@
 	}
 	last := p.number
 	if len(p.callbacks) > maxBatchCalls {
-		t.Errorf("%d calls wait", len(p.callbacks))
+		t.Errorf("%d pending calls", len(p.callbacks))
 	}
 	p.finish(operatorReply{Number: first})
 	if answered != 0 {
-		t.Error("a forgotten call was answered")
+		t.Error("a dropped call was answered")
 	}
 	p.finish(operatorReply{Number: last})
 	p.finish(operatorReply{Number: last})
 	if answered != 1 {
-		t.Errorf("answered %d times", answered)
+		t.Errorf("answered %d times, want once", answered)
 	}
 }
--- a/internal/agreement/bootstrap.go
+++ b/internal/agreement/bootstrap.go
@@ -5,18 +5,20 @@
 	"junctionwharf/internal/consensus"
 )
 
-// In microseconds.
+// Durations in microseconds.
 const (
-	// bootstrapInterval is how often a voter looks whether a cluster is to be bootstrapped. Longer would delay the
-	// first start of a cluster.
+	// bootstrapInterval is the time between a voter's checks whether it has to bootstrap a cluster. A longer interval
+	// would delay the first start of a cluster.
 	bootstrapInterval = 100_000
-	// bootstrapTimeout is for how long a bootstrapped cluster may be without its first leader. After that, voters that
-	// took part are gone, and the others start over. Shorter than a few elections would start over needlessly.
+	// bootstrapTimeout is how long a bootstrapped cluster may be without its first leader. After the timeout, some
+	// voters of the bootstrap are assumed to be lost, and this voter starts over. A timeout of less than a few
+	// elections would start over needlessly.
 	bootstrapTimeout = 5_000_000
 )
 
-// maybeBootstrap has voters without any state start a new cluster, once all of them are there and none has any: a voter
-// that has state may be part of a cluster that goes on. The first by name speaks for all.
+// maybeBootstrap starts a new cluster if all voters are connected and none of them has state: a voter with state may be
+// a member of an existing cluster. The voter whose name comes first bootstraps the cluster for all. A voter whose
+// cluster has not elected a leader within bootstrapTimeout starts over.
 func (s *Service) maybeBootstrap(now clusterconfig.Micros) {
 	v := s.voting
 	if !v.voter.Uninitialized() {
@@ -37,7 +39,8 @@
 	s.bootstrap(m)
 }
 
-// bootstrapMembers returns the identities of all voters, if this one is to bootstrap the cluster.
+// bootstrapMembers returns the raft identities of all voters by name. ok is false if another voter bootstraps the
+// cluster, or if not all voters are connected and without state.
 func (s *Service) bootstrapMembers() (members map[string]uint64, ok bool) {
 	members = map[string]uint64{s.options.Name: s.voting.voter.ID()}
 	for _, voter := range s.options.Voters {
@@ -53,14 +56,14 @@
 	return members, true
 }
 
-// receiveBootstrap takes the message of the voter that bootstraps the cluster.
+// receiveBootstrap handles the message of the voter that bootstraps the cluster.
 func (s *Service) receiveBootstrap(from *connection, m *bootstrapMessage) {
 	if s.voting != nil && from.isVoter {
 		s.bootstrap(m)
 	}
 }
 
-// bootstrap starts the voter as a member of a new cluster, unless the message is meant for an earlier identity.
+// bootstrap starts this voter as a member of a new cluster, unless the message names another identity of this voter.
 func (s *Service) bootstrap(m *bootstrapMessage) {
 	v := s.voting
 	forThisIdentity := m.Members[s.options.Name] == v.voter.ID()
@@ -78,7 +81,7 @@
 	s.options.Log.Info(LogBootstrapped, "epoch", m.Epoch, "voters", len(m.Members))
 }
 
-// startOver gives the voter another identity, without state.
+// startOver deletes the voter's state and gives the voter a new identity.
 func (s *Service) startOver() {
 	if err := s.voting.storage.Destroy(); err != nil {
 		s.options.Log.Error("old state not removed", "reason", err)
@@ -88,7 +91,7 @@
 		s.options.Log.Error("storage not opened", "reason", err)
 		return
 	}
-	for _, c := range s.connections() { // a new handshake tells others the new identity
+	for _, c := range s.connections() { // the handshakes of new connections announce the new identity
 		c.close()
 	}
 }
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -2,9 +2,9 @@
 
 import "math/rand/v2"
 
-// pendingCalls are the calls of this broker that the leader has not answered. The service goroutine owns it.
+// pendingCalls holds the calls of this broker that the leader has not answered. The service goroutine owns it.
 type pendingCalls struct {
-	number    uint64 // of the latest; starts at random, so that replies to an earlier process match nothing
+	number    uint64 // of the latest call; starts at random, so that replies to an earlier process match no call
 	callbacks map[uint64]func(operatorReply)
 }
 
@@ -12,7 +12,8 @@
 	return pendingCalls{number: random.Uint64() >> 1, callbacks: map[uint64]func(operatorReply){}}
 }
 
-// add returns the number of a new call. If too many are open, nobody answers: all of them are forgotten.
+// add registers a call and returns its number. If there are too many pending calls, the leader is not answering, and
+// add drops all of them first.
 func (p *pendingCalls) add(callback func(operatorReply)) (number uint64) {
 	if len(p.callbacks) >= maxBatchCalls {
 		clear(p.callbacks)
@@ -22,7 +23,7 @@
 	return p.number
 }
 
-// finish hands a reply to the caller, if it still waits.
+// finish passes a reply to the callback of its call, if the call is still pending.
 func (p *pendingCalls) finish(r operatorReply) {
 	callback := p.callbacks[r.Number]
 	if callback == nil {
@@ -32,7 +33,7 @@
 	callback(r)
 }
 
-// callLeader sends a call to the leader; callback is called with the reply, if one comes.
+// callLeader sends a call to the leader. callback receives the reply, if one arrives.
 func (s *Service) callLeader(c operatorCall, callback func(operatorReply)) {
 	c.Broker = s.options.Name
 	c.Number = s.pendingCalls.add(callback)
--- a/internal/agreement/codec.go
+++ b/internal/agreement/codec.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// maxHelloBytes bounds the first frame of a connection, which anybody can send.
+	// maxHelloBytes is the maximum size of a connection's first frame, which any process can send.
 	maxHelloBytes = 4 << 10
-	// maxFrameBytes bounds every other frame. It must exceed the largest document; a peer can have a reader spend that
-	// much memory, as it sends it.
+	// maxFrameBytes is the maximum size of every other frame. It must exceed the largest document. A peer that sends
+	// such a frame makes the reader use that much memory.
 	maxFrameBytes = 16 << 20
-	frameHeader   = 4 // bytes of a frame's length, big-endian
+	frameHeader   = 4 // size of a frame's length field in bytes; the field is big-endian
 )
 
 // frameSizeError is returned for a frame that is too large.
 type frameSizeError struct{ size, limit int }
 
 func (e *frameSizeError) Error() string {
-	return fmt.Sprintf("a frame of %d bytes, at most %d may come", e.size, e.limit)
+	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d bytes", e.size, e.limit)
 }
 
-// readFrame reads a frame and returns how many bytes that took. What a peer announces takes no memory before it comes.
+// readFrame reads a frame and returns the number of bytes read. Its buffer grows as data arrives: a frame's length
+// field alone allocates no memory.
 func readFrame(in *bufio.Reader, limit int) (f frame, n int, err error) {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -41,12 +42,12 @@
 		return frame{}, int(n), err
 	}
 	if err := msgpack.Unmarshal(body.Bytes(), &f); err != nil {
-		return frame{}, size, fmt.Errorf("a frame of %d bytes: %w", size, err)
+		return frame{}, size, fmt.Errorf("decode frame of %d bytes: %w", size, err)
 	}
 	return f, size + frameHeader, nil
 }
 
-// writeFrame writes a frame in one call and returns how many bytes that took.
+// writeFrame writes a frame in one call of Write and returns the number of bytes written.
 func writeFrame(to io.Writer, f frame) (n int, err error) {
 	body, err := msgpack.Marshal(f)
 	if err != nil {
--- a/internal/agreement/configuration.go
+++ b/internal/agreement/configuration.go
@@ -9,23 +9,23 @@
 	"junctionwharf/scheduler"
 )
 
-// configuration is what this broker's core acts on: its own settings and endpoints, and the replicated document that it
-// has a lease on. Its lock is taken by the scheduling turn, by discovery and by the service goroutine; nothing blocks
-// under it.
+// configuration is the configuration that this broker's core applies: the broker's own settings and endpoints, and the
+// replicated document that it has a lease on. The scheduling turn, discovery and the service goroutine take its lock.
+// No blocking operation runs under the lock.
 type configuration struct {
 	limitFloors map[string]float64
 	log         *slog.Logger
 
 	mu        sync.Mutex
 	holder    *clusterconfig.LeaseHolder // only the service goroutine changes its document
-	settings  scheduler.Settings         // the broker's own
+	settings  scheduler.Settings         // of this broker
 	endpoints *endpointOverlay
-	applied   viewIdentity         // the core acts on it
-	appliedAt clusterconfig.Micros // 0: to be applied again
+	applied   viewIdentity         // the view that the core applied last
+	appliedAt clusterconfig.Micros // 0: the next turn applies the view again
 	lastTurn  clusterconfig.Micros
 }
 
-// viewIdentity tells views apart.
+// viewIdentity identifies a view. The core applies a view only if its identity has changed.
 type viewIdentity struct {
 	epoch          uint64
 	version        uint64
@@ -43,8 +43,9 @@
 	}
 }
 
-// changes returns what the core has to apply before it decides anything in the turn that starts now, nil for nothing.
-// A process that was stopped for minutes finds its lease ended here, and does not decide once by what it knew.
+// changes returns the events that the core must apply before it makes decisions in the turn that starts now, or nil. If
+// the process was stopped for minutes, the end of its lease is detected here, before the core makes any decision based
+// on the expired configuration.
 func (c *configuration) changes(now clusterconfig.Micros) []broker.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 	return events
 }
 
-// drainChanges brings the endpoints up to the drains of a view, and returns those that change.
+// drainChanges applies the drains of a view to the endpoints, and returns the endpoints that change.
 func (c *configuration) drainChanges(view clusterconfig.View) []broker.Node {
 	keys, all := c.holder.TakeChangedKeys()
 	if all {
@@ -82,7 +83,7 @@
 	return changed
 }
 
-// setSettings takes the broker's own settings; the next turn applies them.
+// setSettings replaces the broker's own settings. The next turn applies them.
 func (c *configuration) setSettings(settings scheduler.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,14 +91,14 @@
 	c.appliedAt = 0
 }
 
-// settingsChanges returns the changes that bring a document to the broker's own settings.
+// settingsChanges returns the changes after which a document has the values of the broker's own settings.
 func (c *configuration) settingsChanges(document *clusterconfig.Document) []clusterconfig.Change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return missingChanges(document, documentValues(c.settings, c.limitFloors))
 }
 
-// overlay lays the replicated drains over an endpoint update.
+// overlay applies the replicated drains to an endpoint update.
 func (c *configuration) overlay(update broker.NodesListed) overlaid {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,10 +111,10 @@
 	return c.holder.Renew(now)
 }
 
-// grantEffect is what a grant changed.
+// grantEffect is the effect of a grant.
 type grantEffect struct {
 	accepted bool
-	changed  bool // what the core acts on
+	changed  bool // the core has to apply the configuration again
 	pending  bool // a version is pending
 }
 
@@ -127,25 +128,25 @@
 	return grantEffect{accepted: accepted, changed: changed, pending: after.PendingVersion > 0}
 }
 
-// document returns a copy of what this broker knows to be active.
+// document returns a copy of the latest active document that this broker has received.
 func (c *configuration) document() *clusterconfig.Document {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holder.Document().Clone()
 }
 
-// active returns what this broker knows to be active, and whether it is restricted. Only the service goroutine may
-// call it: no other changes the document.
+// active returns the latest active document that this broker has received, and whether the broker is restricted. Only
+// the service goroutine may call it, because no other goroutine changes the document.
 func (c *configuration) active(now clusterconfig.Micros) (document *clusterconfig.Document, restricted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holder.Document(), c.holder.View(now).Restricted
 }
 
-// leaseState is what status and metrics show of the lease.
+// leaseState is the state of the lease for status and metrics.
 type leaseState struct {
 	epoch           uint64
-	view            clusterconfig.View // its values must not be read
+	view            clusterconfig.View // its values may only be read under the lock
 	remaining       clusterconfig.Micros
 	restrictedSince clusterconfig.Micros
 	appliedAt       clusterconfig.Micros
@@ -154,7 +155,7 @@
 func (c *configuration) leaseState(now clusterconfig.Micros) leaseState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	view := c.holder.View(now) // first: it notes the end of the lease
+	view := c.holder.View(now) // comes first, because it records the end of the lease
 	return leaseState{
 		view:            view,
 		epoch:           c.holder.Document().Epoch,
--- a/internal/agreement/connection.go
+++ b/internal/agreement/connection.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// maxQueuedFrames bounds what waits for a peer. Beyond, frames are dropped: all that they say is said again. A
-	// larger queue would deliver stale renewals and grants after a stall.
+	// maxQueuedFrames is the maximum number of frames queued for a peer. Further frames are dropped: their content is
+	// sent again, or an operator's call times out. A larger queue would deliver stale renewals and grants after a
+	// stall.
 	maxQueuedFrames = 256
-	// keepaliveInterval is how often a quiet connection shows that its end is alive.
+	// keepaliveInterval is the time between the keepalive frames of a connection.
 	keepaliveInterval = time.Second
-	// idleTimeout is how long a connection lives without a frame: a few lost keepalives. Longer would leave children
-	// attached to a parent that is cut off.
+	// idleTimeout is the time without a frame after which a connection is closed. It allows for the loss of a few
+	// keepalives. A longer timeout would keep children attached to a parent that is cut off.
 	idleTimeout = 4 * time.Second
-	// writeTimeout is how long a peer may take to accept a frame.
+	// writeTimeout is the time limit for writing a frame to a peer.
 	writeTimeout = time.Second
 )
 
-// peer is what a connection's other end has said of itself.
+// peer describes the broker at the other end of a connection, according to its handshake.
 type peer struct {
 	name          string
-	listenAddress string // empty if nobody can attach there
+	listenAddress string // empty if other brokers cannot attach to the peer
 	isVoter       bool
 	raftID        uint64
 	uninitialized bool
-	path          []string // the names from a voter to it, including it
+	path          []string // names of the brokers from a voter to the peer, both included
 }
 
-// connection is an established connection. A peer that stalls costs this connection alone. Its reader runs on the
-// goroutine that calls readLoop, its writer on the one that calls writeLoop; close ends both.
+// connection is an established connection. A peer that stalls delays only its own connection. The reader runs on the
+// goroutine that calls readLoop, the writer on the goroutine that calls writeLoop; close ends both.
 type connection struct {
 	peer
 	conn    net.Conn
@@ -68,10 +69,10 @@
 		return
 	}
 	close(c.ended)
-	_ = c.conn.Close() // whatever is wrong with it, it is over
+	_ = c.conn.Close() // an error has no consequence: the connection has ended
 }
 
-// writeLoop sends what is queued, and keepalives, until the connection ends.
+// writeLoop writes queued frames and keepalives until the connection ends.
 func (c *connection) writeLoop() {
 	defer c.close()
 	keepalive := time.NewTicker(keepaliveInterval)
@@ -84,7 +85,7 @@
 		case <-keepalive.C:
 		case f = <-c.queue:
 		}
-		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection, as the write will
+		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only if closed; then the write fails, too
 		n, err := writeFrame(c.conn, f)
 		c.traffic.sentBytes.Add(int64(n))
 		if err != nil {
@@ -93,11 +94,11 @@
 	}
 }
 
-// readLoop hands on the frames that arrive until the connection ends, and returns why it did.
+// readLoop passes received frames to handle until the connection ends or handle fails, and returns the error.
 func (c *connection) readLoop(handle func(frame) error) error {
 	defer c.close()
 	for {
-		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, as the read will
+		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only if closed; then the read fails, too
 		f, n, err := readFrame(c.in, maxFrameBytes)
 		c.traffic.receivedBytes.Add(int64(n))
 		if err == nil {
--- a/internal/agreement/console_golden_test.go
+++ b/internal/agreement/console_golden_test.go
@@ -8,14 +8,14 @@
 	"junctionwharf/internal/golden"
 )
 
-// checkAnswer encodes a value as the console does, compares it with a golden file, and reads that file into to and
-// back.
+// checkAnswer compares the console's encoding of a value with a golden file. It also decodes the golden file into to,
+// and checks that to has the same encoding.
 func checkAnswer(t *testing.T, name string, value, to any) {
 	t.Helper()
 	golden.CheckJSON(t, name, value, to, "\n")
 }
 
-// Operators' programs read the answers of the console's agree calls as JSON. Their bytes must stay the same.
+// Operators' programs parse the console's answers to agree commands as JSON. The bytes of the answers must not change.
 func TestConsoleAnswerBytes(t *testing.T) {
 	status := Status{
 		Name:           "n1",
@@ -58,7 +58,7 @@
 	checkAnswer(t, "status-least.json", Status{}, &Status{})
 	checkAnswer(t, "history.json", []clusterconfig.Entry{entry}, &[]clusterconfig.Entry{})
 	checkAnswer(t, "diff.json", differences, &[]Difference{})
-	checkAnswer(t, "change.json", entry, &clusterconfig.Entry{}) // of propose and rollback
+	checkAnswer(t, "change.json", entry, &clusterconfig.Entry{}) // the answer to propose and rollback
 	checkAnswer(t, "export.json", document.Clone(), &clusterconfig.Document{})
 	var refused map[string]string
 	line := failure(kindExpected, "expected: another version is in force: 3, not 2")
--- a/internal/agreement/dialer.go
+++ b/internal/agreement/dialer.go
@@ -12,45 +12,49 @@
 )
 
 const (
-	// dialTimeout is how long a connection may take to come up. Longer would keep a broker without a lease at an
-	// address that does not answer, while another voter would.
+	// dialTimeout is the time limit for establishing a connection. With a longer limit, an address that does not answer
+	// would keep a broker without a lease, although another voter would answer.
 	dialTimeout = time.Second
-	// welcomeTimeout is how long the other side may take to answer a hello. It must exceed handshakeTimeout there.
+	// welcomeTimeout is the time limit for the answer to a hello. It must exceed handshakeTimeout of the other side.
 	welcomeTimeout = 2 * time.Second
 
-	// The pause between attempts grows from minBackoff to maxBackoff, and half of it is random. Shorter would have
-	// all brokers beat on a voter that restarts, longer would leave a broker without a lease for longer.
+	// The pause between attempts doubles from minBackoff to maxBackoff, and is multiplied by a random factor between
+	// 0.5 and 1.5. With shorter pauses, all brokers together would overload a voter that restarts. Longer pauses would
+	// leave a broker without a lease for longer.
 	minBackoff          = 50 * time.Millisecond
 	maxBackoff          = 2 * time.Second
 	maxBackoffDoublings = 10
 
-	// maxDescents bounds the steps down the tree while a broker looks for a parent. It is more than the depth of any
-	// tree; without it full brokers could name each other's children for ever.
+	// maxDescents limits the steps down the tree in a search for a parent. It exceeds the depth of any tree. Without
+	// the limit, full brokers could refer a broker to each other's children forever.
 	maxDescents = 64
-	// After several rejections the pause grows by a step each attemptsPerBackoff attempts, up to maxParentDoublings.
+	// In a search for a parent, the pause doubles after every attemptsPerBackoff attempts, at most maxParentDoublings
+	// times.
 	attemptsPerBackoff = 3
 	maxParentDoublings = 5
 )
 
 var (
-	errNoWelcome = errors.New("no welcome")
-	errCycle     = errors.New("the tree would have a cycle")
+	errNoWelcome = errors.New("the answer to the hello is not a welcome")
+	errCycle     = errors.New("attaching to this parent would create a cycle in the tree")
 )
 
 // wrongPeerError is returned if another broker answers at a voter's address.
 type wrongPeerError struct{ name string }
 
-func (e *wrongPeerError) Error() string { return fmt.Sprintf("%q answers there", e.name) }
+func (e *wrongPeerError) Error() string {
+	return fmt.Sprintf("another broker answers at the voter's address: %q", e.name)
+}
 
 // rejectedError is returned if the other side rejects this broker.
 type rejectedError struct {
 	reason       string
-	alternatives []string // where else to ask
+	alternatives []string // addresses of other brokers to try
 }
 
 func (e *rejectedError) Error() string { return e.reason }
 
-// dial connects to a broker and introduces this one.
+// dial connects to a broker and performs the handshake.
 func (s *Service) dial(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if s.options.LocalIP != nil {
@@ -68,7 +72,7 @@
 	return c, nil
 }
 
-// dialHandshake says who this broker is, and reads who the other is.
+// dialHandshake sends the hello of this broker and reads the welcome of the other.
 func (s *Service) dialHandshake(conn net.Conn) (*connection, error) {
 	hellos := make(chan hello, 1)
 	s.do(func() { hellos <- s.hello() })
@@ -78,7 +82,7 @@
 	case <-s.done:
 		return nil, errStopping
 	}
-	_ = conn.SetDeadline(time.Now().Add(welcomeTimeout)) // fails on a closed connection, as the write will
+	_ = conn.SetDeadline(time.Now().Add(welcomeTimeout)) // fails only if closed; then the write fails, too
 	if _, err := writeFrame(conn, frame{Hello: &h}); err != nil {
 		return nil, err
 	}
@@ -98,7 +102,7 @@
 	return newConnection(conn, in, p, &s.traffic), nil
 }
 
-// hello returns what this broker says of itself, on the service goroutine.
+// hello returns this broker's hello. It runs on the service goroutine.
 func (s *Service) hello() hello {
 	h := hello{
 		Cluster:       s.options.Cluster,
@@ -114,7 +118,7 @@
 	return h
 }
 
-// receiveFromAbove reads what comes down a connection that this broker dialed, until it ends.
+// receiveFromAbove handles the downstream messages of a connection that this broker dialed, until the connection ends.
 func (s *Service) receiveFromAbove(c *connection) {
 	go c.writeLoop()
 	err := c.readLoop(func(f frame) error {
@@ -131,7 +135,7 @@
 	s.options.Log.Debug("connection ended", "name", c.name, "reason", err)
 }
 
-// backOff waits before another attempt, longer after each.
+// backOff pauses before another attempt. The pause grows with the number of attempts, and ends early if ctx ends.
 func backOff(ctx context.Context, attempts int) {
 	span := min(maxBackoff, minBackoff<<min(attempts, maxBackoffDoublings))
 	timer := time.NewTimer(span/2 + rand.N(span))
@@ -142,7 +146,7 @@
 	}
 }
 
-// keepVoterConnected keeps a connection to another voter until ctx ends.
+// keepVoterConnected maintains a connection to another voter until ctx ends.
 func (s *Service) keepVoterConnected(ctx context.Context, voter Voter) {
 	for attempts := 0; ctx.Err() == nil; attempts++ {
 		c, err := s.dialVoter(ctx, voter)
@@ -171,7 +175,7 @@
 	return c, nil
 }
 
-// keepParentConnected keeps a connection to a parent until ctx ends.
+// keepParentConnected maintains a connection to a parent until ctx ends.
 func (s *Service) keepParentConnected(ctx context.Context) {
 	search := parentSearch{voters: s.options.Voters}
 	for ctx.Err() == nil {
@@ -202,7 +206,7 @@
 	return c, nil
 }
 
-// attach takes a new parent, and renews by it at once.
+// attach sets the connection to the parent, and schedules a renewal for now.
 func (s *Service) attach(c *connection) {
 	now := s.now()
 	s.tree.parent = c
@@ -216,8 +220,8 @@
 	}
 }
 
-// parentSearch is where to ask for a place in the tree: the voters in random order, and below one that has enough
-// children, a random child of it.
+// parentSearch selects the addresses at which a broker asks for a place in the tree: the voters in random order, and
+// after a broker that has the maximum number of children, a random child of that broker.
 type parentSearch struct {
 	voters    []Voter
 	addresses []string
@@ -238,7 +242,8 @@
 	return address
 }
 
-// failed goes a step down the tree if the broker that was asked named its children, and waits otherwise.
+// failed handles a failed attempt. If the broker rejected this one and named its children, failed selects one of them
+// as the next address. Otherwise it pauses.
 func (p *parentSearch) failed(ctx context.Context, err error) {
 	var alternatives []string
 	if rejected, ok := errors.AsType[*rejectedError](err); ok {
--- a/internal/agreement/endpoints.go
+++ b/internal/agreement/endpoints.go
@@ -8,12 +8,12 @@
 	"junctionwharf/scheduler"
 )
 
-// endpointOverlay lays the replicated drains over the endpoints of this broker's discovery. A drain that discovery
-// reports counts at once, replicated or not. configuration owns it, under its lock.
+// endpointOverlay applies the replicated drains to the endpoints of this broker's discovery. A drain that discovery
+// reports takes effect at once, even before it is replicated. configuration owns the overlay, under its lock.
 type endpointOverlay struct {
-	nodes      map[string]broker.Node // as discovery reported them last
-	overridden map[string]bool        // shown as draining only because that is replicated
-	drains     map[string]bool        // replicated
+	nodes      map[string]broker.Node // as last reported by discovery
+	overridden map[string]bool        // nodes that are draining only because of a replicated drain
+	drains     map[string]bool        // nodes with a replicated drain
 }
 
 func newEndpointOverlay() *endpointOverlay {
@@ -24,14 +24,14 @@
 	}
 }
 
-// overlaid is an endpoint update with the replicated drains, and what is to be proposed because of it.
+// overlaid is an endpoint update with the replicated drains applied, and the drain changes to propose because of it.
 type overlaid struct {
 	update  broker.NodesListed
-	drain   []string // nodes that discovery now reports as draining
-	undrain []string // nodes that it no longer does
+	drain   []string // nodes that discovery newly reports as draining
+	undrain []string // nodes that discovery no longer reports as draining
 }
 
-// apply takes an endpoint update.
+// apply records an endpoint update of discovery and applies the replicated drains to it.
 func (o *endpointOverlay) apply(update broker.NodesListed) overlaid {
 	if update.Kind == scheduler.FailedUpdate {
 		return overlaid{update: update}
@@ -77,7 +77,7 @@
 	delete(o.overridden, node)
 }
 
-// setDrain takes the replicated drain of one node, and returns the endpoint if it changes.
+// setDrain sets the replicated drain of a node, and returns the endpoint if its state changes.
 func (o *endpointOverlay) setDrain(node string, drain bool) []broker.Node {
 	delete(o.drains, node)
 	if drain {
@@ -96,7 +96,7 @@
 	return []broker.Node{n}
 }
 
-// setDrains takes all replicated drains, and returns the endpoints that change.
+// setDrains replaces all replicated drains, and returns the endpoints whose state changes.
 func (o *endpointOverlay) setDrains(drains map[string]bool) []broker.Node {
 	o.drains = map[string]bool{}
 	var changed []broker.Node
--- a/internal/agreement/endpoints_test.go
+++ b/internal/agreement/endpoints_test.go
@@ -20,47 +20,47 @@
 	return broker.NodesListed{Kind: scheduler.DeltaUpdate, Nodes: nodes}
 }
 
-// What discovery drains, drains at once. What is drained by the replicated configuration drains although discovery
-// says that it is ready, and comes back as discovery has it.
+// A node that discovery drains must drain at once. A node that the replicated configuration drains must drain even if
+// discovery reports it as ready, and must return to the state that discovery reports when the replicated drain ends.
 func TestReplicatedDrainsOverlayEndpoints(t *testing.T) {
 	o := newEndpointOverlay()
 	o.apply(fullUpdate(newNode("a", scheduler.Ready), newNode("b", scheduler.Ready)))
 
 	changed := o.setDrains(map[string]bool{"a": true, "x": true})
 	if len(changed) != 1 || changed[0].State != scheduler.Draining || changed[0].Name != "a" {
-		t.Errorf("%+v", changed)
+		t.Errorf("changed %+v, want node a, draining", changed)
 	}
 
 	got := o.apply(deltaUpdate(newNode("a", scheduler.Ready), newNode("b", scheduler.Draining)))
 	for _, n := range got.update.Nodes {
 		if n.State != scheduler.Draining {
-			t.Errorf("%+v", n)
+			t.Errorf("not draining: %+v", n)
 		}
 	}
 	if !slices.Equal(got.drain, []string{"b"}) || len(got.undrain) > 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want a drain of b and no undrain", got)
 	}
 
 	if changed := o.setDrains(nil); len(changed) != 1 || changed[0].State != scheduler.Ready {
-		t.Errorf("%+v", changed)
+		t.Errorf("changed %+v, want node a, ready", changed)
 	}
 
 	got = o.apply(deltaUpdate(newNode("b", scheduler.Ready), newNode("a", scheduler.Removed)))
 	if got.update.Nodes[1].State != scheduler.Removed || len(got.drain) > 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want node a removed and no drain", got)
 	}
 	if !slices.Equal(got.undrain, []string{"b", "a"}) {
-		t.Errorf("%v", got.undrain)
+		t.Errorf("undrain %v, want b and a", got.undrain)
 	}
 }
 
-// A node that is drained by the replicated configuration disappears from discovery: nothing of it may be kept.
+// A node that the replicated configuration drains disappears from discovery. The overlay must not keep it.
 func TestRemovedNodeIsForgotten(t *testing.T) {
 	o := newEndpointOverlay()
 	o.apply(fullUpdate(newNode("b", scheduler.Ready)))
 	o.setDrains(map[string]bool{"b": true})
 	o.apply(fullUpdate(newNode("c", scheduler.Ready)))
 	if changed := o.setDrains(map[string]bool{"b": true}); len(changed) > 0 || len(o.overridden) > 0 {
-		t.Errorf("%+v, %v", changed, o.overridden)
+		t.Errorf("changed %+v, overridden %v; want neither", changed, o.overridden)
 	}
 }
--- a/internal/agreement/errors.go
+++ b/internal/agreement/errors.go
@@ -10,18 +10,18 @@
 	"junctionwharf/internal/consensus"
 )
 
-// errorKind tells scripts why a call failed. The values are part of the wire and of the console's answers; the command
-// line maps them to exit codes.
+// errorKind classifies the error of a call for scripts. The values are part of the wire protocol and of the console's
+// answers. The command line maps them to exit codes.
 type errorKind string
 
 const (
 	kindExpected errorKind = "expected" // another version is active, or another change is pending
 	kindUnknown  errorKind = "unknown"  // it is not known whether the change was committed
-	kindInvalid  errorKind = "invalid"  // the call or the proposal is faulty
+	kindInvalid  errorKind = "invalid"  // the call or the proposal is invalid
 	kindNoLeader errorKind = "none"     // no leader answers
 )
 
-// kindOf classifies the error of a call.
+// kindOf returns the kind of a call's error.
 func kindOf(err error) errorKind {
 	switch {
 	case errors.Is(err, clusterconfig.ErrVersionConflict), errors.Is(err, clusterconfig.ErrChangePending):
@@ -42,14 +42,14 @@
 
 func failure(kind errorKind, message string) []byte {
 	line, err := json.Marshal(callError{message, kind})
-	if err != nil { // two strings can always be encoded
+	if err != nil { // cannot happen: two strings can always be encoded
 		panic(err)
 	}
 	return append(line, '\n')
 }
 
-// publicTypeNames keeps the type names that the console has always shown for a faulty proposal, whatever the types and
-// their package are called here.
+// publicTypeNames replaces the names of Go types in the errors for an invalid proposal by the names that the console
+// has always shown, so that renaming a type or its package does not change the console's answers.
 var publicTypeNames = strings.NewReplacer(
 	"type "+reflect.TypeFor[[]clusterconfig.Change]().String(), "type []agree.Change",
 	"type "+reflect.TypeFor[clusterconfig.Change]().String(), "type agree.Change",
--- a/internal/agreement/fanout.go
+++ b/internal/agreement/fanout.go
@@ -2,8 +2,8 @@
 
 import "junctionwharf/clusterconfig"
 
-// fanOut collects what goes to each child, so that a message from the leader becomes at most two frames for each: the
-// grants, and the rest.
+// fanOut sorts the content of a message from the leader by child, so that each child receives at most two frames: one
+// with the grants, and one with everything else.
 type fanOut struct {
 	tree   *tree
 	grants map[*connection][]*clusterconfig.Grant
@@ -24,7 +24,7 @@
 	}
 }
 
-// messageTo returns the message that goes towards a broker, nil if there is no route to it.
+// messageTo returns the message that is forwarded towards a broker, or nil if there is no route to the broker.
 func (f *fanOut) messageTo(broker string) *downstreamMessage {
 	c := f.tree.routeTo(broker)
 	if c == nil {
@@ -45,7 +45,8 @@
 	}
 }
 
-// deliver takes what comes from the leader: for this broker, and by their routes for others.
+// deliver handles a message from the leader: it applies the content for this broker, and forwards the rest on the
+// routes to the other brokers.
 func (s *Service) deliver(grants []*clusterconfig.Grant, m downstreamMessage) {
 	now := s.now()
 	out := newFanOut(&s.tree)
@@ -76,7 +77,7 @@
 	}
 }
 
-// notify has the brokers below, and this broker itself, renew now: a version became pending or active.
+// notify makes this broker and the brokers below renew now, because a version became pending or active.
 func (s *Service) notify(now clusterconfig.Micros) {
 	s.tree.notifyChildren()
 	if s.isLeader() {
@@ -85,7 +86,7 @@
 	s.nextRenewal = now
 }
 
-// handleGrant takes a grant for this broker.
+// handleGrant handles a grant for this broker.
 func (s *Service) handleGrant(now clusterconfig.Micros, g *clusterconfig.Grant) {
 	effect := s.config.handleGrant(now, g)
 	if !effect.accepted {
@@ -95,8 +96,8 @@
 	if !effect.changed {
 		return
 	}
-	s.wake() // the core applies it in a turn of its own
+	s.wake() // the core applies the change at the start of a turn
 	if effect.pending {
-		s.nextRenewal = now // reports the preparation at once
+		s.nextRenewal = now // reports at once that the pending version is prepared
 	}
 }
--- a/internal/agreement/golden_answers_test.go
+++ b/internal/agreement/golden_answers_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/internal/golden"
 )
 
-// answers are what scripts and people read, by name: the console's JSON, and the texts of errors.
+// answers holds the texts that scripts and operators read, by name: the console's JSON and the texts of errors.
 type answers map[string]string
 
 func (a answers) addJSON(t *testing.T, name string, value any) {
@@ -25,7 +25,7 @@
 
 func (a answers) addError(name string, err error) { a[name] = fmt.Sprint(err) }
 
-// faultyCalls are calls that are rejected before they go to a leader.
+// faultyCalls are commands that are rejected before they are sent to a leader.
 var faultyCalls = []string{
 	"", "unknown", "rollback 1 ana", "rollback x ana why", "history x", "history 99999999999", "diff x", "diff -1",
 	"propose", "propose {", "propose 5", "propose [1]", `propose "a"`,
@@ -35,7 +35,7 @@
 	`propose {"changes":[{"key":5}]}`, `propose {"changes":[{"value":true}]}`, `propose {"changes":[{"key":{}}]}`,
 }
 
-// goldenState has the first version active and the second pending.
+// goldenState returns a state in which the first version is active and the second is pending.
 func goldenState(t *testing.T) *clusterconfig.State {
 	t.Helper()
 	document, next := goldenDocument()
@@ -48,7 +48,7 @@
 	return state
 }
 
-// collectAnswers makes every answer anew.
+// collectAnswers returns all answers of the current code.
 func collectAnswers(t *testing.T) answers {
 	t.Helper()
 	document, next := goldenDocument()
@@ -142,7 +142,7 @@
 	_, err = truncated.DocumentAt(3)
 	a.addError("version too old", err)
 	_, err = truncated.DocumentAt(8)
-	// It names one of the two keys.
+	// The error names either of two keys.
 	a["value too old"] = strings.Replace(err.Error(), "plan.gold.limit", "class.read.repeat", 1)
 	a.addError("altered trail", truncated.VerifyHistory())
 }
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	goldenFrames  = "testdata/frames.golden"  // one frame a line: name and hex
-	goldenAnswers = "testdata/answers.golden" // one text a line: name and what the console or a peer receives
+	goldenFrames  = "testdata/frames.golden"  // one frame per line: name and hex
+	goldenAnswers = "testdata/answers.golden" // one text per line: name and what the console or a peer receives
 	separator     = " => "
 	encodeTries   = 1000 // msgpack writes a map in the order of a Go range, which is random
 )
@@ -48,7 +48,7 @@
 	frame frame
 }
 
-// goldenTable has a frame of each kind, with all fields set.
+// goldenTable returns a frame of each kind, with all fields set.
 func goldenTable() []goldenFrame {
 	return slices.Concat(goldenHandshakes(), goldenUpstream(), goldenDownstream(), []goldenFrame{
 		{"alive", frame{}},
@@ -125,7 +125,7 @@
 	}
 }
 
-// write returns a frame as it is sent, with its maps in the order that accept wants.
+// write encodes a frame repeatedly until accept approves the order of its maps.
 func write(t *testing.T, f frame, accept func([]byte) bool) []byte {
 	t.Helper()
 	var wire bytes.Buffer
@@ -141,7 +141,8 @@
 	return wire.Bytes()
 }
 
-// sortedMaps reports whether the keys of the maps in a frame come in order. The encoder itself sorts maps of text only.
+// sortedMaps returns a function that reports whether an encoded frame has all its maps in the order of their keys. The
+// encoder's own sorting does not cover the members of a bootstrap message.
 func sortedMaps(t *testing.T, f frame) func([]byte) bool {
 	t.Helper()
 	for range encodeTries {
@@ -157,7 +158,7 @@
 			return func(got []byte) bool { return bytes.Equal(got[frameHeader:], data) }
 		}
 	}
-	t.Fatal("the members never came in order")
+	t.Fatal("the encoder never wrote the members in order")
 	return nil
 }
 
@@ -186,8 +187,8 @@
 	}
 }
 
-// Brokers of two builds talk to each other during a rolling upgrade. A frame of each kind must be read as what the
-// other build meant, and be written with the same bytes.
+// Brokers of two builds communicate during a rolling upgrade. A frame of each kind must be decoded to the values that
+// the other build encoded, and must be encoded to the same bytes.
 func TestGoldenFrames(t *testing.T) {
 	if golden.Recording() {
 		values := map[string]string{}
@@ -220,8 +221,8 @@
 	}
 }
 
-// Two brokers agree only if they have set lease, limits and voters alike. Each sends what it has set as one text, which
-// the other compares, also if it is of another build.
+// Brokers accept each other only if their settings of lease, limits and voters are the same. Each broker sends these
+// settings as one text, and brokers of other builds compare it.
 func TestSharedOptionsFormat(t *testing.T) {
 	o := Options{
 		Name:        "n",
@@ -235,8 +236,8 @@
 	}
 }
 
-// Somebody renames a field of a frame, and brokers of two builds no longer understand each other; or of an answer, and
-// an operator's script no longer finds it. Each exported field must therefore carry its outer name as a tag.
+// If a field of a frame is renamed, brokers of two builds must still understand each other. If a field of an answer is
+// renamed, operators' scripts must still find it. Each exported field must therefore have its outer name as a tag.
 func TestFieldsOnTheWireAreTagged(t *testing.T) {
 	if missing := untaggedFields(reflect.TypeFor[frame](), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
 		t.Errorf("no msgpack tag: %v", missing)
@@ -255,7 +256,7 @@
 	}
 }
 
-// untaggedFields names the exported fields of a struct, and of all structs in it, that lack a tag.
+// untaggedFields returns the names of the exported fields without a tag, in a type and in all structs that it contains.
 func untaggedFields(of reflect.Type, seen map[reflect.Type]bool, tag string) []string {
 	switch of.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
--- a/internal/agreement/grants.go
+++ b/internal/agreement/grants.go
@@ -7,15 +7,16 @@
 	"junctionwharf/clusterconfig"
 )
 
-// noEntries is packedGrant.After of a grant without entries.
+// noEntries is the value of packedGrant.After for a grant without entries.
 const noEntries = math.MaxUint64
 
 var (
-	errGrantLacksDocument = errors.New("a grant lacks its document")
-	errGrantLacksPending  = errors.New("a grant lacks its pending version")
+	errGrantLacksDocument = errors.New("a grant refers to a document that is not in its message")
+	errGrantLacksPending  = errors.New("a grant refers to a pending version that is not in its message")
 )
 
-// packGrants shares out what grants of one leader carry.
+// packGrants packs grants of one leader into a message. Entries and documents that several grants share are packed
+// once.
 func packGrants(grants []*clusterconfig.Grant) *downstreamMessage {
 	m := &downstreamMessage{}
 	packed := map[uint64]bool{} // versions of entries
@@ -51,7 +52,7 @@
 	return m
 }
 
-// unpackGrants returns what packGrants was given.
+// unpackGrants returns the grants that packGrants packed.
 func (m *downstreamMessage) unpackGrants() ([]*clusterconfig.Grant, error) {
 	var grants []*clusterconfig.Grant
 	for _, p := range m.Grants {
--- a/internal/agreement/grants_test.go
+++ b/internal/agreement/grants_test.go
@@ -13,7 +13,7 @@
 
 var testLimitFloors = map[string]float64{"gold": 100}
 
-// newDocument returns a document of one version.
+// newDocument returns a document with one version.
 func newDocument(t *testing.T, changes ...clusterconfig.Change) *clusterconfig.Document {
 	t.Helper()
 	document := &clusterconfig.Document{Epoch: 5}
@@ -27,8 +27,8 @@
 	return document
 }
 
-// A parent packs the grants of many brokers into one frame. What they share must go out once, and each grant must come
-// out as it was.
+// A parent packs the grants of many brokers into one frame. The frame must contain shared entries once, and unpacking
+// must return the original grants.
 func TestPackedGrantsUnpackAsTheyWere(t *testing.T) {
 	document := newDocument(t, clusterconfig.Change{Key: "class.read.repeat", Value: "yes"})
 	next := document.NextEntry(clusterconfig.Proposal{
@@ -45,7 +45,7 @@
 	}
 	packed := packGrants(grants)
 	if len(packed.Entries) != 1 {
-		t.Errorf("%d entries", len(packed.Entries))
+		t.Errorf("%d packed entries, want 1", len(packed.Entries))
 	}
 	var wire bytes.Buffer
 	if _, err := writeFrame(&wire, frame{Downstream: packed}); err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// A frame whose grants refer to what is not in it must be rejected as a whole.
+// A message must be rejected as a whole if a grant refers to a document or pending version that is not in the message.
 func TestIncompleteGrantsAreRejected(t *testing.T) {
 	g := &clusterconfig.Grant{Holder: "b", Document: &clusterconfig.Document{}, Pending: &clusterconfig.Entry{}}
 	grants := []*clusterconfig.Grant{g}
@@ -83,7 +83,7 @@
 	}
 }
 
-// A peer sends nonsense. Reading it must end in an error, and take no more memory than came.
+// A peer sends arbitrary bytes. Reading them must not panic, and must not take more bytes than the peer sent.
 func FuzzFrame(f *testing.F) {
 	var wire bytes.Buffer
 	if _, err := writeFrame(&wire, frame{Hello: &hello{Cluster: "c", Name: "n"}}); err != nil {
@@ -95,7 +95,7 @@
 	f.Fuzz(func(t *testing.T, wire []byte) {
 		got, n, err := readFrame(bufio.NewReader(bytes.NewReader(wire)), 1<<10)
 		if err == nil && n > len(wire) {
-			t.Errorf("%d bytes read of %d", n, len(wire))
+			t.Errorf("read %d bytes of %d", n, len(wire))
 		}
 		if err == nil && got.Downstream != nil {
 			_, _ = got.Downstream.unpackGrants() // must not panic
--- a/internal/agreement/listener.go
+++ b/internal/agreement/listener.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// handshakeTimeout is how long a connection may take to send its hello. Longer would let connections that send
-	// nothing hold slots; shorter would reject brokers on a slow path.
+	// handshakeTimeout is the time limit for the hello of a connection. With a longer limit, connections that send
+	// nothing would occupy slots for longer. A shorter limit would reject brokers on a slow network path.
 	handshakeTimeout = time.Second
-	// spareConnections are for the handshakes of brokers that will be rejected. With fewer, a full broker could not
-	// name its children to several brokers at once.
+	// spareConnections is the number of slots for the handshakes of brokers that will be rejected. With fewer slots, a
+	// full broker could not name its children to several brokers at once.
 	spareConnections = 8
-	// acceptPause is the wait after a failed accept, as when there are no more file descriptors. Without it the loop
-	// would use a whole core.
+	// acceptPause is the pause after a failed accept, for example when the process has no free file descriptors.
+	// Without the pause, the accept loop would use a whole core.
 	acceptPause = 50 * time.Millisecond
 )
 
 var (
-	errNoHello  = errors.New("no hello")
-	errRejected = errors.New("rejected") // the other broker was told why
+	errNoHello  = errors.New("the first frame is not a hello")
+	errRejected = errors.New("rejected") // the other broker has received the reason
 	errStopping = errors.New("stopping") // the service goroutine has ended
 )
 
-// acceptLoop accepts connections of other brokers until the listener is closed. Each has a goroutine of its own, which
-// ends when the connection does; Run closes all connections.
+// acceptLoop accepts connections of other brokers until the listener is closed. Each connection has its own goroutine,
+// which ends with the connection; Run closes all connections.
 func (s *Service) acceptLoop() {
 	slots := make(chan struct{}, s.options.MaxChildren+len(s.options.Voters)+spareConnections)
 	for {
@@ -57,7 +57,7 @@
 	}
 }
 
-// serve carries a connection that another broker dialed, until it ends.
+// serve handles a connection that another broker dialed, until the connection ends.
 func (s *Service) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	c, err := s.acceptHandshake(conn)
@@ -79,9 +79,9 @@
 	s.options.Log.Debug("connection ended", "name", c.name, "reason", err)
 }
 
-// acceptHandshake reads the hello, and answers it on the service goroutine.
+// acceptHandshake reads the hello and answers it on the service goroutine.
 func (s *Service) acceptHandshake(conn net.Conn) (*connection, error) {
-	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails on a closed connection, as the read will
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only if closed; then the read fails, too
 	in := bufio.NewReader(conn)
 	f, _, err := readFrame(in, maxHelloBytes)
 	if err != nil {
@@ -107,8 +107,8 @@
 	}
 }
 
-// answerHello accepts or rejects a broker. The answer is short: it fits the socket's buffer, and writing it does not
-// block the service goroutine.
+// answerHello accepts or rejects a broker. The answer fits into the socket's buffer, so that writing the answer does
+// not block the service goroutine.
 func (s *Service) answerHello(c *connection, h hello) error {
 	w := s.decideHandshake(c, h)
 	_, err := writeFrame(c.conn, frame{Welcome: &w})
@@ -121,7 +121,7 @@
 	return err
 }
 
-// decideHandshake decides who may attach, and takes in a broker that may.
+// decideHandshake decides whether a broker may attach, and registers the connection of a broker that may.
 func (s *Service) decideHandshake(c *connection, h hello) welcome {
 	w := welcome{Name: s.options.Name}
 	if s.voting != nil {
@@ -152,8 +152,8 @@
 	return w
 }
 
-// Why a broker is rejected. The texts are in the other broker's log, at level debug; this broker logs those of
-// rejection, as "peer rejected", but none of childRejection.
+// Reasons for rejecting a broker. The rejected broker logs them at level debug. This broker logs the reasons that
+// rejection returns, as "peer rejected", but not those that childRejection returns.
 const (
 	rejectedOptions = "lease, limits or members are set differently here"
 	rejectedName    = "that name is not yours"
@@ -163,7 +163,7 @@
 	rejectedFull    = "enough are fed here"
 )
 
-// rejection returns why a broker may not connect at all, empty if it may.
+// rejection returns the reason why a broker may not connect to this one, or "" if it may.
 func (s *Service) rejection(h hello) string {
 	switch {
 	case h.Cluster != s.options.Cluster:
@@ -178,7 +178,7 @@
 	return ""
 }
 
-// childRejection returns why a broker cannot be a child of this one, empty if it can.
+// childRejection returns the reason why a broker cannot be a child of this one, or "" if it can.
 func (s *Service) childRejection(h hello) string {
 	switch {
 	case s.voting == nil && !s.tree.attachedToVoter():
@@ -191,7 +191,7 @@
 	return ""
 }
 
-// receiveFromBelow takes a frame of a broker that dialed this one.
+// receiveFromBelow handles a frame from a broker that dialed this one.
 func (s *Service) receiveFromBelow(from *connection, f frame) error {
 	switch {
 	case f.Raft != nil:
--- a/internal/agreement/messages.go
+++ b/internal/agreement/messages.go
@@ -2,10 +2,10 @@
 
 import "junctionwharf/clusterconfig"
 
-// The messages between brokers. Their tags are the names on the wire, which brokers of other builds read: a tag never
-// changes, and its meaning neither.
+// The messages between brokers. Their tags are the names on the wire, which brokers of other builds read: neither a tag
+// nor its meaning may change.
 
-// frame is what goes over a connection. One of its fields is set, or none to show that the peer is alive.
+// frame is the unit of transmission on a connection. One of its fields is set; a keepalive has none.
 type frame struct {
 	Hello      *hello             `msgpack:"Hello,omitempty"`
 	Welcome    *welcome           `msgpack:"Welcome,omitempty"`
@@ -15,38 +15,38 @@
 	Bootstrap  *bootstrapMessage  `msgpack:"Form,omitempty"`
 }
 
-// hello begins a connection; the side that dialed sends it.
+// hello is the first message on a connection. The broker that dialed sends it.
 type hello struct {
 	Cluster       string `msgpack:"Cluster"`
 	SharedOptions string `msgpack:"Terms"`
 	Name          string `msgpack:"Name"`
-	ListenAddress string `msgpack:"Listen"` // where others may attach, empty for nowhere
+	ListenAddress string `msgpack:"Listen"` // where other brokers may attach; empty if they may not
 	IsVoter       bool   `msgpack:"Voter"`
 	RaftID        uint64 `msgpack:"ID"`    // of a voter
-	Uninitialized bool   `msgpack:"Fresh"` // the voter belongs to no cluster yet
+	Uninitialized bool   `msgpack:"Fresh"` // the voter is not yet a member of a cluster
 }
 
-// welcome answers a hello. A rejection says why, and where else to ask.
+// welcome answers a hello. A rejection contains the reason, and addresses of other brokers to try.
 type welcome struct {
 	Rejection     string   `msgpack:"Reason"`
-	Alternatives  []string `msgpack:"Others"` // addresses of children of the one that rejects
-	Path          []string `msgpack:"Path"`   // the names from a voter to this broker, including it
+	Alternatives  []string `msgpack:"Others"` // addresses of children of the rejecting broker
+	Path          []string `msgpack:"Path"`   // names of the brokers from a voter to the sender, both included
 	Name          string   `msgpack:"Name"`
 	RaftID        uint64   `msgpack:"ID"`
 	Uninitialized bool     `msgpack:"Fresh"`
 }
 
-// upstreamMessage goes towards the leader.
+// upstreamMessage is forwarded to the leader.
 type upstreamMessage struct {
 	Renewals  []clusterconfig.Renewal   `msgpack:"Renewals"`
 	Calls     []operatorCall            `msgpack:"Asks"`
-	Documents []*clusterconfig.Document `msgpack:"Offers"` // of an earlier epoch, for the leader to adopt
+	Documents []*clusterconfig.Document `msgpack:"Offers"` // documents of an earlier epoch, for the leader to adopt
 }
 
 // operatorCall is a command for the leader.
 type operatorCall struct {
-	Broker   string                  `msgpack:"Holder"` // where the operator asked
-	Number   uint64                  `msgpack:"Number"` // of the broker's calls
+	Broker   string                  `msgpack:"Holder"` // the broker that received the operator's command
+	Number   uint64                  `msgpack:"Number"` // identifies the call among the broker's calls
 	Command  string                  `msgpack:"Call"`
 	Proposal *clusterconfig.Proposal `msgpack:"Proposal"`
 	Version  uint64                  `msgpack:"Version"`
@@ -61,7 +61,7 @@
 	JSON   []byte    `msgpack:"Text"`
 }
 
-// downstreamMessage comes from the leader. Its grants share the entries and documents that they carry.
+// downstreamMessage comes from the leader. Its grants share the entries and documents in it.
 type downstreamMessage struct {
 	Epoch     uint64                  `msgpack:"Epoch"`
 	Term      uint64                  `msgpack:"Term"`
@@ -74,18 +74,18 @@
 	Replies   []operatorReply         `msgpack:"Replies"`
 }
 
-// packedGrant is what a grant does not share with others.
+// packedGrant contains the fields of a grant that are not shared with other grants.
 type packedGrant struct {
 	Holder      string `msgpack:"Holder"`
 	RenewalSeq  uint64 `msgpack:"Number"`
 	Incarnation uint64 `msgpack:"Life"`
 	GrantSeq    uint64 `msgpack:"Seq"`
-	After       uint64 `msgpack:"After"` // it brings the entries after this version
+	After       uint64 `msgpack:"After"` // the grant includes the entries after this version
 	HasDocument bool   `msgpack:"Whole"`
 	HasPending  bool   `msgpack:"Prepare"`
 }
 
-// bootstrapMessage has voters start a new cluster alike.
+// bootstrapMessage starts a new cluster. All voters receive the same message.
 type bootstrapMessage struct {
 	Epoch   uint64            `msgpack:"Epoch"`
 	Members map[string]uint64 `msgpack:"Members"` // raft identities by name
--- a/internal/agreement/metrics.go
+++ b/internal/agreement/metrics.go
@@ -7,21 +7,21 @@
 	"junctionwharf/clusterconfig"
 )
 
-// metricsInterval is how often a voter's figures are brought up to date, in microseconds. The exporters read them every
-// second or more rarely.
+// metricsInterval is the time between updates of a voter's metrics, in microseconds. The exporters read the metrics
+// every second or less often.
 const metricsInterval = 200_000
 
-// trafficCounters count what this broker sends and receives. Any goroutine may add to them.
+// trafficCounters counts the traffic of this broker's connections. Any goroutine may update the counters.
 type trafficCounters struct {
 	sentBytes, receivedBytes atomic.Int64
-	droppedFrames            atomic.Int64 // for a peer whose queue was full
+	droppedFrames            atomic.Int64 // frames for peers whose queue was full
 	rejectedConnections      atomic.Int64
 }
 
-// voterMetrics are the figures of a voter. The service goroutine writes them, exporters read them.
+// voterMetrics are the metrics of a voter. The service goroutine writes them, and exporters read them.
 type voterMetrics struct {
 	term, leads         atomic.Uint64
-	lagging, unprepared atomic.Uint64 // brokers, of the leader
+	lagging, unprepared atomic.Uint64 // numbers of brokers, on the leader
 	nextUpdate          clusterconfig.Micros
 }
 
@@ -43,7 +43,7 @@
 	m.unprepared.Store(uint64(unprepared))
 }
 
-// Metrics returns this broker's figures, for exporters and the console. Any goroutine may call it.
+// Metrics returns this broker's metrics for exporters and the console. Any goroutine may call it.
 func (s *Service) Metrics() []broker.Metric {
 	now := s.now()
 	lease := s.config.leaseState(now)
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -11,14 +11,15 @@
 	"junctionwharf/clusterconfig"
 )
 
-// callTimeout is how long an operator's call waits for the leader, and for a change to become active. It must exceed
-// the longest change, which waits for the leases of brokers that are cut off; the console waits a little longer.
+// callTimeout is how long an operator's call waits for the leader's reply. The reply to a proposal comes when the
+// change is active. callTimeout must exceed the longest change, which waits for the leases of unreachable brokers to
+// expire. The console's timeout is a little longer.
 const callTimeout = 6 * time.Second
 
-// defaultHistory is how many versions the history shows if no number is given: about a screen.
+// defaultHistory is the number of versions that the history shows if no number is given: about a screen.
 const defaultHistory = 20
 
-// The commands of an operator.
+// Operator commands.
 const (
 	commandStatus   = "status"
 	commandMembers  = "members"
@@ -29,18 +30,19 @@
 	commandRollback = "rollback"
 )
 
-// CommandUsage lists the commands that HandleCommand knows.
+// CommandUsage lists the commands that HandleCommand accepts.
 const CommandUsage = "status, members, history [N], diff VERSION, export, propose JSON, " +
 	"rollback VERSION AUTHOR REASON"
 
-// Difference is a key that has changed since a version.
+// Difference is a key whose value has changed since a version.
 type Difference struct {
 	Key string `json:"key"`
 	Old string `json:"then"`
 	New string `json:"now"`
 }
 
-// HandleCommand answers an operator's command with a line of JSON; of an error that has the keys error and kind.
+// HandleCommand runs an operator's command and returns a line of JSON. The answer to a failed command has the keys
+// error and kind.
 func (s *Service) HandleCommand(line string) []byte {
 	command, arguments, _ := strings.Cut(strings.TrimSpace(line), " ")
 	switch command {
@@ -58,14 +60,14 @@
 
 var errRollbackUsage = errors.New("rollback wants VERSION AUTHOR REASON")
 
-// unknownCommandError is returned for a command that does not exist.
+// unknownCommandError is returned for an unknown command.
 type unknownCommandError struct{ command string }
 
 func (e *unknownCommandError) Error() string {
 	return fmt.Sprintf("unknown call %q: %s", e.command, CommandUsage)
 }
 
-// parseCall returns the call that a command is for the leader.
+// parseCall parses a command that the leader has to answer.
 func parseCall(command, arguments string) (call operatorCall, err error) {
 	call.Command = command
 	switch command {
@@ -109,12 +111,12 @@
 	case <-s.done:
 	}
 	if call.Proposal != nil {
-		return failure(kindUnknown, "no leader answered in time: whether the change came into force is not known")
+		return failure(kindUnknown, "no leader answered in time: it is unknown whether the change became active")
 	}
 	return failure(kindNoLeader, "no leader answers")
 }
 
-// answerLocally answers a command of this broker alone, leader or not. answer runs on the service goroutine.
+// answerLocally answers a command without the leader. answer runs on the service goroutine.
 func (s *Service) answerLocally(answer func() any) []byte {
 	answers := make(chan []byte, 1)
 	s.do(func() {
@@ -158,7 +160,7 @@
 	}
 }
 
-// differencesSince returns what has changed since a version.
+// differencesSince returns the keys whose values have changed since a version.
 func differencesSince(state *clusterconfig.State, version uint64) ([]Difference, error) {
 	earlier, err := state.DocumentAt(version)
 	if err != nil {
@@ -171,12 +173,12 @@
 	return differences, nil
 }
 
-// proposeFor proposes a change and replies once its end is known.
+// proposeFor proposes a change and replies when the outcome of the change is known.
 func (s *Service) proposeFor(now clusterconfig.Micros, call operatorCall, p clusterconfig.Proposal) {
 	s.carryOut(s.voting.voter.Propose(now, p, func(e clusterconfig.Entry, err error) { s.reply(call, e, err) }))
 }
 
-// reply sends the leader's answer to the broker where the operator asked.
+// reply sends the leader's answer to the broker that received the operator's command.
 func (s *Service) reply(call operatorCall, answer any, err error) {
 	r := operatorReply{Broker: call.Broker, Number: call.Number}
 	if err == nil {
--- a/internal/agreement/options.go
+++ b/internal/agreement/options.go
@@ -12,10 +12,10 @@
 	"junctionwharf/clusterconfig"
 )
 
-// ErrVoterNotListening is returned for a voter that other brokers cannot reach. The text names the setting.
-var ErrVoterNotListening = errors.New("agreement.listen: missing, and this broker votes")
+// ErrVoterNotListening is returned for a voter without a listen address. The text names the setting.
+var ErrVoterNotListening = errors.New("agreement.listen: missing, but this broker is a voter")
 
-// Voter is a broker that votes. The order of its fields is part of sharedOptions.
+// Voter is a broker that votes. sharedOptions depends on the order of the fields.
 type Voter struct {
 	Name    string
 	Address string
@@ -25,25 +25,25 @@
 type Options struct {
 	Name          string // of this broker
 	Cluster       string // brokers of another cluster are rejected
-	ListenAddress string // where other brokers reach this one; empty: it has no children and cannot vote
-	LocalIP       net.IP // from which this broker connects, nil for the system's choice
+	ListenAddress string // for other brokers; empty: this broker has no children and cannot vote
+	LocalIP       net.IP // of outgoing connections; nil: the system chooses
 	Voters        []Voter
-	DataDir       string // on a lasting disk, for a voter's raft state; empty: a restarted voter is a new member
+	DataDir       string // persistent directory of a voter's raft state; empty: a restarted voter is a new member
 	Timing        clusterconfig.Timing
-	LimitFloors   map[string]float64 // by plan whose rate limit is replicated: its lowest value, in units a second
-	MaxChildren   int                // brokers that attach to this one
-	Seed          uint64             // of random pauses and identities
+	LimitFloors   map[string]float64 // minimum rate limit in units a second, by plan; only for replicated limits
+	MaxChildren   int                // maximum number of brokers attached to this one
+	Seed          uint64             // for random pauses and identities
 	Now           func() broker.Micros
 	Log           *slog.Logger
 }
 
-// isVoter reports whether a broker votes.
+// isVoter reports whether a broker is a voter.
 func (o Options) isVoter(name string) bool {
 	return slices.ContainsFunc(o.Voters, func(v Voter) bool { return v.Name == name })
 }
 
-// sharedOptions returns the options that all brokers must have set alike, as the text that peers compare. Its format is
-// part of the wire: brokers of different builds compare it.
+// sharedOptions returns the options that must be the same on all brokers, as a text that peers compare. The format of
+// the text is part of the wire protocol, because brokers of different builds compare it.
 func (o Options) sharedOptions() string {
 	return fmt.Sprint(o.Timing, slices.Sorted(maps.Keys(o.LimitFloors)), o.LimitFloors, o.Voters)
 }
--- a/internal/agreement/proposals.go
+++ b/internal/agreement/proposals.go
@@ -4,25 +4,25 @@
 	"junctionwharf/clusterconfig"
 )
 
-// In microseconds.
+// Durations in microseconds.
 const (
-	// proposalInterval is the least time between proposals of this broker. Shorter would have brokers that propose the
-	// same get in each other's way.
+	// proposalInterval is the maximum pause between proposals of this broker; for changes after the initial version,
+	// up to half of the pause is random. With shorter pauses, brokers with the same proposal would obstruct each other.
 	proposalInterval = 300_000
-	// maxDrainDelay bounds the random delay of a drain that all brokers learn from discovery at once: whoever proposes
-	// first saves the others theirs. Longer would delay drains.
+	// maxDrainDelay is the maximum random delay of a drain proposal. All brokers learn of a drain from discovery at the
+	// same time, and the first proposal makes the others unnecessary. A longer delay would delay drains.
 	maxDrainDelay = 200_000
 )
 
-// proposals are the changes that this broker wants to have replicated: by its settings file, and by drains that its
-// discovery reports. The service goroutine owns it.
+// proposals holds the changes that this broker wants to have replicated: those of its settings file, and drains that
+// its discovery reports. The service goroutine owns it.
 type proposals struct {
-	next            clusterconfig.Micros     // no proposal before
+	next            clusterconfig.Micros     // earliest time of the next proposal
 	settingsChanged bool                     // the settings file was read again
 	drains          map[string]drainProposal // by node
 }
 
-// drainProposal is a value of a drain key, to be proposed from a time on.
+// drainProposal is a value to propose for a drain key.
 type drainProposal struct {
 	value     string // empty to remove the key
 	notBefore clusterconfig.Micros
@@ -34,7 +34,7 @@
 	return (len(p.drains) > 0 || p.settingsChanged) && now >= p.next
 }
 
-// drainChanges returns the drains to be proposed now, and forgets those that a document already has.
+// drainChanges returns the drain changes to propose now, and removes those that the document already contains.
 func (p *proposals) drainChanges(now clusterconfig.Micros, document *clusterconfig.Document) []clusterconfig.Change {
 	var changes []clusterconfig.Change
 	for node, drain := range p.drains {
@@ -49,13 +49,13 @@
 	return changes
 }
 
-// drop forgets everything: proposing it again would fail again.
+// drop discards all changes that are not yet replicated, because the leader would reject them again.
 func (p *proposals) drop() {
 	p.settingsChanged = false
 	clear(p.drains)
 }
 
-// addDrains notes what discovery has reported.
+// addDrains schedules proposals for the drains that discovery reported as started or ended.
 func (s *Service) addDrains(drain, undrain []string) {
 	add := func(nodes []string, value string) {
 		for _, node := range nodes {
@@ -67,7 +67,7 @@
 	add(undrain, "")
 }
 
-// maybePropose proposes what this broker's settings file and its discovery say.
+// maybePropose proposes the changes of this broker's settings file or, if there are none, the drains of its discovery.
 func (s *Service) maybePropose(now clusterconfig.Micros) {
 	if !s.proposals.due(now) {
 		return
@@ -97,7 +97,7 @@
 	})
 }
 
-// maybeProposeInitial proposes the leader's settings as the first version, where nothing is active.
+// maybeProposeInitial proposes the leader's settings as the first version if no version is active.
 func (s *Service) maybeProposeInitial(now clusterconfig.Micros) {
 	voter := s.voting.voter
 	state := voter.State()
--- a/internal/agreement/schema.go
+++ b/internal/agreement/schema.go
@@ -12,9 +12,9 @@
 
 // The keys of the document:
 //
-//	class.NAME.repeat  yes or no: whether requests of a class may be retried; the broker's settings must allow it, too
-//	plan.NAME.limit    units a second; only of plans in Options.LimitFloors, whose figure is the lowest value
-//	node.HOST.drain    yes: no new requests go to the node
+//	class.NAME.repeat  yes or no: whether requests of a class may be retried, if the broker's settings allow it, too
+//	plan.NAME.limit    rate limit in units a second; only for plans in Options.LimitFloors, which sets the minimum
+//	node.HOST.drain    yes: the node receives no new requests
 const (
 	classPrefix, retrySuffix = "class.", ".repeat"
 	planPrefix, limitSuffix  = "plan.", ".limit"
@@ -25,7 +25,7 @@
 func limitKey(plan string) string  { return planPrefix + plan + limitSuffix }
 func drainKey(node string) string  { return nodePrefix + node + drainSuffix }
 
-// nameIn returns the name between a prefix and a suffix of a key, false if the key is of another kind.
+// nameIn returns the name between a prefix and a suffix of a key. ok is false if the key does not have this form.
 func nameIn(key, prefix, suffix string) (name string, ok bool) {
 	name, ok = strings.CutPrefix(key, prefix)
 	if !ok {
@@ -35,11 +35,11 @@
 	return name, ok && name != ""
 }
 
-// drainedNode returns the node of a drain key, false if the key is of another kind.
+// drainedNode returns the node of a drain key. ok is false for any other key.
 func drainedNode(key string) (node string, ok bool) { return nameIn(key, nodePrefix, drainSuffix) }
 
-// newSchema returns the schema of the document. It is the same for all brokers with the same limit floors, whatever
-// classes each of them knows: a class that was removed keeps its lattice.
+// newSchema returns the schema of the document. All brokers with the same limit floors have the same schema, even if
+// they know different classes: a class that was removed keeps its lattice.
 func newSchema(limitFloors map[string]float64) clusterconfig.Schema {
 	return func(key string) (clusterconfig.Lattice, bool) {
 		if _, ok := nameIn(key, classPrefix, retrySuffix); ok {
@@ -56,7 +56,7 @@
 	}
 }
 
-// documentValues returns what a broker's settings say of the keys of the document.
+// documentValues returns the values that a broker's settings specify for keys of the document.
 func documentValues(settings scheduler.Settings, limitFloors map[string]float64) map[string]string {
 	values := map[string]string{}
 	for _, c := range settings.Classes {
@@ -73,7 +73,7 @@
 	return values
 }
 
-// missingChanges returns the changes that bring a document to values, sorted by key.
+// missingChanges returns the changes after which a document has the given values, sorted by key.
 func missingChanges(document *clusterconfig.Document, values map[string]string) []clusterconfig.Change {
 	var changes []clusterconfig.Change
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -84,8 +84,9 @@
 	return changes
 }
 
-// effectiveSettings returns what a broker acts on: its own settings, restricted by the view of the document. A limit
-// that is not replicated stays as it is.
+// effectiveSettings returns the settings that a broker's core applies: the broker's own settings with the rate limits
+// of the view, and with retries only in classes for which the view allows them, too. A limit that is not replicated is
+// unchanged.
 func effectiveSettings(settings scheduler.Settings, limitFloors map[string]float64,
 	view clusterconfig.View,
 ) scheduler.Settings {
@@ -112,7 +113,7 @@
 	return settings
 }
 
-// drainedNodes returns the nodes that a view drains.
+// drainedNodes returns the nodes that are drained according to a view.
 func drainedNodes(view clusterconfig.View) map[string]bool {
 	nodes := map[string]bool{}
 	for _, key := range view.Keys() {
--- a/internal/agreement/schema_test.go
+++ b/internal/agreement/schema_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// The core acts on its settings and on the document, whichever allows less; without a lease on the bottom values; and
-// a class that the document does not know may not be retried.
+// Requests of a class may be retried only if both the settings and the document allow it; a class that the document
+// lacks may not be retried. Replicated limits have the document's values. Without a lease the bottom values apply.
 func TestEffectiveSettings(t *testing.T) {
 	settings := scheduler.Settings{
 		Classes: []scheduler.Class{
@@ -27,7 +27,7 @@
 	document := newDocument(t, missingChanges(&clusterconfig.Document{}, values)...)
 	g := clusterconfig.Grant{Holder: "h", RenewalSeq: r.Seq, Incarnation: 1, Epoch: 5, Term: 1, Document: document}
 	if !h.HandleGrant(20, g) {
-		t.Fatal("not granted")
+		t.Fatal("grant not accepted")
 	}
 	for _, c := range []struct {
 		name    string
@@ -61,7 +61,7 @@
 	}
 }
 
-// An operator's proposal has many faults. The answer must name all of them at once.
+// An operator's proposal has several faults. The answer must name all of them.
 func TestProposalFaultsAreAllNamed(t *testing.T) {
 	document := &clusterconfig.Document{}
 	err := document.Validate(newSchema(testLimitFloors), clusterconfig.Proposal{
@@ -74,7 +74,7 @@
 		},
 	})
 	if err == nil {
-		t.Fatal("no fault")
+		t.Fatal("no error for an invalid proposal")
 	}
 	for _, want := range []string{
 		"expected:",
@@ -86,10 +86,10 @@
 		"node.n.drain: \"maybe\"",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not named: %v", want, err)
+			t.Errorf("%q is missing in the error: %v", want, err)
 		}
 	}
 	if kind := kindOf(err); kind != kindExpected {
-		t.Errorf("%q", kind)
+		t.Errorf("kind %q, want expected", kind)
 	}
 }
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -15,27 +15,30 @@
 	"junctionwharf/scheduler"
 )
 
-// Log messages that others read by their text: the fleet harness, and operators' tools.
+// Log messages that the fleet harness and operators' tools match by their text.
 const (
-	// LogConfigurationApplied is logged when the core acts on another view.
+	// LogConfigurationApplied is logged when the core applies another view.
 	LogConfigurationApplied = "configuration applied"
 	// LogBootstrapped is logged by each voter of a new cluster.
 	LogBootstrapped = "cluster bootstrapped"
 )
 
 const (
-	// renewalsPerLease is how often a lease is renewed before it ends. Fewer would end leases when two renewals are
-	// lost, more would cost messages.
+	// renewalsPerLease is the number of renewals within the duration of a lease. With fewer renewals, the loss of two
+	// would let a lease expire. More renewals would cost more messages.
 	renewalsPerLease = 4
-	// renewalSpread is the part of the renewal interval that is random, as its divisor: brokers must not renew in step.
+	// renewalSpread is the divisor of the renewal interval that gives the maximum of its random part. The random part
+	// prevents brokers from renewing at the same time.
 	renewalSpread = 5
-	// maxQueuedCalls bounds what waits for the service goroutine. Beyond, connections read no further.
+	// maxQueuedCalls is the maximum number of calls queued for the service goroutine. While the queue is full,
+	// connections are not read.
 	maxQueuedCalls = 4096
-	// callsPerWakeup bounds the calls before timers are looked at: a flood must not delay raft's clock.
+	// callsPerWakeup is the maximum number of calls between checks of the timers: a flood of calls must not delay
+	// raft's clock.
 	callsPerWakeup = 64
 )
 
-// Service has a broker take part in the cluster configuration.
+// Service runs a broker's part in the cluster configuration.
 type Service struct {
 	options       Options
 	sharedOptions string
@@ -43,13 +46,13 @@
 	listener      net.Listener // nil without a listen address
 	calls         chan func()  // for the service goroutine
 	done          chan struct{}
-	wake          func() // has the core take a turn
+	wake          func() // makes the core take a turn
 	post          func(broker.Event)
 	config        *configuration // has its own lock
 	traffic       trafficCounters
 	voterMetrics  voterMetrics
 
-	// What follows belongs to the service goroutine.
+	// The service goroutine owns the fields below.
 	random       *rand.Rand
 	voting       *voting // nil on a broker that does not vote
 	tree         tree
@@ -59,8 +62,8 @@
 	nextRenewal  clusterconfig.Micros
 }
 
-// New returns a service that listens, and takes part once it runs. post hands events to the core, wake has the core
-// take a turn.
+// New returns a service that listens. Run starts its work. post sends events to the core, and wake makes the core take
+// a turn.
 func New(o Options, settings scheduler.Settings, post func(broker.Event), wake func()) (*Service, error) {
 	random := rand.New(rand.NewPCG(o.Seed, uint64(time.Now().UnixNano())))
 	s := &Service{
@@ -100,22 +103,22 @@
 
 func (s *Service) now() clusterconfig.Micros { return clusterconfig.Micros(s.options.Now()) }
 
-// ConfigChanges is called by the core at the start of each turn, with the clock that the turn reads. It returns what
-// the core has to apply before it decides anything.
+// ConfigChanges returns the events that the core must apply before it makes decisions. The core calls it at the start
+// of each turn, with the time of the turn.
 func (s *Service) ConfigChanges(at broker.Micros) []broker.Event {
 	return s.config.changes(clusterconfig.Micros(at))
 }
 
-// SettingsChanged takes a settings file that was read again. What it says of replicated keys becomes a proposal; all
-// else counts from the next turn on. Any goroutine may call it.
+// SettingsChanged applies a settings file that was read again. Its values for replicated keys become a proposal. All
+// other settings apply from the next turn. Any goroutine may call it.
 func (s *Service) SettingsChanged(settings scheduler.Settings) {
 	s.config.setSettings(settings)
 	s.wake()
 	s.do(func() { s.proposals.settingsChanged = true })
 }
 
-// HandleEndpoints takes what discovery or membership reports, in place of the core, and posts it to the core with the
-// replicated drains. Any goroutine may call it.
+// HandleEndpoints receives the events of discovery or membership in place of the core, applies the replicated drains to
+// them, and posts them to the core. Any goroutine may call it.
 func (s *Service) HandleEndpoints(e broker.Event) {
 	update, ok := e.(broker.NodesListed)
 	if !ok {
@@ -129,7 +132,7 @@
 	}
 }
 
-// do has a function run on the service goroutine. It blocks while too many wait.
+// do queues a function for the service goroutine. It blocks while the queue is full.
 func (s *Service) do(call func()) {
 	select {
 	case s.calls <- call:
@@ -137,8 +140,9 @@
 	}
 }
 
-// Run takes part until ctx ends. It is the service goroutine. It waits for the goroutines that accept and dial, and
-// closes all connections, which ends theirs; one that is still in its handshake ends with that.
+// Run does the work of the service until ctx ends. The calling goroutine becomes the service goroutine. Before Run
+// returns, it closes all connections, which ends their goroutines, and waits for the goroutines that accept and dial. A
+// connection in its handshake ends with the handshake.
 func (s *Service) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	var wait sync.WaitGroup
@@ -165,7 +169,7 @@
 	}
 }
 
-// startConnecting starts the goroutines that accept and dial. They end with ctx and the listener.
+// startConnecting starts the goroutines that accept and dial connections. They end with ctx and the listener.
 func (s *Service) startConnecting(ctx context.Context, wait *sync.WaitGroup) {
 	if s.listener != nil {
 		wait.Go(s.acceptLoop)
@@ -181,7 +185,7 @@
 	}
 }
 
-// runQueuedCalls runs the calls that have come meanwhile, up to a bound.
+// runQueuedCalls runs at most callsPerWakeup queued calls.
 func (s *Service) runQueuedCalls() {
 	for range callsPerWakeup {
 		select {
@@ -195,7 +199,7 @@
 
 func (s *Service) closeConnections() {
 	if s.listener != nil {
-		_ = s.listener.Close() // nothing is left to do with it
+		_ = s.listener.Close() // an error has no consequence here
 	}
 	for _, c := range s.connections() {
 		c.close()
@@ -211,7 +215,7 @@
 	}
 }
 
-// connections returns all connections.
+// connections returns all established connections.
 func (s *Service) connections() []*connection {
 	connections := slices.Collect(maps.Values(s.tree.children))
 	if s.voting != nil {
@@ -224,7 +228,7 @@
 	return connections
 }
 
-// work does what is due and returns when it wants to be called again.
+// work runs the overdue tasks and returns the time at which it must run again.
 func (s *Service) work() (next clusterconfig.Micros) {
 	now := s.now()
 	if now >= s.nextRenewal {
@@ -246,7 +250,7 @@
 	return next
 }
 
-// renew asks for the lease.
+// renew sends a renewal of the lease and schedules the next one.
 func (s *Service) renew(now clusterconfig.Micros) {
 	interval := s.options.Timing.Lease / renewalsPerLease
 	s.nextRenewal = now + interval - clusterconfig.Micros(s.random.Int64N(interval/renewalSpread+1))
@@ -255,8 +259,8 @@
 	s.tree.expireRoutes(now)
 }
 
-// leaveSilentParent ends the connection to a parent that brings no grants: it may be cut off from the leader, or be
-// part of a cycle that was closed meanwhile.
+// leaveSilentParent closes the connection to a parent that has not delivered a grant within parentSilence leases. The
+// parent may be cut off from the leader, or be part of a cycle that was created after this broker attached.
 func (s *Service) leaveSilentParent(now clusterconfig.Micros) {
 	parent := s.tree.parent
 	if parent == nil || now-s.tree.lastGrant <= parentSilence*s.options.Timing.Lease {
--- a/internal/agreement/status.go
+++ b/internal/agreement/status.go
@@ -6,17 +6,17 @@
 	"junctionwharf/clusterconfig"
 )
 
-// The roles in a Status.
+// The values of Status.Role.
 const (
 	roleLeader   = "leader"
 	roleVoter    = "voter"
 	roleFollower = "follower"
 )
 
-// microsPerMilli converts to the milliseconds of the console and of metrics.
+// microsPerMilli converts microseconds to the milliseconds of the console and of metrics.
 const microsPerMilli = 1000
 
-// Status is what a broker says of its part in the cluster configuration. The tags are its names on the console.
+// Status describes a broker's part in the cluster configuration. The tags are the names on the console.
 type Status struct {
 	Name           string            `json:"name"`
 	Role           string            `json:"role"` // leader, voter or follower
@@ -29,15 +29,15 @@
 	Parent         string            `json:"parent,omitempty"`
 	Path           []string          `json:"path,omitempty"`
 	Children       []string          `json:"children,omitempty"`
-	Voters         map[string]string `json:"voters,omitempty"` // by name: how they are connected
+	Voters         map[string]string `json:"voters,omitempty"` // state of the connections with each voter, by name
 	Leader         string            `json:"leader,omitempty"`
 	Term           uint64            `json:"term,omitempty"`
-	Fault          string            `json:"fault,omitempty"`  // why the voter takes no further part
-	WaitingFor     []string          `json:"waits,omitempty"`  // of the leader: who has not prepared the change
-	Lagging        map[string]uint64 `json:"behind,omitempty"` // of the leader: who acts on an older version
+	Fault          string            `json:"fault,omitempty"`  // the error that stopped the voter
+	WaitingFor     []string          `json:"waits,omitempty"`  // on the leader: brokers not prepared for the change
+	Lagging        map[string]uint64 `json:"behind,omitempty"` // on the leader: older versions that brokers act on
 }
 
-// status runs on the service goroutine.
+// status returns this broker's status. It runs on the service goroutine.
 func (s *Service) status() Status {
 	now := s.now()
 	lease := s.config.leaseState(now)
@@ -67,7 +67,7 @@
 	return status
 }
 
-// addVoterStatus adds what only a voter knows.
+// addVoterStatus adds the fields that only a voter has.
 func (s *Service) addVoterStatus(status *Status, now clusterconfig.Micros) {
 	voter := s.voting.voter
 	leader, term := voter.LeaderAndTerm()
--- a/internal/agreement/tree.go
+++ b/internal/agreement/tree.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// maxRoutes bounds the brokers below one, and the renewals in a batch. It must exceed the planned size of a fleet.
+	// maxRoutes is the maximum number of routes to brokers below, and of renewals in a batch. It must exceed the
+	// planned size of a fleet.
 	maxRoutes = 4096
-	// routeTimeout is after what a broker that renews no more loses its route. Shorter would lose the reply to an
-	// operator's call, longer would keep routes of brokers that have moved in the tree.
+	// routeTimeout is the time without a renewal after which the route to a broker is removed. A shorter timeout would
+	// lose the reply to an operator's call. A longer timeout would keep routes of brokers that have moved in the tree.
 	routeTimeout = 10_000_000 // µs
-	// parentSilence is for how many leases a parent may bring no grant. It may be cut off from the leader, or lead in
-	// a circle: the broker attaches anew.
+	// parentSilence is the number of leases without a grant after which this broker leaves its parent and searches for
+	// a new one. The parent may be cut off from the leader, or be part of a cycle.
 	parentSilence = 2
 )
 
-// tree is this broker's place in the tree: its parent, its children, and by which child the brokers below are reached.
+// tree is this broker's place in the tree: its parent, its children, and the routes to all brokers below.
 // The service goroutine owns it.
 type tree struct {
-	parent    *connection            // nil for none; always nil on a voter
+	parent    *connection            // nil if there is none; always nil on a voter
 	children  map[string]*connection // by name
 	routes    map[string]route       // by lease holder
-	lastGrant clusterconfig.Micros   // when the parent brought the last one
+	lastGrant clusterconfig.Micros   // time of the parent's last grant, or of attaching to it
 }
 
-// route is by which connection a lease holder's renewals came.
+// route is the connection on which a lease holder's renewals arrive.
 type route struct {
 	via  *connection
 	seen clusterconfig.Micros
@@ -36,14 +37,14 @@
 	return tree{children: map[string]*connection{}, routes: map[string]route{}}
 }
 
-// learnRoute notes by which connection a lease holder is reached.
+// learnRoute records the connection by which a lease holder can be reached.
 func (t *tree) learnRoute(holder string, via *connection, now clusterconfig.Micros) {
 	if _, known := t.routes[holder]; known || len(t.routes) < maxRoutes {
 		t.routes[holder] = route{via, now}
 	}
 }
 
-// routeTo returns the connection by which a lease holder is reached, nil for none.
+// routeTo returns the connection by which a lease holder can be reached, or nil.
 func (t *tree) routeTo(holder string) *connection { return t.routes[holder].via }
 
 func (t *tree) expireRoutes(now clusterconfig.Micros) {
@@ -52,10 +53,10 @@
 	})
 }
 
-// attachedToVoter reports whether grants can come by the parent.
+// attachedToVoter reports whether there is a parent that can deliver grants.
 func (t *tree) attachedToVoter() bool { return t.parent != nil && !t.parent.closed.Load() }
 
-// childAddresses returns where the children can be reached that may have children themselves.
+// childAddresses returns the addresses of the children that can have children themselves.
 func (t *tree) childAddresses() []string {
 	var addresses []string
 	for _, c := range t.children {
@@ -68,14 +69,14 @@
 
 func (t *tree) addChild(name string, c *connection) { t.children[name] = c }
 
-// removeChild forgets a child whose connection is replaced or has ended.
+// removeChild removes the child of a connection that has ended, unless the child has connected again.
 func (t *tree) removeChild(c *connection) {
 	if t.children[c.name] == c {
 		delete(t.children, c.name)
 	}
 }
 
-// closeChild ends the connection of a child that connects again.
+// closeChild closes the earlier connection of a child that connects again.
 func (t *tree) closeChild(name string) {
 	if old := t.children[name]; old != nil {
 		old.close()
@@ -83,7 +84,7 @@
 	}
 }
 
-// notifyChildren has the children, and by them all below, renew now.
+// notifyChildren makes the children, and through them all brokers below, renew now.
 func (t *tree) notifyChildren() {
 	for _, c := range t.children {
 		c.send(frame{Downstream: &downstreamMessage{Notify: true}})
--- a/internal/agreement/tree_test.go
+++ b/internal/agreement/tree_test.go
@@ -19,7 +19,7 @@
 }
 
 // A broker below moves to another part of the tree, or ends. Replies must follow its latest renewal, and its route must
-// not be kept for ever.
+// expire.
 func TestRoutesFollowRenewals(t *testing.T) {
 	tr := newTree()
 	left, right := newTestConnection(t, peer{name: "left"}), newTestConnection(t, peer{name: "right"})
@@ -27,7 +27,7 @@
 	tr.learnRoute("b", left, 1)
 	tr.learnRoute("a", right, 2)
 	if tr.routeTo("a") != right || tr.routeTo("b") != left || tr.routeTo("unknown") != nil {
-		t.Errorf("%+v", tr.routes)
+		t.Errorf("routes %+v, want a by right and b by left", tr.routes)
 	}
 	left.close()
 	tr.expireRoutes(3)
@@ -40,7 +40,8 @@
 	}
 }
 
-// A child connects again before its first connection has ended. The end of the first must not remove the second.
+// A child connects again before its first connection has ended. The end of the first connection must not remove the
+// second.
 func TestReconnectedChildStays(t *testing.T) {
 	tr := newTree()
 	first, second := newTestConnection(t, peer{name: "a"}), newTestConnection(t, peer{name: "a"})
@@ -53,11 +54,12 @@
 	}
 	tr.removeChild(second)
 	if len(tr.children) > 0 {
-		t.Errorf("%v", tr.children)
+		t.Errorf("children after the end of the second connection: %v", tr.children)
 	}
 }
 
-// A broker asks to connect. Each reason to reject it must be found; a rejection by a full broker names its children.
+// A broker asks to connect. Each reason for a rejection must be detected. A rejection by a full broker must name its
+// children.
 func TestHandshakeRejections(t *testing.T) {
 	const cluster, shared = "c", "options"
 	voters := []Voter{{Name: "v0"}, {Name: "v1"}, {Name: "v2"}}
@@ -79,7 +81,7 @@
 		{"no name", with(func(h *hello) { h.Name = "" }), attached, rejectedName},
 		{"own name", with(func(h *hello) { h.Name = "self" }), attached, rejectedName},
 		{"name of a voter", with(func(h *hello) { h.Name = "v1" }), attached, rejectedName},
-		{"voter that is none", with(func(h *hello) { h.IsVoter = true }), attached, rejectedName},
+		{"false claim to be a voter", with(func(h *hello) { h.IsVoter = true }), attached, rejectedName},
 		{"voter", with(func(h *hello) { h.Name, h.IsVoter = "v1", true }), attached, rejectedVoter},
 		{"not attached", valid, func(*tree) {}, rejectedNoPath},
 		{"cycle", with(func(h *hello) { h.Name = "p" }), attached, rejectedCycle},
@@ -95,7 +97,7 @@
 			c.setUp(&s.tree)
 			w := s.decideHandshake(newTestConnection(t, peer{name: c.hello.Name}), c.hello)
 			if w.Rejection != c.want || w.Name != "self" {
-				t.Errorf("%+v, want %q", w, c.want)
+				t.Errorf("welcome %+v, want rejection %q", w, c.want)
 			}
 			if c.want == "" && !slices.Equal(w.Path, []string{"v0", "p", "self"}) {
 				t.Errorf("path %v", w.Path)
--- a/internal/agreement/voting.go
+++ b/internal/agreement/voting.go
@@ -11,23 +11,23 @@
 	"junctionwharf/internal/consensus"
 )
 
-// raftFile is a voter's file in Options.DataDir.
+// raftFile is the name of a voter's storage file in Options.DataDir.
 const raftFile = "agreement.db"
 
-// replaceInterval is how often a leader looks for voters that have lost their state, in microseconds. Rarer would
-// leave the cluster with one voter less for longer.
+// replaceInterval is the time between a leader's checks for voters that have lost their state, in microseconds. A
+// longer interval would leave the cluster with one voter fewer for longer.
 const replaceInterval = 200_000
 
-// voting is what only a voter has. The service goroutine owns it.
+// voting is the state that only a voter has. The service goroutine owns it.
 type voting struct {
 	voter         *consensus.Voter
 	storage       consensus.Storage
 	names         map[uint64]string      // of voters, by raft identity
-	outgoing      map[string]*connection // to other voters, by name; messages go out on them
-	incoming      map[string]*connection // from other voters, by name; messages come in on them
+	outgoing      map[string]*connection // dialed by this voter, by name; they carry messages to raft and to the leader
+	incoming      map[string]*connection // dialed by other voters, by name; messages from those voters arrive on them
 	nextBootstrap clusterconfig.Micros
 	nextReplace   clusterconfig.Micros
-	leaderSeenAt  clusterconfig.Micros // when a leader was known last, or the voter started
+	leaderSeenAt  clusterconfig.Micros // last time at which a leader was known, initially the start of the voter
 }
 
 func newVoting() *voting {
@@ -38,7 +38,7 @@
 	}
 }
 
-// openVoter starts the voter with its state: what is on disk, or none and a new identity.
+// openVoter starts the voter with its state on disk or, if there is none, with a new identity.
 func (s *Service) openVoter() error {
 	id := consensus.RandomID(s.random)
 	s.voting.storage = consensus.NewMemoryStorage()
@@ -54,7 +54,7 @@
 	return s.startVoter(id)
 }
 
-// startVoter starts the voter with what its storage holds.
+// startVoter starts the voter with the state in its storage.
 func (s *Service) startVoter(id uint64) error {
 	options := consensus.Options{ID: id, Timing: s.options.Timing, Schema: s.schema, Logger: s.options.Log}
 	voter, err := consensus.New(s.now(), options, s.voting.storage)
@@ -66,22 +66,22 @@
 	return nil
 }
 
-// isLeader reports whether this broker leads.
+// isLeader reports whether this broker is the leader.
 func (s *Service) isLeader() bool { return s.voting != nil && s.voting.voter.IsLeader() }
 
-// leaderConnection returns the connection to the leader, nil for none.
+// leaderConnection returns the connection to the leader, or nil.
 func (v *voting) leaderConnection() *connection {
 	leader, _ := v.voter.LeaderAndTerm()
 	return v.outgoing[v.names[leader]]
 }
 
-// addOutgoing takes a connection to another voter.
+// addOutgoing registers a connection to another voter.
 func (v *voting) addOutgoing(name string, c *connection) {
 	v.outgoing[name] = c
 	v.names[c.raftID] = name
 }
 
-// addIncoming takes a connection from another voter, in place of an earlier one.
+// addIncoming registers a connection from another voter, and closes an earlier one.
 func (v *voting) addIncoming(c *connection) {
 	if old := v.incoming[c.name]; old != nil {
 		old.close()
@@ -90,7 +90,7 @@
 	v.names[c.raftID] = c.name
 }
 
-// removeConnection forgets a connection that has ended.
+// removeConnection removes a connection that has ended.
 func (v *voting) removeConnection(c *connection) {
 	for _, connections := range []map[string]*connection{v.outgoing, v.incoming} {
 		if connections[c.name] == c {
@@ -99,14 +99,14 @@
 	}
 }
 
-// notifyVoters has the other voters, and by them all below, renew now.
+// notifyVoters makes the other voters, and through them all brokers below, renew now.
 func (v *voting) notifyVoters() {
 	for _, c := range v.incoming {
 		c.send(frame{Downstream: &downstreamMessage{Notify: true}})
 	}
 }
 
-// connectionState describes the connections with another voter, as the status shows it.
+// connectionState describes the connections with another voter for the status.
 func (v *voting) connectionState(name string) string {
 	out, in := v.outgoing[name] != nil, v.incoming[name] != nil
 	switch {
@@ -118,7 +118,7 @@
 	return "not connected"
 }
 
-// receiveRaft takes a message of another voter.
+// receiveRaft handles a raft message from another voter.
 func (s *Service) receiveRaft(from *connection, m *raftpb.Message) {
 	if s.voting == nil || !from.isVoter {
 		return
@@ -126,12 +126,12 @@
 	s.carryOut(s.voting.voter.Step(s.now(), m))
 }
 
-// carryOut sends what a voter's call led to.
+// carryOut sends the messages that a call of the voter returned, and notifies brokers of a new version.
 func (s *Service) carryOut(e consensus.Effects) {
 	for _, m := range e.Messages {
 		c := s.voting.outgoing[s.voting.names[m.GetTo()]]
 		if c == nil {
-			continue // raft repeats what it needs
+			continue // raft repeats messages that it needs
 		}
 		data, err := proto.Marshal(m)
 		if err != nil {
@@ -148,7 +148,7 @@
 	}
 }
 
-// workAsVoter does what is due on a voter and returns when it wants to be called again.
+// workAsVoter runs a voter's overdue tasks and returns the time at which it must run again.
 func (s *Service) workAsVoter(now clusterconfig.Micros) (next clusterconfig.Micros) {
 	v := s.voting
 	if now >= v.voter.NextTick() {
@@ -167,7 +167,7 @@
 	return min(next, v.nextBootstrap)
 }
 
-// replaceLostVoters takes voters that have lost their state into the cluster again, under their new identities.
+// replaceLostVoters adds voters that have lost their state to the cluster again, under their new identities.
 func (s *Service) replaceLostVoters(now clusterconfig.Micros) {
 	for name, c := range s.voting.incoming {
 		id := s.voting.voter.State().Members[name]
