--- a/membership/decide.go
+++ b/membership/decide.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// What operators read as the reason why a node is listed as it is.
+// Reasons why a node is listed in its state, or why it was removed. Operators read them on the console.
 const (
 	reasonUnclaimed       = "no source holds it"
 	reasonRemovedPrefix   = "removed by "
@@ -10,7 +10,7 @@
 	reasonSuspectedSuffix = ", suspect: its latest answers lack it"
 )
 
-// decide works out one address by rules 1 to 4 and 7, and reports whether that is a change for the core.
+// decide applies rules 1 to 4 and 7 to one address, and reports whether the result is a change for the core.
 func (s *State) decide(address string) (Node, bool) {
 	removedBy, removedAt := s.latestRemoval(address)
 	m := s.merge(address, removedBy != "", removedAt)
@@ -23,7 +23,8 @@
 	return s.list(address, m)
 }
 
-// latestRemoval is rule 3's: who removed an address last, and when.
+// latestRemoval returns the source that removed an address last, and the time of the removal (rule 3). by is empty if
+// there is no removal.
 func (s *State) latestRemoval(address string) (by string, at Micros) {
 	at = -1
 	for _, src := range s.sources {
@@ -35,7 +36,7 @@
 	return by, at
 }
 
-// dropRemovals gives up the removals of an address that nobody claims: they overrule nobody any more.
+// dropRemovals deletes the removals of an address that no source claims: there is no claim left to overrule.
 func (s *State) dropRemovals(address string) {
 	for _, src := range s.sources {
 		if c, known := src.claims[address]; known && c.removed {
@@ -45,18 +46,18 @@
 	}
 }
 
-// merged is what the sources say of an address together.
+// merged combines the claims of all sources on one address.
 type merged struct {
-	claimed    bool  // a source lists it, overruled or not
-	believed   bool  // a source lists it and is not overruled
-	first      claim // of the first such source
+	claimed    bool  // a source lists the address, even if a removal overrules the claim
+	believed   bool  // a source lists the address, and no removal overrules the claim
+	first      claim // of the first source with such a claim
 	reason     string
-	mayAdd     bool   // a source that lists it may add
-	drainingBy string // empty for none
+	mayAdd     bool   // a source with such a claim may add
+	drainingBy string // the first source that drains the node; empty if there is none
 	lastStart  Micros
 }
 
-// merge takes together all claims on an address that are newer than its latest removal.
+// merge combines the claims on an address, except for those that the latest removal overrules.
 func (s *State) merge(address string, removed bool, removedAt Micros) merged {
 	m := merged{lastStart: UnknownStart}
 	for _, src := range s.sources {
@@ -87,10 +88,10 @@
 	return m
 }
 
-// remove takes an address off the list, and reports whether it was on it.
+// remove removes an address from the list, and reports whether the address was listed.
 func (s *State) remove(address, removedBy string) (Node, bool) {
 	n := s.nodes[address]
-	if s.heldBack[address] { // it was removed before it was let back
+	if s.heldBack[address] { // the node was removed again while it was held back
 		delete(s.heldBack, address)
 		s.removals = append(s.removals, removal{address, s.now})
 	}
@@ -110,7 +111,7 @@
 	return removed, true
 }
 
-// list puts an address on the list, or keeps it there, and reports whether that is a change.
+// list adds an address to the list or updates it, and reports whether this is a change for the core.
 func (s *State) list(address string, m merged) (Node, bool) {
 	n := s.nodes[address]
 	if n == nil {
@@ -144,32 +145,32 @@
 	return announced, true
 }
 
-// startTime is rule 7's sign: when a node started, as the core is to believe.
+// startTime returns the start time of a node for the core, which derives from it whether the node warms up (rule 7).
 func (s *State) startTime(n *node, claimed Micros, firstAnswer bool) Micros {
 	switch {
 	case claimed != UnknownStart:
 		return claimed
 	case n.listed:
 		return n.announced.LastStart
-	case n.removedAt == 0 && firstAnswer: // it was there when its source was asked first
+	case n.removedAt == 0 && firstAnswer: // the node ran before the first query of its source
 		return 0
 	}
 	return s.now
 }
 
 const (
-	// firstHold is how long a flapping node is held back first: 2 s, doubled with each further return. If it were
-	// lower, the node would be given requests more often only to lose them; if it were higher, three restarts would
-	// keep it out long.
+	// firstHold is the first duration for which a flapping node is held back: 2 s, doubled with each further return. If
+	// it were lower, the node would more often receive requests and fail them. If it were higher, three restarts would
+	// keep the node out for long.
 	firstHold Micros = 2e6
-	// maxHoldDoublings keeps the doubling within 64 bits; Options.MaxHold bounds it long before.
+	// maxHoldDoublings keeps the doubled duration within 64 bits. Options.MaxHold limits the duration long before.
 	maxHoldDoublings = 20
-	// maxRememberedReturns bounds what is remembered of a node that flaps. It only has to be above Options.MaxReturns
-	// by enough doublings to reach Options.MaxHold.
+	// maxRememberedReturns is the maximum number of returns recorded for a flapping node. It must exceed
+	// Options.MaxReturns by the number of doublings that reach Options.MaxHold.
 	maxRememberedReturns = 32
 )
 
-// mayReturn is rule 7's other half: a node that comes and goes is held back.
+// mayReturn reports whether a node may be listed now. A flapping node is held back (rule 7).
 func (s *State) mayReturn(address string, n *node) bool {
 	if n.removedAt == 0 {
 		return true
@@ -191,7 +192,8 @@
 	return true
 }
 
-// uniqueName keeps names apart: one that another address has gets its address behind it.
+// uniqueName returns a name that no other listed node has. If another address has the name, the node's address is
+// appended.
 func (s *State) uniqueName(name, address string) string {
 	if name == "" {
 		return address
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,31 +1,33 @@
-// Package membership merges what several sources say of storage nodes into the one list that the core works with. It
+// Package membership merges the reports of several sources on storage nodes into the one list that the core uses. It
 // does no I/O and reads no clock.
 //
 // # Rule
 //
-//  1. An address is a node: entries of any sources with one address are one node. It has the name that the first of
-//     the sources gave it when it was listed, and keeps that as long as it is listed: to the core another name is
-//     another node.
-//  2. A node is listed while a source that may add claims it. A source claims what its last believed answer named,
-//     for as long as it says nothing newer: silence, failure and age take nothing away.
-//  3. A node is removed as soon as a source that may remove drops what it claimed, or says that it is removed,
-//     whatever others claimed by then; until that source or another lists it anew, or that source falls silent for
-//     longer than its removals are good (then what others claim counts again).
-//  4. A node drains while a source that may drain says so.
-//  5. An answer without any entry is never believed from a source that claimed some. One that drops more than half of
-//     what the source claimed, and at least three nodes, is suspect: what it drops stays for a stated time and goes
-//     when the source still says so after it. A node that an answer names as draining or removed is believed at once.
-//  6. An answer to a question that was asked before the one of the present claims was asked is not taken.
-//  7. A node that returns is new, and so warming up, unless the source reports that it started before it was removed.
-//     One that has come and gone three times within a minute returns later each time, up to a minute; removal is
-//     never delayed.
+//  1. The address identifies a node: entries with the same address, from any sources, describe the same node. When a
+//     node is listed, it gets its name from the first source in Options.Sources that lists it. It keeps this name as
+//     long as it is listed: to the core, another name is another node.
+//  2. A node is listed while a source with the permission to add claims it. A source claims the nodes of its last
+//     accepted answer until it gives a newer answer: silence, failures and age remove no claim.
+//  3. A node is removed as soon as a source with the permission to remove drops its claim or reports the node as
+//     removed, even if other sources claim the node. The removal overrules all earlier claims. It ends when any source
+//     lists the node anew, or when the source of the removal has been silent for its RemovalTTL. In the latter case the
+//     earlier claims apply again.
+//  4. A node drains while a source with the permission to drain reports it as draining.
+//  5. An answer without entries is rejected if its source has claims. An answer is suspect if it lacks more than half
+//     of the source's claims, and at least three nodes. These nodes stay listed for Options.SuspectHold, and are
+//     removed if the source's answers still lack them after that time. If an answer explicitly reports a node as
+//     draining or removed, this takes effect at once.
+//  6. An answer is rejected if its query was sent before the query of the current claims.
+//  7. A node that returns after its removal is new, and so warms up, unless the source reports that the node started
+//     before it was removed. A node that has returned three times within a minute is held back after further returns,
+//     each time for longer, up to a minute. Removals are never delayed.
 //
 // # State and owner
 //
-// State holds it all, in memory. It takes events and the time as arguments, returns the changes for the core, and
-// is not safe for concurrent use: members.Members owns it and guards it by its lock.
+// State contains all claims and the merged list, in memory. It receives events and the time as arguments and returns
+// the changes for the core. It is not safe for concurrent use: members.Members owns it and guards it by a lock.
 //
 // # Units
 //
-// Times are Micros, of whatever clock the caller reads.
+// Times are Micros of the caller's clock.
 package membership
--- a/membership/events.go
+++ b/membership/events.go
@@ -3,17 +3,17 @@
 // Source is an index into Options.Sources.
 type Source int
 
-// NodeState is what a source says of a node.
+// NodeState is the state of a node according to a source.
 type NodeState int
 
-// The states. Package members converts them to the core's.
+// The states of a node. Package members converts them to those of the core.
 const (
 	Ready NodeState = iota
 	Draining
-	Removed // only in an answer of changes
+	Removed // only in an incremental answer
 )
 
-// Entry is what a source says of one node.
+// Entry describes one node according to a source.
 type Entry struct {
 	Name          string
 	Address       string // host:port; the node's identity
@@ -21,27 +21,27 @@
 	Kind          string
 	Shard         int
 	State         NodeState
-	Capacity      float64 // its size, as discovery tells it; 0 counts as 1
-	TrafficWeight float64 // against others of its shard and priority, as SRV weights tell it; 0 counts as 1
-	Priority      int     // lower goes first
-	LastStart     Micros  // on the given clock; 0 for long ago, UnknownStart if the source does not say
+	Capacity      float64 // the node's size according to discovery; 0 means 1
+	TrafficWeight float64 // relative to nodes of its shard and priority, as in SRV records; 0 means 1
+	Priority      int     // nodes with a lower value are used first
+	LastStart     Micros  // on the caller's clock; 0 for long ago, UnknownStart if the source does not report it
 }
 
-// UnknownStart is the LastStart of an entry whose source does not say.
+// UnknownStart is the LastStart of an entry whose source does not report the time of the start.
 const UnknownStart Micros = -1
 
-// Event is something that happened; State.Reduce takes it.
+// Event is an input of State.Reduce.
 type Event interface{ event() }
 
-// SourceAnswered brings a source's answer to a question that was asked at AskedAt.
+// SourceAnswered is a source's answer to a query that was sent at AskedAt.
 type SourceAnswered struct {
 	Source   Source
 	AskedAt  Micros
-	Complete bool // a full snapshot of what it lists; else what has changed
+	Complete bool // a full snapshot of the source's list; otherwise only changes
 	Entries  []Entry
 }
 
-// SourceFailed reports that a source could not be asked, or did not answer.
+// SourceFailed reports that a source could not be queried, or did not answer.
 type SourceFailed struct {
 	Source Source
 	Reason string
@@ -53,9 +53,9 @@
 // Node is a node as announced to the core.
 type Node struct {
 	Entry
-	Reason string // why it is listed as it is
+	Reason string // why the node is listed in its state, or was removed
 }
 
-// Change is what is announced to the core: nodes that are new or changed, and, with State Removed, those that were
-// removed.
+// Change contains the nodes to announce to the core: those that are new or changed and, with State Removed, those that
+// were removed.
 type Change struct{ Nodes []Node }
--- a/membership/harness_test.go
+++ b/membership/harness_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The sources of newState's default options.
+// The sources in the default options of newState.
 const (
 	discovery Source = iota
 	dns
@@ -31,7 +31,7 @@
 	return s
 }
 
-// newDNSState has one source.
+// newDNSState returns a state with DNS as its only source.
 func newDNSState(t testing.TB) *State {
 	t.Helper()
 	return newState(t, Options{Sources: []SourceOptions{{Name: "dns", Permissions: allPermissions}}})
@@ -52,7 +52,7 @@
 	return names
 }
 
-// listed are the names on the list, a draining one with an exclamation mark.
+// listed returns the names of the listed nodes. An exclamation mark follows the name of a draining node.
 func listed(s *State) string {
 	nodes, _ := s.List()
 	var names []string
@@ -66,7 +66,7 @@
 	return strings.Join(names, " ")
 }
 
-// snapshot is an answer of all that a source lists.
+// snapshot returns a full snapshot of a source's list.
 func snapshot(src Source, at Micros, names ...string) SourceAnswered {
 	return snapshotOf(src, at, entries(names...)...)
 }
@@ -75,7 +75,7 @@
 	return SourceAnswered{Source: src, AskedAt: at, Complete: true, Entries: entries}
 }
 
-// changes is an answer of what has changed.
+// changes returns an answer that contains only changes.
 func changes(src Source, at Micros, entries ...Entry) SourceAnswered {
 	return SourceAnswered{Source: src, AskedAt: at, Entries: entries}
 }
--- a/membership/options.go
+++ b/membership/options.go
@@ -5,51 +5,51 @@
 	"fmt"
 )
 
-// Micros is a point on the monotonic clock, or a span of it, in µs. It is an alias, so that an int64 needs no
+// Micros is a time on a monotonic clock, or a duration, in microseconds. It is an alias, so that an int64 needs no
 // conversion.
 type Micros = int64
 
-// Permissions are what a source may do.
+// Permissions specifies how a source may change the list.
 type Permissions struct {
 	Add    bool
 	Drain  bool
 	Remove bool
 }
 
-// SourceOptions are of one source.
+// SourceOptions configures one source.
 type SourceOptions struct {
 	Name        string
 	Permissions Permissions
-	RemovalTTL  Micros // how long its removals outweigh others' claims once it is silent; DefaultRemovalTTL by default
+	RemovalTTL  Micros // how long a silent source's removals overrule claims; DefaultRemovalTTL by default
 }
 
-// Options are of a State. The zero value of a field means its default.
+// Options configures a State. The zero value of a field means its default.
 type Options struct {
-	Sources     []SourceOptions // the first names nodes that several claim
-	SuspectHold Micros          // how long a sudden loss is deferred; DefaultSuspectHold by default
-	FlapWindow  Micros          // in which MaxReturns are counted; DefaultFlapWindow by default
-	MaxReturns  int             // times a node may come back within it at once; DefaultMaxReturns by default
-	MaxHold     Micros          // the longest that a flapping node is held back; DefaultMaxHold by default
-	MaxNodes    int             // of one source, and remembered after their removal; DefaultMaxNodes by default
+	Sources     []SourceOptions // a node gets its name from the first one that lists it
+	SuspectHold Micros          // how long the removals by a suspect answer are deferred; DefaultSuspectHold by default
+	FlapWindow  Micros          // period in which a node's returns are counted; DefaultFlapWindow by default
+	MaxReturns  int             // returns within FlapWindow that are not delayed; DefaultMaxReturns by default
+	MaxHold     Micros          // maximum time for which a flapping node is held back; DefaultMaxHold by default
+	MaxNodes    int             // maximum of nodes in a snapshot; limits claims, too; DefaultMaxNodes by default
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
-	// DefaultRemovalTTL is 10 min. If it were lower, a node that was removed would come back when its source has a
-	// short outage; if it were higher, a wrong removal by a source that is lost would last longer.
+	// DefaultRemovalTTL is 10 min. If it were lower, a removed node would return during a short outage of the source
+	// that removed it. If it were higher, a wrong removal by a source that is lost would last longer.
 	DefaultRemovalTTL Micros = 600e6
-	// DefaultSuspectHold is 30 s. If it were lower, a discovery service that restarts with half a list would take nodes
-	// away; if it were higher, a real loss of half the nodes would be followed later.
+	// DefaultSuspectHold is 30 s. If it were lower, a discovery service that restarts with half of its list would
+	// remove nodes. If it were higher, a real loss of half the nodes would take effect later.
 	DefaultSuspectHold Micros = 30e6
-	// DefaultFlapWindow is a minute. If it were lower, a node that flaps slowly would not be held back.
+	// DefaultFlapWindow is one minute. If it were lower, a node that flaps slowly would not be held back.
 	DefaultFlapWindow Micros = 60e6
-	// DefaultMaxReturns is in returns a window. If it were lower, two quick restarts would keep a node out; if it were
-	// higher, a flapping node would be given requests more often only to lose them.
+	// DefaultMaxReturns is the number of returns per window. If it were lower, two quick restarts would keep a node
+	// out. If it were higher, a flapping node would more often receive requests and fail them.
 	DefaultMaxReturns = 3
-	// DefaultMaxHold is a minute. If it were higher, a node that flapped and is well again would stay out for longer.
+	// DefaultMaxHold is one minute. If it were higher, a node that has stopped flapping would stay out for longer.
 	DefaultMaxHold Micros = 60e6
-	// DefaultMaxNodes is in nodes. If it were lower, nodes of a larger fleet would be left out; if it were higher, a
-	// faulty source could take more memory.
+	// DefaultMaxNodes is the number of nodes. If it were lower, nodes of a larger fleet would be ignored. If it were
+	// higher, a faulty source could use more memory.
 	DefaultMaxNodes = 50_000
 )
 
@@ -64,9 +64,9 @@
 	}
 }
 
-// OptionError names an option that makes no sense.
+// OptionError reports an invalid option.
 type OptionError struct {
-	Option string // empty where any of several may be meant
+	Option string // empty if any of several options may be invalid
 	Reason string
 }
 
@@ -77,10 +77,10 @@
 	return e.Option + ": " + e.Reason
 }
 
-// Validate returns an OptionError for the first option that makes no sense.
+// Validate returns an *OptionError for the first invalid option.
 func (o Options) Validate() error {
 	if len(o.Sources) == 0 {
-		return &OptionError{Option: "sources", Reason: "none"}
+		return &OptionError{Option: "sources", Reason: "at least one is required"}
 	}
 	names := map[string]bool{}
 	anyAdds := false
@@ -88,20 +88,23 @@
 		if source.Name == "" || names[source.Name] {
 			return &OptionError{
 				Option: fmt.Sprintf("sources[%d].name", i),
-				Reason: fmt.Sprintf("%q is missing or stands twice", source.Name),
+				Reason: fmt.Sprintf("%q is empty or not unique", source.Name),
 			}
 		}
 		names[source.Name] = true
 		anyAdds = anyAdds || source.Permissions.Add
 		if source.RemovalTTL < 0 {
-			return &OptionError{Option: fmt.Sprintf("sources[%d].good", i), Reason: "it is below 0"}
+			return &OptionError{
+				Option: fmt.Sprintf("sources[%d].good", i),
+				Reason: fmt.Sprintf("%d µs is below 0", source.RemovalTTL),
+			}
 		}
 	}
 	if !anyAdds {
-		return &OptionError{Option: "sources", Reason: "none may add"}
+		return &OptionError{Option: "sources", Reason: "none has the permission to add"}
 	}
 	if min(o.SuspectHold, o.FlapWindow, o.MaxHold) < 0 || min(o.MaxReturns, o.MaxNodes) < 0 {
-		return &OptionError{Reason: "a time or bound is below 0"}
+		return &OptionError{Reason: "a duration or limit is below 0"}
 	}
 	return nil
 }
--- a/membership/options_test.go
+++ b/membership/options_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Settings change in service, and there is no gap: what an ended source claimed stays until the new one has answered.
-// So it is with a state that began empty, and with one that was restored.
+// The settings change while the broker runs. The list must have no gap: the claims of a removed source must stay until
+// the new source has answered. This must be true for a state that began empty and for a restored state.
 func TestSourcesChangeWithoutAGap(t *testing.T) {
 	t.Run("empty at first", func(t *testing.T) {
 		s := newState(t, Options{})
@@ -21,11 +21,11 @@
 	})
 }
 
-// checkSourceReplaced puts a file in the place of DNS in a state whose list is a, b and c.
+// checkSourceReplaced replaces DNS by a file in a state whose list is a, b and c.
 func checkSourceReplaced(t *testing.T, s *State) {
 	t.Helper()
 	if _, err := s.ApplyOptions(3*second, Options{}); err == nil {
-		t.Error("options without a source are applied")
+		t.Error("options without a source were accepted")
 	}
 	_, err := s.ApplyOptions(3*second, Options{Sources: []SourceOptions{
 		{Name: "file", Permissions: allPermissions},
@@ -35,21 +35,21 @@
 		t.Fatal(err)
 	}
 	if _, known := s.FindSource("dns"); known || listed(s) != "a b c" {
-		t.Errorf("before the new source answers: %q", listed(s))
+		t.Errorf("before the new source answers: listed %q", listed(s))
 	}
 	file, _ := s.FindSource("file")
 	c := s.Reduce(4*second, snapshot(file, 4e6, "d"))
 	if got := listed(s); got != "a b d" || len(c.Nodes) != 2 || c.Nodes[0].State != Removed {
-		t.Errorf("after it: %q, %+v", got, c)
+		t.Errorf("after the new source has answered: listed %q, change %+v", got, c)
 	}
 }
 
-// A broker starts from a snapshot, which stands until all sources have answered.
-func TestRestoredListStandsUntilAllAnswer(t *testing.T) {
+// A broker starts from a snapshot. The restored list must stay until all sources have answered.
+func TestRestoredListStaysUntilAllAnswer(t *testing.T) {
 	checkRestore(t, newState(t, Options{}))
 }
 
-// checkRestore restores a state, and lets its sources answer until its list is a, b and c.
+// checkRestore restores a state and applies answers of its sources, after which its list is a, b and c.
 func checkRestore(t *testing.T, s *State) {
 	t.Helper()
 	s.Restore(second/2, "snapshot", []Entry{
@@ -57,46 +57,46 @@
 		{Name: "z", Address: "z:1", LastStart: 0},
 	})
 	if got := listed(s); got != "a z" {
-		t.Errorf("restored %q", got)
+		t.Errorf("restored list %q", got)
 	}
 	s.Reduce(1*second, snapshot(discovery, 1, "a", "b"))
 	if got := listed(s); got != "a b z" {
-		t.Errorf("one of two has answered: %q", got)
+		t.Errorf("after one of two sources has answered: listed %q", got)
 	}
 	s.Reduce(2*second, snapshot(dns, 2, "a", "c"))
 	if got := listed(s); got != "a b c" {
-		t.Errorf("both have answered: %q", got)
+		t.Errorf("after both sources have answered: listed %q", got)
 	}
 }
 
-// Options with a fault are not taken, and the error names the option.
+// Invalid options must be rejected, and the error must name the option.
 func TestOptionFaultsNameTheOption(t *testing.T) {
 	adds := Permissions{Add: true}
 	for _, c := range []struct {
 		options Options
 		text    string
 	}{
-		{Options{}, "sources: none"},
-		{Options{Sources: []SourceOptions{{}}}, `sources[0].name: "" is missing or stands twice`},
-		{Options{Sources: []SourceOptions{{Name: "a"}}}, "sources: none may add"},
+		{Options{}, "sources: at least one is required"},
+		{Options{Sources: []SourceOptions{{}}}, `sources[0].name: "" is empty or not unique`},
+		{Options{Sources: []SourceOptions{{Name: "a"}}}, "sources: none has the permission to add"},
 		{
 			Options{Sources: []SourceOptions{{Name: "a", Permissions: adds}, {Name: "a"}}},
-			`sources[1].name: "a" is missing or stands twice`,
+			`sources[1].name: "a" is empty or not unique`,
 		},
 		{
 			Options{Sources: []SourceOptions{{Name: "a", Permissions: adds, RemovalTTL: -1}}},
-			"sources[0].good: it is below 0",
+			"sources[0].good: -1 µs is below 0",
 		},
 		{
 			Options{Sources: []SourceOptions{{Name: "a", Permissions: adds}}, SuspectHold: -1},
-			"a time or bound is below 0",
+			"a duration or limit is below 0",
 		},
 	} {
 		t.Run(c.text, func(t *testing.T) {
 			_, err := New(c.options)
 			var optionError *OptionError
 			if !errors.As(err, &optionError) || err.Error() != c.text {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want %q", err, c.text)
 			}
 		})
 	}
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// property checks whatever sources say in whatever order.
+// property checks a State with random answers of its sources.
 type property struct {
 	*rapid.T
 	state     *State
 	now       Micros
-	announced map[string]Node // by name, as the changes add up
+	announced map[string]Node // by name: the list that results from the changes
 }
 
-// Property: whatever sources say in whatever order, no silence, failure or empty answer takes a node away; a removal by
-// a source that may remove counts at once; the changes add up to the list; and what is remembered stays bounded.
+// Property: with any answers in any order, silence, failures and empty answers remove no node; a removal by a source
+// that may remove takes effect at once; the changes add up to the list; and the recorded state stays bounded.
 func TestSilenceRemovesNothingAndRemovalsAreObeyed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, err := New(Options{Sources: []SourceOptions{
@@ -33,17 +33,17 @@
 			p.step()
 		}
 		p.now += 3600e6
-		state.Reduce(p.now, nil) // who was held back comes back
+		state.Reduce(p.now, nil) // nodes that were held back return
 		state.Reduce(p.now+3600e6, nil)
 		nodes, _ := state.List()
 		if len(state.nodes) != len(nodes) || len(state.removals) != 0 {
-			t.Fatalf("%d nodes are remembered, %d listed, %d removals",
+			t.Fatalf("%d nodes are recorded, %d listed, %d removals are recorded",
 				len(state.nodes), len(nodes), len(state.removals))
 		}
 	})
 }
 
-// step has one source answer, fail or be silent.
+// step applies a random answer or failure of a source, or only lets time pass.
 func (p *property) step() {
 	p.now += rapid.Int64Range(1, 20e6).Draw(p.T, "pause")
 	before := maps.Clone(p.announced)
@@ -66,7 +66,7 @@
 	if !mayRemove {
 		for name := range before {
 			if _, still := p.announced[name]; !still {
-				p.Fatalf("%s was lost by kind %d", name, kind)
+				p.Fatalf("%s was removed by an event of kind %d", name, kind)
 			}
 		}
 	} else if src < 2 {
@@ -80,7 +80,7 @@
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 10, rapid.ID[int]).Draw(p.T, "nodes") {
 		e := entries(fmt.Sprint("n", i))[0]
 		if src == 1 {
-			e.Name = fmt.Sprint("x", i%4) // another name, and one name at several addresses
+			e.Name = fmt.Sprint("x", i%4) // other names than other sources, and some names at several addresses
 		}
 		if rapid.IntRange(0, 5).Draw(p.T, "state") == 0 {
 			e.State = Draining
@@ -90,7 +90,7 @@
 	return drawn
 }
 
-// apply adds a change up.
+// apply adds a change to the announced list.
 func (p *property) apply(c Change) {
 	for _, n := range c.Nodes {
 		if n.State != Removed {
@@ -98,18 +98,19 @@
 			continue
 		}
 		if p.announced[n.Name].Address != n.Address {
-			p.Fatalf("%s is removed and was not there", n.Address)
+			p.Fatalf("%s was removed but had not been announced", n.Address)
 		}
 		delete(p.announced, n.Name)
 	}
 }
 
-// checkRemovals checks that what a source removed is not listed, unless another claimed it since.
+// checkRemovals checks that nodes that a source has removed are not listed, unless another source has claimed them
+// since.
 func (p *property) checkRemovals(src Source) {
 	for address, c := range p.state.sources[src].claims {
 		n := p.state.nodes[address]
 		if c.removed && n != nil && n.listed && !p.claimedSince(address, c.at) {
-			p.Fatalf("%s is removed by %d and still listed", address, src)
+			p.Fatalf("%s was removed by source %d and is still listed", address, src)
 		}
 	}
 }
@@ -123,7 +124,7 @@
 	return false
 }
 
-// checkList checks the list against the changes.
+// checkList compares the list with the sum of the changes.
 func (p *property) checkList() {
 	nodes, claimedBy := p.state.List()
 	if len(nodes) != len(p.announced) {
@@ -138,7 +139,8 @@
 	}
 }
 
-// Ten thousand nodes are replaced within 10 s: each change is told once, none twice, and nothing of the old is kept.
+// Ten thousand nodes are replaced within 10 s. Each change must be announced exactly once, and nothing may be kept of
+// the old nodes.
 func TestReplaceManyNodes(t *testing.T) {
 	s := newDNSState(t)
 	s.Reduce(1*second, snapshot(0, 1, numbered(0, 10_000)...))
@@ -151,7 +153,7 @@
 	}
 	nodes, _ := s.List()
 	if announced != 20_000 || len(nodes) != 10_000 || nodes[0].Name != "n10000" {
-		t.Errorf("%d announced, %d listed", announced, len(nodes))
+		t.Errorf("%d changes announced, %d nodes listed", announced, len(nodes))
 	}
 	s.Reduce(now+600e6, nil)
 	if len(s.nodes) != 10_000 || len(s.removals) != 0 || len(s.sources[0].claims) != 10_000 {
@@ -159,8 +161,8 @@
 	}
 }
 
-// BenchmarkChange is one node replaced in a list, told as a change and as a full snapshot, and against merging all
-// anew.
+// BenchmarkChange replaces one node in a list, by an incremental answer and by a full snapshot. For comparison, it also
+// merges the whole list from the start.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		all := entries(numbered(0, n)...)
--- a/membership/rules_test.go
+++ b/membership/rules_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// step is an event at a second, and the list after it.
+// step is an event at a time, and the expected list after it.
 type step struct {
-	at    Micros // s
+	at    Micros // in seconds
 	event Event
 	want  string
 }
@@ -14,19 +14,19 @@
 	removeA = changes(discovery, 20e6, Entry{Name: "a", State: Removed})
 )
 
-// ruleScripts are named after the numbers in the package comment.
+// ruleScripts are named after the rules of the package comment.
 var ruleScripts = map[string][]step{
 	"rule 2: any source adds": {
 		{1, snapshot(discovery, 1, "a"), "a"},
 		{2, snapshot(dns, 2, "b"), "a b"},
 	},
-	"rule 2: failure takes nothing": {
+	"rule 2: a failure removes nothing": {
 		{1, snapshot(dns, 1, "a", "b"), "a b"},
 		{2, SourceFailed{dns, "no answer"}, "a b"},
 		{3600, SourceFailed{dns, "no answer"}, "a b"},
 		{7200, nil, "a b"},
 	},
-	"rule 5: an empty answer is never believed": {
+	"rule 5: an empty answer is rejected": {
 		{1, snapshot(dns, 1, "a"), "a"},
 		{2, snapshot(dns, 2), "a"},
 		{3600, snapshot(dns, 3600e6), "a"},
@@ -43,19 +43,19 @@
 		{20, removeA, "b"},
 		{21, snapshot(dns, 21e6, "a", "b"), "b"},
 	},
-	"rule 3: listed anew by the remover": {
+	"rule 3: listed anew by the source that removed it": {
 		{1, snapshot(discovery, 1, "a", "b"), "a b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
 		{9, snapshot(dns, 9e6, "a", "b"), "a b"},
 	},
-	"rule 3: listed anew by another": {
+	"rule 3: listed anew by another source": {
 		{1, snapshot(discovery, 1, "b"), "b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
 		{4, snapshot(discovery, 4e6, "a", "b"), "a b"},
 	},
-	"rule 3: a silent remover's removals expire": {
+	"rule 3: the removals of a silent source expire": {
 		{1, snapshot(discovery, 1, "a", "b"), "a b"},
 		{2, snapshot(dns, 2e6, "a", "b"), "a b"},
 		{3, snapshot(dns, 3e6, "b"), "b"},
@@ -75,28 +75,28 @@
 		{20, snapshot(dns, 20e6, "a"), "a b c d"},
 		{33, snapshot(dns, 33e6, "a"), "a"},
 	},
-	"rule 5: a loss that is taken back": {
+	"rule 5: a sudden loss is reverted": {
 		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
 		{2, snapshot(dns, 2e6, "a"), "a b c d"},
 		{3, snapshot(dns, 3e6, "a", "b", "c", "d"), "a b c d"},
 		{40, snapshot(dns, 40e6, "a"), "a b c d"},
 	},
-	"rule 5: one that leaves is removed at once": {
+	"rule 5: a single missing node is removed at once": {
 		{1, snapshot(dns, 1, "a", "b", "c", "d"), "a b c d"},
 		{2, snapshot(dns, 2e6, "a", "b", "c"), "a b c"},
 	},
-	"rule 5: one named as removed is removed at once": {
+	"rule 5: a node reported as removed is removed at once": {
 		{1, snapshot(discovery, 1, "a", "b", "c"), "a b c"},
 		{20, removeA, "b c"},
 	},
-	"rule 6: an older answer is not taken": {
+	"rule 6: an older answer is rejected": {
 		{1, snapshot(dns, 5e6, "a", "b"), "a b"},
 		{2, snapshot(dns, 4e6, "a"), "a b"},
 	},
 }
 
-// Sources say something at each second of a script, and the list after it is what the rule of the package comment
-// asks for that gives the script its name.
+// The sources answer or fail at each second of a script. The list after each step must follow the rule of the package
+// comment after which the script is named.
 func TestRuleScripts(t *testing.T) {
 	for name, steps := range ruleScripts {
 		t.Run(name, func(t *testing.T) {
@@ -104,14 +104,15 @@
 			for i, step := range steps {
 				s.Reduce(step.at*second, step.event)
 				if got := listed(s); got != step.want {
-					t.Errorf("step %d: %q, want %q", i, got, step.want)
+					t.Errorf("step %d: listed %q, want %q", i, got, step.want)
 				}
 			}
 		})
 	}
 }
 
-// Permissions bound what a source does: one that may only add neither removes nor drains what others claim.
+// A source must not change more than its permissions allow: a source that may only add must neither remove nor drain
+// nodes that other sources claim.
 func TestPermissionsBoundASource(t *testing.T) {
 	const (
 		discovery Source = iota
@@ -128,16 +129,16 @@
 	s.Reduce(3*second, snapshotOf(file, 3, Entry{Name: "c", Address: "c:1", State: Draining}))
 	s.Reduce(4*second, snapshot(watch, 4, "b", "d", "e"))
 	if got := listed(s); got != "a b c" {
-		t.Errorf("%q", got)
+		t.Errorf("after adding and draining: listed %q", got)
 	}
 	s.Reduce(5*second, snapshot(watch, 5e6, "d", "e"))
 	if got := listed(s); got != "a c" {
-		t.Errorf("%q", got)
+		t.Errorf("after a removal: listed %q", got)
 	}
 }
 
-// One address is one node, under the first source's name; a name that moves is a new node, and the old one is removed
-// first.
+// Entries with one address are one node, with the name under which it was first listed. A name that moves to another
+// address is a new node, and the old node must be removed first.
 func TestAddressIsTheIdentityOfANode(t *testing.T) {
 	s := newState(t, Options{})
 	x := Entry{Name: "x.example.org", Address: "10.0.0.1:1", LastStart: UnknownStart}
@@ -145,37 +146,37 @@
 	s.Reduce(1*second, snapshotOf(dns, 1, x, y))
 	c := s.Reduce(2*second, snapshotOf(discovery, 2, Entry{Name: "s-1", Address: "10.0.0.1:1", LastStart: 7}))
 	if got := listed(s); got != "x.example.org y.example.org" || len(c.Nodes) != 1 || c.Nodes[0].LastStart != 7 {
-		t.Errorf("%q, %+v", got, c)
+		t.Errorf("listed %q, change %+v", got, c)
 	}
 	moved := y
 	moved.Address = "10.0.0.3:1"
 	c = s.Reduce(3*second, snapshotOf(dns, 3e6, x, moved))
 	if len(c.Nodes) != 2 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("change %+v, want a removed and a new node", c)
 	}
 	if removed := c.Nodes[0]; removed.State != Removed || removed.Address != "10.0.0.2:1" {
-		t.Errorf("%+v", removed)
+		t.Errorf("removed node %+v", removed)
 	}
 	if added := c.Nodes[1]; added.Address != "10.0.0.3:1" || added.LastStart != 3e6 {
-		t.Errorf("%+v", added)
+		t.Errorf("new node %+v", added)
 	}
 }
 
-// A node flaps: it is removed and listed anew every second. It returns as a new one, later and later, and is removed
-// at once.
+// A node flaps: it is removed and listed again every second. After each return it must be new. Its returns must be
+// delayed for longer each time, but its removals must take effect at once.
 func TestFlappingNodeIsHeldBack(t *testing.T) {
 	s := newDNSState(t)
 	s.Reduce(1*second, snapshot(0, 1, "a", "b"))
 	nodes, _ := s.List()
 	if nodes[0].LastStart != 0 {
-		t.Errorf("started at %d", nodes[0].LastStart)
+		t.Errorf("start time %d, want 0", nodes[0].LastStart)
 	}
 	now := 1 * second
 	var waits []Micros
 	for range 6 {
 		now += second
 		if c := s.Reduce(now, snapshot(0, now, "b")); len(c.Nodes) != 1 || c.Nodes[0].State != Removed {
-			t.Fatalf("at %d it was not removed: %+v", now, c)
+			t.Fatalf("at %d the node was not removed: %+v", now, c)
 		}
 		now += second
 		listedAt := now
@@ -183,17 +184,17 @@
 		for len(c.Nodes) == 0 {
 			at, ok := s.Next()
 			if !ok {
-				t.Fatal("it never returns")
+				t.Fatal("the node never returns")
 			}
 			now = at
 			c = s.Reduce(now, nil)
 		}
 		if c.Nodes[0].LastStart != now {
-			t.Errorf("started at %d, back at %d", c.Nodes[0].LastStart, now)
+			t.Errorf("start time %d, returned at %d", c.Nodes[0].LastStart, now)
 		}
 		waits = append(waits, now-listedAt)
 	}
 	if waits[0] != 0 || waits[2] != 0 || waits[3] < 2e6 || waits[4] <= waits[3] || waits[5] > 60e6 {
-		t.Errorf("%v", waits)
+		t.Errorf("delays of the returns: %v", waits)
 	}
 }
--- a/membership/source.go
+++ b/membership/source.go
@@ -1,52 +1,53 @@
 package membership
 
-// source is what one source says.
+// source is the state of one source.
 type source struct {
 	SourceOptions
 	claims       map[string]claim  // by address
 	names        map[string]string // addresses by name
-	present      int               // how many claims are not removed
-	removed      int               // how many are
-	answeredAt   Micros            // when it last answered, 0 for never
-	askedAt      Micros            // when the question of the last answer was asked
-	suspectSince Micros            // since when its full snapshots lack the suspects; 0 for none
-	retired      bool              // it is asked no more: what it claims stays until all others have answered
+	present      int               // number of claims that are not removed
+	removed      int               // number of removed claims
+	answeredAt   Micros            // time of the last answer; 0 if there was none
+	askedAt      Micros            // time of the query that led to the last answer
+	suspectSince Micros            // time of the first full snapshot that lacked the suspects; 0 if there are none
+	retired      bool              // no longer queried; its claims stay until all other sources have answered
 
 	lastFailure string // empty after an answer
 	answers     uint64
 	failures    uint64
-	rejected    uint64 // answers and entries that were not believed
+	rejected    uint64 // rejected answers and entries
 }
 
 func newSource(options SourceOptions) *source {
 	return &source{SourceOptions: options, claims: map[string]claim{}, names: map[string]string{}}
 }
 
-// claim is what a source says of an address.
+// claim is a source's latest information on an address.
 type claim struct {
 	Entry
-	suspect     bool   // deferred removal: the latest answers lack it
-	removed     bool   // it was dropped: a removal of rule 3
-	firstAnswer bool   // it came with the source's first answer
-	at          Micros // since when it is claimed, or of the removal
+	suspect     bool   // the latest answers lack the address, and its removal is deferred
+	removed     bool   // the source dropped the address: a removal of rule 3
+	firstAnswer bool   // the claim began with the source's first answer
+	at          Micros // time when the claim began, or of the removal
 }
 
 const (
-	// minSuspectLoss is in nodes. If it were lower, a small fleet that loses one of two nodes would be noticed late;
-	// if it were higher, a small fleet would lose all its nodes to a faulty answer at once.
+	// minSuspectLoss is the minimum number of nodes that a suspect answer lacks. If it were lower, the loss of one of
+	// two nodes in a small fleet would take effect late. If it were higher, a small fleet would lose all its nodes at
+	// once by a faulty answer.
 	minSuspectLoss = 3
-	// suspectLossDivisor makes a loss of more than half suspect. If it were higher, an ordinary roll-out would be
-	// deferred.
+	// suspectLossDivisor makes a loss of more than half of the claims suspect. If it were higher, the removals of an
+	// ordinary roll-out would be deferred.
 	suspectLossDivisor = 2
-	// claimsPerMaxNodes bounds claims, removed ones included, by a multiple of Options.MaxNodes. If it were 1, a
-	// fleet of that size could not be replaced without entries being left out.
+	// claimsPerMaxNodes limits a source's claims, including removed ones, to a multiple of Options.MaxNodes. If it were
+	// 1, entries would be ignored while a fleet of that size is replaced.
 	claimsPerMaxNodes = 2
 )
 
-// emptyAnswerReason is what operators see as the last fault of a source whose answer named no node.
+// emptyAnswerReason is shown to operators as the last failure of a source whose answer had no entries.
 const emptyAnswerReason = "an answer without entries"
 
-// handleAnswer applies what a source says. Rules 5 and 6 stand here.
+// handleAnswer applies an answer of a source. It implements rules 5 and 6.
 func (s *State) handleAnswer(src *source, e SourceAnswered) {
 	if e.AskedAt < src.askedAt {
 		src.rejected++
@@ -61,7 +62,7 @@
 		return
 	}
 	for _, entry := range e.Entries {
-		if entry.Address == "" { // a change may name a removed node without its address
+		if entry.Address == "" { // a removal may name a node without its address
 			entry.Address = src.names[entry.Name]
 		}
 		s.applyEntry(src, entry)
@@ -76,7 +77,7 @@
 	}
 }
 
-// applySnapshot takes a full snapshot: what it does not name is dropped, at once or later.
+// applySnapshot applies a full snapshot. Claims that the snapshot lacks are removed, at once or later.
 func (s *State) applySnapshot(src *source, entries []Entry) {
 	present := src.present
 	if len(entries) == 0 && present > 0 {
@@ -107,9 +108,9 @@
 	}
 }
 
-// deferLoss reports whether the removal of what a full snapshot lacks is deferred, and marks it as suspect. It guards
-// against a source that answers with a part of its list, as while it restarts: without it most nodes would be removed
-// at once, and those that are left would be overloaded.
+// deferLoss reports whether the removal of the nodes that a full snapshot lacks is deferred. If so, it marks their
+// claims as suspect. It protects against a source that answers with a part of its list, for example while the source
+// restarts: otherwise most nodes would be removed at once, and the remaining nodes would be overloaded.
 func (s *State) deferLoss(src *source, missing []string, present int) bool {
 	if len(missing) < minSuspectLoss || suspectLossDivisor*len(missing) <= present {
 		return false
@@ -133,7 +134,7 @@
 	return true
 }
 
-// claim notes that a source lists an address.
+// claim records that a source lists an address.
 func (s *State) claim(src *source, entry Entry) {
 	if entry.Capacity <= 0 {
 		entry.Capacity = 1
@@ -165,7 +166,8 @@
 	s.dirty[entry.Address] = true
 }
 
-// unclaim notes that a source no longer lists an address. Its removal stays while others claim the address.
+// unclaim records that a source no longer lists an address. If the source may remove, the removal is kept as long as
+// other sources claim the address.
 func (s *State) unclaim(src *source, address string) {
 	c, known := src.claims[address]
 	if !known || c.removed {
--- a/membership/state.go
+++ b/membership/state.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// State merges what the sources say. Use New.
+// State merges the answers of the sources. New creates it.
 type State struct {
 	options  Options
 	now      Micros
 	sources  []*source
 	nodes    map[string]*node  // by address
 	names    map[string]string // addresses of listed nodes, by name
-	heldBack map[string]bool   // addresses of nodes that flap
-	dirty    map[string]bool   // addresses to be decided anew
+	heldBack map[string]bool   // addresses of flapping nodes whose return is delayed
+	dirty    map[string]bool   // addresses to decide again
 	removals []removal         // the oldest first
 }
 
-// removal is remembered so that a node that returns is known to flap.
+// removal records when an address was removed, so that forgetRemovals can delete its node later.
 type removal struct {
 	address string
 	at      Micros
 }
 
-// node is an address, with what was announced to the core.
+// node is the state of an address: the node announced to the core, and the history that shows whether the node flaps.
 type node struct {
 	listed    bool
 	announced Node
-	removedAt Micros // when it was removed last; 0 for never
+	removedAt Micros // time of the last removal; 0 if there was none
 	returns   []Micros
 	heldUntil Micros
 }
 
-// New returns a state without any node.
+// New returns a state without nodes.
 func New(options Options) (*State, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// Reduce takes an event, or nil for the passing of time alone, and returns the changes for the core.
+// Reduce applies an event, or only the passage of time if event is nil, and returns the changes for the core.
 func (s *State) Reduce(now Micros, event Event) Change {
 	s.now = now
 	switch e := event.(type) {
@@ -67,15 +67,15 @@
 	return s.decideDirty()
 }
 
-// FindSource finds a source by its name. One that was retired is not found.
+// FindSource returns the source with a name. It does not find retired sources.
 func (s *State) FindSource(name string) (Source, bool) {
 	i := slices.IndexFunc(s.sources, func(src *source) bool { return src.Name == name && !src.retired })
 	return Source(i), i >= 0
 }
 
-// ApplyOptions switches to other options. A source that keeps its name keeps what it claims; one that is gone is
-// retired, and what it claimed stays without its permissions until all others have answered: there is no gap. Options
-// that make no sense change nothing.
+// ApplyOptions switches to other options. A source that keeps its name keeps its claims. A source that is no longer in
+// the options is retired: its claims stay, with only the permission to add, until all other sources have answered, so
+// that the list has no gap. Invalid options change nothing.
 func (s *State) ApplyOptions(now Micros, options Options) (Change, error) {
 	if err := options.Validate(); err != nil {
 		return Change{}, err
@@ -109,7 +109,7 @@
 	return s.Reduce(now, nil), nil
 }
 
-// Restore takes what was listed before a restart. It stands until all sources have answered.
+// Restore adds the nodes that were listed before a restart. They stay listed until all sources have answered.
 func (s *State) Restore(now Micros, name string, entries []Entry) Change {
 	src := newSource(SourceOptions{Name: name, Permissions: Permissions{Add: true}, RemovalTTL: 1})
 	src.retired = true
@@ -123,7 +123,8 @@
 	return s.Reduce(now, nil)
 }
 
-// Next reports when Reduce wants to be called again at the latest.
+// Next returns the time at which Reduce must be called again, if there is no event before. ok is false if no call is
+// required.
 func (s *State) Next() (at Micros, ok bool) {
 	sooner := func(t Micros) {
 		if !ok || t < at {
@@ -142,14 +143,14 @@
 	return at, ok
 }
 
-// markDirty has all that a source claims decided anew.
+// markDirty marks all addresses that a source claims, so that they are decided again.
 func (s *State) markDirty(src *source) {
 	for address := range src.claims {
 		s.dirty[address] = true
 	}
 }
 
-// expire applies what the passing of time has changed.
+// expire applies the effects of the passage of time.
 func (s *State) expire() {
 	s.dropRetiredSources()
 	for address := range s.heldBack {
@@ -164,7 +165,7 @@
 	s.forgetRemovals()
 }
 
-// dropRetiredSources gives up sources that were retired, once all others have answered.
+// dropRetiredSources deletes retired sources when all other sources have answered.
 func (s *State) dropRetiredSources() {
 	if slices.ContainsFunc(s.sources, func(src *source) bool { return !src.retired && src.answers == 0 }) {
 		return
@@ -177,13 +178,13 @@
 	})
 }
 
-// expireRemovals is the end of rule 3: the removals of a source that has been silent for long no longer outweigh
-// others' claims.
+// expireRemovals deletes the removals of a source that has been silent for RemovalTTL: they no longer overrule other
+// sources' claims (rule 3).
 func (s *State) expireRemovals(src *source) {
 	if src.removed == 0 || s.now-src.answeredAt < src.RemovalTTL {
 		return
 	}
-	for address, c := range src.claims { // once for each silence: then there is no removal left
+	for address, c := range src.claims { // runs once per silence, because no removal is left afterwards
 		if c.removed {
 			delete(src.claims, address)
 			s.dirty[address] = true
@@ -192,8 +193,8 @@
 	src.removed = 0
 }
 
-// forgetRemovals guards against a memory that grows by each node that was ever replaced: a removal that is too old to
-// count for rule 7 is forgotten with its node.
+// forgetRemovals deletes removals that are too old to matter for rule 7, and their nodes unless these have returned.
+// Without it, memory would grow with each node that was ever replaced.
 func (s *State) forgetRemovals() {
 	for len(s.removals) > 0 && s.removals[0].at < s.now-s.options.FlapWindow-s.options.MaxHold {
 		r := s.removals[0]
@@ -204,7 +205,7 @@
 	}
 }
 
-// decideDirty decides anew on all addresses that something was said of.
+// decideDirty decides all marked addresses again and returns the changes.
 func (s *State) decideDirty() Change {
 	var change Change
 	for _, address := range slices.Sorted(maps.Keys(s.dirty)) {
@@ -217,7 +218,8 @@
 	return change
 }
 
-// removedFirst orders a change: a name may move, and then its old node has to be removed before the new one is added.
+// removedFirst orders the nodes of a change. If a name moves to another address, the old node must be removed before
+// the new one is added.
 func removedFirst(a, b Node) int {
 	switch {
 	case a.State == Removed && b.State != Removed:
--- a/membership/status.go
+++ b/membership/status.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// SourceStatus is a source as operators see it.
+// SourceStatus describes a source for operators.
 type SourceStatus struct {
 	Name     string
-	Claims   int           // nodes that it lists
-	Suspects int           // of these, nodes whose removal is deferred
-	Age      time.Duration // since its last answer; negative for none
-	Reason   string        // of its last failure
+	Claims   int           // number of nodes that the source lists
+	Suspects int           // number of these nodes whose removal is deferred
+	Age      time.Duration // since the last answer; negative if there was none
+	Reason   string        // of the last failure; empty after an answer
 	Answers  uint64
 	Failures uint64
-	Rejected uint64 // answers and entries that were not believed
+	Rejected uint64 // rejected answers and entries
 }
 
-// Sources reports all sources at a point of time.
+// Sources returns the status of all sources at a time.
 func (s *State) Sources(now Micros) []SourceStatus {
 	var all []SourceStatus
 	for _, src := range s.sources {
@@ -44,7 +44,7 @@
 	return all
 }
 
-// List returns all listed nodes by address, each with the names of the sources that claim it.
+// List returns all listed nodes in the order of their addresses, each with the names of the sources that claim it.
 func (s *State) List() (nodes []Node, claimedBy [][]string) {
 	for _, address := range slices.Sorted(maps.Keys(s.nodes)) {
 		n := s.nodes[address]
