--- a/internal/members/console.go
+++ b/internal/members/console.go
@@ -10,8 +10,8 @@
 	"junctionwharf/membership"
 )
 
-// The names of a source's metrics, as console and sinks give them: "source.NAME." and one of these. Dashboards use
-// them: they must not change.
+// The names of a source's metrics on the console and in sinks are "source.NAME." and one of these. Dashboards use the
+// names, so they must not change.
 const (
 	metricSourcePrefix = "source."
 	metricClaims       = "held"
@@ -22,7 +22,7 @@
 	metricAge          = "age_s"
 )
 
-// The parts of the console's answer. Scripts read it: it must not change.
+// The texts of the console's answer. Scripts parse the answer, so the texts must not change.
 const (
 	textDiscoveryOnly = "discovery alone is followed\n"
 	textNodeHeader    = "node\taddress\tshard\tzone\tstate\tpriority\tpart\tup s\theld by\twhy"
@@ -31,14 +31,14 @@
 	textNeverAnswered = "never"
 )
 
-// stateWords are the console's words for a node's state.
+// stateWords are the console's names for the states of a node.
 var stateWords = [...]string{
 	membership.Ready:    "ready",
 	membership.Draining: "draining",
 	membership.Removed:  "gone",
 }
 
-// Metrics count per source, for console and sinks.
+// Metrics returns the metrics of each source for the console and for sinks.
 func (m *Members) Metrics() []broker.Metric {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +61,8 @@
 	return all
 }
 
-// Table is the merged list for operators: each node, who claims it, and why it is listed as it is; then the sources.
+// Table returns the merged list for operators: each node with the sources that claim it and the reason for its state,
+// then the sources.
 func (m *Members) Table() []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,7 +74,7 @@
 	now := int64(m.clock.Now())
 	writeNodes(table, m.state, now)
 	writeSources(table, m.state, now)
-	_ = table.Flush() // a strings.Builder takes all
+	_ = table.Flush() // cannot fail on a strings.Builder
 	return []byte(text.String())
 }
 
@@ -102,7 +103,7 @@
 	}
 }
 
-// writeLine writes to memory, which takes all.
+// writeLine writes a line to the table. It cannot fail, because the table is in memory.
 func writeLine(table *tabwriter.Writer, line string) {
 	_, _ = fmt.Fprintln(table, line)
 }
--- a/internal/members/console_test.go
+++ b/internal/members/console_test.go
@@ -9,7 +9,8 @@
 	"junctionwharf/scheduler"
 )
 
-// The console's answer and the metrics of a source are read by people and dashboards: their names stay.
+// Operators' scripts and dashboards use the texts of the console's answer and the names of metrics. They must not
+// change.
 func TestConsoleAndMetricNamesStay(t *testing.T) {
 	c := newCore(t)
 	if text := string(c.members.Table()); text != "discovery alone is followed\n" {
--- a/internal/members/doc.go
+++ b/internal/members/doc.go
@@ -1,19 +1,20 @@
-// Package members feeds the core's list of storage nodes from several sources, as package membership decides:
-// discovery's watch, DNS and files. It keeps the last good list across a restart where a site wants that.
+// Package members provides the core's list of storage nodes. The sources of the list are discovery's watch, DNS and
+// files, and package membership merges them. If a site configures a snapshot file, the last good list is kept across a
+// restart.
 //
 // # Rule
 //
-// Package membership says which nodes are listed. Here sources are asked and what they answer is passed on; a source
-// that fails or answers nothing changes nothing. The first list that is posted is a full one, so that it replaces
-// what the core held before; all others are changes.
+// Package membership decides which nodes are listed. This package queries the sources and passes their answers to
+// package membership. A source that fails or returns an empty answer changes nothing. The first list that is posted to
+// the core is a full one, so that it replaces the core's earlier list. All later ones are changes.
 //
 // # State and owner
 //
 // Members owns the membership.State and guards it by its lock. Each DNS and file source has a goroutine, which ends
-// when its source leaves the settings or Members is closed. Lost at a restart is all but the snapshot, a file that is
-// rewritten whole at most every two seconds; it stands until all sources have answered.
+// when the source is removed from the settings or Members is closed. Only the snapshot survives a restart. It is a file
+// that is replaced as a whole, at most every two seconds. Its nodes stay listed until all sources have answered.
 //
 // # Units
 //
-// Times are broker.Micros of the loop's clock; the snapshot has Unix milliseconds.
+// Times are broker.Micros of the loop's clock. Times in the snapshot are Unix milliseconds.
 package members
--- a/internal/members/harness_test.go
+++ b/internal/members/harness_test.go
@@ -21,10 +21,10 @@
 	domain  = ".example.org"
 )
 
-// maxWait is how long a test waits for what must happen.
+// maxWait is the time limit of a test, from the creation of its core.
 const maxWait = 20 * time.Second
 
-// core keeps what the core would have been told.
+// core stands in for the broker's core: it records the list that Members posts.
 type core struct {
 	*testing.T
 	members  *Members
@@ -81,7 +81,7 @@
 	return c.nodes[name]
 }
 
-// list are the names on the list, without the domain.
+// list returns the names of the listed nodes, sorted and without the domain.
 func (c *core) list() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// metric is 0 for one that is not there.
+// metric returns the value of a metric, or 0 if there is no such metric.
 func (c *core) metric(name string) uint64 {
 	for _, m := range c.members.Metrics() {
 		if m.Name == name {
@@ -114,7 +114,7 @@
 	return 0
 }
 
-// poll lets a moment go by, and fails the test once it has waited for too long.
+// poll waits for a millisecond. After the deadline it fails the test with a complaint.
 func (c *core) poll(complaint string) {
 	c.Helper()
 	select {
@@ -124,7 +124,7 @@
 	}
 }
 
-// records are of nodes a, b, ... each with a priority, weight, address and shard of its own.
+// records returns SRV records for the named nodes, each with its own weight, address and shard.
 func records(names ...string) []fakes.SRVRecord {
 	var all []fakes.SRVRecord
 	for i, n := range names {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -14,41 +14,41 @@
 	"junctionwharf/scheduler"
 )
 
-// The names under which what was listed before a restart stands among the sources, for the console.
+// The names of the sources that contain the list from before a restart, as the console shows them.
 const (
 	sourceSnapshot = "snapshot" // from the snapshot file
 	sourceKnown    = "known"    // from the state of discovery
 )
 
-// Members merges sources and posts what changes.
+// Members merges the sources and posts the changes to the core.
 type Members struct {
 	clock *broker.Clock
 	post  func(broker.Event)
 	log   *slog.Logger
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	settings config.Membership
 	state    *membership.State
 	running  map[string]runningSource // by name
-	timer    *time.Timer              // calls reduce when the state wants it
-	version  uint64                   // of the last list that was posted
+	timer    *time.Timer              // calls reduce at the time that the state requires
+	version  uint64                   // of the last posted list
 	closed   bool
-	snapshot *snapshotWriter // nil for none
+	snapshot *snapshotWriter // nil if no snapshot is configured
 }
 
-// runningSource is a source that is being asked.
+// runningSource is a DNS or file source that is being queried.
 type runningSource struct {
 	settings config.EndpointSource
 	stop     context.CancelFunc
 }
 
-// New returns members that post to the core. Nothing is asked before ApplySettings.
+// New returns Members that post to the core. They query no source before ApplySettings is called.
 func New(clock *broker.Clock, post func(broker.Event), log *slog.Logger) *Members {
 	return &Members{clock: clock, post: post, log: log, running: map[string]runningSource{}}
 }
 
-// ApplySettings switches to settings, which were checked: sources that stay as they are go on, others end and begin.
-// What ended sources listed stays until the new ones have answered.
+// ApplySettings switches to new settings, which the caller has checked. Sources whose queries stay the same continue.
+// Other sources are stopped or started. The nodes of stopped sources stay listed until the new sources have answered.
 func (m *Members) ApplySettings(settings config.Membership) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// applyOptions hands the options to the state; the first time it makes one, and reads the snapshot.
+// applyOptions passes the options to the state. The first call creates the state and loads the snapshot.
 func (m *Members) applyOptions(settings config.Membership) error {
 	now := int64(m.clock.Now())
 	if m.state != nil {
@@ -94,20 +94,21 @@
 	return nil
 }
 
-// stopSources ends sources that the settings no longer hold as they run.
+// stopSources stops the sources that the new settings lack or query in another way.
 func (m *Members) stopSources(wanted []config.EndpointSource) {
 	for name, r := range m.running {
-		asksAlike := func(s config.EndpointSource) bool { return sameQuestion(s, r.settings) }
-		if !slices.ContainsFunc(wanted, asksAlike) {
+		queriedAlike := func(s config.EndpointSource) bool { return sameQuery(s, r.settings) }
+		if !slices.ContainsFunc(wanted, queriedAlike) {
 			r.stop()
 			delete(m.running, name)
 		}
 	}
 }
 
-// sameQuestion reports whether two sources ask alike; permissions and times of the merging may differ.
-func sameQuestion(a, b config.EndpointSource) bool {
-	question := func(s config.EndpointSource) string {
+// sameQuery reports whether two sources are queried in the same way. Their permissions and the times for merging may
+// differ.
+func sameQuery(a, b config.EndpointSource) bool {
+	query := func(s config.EndpointSource) string {
 		shard := -1
 		if s.Shard != nil {
 			shard = *s.Shard
@@ -117,17 +118,18 @@
 		s.Shard = nil
 		return fmt.Sprintf("%+v %d", s, shard)
 	}
-	return question(a) == question(b)
+	return query(a) == query(b)
 }
 
-// Restore takes the list that was held before the start, which stands until all sources have answered.
+// Restore adds the list from before the start. Its nodes stay listed until all sources have answered.
 func (m *Members) Restore(l broker.NodesListed) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announce(m.state.Restore(int64(m.clock.Now()), sourceKnown, entriesOf(l)))
 }
 
-// HandleDiscovery takes what discovery's watch posts, in place of the core. Where discovery is no source it is ignored.
+// HandleDiscovery receives the events of discovery's watch in place of the core. It ignores them if discovery is not a
+// source.
 func (m *Members) HandleDiscovery(e broker.Event) {
 	l, is := e.(broker.NodesListed)
 	if !is {
@@ -144,7 +146,7 @@
 	})
 }
 
-// discoverySource is the name of the source that is discovery, empty for none.
+// discoverySource returns the name of the discovery source, or "" if there is none.
 func (m *Members) discoverySource() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -157,8 +159,8 @@
 	return name
 }
 
-// A node's state is converted by number between the core and package membership. Unless the numbers are the same these
-// indices are out of range, and the package does not compile.
+// The state of a node is converted by number between the core and package membership. If the numbers were different,
+// these indices would be out of range, and the package would not compile.
 var (
 	_ = [1]struct{}{}[int(membership.Ready)-int(scheduler.Ready)]
 	_ = [1]struct{}{}[int(membership.Draining)-int(scheduler.Draining)]
@@ -192,7 +194,7 @@
 	}
 }
 
-// handleFailure handles that a source did not answer, unless the source was stopped meanwhile.
+// handleFailure handles a failed query of a source, unless the source was stopped meanwhile.
 func (m *Members) handleFailure(ctx context.Context, name string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -210,7 +212,8 @@
 	m.schedule()
 }
 
-// announce posts a change to the core: the first as a full list, so that it replaces what was held before the start.
+// announce posts a change to the core. The first change is posted as a full list, so that it replaces the list from
+// before the start.
 func (m *Members) announce(change membership.Change) {
 	if len(change.Nodes) == 0 {
 		return
@@ -242,7 +245,7 @@
 	}
 }
 
-// schedule has Reduce called when the state wants it.
+// schedule sets the timer for the next call of Reduce that the state requires.
 func (m *Members) schedule() {
 	if m.timer != nil {
 		m.timer.Stop()
@@ -258,7 +261,7 @@
 	})
 }
 
-// Close ends all sources, and writes the snapshot if a write is pending.
+// Close stops all sources, and writes the snapshot if a write is pending.
 func (m *Members) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -18,19 +18,21 @@
 	"junctionwharf/membership"
 )
 
-// A snapshot is a line "junctionwharf nodes 1 CHECKSUM BYTES" and then JSON. The checksum is XXH64 of the JSON.
+// A snapshot is a line "junctionwharf nodes 1 CHECKSUM BYTES", followed by BYTES of JSON. The checksum is the XXH64 of
+// the JSON.
 const (
-	// snapshotHeader names the format and its version.
+	// snapshotHeader identifies the format and its version.
 	snapshotHeader = "junctionwharf nodes 1"
-	// maxSnapshotBytes is 64 MiB, several times the largest list. If it were higher, a file of another kind could
-	// fill the memory.
+	// maxSnapshotBytes is 64 MiB, several times the size of the largest list. If it were higher, a file of another kind
+	// could fill the memory.
 	maxSnapshotBytes = 64 << 20
-	// snapshotInterval is how often the file is written at most: every 2 s. If it were lower, a list that changes all
-	// the time would keep the disk busy; if it were higher, a broker that dies would start again from an older list.
+	// snapshotInterval is the delay between a change and the write of the file: 2 s. If it were lower, a list that
+	// changes constantly would keep the disk busy. If it were higher, a broker that crashes would restart from an older
+	// list.
 	snapshotInterval = 2 * time.Second
 )
 
-// SnapshotError reports that a snapshot is of another kind, too large, cut or spoilt.
+// SnapshotError reports a snapshot that is too large, truncated, damaged or of another format.
 type SnapshotError struct {
 	Path   string
 	Reason string
@@ -38,7 +40,7 @@
 
 func (e *SnapshotError) Error() string { return e.Path + ": " + e.Reason }
 
-// savedNode is a node as the snapshot holds it. The tags are the names in files of earlier releases.
+// savedNode is a node in the snapshot. The tags are the names in files of earlier releases.
 type savedNode struct {
 	Name          string  `json:"Name"`
 	Address       string  `json:"Address"`
@@ -49,8 +51,8 @@
 	Capacity      float64 `json:"Share"`
 	TrafficWeight float64 `json:"Part"`
 	Priority      int     `json:"Priority"`
-	LastStart     int64   `json:"Born"`   // on the clock of the process that wrote it: StartedAtMS counts
-	StartedAtMS   int64   `json:"BornMS"` // Unix time; 0 for long ago
+	LastStart     int64   `json:"Born"`   // on the clock of the process that wrote the file; readers use StartedAtMS
+	StartedAtMS   int64   `json:"BornMS"` // Unix time in milliseconds; 0 for long ago
 }
 
 func saveEntry(e membership.Entry, startedAtMS int64) savedNode {
@@ -84,19 +86,19 @@
 	}
 }
 
-// snapshotWriter writes the snapshot some time after each change. Its timer's goroutine ends with the write; close
-// waits for no write that is under way.
+// snapshotWriter writes the snapshot with a delay after each change. The goroutine of its timer ends with the write.
+// close does not wait for a write in progress.
 type snapshotWriter struct {
 	path   string
 	encode func() ([]byte, error)
 	log    *slog.Logger
 
 	mu     sync.Mutex
-	timer  *time.Timer // a write is pending
+	timer  *time.Timer // not nil while a write is pending
 	closed bool
 }
 
-// writeSoon has the list written soon, however often it changes.
+// writeSoon schedules a write, unless one is already pending.
 func (w *snapshotWriter) writeSoon() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,13 +107,13 @@
 	}
 }
 
-// close performs the pending write, if any, and allows none after.
+// close performs the pending write, if any, and prevents further writes.
 func (w *snapshotWriter) close() {
 	w.mu.Lock()
-	owed := w.timer != nil && w.timer.Stop()
+	pending := w.timer != nil && w.timer.Stop()
 	w.closed = true
 	w.mu.Unlock()
-	if owed {
+	if pending {
 		w.write()
 	}
 }
@@ -129,14 +131,14 @@
 	}
 }
 
-// writeSnapshot replaces the file whole or not at all. It guards against a process that dies, or a disk that fills,
-// while it writes: the next start would find half a list.
+// writeSnapshot replaces the file atomically. Otherwise a crash or a full disk during the write could leave half a list
+// for the next start.
 func writeSnapshot(path string, body []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // once it was renamed there is nothing to remove
+	defer func() { _ = os.Remove(f.Name()) }() // has no effect after the rename
 	_, err = fmt.Fprintf(f, "%s %016x %d\n", snapshotHeader, xxhash.Sum64(body), len(body))
 	if err == nil {
 		_, err = f.Write(body)
@@ -150,14 +152,14 @@
 	return os.Rename(f.Name(), path)
 }
 
-// readSnapshot returns the JSON of a snapshot that is whole, else a SnapshotError or why the file can't be read.
+// readSnapshot returns the JSON of an intact snapshot. It returns a *SnapshotError for any other content.
 func readSnapshot(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxSnapshotBytes {
-		return nil, &SnapshotError{path, fmt.Sprintf("over %d bytes", maxSnapshotBytes)}
+		return nil, &SnapshotError{path, fmt.Sprintf("larger than %d bytes", maxSnapshotBytes)}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -168,16 +170,16 @@
 	var sum uint64
 	var size int
 	if _, err := fmt.Sscanf(fields, "%x %d", &sum, &size); err != nil || !found || !isSnapshot {
-		return nil, &SnapshotError{path, fmt.Sprintf("line 1: not %q, a checksum and a size", snapshotHeader)}
+		return nil, &SnapshotError{path, fmt.Sprintf("line 1: want %q, a checksum and a size", snapshotHeader)}
 	}
 	if len(body) != size || xxhash.Sum64String(body) != sum {
-		return nil, &SnapshotError{path, fmt.Sprintf("%d bytes of %d, or its checksum is wrong", len(body), size)}
+		return nil, &SnapshotError{path, fmt.Sprintf("damaged: %d of %d bytes, or a wrong checksum", len(body), size)}
 	}
 	return []byte(body), nil
 }
 
-// loadSnapshot takes what was listed before a restart, which stands until the sources have answered, and keeps the
-// file up to date from now on. A file that can't be used is logged and replaced at the next change.
+// loadSnapshot restores the list from before a restart. Its nodes stay listed until all sources have answered. The file
+// is rewritten after each later change. An unusable file is logged, and then replaced in the same way.
 func (m *Members) loadSnapshot(now int64, path string) {
 	m.snapshot = &snapshotWriter{path: path, encode: m.encodeSnapshot, log: m.log}
 	body, err := readSnapshot(path)
@@ -200,7 +202,7 @@
 	m.log.Info("snapshot read", "nodes", len(entries))
 }
 
-// encodeSnapshot encodes the list.
+// encodeSnapshot encodes the current list.
 func (m *Members) encodeSnapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/members/snapshot_test.go
+++ b/internal/members/snapshot_test.go
@@ -12,8 +12,8 @@
 	"junctionwharf/internal/fakes"
 )
 
-// goldenSnapshot holds one node with every field set and one without any. It was written by the program before the
-// names of the snapshot were given by tags, so that files of earlier releases stay readable.
+// goldenSnapshot contains one node with all fields set and one without any. It was written before the fields had tags,
+// as the files of earlier releases were. These files must stay readable.
 const goldenSnapshot = "testdata/nodes.snapshot"
 
 func readFile(t *testing.T, path string) string {
@@ -25,8 +25,8 @@
 	return string(text)
 }
 
-// A broker is upgraded and starts from the snapshot that its predecessor wrote. If a field were read or written under
-// another name, the list would come back without it, and nodes would be taken for ready, unweighted or of shard 0.
+// A broker is upgraded and starts from the snapshot of its predecessor. If a field were read or written under another
+// name, its value would be lost: nodes would appear to be ready, without a weight or in shard 0.
 func TestGoldenSnapshotIsReadAndWrittenBack(t *testing.T) {
 	body, err := readSnapshot(goldenSnapshot)
 	if err != nil {
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if len(nodes) != 2 || nodes[0] == (savedNode{}) || nodes[1] != (savedNode{}) {
-		t.Fatalf("%+v", nodes)
+		t.Fatalf("read nodes %+v", nodes)
 	}
 	again, err := json.Marshal(nodes)
 	if err != nil {
@@ -48,12 +48,12 @@
 		t.Fatal(err)
 	}
 	if got, want := readFile(t, path), readFile(t, goldenSnapshot); got != want {
-		t.Errorf("the snapshot is written as\n%s\nwant\n%s", got, want)
+		t.Errorf("the snapshot was written as\n%s\nwant\n%s", got, want)
 	}
 }
 
-// A broker restarts while its name server is silent. It starts from the list that it held, which the sources' word
-// replaces.
+// A broker restarts while its name server does not answer. It must start from its earlier list, and replace this list
+// when the source answers.
 func TestSnapshotOutlivesRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
 	d := newDNS(t)
@@ -76,35 +76,35 @@
 	}
 }
 
-// A snapshot was cut, or spoilt on the disk. It is not taken: half a list would overload the nodes on it.
+// A snapshot was truncated, or damaged on the disk. It must be rejected: half a list would overload the nodes on it.
 func TestDamagedSnapshotIsRejected(t *testing.T) {
 	text := readFile(t, goldenSnapshot)
 	path := filepath.Join(t.TempDir(), "nodes")
 	for name, damaged := range map[string]string{
 		"empty":           "",
 		"another kind":    "x",
-		"cut":             text[:len(text)-1],
-		"spoilt":          strings.Replace(text, "192.0.2.7", "192.0.2.8", 1),
+		"truncated":       text[:len(text)-1],
+		"altered":         strings.Replace(text, "192.0.2.7", "192.0.2.8", 1),
 		"another version": strings.Replace(text, "nodes 1", "nodes 2", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			writeFile(t, path, damaged)
 			var damage *SnapshotError
 			if _, err := readSnapshot(path); !errors.As(err, &damage) || damage.Path != path {
-				t.Errorf("%v", err)
+				t.Errorf("error %v, want a SnapshotError", err)
 			}
 		})
 	}
 }
 
-// A broker starts for the first time, without a snapshot; or the snapshot's directory is missing. Both are errors, and
-// the first can be told from the others.
+// A broker starts for the first time, without a snapshot, or the directory of the snapshot is missing. Both must be
+// errors, and the error for a missing file must be distinguishable from others.
 func TestSnapshotErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
 	if _, err := readSnapshot(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("reading a missing file: %v", err)
 	}
 	if err := writeSnapshot(filepath.Join(path, "below", "a", "file"), nil); err == nil {
-		t.Error("a path that can't be written is no error")
+		t.Error("no error for a path that cannot be written")
 	}
 }
--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// filePollInterval is between two looks at a file: a second. If it were lower, the disk would be read more often;
-	// if it were higher, a change would be followed later.
+	// filePollInterval is the time between checks of a file: 1 s. If it were lower, the disk would be read more often.
+	// If it were higher, a change would take effect later.
 	filePollInterval = time.Second
-	// minTrafficWeight is for records of SRV weight 0, which are to get a little of the traffic (RFC 2782). If it were
-	// 0, it would count as not told, and such a node would get as much as one of weight 1.
+	// minTrafficWeight is the weight of records with SRV weight 0, which must receive a little of the traffic
+	// (RFC 2782). A weight of 0 would mean that the weight is unknown, and such a node would receive as much as a node
+	// of weight 1.
 	minTrafficWeight = 0.1
 )
 
-// startSource asks a source from now on, until ctx ends.
+// startSource starts to query a source. The queries end with ctx.
 func (m *Members) startSource(ctx context.Context, s config.EndpointSource) error {
 	switch s.Kind {
 	case config.SourceDNS:
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// handleDNS handles an update of DNS.
+// handleDNS handles an update from DNS.
 func (m *Members) handleDNS(ctx context.Context, name string, u dnssrv.Update) {
 	for _, reason := range u.Skipped {
 		m.log.Warn("entry skipped", "source", name, "reason", reason)
@@ -64,7 +65,7 @@
 	m.handleAnswer(ctx, name, a)
 }
 
-// pollFile reads a file whenever it changes, until ctx ends.
+// pollFile reads a file at once and after each change, until ctx ends.
 func (m *Members) pollFile(ctx context.Context, s config.EndpointSource) {
 	var seen fileVersion
 	tick := time.NewTicker(filePollInterval)
@@ -79,13 +80,13 @@
 	}
 }
 
-// fileVersion tells one content of a file from another.
+// fileVersion identifies the content of a file.
 type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// readIfChanged reads a file unless it is as it was seen, and returns as what it is seen now.
+// readIfChanged reads a file if its version differs from seen, and returns the version that was read last.
 func (m *Members) readIfChanged(ctx context.Context, s config.EndpointSource, seen fileVersion) fileVersion {
 	info, err := os.Stat(s.Path)
 	if err != nil {
--- a/internal/members/sources_test.go
+++ b/internal/members/sources_test.go
@@ -21,7 +21,7 @@
 	return l
 }
 
-// dnsFaults are the answers that say nothing of the nodes.
+// dnsFaults are faults of a name server that leave its answers without information on the nodes.
 var dnsFaults = map[string]fakes.DNSFault{
 	"server failure":    fakes.ServFail,
 	"unknown name":      fakes.NameError,
@@ -30,8 +30,8 @@
 	"truncated, no TCP": fakes.TruncatedNoTCP,
 }
 
-// A name server answers with errors, nothing, rubbish or a part, one after the other, with discovery beside it. None of
-// that takes a node away, and the list is followed again once the server answers as before.
+// A name server returns errors and empty, malformed and truncated answers, one after the other. Discovery is a second
+// source. The faults must not remove nodes. After the faults, the list must follow the name server again.
 func TestDNSFaultsKeepTheList(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b", "c")...)
@@ -47,12 +47,12 @@
 	c.awaitList("a b")
 }
 
-// A name server has one fault and then none. Its next list is taken, whatever the fault was: a source that stayed with
-// the old list would send requests to nodes that are gone.
+// A name server recovers from a fault. After each kind of fault, the list must follow the next answer: with the old
+// list, the broker would send requests to removed nodes.
 func TestDNSRecoversFromEachFault(t *testing.T) {
 	for name, fault := range dnsFaults {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // each waits for lifetimes and retries
+			t.Parallel() // each waits for TTLs and retries
 			d := newDNS(t)
 			d.Set(service, 1, records("a", "b", "c")...)
 			c := newCore(t)
@@ -71,26 +71,26 @@
 	return config.EndpointSource{Name: "discovery", Kind: config.SourceDiscovery}
 }
 
-// expectKept waits until a DNS fault was met, and checks that the list is as before.
+// expectKept waits until a DNS fault has taken effect, and checks that the list has not changed.
 func (c *core) expectKept(want string) {
 	c.Helper()
 	failures := c.metric("source.dns.failures")
 	rejected := c.metric("source.dns.refused")
-	c.awaitFault(failures+1, rejected+1) // the first may be of a question that was asked before
+	c.awaitFault(failures+1, rejected+1) // the first may be the result of a query before the fault
 	if got := c.list(); got != want {
 		c.Fatalf("the list is %q, want %q", got, want)
 	}
 }
 
-// awaitFault waits until DNS has failed, or answered what was not believed, more often than so.
+// awaitFault waits until more DNS queries have failed, or more DNS answers were rejected, than the given numbers.
 func (c *core) awaitFault(failures, rejected uint64) {
 	c.Helper()
 	for c.metric("source.dns.failures") <= failures && c.metric("source.dns.refused") <= rejected {
-		c.poll("no fault was seen")
+		c.poll("no DNS fault occurred")
 	}
 }
 
-// The node set follows a name server at each step, with discovery beside it.
+// The list must follow a name server at each step while discovery is a second source.
 func TestDNSAndDiscovery(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b", "c")...)
@@ -99,7 +99,7 @@
 	c.awaitList("a b c")
 	n := c.node("b" + domain)
 	if n.Priority != 1 || n.TrafficWeight != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.LastStart != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("node b: %+v", n)
 	}
 	d.Set(service, 1, records("a", "b")...)
 	c.awaitList("a b")
@@ -110,7 +110,7 @@
 	moved := records("b", "d")
 	moved[0].Addresses = []string{"10.0.0.200"}
 	d.Set(service, 1, moved...)
-	c.awaitList("b.example.org@10.0.0.200:6379 d s-9") // a name that moves is another node
+	c.awaitList("b.example.org@10.0.0.200:6379 d s-9") // a name that moves to another address is a new node
 	text := string(c.members.Table())
 	if !strings.Contains(text, "10.0.0.200:6379") || !strings.Contains(text, "discovery") {
 		t.Error(text)
@@ -128,12 +128,13 @@
 address = "10.0.0.7:1"
 shard = 1
 `
-	faultyFile = `[[node]]
+	invalidFile = `[[node]]
 name = "f"
 `
 )
 
-// Sources change in service without a gap, and a file is followed; a faulty file takes nothing away.
+// Sources change while the broker runs. The list must have no gap and must follow the file. An invalid file must not
+// remove nodes.
 func TestSourcesChangeInService(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b")...)
@@ -147,14 +148,14 @@
 	c.awaitList("f")
 	writeFile(t, path, fileOfFAndG)
 	c.awaitList("f g")
-	writeFile(t, path, faultyFile)
+	writeFile(t, path, invalidFile)
 	for c.metric("source.file.failures") == 0 {
-		c.poll("the faulty file was not read")
+		c.poll("the invalid file was not read")
 	}
 	if got := c.list(); got != "f g" {
-		t.Errorf("a faulty file: %q", got)
+		t.Errorf("list after an invalid file: %q", got)
 	}
 	if err := c.members.ApplySettings(config.Membership{}); err == nil {
-		t.Error("no source at all is taken")
+		t.Error("settings without a source were accepted")
 	}
 }
