--- a/internal/agreement/bootstrap.go
+++ b/internal/agreement/bootstrap.go
@@ -7,12 +7,12 @@
 
 // Durations in microseconds.
 const (
-	// bootstrapInterval is the time between a voter's checks whether it has to bootstrap a cluster. A longer interval
-	// would delay the first start of a cluster.
+	// bootstrapInterval is the interval at which a voter checks whether it has to bootstrap a cluster. A longer
+	// interval would delay the first start of a cluster.
 	bootstrapInterval = 100_000
 	// bootstrapTimeout is how long a bootstrapped cluster may be without its first leader. After the timeout, some
-	// voters of the bootstrap are assumed to be lost, and this voter starts over. A timeout of less than a few
-	// elections would start over needlessly.
+	// voters of the bootstrap are assumed to be lost, and this voter starts over. A timeout shorter than a
+	// few elections would make voters start over needlessly.
 	bootstrapTimeout = 5_000_000
 )
 
--- a/internal/agreement/codec.go
+++ b/internal/agreement/codec.go
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d bytes", e.size, e.limit)
 }
 
-// readFrame reads a frame and returns the number of bytes read. Its buffer grows as data arrives: a frame's length
-// field alone allocates no memory.
+// readFrame reads a frame and returns the number of bytes read. Its buffer grows as data arrives: a large
+// value in the length field alone does not allocate memory.
 func readFrame(in *bufio.Reader, limit int) (f frame, n int, err error) {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/agreement/configuration.go
+++ b/internal/agreement/configuration.go
@@ -21,7 +21,7 @@
 	settings  scheduler.Settings         // of this broker
 	endpoints *endpointOverlay
 	applied   viewIdentity         // the view that the core applied last
-	appliedAt clusterconfig.Micros // 0: the next turn applies the view again
+	appliedAt clusterconfig.Micros // when the core applied the view; 0 makes the next turn apply it again
 	lastTurn  clusterconfig.Micros
 }
 
--- a/internal/agreement/connection.go
+++ b/internal/agreement/connection.go
@@ -85,7 +85,7 @@
 		case <-keepalive.C:
 		case f = <-c.queue:
 		}
-		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only if closed; then the write fails, too
+		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write reports a closed connection
 		n, err := writeFrame(c.conn, f)
 		c.traffic.sentBytes.Add(int64(n))
 		if err != nil {
@@ -98,7 +98,7 @@
 func (c *connection) readLoop(handle func(frame) error) error {
 	defer c.close()
 	for {
-		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails only if closed; then the read fails, too
+		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // the read reports a closed connection
 		f, n, err := readFrame(c.in, maxFrameBytes)
 		c.traffic.receivedBytes.Add(int64(n))
 		if err == nil {
--- a/internal/agreement/console_golden_test.go
+++ b/internal/agreement/console_golden_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/internal/golden"
 )
 
-// checkAnswer compares the console's encoding of a value with a golden file. It also decodes the golden file into to,
-// and checks that to has the same encoding.
+// checkAnswer compares the console's encoding of a value with a golden file. It also decodes the golden file into
+// the argument to, and checks that the result has the same encoding.
 func checkAnswer(t *testing.T, name string, value, to any) {
 	t.Helper()
 	golden.CheckJSON(t, name, value, to, "\n")
--- a/internal/agreement/dialer.go
+++ b/internal/agreement/dialer.go
@@ -13,9 +13,9 @@
 
 const (
 	// dialTimeout is the time limit for establishing a connection. With a longer limit, an address that does not answer
-	// would keep a broker without a lease, although another voter would answer.
+	// would keep a broker without a lease for longer, although another voter would answer.
 	dialTimeout = time.Second
-	// welcomeTimeout is the time limit for the answer to a hello. It must exceed handshakeTimeout of the other side.
+	// welcomeTimeout is the time limit for the answer to a hello. It must exceed the other side's handshakeTimeout.
 	welcomeTimeout = 2 * time.Second
 
 	// The pause between attempts doubles from minBackoff to maxBackoff, and is multiplied by a random factor between
@@ -82,7 +82,7 @@
 	case <-s.done:
 		return nil, errStopping
 	}
-	_ = conn.SetDeadline(time.Now().Add(welcomeTimeout)) // fails only if closed; then the write fails, too
+	_ = conn.SetDeadline(time.Now().Add(welcomeTimeout)) // the write reports a closed connection
 	if _, err := writeFrame(conn, frame{Hello: &h}); err != nil {
 		return nil, err
 	}
@@ -206,7 +206,7 @@
 	return c, nil
 }
 
-// attach sets the connection to the parent, and schedules a renewal for now.
+// attach sets the connection to the parent, and schedules an immediate renewal.
 func (s *Service) attach(c *connection) {
 	now := s.now()
 	s.tree.parent = c
--- a/internal/agreement/doc.go
+++ b/internal/agreement/doc.go
@@ -12,8 +12,8 @@
 // State and owner. The goroutine that calls Service.Run is the service goroutine. It owns the voter, the tree, the
 // batch, the pending calls and the proposals; other goroutines access these through Service.do. The scheduling turn
 // reads configuration, which has its own lock. Each connection has a reader and a writer goroutine; closing the
-// connection ends both. Run ends all of them before it returns. Only a voter's raft state is persistent, and only if
-// Options.DataDir is set.
+// connection ends both. Run closes all connections before it returns. Only a voter's raft state is persistent, and only
+// if Options.DataDir is set.
 //
 // Units. Times are clusterconfig.Micros of the process's monotonic clock, and time.Duration for the runtime's timers.
 // Sizes are in bytes.
--- a/internal/agreement/endpoints.go
+++ b/internal/agreement/endpoints.go
@@ -9,7 +9,8 @@
 )
 
 // endpointOverlay applies the replicated drains to the endpoints of this broker's discovery. A drain that discovery
-// reports takes effect at once, even before it is replicated. configuration owns the overlay, under its lock.
+// reports takes effect at once, even before it is replicated. configuration owns the overlay and guards it by
+// its lock.
 type endpointOverlay struct {
 	nodes      map[string]broker.Node // as last reported by discovery
 	overridden map[string]bool        // nodes that are draining only because of a replicated drain
--- a/internal/agreement/endpoints_test.go
+++ b/internal/agreement/endpoints_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A node that the replicated configuration drains disappears from discovery. The overlay must not keep it.
+// A node that the replicated configuration drains disappears from discovery. The overlay must not keep the node.
 func TestRemovedNodeIsForgotten(t *testing.T) {
 	o := newEndpointOverlay()
 	o.apply(fullUpdate(newNode("b", scheduler.Ready)))
--- a/internal/agreement/fanout.go
+++ b/internal/agreement/fanout.go
@@ -96,8 +96,8 @@
 	if !effect.changed {
 		return
 	}
-	s.wake() // the core applies the change at the start of a turn
+	s.wake() // the core applies the change at the start of its next turn
 	if effect.pending {
-		s.nextRenewal = now // reports at once that the pending version is prepared
+		s.nextRenewal = now // the renewal reports that the pending version is prepared
 	}
 }
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -22,7 +22,7 @@
 	goldenFrames  = "testdata/frames.golden"  // one frame per line: name and hex
 	goldenAnswers = "testdata/answers.golden" // one text per line: name and what the console or a peer receives
 	separator     = " => "
-	encodeTries   = 1000 // msgpack writes a map in the order of a Go range, which is random
+	encodeTries   = 1000 // maximum attempts; msgpack writes the entries of a map in random order
 )
 
 func goldenDocument() (document *clusterconfig.Document, next clusterconfig.Entry) {
@@ -222,7 +222,7 @@
 }
 
 // Brokers accept each other only if their settings of lease, limits and voters are the same. Each broker sends these
-// settings as one text, and brokers of other builds compare it.
+// settings as one text, whose format must not change, because brokers of other builds compare it.
 func TestSharedOptionsFormat(t *testing.T) {
 	o := Options{
 		Name:        "n",
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -16,7 +16,7 @@
 // expire. The console's timeout is a little longer.
 const callTimeout = 6 * time.Second
 
-// defaultHistory is the number of versions that the history shows if no number is given: about a screen.
+// defaultHistory is the number of versions that the history shows if no number is given: about one screen of text.
 const defaultHistory = 20
 
 // Operator commands.
--- a/internal/agreement/options.go
+++ b/internal/agreement/options.go
@@ -26,7 +26,7 @@
 	Name          string // of this broker
 	Cluster       string // brokers of another cluster are rejected
 	ListenAddress string // for other brokers; empty: this broker has no children and cannot vote
-	LocalIP       net.IP // of outgoing connections; nil: the system chooses
+	LocalIP       net.IP // local address of outgoing connections; nil lets the system choose
 	Voters        []Voter
 	DataDir       string // persistent directory of a voter's raft state; empty: a restarted voter is a new member
 	Timing        clusterconfig.Timing
--- a/internal/agreement/proposals.go
+++ b/internal/agreement/proposals.go
@@ -6,8 +6,8 @@
 
 // Durations in microseconds.
 const (
-	// proposalInterval is the maximum pause between proposals of this broker; for changes after the initial version,
-	// up to half of the pause is random. With shorter pauses, brokers with the same proposal would obstruct each other.
+	// proposalInterval is the maximum pause after a proposal of this broker; the minimum is half of it. With shorter
+	// pauses, brokers with the same proposal would obstruct each other.
 	proposalInterval = 300_000
 	// maxDrainDelay is the maximum random delay of a drain proposal. All brokers learn of a drain from discovery at the
 	// same time, and the first proposal makes the others unnecessary. A longer delay would delay drains.
@@ -49,7 +49,7 @@
 	return changes
 }
 
-// drop discards all changes that are not yet replicated, because the leader would reject them again.
+// drop discards all changes that this broker wants, because the leader would reject them again.
 func (p *proposals) drop() {
 	p.settingsChanged = false
 	clear(p.drains)
--- a/internal/agreement/schema_test.go
+++ b/internal/agreement/schema_test.go
@@ -9,7 +9,8 @@
 )
 
 // Requests of a class may be retried only if both the settings and the document allow it; a class that the document
-// lacks may not be retried. Replicated limits have the document's values. Without a lease the bottom values apply.
+// lacks may not be retried. Replicated limits have the document's values. Without a lease, no class may be retried, and
+// replicated limits are at their floors.
 func TestEffectiveSettings(t *testing.T) {
 	settings := scheduler.Settings{
 		Classes: []scheduler.Class{
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -27,7 +27,7 @@
 	// renewalsPerLease is the number of renewals within the duration of a lease. With fewer renewals, the loss of two
 	// would let a lease expire. More renewals would cost more messages.
 	renewalsPerLease = 4
-	// renewalSpread is the divisor of the renewal interval that gives the maximum of its random part. The random part
+	// renewalSpread limits the random reduction of a renewal interval to 1/renewalSpread of the interval. The reduction
 	// prevents brokers from renewing at the same time.
 	renewalSpread = 5
 	// maxQueuedCalls is the maximum number of calls queued for the service goroutine. While the queue is full,
--- a/internal/agreement/status.go
+++ b/internal/agreement/status.go
@@ -34,7 +34,7 @@
 	Term           uint64            `json:"term,omitempty"`
 	Fault          string            `json:"fault,omitempty"`  // the error that stopped the voter
 	WaitingFor     []string          `json:"waits,omitempty"`  // on the leader: brokers not prepared for the change
-	Lagging        map[string]uint64 `json:"behind,omitempty"` // on the leader: older versions that brokers act on
+	Lagging        map[string]uint64 `json:"behind,omitempty"` // on the leader: versions of lagging brokers, by name
 }
 
 // status returns this broker's status. It runs on the service goroutine.
--- a/internal/agreement/tree_test.go
+++ b/internal/agreement/tree_test.go
@@ -27,7 +27,7 @@
 	tr.learnRoute("b", left, 1)
 	tr.learnRoute("a", right, 2)
 	if tr.routeTo("a") != right || tr.routeTo("b") != left || tr.routeTo("unknown") != nil {
-		t.Errorf("routes %+v, want a by right and b by left", tr.routes)
+		t.Errorf("routes %+v, want a via right and b via left", tr.routes)
 	}
 	left.close()
 	tr.expireRoutes(3)
--- a/internal/agreement/voting.go
+++ b/internal/agreement/voting.go
@@ -23,8 +23,8 @@
 	voter         *consensus.Voter
 	storage       consensus.Storage
 	names         map[uint64]string      // of voters, by raft identity
-	outgoing      map[string]*connection // dialed by this voter, by name; they carry messages to raft and to the leader
-	incoming      map[string]*connection // dialed by other voters, by name; messages from those voters arrive on them
+	outgoing      map[string]*connection // dialed by this voter, by name; raft and upstream messages are sent on them
+	incoming      map[string]*connection // dialed by other voters, by name; raft and upstream messages arrive on them
 	nextBootstrap clusterconfig.Micros
 	nextReplace   clusterconfig.Micros
 	leaderSeenAt  clusterconfig.Micros // last time at which a leader was known, initially the start of the voter
--- a/internal/members/console.go
+++ b/internal/members/console.go
@@ -10,8 +10,8 @@
 	"junctionwharf/membership"
 )
 
-// The names of a source's metrics on the console and in sinks are "source.NAME." and one of these. Dashboards use the
-// names, so they must not change.
+// The names of a source's metrics on the console and in sinks are "source.NAME." followed by one of these constants.
+// Dashboards use the names, so they must not change.
 const (
 	metricSourcePrefix = "source."
 	metricClaims       = "held"
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -42,7 +42,7 @@
 	stop     context.CancelFunc
 }
 
-// New returns Members that post to the core. They query no source before ApplySettings is called.
+// New returns a Members that posts to the core. It queries no source before ApplySettings is called.
 func New(clock *broker.Clock, post func(broker.Event), log *slog.Logger) *Members {
 	return &Members{clock: clock, post: post, log: log, running: map[string]runningSource{}}
 }
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// stopSources stops the sources that the new settings lack or query in another way.
+// stopSources stops the sources that are not in the new settings, or that are queried differently there.
 func (m *Members) stopSources(wanted []config.EndpointSource) {
 	for name, r := range m.running {
 		queriedAlike := func(s config.EndpointSource) bool { return sameQuery(s, r.settings) }
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -178,8 +178,8 @@
 	return []byte(body), nil
 }
 
-// loadSnapshot restores the list from before a restart. Its nodes stay listed until all sources have answered. The file
-// is rewritten after each later change. An unusable file is logged, and then replaced in the same way.
+// loadSnapshot restores the list from before a restart, and prepares to write the file after changes. The restored
+// nodes stay listed until all sources have answered. An unusable file is logged, and replaced after the next change.
 func (m *Members) loadSnapshot(now int64, path string) {
 	m.snapshot = &snapshotWriter{path: path, encode: m.encodeSnapshot, log: m.log}
 	body, err := readSnapshot(path)
--- a/internal/members/sources_test.go
+++ b/internal/members/sources_test.go
@@ -76,13 +76,13 @@
 	c.Helper()
 	failures := c.metric("source.dns.failures")
 	rejected := c.metric("source.dns.refused")
-	c.awaitFault(failures+1, rejected+1) // the first may be the result of a query before the fault
+	c.awaitFault(failures+1, rejected+1) // the first one may result from a query sent before the fault
 	if got := c.list(); got != want {
 		c.Fatalf("the list is %q, want %q", got, want)
 	}
 }
 
-// awaitFault waits until more DNS queries have failed, or more DNS answers were rejected, than the given numbers.
+// awaitFault waits until the number of failed DNS queries or that of rejected DNS answers exceeds the given value.
 func (c *core) awaitFault(failures, rejected uint64) {
 	c.Helper()
 	for c.metric("source.dns.failures") <= failures && c.metric("source.dns.refused") <= rejected {
--- a/membership/decide.go
+++ b/membership/decide.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Reasons why a node is listed in its state, or why it was removed. Operators read them on the console.
+// Reasons for the state of a node, as operators read them on the console.
 const (
 	reasonUnclaimed       = "no source holds it"
 	reasonRemovedPrefix   = "removed by "
@@ -52,7 +52,7 @@
 	believed   bool  // a source lists the address, and no removal overrules the claim
 	first      claim // of the first source with such a claim
 	reason     string
-	mayAdd     bool   // a source with such a claim may add
+	mayAdd     bool   // a source with such a claim has the permission to add
 	drainingBy string // the first source that drains the node; empty if there is none
 	lastStart  Micros
 }
@@ -152,7 +152,7 @@
 		return claimed
 	case n.listed:
 		return n.announced.LastStart
-	case n.removedAt == 0 && firstAnswer: // the node ran before the first query of its source
+	case n.removedAt == 0 && firstAnswer: // the source's first answer already listed the node
 		return 0
 	}
 	return s.now
@@ -160,8 +160,8 @@
 
 const (
 	// firstHold is the first duration for which a flapping node is held back: 2 s, doubled with each further return. If
-	// it were lower, the node would more often receive requests and fail them. If it were higher, three restarts would
-	// keep the node out for long.
+	// it were lower, the node would more often receive requests that it then loses. If it were higher, three restarts
+	// would keep the node out for long.
 	firstHold Micros = 2e6
 	// maxHoldDoublings keeps the doubled duration within 64 bits. Options.MaxHold limits the duration long before.
 	maxHoldDoublings = 20
--- a/membership/options.go
+++ b/membership/options.go
@@ -20,17 +20,17 @@
 type SourceOptions struct {
 	Name        string
 	Permissions Permissions
-	RemovalTTL  Micros // how long a silent source's removals overrule claims; DefaultRemovalTTL by default
+	RemovalTTL  Micros // how long its removals stay valid while it is silent; DefaultRemovalTTL by default
 }
 
 // Options configures a State. The zero value of a field means its default.
 type Options struct {
-	Sources     []SourceOptions // a node gets its name from the first one that lists it
+	Sources     []SourceOptions // a node gets its name from the first source that lists it
 	SuspectHold Micros          // how long the removals by a suspect answer are deferred; DefaultSuspectHold by default
 	FlapWindow  Micros          // period in which a node's returns are counted; DefaultFlapWindow by default
 	MaxReturns  int             // returns within FlapWindow that are not delayed; DefaultMaxReturns by default
 	MaxHold     Micros          // maximum time for which a flapping node is held back; DefaultMaxHold by default
-	MaxNodes    int             // maximum of nodes in a snapshot; limits claims, too; DefaultMaxNodes by default
+	MaxNodes    int             // limits the nodes and recorded removals of one source; DefaultMaxNodes by default
 }
 
 // Default values of Options.
@@ -43,13 +43,13 @@
 	DefaultSuspectHold Micros = 30e6
 	// DefaultFlapWindow is one minute. If it were lower, a node that flaps slowly would not be held back.
 	DefaultFlapWindow Micros = 60e6
-	// DefaultMaxReturns is the number of returns per window. If it were lower, two quick restarts would keep a node
-	// out. If it were higher, a flapping node would more often receive requests and fail them.
+	// DefaultMaxReturns is the number of undelayed returns in a window. If it were lower, two quick restarts would keep
+	// a node out. If it were higher, a flapping node would more often receive requests that it then loses.
 	DefaultMaxReturns = 3
 	// DefaultMaxHold is one minute. If it were higher, a node that has stopped flapping would stay out for longer.
 	DefaultMaxHold Micros = 60e6
-	// DefaultMaxNodes is the number of nodes. If it were lower, nodes of a larger fleet would be ignored. If it were
-	// higher, a faulty source could use more memory.
+	// DefaultMaxNodes is the maximum number of nodes of one source. If it were lower, nodes of a larger fleet would be
+	// ignored. If it were higher, a faulty source could use more memory.
 	DefaultMaxNodes = 50_000
 )
 
@@ -66,7 +66,7 @@
 
 // OptionError reports an invalid option.
 type OptionError struct {
-	Option string // empty if any of several options may be invalid
+	Option string // empty if the invalid option is not identified
 	Reason string
 }
 
--- a/membership/options_test.go
+++ b/membership/options_test.go
@@ -6,7 +6,7 @@
 )
 
 // The settings change while the broker runs. The list must have no gap: the claims of a removed source must stay until
-// the new source has answered. This must be true for a state that began empty and for a restored state.
+// the new source has answered. A state that began empty and a restored state are tested.
 func TestSourcesChangeWithoutAGap(t *testing.T) {
 	t.Run("empty at first", func(t *testing.T) {
 		s := newState(t, Options{})
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -37,7 +37,7 @@
 		state.Reduce(p.now+3600e6, nil)
 		nodes, _ := state.List()
 		if len(state.nodes) != len(nodes) || len(state.removals) != 0 {
-			t.Fatalf("%d nodes are recorded, %d listed, %d removals are recorded",
+			t.Fatalf("the state has %d nodes, %d listed nodes and %d removals",
 				len(state.nodes), len(nodes), len(state.removals))
 		}
 	})
@@ -80,7 +80,7 @@
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 1, 10, rapid.ID[int]).Draw(p.T, "nodes") {
 		e := entries(fmt.Sprint("n", i))[0]
 		if src == 1 {
-			e.Name = fmt.Sprint("x", i%4) // other names than other sources, and some names at several addresses
+			e.Name = fmt.Sprint("x", i%4) // no other source uses these names, and several addresses share one
 		}
 		if rapid.IntRange(0, 5).Draw(p.T, "state") == 0 {
 			e.State = Draining
--- a/membership/rules_test.go
+++ b/membership/rules_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// step is an event at a time, and the expected list after it.
+// step is an event, its time, and the expected list after the event.
 type step struct {
 	at    Micros // in seconds
 	event Event
@@ -162,8 +162,8 @@
 	}
 }
 
-// A node flaps: it is removed and listed again every second. After each return it must be new. Its returns must be
-// delayed for longer each time, but its removals must take effect at once.
+// A node flaps: it is removed and listed again every second. Its start time must be the time of its
+// latest return. Its returns must be delayed for longer each time, but its removals must take effect at once.
 func TestFlappingNodeIsHeldBack(t *testing.T) {
 	s := newDNSState(t)
 	s.Reduce(1*second, snapshot(0, 1, "a", "b"))
--- a/membership/source.go
+++ b/membership/source.go
@@ -28,13 +28,13 @@
 	suspect     bool   // the latest answers lack the address, and its removal is deferred
 	removed     bool   // the source dropped the address: a removal of rule 3
 	firstAnswer bool   // the claim began with the source's first answer
-	at          Micros // time when the claim began, or of the removal
+	at          Micros // start of the claim, or time of the removal
 }
 
 const (
 	// minSuspectLoss is the minimum number of nodes that a suspect answer lacks. If it were lower, the loss of one of
-	// two nodes in a small fleet would take effect late. If it were higher, a small fleet would lose all its nodes at
-	// once by a faulty answer.
+	// two nodes in a small fleet would take effect late. If it were higher, one faulty answer could remove all nodes
+	// of a small fleet at once.
 	minSuspectLoss = 3
 	// suspectLossDivisor makes a loss of more than half of the claims suspect. If it were higher, the removals of an
 	// ordinary roll-out would be deferred.
--- a/membership/state.go
+++ b/membership/state.go
@@ -17,7 +17,7 @@
 	removals []removal         // the oldest first
 }
 
-// removal records when an address was removed, so that forgetRemovals can delete its node later.
+// removal records when an address was removed, so that forgetRemovals can delete the node later.
 type removal struct {
 	address string
 	at      Micros
--- a/membership/status.go
+++ b/membership/status.go
@@ -18,7 +18,7 @@
 	Rejected uint64 // rejected answers and entries
 }
 
-// Sources returns the status of all sources at a time.
+// Sources returns the status of all sources. now is the current time.
 func (s *State) Sources(now Micros) []SourceStatus {
 	var all []SourceStatus
 	for _, src := range s.sources {
