--- a/internal/agreement/golden_answers_test.go
+++ b/internal/agreement/golden_answers_test.go
@@ -166,8 +166,8 @@
 	a.addError("begun beside another", l.Begin(next))
 }
 
-// rewordedTexts maps texts as they were recorded to the texts of today, for errors that were reworded after the
-// recording. Scripts act on the kind of an error and not on its text.
+// rewordedTexts maps recorded texts to the current texts of errors that were reworded after the recording. Scripts act
+// on the kind of an error and not on its text.
 var rewordedTexts = [][2]string{
 	{"version 9 was altered", "entry does not match its hash: version 9"},
 	{"version 2 was altered", "entry does not match its hash: version 2"},
@@ -213,6 +213,9 @@
 	},
 	{"version 2 is not in force yet", "version is not active yet: got 2, active version is 1"},
 	{"version 3 is older than what is kept", "version 3 is older than the kept history"},
+	{"rollback wants VERSION AUTHOR REASON", "rollback: want VERSION AUTHOR REASON"},
+	{`unknown call \"\": status`, `unknown command \"\", want one of: status`},
+	{`unknown call \"unknown\": status`, `unknown command \"unknown\", want one of: status`},
 }
 
 // readAnswers returns the recorded answers with the texts of rewordedTexts replaced, in names and values. Each row must
@@ -239,8 +242,8 @@
 	return reworded
 }
 
-// An operator's scripts read the console's answers, and an engineer searches for the texts of errors. All must stay as
-// they are, whatever the types are called that they come from.
+// Operators' scripts read the console's answers, and engineers search for the texts of errors. Renaming a type must not
+// change either of them.
 func TestGoldenAnswers(t *testing.T) {
 	got := collectAnswers(t)
 	if golden.Recording() {
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -58,13 +58,13 @@
 	return s.answerByLeader(call)
 }
 
-var errRollbackUsage = errors.New("rollback wants VERSION AUTHOR REASON")
+var errRollbackUsage = errors.New("rollback: want VERSION AUTHOR REASON")
 
 // unknownCommandError is returned for an unknown command.
 type unknownCommandError struct{ command string }
 
 func (e *unknownCommandError) Error() string {
-	return fmt.Sprintf("unknown call %q: %s", e.command, CommandUsage)
+	return fmt.Sprintf("unknown command %q, want one of: %s", e.command, CommandUsage)
 }
 
 // parseCall parses a command that the leader has to answer.
