--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -67,7 +67,7 @@
 
 // While a dial and its hedge are late, another attempt gives its connection back. That serves the attempt that waits,
 // and the late connections are kept.
-func TestConnectionGivenBackServesWhileDialling(t *testing.T) {
+func TestReturnedConnectionServesWhileDialling(t *testing.T) {
 	options := testOptions()
 	options.MaxConnections = 3
 	handshakeByNode(&options)
@@ -141,7 +141,7 @@
 
 // An attempt is gone by the time that its dial and its hedge both come up. Neither connection stays up for nobody: one
 // of them was once kept where the other had ended.
-func TestNoConnectionStaysForAnAttemptThatIsGone(t *testing.T) {
+func TestNoConnectionIsKeptForAnEndedAttempt(t *testing.T) {
 	options := testOptions()
 	connected := make(chan struct{})
 	dialled := make(chan struct{}, 2)
@@ -152,12 +152,12 @@
 	}
 	node := newTestNode(t)
 	p := New(options)
-	attempt, leave := context.WithCancel(context.Background())
+	attempt, cancelAttempt := context.WithCancel(context.Background())
 	d := p.startDial(attempt, node.address)
 	<-dialled
 	<-dialled
 	d.mu.Lock() // nothing notices that it has gone before both are up
-	leave()
+	cancelAttempt()
 	close(connected)
 	runtime.Gosched()
 	d.mu.Unlock()
@@ -172,10 +172,10 @@
 
 // The same crossing without a race: both connections are up, handshakes and all, when the attempt ends, and only then
 // they are delivered. The attempt's own error is the result, and neither connection stays.
-func TestDeliveryToAnAttemptThatIsGone(t *testing.T) {
+func TestDeliveryToAnEndedAttempt(t *testing.T) {
 	node := newTestNode(t)
 	p := New(testOptions())
-	attempt, leave := context.WithCancel(context.Background())
+	attempt, cancelAttempt := context.WithCancel(context.Background())
 	d := &dial{pool: p, address: node.address, waiter: attempt, results: make(chan dialResult, 1)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	defer d.cancel()
@@ -190,7 +190,7 @@
 		}
 		connections = append(connections, conn)
 	}
-	leave()
+	cancelAttempt()
 	for _, conn := range connections {
 		d.deliver(conn)
 	}
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -15,7 +15,7 @@
 // An exchange fails before it has a connection, before the message that executes it, or after it. Its error says which,
 // for only what was fully written may have been executed. All parts share a pool of two connections, and none may keep
 // a slot: with two slots kept, the third would wait for ever.
-func TestErrorTellsProgress(t *testing.T) {
+func TestErrorReportsProgress(t *testing.T) {
 	p := newUnhedgedPool(testOptions())
 	t.Run("not connected", func(t *testing.T) {
 		unused, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sftp/handles.go
+++ b/internal/sftp/handles.go
@@ -39,8 +39,8 @@
 	return h
 }
 
-// takeOnHandle takes a packet that names an open handle.
-func (s *session) takeOnHandle(p packet, f *fields) error {
+// dispatchOnHandle takes a packet that names an open handle.
+func (s *session) dispatchOnHandle(p packet, f *fields) error {
 	name := f.string(maxHandleBytes)
 	if f.err != nil {
 		return f.err
@@ -52,19 +52,19 @@
 	}
 	switch p.kind {
 	case typeRead:
-		return s.takeRead(p.id, h, f)
+		return s.submitRead(p.id, h, f)
 	case typeWrite:
-		return s.takeWrite(p.id, h, f)
+		return s.submitWrite(p.id, h, f)
 	case typeReaddir:
-		return s.takeReaddir(p.id, h)
+		return s.serveReaddir(p.id, h)
 	case typeFstat:
-		return s.submit(p.id, &operation{command: Stat, path: h.path, flags: h.flags}, passOn(p.id))
+		return s.submit(p.id, &operation{command: Stat, path: h.path, flags: h.flags}, forwardAnswer(p.id))
 	}
 	s.sendStatus(p.id, statusOK, "closed")
 	return nil
 }
 
-func (s *session) takeRead(id uint32, h *handle, f *fields) error {
+func (s *session) submitRead(id uint32, h *handle, f *fields) error {
 	op := &operation{command: Read, path: h.path, flags: h.flags}
 	op.offset = f.uint64()
 	op.length = min(f.uint32(), maxDataBytes)
@@ -75,10 +75,10 @@
 		s.sendStatus(id, statusDenied, "not open for reading")
 		return nil
 	}
-	return s.submit(id, op, passOn(id))
+	return s.submit(id, op, forwardAnswer(id))
 }
 
-func (s *session) takeWrite(id uint32, h *handle, f *fields) error {
+func (s *session) submitWrite(id uint32, h *handle, f *fields) error {
 	op := &operation{command: Write, path: h.path, flags: h.flags}
 	op.offset = f.uint64()
 	op.data = f.string(maxDataBytes)
@@ -89,12 +89,12 @@
 		s.sendStatus(id, statusDenied, "not open for writing")
 		return nil
 	}
-	return s.submit(id, op, passOn(id))
+	return s.submit(id, op, forwardAnswer(id))
 }
 
-// takeReaddir hands out a directory. The first call lists it whole, so that no listing goes on at a node from one
+// serveReaddir hands out a directory. The first call lists it whole, so that no listing goes on at a node from one
 // call to the next.
-func (s *session) takeReaddir(id uint32, h *handle) error {
+func (s *session) serveReaddir(id uint32, h *handle) error {
 	if !h.isDir {
 		s.sendStatus(id, statusFailure, "not a directory")
 		return nil
--- a/internal/sftp/ordering.go
+++ b/internal/sftp/ordering.go
@@ -59,10 +59,10 @@
 
 // queue adds a command to those that wait. It waits itself while these are too many. The caller holds s.mu.
 func (s *session) queue(command *pendingCommand) error {
-	for len(s.pending) >= maxPending && !s.gone {
+	for len(s.pending) >= maxPending && !s.closedToCommands {
 		s.hasSpace.Wait()
 	}
-	if s.gone {
+	if s.closedToCommands {
 		return net.ErrClosed
 	}
 	for _, other := range s.pending { // the answers would be ambiguous
@@ -109,7 +109,7 @@
 		return
 	}
 	s.pending = append(s.pending[:index:index], s.pending[index+1:]...)
-	if s.gone {
+	if s.closedToCommands {
 		return
 	}
 	s.out = append(s.out, encodeResponse(command.id, response, command.served)...)
--- a/internal/sftp/read.go
+++ b/internal/sftp/read.go
@@ -27,11 +27,11 @@
 		p, err := s.readNext(reader)
 		if err == nil {
 			s.server.RequestReceived(s, false)
-			err = s.take(p)
+			err = s.dispatch(p)
 		}
 		if errors.Is(err, errPacket) {
 			s.mu.Lock()
-			s.last = true
+			s.closeAfterOut = true
 			s.mu.Unlock()
 			s.sendStatus(p.id, statusBadMessage, err.Error())
 		}
@@ -66,27 +66,27 @@
 	s.mu.Unlock()
 }
 
-// take takes one packet. An error ends the connection.
-func (s *session) take(p packet) error {
+// dispatch takes one packet. An error ends the connection.
+func (s *session) dispatch(p packet) error {
 	f := &fields{rest: p.body}
 	switch p.kind {
 	case typeOpen:
-		return s.takeOpen(p.id, f)
+		return s.submitOpen(p.id, f)
 	case typeOpendir:
-		return s.takeOpendir(p.id, f)
+		return s.serveOpendir(p.id, f)
 	case typeStat, typeLstat:
-		return s.takePath(p.id, Stat, f)
+		return s.submitPath(p.id, Stat, f)
 	case typeRemove:
-		return s.takePath(p.id, Remove, f)
+		return s.submitPath(p.id, Remove, f)
 	case typeClose, typeFstat, typeRead, typeWrite, typeReaddir:
-		return s.takeOnHandle(p, f)
+		return s.dispatchOnHandle(p, f)
 	}
 	s.sendStatus(p.id, statusUnsupported, "unsupported")
 	return nil
 }
 
-// takeOpen takes an OPEN: a node opens the file and closes it again, and the client gets a handle of the server's own.
-func (s *session) takeOpen(id uint32, f *fields) error {
+// submitOpen takes an OPEN: a node opens the file and closes it again, and the client gets a handle of the server's own.
+func (s *session) submitOpen(id uint32, f *fields) error {
 	op := &operation{command: Open, path: cleanPath(f.string(maxPathBytes)), flags: f.uint32()}
 	op.attrs = f.rest
 	if op.flags&(flagWrite|flagAppend|flagCreate|flagTrunc) != 0 {
@@ -103,8 +103,8 @@
 	})
 }
 
-// takeOpendir takes an OPENDIR. No node hears of it: the first READDIR lists the directory.
-func (s *session) takeOpendir(id uint32, f *fields) error {
+// serveOpendir takes an OPENDIR. No node hears of it: the first READDIR lists the directory.
+func (s *session) serveOpendir(id uint32, f *fields) error {
 	name := cleanPath(f.string(maxPathBytes))
 	if f.err != nil {
 		return f.err
@@ -120,17 +120,17 @@
 	return nil
 }
 
-// takePath takes a command that is a path alone.
-func (s *session) takePath(id uint32, command Command, f *fields) error {
+// submitPath takes a command that is a path alone.
+func (s *session) submitPath(id uint32, command Command, f *fields) error {
 	op := &operation{command: command, path: cleanPath(f.string(maxPathBytes))}
 	if f.err != nil {
 		return f.err
 	}
-	return s.submit(id, op, passOn(id))
+	return s.submit(id, op, forwardAnswer(id))
 }
 
-// passOn encodes a node's answer as it is.
-func passOn(id uint32) func(answer) net.Buffers {
+// forwardAnswer encodes a node's answer as it is.
+func forwardAnswer(id uint32) func(answer) net.Buffers {
 	return func(a answer) net.Buffers { return a.packet(id) }
 }
 
--- a/internal/sftp/session.go
+++ b/internal/sftp/session.go
@@ -24,17 +24,17 @@
 	conn   net.Conn
 	wake   chan struct{} // makes the writer look for answers
 
-	mu            sync.Mutex        // guards what follows; the table's lock is never taken under it
-	pending       []*pendingCommand // in the order of arrival
-	hasSpace      *sync.Cond        // signalled when pending becomes shorter
-	handles       map[string]*handle
-	handlesOpened uint64 // names the next handle
-	insidePacket  bool   // a part of a packet has come
-	writing       bool   // an answer is being written
-	awaitingFirst bool   // it came while the server drains and has had no command
-	out           net.Buffers
-	last          bool // the connection ends after what is in out
-	gone          bool // nothing more is taken
+	mu               sync.Mutex        // guards what follows; the table's lock is never taken under it
+	pending          []*pendingCommand // in the order of arrival
+	hasSpace         *sync.Cond        // signalled when pending becomes shorter
+	handles          map[string]*handle
+	handlesOpened    uint64 // names the next handle
+	insidePacket     bool   // a part of a packet has come
+	writing          bool   // an answer is being written
+	awaitingFirst    bool   // it came while the server drains and has had no command
+	out              net.Buffers
+	closeAfterOut    bool // the connection ends after what is in out
+	closedToCommands bool // nothing more is taken
 }
 
 func newSession(server *Server, conn net.Conn) *session {
@@ -70,18 +70,18 @@
 }
 
 // Evict implements clientconn.Connection.
-func (s *session) Evict() bool { return s.stopTaking() && s.conn.Close() == nil }
+func (s *session) Evict() bool { return s.closeToCommands() && s.conn.Close() == nil }
 
-// stopTaking makes the session take no further command, unless an answer is owed or something has come. Both are one
+// closeToCommands makes the session take no further command, unless an answer is owed or something has come. Both are one
 // step under the session's lock: a command may be read at this moment and would be forwarded although no client waits
 // for it.
-func (s *session) stopTaking() bool {
+func (s *session) closeToCommands() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.pending) > 0 || s.writing || len(s.out) > 0 || s.insidePacket || !pool.IsQuiet(s.conn) {
 		return false
 	}
-	s.gone = true
+	s.closedToCommands = true
 	return true
 }
 
@@ -100,10 +100,10 @@
 // before the connection ends.
 func (s *session) handleInputEnd() {
 	s.mu.Lock()
-	s.gone = true
+	s.closedToCommands = true
 	pending := s.pending
 	s.pending = nil
-	flush := s.last
+	flush := s.closeAfterOut
 	s.mu.Unlock()
 	for _, command := range pending {
 		if command.timer != nil {
@@ -130,14 +130,14 @@
 		out := s.out
 		s.out = nil
 		s.writing = len(out) > 0
-		ended := s.last || s.gone
+		ended := s.closeAfterOut || s.closedToCommands
 		idle := len(s.pending) == 0
 		awaitingFirst := s.awaitingFirst
 		s.mu.Unlock() // the table calls its connections under its own lock
 		if !s.writeOut(out) || ended {
 			return
 		}
-		if idle && s.server.ShouldClose(awaitingFirst) && s.stopTaking() {
+		if idle && s.server.ShouldClose(awaitingFirst) && s.closeToCommands() {
 			return
 		}
 	}
--- a/internal/sftp/session_test.go
+++ b/internal/sftp/session_test.go
@@ -74,7 +74,7 @@
 
 // A connection is evicted, or the server drains. The connection stays while a command waits, has come in part, or
 // stands unread. Once it is to end, a command that was being read is not taken.
-func TestEndingConnectionTakesNoCommand(t *testing.T) {
+func TestEndingConnectionAcceptsNoCommand(t *testing.T) {
 	s, client := newConnectedSession(t)
 	s.pending = []*pendingCommand{{}}
 	if s.Evict() {
@@ -82,7 +82,7 @@
 	}
 	s.pending = nil
 	s.setInsidePacket(true)
-	if s.stopTaking() {
+	if s.closeToCommands() {
 		t.Error("it ends inside a command")
 	}
 	s.setInsidePacket(false)
@@ -101,7 +101,7 @@
 	if !s.Evict() {
 		t.Error("it stays")
 	}
-	err := s.submit(1, &operation{command: Stat, path: "/d/f"}, passOn(1))
+	err := s.submit(1, &operation{command: Stat, path: "/d/f"}, forwardAnswer(1))
 	if !errors.Is(err, net.ErrClosed) {
 		t.Errorf("a command is taken: %v", err)
 	}
@@ -115,7 +115,7 @@
 	submit := func(id uint32) *pendingCommand {
 		t.Helper()
 		op := &operation{command: Write, path: "/d/f", data: []byte("x")}
-		if err := s.submit(id, op, passOn(id)); err != nil {
+		if err := s.submit(id, op, forwardAnswer(id)); err != nil {
 			t.Fatal(err)
 		}
 		return s.pending[len(s.pending)-1]
