--- a/internal/pool/connection.go
+++ b/internal/pool/connection.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// readBufferSize is the size of a connection's read buffer in bytes. Larger, each of thousands of connections would
-// hold more memory; smaller, a short answer would take several reads.
+// readBufferSize is the size of a connection's read buffer in bytes. A larger buffer would cost more memory, since
+// there are thousands of connections. With a smaller buffer, a short answer would need several reads.
 const readBufferSize = 4 << 10
 
-// connection is a connection to a node with what its reader has buffered.
+// connection is a connection to a node together with its buffered reader.
 type connection struct {
 	net.Conn
 	reader   *bufio.Reader
@@ -23,7 +23,7 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), lastUsed: time.Now()}
 }
 
-// IsQuiet reports whether a connection is open and no byte of its peer stands unread in its socket.
+// IsQuiet reports whether conn is open and its socket holds no unread bytes.
 func IsQuiet(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -34,7 +34,7 @@
 		return false
 	}
 	quiet := false
-	err = raw.Control(func(fd uintptr) { // RawConn.Read would wait for a goroutine that reads
+	err = raw.Control(func(fd uintptr) { // unlike RawConn.Read, Control does not wait for a concurrent read
 		var next [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EWOULDBLOCK)
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// errHandshake is the error of a connection on which the handshake failed.
+// errHandshake is joined with the cause when the handshake on a new connection fails.
 var errHandshake = errors.New("handshake failed")
 
-// dial brings up a new connection for one attempt. Some connections come up late or never on paths on which the next
-// one comes up at once, so a second dial attempt, the hedge, starts when the first is late. The slower of the two is
-// kept for other attempts.
+// dial makes a new connection for one attempt. On some paths a connection is established late or never, while the next
+// one is established immediately. If the first dial attempt is late, a second one, the hedge, is therefore started. The
+// slower of the two connections is kept for other attempts.
 type dial struct {
 	pool    *Pool
 	address string
-	waiter  context.Context // of the attempt that waits for the connection
-	ctx     context.Context // of the dial itself, bounded by the connect timeout
+	waiter  context.Context // context of the attempt that waits for the connection
+	ctx     context.Context // context of the dial itself, bounded by the connect timeout
 	cancel  context.CancelFunc
-	results chan dialResult // the first connection to come up, or the last error
+	results chan dialResult // the first established connection, or the last error
 
 	mu       sync.Mutex
-	released bool // the attempt does not wait any more
+	released bool // the attempt no longer waits for this dial
 }
 
-// dialResult is how a dial, or one of its attempts, ended: with a connection or an error.
+// dialResult is the result of a dial or of one dial attempt: a connection or an error.
 type dialResult struct {
 	conn *connection
 	err  error
 }
 
-// startDial begins to dial. The dial ends with ctx unless it is released before.
+// startDial starts a dial to address. Unless the dial is released first, it is cancelled when ctx ends.
 func (p *Pool) startDial(ctx context.Context, address string) *dial {
 	timeout, _ := p.timeouts()
 	d := &dial{pool: p, address: address, waiter: ctx, results: make(chan dialResult, 1)}
@@ -50,7 +50,7 @@
 	return d
 }
 
-// wait returns the dial's result if it comes before changed is closed and the time is over.
+// wait returns the dial's result if it arrives before changed is closed and before timeout has passed.
 func (d *dial) wait(timeout time.Duration, changed <-chan struct{}) (result dialResult, ended bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -63,7 +63,8 @@
 	return dialResult{}, false
 }
 
-// release leaves what comes up to other attempts: the node has had the work of accepting it already.
+// release leaves the dial's connections to other attempts. The dial continues, since the node has already done the work
+// of accepting the connection.
 func (d *dial) release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +91,7 @@
 		d.results <- dialResult{err: err}
 		return
 	}
-	if d.isReleased() { // before anything was sent
+	if d.isReleased() { // no dial attempt has started yet
 		p.slots.Release()
 		return
 	}
@@ -122,14 +123,14 @@
 	}
 }
 
-// attempt makes one connection in a slot that was taken for it.
+// attempt makes one connection. The caller has acquired a slot for it.
 func (d *dial) attempt(results chan<- dialResult) {
 	conn, err := d.pool.connect(d.ctx, d.address)
 	results <- dialResult{conn: conn, err: err}
 }
 
-// deliver hands a connection to the attempt that waits, or keeps it for others once that one has a connection. If the
-// attempt has ended without one, nobody needs the connection and it is closed.
+// deliver passes a connection to the waiting attempt, or keeps it for other attempts if that attempt already has a
+// connection. If the attempt has ended without a connection, deliver closes the connection.
 func (d *dial) deliver(conn *connection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,15 +141,15 @@
 		d.pool.drop(conn)
 		select {
 		case d.results <- dialResult{err: d.waiter.Err()}:
-		default: // the other dial attempt has said so
+		default: // the other dial attempt has already reported the error
 		}
 	default:
 		d.results <- dialResult{conn: conn}
-		d.released = true // the end of the attempt does not end the other dial attempt
+		d.released = true // the end of the attempt must not cancel the other dial attempt
 	}
 }
 
-// connect makes one connection, its handshake included. It frees the slot if it fails.
+// connect makes one connection, including its handshake. If it fails, it releases the slot.
 func (p *Pool) connect(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	if p.options.LocalIP != nil {
@@ -163,7 +164,7 @@
 	if p.options.Handshake == nil {
 		return conn, nil
 	}
-	stop := context.AfterFunc(ctx, func() { _ = tcp.Close() }) // ends the handshake
+	stop := context.AfterFunc(ctx, func() { _ = tcp.Close() }) // aborts the handshake
 	err = p.options.Handshake(tcp, conn.reader)
 	if !stop() || err != nil {
 		p.drop(conn)
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -12,8 +12,8 @@
 	"junctionwharf/broker"
 )
 
-// handshakeByNode makes a connection come up only when the node sends a byte on it (see welcome). So the test decides
-// which of several connections comes up, whatever the order in which the pool's goroutines run.
+// handshakeByNode makes each handshake wait for a byte from the node (see welcome). The test thereby decides which of
+// several connections is established first, independently of goroutine scheduling.
 func handshakeByNode(options *Options) {
 	options.Handshake = func(_ net.Conn, reader *bufio.Reader) error {
 		_, err := reader.ReadByte()
@@ -21,7 +21,7 @@
 	}
 }
 
-// welcome lets a connection come up that was made with handshakeByNode.
+// welcome completes the handshake of a connection to a pool with handshakeByNode.
 func (n *testNode) welcome(conn net.Conn) {
 	n.Helper()
 	n.write(conn, "\x00")
@@ -41,7 +41,8 @@
 	}
 }
 
-// A connection comes up late. The hedge serves the attempt, and the late connection is kept and serves the next one.
+// The first connection is late. The hedge serves the attempt, and the late connection is kept and serves the next
+// attempt.
 func TestHedgeServesWhereTheFirstDialIsLate(t *testing.T) {
 	options := testOptions()
 	handshakeByNode(&options)
@@ -56,38 +57,38 @@
 	node.welcome(first)
 	expectIdle(t, p, node.address, 2)
 	_, results = start(p, node.address, echo)
-	node.serve(first) // the most recently used
+	node.serve(first) // became idle last, so it is reused first
 	if r := <-results; r.Err != nil {
 		t.Error(r.Err)
 	}
 	if p.slots.InUse() != 2 {
-		t.Errorf("%d slots are taken", p.slots.InUse())
+		t.Errorf("%d slots are in use, want 2", p.slots.InUse())
 	}
 }
 
-// While a dial and its hedge are late, another attempt gives its connection back. That serves the attempt that waits,
-// and the late connections are kept.
-func TestReturnedConnectionServesWhileDialling(t *testing.T) {
+// While a dial and its hedge are late, another attempt returns its connection to the pool. That connection serves the
+// waiting attempt, and the late connections are kept.
+func TestReturnedConnectionServesWhileDialing(t *testing.T) {
 	options := testOptions()
 	options.MaxConnections = 3
 	handshakeByNode(&options)
 	node := newTestNode(t)
 	p := New(options)
-	p.dialTimes.hedgeTokens = 0 // on a busy machine the first attempt's own hedge would come before the second attempt
+	p.dialTimes.hedgeTokens = 0 // the first attempt must not be hedged, which could happen on a busy machine
 	_, firstResults := start(p, node.address, echo)
 	conn := node.accept()
 	node.welcome(conn)
-	node.expectRequest(conn) // the first attempt has its connection and makes no hedge any more
+	node.expectRequest(conn) // the first attempt has its connection and is no longer hedged
 	p.mu.Lock()
 	p.dialTimes.hedgeTokens = maxHedgeTokens
 	p.mu.Unlock()
 	_, secondResults := start(p, node.address, echo)
 	late := []net.Conn{node.accept(), node.accept()}
 	node.write(conn, echoAnswer)
-	node.serve(conn) // of the second attempt
+	node.serve(conn) // the request of the second attempt
 	for _, results := range []chan broker.Result{firstResults, secondResults} {
 		if r := <-results; r.Err != nil || r.Value != echoAnswer {
-			t.Errorf("%+v", r)
+			t.Errorf("result %+v, want the answer of the node", r)
 		}
 	}
 	for _, conn := range late {
@@ -95,11 +96,12 @@
 	}
 	expectIdle(t, p, node.address, 3)
 	if p.slots.InUse() != 3 {
-		t.Errorf("%d slots are taken", p.slots.InUse())
+		t.Errorf("%d slots are in use, want 3", p.slots.InUse())
 	}
 }
 
-// Where connections never come up, hedges are few, take no slot that is wanted, and leave none taken.
+// If no connection is established, the number of hedges is at most half the number of dials. After the attempts have
+// ended, the pool keeps no notification channel for their address.
 func TestHedgesAreBounded(t *testing.T) {
 	const attempts = 20
 	options := testOptions()
@@ -121,7 +123,7 @@
 			dials++
 		case r := <-pending[ended]:
 			if r.Err == nil {
-				t.Error("an attempt was served without a connection")
+				t.Error("an attempt succeeded without a connection")
 			}
 			ended++
 		}
@@ -132,15 +134,15 @@
 	}
 	p.CloseExpired(time.Now())
 	if len(p.idleChanged) > 0 {
-		t.Errorf("%d addresses are kept without a waiting attempt", len(p.idleChanged))
+		t.Errorf("notification channels of %d addresses are kept after all attempts ended", len(p.idleChanged))
 	}
 	if dials > attempts+attempts/2 {
-		t.Errorf("%d dials for %d attempts", dials, attempts)
+		t.Errorf("%d dials for %d attempts, want at most 3 dials per 2 attempts", dials, attempts)
 	}
 }
 
-// An attempt is gone by the time that its dial and its hedge both come up. Neither connection stays up for nobody: one
-// of them was once kept where the other had ended.
+// An attempt has ended by the time its dial and the hedge both succeed. The pool must keep neither connection. An
+// earlier version closed one of them but kept the other.
 func TestNoConnectionIsKeptForAnEndedAttempt(t *testing.T) {
 	options := testOptions()
 	connected := make(chan struct{})
@@ -156,22 +158,22 @@
 	d := p.startDial(attempt, node.address)
 	<-dialled
 	<-dialled
-	d.mu.Lock() // nothing notices that it has gone before both are up
+	d.mu.Lock() // delays the dial's reaction to the end of the attempt until both connections are established
 	cancelAttempt()
 	close(connected)
 	runtime.Gosched()
 	d.mu.Unlock()
 	result := <-d.results
-	// The dial may end just before a handshake returns, which then counts as failed: nobody waits for it either.
+	// The dial may be cancelled just before a handshake returns. The handshake then counts as failed.
 	ended := errors.Is(result.err, context.Canceled) || errors.Is(result.err, errHandshake)
 	if result.conn != nil || !ended {
-		t.Errorf("%+v", result)
+		t.Errorf("result %+v, want the error of the ended attempt and no connection", result)
 	}
 	expectNoSlots(t, p)
 }
 
-// The same crossing without a race: both connections are up, handshakes and all, when the attempt ends, and only then
-// they are delivered. The attempt's own error is the result, and neither connection stays.
+// The same case without a race: both connections have completed their handshakes when the attempt ends, and they are
+// delivered only afterwards. The result is the attempt's own error, and neither connection is kept.
 func TestDeliveryToAnEndedAttempt(t *testing.T) {
 	node := newTestNode(t)
 	p := New(testOptions())
@@ -195,7 +197,7 @@
 		d.deliver(conn)
 	}
 	if result := <-d.results; result.conn != nil || !errors.Is(result.err, context.Canceled) {
-		t.Errorf("%+v", result)
+		t.Errorf("result %+v, want context.Canceled and no connection", result)
 	}
 	if p.HasIdle(node.address) {
 		t.Error("a connection was kept")
@@ -203,27 +205,28 @@
 	expectNoSlots(t, p)
 }
 
-// An attempt ends while its dial and the hedge are both on their way to a node that says nothing. Both end with it:
-// else each such attempt would hold two connections up to the connect timeout, and a few of them the whole pool.
+// An attempt ends while its dial and the hedge both wait for a handshake with a silent node. Both dials must end with
+// the attempt. Otherwise each such attempt would occupy two connections until the connect timeout, and a few of these
+// attempts would occupy the whole pool.
 func TestAttemptEndsItsHedgedDial(t *testing.T) {
 	for name, end := range map[string]func(broker.Handle){
 		"stop": func(h broker.Handle) {
 			if progress := h.Stop(); progress != broker.NotConnected {
-				t.Errorf("stopped %v", progress)
+				t.Errorf("Stop returned progress %v, want %v", progress, broker.NotConnected)
 			}
 		},
 		"cancel unless written": broker.Handle.CancelUnlessWritten,
 	} {
 		t.Run(name, func(t *testing.T) {
 			options := testOptions()
-			options.ConnectTimeout = time.Hour // only the attempt's end can end the dials
+			options.ConnectTimeout = time.Hour // only the end of the attempt can end the dials
 			handshakeByNode(&options)
 			node := newTestNode(t)
 			p := New(options)
 			handle, results := start(p, node.address, echo)
 			conns := []net.Conn{node.accept(), node.accept()}
 			if p.slots.InUse() != 2 {
-				t.Errorf("%d slots are taken", p.slots.InUse())
+				t.Errorf("%d slots are in use, want 2", p.slots.InUse())
 			}
 			end(handle)
 			for _, conn := range conns {
@@ -233,7 +236,7 @@
 			if name == "cancel unless written" {
 				expectProgress(t, results, broker.NotConnected)
 			} else if len(results) > 0 {
-				t.Errorf("a result after Stop: %+v", <-results)
+				t.Errorf("received a result after Stop: %+v", <-results)
 			}
 			_, results = start(p, node.address, echo)
 			conn := node.accept()
--- a/internal/pool/dialtimes.go
+++ b/internal/pool/dialtimes.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// minHedgeDelay is the least time before a hedge. Lower, a moment in which this process did not run would cost
-	// its nodes a second connection.
+	// minHedgeDelay is the minimum time before a dial is hedged. With a smaller value, a short pause of this process
+	// would cause second connections to its nodes.
 	minHedgeDelay = 5 * time.Millisecond
-	// lateDialFactor is how many times the smoothed dial time a connection may take before it is hedged. Lower, more
-	// connections would be made twice; higher, attempts would wait longer for one that never comes up.
+	// lateDialFactor is the multiple of the smoothed dial time after which a dial is hedged. With a smaller value, more
+	// connections would be made twice. With a larger value, attempts would wait longer for a connection that is never
+	// established.
 	lateDialFactor = 8
-	// dialTimeStep is the part of the smoothed dial time by which each connection moves it. Higher, a few late
-	// connections would raise the hedge delay; lower, a change of the path would be followed late.
+	// dialTimeStep is the fraction of the smoothed dial time by which each connection changes it. With a larger value,
+	// a few late connections would raise the hedge delay. With a smaller value, the smoothed dial time would follow a
+	// change of the network path too slowly.
 	dialTimeStep = 0.05
-	// minDialTimeIncrease lets a smoothed dial time of 0 grow. It is far below the time of any real connection.
+	// minDialTimeIncrease allows a smoothed dial time of 0 to grow. It is far below any real dial time.
 	minDialTimeIncrease = 50 * time.Microsecond
-	// hedgesPerDial is how many hedges each dial allows. While no connection comes up, hedges add no more than this
-	// part to the connections that nodes see.
+	// hedgesPerDial is the number of hedge tokens added per dial. If no connections are established, hedges increase
+	// the number of connections that nodes see by at most this fraction.
 	hedgesPerDial = 0.5
-	// maxHedgeTokens bounds the hedges that are saved up. Higher, more could be made at once after a quiet time.
+	// maxHedgeTokens bounds the saved hedge tokens. A larger value would allow more hedges at once after a quiet time.
 	maxHedgeTokens = 8
 )
 
-// dialTimes holds how long connections take to come up and how many hedges may be made.
+// dialTimes tracks how long connections take to be established and how many hedges are allowed.
 type dialTimes struct {
-	smoothed    time.Duration // about the median: late ones, be they a third of all, hardly move it
-	hedgeTokens float64       // each hedge takes one
+	smoothed    time.Duration // close to the median; even if a third of all connections are late, it hardly changes
+	hedgeTokens float64       // each hedge takes one token
 }
 
-// hedgeDelay counts a dial and returns how long it may take before it is hedged.
+// hedgeDelay adds hedge tokens for a new dial and returns the time after which the dial is hedged.
 func (p *Pool) hedgeDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,7 +37,7 @@
 	return max(minHedgeDelay, min(lateDialFactor*p.dialTimes.smoothed, p.connectTimeout/2))
 }
 
-// recordDialTime moves the smoothed dial time towards that of a connection that came up.
+// recordDialTime moves the smoothed dial time one step toward the time that a connection took.
 func (p *Pool) recordDialTime(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +50,7 @@
 	}
 }
 
-// takeHedge takes a hedge token and the slot of a hedge, and reports whether both were there.
+// takeHedge takes a hedge token and then a slot for the hedge. It reports whether both were available.
 func (p *Pool) takeHedge() bool {
 	p.mu.Lock()
 	allowed := p.dialTimes.hedgeTokens >= 1
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// trailerTimeout is how long a node may take over what follows an answer while the client waits for it. Higher,
-	// a client would wait for figures that do not come; lower, good connections would be closed more often.
+	// trailerTimeout bounds the time to read the data that follows an answer while the client waits for the result.
+	// With a larger value, clients would wait longer for load figures that never arrive. With a smaller value, usable
+	// connections would be closed more often.
 	trailerTimeout = 100 * time.Millisecond
-	// lateTrailerTimeout is the same where the result was delivered already, so that only the connection waits.
+	// lateTrailerTimeout replaces trailerTimeout once the result is delivered, when only the connection waits.
 	lateTrailerTimeout = 3 * time.Second
 )
 
-// errSendingStopped is the error of an exchange that may not send any more.
+// errSendingStopped is the error of an exchange that may no longer send.
 var errSendingStopped = errors.New("sending was stopped")
 
 // Exchange is one attempt's use of a connection. It is the broker.Handle of that attempt.
 type Exchange struct {
-	// Reader reads what the node sends.
+	// Reader reads the data that the node sends.
 	Reader *bufio.Reader
 
 	started   time.Time
-	onWritten func() // called once the exchange is fully written, may be nil
+	onWritten func() // called once the request is fully written; may be nil
 	onResult  func(broker.Result)
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	writing sync.Mutex // held during a write to the connection; it is taken before mu
+	writing sync.Mutex // held during a write to the connection; acquired before mu
 
-	mu             sync.Mutex // guards what follows
-	conn           net.Conn   // nil before the exchange has it and after
+	mu             sync.Mutex // guards the fields below
+	conn           net.Conn   // nil before begin and after finish
 	progress       broker.Progress
 	sendingStopped bool
-	delivered      bool // the result was delivered before the end
+	delivered      bool // the result was delivered before the exchange ended
 	ended          bool // stopped or finished
 }
 
-// Elapsed is the time since Pool.Start.
+// Elapsed returns the time since Pool.Start.
 func (e *Exchange) Elapsed() time.Duration { return time.Since(e.started) }
 
-// MessageSize is the number of bytes of a message.
+// MessageSize returns the number of bytes in a message.
 func MessageSize(message net.Buffers) int {
 	size := 0
 	for _, part := range message {
@@ -55,8 +56,8 @@
 	return size
 }
 
-// Send writes a message. Once its first executableAfter bytes are written the node may execute the attempt, even if
-// what follows them is lost; 0 is for a message that executes nothing.
+// Send writes a message. Once the first executableAfter bytes are written, the node may execute the attempt, even if
+// the rest of the message is lost. For a message that makes the node execute nothing, executableAfter is 0.
 func (e *Exchange) Send(message net.Buffers, executableAfter int) error {
 	e.writing.Lock()
 	defer e.writing.Unlock()
@@ -72,7 +73,7 @@
 	return err
 }
 
-// recordWritten moves the progress on after a write.
+// recordWritten updates the progress after a write.
 func (e *Exchange) recordWritten(written int64, executableAfter int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,8 +89,8 @@
 	}
 }
 
-// Deliver hands the result over before the exchange ends: what follows belongs to whoever takes the result. It reports
-// whether the result is still wanted. Stopped is closed if nobody takes it after all.
+// Deliver passes the result to onResult before the exchange ends. The receiver of the result may read the rest of the
+// answer. Deliver reports whether the result is still wanted. If the receiver stops the exchange, Stopped is closed.
 func (e *Exchange) Deliver(result broker.Result) bool {
 	e.mu.Lock()
 	wanted := !e.ended
@@ -101,21 +102,21 @@
 	return wanted
 }
 
-// Stopped is closed once the exchange was stopped.
+// Stopped returns a channel that is closed when the exchange is stopped.
 func (e *Exchange) Stopped() <-chan struct{} { return e.ctx.Done() }
 
-// SetReadTimeout makes the next reads fail unless something comes within a time.
+// SetReadTimeout makes reads fail that are not finished within timeout from now.
 func (e *Exchange) SetReadTimeout(timeout time.Duration) {
 	e.mu.Lock()
 	conn := e.conn
 	e.mu.Unlock()
 	if conn != nil {
-		_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails on a closed connection only, as the next read does
+		_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, as does the next read
 	}
 }
 
-// ReadTrailer runs what reads the rest after the answer. If that fails the answer stands, and the connection is not
-// used again.
+// ReadTrailer calls read to read the data that follows an answer. If read fails, the answer stays valid, but the
+// connection is not reused.
 func (e *Exchange) ReadTrailer(read func() error) {
 	e.mu.Lock()
 	conn := e.conn
@@ -124,7 +125,7 @@
 		timeout = lateTrailerTimeout
 	}
 	e.mu.Unlock()
-	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails on a closed connection only, as the read does
+	_ = conn.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, as does read
 	if read() == nil && conn.SetReadDeadline(time.Time{}) == nil {
 		return
 	}
@@ -139,7 +140,7 @@
 	return e.progress
 }
 
-// Stop implements broker.Handle. It waits for a write that is under way, which closing the connection ends.
+// Stop implements broker.Handle. It closes the connection and waits until a pending write has ended.
 func (e *Exchange) Stop() broker.Progress {
 	e.mu.Lock()
 	e.ended = true
@@ -151,8 +152,8 @@
 	return e.currentProgress()
 }
 
-// StopSending implements broker.Handle. An exchange that was fully written, or is being written, keeps its connection:
-// closing it could lose the answer to what the node has executed.
+// StopSending implements broker.Handle. It keeps the connection if a request is fully written or a write is in
+// progress: closing the connection could lose the answer to a request that the node has executed.
 func (e *Exchange) StopSending() {
 	conn, fullyWritten := e.forbidSending()
 	if fullyWritten || !e.writing.TryLock() {
@@ -164,15 +165,15 @@
 	}
 }
 
-// CancelUnlessWritten implements broker.Handle. It cuts a message that is being written: the client has gone, so that
-// no answer can be lost.
+// CancelUnlessWritten implements broker.Handle. It also aborts a message that is being written: the client has
+// disconnected, so no answer can be lost.
 func (e *Exchange) CancelUnlessWritten() {
 	if conn, fullyWritten := e.forbidSending(); !fullyWritten {
 		e.abort(conn)
 	}
 }
 
-// forbidSending makes later sends fail and returns the connection and whether the exchange was fully written.
+// forbidSending makes later sends fail. It returns the connection and whether the request was fully written.
 func (e *Exchange) forbidSending() (conn net.Conn, fullyWritten bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,15 +181,15 @@
 	return e.conn, e.progress == broker.FullyWritten
 }
 
-// abort ends the exchange and its connection; conn is nil for an exchange that has none.
+// abort cancels the exchange and closes its connection. conn is nil if the exchange has no connection.
 func (e *Exchange) abort(conn net.Conn) {
 	e.cancel()
 	if conn != nil {
-		_ = conn.Close() // the exchange fails in either case
+		_ = conn.Close() // the exchange fails even if the close fails
 	}
 }
 
-// begin hands the connection to the exchange. It fails for an exchange that was stopped before.
+// begin assigns a connection to the exchange. It returns false if the exchange was stopped before.
 func (e *Exchange) begin(conn *connection) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -200,8 +201,9 @@
 	return true
 }
 
-// finish takes the connection back, so that a late Stop does not close it under its next user. It reports whether the
-// result is still wanted, and whether the connection may be used again as far as the exchange knows.
+// finish detaches the connection from the exchange, so that a late Stop does not close the connection while another
+// exchange uses it. It reports whether the result is still wanted, and whether the exchange allows the connection to be
+// reused.
 func (e *Exchange) finish() (wanted, reusable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -12,9 +12,9 @@
 	"junctionwharf/internal/logging"
 )
 
-// An exchange fails before it has a connection, before the message that executes it, or after it. Its error says which,
-// for only what was fully written may have been executed. All parts share a pool of two connections, and none may keep
-// a slot: with two slots kept, the third would wait for ever.
+// An exchange fails before it has a connection, before it has sent the message that the node executes, or after that.
+// Its error reports the progress, since the node can have executed only a fully written request. All subtests share a
+// pool of two connections. If two failed exchanges kept their slots, the third would wait forever.
 func TestErrorReportsProgress(t *testing.T) {
 	p := newUnhedgedPool(testOptions())
 	t.Run("not connected", func(t *testing.T) {
@@ -36,7 +36,7 @@
 		expectProgress(t, results, broker.FullyWritten)
 		expectNoSlots(t, p)
 	})
-	t.Run("before the message that executes", func(t *testing.T) {
+	t.Run("before the message that the node executes", func(t *testing.T) {
 		node := newTestNode(t)
 		_, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 			if err := e.Send(net.Buffers{[]byte(echoRequest)}, 0); err != nil {
@@ -53,7 +53,7 @@
 	})
 }
 
-// An attempt is stopped. Its sending must have ended when Stop returns, and no result may follow.
+// When Stop returns, the attempt must have stopped sending, and no result may follow.
 func TestStopEndsSending(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -61,7 +61,7 @@
 	conn := node.accept()
 	node.expectRequest(conn)
 	if progress := handle.Stop(); progress != broker.FullyWritten {
-		t.Errorf("stopped %v", progress)
+		t.Errorf("Stop returned progress %v, want %v", progress, broker.FullyWritten)
 	}
 	node.expectEnd(conn)
 	for executableAfter, want := range map[int]broker.Progress{
@@ -72,12 +72,12 @@
 		handle, _ = start(p, node.address, sendLarge(executableAfter))
 		node.expectBytes(node.accept(), 1)
 		if progress := handle.Stop(); progress != want {
-			t.Errorf("stopped %v in the middle of a write that executes after %d bytes", progress, executableAfter)
+			t.Errorf("Stop during a write (executable after %d bytes): %v, want %v", executableAfter, progress, want)
 		}
 	}
 	select {
 	case r := <-results:
-		t.Errorf("a result after Stop: %+v", r)
+		t.Errorf("received a result after Stop: %+v", r)
 	default:
 	}
 }
@@ -90,14 +90,14 @@
 	}
 }
 
-// StopSending lets a fully written message have its answer, and forbids the next one.
+// After StopSending, an exchange still receives the answer to a fully written message, but cannot send another message.
 func TestStopSendingKeepsTheAnswer(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
 	handle, results := start(p, node.address, func(e *Exchange) (broker.Result, error) {
 		r, err := echo(e)
 		if err == nil && !errors.Is(e.Send(net.Buffers{[]byte("more\n")}, 0), errSendingStopped) {
-			t.Error("it may still send")
+			t.Error("a message was sent after StopSending")
 		}
 		return r, err
 	})
@@ -106,12 +106,12 @@
 	handle.StopSending()
 	node.write(conn, echoAnswer)
 	if r := <-results; r.Err != nil {
-		t.Errorf("%+v", r)
+		t.Errorf("result %+v, want the answer of the node", r)
 	}
 	node.expectEnd(conn)
 }
 
-// StopSending leaves a write that is under way: the node may have the whole message already.
+// StopSending does not abort a write in progress, since the node may already have received the whole message.
 func TestStopSendingDuringWrite(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -131,8 +131,9 @@
 	expectAnswer(t, results)
 }
 
-// The client of an attempt has gone. Its message is not sent, or cut if it is being sent; only if it was fully written
-// the node hears of it, and its answer still comes. All parts share a pool of two connections, which serves on.
+// The client of an attempt has disconnected. A message that has not been sent stays unsent, and a message that is being
+// sent is cut off. A fully written message still receives its answer. All subtests share a pool of two connections,
+// which must stay usable.
 func TestCancelUnlessWritten(t *testing.T) {
 	options := testOptions()
 	connected := make(chan struct{})
@@ -142,8 +143,8 @@
 		return nil
 	}
 	p := newUnhedgedPool(options)
-	t.Run("while dialling", func(t *testing.T) {
-		cancelWhileDialling(t, p, passHandshakes)
+	t.Run("while dialing", func(t *testing.T) {
+		cancelWhileDialing(t, p, passHandshakes)
 		expectNoSlots(t, p)
 	})
 	t.Run("during a write", func(t *testing.T) {
@@ -157,7 +158,7 @@
 	})
 }
 
-func cancelWhileDialling(t *testing.T, p *Pool, passHandshakes func()) {
+func cancelWhileDialing(t *testing.T, p *Pool, passHandshakes func()) {
 	t.Helper()
 	node := newTestNode(t)
 	handle, results := start(p, node.address, echo)
@@ -177,7 +178,7 @@
 	handle.CancelUnlessWritten()
 	expectProgress(t, results, broker.PartiallyWritten)
 	if count, err := io.Copy(io.Discard, conn); count >= largeMessage-1 {
-		t.Errorf("the message came whole: %v", err)
+		t.Errorf("the node received the whole message: %v", err)
 	}
 }
 
@@ -185,18 +186,18 @@
 	t.Helper()
 	node := newTestNode(t)
 	results := make(chan broker.Result, 1)
-	written := make(chan struct{}) // the node may have the whole message before its writer knows
+	written := make(chan struct{}) // the node may have the whole message before the pool has recorded the write
 	handle := p.Start(node.address, echo, 0, func() { close(written) }, func(r broker.Result) { results <- r })
 	conn := node.accept()
 	node.expectRequest(conn)
 	<-written
-	handle.(*Exchange).currentProgress() // waits until the writer has recorded its progress
+	handle.(*Exchange).currentProgress() // waits until the pool has recorded the progress
 	handle.CancelUnlessWritten()
 	node.write(conn, echoAnswer)
 	expectAnswer(t, results)
 }
 
-// An exchange panics. That ends its attempt, which may have been executed, and nothing else.
+// An exchange that panics ends only its own attempt. The node may have executed the request.
 func TestPanicEndsOneExchange(t *testing.T) {
 	options := testOptions()
 	lines := make(chan string, 1)
@@ -211,9 +212,9 @@
 	})
 	expectProgress(t, results, broker.FullyWritten)
 	if line := <-lines; line != "panic front=nodes panic=fault" {
-		t.Error(line)
+		t.Errorf("logged %q, want the panic of the exchange", line)
 	}
 	if p.slots.InUse() != 0 {
-		t.Error("the connection is kept")
+		t.Error("the connection of the panicked exchange is still in use")
 	}
 }
--- a/internal/pool/helpers_test.go
+++ b/internal/pool/helpers_test.go
@@ -13,10 +13,10 @@
 	"junctionwharf/internal/logging"
 )
 
-// waitLimit is how long a test waits for what must happen before it fails.
+// waitLimit is how long a test waits for an expected event before it fails.
 const waitLimit = 5 * time.Second
 
-// largeMessage is more bytes than the socket buffers of a loopback connection hold, so that a write of it blocks.
+// largeMessage is a message size in bytes that exceeds the socket buffers of a loopback connection, so a write blocks.
 const largeMessage = 64 << 20
 
 const (
@@ -24,7 +24,7 @@
 	echoAnswer  = "answer\n"
 )
 
-// testNode is a node that hands its connections to the test.
+// testNode is a node that passes its accepted connections to the test.
 type testNode struct {
 	*testing.T
 	address string
@@ -62,12 +62,12 @@
 		}
 		return conn
 	case <-time.After(waitLimit):
-		n.Fatal("no connection came")
+		n.Fatal("the node received no connection")
 		return nil
 	}
 }
 
-// write sends text on a connection of the node.
+// write sends text on one of the node's connections.
 func (n *testNode) write(conn net.Conn, text string) {
 	n.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -75,30 +75,30 @@
 	}
 }
 
-// expectRequest reads the request that echo sends.
+// expectRequest reads the request of echo.
 func (n *testNode) expectRequest(conn net.Conn) {
 	n.Helper()
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != echoRequest {
-		n.Fatalf("%q, %v", line, err)
+		n.Fatalf("read %q, %v, want the request %q", line, err, echoRequest)
 	}
 }
 
-// serve answers one request of echo.
+// serve reads one request of echo and answers it.
 func (n *testNode) serve(conn net.Conn) {
 	n.Helper()
 	n.expectRequest(conn)
 	n.write(conn, echoAnswer)
 }
 
-// expectEnd checks that the pool ends a connection without sending anything more.
+// expectEnd checks that the pool closes a connection without sending any more bytes.
 func (n *testNode) expectEnd(conn net.Conn) {
 	n.Helper()
 	if count, err := conn.Read(make([]byte, 1)); count > 0 || !errors.Is(err, io.EOF) {
-		n.Errorf("%d bytes, %v: want the end of the connection", count, err)
+		n.Errorf("read %d bytes, %v, want 0 bytes and EOF", count, err)
 	}
 }
 
-// echo sends a line in two parts and reads one.
+// echo sends a line in two parts and reads the answer line.
 func echo(e *Exchange) (broker.Result, error) {
 	if err := e.Send(net.Buffers{[]byte("li"), []byte("ne\n")}, len(echoRequest)); err != nil {
 		return broker.Result{}, err
@@ -107,7 +107,7 @@
 	return broker.Result{Value: line}, err
 }
 
-// sendLarge returns an exchange that sends a message which blocks until the node reads.
+// sendLarge returns an exchange that sends a message of largeMessage bytes, which blocks until the node reads it.
 func sendLarge(executableAfter int) ExchangeFunc {
 	message := make([]byte, largeMessage)
 	return func(e *Exchange) (broker.Result, error) {
@@ -115,31 +115,31 @@
 	}
 }
 
-// start begins an exchange whose results come over a channel.
+// start starts an exchange whose results are sent to a channel.
 func start(p *Pool, address string, call ExchangeFunc) (broker.Handle, chan broker.Result) {
 	results := make(chan broker.Result, 2)
 	handle := p.Start(address, call, 0, nil, func(r broker.Result) { results <- r })
 	return handle, results
 }
 
-// expectAnswer checks that an exchange of echo was answered.
+// expectAnswer checks that an exchange of echo received its answer.
 func expectAnswer(t *testing.T, results <-chan broker.Result) {
 	t.Helper()
 	if r := <-results; r.Err != nil || r.Value != echoAnswer {
-		t.Fatalf("%+v", r)
+		t.Fatalf("result %+v, want the answer %q", r, echoAnswer)
 	}
 }
 
-// expectProgress checks how far an exchange had come when it failed, and that it names a cause.
+// expectProgress checks the progress at which an exchange failed, and that its error wraps a cause.
 func expectProgress(t *testing.T, results <-chan broker.Result, want broker.Progress) {
 	t.Helper()
 	r := <-results
 	var failed *broker.AttemptError
 	if r.Err == nil || !errors.As(error(r.Err), &failed) || failed.Unwrap() == nil {
-		t.Fatalf("%+v: want an error with its cause", r)
+		t.Fatalf("result %+v, want an error that wraps its cause", r)
 	}
 	if failed.Progress != want {
-		t.Errorf("%v (%v), want %v", failed.Progress, failed, want)
+		t.Errorf("progress %v (%v), want %v", failed.Progress, failed, want)
 	}
 }
 
@@ -152,33 +152,33 @@
 	}
 }
 
-// newUnhedgedPool returns a pool that hedges no dial. On a busy machine a dial takes longer than minHedgeDelay: the
-// hedge may then serve the attempt, and a test that waits for the request on the first connection waits in vain.
+// newUnhedgedPool returns a pool that never hedges a dial. On a busy machine a dial can take longer than minHedgeDelay.
+// The hedge may then serve the attempt, and a test that waits for the request on the first connection would time out.
 func newUnhedgedPool(options Options) *Pool {
 	p := New(options)
 	p.dialTimes.hedgeTokens = math.Inf(-1)
 	return p
 }
 
-// idleCount is the number of idle connections to an address.
+// idleCount returns the number of idle connections to address.
 func idleCount(p *Pool, address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[address])
 }
 
-// expectNoSlots waits until no connection is up or on its way.
+// expectNoSlots waits until no slot of the pool is in use.
 func expectNoSlots(t *testing.T, p *Pool) {
 	t.Helper()
 	eventually(t, "no slot is in use", func() bool { return p.slots.InUse() == 0 })
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition is true.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// noReuseWait is how long an attempt waits for its dial when no idle connection will become usable by itself: longer
-// than any connect timeout.
+// noReuseWait is how long an attempt waits for its dial if no idle connection will become usable in time. It exceeds
+// any connect timeout.
 const noReuseWait = time.Hour
 
-// recheckAtOnce makes an attempt look for an idle connection once more as soon as its dial has begun: one may have been
-// given back in between.
+// recheckAtOnce is a closed channel. It makes an attempt look for an idle connection again immediately after its dial
+// has started, since a connection may have been returned in the meantime.
 var recheckAtOnce = func() chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
 	return channel
 }()
 
-// takeIdle removes and returns the most recently used connection that has been idle for Options.ReuseDelay: what
-// follows an answer, be it noise, a repeated answer or the end of the connection, must not become the next request's
-// answer. If there is none it returns when to look again: after wait, or when changed is closed. waiting says that
-// the caller has a dial under way.
+// takeIdle removes and returns the most recently used connection that has been idle for at least Options.ReuseDelay.
+// The delay reveals data or a close that follows an answer. Such data, for example a repeated answer, must not be read
+// as the answer to the next request. If no connection is usable, takeIdle returns when to look again: after wait, or
+// when changed is closed. waiting is true if the caller has a dial in progress.
 func (p *Pool) takeIdle(address string, waiting bool) (conn *connection, wait time.Duration, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +46,8 @@
 	return nil, wait, p.idleChanged[address]
 }
 
-// putIdle keeps a connection for later exchanges, unless its slot is wanted.
+// putIdle keeps a connection for later exchanges. If the pool is closed or the slot is needed, it closes the
+// connection.
 func (p *Pool) putIdle(address string, conn *connection) {
 	conn.lastUsed = time.Now()
 	p.mu.Lock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// notifyIdle wakes the attempts that wait for a connection to an address; the caller holds p.mu.
+// notifyIdle wakes the attempts that wait for an idle connection to address. The caller holds p.mu.
 func (p *Pool) notifyIdle(address string) {
 	if changed := p.idleChanged[address]; changed != nil {
 		close(changed)
@@ -69,14 +70,14 @@
 	}
 }
 
-// usable reports whether a connection that was idle may carry another exchange.
+// usable reports whether an idle connection may carry another exchange.
 func (p *Pool) usable(conn *connection) bool {
 	_, maxIdleAge := p.timeouts()
 	return time.Since(conn.lastUsed) < maxIdleAge && IsQuiet(conn.Conn)
 }
 
-// acquireSlot waits for the slot of a new connection. If all are taken the oldest idle connection to any address gives
-// its slot up.
+// acquireSlot acquires the slot for a new connection. If all slots are in use, it closes the connection that has been
+// idle for longest, to any address. If no connection is idle, it waits for a slot.
 func (p *Pool) acquireSlot(ctx context.Context) error {
 	for {
 		if p.slots.TryAcquire() {
@@ -90,7 +91,7 @@
 	}
 }
 
-// removeOldestIdle removes and returns the connection that has been idle for longest, nil if none is idle.
+// removeOldestIdle removes and returns the connection that has been idle for longest, or nil if no connection is idle.
 func (p *Pool) removeOldestIdle() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,14 +109,14 @@
 	return oldest
 }
 
-// HasIdle reports whether an idle connection to an address is kept.
+// HasIdle reports whether the pool has an idle connection to address.
 func (p *Pool) HasIdle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[address]) > 0
 }
 
-// CloseIdle closes the idle connections to an address.
+// CloseIdle closes the idle connections to address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	conns := p.idle[address]
@@ -126,8 +127,9 @@
 	}
 }
 
-// CloseExpired closes idle connections that are too old to be used again or that their node has closed. It forgets
-// addresses without connections: nodes are replaced by new ones at new addresses, and the maps would grow for ever.
+// CloseExpired closes idle connections that are too old to be reused or that their node has closed. It also removes
+// addresses without connections from the maps. Otherwise the maps would grow without bound, since replacement nodes
+// have new addresses.
 func (p *Pool) CloseExpired(now time.Time) {
 	_, maxIdleAge := p.timeouts()
 	var expired []*connection
@@ -145,7 +147,7 @@
 			delete(p.idle, address)
 		}
 	}
-	for address := range p.idleChanged { // attempts that still wait ask for a new channel
+	for address := range p.idleChanged { // attempts that still wait request a new channel
 		p.notifyIdle(address)
 	}
 	p.mu.Unlock()
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -10,7 +10,7 @@
 	"junctionwharf/broker"
 )
 
-// Exchanges follow each other on one connection.
+// Consecutive exchanges use the same connection.
 func TestConnectionIsReused(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -28,15 +28,15 @@
 	}
 }
 
-// A node repeats its answer. The second copy must not become the answer to the next request, so a connection has to be
-// quiet for a while before it is used again, and one that was not quiet is never used.
+// A node sends its answer twice. The second copy must not be read as the answer to the next request. A connection is
+// therefore reused only after it has been idle for a while, and never if it received data in that time.
 func TestConnectionIsReusedOnlyWhenQuiet(t *testing.T) {
 	options := testOptions()
 	options.ReuseDelay = time.Hour
 	node := newTestNode(t)
 	p := newUnhedgedPool(options)
 	var conns []net.Conn
-	for range 2 { // the second exchange does not wait for the delay: it opens a connection of its own
+	for range 2 { // the second exchange opens its own connection, since the first one was not idle for ReuseDelay
 		_, results := start(p, node.address, echo)
 		conn := node.accept()
 		conns = append(conns, conn)
@@ -45,17 +45,17 @@
 	}
 	node.write(conns[1], echoAnswer)
 	for IsQuiet(p.idle[node.address][1].Conn) {
-		time.Sleep(time.Millisecond) // it is on its way through the kernel
+		time.Sleep(time.Millisecond) // the kernel has not delivered the second copy yet
 	}
 	p.options.ReuseDelay = 0
 	_, results := start(p, node.address, echo)
 	node.serve(conns[0])
 	if r := <-results; r.Err != nil || len(p.idle[node.address]) != 1 {
-		t.Errorf("%+v, %d idle", r, len(p.idle[node.address]))
+		t.Errorf("result %+v, %d idle connections, want no error and 1", r, len(p.idle[node.address]))
 	}
 }
 
-// Nodes are replaced by new ones at new addresses. Nothing is kept for those that are gone.
+// Nodes are replaced by new nodes at new addresses. The pool must not keep entries for the addresses of removed nodes.
 func TestReplacedNodesAreForgotten(t *testing.T) {
 	p := newUnhedgedPool(testOptions())
 	for range 50 {
@@ -70,12 +70,12 @@
 		}
 	}
 	if len(p.idle) != 0 || p.slots.InUse() != 0 {
-		t.Errorf("%d addresses, %d connections kept", len(p.idle), p.slots.InUse())
+		t.Errorf("%d addresses and %d slots are kept, want none", len(p.idle), p.slots.InUse())
 	}
 }
 
 // A node closes an idle connection. A request sent on it would end as a reset, which is final for a write, so the
-// connection must not be used.
+// connection must not be reused.
 func TestConnectionClosedByNodeIsNotUsed(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -85,7 +85,7 @@
 	<-results
 	_ = conn.Close()
 	for len(p.idle[node.address]) > 0 && IsQuiet(p.idle[node.address][0].Conn) {
-		time.Sleep(time.Millisecond) // the close is on its way through the kernel
+		time.Sleep(time.Millisecond) // the kernel has not delivered the close yet
 	}
 	_, results = start(p, node.address, echo)
 	node.serve(node.accept())
@@ -94,7 +94,8 @@
 	}
 }
 
-// An idle connection is closed before its node's idle timeout, so that no request meets the node's own close.
+// The pool closes an idle connection before the node's idle timeout, so that the node does not close it during a
+// request.
 func TestIdleConnectionExpires(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -104,19 +105,19 @@
 	<-results
 	p.CloseExpired(time.Now().Add(40 * time.Minute))
 	if len(p.idle) != 1 {
-		t.Fatal("closed too early")
+		t.Fatal("the idle connection was closed too early")
 	}
 	p.CloseExpired(time.Now().Add(43 * time.Minute))
 	if len(p.idle) != 0 || p.slots.InUse() != 0 {
-		t.Errorf("%d addresses idle, %d slots taken", len(p.idle), p.slots.InUse())
+		t.Errorf("%d addresses with idle connections and %d slots in use, want none", len(p.idle), p.slots.InUse())
 	}
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("not closed: %v", err)
+		t.Errorf("the node read %v, want EOF", err)
 	}
 }
 
-// All slots are taken. An idle connection to another node gives its slot up, and otherwise an attempt waits until a
-// connection ends.
+// All slots are in use. An idle connection to another node is closed to release its slot. Without an idle connection,
+// an attempt waits until a connection ends.
 func TestFullPoolMakesRoom(t *testing.T) {
 	a := newTestNode(t)
 	b := newTestNode(t)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,37 +12,37 @@
 
 // Options configures a Pool.
 type Options struct {
-	// ConnectTimeout bounds how long a connection may take to come up, its handshake included.
+	// ConnectTimeout bounds the time to establish a connection, including its handshake.
 	ConnectTimeout time.Duration
-	// IdleTimeout is the time after which a node closes a connection that stands idle.
+	// IdleTimeout is the time after which a node closes an idle connection.
 	IdleTimeout time.Duration
-	// ReuseDelay is how long a connection must have been idle before it is used again; 0 for not at all.
+	// ReuseDelay is the minimum time that a connection must be idle before it is reused. It may be 0.
 	ReuseDelay time.Duration
-	// MaxConnections bounds the connections to all nodes together, idle ones included.
+	// MaxConnections bounds the total number of connections to all nodes, including idle ones.
 	MaxConnections int
-	// LocalIP is the address from which connections are made; nil leaves the choice to the system.
+	// LocalIP is the local address of connections. If it is nil, the system chooses the address.
 	LocalIP net.IP
-	// Handshake opens a session on a new connection; nil for a protocol that has none.
+	// Handshake opens a session on a new connection. It is nil for a protocol without a handshake.
 	Handshake func(net.Conn, *bufio.Reader) error
-	// Logger receives a line for each panic of an exchange.
+	// Logger logs panics of exchanges.
 	Logger *slog.Logger
 }
 
-// reusableIdleFraction is the part of Options.IdleTimeout after which an idle connection is not used again. Nearer to
-// 1, requests would meet the node's own close and end as resets, which for a write is final; lower, more requests
-// would pay for a new connection.
+// reusableIdleFraction is the fraction of Options.IdleTimeout after which an idle connection is no longer reused. With
+// a value closer to 1, the node could close a connection just as a request is sent. The request would end as a reset,
+// which is final for a write. With a smaller value, more requests would need a new connection.
 const reusableIdleFraction = 0.7
 
 // Pool keeps connections to nodes by address. Its methods may be called from any goroutine.
 type Pool struct {
 	options Options
-	slots   *semaphore.Semaphore // one slot for each connection: dialling, in use or idle
+	slots   *semaphore.Semaphore // one slot per connection: dialing, in use or idle
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	connectTimeout time.Duration
-	maxIdleAge     time.Duration            // a connection that has been idle for longer is not used again
-	idle           map[string][]*connection // by address, the most recently used last
-	idleChanged    map[string]chan struct{} // by address, closed when a connection becomes idle; nil if none waits
+	maxIdleAge     time.Duration            // a connection that has been idle for this long is not reused
+	idle           map[string][]*connection // by address, most recently used last
+	idleChanged    map[string]chan struct{} // by address, while attempts wait; closed when a connection is idle
 	dialTimes      dialTimes
 	closed         bool
 }
@@ -60,7 +60,7 @@
 	return p
 }
 
-// SetTimeouts changes Options.ConnectTimeout and Options.IdleTimeout for dials and reuses from now on.
+// SetTimeouts changes Options.ConnectTimeout and Options.IdleTimeout for later dials and reuses.
 func (p *Pool) SetTimeouts(connect, idle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,15 +68,15 @@
 	p.maxIdleAge = time.Duration(reusableIdleFraction * float64(idle))
 }
 
-// timeouts returns the times that SetTimeouts has set.
+// timeouts returns the connect timeout and the maximum idle age that follow from SetTimeouts.
 func (p *Pool) timeouts() (connect, maxIdleAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectTimeout, p.maxIdleAge
 }
 
-// Resize changes Options.MaxConnections. Idle connections beyond it are closed; those in use are closed when they are
-// given back.
+// Resize changes Options.MaxConnections. It closes idle connections above the new limit. Connections in use above the
+// limit are closed when they are returned.
 func (p *Pool) Resize(maxConnections int) {
 	p.slots.Resize(maxConnections)
 	for p.slots.OverLimit() {
@@ -88,7 +88,7 @@
 	}
 }
 
-// Close closes the idle connections and has those in use closed when they are given back.
+// Close closes the idle connections. Connections in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -102,8 +102,8 @@
 	}
 }
 
-// drop closes a connection and frees its slot.
+// drop closes a connection and releases its slot.
 func (p *Pool) drop(conn *connection) {
-	_ = conn.Close() // its slot is free whatever the close says
+	_ = conn.Close() // the slot is free even if the close fails
 	p.slots.Release()
 }
--- a/internal/pool/run.go
+++ b/internal/pool/run.go
@@ -9,13 +9,13 @@
 	"junctionwharf/broker"
 )
 
-// ExchangeFunc talks to a node on behalf of one attempt: it sends the request and reads the answer. After an error the
-// connection is closed.
+// ExchangeFunc performs the exchange of one attempt with a node: it sends the request and reads the answer. If it
+// returns an error, the connection is closed.
 type ExchangeFunc func(*Exchange) (broker.Result, error)
 
-// Start begins an exchange with the node at an address and returns at once. A timeout above 0 bounds the exchange from
-// the moment it has its connection. onWritten, unless it is nil, is called once the exchange is fully written; onResult
-// gets the result, unless the exchange is stopped first.
+// Start starts an exchange with the node at address and returns immediately. A timeout above 0 bounds the exchange,
+// starting when the exchange has its connection. onWritten, if not nil, is called once the request is fully written.
+// onResult receives the result, unless the exchange is stopped first.
 func (p *Pool) Start(address string, call ExchangeFunc, timeout time.Duration, onWritten func(),
 	onResult func(broker.Result)) broker.Handle {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -24,7 +24,7 @@
 	return e
 }
 
-// run carries an exchange out from its connection to its result.
+// run performs an exchange, from acquiring its connection to reporting its result.
 func (p *Pool) run(e *Exchange, address string, call ExchangeFunc, timeout time.Duration) {
 	defer e.cancel()
 	var result broker.Result
@@ -38,7 +38,7 @@
 	}
 	wanted, reusable := e.finish()
 	if conn != nil {
-		// Unread bytes would be taken for the answer to a later request.
+		// Unread bytes would be read as the answer to a later request.
 		reusable = reusable && err == nil && conn.reader.Buffered() == 0
 		p.giveBack(address, conn, !used || reusable)
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// call runs an exchange on its connection. A panic in it becomes its error: it must not end the process.
+// call runs an exchange on its connection. It turns a panic into an error, so that the panic does not end the process.
 func (p *Pool) call(e *Exchange, conn net.Conn, call ExchangeFunc, timeout time.Duration) (r broker.Result, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -59,12 +59,12 @@
 		}
 	}()
 	if timeout > 0 {
-		_ = conn.SetDeadline(time.Now().Add(timeout)) // fails on a closed connection only, as the exchange then does
+		_ = conn.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection, as does the exchange
 	}
 	return call(e)
 }
 
-// acquire returns an idle connection or a new one. While a new one comes up, one that becomes idle serves as well.
+// acquire returns an idle or a new connection. While it dials, it also uses a connection that becomes idle.
 func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	var pending *dial
 	for {
@@ -88,23 +88,23 @@
 	}
 }
 
-// giveBack ends an exchange's use of its connection.
+// giveBack returns a connection to the pool after an exchange, or closes it if it is not reusable.
 func (p *Pool) giveBack(address string, conn *connection, reusable bool) {
 	if !reusable {
 		p.drop(conn)
 		return
 	}
-	_ = conn.SetDeadline(time.Time{}) // fails on a closed connection only, which is found out before its next use
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection, which is detected before the next use
 	p.putIdle(address, conn)
 }
 
-// FailAttempt returns the handle of an attempt that is never begun, and reports why to onResult.
+// FailAttempt reports err to onResult for an attempt that is never started. It returns the handle of that attempt.
 func FailAttempt(err error, onResult func(broker.Result)) broker.Handle {
 	go onResult(broker.Result{Err: &broker.AttemptError{Progress: broker.NotConnected, Err: err}})
 	return failedAttempt{}
 }
 
-// failedAttempt is the handle of an attempt that was never begun.
+// failedAttempt is the handle of an attempt that was never started.
 type failedAttempt struct{}
 
 func (failedAttempt) Stop() broker.Progress { return broker.NotConnected }
