--- a/internal/clientconn/accept.go
+++ b/internal/clientconn/accept.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after the system refused to accept, most often for want of descriptors. Lower, the
-	// broker would spin; higher, clients would wait longer once descriptors are free.
+	// acceptRetryDelay is the pause after a failed accept, which is most often caused by a lack of file descriptors.
+	// With a smaller value, the broker would spin. With a larger value, clients would wait longer once descriptors are
+	// free.
 	acceptRetryDelay = 10 * time.Millisecond
-	// evictRetryInterval is how long a newcomer waits for a slot before the table looks for one to evict again.
+	// evictRetryInterval is how long a new connection waits for a slot before the table tries to evict again.
 	evictRetryInterval = 50 * time.Millisecond
 )
 
-// errQueueEmpty says that the kernel's accept queue holds no connection.
-var errQueueEmpty = errors.New("no connection waits to be accepted")
+// errQueueEmpty reports that the kernel's accept queue holds no connection.
+var errQueueEmpty = errors.New("accept queue is empty")
 
-// Accept accepts a connection for which there is a slot. If all are taken it evicts a connection; if none can be
-// evicted it rejects the newcomer, or waits without RejectOverLimit. Each connection that it returns must be given
-// back with Remove. It returns net.ErrClosed after Close.
+// Accept accepts a connection and acquires a slot for it. If all slots are in use, Accept evicts a connection. If no
+// connection can be evicted, Accept rejects the new connection or, without RejectOverLimit, waits for a slot. The
+// caller must call Remove for each returned connection. Accept returns net.ErrClosed after Close.
 func (t *Table) Accept(ln net.Listener) (net.Conn, error) {
 	t.setListener(ln)
 	for {
@@ -50,7 +51,7 @@
 	}
 }
 
-// setListener notes the listener for StopAccepting and Close, which may have come before.
+// setListener stores the listener for StopAccepting and Close. If Close was called before, it ends the listener.
 func (t *Table) setListener(ln net.Listener) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// acceptNext accepts a connection. Behind the listener's deadline it takes what waits in the kernel's accept queue and
-// then closes the listener: closing it first would reset those connections.
+// acceptNext accepts a connection. After the listener's deadline it accepts the connections in the kernel's accept
+// queue and then closes the listener. Closing the listener first would reset those connections.
 func acceptNext(ln net.Listener) (net.Conn, error) {
 	conn, err := ln.Accept()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -69,13 +70,13 @@
 	}
 	conn, err = acceptQueued(ln)
 	if errors.Is(err, errQueueEmpty) {
-		_ = ln.Close() // no connection is left that it could lose
+		_ = ln.Close() // the accept queue is empty, so the close resets no connection
 		return nil, net.ErrClosed
 	}
 	return conn, err
 }
 
-// acceptQueued accepts a connection from the kernel's accept queue without waiting for one.
+// acceptQueued accepts a connection from the kernel's accept queue. It does not wait for a connection.
 func acceptQueued(ln net.Listener) (net.Conn, error) {
 	accepted := -1
 	err := control(ln, func(fd int) (err error) {
@@ -86,12 +87,12 @@
 		return nil, errQueueEmpty
 	}
 	file := os.NewFile(uintptr(accepted), "accepted")
-	defer func() { _ = file.Close() }() // net.FileConn has a descriptor of its own
+	defer func() { _ = file.Close() }() // net.FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
 
-// acquireSlot takes a slot for a connection. With RejectOverLimit, if nobody can be evicted, it takes an overflow
-// slot instead. It reports whether the slot is within the limit.
+// acquireSlot acquires a slot for a connection. With RejectOverLimit, if no connection can be evicted, it acquires an
+// overflow slot instead. It reports whether the slot is within the limit.
 func (t *Table) acquireSlot() (withinLimit bool) {
 	for !t.limit.TryAcquire() {
 		t.mu.Lock()
@@ -112,12 +113,12 @@
 	return true
 }
 
-// startRejecting answers and ends a connection that holds an overflow slot. It does not block.
+// startRejecting rejects and closes a connection that has an overflow slot. It does not block.
 func (t *Table) startRejecting(conn net.Conn) {
 	t.rejected.Add(1)
 	go func() {
 		defer t.overflow.Release()
-		defer func() { _ = conn.Close() }() // it is given up in either case
+		defer func() { _ = conn.Close() }() // the connection is abandoned even if the close fails
 		t.reject(conn)
 	}()
 }
--- a/internal/clientconn/budget.go
+++ b/internal/clientconn/budget.go
@@ -4,8 +4,8 @@
 
 // ByteBudget bounds the bytes that a server buffers for its connections.
 type ByteBudget struct {
-	mu       sync.Mutex // guards what follows
-	changed  *sync.Cond // signalled when bytes are released, or on Recheck
+	mu       sync.Mutex // guards the fields below
+	changed  *sync.Cond // signaled by Release, Resize and Recheck
 	reserved int
 	limit    int
 }
@@ -17,7 +17,7 @@
 	return b
 }
 
-// TryReserve reserves n bytes if they fit. What is larger than the whole budget fits when nothing else is reserved.
+// TryReserve reserves n bytes if they fit, and reports whether it did. Any number fits if nothing is reserved.
 func (b *ByteBudget) TryReserve(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -32,8 +32,8 @@
 	return fits
 }
 
-// Reserve waits until n bytes fit and reserves them, unless cancelled returns true before. It asks cancelled when bytes
-// are released and on Recheck.
+// Reserve waits until n bytes fit and reserves them, unless cancelled returns true first. It reports whether the bytes
+// were reserved. While it waits, Reserve calls cancelled after each Release, Resize and Recheck.
 func (b *ByteBudget) Reserve(n int, cancelled func() bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,21 +46,21 @@
 	return false
 }
 
-// Recheck makes all calls of Reserve that wait ask whether they are cancelled.
+// Recheck makes all waiting calls of Reserve check whether they are cancelled.
 func (b *ByteBudget) Recheck() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.changed.Broadcast()
 }
 
-// ForceReserve reserves n bytes that are buffered already, whether they fit or not.
+// ForceReserve reserves n bytes that are already buffered, even if they do not fit.
 func (b *ByteBudget) ForceReserve(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reserved += n
 }
 
-// Resize changes the budget.
+// Resize changes the limit to limit bytes.
 func (b *ByteBudget) Resize(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +68,7 @@
 	b.changed.Broadcast()
 }
 
-// Release gives n bytes back.
+// Release returns n reserved bytes to the budget.
 func (b *ByteBudget) Release(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/clientconn/budget_test.go
+++ b/internal/clientconn/budget_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// A full budget holds up a reader until bytes are released or the reader is cancelled.
+// A full budget blocks a reader until bytes are released or the reader is cancelled.
 func TestByteBudget(t *testing.T) {
 	budget := NewByteBudget(10)
 	never := func() bool { return false }
-	budget.Reserve(25, never) // alone, anything fits
+	budget.Reserve(25, never) // any number fits if nothing is reserved
 	var cancelled atomic.Bool
 	var readers sync.WaitGroup
 	reserved := make(chan struct{}, 2)
@@ -23,23 +23,23 @@
 	}
 	readers.Go(func() {
 		if budget.Reserve(1, cancelled.Load) {
-			t.Error("reserved by one that is cancelled")
+			t.Error("a cancelled reader reserved bytes")
 		}
 	})
 	cancelled.Store(true)
 	budget.Recheck()
 	if budget.TryReserve(1) {
-		t.Error("reserved over the limit at once")
+		t.Error("TryReserve exceeded the limit")
 	}
 	select {
 	case <-reserved:
-		t.Error("reserved over the limit")
+		t.Error("Reserve exceeded the limit")
 	case <-time.After(waitToBlock):
 	}
 	budget.Release(25)
 	readers.Wait()
 	budget.ForceReserve(3)
 	if budget.reserved != 13 || budget.TryReserve(1) {
-		t.Errorf("%d reserved", budget.reserved)
+		t.Errorf("%d bytes are reserved, want 13", budget.reserved)
 	}
 }
--- a/internal/clientconn/connection.go
+++ b/internal/clientconn/connection.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Connection is one client connection, as its server shows it to the table. The table calls its methods with its own
-// lock held: they must neither block nor call the table.
+// Connection is a client connection as the table sees it. The table calls its methods while holding the table's lock,
+// so the methods must neither block nor call the table.
 type Connection interface {
-	// Wake makes the connection check whether it should go on (see Table.ShouldClose).
+	// Wake makes the connection check whether it should close (see Table.ShouldClose).
 	Wake()
-	// State returns what the connection does, and how long it has been idle.
+	// State returns the connection's state and how long the connection has been idle.
 	State() (State, time.Duration)
-	// Evict asks the connection to end soon, and reports whether it will: it will not if something has come by now.
+	// Evict asks the connection to close soon and reports whether it will. It returns false if the connection has
+	// received data in the meantime.
 	Evict() bool
 }
 
-// State is what a connection does.
+// State is the current activity of a connection.
 type State int
 
 // The states of a connection.
 const (
-	Busy           State = iota // it waits for an answer, or one is being written
-	Idle                        // nothing has come, or nothing since its last answer
-	PartialCommand              // a part of a command has come
+	Busy           State = iota // waiting for an answer, or writing one
+	Idle                        // no data received since connecting or since the last answer
+	PartialCommand              // part of a command has been received
 )
 
 const (
-	// FirstCommandTimeout bounds the time from connecting to the end of the first command. With CommandTimeout it
-	// keeps silent clients from holding slots; lower, slow clients would be cut off. Malformed input gets its error,
-	// or its end, within three seconds.
+	// FirstCommandTimeout bounds the time from connecting to the end of the first command. Together with
+	// CommandTimeout it prevents silent clients from occupying slots. With a smaller value, slow clients would be
+	// disconnected. A client that sends malformed input receives an error or is disconnected within three seconds.
 	FirstCommandTimeout = 2500 * time.Millisecond
-	// CommandTimeout bounds the time from a command's first byte to its last.
+	// CommandTimeout bounds the time from the first byte of a command to its last byte.
 	CommandTimeout = 2500 * time.Millisecond
 )
--- a/internal/clientconn/evict.go
+++ b/internal/clientconn/evict.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// newcomerGrace is how long a connection that has sent nothing is safe from eviction. Lower, a crowd of newcomers
-	// would evict each other before they can send; higher, silent connections would hold a full table for longer.
+	// newcomerGrace is how long a connection that has sent nothing is protected from eviction. With a smaller value,
+	// many simultaneous new connections would evict each other before they could send. With a larger value, silent
+	// connections would keep a full table occupied for longer.
 	newcomerGrace = 200 * time.Millisecond
 
-	// checksPerRequest and checksPerAccept bound the connections that are checked for an idle one. Under load the
-	// front of the list is full of busy connections: when each request checked all of them, a broker that fell behind
-	// spent its time on the checks and never caught up.
+	// checksPerRequest and checksPerAccept bound the number of connections checked in a search for an idle one. Under
+	// load the front of the list consists of busy connections. When each request checked all of them, a broker that
+	// fell behind spent its time on the checks and never caught up.
 	checksPerRequest = 2
 	checksPerAccept  = 64
 
-	// minIdleTime is the idle time after which a connection ends where more are idle than may be. A connection that
-	// was just answered sends its next request soon: if it were evicted, each request would cost a connection, and an
-	// overloaded broker would have still more to do.
+	// minIdleTime is the minimum idle time for an eviction while the broker is overloaded, or because too many
+	// connections are idle. A connection that was just answered will soon send its next request. If such connections
+	// were evicted, each request would cost a connection, and an overloaded broker would have even more work.
 	minIdleTime = 50 * time.Millisecond
 )
 
-// evict ends one connection and reports whether it did. In this order: one that has only greeted, one that has sent
-// nothing and had time to, the one that has been idle for longest, one that is still sending its first command. So a
-// crowd of silent connections does not push out ordinary clients, not even slow ones. The caller holds t.mu.
+// evict evicts one connection and reports whether it did. It looks, in this order, for a connection that has sent only
+// a greeting, a connection that has sent nothing for newcomerGrace, the connection that has been idle for longest, and
+// a connection that is still sending its first command. Many silent connections therefore do not displace ordinary
+// clients, even slow ones. The caller holds t.mu.
 func (t *Table) evict() bool {
 	checks := checksPerAccept
 	idleTime := time.Duration(0)
@@ -38,12 +40,13 @@
 		t.evictEntry(t.firstIn(&t.withoutCommand, PartialCommand))
 }
 
-// firstIn returns the first connection of a list that is in a state and past its newcomer's grace, nil for none.
+// firstIn returns the first connection of a list that is in a given state, or nil. It skips connections without a
+// command that are within newcomerGrace.
 func (t *Table) firstIn(entries *list.List, state State) *entry {
 	for element := entries.Front(); element != nil; element = element.Next() {
 		e := element.Value.(*entry)
 		if entries == &t.withoutCommand && time.Since(e.addedAt) < newcomerGrace {
-			return nil // so are all after it
+			return nil // all later entries are newer
 		}
 		if current, _ := e.conn.State(); current == state {
 			return e
@@ -52,8 +55,9 @@
 	return nil
 }
 
-// evictIdle checks the first connections of those that have sent a request and evicts the first that has been idle
-// for at least idleTime. It reports whether it did. Those that stay go to the end of the list.
+// evictIdle checks a number of connections from the front of withRequests and evicts the first one that has been idle
+// for at least idleTime. It reports whether it evicted a connection. Checked connections that are not evicted move to
+// the end of the list.
 func (t *Table) evictIdle(checks int, idleTime time.Duration) bool {
 	for range min(checks, t.withRequests.Len()) {
 		e := t.withRequests.Front().Value.(*entry)
@@ -65,8 +69,9 @@
 	return false
 }
 
-// evictEntry evicts a connection unless it is nil or has just sent something. Its slot is free at once if there is an
-// overflow slot for its way out, and otherwise when it has ended.
+// evictEntry evicts a connection and reports whether it did. It returns false if e is nil or the connection has just
+// received data. If an overflow slot is available, the connection's own slot is released immediately, otherwise when
+// the connection has ended.
 func (t *Table) evictEntry(e *entry) bool {
 	if e == nil || !e.conn.Evict() {
 		return false
--- a/internal/clientconn/evict_test.go
+++ b/internal/clientconn/evict_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A crowd of silent connections fills the table. It must not push out ordinary clients, slow writers among them. So
-// those that have only greeted go first, then those that have sent nothing, then the ones that have been idle for
-// longest, then those that stand half way in a first command. A connection that waits for an answer stays, and so
-// does a newcomer.
+// Many silent connections fill the table. They must not displace ordinary clients, including slow writers. The eviction
+// order is: connections that have sent only a greeting, connections that have sent nothing, the connections that have
+// been idle for longest, and connections that have sent part of their first command. A connection that waits for an
+// answer and a new connection are not evicted.
 func TestEvictionOrder(t *testing.T) {
 	table := NewTable(10, 10, testLogger(t))
 	busy := &fakeConn{state: Busy}
@@ -20,32 +20,32 @@
 	greeted := &fakeConn{state: Idle}
 	newcomer := &fakeConn{state: Idle}
 	addConnsWithRequests(table, busy, recentRequest, oldRequest)
-	table.RequestReceived(recentRequest, false) // again
+	table.RequestReceived(recentRequest, false) // a second request
 	addConns(table, slow, silent, alsoSilent, greeted, newcomer)
 	table.entries[newcomer].addedAt = time.Now()
 	table.GreetingReceived(greeted)
-	table.GreetingReceived(oldRequest) // a greeting after a request changes nothing
+	table.GreetingReceived(oldRequest) // a greeting after a request does not change the order
 	all := []*fakeConn{busy, oldRequest, recentRequest, slow, silent, alsoSilent, greeted, newcomer}
 	for i, next := range []*fakeConn{greeted, silent, alsoSilent, oldRequest, recentRequest, slow} {
 		before := evictionsOf(all...)
 		table.evict()
 		if next.evictions != 1 || evictionsOf(all...) != before+1 {
-			t.Fatalf("step %d: another connection was evicted than was wanted", i)
+			t.Fatalf("step %d: the wrong connection was evicted", i)
 		}
 	}
 	before := evictionsOf(all...)
 	table.evict()
 	if evictionsOf(all...) != before {
-		t.Error("a connection was evicted that may not be")
+		t.Error("a connection was evicted although none may be")
 	}
 	if evictionsOf(busy, newcomer) != 0 {
-		t.Error("a busy connection or a newcomer was evicted")
+		t.Error("a busy or new connection was evicted")
 	}
 }
 
-// Clients that send one request and keep their connection must not use up the few connections that they have. Beyond
-// maxIdle the one that has been idle for longest ends, long before the table is full. A connection that has sent no
-// request yet stays, and so does one that waits for an answer.
+// Clients that send one request and keep their connection must not use up the few connections that they can open. If
+// more than maxIdle connections have sent requests, the one that has been idle for longest is evicted, long before the
+// table is full. A connection that has sent no request and a connection that waits for an answer are not evicted.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	table := NewTable(100, 2, testLogger(t))
 	busy := &fakeConn{state: Busy}
@@ -55,21 +55,21 @@
 	addConns(table, silent)
 	addConnsWithRequests(table, busy, idle)
 	if idle.evictions != 0 {
-		t.Fatal("evicted too early")
+		t.Fatal("the idle connection was evicted too early")
 	}
 	addConnsWithRequests(table, other)
 	if idle.evictions != 1 {
-		t.Error("the idle connection stays")
+		t.Error("the idle connection was not evicted")
 	}
 	if evictionsOf(busy, silent, other) != 0 {
-		t.Errorf("evicted: busy %d, silent %d, other %d", busy.evictions, silent.evictions, other.evictions)
+		t.Errorf("evicted: busy %d, silent %d, other %d, want none", busy.evictions, silent.evictions, other.evictions)
 	}
 }
 
-// Under load the front of the list is full of busy connections and of ones that were just answered and will send
-// their next request. Neither kind is evicted, and each request checks two connections at most. When each request
-// checked all connections and evicted any idle one, a broker that fell behind spent its time on checks and new
-// connections and served a tenth of what it could.
+// Under load the front of the list consists of busy connections and of connections that were just answered and will
+// soon send their next request. Neither kind is evicted, and each request checks at most two connections. When each
+// request checked all connections and evicted any idle one, a broker that fell behind spent its time on checks and new
+// connections, and served a tenth of its capacity.
 func TestIdleChecksAreBoundedUnderLoad(t *testing.T) {
 	table := NewTable(10_000, 10, testLogger(t))
 	var conns []*fakeConn
@@ -90,7 +90,7 @@
 		table.RequestReceived(counting, false)
 	}
 	if counting.checks > 2*len(conns) {
-		t.Errorf("one connection was checked %d times", counting.checks)
+		t.Errorf("one connection was checked %d times, want at most %d", counting.checks, 2*len(conns))
 	}
 	for i, conn := range conns {
 		if conn.evictions > 0 {
@@ -103,7 +103,7 @@
 		table.RequestReceived(conns[1], false)
 	}
 	if conns[7].evictions != 1 {
-		t.Error("an idle connection among busy ones is never found")
+		t.Error("an idle connection among busy ones was not evicted")
 	}
 }
 
--- a/internal/clientconn/helpers_test.go
+++ b/internal/clientconn/helpers_test.go
@@ -9,7 +9,7 @@
 	"junctionwharf/internal/logging"
 )
 
-// waitToBlock is how long a test waits to see that a call blocks.
+// waitToBlock is how long a test waits before it concludes that a call blocks.
 const waitToBlock = 20 * time.Millisecond
 
 // fakeConn is a connection whose state the test sets.
@@ -18,14 +18,14 @@
 	evictions int
 	state     State
 	idleFor   time.Duration
-	hasInput  bool // something has come by now
+	hasInput  bool // data has been received in the meantime
 }
 
 func (c *fakeConn) Wake()                         { c.wakes++ }
 func (c *fakeConn) State() (State, time.Duration) { return c.state, c.idleFor }
 func (c *fakeConn) Evict() bool                   { c.evictions++; return !c.hasInput }
 
-// evictionsOf is the number of times that connections were evicted.
+// evictionsOf returns the total number of evictions of conns.
 func evictionsOf(conns ...*fakeConn) int {
 	sum := 0
 	for _, conn := range conns {
@@ -34,7 +34,7 @@
 	return sum
 }
 
-// addConns adds connections that came a second ago and have sent nothing.
+// addConns adds connections that were accepted a second ago and have sent nothing.
 func addConns(table *Table, conns ...*fakeConn) {
 	for _, conn := range conns {
 		table.limit.TryAcquire()
@@ -43,7 +43,7 @@
 	}
 }
 
-// addConnsWithRequests adds connections that came a second ago and have sent requests in this order.
+// addConnsWithRequests adds connections that were accepted a second ago and have sent one request each, in this order.
 func addConnsWithRequests(table *Table, conns ...*fakeConn) {
 	for _, conn := range conns {
 		addConns(table, conn)
--- a/internal/clientconn/lifecycle.go
+++ b/internal/clientconn/lifecycle.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// acceptQueueTime is the time without a new connection after which none is on its way to the listener. Lower, a client
-// that connects during a handover would be reset; higher, the shutdown would take longer.
+// acceptQueueTime is how long the listener accepts new connections after StopAccepting, and how long Close waits for
+// Accept. With a smaller value, a client that connects during a handover would be reset. With a larger value, the
+// shutdown would take longer.
 const acceptQueueTime = 50 * time.Millisecond
 
-// phase is how far the table's shutdown has come.
+// phase is the state of the table's shutdown.
 type phase int
 
 const (
 	accepting phase = iota
-	draining        // connections end as soon as they are idle, new ones after their first request
-	closed          // no connection is accepted but those that the kernel has accepted
+	draining        // connections close as soon as they are idle, new ones after their first request
+	closed          // only connections that the kernel has already accepted are accepted
 )
 
-// Drain makes connections end as soon as they wait for no answer. New ones are still accepted: a client whose request
-// crossed the end of its connection sends it once more on a new one.
+// Drain makes connections close as soon as they are idle. New connections are still accepted: a client whose
+// request arrived as its connection closed sends the request again on a new connection.
 func (t *Table) Drain() { t.enter(draining) }
 
-// StopAccepting accepts no more connections but those that wait in the kernel's accept queue, which closing the
-// listener would reset. New connections must be redirected to another process by then. A listener that has no
-// deadlines is closed at once.
+// StopAccepting ends the listener after the connections in the kernel's accept queue are accepted. Closing the listener
+// first would reset these connections. The caller must have redirected new connections to another process. A listener
+// without deadlines is closed immediately.
 func (t *Table) StopAccepting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.endListenerAfter(acceptQueueTime)
 }
 
-// Close accepts no more connections but those that the kernel has accepted, since requests on them count as taken. It
-// waits until Accept has taken these, though not for long: others may hold all slots.
+// Close stops accepting connections, except those that the kernel has already accepted, since requests on them count as
+// received. It waits until Accept has accepted these connections, but at most for acceptQueueTime, since other
+// connections may occupy all slots.
 func (t *Table) Close() {
 	t.enter(closed)
 	t.mu.Lock()
@@ -45,20 +47,21 @@
 	}
 }
 
-// endListenerAfter makes Accept end after a while, with what the kernel has accepted by then. The caller holds t.mu.
+// endListenerAfter sets the listener's deadline to delay from now. After the deadline, Accept accepts the connections
+// in the accept queue and then ends. The caller holds t.mu.
 func (t *Table) endListenerAfter(delay time.Duration) {
 	if t.listener == nil {
 		return
 	}
 	ln, hasDeadline := t.listener.(interface{ SetDeadline(time.Time) error })
 	if !hasDeadline {
-		_ = t.listener.Close() // fails only if it is closed
+		_ = t.listener.Close() // fails only if the listener is already closed
 		return
 	}
-	_ = ln.SetDeadline(time.Now().Add(delay)) // fails only if it is closed
+	_ = ln.SetDeadline(time.Now().Add(delay)) // fails only if the listener is already closed
 }
 
-// enter goes over to a phase and makes each connection check whether it should go on.
+// enter changes the phase and makes each connection check whether it should close.
 func (t *Table) enter(next phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,11 +72,11 @@
 	}
 }
 
-// Draining reports whether connections end as soon as they are idle.
+// Draining reports whether the table closes connections as soon as they are idle.
 func (t *Table) Draining() bool { return t.draining.Load() }
 
-// ShouldClose reports whether an idle connection should end. awaitingFirst says that it came while the table drained
-// and has had no request yet.
+// ShouldClose reports whether an idle connection should close. awaitingFirst is true if the connection was accepted
+// while the table drains and has not sent a request yet.
 func (t *Table) ShouldClose(awaitingFirst bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clientconn/socket.go
+++ b/internal/clientconn/socket.go
@@ -13,18 +13,18 @@
 // discardBufferSize is the size in bytes of the buffer of one read that discards input.
 const discardBufferSize = 4 << 10
 
-// CloseWrite ends the sending side: the peer reads an end of file, and what it sends can still be read.
+// CloseWrite closes the sending side of a connection. The peer reads EOF, and its data can still be read.
 func CloseWrite(conn net.Conn) {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite() // fails only if the connection has ended
 	}
 }
 
-// DiscardInput reads and discards what comes until the connection ends, maxBytes have come, or the deadline is
-// reached (the zero time for none). Without it, closing the connection with unread input would reset the peer and may
-// destroy an answer that was already written. It reports whether the peer ended the connection.
+// DiscardInput reads and discards input until the connection ends, at least maxBytes are discarded, or the deadline is
+// reached. A zero deadline means no deadline. If unread input were left, closing the connection would reset the peer
+// and might destroy an answer that was already written. DiscardInput reports whether the peer closed the connection.
 func DiscardInput(conn net.Conn, deadline time.Time, maxBytes int) (peerClosed bool) {
-	_ = conn.SetReadDeadline(deadline) // fails only if the connection has ended, as the read then does
+	_ = conn.SetReadDeadline(deadline) // fails only if the connection has ended, as does the read
 	buffer := make([]byte, discardBufferSize)
 	for discarded := 0; discarded < maxBytes; {
 		n, err := conn.Read(buffer)
@@ -36,7 +36,7 @@
 	return false
 }
 
-// PeerClosed reports whether the peer has ended its side of a connection, even if bytes stand unread before that.
+// PeerClosed reports whether the peer has closed its side of a connection, even if unread bytes precede the close.
 func PeerClosed(conn net.Conn) bool {
 	peerClosed := false
 	err := control(conn, func(fd int) error {
@@ -48,7 +48,7 @@
 	return err == nil && peerClosed
 }
 
-// control calls a function with the descriptor of a connection or a listener, and returns its error.
+// control calls a function with the file descriptor of a connection or a listener and returns the function's error.
 func control(socket any, call func(fd int) error) error {
 	sys, ok := socket.(syscall.Conn)
 	if !ok {
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -11,45 +11,45 @@
 	"junctionwharf/internal/semaphore"
 )
 
-// Table is the table of a server's client connections. Its methods may be called from any goroutine.
+// Table tracks a server's client connections. Its methods may be called from any goroutine.
 type Table struct {
 	logger *slog.Logger
-	limit  *semaphore.Semaphore // one slot for each connection
-
-	// Set by RejectOverLimit before the first Accept, nil without it.
-	reject     func(net.Conn)       // answers and ends a connection over the limit
-	overloaded func() bool          // whether the broker has too much to do
-	overflow   *semaphore.Semaphore // one slot for each rejection, and for each evicted connection until it has ended
-
-	mu             sync.Mutex            // guards what follows
-	maxIdle        int                   // connections up to which idle ones may stay
-	entries        map[Connection]*entry // of all connections
-	withoutCommand list.List             // connections that have sent no command, the oldest first
-	greetedOnly    list.List             // those that have sent nothing but greetings
-	withRequests   list.List             // those that have sent a request, by their last one
+	limit  *semaphore.Semaphore // one slot per connection
+
+	// Set by RejectOverLimit before the first Accept; nil without RejectOverLimit.
+	reject     func(net.Conn)       // answers a connection over the limit
+	overloaded func() bool          // reports whether the broker is overloaded
+	overflow   *semaphore.Semaphore // one slot per rejection, and per evicted connection until it has ended
+
+	mu             sync.Mutex            // guards the fields below
+	maxIdle        int                   // number of connections with requests above which idle ones are evicted
+	entries        map[Connection]*entry // all connections
+	withoutCommand list.List             // connections that have sent no command, oldest first
+	greetedOnly    list.List             // connections that have sent only greetings
+	withRequests   list.List             // connections that have sent a request, in the order of their last request
 	listener       net.Listener
 	phase          phase
 
-	listenerEnded chan struct{} // closed when Accept has seen the listener's end
+	listenerEnded chan struct{} // closed when Accept has reported the end of the listener
 	endListener   sync.Once     // closes listenerEnded
 
-	draining atomic.Bool // phase is not accepting
+	draining atomic.Bool // whether phase is not accepting
 	rejected atomic.Uint64
 }
 
 // entry is the table's record of a connection.
 type entry struct {
 	conn       Connection
-	list       *list.List    // the list that it is in, nil once it was evicted
-	element    *list.Element // its element of that list
+	list       *list.List    // the list that contains the entry, nil after an eviction
+	element    *list.Element // the entry's element in list
 	addedAt    time.Time
-	inOverflow bool // it was evicted and holds an overflow slot; its own was given to another connection
+	inOverflow bool // evicted, and has an overflow slot instead of its own slot
 }
 
-// NewTable returns a table for maxConnections. Of the connections that have sent a request, more than maxIdle do not
-// stay idle: clients may have room for fewer connections than the table and would keep those they do not use. Up to
-// maxIdle they stay, since a client may have no other way in once the broker was told to end. logger gets a line when
-// the system refuses to accept.
+// NewTable returns a table for at most maxConnections connections. If more than maxIdle connections have sent a
+// request, the table evicts idle ones among them: clients may be able to open fewer connections than the table allows
+// and would keep connections that they do not use. Up to maxIdle connections may stay idle, since a client may be
+// unable to open another connection once the broker is shutting down. logger logs failed accepts.
 func NewTable(maxConnections, maxIdle int, logger *slog.Logger) *Table {
 	return &Table{
 		logger:        logger,
@@ -60,19 +60,19 @@
 	}
 }
 
-// RejectOverLimit makes reject answer and end connections over the limit if none can be evicted for them, up
-// to maxRejections at a time. Without it they wait in the kernel's accept queue, past their clients' timeouts. As
-// many evicted connections may be on their way out over the limit. While the broker is overloaded, connections with a
-// recent request are not evicted: they will send another, and accepting a connection costs more than rejecting a
-// request on one that is open. It must be called before Accept.
+// RejectOverLimit makes the table reject connections over the limit if no connection can be evicted. reject writes the
+// answer, and the table then closes the connection. Without RejectOverLimit such connections wait in the kernel's
+// accept queue, past their clients' timeouts. maxRejections bounds the number of overflow slots, which are used by
+// rejections and by evicted connections that have not ended yet. While overloaded returns true, connections with a
+// recent request are not evicted: they will send another request, and accepting a connection costs more than rejecting
+// a request on an open connection. RejectOverLimit must be called before Accept.
 func (t *Table) RejectOverLimit(maxRejections int, reject func(net.Conn), overloaded func() bool) {
 	t.reject = reject
 	t.overflow = semaphore.New(maxRejections)
 	t.overloaded = overloaded
 }
 
-// Resize changes how many connections there may be, how many of them idle, and how many are rejected at a time. Those
-// over the new limits stay until they end.
+// Resize changes the limits of NewTable and RejectOverLimit. Connections above the new limits stay until they end.
 func (t *Table) Resize(maxConnections, maxIdle, maxRejections int) {
 	t.limit.Resize(maxConnections)
 	if t.reject != nil {
@@ -83,7 +83,7 @@
 	t.maxIdle = maxIdle
 }
 
-// Add adds an accepted connection and reports whether it came while the table drains (see ShouldClose).
+// Add adds an accepted connection and reports whether it was added while the table drains (see ShouldClose).
 func (t *Table) Add(conn Connection) (whileDraining bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +93,7 @@
 	return t.phase != accepting
 }
 
-// Remove gives back the slot of a connection that has ended.
+// Remove removes a connection that has ended and releases its slot.
 func (t *Table) Remove(conn Connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// GreetingReceived notes that a connection sent a command that asks for nothing.
+// GreetingReceived records that a connection sent a greeting, which is a command that is not a request.
 func (t *Table) GreetingReceived(conn Connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,9 +119,9 @@
 	}
 }
 
-// RequestReceived notes that a connection sent a request: it is the last one to be evicted from now on. If too many
-// connections are idle it evicts one, unless the broker is overloaded: accepting a connection costs more than keeping
-// it.
+// RequestReceived records that a connection sent a request, so that connections with older requests are evicted before
+// it. If too many connections have sent requests, RequestReceived evicts an idle one. It evicts none while the broker
+// is overloaded, since accepting a connection costs more than keeping one.
 func (t *Table) RequestReceived(conn Connection, overloaded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// moveTo puts an entry at the end of a list, nil for none.
+// moveTo moves an entry to the end of a list, or out of all lists if to is nil.
 func (e *entry) moveTo(to *list.List) {
 	if e.list != nil {
 		e.list.Remove(e.element)
@@ -150,16 +150,15 @@
 	}
 }
 
-// Count is the number of open connections.
+// Count returns the number of open connections.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries)
 }
 
-// HasWaiters reports whether a connection waits in the kernel's accept queue because all slots are taken, those of
-// rejected and evicted connections among them.
+// HasWaiters reports whether a connection waits because all slots are in use, including the overflow slots.
 func (t *Table) HasWaiters() bool { return t.overflow != nil && t.overflow.HasWaiters() }
 
-// Rejected is the number of connections over the limit that were answered and ended at once.
+// Rejected returns the number of connections over the limit that were answered and closed.
 func (t *Table) Rejected() uint64 { return t.rejected.Load() }
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// acceptAs accepts a connection and adds it to the table as conn. It returns what Add returned.
+// acceptAs accepts a connection and adds it to the table as conn. It returns the result of Add.
 func acceptAs(t *testing.T, table *Table, ln net.Listener, conn *fakeConn) (whileDraining bool) {
 	t.Helper()
 	client := dial(t, ln)
@@ -17,33 +17,33 @@
 	return table.Add(conn)
 }
 
-// An accepting table keeps idle connections. A draining one ends them, but for newcomers that have had no request,
-// and a closed one ends all and accepts nothing.
+// An accepting table keeps idle connections. A draining table closes them, except new connections that have sent no
+// request. A closed table closes all connections and accepts none.
 func TestShutdownPhases(t *testing.T) {
 	table := NewTable(2, 2, testLogger(t))
 	ln := listen(t)
 	early := &fakeConn{}
 	late := &fakeConn{}
 	if acceptAs(t, table, ln, early) || table.ShouldClose(false) {
-		t.Error("an accepting table ends connections")
+		t.Error("an accepting table closes connections")
 	}
 	table.Drain()
 	if !acceptAs(t, table, ln, late) || !table.ShouldClose(false) || table.ShouldClose(true) || early.wakes != 1 {
-		t.Error("a draining table does not end the idle ones alone")
+		t.Error("a draining table must close idle connections, but not new ones without a request")
 	}
 	table.Remove(early)
 	table.Remove(early)
 	table.Close()
 	if table.Count() != 1 || !table.ShouldClose(true) || late.wakes != 1 {
-		t.Error("a closed table does not end all")
+		t.Error("a closed table must close all connections")
 	}
 	if _, err := table.Accept(ln); err == nil {
-		t.Error("a closed table accepts")
+		t.Error("a closed table accepted a connection")
 	}
 }
 
-// All connections of a full table wait for answers. Further connections once waited in the kernel's accept queue past
-// their clients' timeouts; now each is rejected with an answer.
+// All connections of a full table wait for answers, so none can be evicted. In an earlier version further connections
+// waited in the kernel's accept queue past their clients' timeouts. Each of them must be rejected with an answer.
 func TestRejectOverLimit(t *testing.T) {
 	const newcomers = 50
 	const rejection = "busy"
@@ -65,24 +65,25 @@
 	}()
 	for range newcomers {
 		conn := dial(t, ln)
-		answer, err := io.ReadAll(conn) // to its end
+		answer, err := io.ReadAll(conn) // until the table closes the connection
 		_ = conn.Close()
 		if string(answer) != rejection || err != nil {
-			t.Fatalf("%q, %v", answer, err)
+			t.Fatalf("read %q, %v, want %q", answer, err, rejection)
 		}
 	}
 	if n := table.Rejected(); n != newcomers || evictionsOf(first, second) != 0 {
-		t.Errorf("%d rejected, %d evicted", n, evictionsOf(first, second))
+		t.Errorf("%d rejected, %d evicted, want %d and 0", n, evictionsOf(first, second), newcomers)
 	}
 	table.Remove(first)
 	conn := dial(t, ln)
 	defer func() { _ = conn.Close() }()
-	_ = (<-accepted).Close() // there is a slot for it
+	_ = (<-accepted).Close() // a slot is free for the new connection
 	table.Close()
 }
 
-// An evicted connection takes a while to end. Its slot is free at once, for as many as may be on their way out. While
-// the broker is overloaded a connection with a recent request is not evicted: that would cost a connection a request.
+// The slot of an evicted connection is released before the connection has ended, as long as an overflow slot is
+// available. While the broker is overloaded, a connection with a recent request is not evicted. Otherwise each request
+// would cost a connection.
 func TestSlotOfEvictedConnectionIsFreeAtOnce(t *testing.T) {
 	table := NewTable(3, 3, testLogger(t))
 	overloaded := true
@@ -99,15 +100,15 @@
 	table.overflow.Release()
 	overloaded = false
 	if !table.acquireSlot() || evictionsOf(conns...) != 1 || table.Count() != 3 {
-		t.Fatalf("no slot at once: %d evicted", evictionsOf(conns...))
+		t.Fatalf("no slot was released: %d connections evicted, want 1", evictionsOf(conns...))
 	}
 	if table.overflow.TryAcquire() {
-		t.Error("more are on their way out than may be")
+		t.Error("an overflow slot is free while an evicted connection has not ended")
 	}
 	for _, conn := range conns {
 		table.Remove(conn)
 	}
 	if table.limit.InUse() != 1 || table.overflow.InUse() != 0 {
-		t.Errorf("%d and %d slots stay taken", table.limit.InUse(), table.overflow.InUse())
+		t.Errorf("%d slots and %d overflow slots in use, want 1 and 0", table.limit.InUse(), table.overflow.InUse())
 	}
 }
