--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,11 +1,11 @@
 // Package peer carries short messages between brokers as UDP datagrams.
 //
-// A message is one datagram of at most maxDatagramBytes. Datagrams may be lost, repeated or reordered, and the package
-// does nothing about it: the messages are gossip, of which the next one replaces the last. Only the addresses of
-// configured peers are heard.
+// A message is one datagram of at most maxDatagramBytes. Datagrams may be lost, repeated or reordered. The package does
+// not correct this, since the messages are gossip: each message replaces the previous one. Datagrams from other
+// addresses than those of the configured peers are dropped.
 //
-// Endpoint owns its socket. Endpoint.Run reads it in the goroutine of its caller and returns after Endpoint.Close.
-// Nothing outlives the process.
+// Endpoint owns its socket. Endpoint.Run reads the socket in the caller's goroutine and returns after Endpoint.Close.
+// Nothing is kept outside the process.
 package peer
 
 import (
@@ -20,19 +20,19 @@
 	"junctionwharf/scheduler"
 )
 
-// maxDatagramBytes bounds a message; a longer one is neither sent nor heard. The protocol sets it.
+// maxDatagramBytes is the maximum message size set by the protocol. Longer messages are neither sent nor received.
 const maxDatagramBytes = 256
 
-// Endpoint is this broker's end of the exchange with its peers. Its methods may be called from any goroutine.
+// Endpoint exchanges messages with this broker's peers. Its methods may be called from any goroutine.
 type Endpoint struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort // by the peers' numbers, this broker included
-	broadcast netip.AddrPort   // reaches all peers, not valid without one
-	own       int              // this broker's number
+	peers     []netip.AddrPort // by broker number, including this broker
+	broadcast netip.AddrPort   // address that reaches all peers; not valid if there is no such address
+	own       int              // number of this broker
 }
 
-// Listen opens an endpoint. peers are the addresses of all brokers by their numbers, this one (own) included; all is
-// the address that reaches all of them, empty for none. An error names the faulty key of the configuration.
+// Listen opens an endpoint on the address listen. peers are the addresses of all brokers by number, including this one,
+// whose number is own. all is the address that reaches all brokers, or empty. Errors name the faulty configuration key.
 func Listen(listen string, peers []string, all string, own int) (*Endpoint, error) {
 	e := &Endpoint{own: own}
 	for i, peer := range peers {
@@ -57,8 +57,8 @@
 	return e, nil
 }
 
-// Send sends data to one peer or, with scheduler.AllPeers, to all others. What cannot be sent is lost, as any datagram
-// may be.
+// Send sends data to one peer or, for scheduler.AllPeers, to all peers. Data that cannot be sent is dropped, since any
+// datagram may be lost.
 func (e *Endpoint) Send(peer int, data []byte) {
 	if len(data) > maxDatagramBytes {
 		return
@@ -75,15 +75,16 @@
 	_, _ = e.conn.WriteToUDPAddrPort(data, to) // a datagram may be lost anyway
 }
 
-// Run posts what comes in until the endpoint is closed. Datagrams from elsewhere or too long are dropped.
+// Run passes received messages to post until the endpoint is closed. It drops datagrams that are too long or do not
+// come from a peer.
 func (e *Endpoint) Run(post func(broker.PeerMessage)) {
-	buffer := make([]byte, maxDatagramBytes+1) // so that a longer datagram is noticed
+	buffer := make([]byte, maxDatagramBytes+1) // one byte more, to detect longer datagrams
 	for {
 		n, from, err := e.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // of an earlier send, as to a peer that is down
+		if err != nil { // caused by an earlier send, for example to a peer that is down
 			continue
 		}
 		if sender := e.senderAt(from); sender >= 0 && n <= maxDatagramBytes {
@@ -92,7 +93,7 @@
 	}
 }
 
-// senderAt returns the number of the other broker with an address, below 0 for none.
+// senderAt returns the number of the peer with an address, or -1 if there is none.
 func (e *Endpoint) senderAt(address netip.AddrPort) int {
 	unmapped := netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	for number, peer := range e.peers {
@@ -103,5 +104,5 @@
 	return -1
 }
 
-// Close ends Run.
+// Close closes the socket, which ends Run.
 func (e *Endpoint) Close() error { return e.conn.Close() }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Only peers are heard, by the number of their address; a broker sends nothing to itself; and no datagram exceeds 256
-// bytes in either direction.
+// Only datagrams from peers are received, with the peer's number as sender. A broker sends nothing to itself. Datagrams
+// of more than 256 bytes are neither sent nor received.
 func TestEndpoint(t *testing.T) {
 	other := listenUDP(t)
 	all := listenUDP(t)
@@ -71,14 +71,14 @@
 	endpoint.Send(0, []byte("one"))
 	endpoint.Send(scheduler.AllPeers, []byte("all"))
 	if got := receive(t, other) + receive(t, all); got != "oneall" {
-		t.Errorf("%q", got)
+		t.Errorf("peer and broadcast address received %q, want %q", got, "oneall")
 	}
 	to := endpoint.conn.LocalAddr().(*net.UDPAddr)
 	send(t, stranger, []byte("x"), to)
 	send(t, other, tooLong, to)
 	send(t, other, []byte("message"), to)
 	if m := <-messages; m.From != 0 || string(m.Data) != "message" {
-		t.Errorf("%+v", m)
+		t.Errorf("message %+v, want the datagram of peer 0", m)
 	}
 	if err := endpoint.Close(); err != nil {
 		t.Error(err)
--- a/internal/semaphore/semaphore.go
+++ b/internal/semaphore/semaphore.go
@@ -1,7 +1,8 @@
-// Package semaphore is a counting semaphore whose size can change, as for descriptors that several processes share.
+// Package semaphore provides a counting semaphore whose size can change, for example for file descriptors that several
+// processes share.
 //
-// A Semaphore guards itself and starts no goroutine. Its size is a number of slots. A smaller size takes no slot away:
-// what is held beyond it is held until it is released.
+// A Semaphore has its own lock and starts no goroutines. Its size is a number of slots. If the size is reduced,
+// acquired slots above the new size stay acquired until they are released.
 package semaphore
 
 import (
@@ -9,26 +10,26 @@
 	"sync"
 )
 
-// Semaphore is a number of slots, some of which are in use.
+// Semaphore is a set of slots that callers acquire and release. Its methods may be called from any goroutine.
 type Semaphore struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	inUse   int
 	size    int
-	waiters int           // calls of Acquire that wait
-	changed chan struct{} // closed when a slot may have become free, nil if no call has waited since
+	waiters int           // number of waiting calls of Acquire
+	changed chan struct{} // closed when a slot may have become free; nil if no call waits for it
 }
 
-// New returns a semaphore of size slots.
+// New returns a semaphore with size slots.
 func New(size int) *Semaphore { return &Semaphore{size: size} }
 
-// TryAcquire takes a slot if one is free.
+// TryAcquire acquires a slot if one is free, and reports whether it did.
 func (s *Semaphore) TryAcquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.acquire()
 }
 
-// acquire takes a slot if one is free; the caller holds s.mu.
+// acquire acquires a slot if one is free, and reports whether it did. The caller holds s.mu.
 func (s *Semaphore) acquire() bool {
 	if s.inUse >= s.size {
 		return false
@@ -37,7 +38,7 @@
 	return true
 }
 
-// Acquire waits for a slot and takes it. It returns the error of ctx if that ends first.
+// Acquire waits for a free slot and acquires it. If ctx ends first, Acquire returns the error of ctx.
 func (s *Semaphore) Acquire(ctx context.Context) error {
 	for {
 		changed, acquired := s.acquireOrWait()
@@ -59,7 +60,7 @@
 	}
 }
 
-// acquireOrWait takes a slot, or counts a waiter and returns the channel that it has to wait for.
+// acquireOrWait acquires a slot. If no slot is free, it counts a waiter and returns the channel to wait for.
 func (s *Semaphore) acquireOrWait() (changed <-chan struct{}, acquired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 	return s.changed, false
 }
 
-// Release frees a slot.
+// Release releases a slot.
 func (s *Semaphore) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +82,7 @@
 	s.wakeWaiters()
 }
 
-// Resize changes the number of slots. Those in use beyond it stay so until they are released.
+// Resize changes the number of slots. Acquired slots above the new size stay acquired until they are released.
 func (s *Semaphore) Resize(size int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,28 +90,28 @@
 	s.wakeWaiters()
 }
 
-// OverLimit reports whether more slots are in use than there are.
+// OverLimit reports whether more slots are in use than the size allows.
 func (s *Semaphore) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inUse > s.size
 }
 
-// HasWaiters reports whether a call of Acquire waits for a slot.
+// HasWaiters reports whether a call of Acquire is waiting for a slot.
 func (s *Semaphore) HasWaiters() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiters > 0
 }
 
-// InUse is the number of slots in use.
+// InUse returns the number of slots in use.
 func (s *Semaphore) InUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inUse
 }
 
-// wakeWaiters has all waiters try again; the caller holds s.mu.
+// wakeWaiters makes all waiting calls of Acquire try again. The caller holds s.mu.
 func (s *Semaphore) wakeWaiters() {
 	if s.changed != nil {
 		close(s.changed)
--- a/internal/semaphore/semaphore_test.go
+++ b/internal/semaphore/semaphore_test.go
@@ -7,30 +7,30 @@
 	"testing"
 )
 
-// A semaphore is made smaller while all slots are in use. It gives none out until enough are released; made larger
-// again, it wakes a waiter.
+// The size is reduced while all slots are in use. No slot is free until enough slots are released. When the size is
+// increased again, a waiting call acquires a slot.
 func TestResize(t *testing.T) {
 	s := New(2)
 	for slot, want := range []bool{true, true, false} {
 		if s.TryAcquire() != want {
-			t.Fatalf("slot %d: want %v", slot, want)
+			t.Fatalf("TryAcquire for slot %d: got %v, want %v", slot, !want, want)
 		}
 	}
 	s.Resize(1)
 	if !s.OverLimit() {
-		t.Error("two of one slots are in use, and it is not over its limit")
+		t.Error("two slots are in use with size 1, but OverLimit is false")
 	}
 	s.Release()
 	if s.TryAcquire() || s.OverLimit() {
-		t.Error("want no free slot after one of two was released")
+		t.Error("with one slot in use and size 1, a slot was acquired or OverLimit is true")
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := s.Acquire(cancelled); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("Acquire with a cancelled context: %v, want %v", err, context.Canceled)
 	}
 	if s.HasWaiters() {
-		t.Error("a waiter that has given up is counted")
+		t.Error("a cancelled call of Acquire still counts as a waiter")
 	}
 	acquired := make(chan error)
 	go func() { acquired <- s.Acquire(context.Background()) }()
