--- a/internal/clientconn/budget.go
+++ b/internal/clientconn/budget.go
@@ -32,12 +32,12 @@
 	return fits
 }
 
-// Reserve waits until n bytes fit and reserves them, unless cancelled returns true first. It reports whether the bytes
-// were reserved. While it waits, Reserve calls cancelled after each Release, Resize and Recheck.
-func (b *ByteBudget) Reserve(n int, cancelled func() bool) bool {
+// Reserve waits until n bytes fit and reserves them, unless canceled returns true first. It reports whether the bytes
+// were reserved. While it waits, Reserve calls canceled after each Release, Resize and Recheck.
+func (b *ByteBudget) Reserve(n int, canceled func() bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for !cancelled() {
+	for !canceled() {
 		if b.reserve(n) {
 			return true
 		}
@@ -46,7 +46,7 @@
 	return false
 }
 
-// Recheck makes all waiting calls of Reserve check whether they are cancelled.
+// Recheck makes all waiting calls of Reserve check whether they are canceled.
 func (b *ByteBudget) Recheck() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/clientconn/budget_test.go
+++ b/internal/clientconn/budget_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// A full budget blocks a reader until bytes are released or the reader is cancelled.
+// A full budget blocks a reader until bytes are released or the reader is canceled.
 func TestByteBudget(t *testing.T) {
 	budget := NewByteBudget(10)
 	never := func() bool { return false }
 	budget.Reserve(25, never) // any number fits if nothing is reserved
-	var cancelled atomic.Bool
+	var canceled atomic.Bool
 	var readers sync.WaitGroup
 	reserved := make(chan struct{}, 2)
 	for range 2 {
@@ -22,11 +22,11 @@
 		})
 	}
 	readers.Go(func() {
-		if budget.Reserve(1, cancelled.Load) {
-			t.Error("a cancelled reader reserved bytes")
+		if budget.Reserve(1, canceled.Load) {
+			t.Error("a canceled reader reserved bytes")
 		}
 	})
-	cancelled.Store(true)
+	canceled.Store(true)
 	budget.Recheck()
 	if budget.TryReserve(1) {
 		t.Error("TryReserve exceeded the limit")
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -32,7 +32,7 @@
 	err  error
 }
 
-// startDial starts a dial to address. Unless the dial is released first, it is cancelled when ctx ends.
+// startDial starts a dial to address. Unless the dial is released first, it is canceled when ctx ends.
 func (p *Pool) startDial(ctx context.Context, address string) *dial {
 	timeout, _ := p.timeouts()
 	d := &dial{pool: p, address: address, waiter: ctx, results: make(chan dialResult, 1)}
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -164,7 +164,7 @@
 	runtime.Gosched()
 	d.mu.Unlock()
 	result := <-d.results
-	// The dial may be cancelled just before a handshake returns. The handshake then counts as failed.
+	// The dial may be canceled just before a handshake returns. The handshake then counts as failed.
 	ended := errors.Is(result.err, context.Canceled) || errors.Is(result.err, errHandshake)
 	if result.conn != nil || !ended {
 		t.Errorf("result %+v, want the error of the ended attempt and no connection", result)
--- a/internal/semaphore/semaphore_test.go
+++ b/internal/semaphore/semaphore_test.go
@@ -24,13 +24,13 @@
 	if s.TryAcquire() || s.OverLimit() {
 		t.Error("with one slot in use and size 1, a slot was acquired or OverLimit is true")
 	}
-	cancelled, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := s.Acquire(cancelled); !errors.Is(err, context.Canceled) {
-		t.Errorf("Acquire with a cancelled context: %v, want %v", err, context.Canceled)
+	if err := s.Acquire(canceled); !errors.Is(err, context.Canceled) {
+		t.Errorf("Acquire with a canceled context: %v, want %v", err, context.Canceled)
 	}
 	if s.HasWaiters() {
-		t.Error("a cancelled call of Acquire still counts as a waiter")
+		t.Error("a canceled call of Acquire still counts as a waiter")
 	}
 	acquired := make(chan error)
 	go func() { acquired <- s.Acquire(context.Background()) }()
--- a/internal/sftp/answer.go
+++ b/internal/sftp/answer.go
@@ -9,20 +9,22 @@
 	"junctionwharf/scheduler"
 )
 
-// busyText begins the text of a FAILURE status by which a node, or this broker, rejects a command without executing it.
+// busyText is the prefix of a FAILURE status text with which a node or this broker rejects a command without executing
+// it.
 const busyText = "BUSY"
 
-// answer is what a node gave: a packet's type and body, or a whole directory.
+// answer is a node's answer to an operation: the type and body of a packet, or a complete directory listing.
 type answer struct {
 	kind  byte
 	body  []byte
 	names [][]byte // bodies of NAME packets
 }
 
-// packet encodes the answer for a client. A directory is handed out by session.readdir instead.
+// packet encodes the answer for a client. Directory listings are encoded by nextNames instead.
 func (a answer) packet(id uint32) net.Buffers { return encodePacket(a.kind, id, a.body) }
 
-// resultOf judges a node's packet. A status that settles the command is an answer like any other.
+// resultOf returns the result of an operation from a node's packet. A status that completes the command is a normal
+// answer.
 func resultOf(p packet) (broker.Result, error) {
 	result := broker.Result{Load: scheduler.NoLoadReport, Value: answer{kind: p.kind, body: p.body}}
 	switch p.kind {
@@ -31,14 +33,15 @@
 	case typeStatus:
 		return resultOfStatus(p, result)
 	}
-	return broker.Result{Load: scheduler.NoLoadReport}, fmt.Errorf("%w: type %d", errPacket, p.kind)
+	return broker.Result{Load: scheduler.NoLoadReport}, fmt.Errorf("%w: unexpected answer type %d", errPacket, p.kind)
 }
 
-// resultOfStatus judges a STATUS packet; answered is the result if it settles the command.
+// resultOfStatus returns the result of an operation from a STATUS packet. answered is the result for a status that
+// completes the command.
 func resultOfStatus(p packet, answered broker.Result) (broker.Result, error) {
 	rejected := broker.Result{Load: scheduler.NoLoadReport, Reply: broker.ReplyRejected}
 	failed := broker.Result{Load: scheduler.NoLoadReport, Reply: broker.ReplyError}
-	if len(p.body) < 4 { // without a code
+	if len(p.body) < 4 { // too short for a status code
 		return broker.Result{Load: scheduler.NoLoadReport}, errPacket
 	}
 	f := fields{rest: p.body}
@@ -59,13 +62,13 @@
 func encodeRejection(id uint32, retryAfter broker.Micros) net.Buffers {
 	text := busyText
 	if retryAfter > 0 {
-		millis := (retryAfter + 999) / 1000 // rounded up: earlier would be too early
+		millis := (retryAfter + 999) / 1000 // rounded up, so that the client does not retry too early
 		text = fmt.Sprintf("%s: come again after %d ms", busyText, millis)
 	}
 	return encodeStatus(id, statusFailure, text)
 }
 
-// encodeFailure encodes the answer to a command of which nothing is promised.
+// encodeFailure encodes the answer to a command that may or may not have been executed.
 func encodeFailure(id uint32) net.Buffers {
 	return encodeStatus(id, statusFailure, "failed: it may or may not have run")
 }
--- a/internal/sftp/doc.go
+++ b/internal/sftp/doc.go
@@ -1,22 +1,23 @@
-// Package sftp speaks the packets of SFTP version 3 (draft-ietf-secsh-filexfer-02) over plain TCP, without SSH:
-// Server serves file commands of clients, and Transport carries them to storage nodes.
+// Package sftp implements the packets of SFTP version 3 (draft-ietf-secsh-filexfer-02) over plain TCP, without SSH.
+// Server serves file commands of clients, and Transport sends them to storage nodes.
 //
 // # Rules
 //
-// A client's handles live in the server only. Each command that goes to a node opens a handle of its own there and
-// closes it afterwards, so that no command depends on where an earlier one went. Commands of one connection on one file
-// keep their order where it can be seen; others go out side by side. A command that has waited past its deadline for
-// an earlier one is rejected: it was never sent, so that trying again is harmless.
+// A client's handles exist only in the server. Each command that is sent to a node opens its own handle there and
+// closes it afterwards, so that a command does not depend on which node executed an earlier command. Commands of one
+// connection on one file keep their order if a different order could change their results. Other commands run
+// concurrently. A command whose deadline passes while it waits for an earlier command is rejected. Such a command was
+// never sent, so the client can safely retry it.
 //
-// A connection ends only when no command is owed an answer and no byte of the client stands unread: closing a socket
+// An eviction or a drain closes a connection only if no command is pending and no input is unread. Closing a socket
 // with unread input resets the peer, and the reset may overtake an answer that was already written.
 //
 // # State and owners
 //
 // Server owns the table of connections (clientconn.Table) and the mapping of paths. Each session has two goroutines:
-// session.read, which takes packets, and session.write, which writes answers; both end with the connection.
-// session.mu guards the commands that are owed an answer, and the handles; it is taken before the loop's own locks,
-// never under the table's. Nothing outlives the process.
+// session.read reads packets, and session.write writes answers. Both end with the connection. session.mu guards the
+// pending commands and the handles. Locks are acquired in this order: the table's lock, session.mu, the loop's locks.
+// Nothing is kept outside the process.
 //
-// Sizes are bytes, deadlines in the mapping are milliseconds.
+// Sizes are in bytes. Timeouts in the mapping are in milliseconds.
 package sftp
--- a/internal/sftp/exchange.go
+++ b/internal/sftp/exchange.go
@@ -8,10 +8,11 @@
 	"junctionwharf/scheduler"
 )
 
-// maxListingBytes bounds a whole directory. Higher, a listing could take more memory; a larger directory is an error.
+// maxListingBytes is the maximum size of a directory listing in bytes. A larger directory is an error. With a larger
+// value, a listing could use more memory.
 const maxListingBytes = 1 << 20
 
-// effect is whether a node executes something once it has a whole packet.
+// effect is whether a node executes something when it has received a whole packet.
 type effect bool
 
 const (
@@ -19,14 +20,14 @@
 	executes effect = true
 )
 
-// exchange is one operation's talk with a node. An operation that needs a handle opens one for itself and closes it
+// exchange performs one operation with a node. An operation that needs a handle opens its own handle and closes it
 // afterwards.
 type exchange struct {
 	*pool.Exchange
-	id uint32 // of the last packet sent
+	id uint32 // id of the last packet sent
 }
 
-// run carries an operation out.
+// run performs an operation.
 func (x *exchange) run(op *operation) (broker.Result, error) {
 	switch op.command {
 	case Open, OpenWrite:
@@ -60,12 +61,12 @@
 func (x *exchange) readAnswer(id uint32) (packet, error) {
 	p, err := readPacket(x.Reader)
 	if err == nil && p.id != id {
-		err = fmt.Errorf("%w: answer to %d, not %d", errPacket, p.id, id)
+		err = fmt.Errorf("%w: answer to packet %d instead of packet %d", errPacket, p.id, id)
 	}
 	return p, err
 }
 
-// simple carries an operation out that is one packet.
+// simple performs an operation that consists of one packet.
 func (x *exchange) simple(kind byte, op *operation) (broker.Result, error) {
 	p, err := x.request(executes, kind, encodeString(op.path))
 	if err != nil {
@@ -74,7 +75,7 @@
 	return resultOf(p)
 }
 
-// openHandle opens a handle at the node. Without one it returns the result of the operation.
+// openHandle opens a handle at the node. If the node returns no handle, openHandle returns the result of the operation.
 func (x *exchange) openHandle(has effect, kind byte, parts ...[]byte) (handle []byte, result broker.Result, err error) {
 	p, err := x.request(has, kind, parts...)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return nil, result, err
 }
 
-// closeHandle closes a handle at the node after the answer.
+// closeHandle closes a handle at the node after the operation's answer has been read.
 func (x *exchange) closeHandle(has effect, handle []byte) {
 	x.ReadTrailer(func() error {
 		_, err := x.request(has, typeClose, encodeString(handle))
@@ -95,7 +96,7 @@
 	})
 }
 
-// open opens the file and closes it again: the client's handle is the server's own.
+// open opens the file at the node and closes it again, since the client's handle exists only in the server.
 func (x *exchange) open(op *operation) (broker.Result, error) {
 	handle, result, err := x.openHandle(executes, typeOpen, encodeString(op.path), encodeUint32(op.flags), op.attrs)
 	if handle == nil {
@@ -105,8 +106,8 @@
 	return broker.Result{Value: answer{kind: typeHandle}, Load: scheduler.NoLoadReport}, nil
 }
 
-// transfer reads or writes. Opening the file has no effect of its own, since OPEN as the client sent it was answered
-// before: only the READ or WRITE executes, and until its last byte is written nothing has been executed.
+// transfer reads or writes data. Opening the file again has no effect, since the client's OPEN was already answered.
+// Only the READ or WRITE is executed, and not before its last byte is written.
 func (x *exchange) transfer(op *operation) (broker.Result, error) {
 	flags := uint32(flagRead)
 	if op.command == Write {
@@ -126,7 +127,7 @@
 		length := encodeUint32(uint32(len(op.data)))
 		message = encodePacket(typeWrite, transferID, handleField, encodeUint64(op.offset), length, op.data)
 	}
-	executableAfter := pool.MessageSize(message) // a CLOSE that is cut after it changes nothing
+	executableAfter := pool.MessageSize(message) // if the CLOSE after it is cut off, nothing changes
 	message = append(message, encodePacket(typeClose, closeID, handleField)...)
 	if err := x.Send(message, executableAfter); err != nil {
 		return broker.Result{}, err
@@ -145,8 +146,8 @@
 	return result, err
 }
 
-// list reads a whole directory. It sends packet after packet, so that a drain of the node must end it: after
-// StopSending the next one fails.
+// list reads a whole directory. It sends many packets, so a drain of the node must be able to end it: after
+// StopSending, sending the next packet fails.
 func (x *exchange) list(op *operation) (broker.Result, error) {
 	handle, result, err := x.openHandle(noEffect, typeOpendir, encodeString(op.path))
 	if handle == nil {
@@ -163,13 +164,13 @@
 		}
 		size += len(p.body)
 		if size > maxListingBytes {
-			return broker.Result{}, fmt.Errorf("%w: a directory of over %d bytes", errPacket, maxListingBytes)
+			return broker.Result{}, fmt.Errorf("%w: directory listing exceeds %d bytes", errPacket, maxListingBytes)
 		}
 		names = append(names, p.body)
 	}
 }
 
-// endListing judges the packet after the last names of a directory.
+// endListing returns the result of a listing from the packet after the last names.
 func (x *exchange) endListing(p packet, handle []byte, names [][]byte) (broker.Result, error) {
 	result, err := resultOf(p)
 	if err != nil || p.kind != typeStatus || p.statusCode() != statusEOF {
--- a/internal/sftp/handles.go
+++ b/internal/sftp/handles.go
@@ -5,19 +5,19 @@
 	"net"
 )
 
-// maxHandles bounds the open handles of one connection. Higher, one client could take more memory.
+// maxHandles bounds the open handles of one connection. With a larger value, one client could use more memory.
 const maxHandles = 256
 
-// handle is what a client has opened. It lives in the server only; session.mu guards it.
+// handle is a file or directory that a client has opened. It exists only in the server. session.mu guards it.
 type handle struct {
 	path   string
 	flags  uint32
 	isDir  bool
 	listed bool
-	names  [][]byte // of a listed directory: bodies of NAME packets still to be handed out
+	names  [][]byte // remaining bodies of NAME packets of a listed directory
 }
 
-// addHandle names a handle and encodes the answer; the caller holds s.mu.
+// addHandle adds a handle under a new name and encodes the answer. The caller holds s.mu.
 func (s *session) addHandle(id uint32, h *handle) net.Buffers {
 	if len(s.handles) >= maxHandles {
 		return encodeStatus(id, statusFailure, "too many open handles")
@@ -28,7 +28,7 @@
 	return encodePacket(typeHandle, id, encodeString(name))
 }
 
-// findHandle returns a handle by its name, nil if there is none, and closes it if that is asked for.
+// findHandle returns the handle with a name, or nil if there is none. If closeIt is true, it also removes the handle.
 func (s *session) findHandle(name []byte, closeIt bool) *handle {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	return h
 }
 
-// dispatchOnHandle takes a packet that names an open handle.
+// dispatchOnHandle dispatches a packet whose first field is the name of an open handle.
 func (s *session) dispatchOnHandle(p packet, f *fields) error {
 	name := f.string(maxHandleBytes)
 	if f.err != nil {
@@ -92,8 +92,8 @@
 	return s.submit(id, op, forwardAnswer(id))
 }
 
-// serveReaddir hands out a directory. The first call lists it whole, so that no listing goes on at a node from one
-// call to the next.
+// serveReaddir answers a READDIR. The first call reads the whole directory, so that no listing stays open at a node
+// between calls.
 func (s *session) serveReaddir(id uint32, h *handle) error {
 	if !h.isDir {
 		s.sendStatus(id, statusFailure, "not a directory")
@@ -117,7 +117,7 @@
 	})
 }
 
-// nextNames encodes the next part of a listed directory; the caller holds session.mu.
+// nextNames encodes the next part of a listed directory. The caller holds session.mu.
 func nextNames(id uint32, h *handle) net.Buffers {
 	if len(h.names) == 0 {
 		return encodeStatus(id, statusEOF, "end of directory")
--- a/internal/sftp/helpers_test.go
+++ b/internal/sftp/helpers_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/scheduler"
 )
 
-// join returns the bytes of messages.
+// join concatenates the bytes of messages.
 func join(messages ...net.Buffers) []byte {
 	var all []byte
 	for _, message := range messages {
@@ -20,13 +20,13 @@
 	return all
 }
 
-// firstHandle is the name of the first handle that a session gives out.
+// firstHandle is the name of the first handle that a session creates.
 const firstHandle = "\x00\x00\x00\x00\x00\x00\x00\x01"
 
 // unknownType is the type of a packet that the server does not know.
 const unknownType = 200
 
-// allCommands is a client's side of a connection that uses each command.
+// allCommands is the input of a client that uses every command.
 var allCommands = join(
 	encodePacket(typeInit, protocolVersion),
 	encodePacket(typeOpen, 1, encodeString("/d/f"), encodeUint32(flagRead|flagWrite|flagCreate), encodeUint32(0)),
@@ -39,7 +39,7 @@
 	encodePacket(typeClose, 8, encodeString(firstHandle)),
 )
 
-// testMapping maps /d to the volume v and /d/deep to the volume w, with 10 bytes a unit.
+// testMapping maps /d to the volume v and /d/deep to the volume w. One unit is 10 bytes.
 func testMapping(t testing.TB) *Mapping {
 	t.Helper()
 	settings := scheduler.Settings{
@@ -76,7 +76,7 @@
 	return m
 }
 
-// newTestSession serves one end of a pipe with a loop that never runs, so that commands wait.
+// newTestSession returns a session on one end of a pipe. Its loop never runs, so commands stay pending.
 func newTestSession(t testing.TB) (s *session, client net.Conn) {
 	t.Helper()
 	state, err := broker.NewState(scheduler.Settings{
--- a/internal/sftp/mapping.go
+++ b/internal/sftp/mapping.go
@@ -14,10 +14,10 @@
 	"junctionwharf/scheduler"
 )
 
-// Command names a file command as the settings do.
+// Command is the name of a file command in the settings.
 type Command string
 
-// The commands that go to storage nodes.
+// The commands that are sent to storage nodes.
 const (
 	Open      Command = "open"       // for reading only
 	OpenWrite Command = "open_write" // for writing; may create or truncate
@@ -34,34 +34,34 @@
 // mutates reports whether a command changes a file.
 func (c Command) mutates() bool { return c == OpenWrite || c == Write || c == Remove }
 
-// CommandSettings says how a command is treated.
+// CommandSettings are the settings of a command.
 type CommandSettings struct {
-	// Class is the scheduler's class of the command.
+	// Class is the command's class in the scheduler.
 	Class string `toml:"class"`
-	// WaitMS is how long a client waits for the answer, in milliseconds; 0 for the deadline of the class.
+	// WaitMS is how long a client waits for the answer, in milliseconds. If it is 0, the deadline of the class applies.
 	WaitMS int64 `toml:"wait_ms"`
 }
 
-// Volume maps the paths below a prefix to a volume.
+// Volume maps the paths under a prefix to a volume.
 type Volume struct {
 	Prefix string `toml:"prefix"`
 	Volume string `toml:"volume"`
 	// Plan is the name of the volume's plan.
 	Plan  string `toml:"plan"`
 	Shard int    `toml:"shard"`
-	// Brokers is the number of brokers through which the volume's requests come; 0 for all.
+	// Brokers is the number of brokers that receive the volume's requests. If it is 0, all brokers do.
 	Brokers int `toml:"hosts"`
 }
 
 // Mapping maps file commands to the classes, plans, volumes, units and shards of requests.
 type Mapping struct {
-	UnitBytes int     // bytes that count as one unit of work
-	MaxUnits  float64 // set by Check
+	UnitBytes int     // number of bytes in one unit of work
+	MaxUnits  float64 // maximum units of a request, set by Check
 	Commands  map[Command]CommandSettings
 	Volumes   []Volume
 }
 
-// Check completes the mapping from the scheduler's settings. Its error names the faulty key.
+// Check validates the mapping and sets its defaults from the scheduler's settings. Errors name the faulty key.
 func (m *Mapping) Check(settings scheduler.Settings) error {
 	if m.UnitBytes < 1 {
 		return fmt.Errorf("unit_bytes: %d is below 1", m.UnitBytes)
@@ -73,7 +73,7 @@
 		}
 	}
 	if len(m.Volumes) == 0 {
-		return errors.New("volume: none")
+		return errors.New("volume: at least one volume is required")
 	}
 	for i := range m.Volumes {
 		if err := m.Volumes[i].check(i, settings); err != nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// checkCommand checks the settings of a command and fills its default in.
+// checkCommand validates the settings of a command and sets their default.
 func (m *Mapping) checkCommand(name Command, classes []scheduler.Class) error {
 	command, exists := m.Commands[name]
 	if !exists {
@@ -94,9 +94,10 @@
 	case class == nil:
 		return fmt.Errorf("command.%s.class: no class %q in the settings", name, command.Class)
 	case name.mutates() && class.Idempotency != scheduler.NotIdempotent:
-		return fmt.Errorf("command.%s.class: %q may run twice, the command may not", name, command.Class)
+		return fmt.Errorf("command.%s.class: class %q allows repeated execution, but the command does not", name,
+			command.Class)
 	case command.WaitMS < 0 || command.WaitMS > math.MaxInt32:
-		return fmt.Errorf("command.%s.wait_ms: %d is out of range", name, command.WaitMS)
+		return fmt.Errorf("command.%s.wait_ms: %d is not between 0 and %d", name, command.WaitMS, math.MaxInt32)
 	}
 	if command.WaitMS == 0 {
 		command.WaitMS = class.Deadline.Milliseconds()
@@ -105,12 +106,12 @@
 	return nil
 }
 
-// check checks a volume and fills its default in; index is that of the volume in the settings.
+// check validates a volume and sets its default. index is the position of the volume in the settings.
 func (v *Volume) check(index int, settings scheduler.Settings) error {
 	plan := find(settings.Plans, func(p scheduler.Plan) bool { return p.Name == v.Plan })
 	switch {
 	case !strings.HasPrefix(v.Prefix, "/") || path.Clean(v.Prefix) != v.Prefix:
-		return fmt.Errorf("volume[%d].prefix: %q is no clean absolute path", index, v.Prefix)
+		return fmt.Errorf("volume[%d].prefix: %q is not a clean absolute path", index, v.Prefix)
 	case v.Volume == "":
 		return fmt.Errorf("volume[%d].volume: missing", index)
 	case plan == nil:
@@ -118,7 +119,8 @@
 	case v.Shard < 0:
 		return fmt.Errorf("volume[%d].shard: %d is below 0", index, v.Shard)
 	case v.Brokers < 0 || v.Brokers > settings.Brokers:
-		return fmt.Errorf("volume[%d].hosts: %d is not within the %d brokers", index, v.Brokers, settings.Brokers)
+		return fmt.Errorf("volume[%d].hosts: %d is not between 0 and %d, the number of brokers", index, v.Brokers,
+			settings.Brokers)
 	}
 	if v.Brokers == 0 {
 		v.Brokers = settings.Brokers
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// find returns the first element that fits, nil for none.
+// find returns the first element for which fits returns true, or nil.
 func find[T any](all []T, fits func(T) bool) *T {
 	for i := range all {
 		if fits(all[i]) {
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// volume returns the volume with the longest prefix of a clean path, nil if there is none.
+// volume returns the volume with the longest prefix that contains a clean path, or nil if there is none.
 func (m *Mapping) volume(name string) *Volume {
 	var longest *Volume
 	for i := range m.Volumes {
@@ -149,7 +151,7 @@
 	return longest
 }
 
-// request returns the broker's request of a command; nil if no volume holds the path.
+// request returns the broker's request for an operation, or nil if no volume contains the path.
 func (m *Mapping) request(op *operation) *broker.Request {
 	v := m.volume(op.path)
 	if v == nil {
@@ -172,7 +174,7 @@
 	}
 }
 
-// keyOf is the key of a path, of the form that keys have in the broker's other protocol.
+// keyOf returns the request key of a path, in the same format as keys in the broker's other protocol.
 func keyOf(name string) string {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/sftp/mapping_test.go
+++ b/internal/sftp/mapping_test.go
@@ -6,8 +6,8 @@
 	"junctionwharf/broker"
 )
 
-// A path under two prefixes belongs to the longer one's volume; a path under none has no volume and gets no request.
-// The units are those of the bytes, up to the most that a request may have.
+// A path under two prefixes belongs to the volume with the longer prefix. A path outside all prefixes has no volume and
+// results in no request. The number of units follows from the number of bytes, up to the maximum of a request.
 func TestRequestsGetVolumeAndUnitsOfTheirPath(t *testing.T) {
 	m := testMapping(t)
 	for _, test := range []struct {
@@ -25,18 +25,18 @@
 		request := m.request(&test.op)
 		if request == nil {
 			if test.volume != "" {
-				t.Errorf("%s has no volume", test.op.path)
+				t.Errorf("%s has no volume, want %q", test.op.path, test.volume)
 			}
 			continue
 		}
 		if request.Volume != test.volume || request.Units != test.units || request.Write != test.write ||
 			request.Timeout != 2*broker.Second || len(request.Key) != 16 {
-			t.Errorf("%+v", request)
+			t.Errorf("request %+v, want volume %q, %v units, write %v", request, test.volume, test.units, test.write)
 		}
 	}
 }
 
-// Commands on one file keep their order only where that can be seen.
+// Commands on one file keep their order only if a different order could change their results.
 func TestConflictingOperationsKeepTheirOrder(t *testing.T) {
 	read := func(at uint64) *operation { return &operation{command: Read, path: "/d/f", offset: at, length: 10} }
 	write := func(at uint64) *operation {
@@ -61,7 +61,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.a.conflicts(test.b) != test.want || test.b.conflicts(test.a) != test.want {
-				t.Errorf("want %v", test.want)
+				t.Errorf("the conflict must be %v in both directions", test.want)
 			}
 		})
 	}
--- a/internal/sftp/operation.go
+++ b/internal/sftp/operation.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// operation is a file command as the broker carries it.
+// operation is a file command as it passes through the broker.
 type operation struct {
 	command Command
 	path    string
-	flags   uint32 // of OPEN
-	attrs   []byte // of OPEN, as they came
+	flags   uint32 // flags of the OPEN packet
+	attrs   []byte // attributes of the OPEN packet, as received
 	offset  uint64
-	length  uint32 // bytes to be read
-	data    []byte // to be written
+	length  uint32 // number of bytes to read
+	data    []byte // data to write
 }
 
-// size is the number of bytes that the operation reads or writes.
+// size returns the number of bytes that the operation reads or writes.
 func (op *operation) size() int { return max(len(op.data), int(op.length)) }
 
-// conflicts reports whether two operations of one connection must keep their order: they touch the same file, at least
-// one changes it, and they do not touch separate ranges of it.
+// conflicts reports whether two operations of one connection must keep their order. They must if both access the same
+// file, at least one of them changes it, and they do not access separate ranges of it.
 func (op *operation) conflicts(other *operation) bool {
 	if op.path != other.path || !op.command.mutates() && !other.command.mutates() {
 		return false
@@ -28,12 +28,12 @@
 	return op.offset < other.end() && other.offset < op.end()
 }
 
-// hasRange reports whether the operation touches no more than a range of the file.
+// hasRange reports whether the operation accesses only a range of the file.
 func (op *operation) hasRange() bool {
 	return (op.command == Read || op.command == Write) && op.flags&flagAppend == 0
 }
 
-// end is the offset after the operation's range.
+// end returns the offset after the operation's range.
 func (op *operation) end() uint64 {
 	n := uint64(op.size())
 	if op.offset > math.MaxUint64-n {
--- a/internal/sftp/ordering.go
+++ b/internal/sftp/ordering.go
@@ -9,20 +9,21 @@
 	"junctionwharf/broker"
 )
 
-// pendingCommand is a command that waits for its answer, or for an earlier one on the same file.
+// pendingCommand is a command that waits for its answer, or for an earlier command on the same file.
 type pendingCommand struct {
 	*operation
 	id        uint32
 	deadline  time.Time
-	timer     *time.Timer // rejects it at its deadline while it waits for an earlier one
+	timer     *time.Timer // rejects the command at its deadline if an earlier command is still pending
 	request   *broker.Request
-	submitted bool   // to the loop
-	loopID    uint64 // of the request in the loop
+	submitted bool   // whether the request was submitted to the loop
+	loopID    uint64 // id of the request in the loop
 	served    func(answer) net.Buffers
 }
 
-// submit takes a command. Its deadline runs from here, also while it waits for an earlier command on the same file.
-// served encodes the answer of a node; it is called with s.mu held.
+// submit accepts a command and submits it to the loop, after earlier commands that conflict with it. The command's
+// deadline runs from this call, even while the command waits for an earlier one. served encodes a node's answer and is
+// called with s.mu held.
 func (s *session) submit(id uint32, op *operation, served func(answer) net.Buffers) error {
 	request := s.server.mapping.Load().request(op)
 	if request == nil {
@@ -50,14 +51,14 @@
 	command.timer = time.AfterFunc(timeout, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !command.submitted { // it was never sent, so that trying again is harmless
+		if !command.submitted { // the command was never sent, so the client can safely retry it
 			s.complete(command, broker.Response{Verdict: broker.Rejected})
 		}
 	})
 	return nil
 }
 
-// queue adds a command to those that wait. It waits itself while these are too many. The caller holds s.mu.
+// queue adds a command to s.pending. It blocks while maxPending commands are pending. The caller holds s.mu.
 func (s *session) queue(command *pendingCommand) error {
 	for len(s.pending) >= maxPending && !s.closedToCommands {
 		s.hasSpace.Wait()
@@ -65,7 +66,7 @@
 	if s.closedToCommands {
 		return net.ErrClosed
 	}
-	for _, other := range s.pending { // the answers would be ambiguous
+	for _, other := range s.pending { // with equal ids, the answers would be ambiguous
 		if other.id == command.id {
 			return fmt.Errorf("%w: a command with id %d is open", errPacket, command.id)
 		}
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// mayStart reports whether no earlier command must be answered before this one; the caller holds s.mu.
+// mayStart reports whether the command conflicts with no earlier pending command. The caller holds s.mu.
 func (s *session) mayStart(command *pendingCommand) bool {
 	for _, earlier := range s.pending {
 		if earlier == command {
@@ -88,7 +89,7 @@
 	return false
 }
 
-// start hands a command to the loop; the caller holds s.mu.
+// start submits a command to the loop. The caller holds s.mu.
 func (s *session) start(command *pendingCommand) {
 	if command.timer != nil {
 		command.timer.Stop()
@@ -102,7 +103,7 @@
 	})
 }
 
-// complete answers a command and starts those that waited for it; the caller holds s.mu.
+// complete answers a command and starts the commands that waited for it. The caller holds s.mu.
 func (s *session) complete(command *pendingCommand, response broker.Response) {
 	index := slices.Index(s.pending, command)
 	if index < 0 {
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -55,31 +55,30 @@
 	// languageTag is the language of a status's text.
 	languageTag = "en"
 
-	lengthBytes = 4 // of a packet's or a string's length
-	headerBytes = 5 // of a packet after its length: type and id
+	lengthBytes = 4 // length field of a packet or a string
+	headerBytes = 5 // type and id of a packet, which follow its length
 
-	// maxDataBytes bounds what one command reads or writes. Higher, each command could take more memory; lower, clients
-	// would need more commands.
+	// maxDataBytes bounds the data that one command reads or writes. With a larger value, each command could use more
+	// memory. With a smaller value, clients would need more commands.
 	maxDataBytes = 64 << 10
-	// maxPacketBytes bounds a packet: the data and room for its other fields.
+	// maxPacketBytes bounds a packet: the data and 4096 bytes for its other fields.
 	maxPacketBytes = maxDataBytes + 4096
-	// maxPathBytes and maxHandleBytes bound what a client or node names. The draft allows handles of 256 bytes.
+	// maxPathBytes and maxHandleBytes bound the paths and handles in packets. The draft allows handles of 256 bytes.
 	maxPathBytes   = 2048
 	maxHandleBytes = 256
 )
 
-// errPacket is the error of a packet that cannot be read. Its text, and those of the errors that wrap it, go to the
-// client.
+// errPacket reports a packet that cannot be decoded. Clients receive its text and the texts of errors that wrap it.
 var errPacket = errors.New("malformed packet")
 
-// packet is one message without its length. Fields read from it lie in its bytes.
+// packet is one message without its length field. Fields decoded from it refer to its memory.
 type packet struct {
 	kind byte
-	id   uint32 // in INIT and VERSION packets the version
-	body []byte // what follows the id
+	id   uint32 // the protocol version in INIT and VERSION packets
+	body []byte // the bytes after the id
 }
 
-// readPacket reads a packet into memory of its own.
+// readPacket reads a packet into newly allocated memory.
 func readPacket(r *bufio.Reader) (packet, error) {
 	var header [lengthBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -96,7 +95,7 @@
 	return packet{kind: text[0], id: binary.BigEndian.Uint32(text[1:]), body: text[headerBytes:]}, nil
 }
 
-// handle is the handle that a HANDLE packet carries; nil for any other packet or a malformed one.
+// handle returns the handle in a HANDLE packet. It returns nil for any other packet and for a malformed one.
 func (p packet) handle() []byte {
 	if p.kind != typeHandle {
 		return nil
@@ -105,13 +104,13 @@
 	return f.string(maxHandleBytes)
 }
 
-// statusCode is the code that a STATUS packet carries.
+// statusCode returns the code in a STATUS packet.
 func (p packet) statusCode() uint32 {
 	f := fields{rest: p.body}
 	return f.uint32()
 }
 
-// fields takes the fields of a packet's body in place and keeps the first error.
+// fields decodes the fields of a packet's body in place. After an error, err is set and all further fields are zero.
 type fields struct {
 	rest []byte
 	err  error
@@ -141,7 +140,7 @@
 	return 0
 }
 
-// string takes a string of at most limit bytes.
+// string decodes a string of at most limit bytes.
 func (f *fields) string(limit int) []byte {
 	n := f.uint32()
 	if f.err == nil && n > uint32(limit) {
@@ -150,7 +149,7 @@
 	return f.take(int(n))
 }
 
-// encodePacket gathers a packet from the parts of its body: its length is written before them.
+// encodePacket encodes a packet whose body consists of parts. It does not copy the parts.
 func encodePacket(kind byte, id uint32, parts ...[]byte) net.Buffers {
 	length := headerBytes
 	for _, part := range parts {
@@ -163,7 +162,7 @@
 	return append(net.Buffers{header}, parts...)
 }
 
-// encodeString encodes a string with its length.
+// encodeString encodes a string after its length.
 func encodeString[T string | []byte](s T) []byte {
 	text := make([]byte, 0, lengthBytes+len(s))
 	text = binary.BigEndian.AppendUint32(text, uint32(len(s)))
--- a/internal/sftp/packet_test.go
+++ b/internal/sftp/packet_test.go
@@ -22,14 +22,14 @@
 				return
 			}
 			if again := join(encodePacket(p.kind, p.id, p.body)); !bytes.Contains(input, again) {
-				t.Fatalf("%x was read, not sent", again)
+				t.Fatalf("read packet %x, which is not part of the input", again)
 			}
-			_, _ = resultOf(p) // it must not panic
+			_, _ = resultOf(p) // must not panic
 		}
 	})
 }
 
-// A client's bytes may come in any pieces. That must not change its packets, and a packet that is cut is none.
+// A client's bytes may arrive in pieces of any size, which must not change the packets. A truncated packet is an error.
 func TestPacketsMayBeCutAnywhere(t *testing.T) {
 	reader := bufio.NewReader(iotest.OneByteReader(bytes.NewReader(allCommands)))
 	var kinds []byte
@@ -47,18 +47,18 @@
 		typeInit, typeOpen, typeOpendir, typeReaddir, typeStat, typeRemove, unknownType, typeRead, typeClose,
 	}
 	if !bytes.Equal(kinds, want) {
-		t.Errorf("%v, want %v", kinds, want)
+		t.Errorf("packet types %v, want %v", kinds, want)
 	}
 	initBytes := lengthBytes + headerBytes
 	for n := 1; n < 20; n++ {
 		cut := allCommands[initBytes : initBytes+n]
 		if _, err := readPacket(bufio.NewReader(bytes.NewReader(cut))); err == nil {
-			t.Errorf("a packet cut to %d bytes was read", n)
+			t.Errorf("a packet truncated to %d bytes was read without an error", n)
 		}
 	}
 }
 
-// A status of a node settles a command, is an error, or says that the node rejected it.
+// A status from a node completes the command, is an error, or reports that the node rejected the command.
 func TestResultOfStatus(t *testing.T) {
 	for _, test := range []struct {
 		code  uint32
@@ -77,22 +77,23 @@
 	} {
 		result, err := resultOf(packet{kind: typeStatus, body: statusBody(test.code, test.text)})
 		if err != nil || result.Reply != test.reply {
-			t.Errorf("%d %q: %v, %v", test.code, test.text, result.Reply, err)
+			t.Errorf("status %d %q: reply %v, %v, want %v", test.code, test.text, result.Reply, err, test.reply)
 		}
 	}
 	if _, err := resultOf(packet{kind: 77}); !errors.Is(err, errPacket) {
-		t.Error(err)
+		t.Errorf("unknown packet type: %v, want %v", err, errPacket)
 	}
 }
 
-// A client sees from the text of a status whether its command was rejected, and when to come again, or may have run.
+// The text of a status informs the client whether its command was rejected, and when to retry, or may have been
+// executed.
 func TestEncodeResponse(t *testing.T) {
 	for want, response := range map[string]broker.Response{
 		"BUSY: come again after 151 ms":      {Verdict: broker.Rejected, RetryAfter: 150_001},
 		"failed: it may or may not have run": {Verdict: broker.Failed},
 	} {
 		if got := join(encodeResponse(9, response, nil)); !bytes.Contains(got, []byte(want)) {
-			t.Errorf("%q lacks %q", got, want)
+			t.Errorf("answer %q does not contain %q", got, want)
 		}
 	}
 }
--- a/internal/sftp/read.go
+++ b/internal/sftp/read.go
@@ -12,7 +12,7 @@
 	"junctionwharf/internal/clientconn"
 )
 
-// read takes packets until the connection ends. It runs in a goroutine of its own.
+// read reads and dispatches packets until the connection ends. It runs in its own goroutine.
 func (s *session) read() {
 	defer s.handleInputEnd()
 	defer s.recoverPanic()
@@ -41,7 +41,8 @@
 	}
 }
 
-// readNext reads a packet. Between packets a client may take its time, but half a packet must be completed soon.
+// readNext reads a packet. A client may be idle between packets, but must complete a packet within
+// clientconn.CommandTimeout of its first byte.
 func (s *session) readNext(reader *bufio.Reader) (packet, error) {
 	s.setReadDeadline(time.Time{})
 	if _, err := reader.Peek(1); err != nil {
@@ -57,7 +58,7 @@
 	return p, err
 }
 
-// setReadDeadline sets the connection's read deadline. It fails on a closed connection only, as the read then does.
+// setReadDeadline sets the connection's read deadline. It fails only on a closed connection, as does the next read.
 func (s *session) setReadDeadline(deadline time.Time) { _ = s.conn.SetReadDeadline(deadline) }
 
 func (s *session) setInsidePacket(inside bool) {
@@ -66,7 +67,7 @@
 	s.mu.Unlock()
 }
 
-// dispatch takes one packet. An error ends the connection.
+// dispatch handles one packet. If it returns an error, the connection ends.
 func (s *session) dispatch(p packet) error {
 	f := &fields{rest: p.body}
 	switch p.kind {
@@ -85,14 +86,15 @@
 	return nil
 }
 
-// submitOpen takes an OPEN: a node opens the file and closes it again, and the client gets a handle of the server's own.
+// submitOpen submits an OPEN. A node opens the file and closes it again, and the client receives a handle of the
+// server.
 func (s *session) submitOpen(id uint32, f *fields) error {
 	op := &operation{command: Open, path: cleanPath(f.string(maxPathBytes)), flags: f.uint32()}
 	op.attrs = f.rest
 	if op.flags&(flagWrite|flagAppend|flagCreate|flagTrunc) != 0 {
 		op.command = OpenWrite
 	}
-	if f.err != nil || len(op.attrs) < 4 { // the flags of the attributes
+	if f.err != nil || len(op.attrs) < 4 { // attributes begin with 4 bytes of flags
 		return errPacket
 	}
 	return s.submit(id, op, func(a answer) net.Buffers {
@@ -103,7 +105,7 @@
 	})
 }
 
-// serveOpendir takes an OPENDIR. No node hears of it: the first READDIR lists the directory.
+// serveOpendir answers an OPENDIR without a node. The first READDIR reads the directory.
 func (s *session) serveOpendir(id uint32, f *fields) error {
 	name := cleanPath(f.string(maxPathBytes))
 	if f.err != nil {
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// submitPath takes a command that is a path alone.
+// submitPath submits a command whose only field is a path.
 func (s *session) submitPath(id uint32, command Command, f *fields) error {
 	op := &operation{command: command, path: cleanPath(f.string(maxPathBytes))}
 	if f.err != nil {
@@ -129,10 +131,10 @@
 	return s.submit(id, op, forwardAnswer(id))
 }
 
-// forwardAnswer encodes a node's answer as it is.
+// forwardAnswer returns a function that encodes a node's answer unchanged.
 func forwardAnswer(id uint32) func(answer) net.Buffers {
 	return func(a answer) net.Buffers { return a.packet(id) }
 }
 
-// cleanPath makes a path absolute and clean, so that no volume can be reached around its prefix.
+// cleanPath makes a path absolute and clean, so that a client cannot reach a volume by a path outside its prefix.
 func cleanPath(name []byte) string { return path.Clean("/" + string(name)) }
--- a/internal/sftp/server.go
+++ b/internal/sftp/server.go
@@ -18,8 +18,8 @@
 	logger    *slog.Logger
 }
 
-// NewServer returns a server that holds at most maxConnections and sends commands on over a transport. The mapping must
-// have been checked.
+// NewServer returns a server for at most maxConnections connections, which sends commands to nodes over transport. The
+// caller must have called mapping.Check.
 func NewServer(loop *broker.Loop, transport broker.Transport, mapping *Mapping, maxConnections int,
 	logger *slog.Logger) *Server {
 	logger = logger.With("front", "files")
@@ -33,15 +33,15 @@
 	return s
 }
 
-// SetMapping changes how commands are mapped from now on. The mapping must have been checked.
+// SetMapping changes the mapping of later commands. The caller must have called mapping.Check.
 func (s *Server) SetMapping(mapping *Mapping) { s.mapping.Store(mapping) }
 
-// Serve serves the clients of a listener until Close.
+// Serve serves the clients of a listener until Close is called.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
 		conn, err := s.Accept(ln)
 		if err != nil {
-			return nil // Accept fails with net.ErrClosed only, after Close
+			return nil // Accept fails only with net.ErrClosed, after Close
 		}
 		client := newSession(s, conn)
 		client.awaitingFirst = s.Add(client)
--- a/internal/sftp/session.go
+++ b/internal/sftp/session.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// maxPending bounds the commands of one connection that wait for answers; beyond it nothing is read. Higher, one
-	// client could take more memory; lower, clients that send ahead would wait for round trips.
+	// maxPending bounds the pending commands of one connection. At the limit, the session reads no further commands.
+	// With a larger value, one client could use more memory. With a smaller value, clients that pipeline commands would
+	// wait for round trips.
 	maxPending = 16
-	// writeTimeout bounds the time in which a client takes its answers. Higher, a stalled client would hold its slot
-	// for longer; lower, slow clients would be cut off.
+	// writeTimeout bounds the time in which a client receives its answers. With a larger value, a stalled client would
+	// occupy its slot for longer. With a smaller value, slow clients would be disconnected.
 	writeTimeout = 5 * time.Second
 )
 
-// session is one client connection. Its goroutines are read and write; either may end first.
+// session is one client connection. It runs the goroutines read and write, either of which may end first.
 type session struct {
 	server *Server
 	conn   net.Conn
-	wake   chan struct{} // makes the writer look for answers
+	wake   chan struct{} // makes the writer check for answers
 
-	mu               sync.Mutex        // guards what follows; the table's lock is never taken under it
+	mu               sync.Mutex        // guards the fields below; the table's lock is never acquired while mu is held
 	pending          []*pendingCommand // in the order of arrival
-	hasSpace         *sync.Cond        // signalled when pending becomes shorter
+	hasSpace         *sync.Cond        // signaled when a command leaves pending
 	handles          map[string]*handle
-	handlesOpened    uint64 // names the next handle
-	insidePacket     bool   // a part of a packet has come
+	handlesOpened    uint64 // number of handles opened so far, from which handles are named
+	insidePacket     bool   // part of a packet has been received
 	writing          bool   // an answer is being written
-	awaitingFirst    bool   // it came while the server drains and has had no command
+	awaitingFirst    bool   // the connection was accepted while the server drains and has sent no command
 	out              net.Buffers
-	closeAfterOut    bool // the connection ends after what is in out
-	closedToCommands bool // nothing more is taken
+	closeAfterOut    bool // the connection closes after the packets in out are written
+	closedToCommands bool // no further command is accepted
 }
 
 func newSession(server *Server, conn net.Conn) *session {
@@ -56,7 +57,7 @@
 	}
 }
 
-// State implements clientconn.Connection. It returns no idle time, since all connections of this server may stay idle.
+// State implements clientconn.Connection. It reports no idle time, since all connections of this server may stay idle.
 func (s *session) State() (clientconn.State, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,9 +73,9 @@
 // Evict implements clientconn.Connection.
 func (s *session) Evict() bool { return s.closeToCommands() && s.conn.Close() == nil }
 
-// closeToCommands makes the session take no further command, unless an answer is owed or something has come. Both are one
-// step under the session's lock: a command may be read at this moment and would be forwarded although no client waits
-// for it.
+// closeToCommands makes the session accept no further commands and reports whether it did. It does not if an answer is
+// pending or input has been received. The check and the change happen in one step under s.mu. Otherwise, a command that
+// is being read at the same time could be forwarded although no client waits for its answer.
 func (s *session) closeToCommands() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	return true
 }
 
-// recoverPanic ends the connection on which a panic was met: it must not end the process. It is deferred.
+// recoverPanic ends the connection after a panic, so that the panic does not end the process. It must be deferred.
 func (s *session) recoverPanic() {
 	if cause := recover(); cause != nil {
 		s.server.logger.Error("panic", "panic", cause)
@@ -93,11 +94,11 @@
 	}
 }
 
-// close closes the connection. Its error is ignored: the reader and the writer meet the same fault.
+// close closes the connection. It ignores the error, since the reader and the writer detect the same failure.
 func (s *session) close() { _ = s.conn.Close() }
 
-// handleInputEnd follows the last read: nobody waits for what is still owed. An answer to malformed input is written
-// before the connection ends.
+// handleInputEnd runs after the last read. It cancels all pending commands, since no client waits for their answers.
+// The answer to malformed input is still written before the connection closes.
 func (s *session) handleInputEnd() {
 	s.mu.Lock()
 	s.closedToCommands = true
@@ -119,8 +120,8 @@
 	s.Wake()
 }
 
-// write writes answers until the connection ends. It runs in a goroutine of its own and gives back the connection's
-// slot.
+// write writes answers until the connection ends, and then removes the connection from the table. It runs in its own
+// goroutine.
 func (s *session) write() {
 	defer s.server.Remove(s)
 	defer s.close()
@@ -133,7 +134,7 @@
 		ended := s.closeAfterOut || s.closedToCommands
 		idle := len(s.pending) == 0
 		awaitingFirst := s.awaitingFirst
-		s.mu.Unlock() // the table calls its connections under its own lock
+		s.mu.Unlock() // not held for ShouldClose, since the table calls State with its own lock held
 		if !s.writeOut(out) || ended {
 			return
 		}
@@ -143,12 +144,12 @@
 	}
 }
 
-// writeOut writes answers and reports whether more can be written.
+// writeOut writes packets and reports whether more packets can be written.
 func (s *session) writeOut(out net.Buffers) bool {
 	if len(out) == 0 {
 		return true
 	}
-	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection only, as the write does
+	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, as does the write
 	if _, err := out.WriteTo(s.conn); err != nil {
 		return false
 	}
--- a/internal/sftp/session_test.go
+++ b/internal/sftp/session_test.go
@@ -14,10 +14,11 @@
 	"junctionwharf/internal/pool"
 )
 
-// waitLimit is how long a test waits for what must happen before it fails.
+// waitLimit is how long a test waits for an expected event before it fails.
 const waitLimit = 5 * time.Second
 
-// FuzzServer sends anything, cut anywhere: there is no panic, and the connection ends when its client does.
+// FuzzServer sends arbitrary input, split at arbitrary positions. The server must not panic, and the connection must
+// end when the client closes it.
 func FuzzServer(f *testing.F) {
 	f.Add(allCommands, uint64(1))
 	f.Add(allCommands[:50], uint64(2))
@@ -32,7 +33,7 @@
 			s.write()
 			close(ended)
 		}()
-		go func() { _, _ = io.Copy(io.Discard, client) }() // to the end of the connection
+		go func() { _, _ = io.Copy(io.Discard, client) }() // until the connection ends
 		go func() {
 			defer func() { _ = client.Close() }()
 			for rest := input; len(rest) > 0; {
@@ -52,7 +53,8 @@
 	})
 }
 
-// newConnectedSession returns a session over a loopback connection whose goroutines do not run, and its client.
+// newConnectedSession returns a session over a loopback connection, and its client. The session's goroutines do not
+// run.
 func newConnectedSession(t *testing.T) (s *session, client net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,18 +74,19 @@
 	return newSession(NewServer(nil, nil, testMapping(t), 4, logging.Discard()), conn), client
 }
 
-// A connection is evicted, or the server drains. The connection stays while a command waits, has come in part, or
-// stands unread. Once it is to end, a command that was being read is not taken.
+// A connection is evicted, or the server drains. The connection must stay open while a command is pending, part of a
+// command has been received, or input is unread. Once the connection is closed to commands, a command that was being
+// read is not accepted.
 func TestEndingConnectionAcceptsNoCommand(t *testing.T) {
 	s, client := newConnectedSession(t)
 	s.pending = []*pendingCommand{{}}
 	if s.Evict() {
-		t.Error("it ends while a command waits")
+		t.Error("the connection was evicted while a command is pending")
 	}
 	s.pending = nil
 	s.setInsidePacket(true)
 	if s.closeToCommands() {
-		t.Error("it ends inside a command")
+		t.Error("the session was closed to commands while it reads a command")
 	}
 	s.setInsidePacket(false)
 	if _, err := io.WriteString(client, "x"); err != nil {
@@ -93,22 +96,22 @@
 		time.Sleep(time.Millisecond)
 	}
 	if s.Evict() {
-		t.Error("it ends with bytes unread")
+		t.Error("the connection was evicted with unread input")
 	}
-	if _, err := io.ReadFull(s.conn, make([]byte, 1)); err != nil { // a command is read now
+	if _, err := io.ReadFull(s.conn, make([]byte, 1)); err != nil { // the byte of a command is read
 		t.Fatal(err)
 	}
 	if !s.Evict() {
-		t.Error("it stays")
+		t.Error("the idle connection was not evicted")
 	}
 	err := s.submit(1, &operation{command: Stat, path: "/d/f"}, forwardAnswer(1))
 	if !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a command is taken: %v", err)
+		t.Errorf("submit after the eviction: %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A write waits for an earlier one on its file. It is sent only after that is answered, and if its deadline passes
-// first it is rejected, never sent.
+// A write waits for an earlier write to the same file. It is sent only after the earlier write is answered. If its
+// deadline passes first, it is rejected without being sent.
 func TestWritesOfOneFileKeepTheirOrder(t *testing.T) {
 	s, _ := newTestSession(t)
 	s.server.mapping.Load().Commands[Write] = CommandSettings{Class: "write", WaitMS: 60_000}
@@ -124,17 +127,17 @@
 	second := submit(2)
 	third := submit(3)
 	if !first.submitted || second.submitted || third.submitted {
-		t.Fatal("the order is lost")
+		t.Fatal("only the first write may be submitted")
 	}
-	third.timer.Reset(0) // its deadline has passed
+	third.timer.Reset(0) // the deadline has passed
 	<-s.wake
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if out := string(join(s.out)); !strings.Contains(out, busyText) || third.submitted {
-		t.Errorf("%q, submitted %v", out, third.submitted)
+		t.Errorf("answer %q, submitted %v, want a rejection of a write that was not submitted", out, third.submitted)
 	}
 	s.complete(first, broker.Response{Verdict: broker.Failed})
 	if !second.submitted || len(s.pending) != 1 {
-		t.Error("the second did not follow")
+		t.Error("the second write was not submitted after the first one was answered")
 	}
 }
--- a/internal/sftp/transport.go
+++ b/internal/sftp/transport.go
@@ -12,19 +12,20 @@
 	"junctionwharf/internal/pool"
 )
 
-// healthCheckTimeout bounds a health check from the moment it has its connection. Higher, a stalled node would be found
-// out later; lower, slow nodes would be taken for failed.
+// healthCheckTimeout bounds a health check, starting when the check has its connection. With a larger value, a stalled
+// node would be detected later. With a smaller value, slow nodes would be considered failed.
 const healthCheckTimeout = time.Second
 
-var errNotFileCommand = errors.New("not a file command")
+var errNotFileCommand = errors.New("request is not a file command")
 
-// Transport carries file commands to storage nodes. It implements broker.Transport.
+// Transport sends file commands to storage nodes. It implements broker.Transport.
 type Transport struct {
 	pool *pool.Pool
-	port int // where nodes listen for file commands, 0 for the port of the endpoint list
+	port int // port for file commands on all nodes; 0 means the port in the endpoint list
 }
 
-// NewTransport returns a transport over connections from a pool, on which Handshake must have opened a session.
+// NewTransport returns a transport that uses the connections of a pool. Options.Handshake of the pool must be
+// Handshake.
 func NewTransport(p *pool.Pool, port int) *Transport { return &Transport{pool: p, port: port} }
 
 // Handshake opens a session on a new connection to a node.
@@ -38,12 +39,13 @@
 		return err
 	}
 	if p.kind != typeVersion || p.id < protocolVersion {
-		return fmt.Errorf("%w: want VERSION %d", errPacket, protocolVersion)
+		return fmt.Errorf("%w: answer to INIT has type %d and version %d, want type %d and version >= %d", errPacket,
+			p.kind, p.id, typeVersion, protocolVersion)
 	}
 	return nil
 }
 
-// address is where a node listens for file commands.
+// address returns the address at which a node listens for file commands. listed is its address in the endpoint list.
 func (t *Transport) address(listed string) string {
 	host, _, err := net.SplitHostPort(listed)
 	if t.port == 0 || err != nil {
@@ -61,7 +63,7 @@
 	return t.pool.Start(t.address(attempt.Address), call(op), 0, attempt.OnWritten, onResult)
 }
 
-// CheckHealth implements broker.Transport: a STAT of the root.
+// CheckHealth implements broker.Transport. The check is a STAT of the root directory.
 func (t *Transport) CheckHealth(address string, onResult func(broker.Result)) {
 	check := &operation{command: Stat, path: "/"}
 	t.pool.Start(t.address(address), call(check), healthCheckTimeout, nil, onResult)
@@ -70,7 +72,7 @@
 // CloseIdle implements broker.Transport.
 func (t *Transport) CloseIdle(address string) { t.pool.CloseIdle(t.address(address)) }
 
-// call returns the talk of one operation.
+// call returns an ExchangeFunc that performs an operation.
 func call(op *operation) pool.ExchangeFunc {
 	return func(e *pool.Exchange) (broker.Result, error) {
 		x := exchange{Exchange: e}
