--- a/internal/clientconn/budget.go
+++ b/internal/clientconn/budget.go
@@ -60,7 +60,7 @@
 	b.reserved += n
 }
 
-// Resize changes the limit to limit bytes.
+// Resize changes the limit of the budget.
 func (b *ByteBudget) Resize(limit int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/clientconn/doc.go
+++ b/internal/clientconn/doc.go
@@ -12,7 +12,7 @@
 // While the table drains, it closes connections as soon as they are idle and still accepts new connections. After a
 // close it accepts only connections that the kernel has already accepted, since requests on these connections count as
 // received. Closing a socket with unread input resets the peer, which may destroy an answer that was already written.
-// An eviction therefore only asks a connection to close, and the connection's own reader closes it.
+// An eviction therefore only asks a connection to close, and the connection closes itself.
 //
 // # State and owners
 //
--- a/internal/clientconn/lifecycle.go
+++ b/internal/clientconn/lifecycle.go
@@ -16,8 +16,8 @@
 	closed          // only connections that the kernel has already accepted are accepted
 )
 
-// Drain makes connections close as soon as they are idle. New connections are still accepted: a client whose
-// request arrived as its connection closed sends the request again on a new connection.
+// Drain makes connections close as soon as they are idle. New connections are still accepted: a client
+// whose request was in transit when its connection closed sends the request again on a new connection.
 func (t *Table) Drain() { t.enter(draining) }
 
 // StopAccepting ends the listener after the connections in the kernel's accept queue are accepted. Closing the listener
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -90,7 +90,8 @@
 }
 
 // Deliver passes the result to onResult before the exchange ends. The receiver of the result may read the rest of the
-// answer. Deliver reports whether the result is still wanted. If the receiver stops the exchange, Stopped is closed.
+// answer. Deliver reports whether the result is still wanted. The channel of Stopped is closed if
+// the receiver stops the exchange.
 func (e *Exchange) Deliver(result broker.Result) bool {
 	e.mu.Lock()
 	wanted := !e.ended
@@ -165,7 +166,7 @@
 	}
 }
 
-// CancelUnlessWritten implements broker.Handle. It also aborts a message that is being written: the client has
+// CancelUnlessWritten implements broker.Handle. Unlike StopSending, it also aborts a write in progress: the client has
 // disconnected, so no answer can be lost.
 func (e *Exchange) CancelUnlessWritten() {
 	if conn, fullyWritten := e.forbidSending(); !fullyWritten {
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -76,8 +76,8 @@
 	return time.Since(conn.lastUsed) < maxIdleAge && IsQuiet(conn.Conn)
 }
 
-// acquireSlot acquires the slot for a new connection. If all slots are in use, it closes the connection that has been
-// idle for longest, to any address. If no connection is idle, it waits for a slot.
+// acquireSlot acquires the slot for a new connection. If all slots are in use, it closes the connection, to any
+// address, that has been idle for longest. If no connection is idle, it waits for a slot.
 func (p *Pool) acquireSlot(ctx context.Context) error {
 	for {
 		if p.slots.TryAcquire() {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -16,7 +16,7 @@
 	ConnectTimeout time.Duration
 	// IdleTimeout is the time after which a node closes an idle connection.
 	IdleTimeout time.Duration
-	// ReuseDelay is the minimum time that a connection must be idle before it is reused. It may be 0.
+	// ReuseDelay is the minimum time that a connection must be idle before it is reused. 0 allows immediate reuse.
 	ReuseDelay time.Duration
 	// MaxConnections bounds the total number of connections to all nodes, including idle ones.
 	MaxConnections int
--- a/internal/pool/run.go
+++ b/internal/pool/run.go
@@ -64,7 +64,8 @@
 	return call(e)
 }
 
-// acquire returns an idle or a new connection. While it dials, it also uses a connection that becomes idle.
+// acquire returns an idle or a new connection. If a connection becomes idle during the dial, acquire
+// returns that connection.
 func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	var pending *dial
 	for {
--- a/internal/sftp/exchange.go
+++ b/internal/sftp/exchange.go
@@ -12,7 +12,7 @@
 // value, a listing could use more memory.
 const maxListingBytes = 1 << 20
 
-// effect is whether a node executes something when it has received a whole packet.
+// effect indicates whether a packet makes a node execute something once the node has received the whole packet.
 type effect bool
 
 const (
@@ -127,7 +127,7 @@
 		length := encodeUint32(uint32(len(op.data)))
 		message = encodePacket(typeWrite, transferID, handleField, encodeUint64(op.offset), length, op.data)
 	}
-	executableAfter := pool.MessageSize(message) // if the CLOSE after it is cut off, nothing changes
+	executableAfter := pool.MessageSize(message) // excludes the CLOSE, which changes nothing if it is cut off
 	message = append(message, encodePacket(typeClose, closeID, handleField)...)
 	if err := x.Send(message, executableAfter); err != nil {
 		return broker.Result{}, err
--- a/internal/sftp/mapping_test.go
+++ b/internal/sftp/mapping_test.go
@@ -61,7 +61,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if test.a.conflicts(test.b) != test.want || test.b.conflicts(test.a) != test.want {
-				t.Errorf("the conflict must be %v in both directions", test.want)
+				t.Errorf("conflicts must return %v in both directions", test.want)
 			}
 		})
 	}
--- a/internal/sftp/operation.go
+++ b/internal/sftp/operation.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// operation is a file command as it passes through the broker.
+// operation is a file command with its arguments.
 type operation struct {
 	command Command
 	path    string
--- a/internal/sftp/packet_test.go
+++ b/internal/sftp/packet_test.go
@@ -85,8 +85,7 @@
 	}
 }
 
-// The text of a status informs the client whether its command was rejected, and when to retry, or may have been
-// executed.
+// The status text states that a command was rejected, with the time until a retry, or that it may have been executed.
 func TestEncodeResponse(t *testing.T) {
 	for want, response := range map[string]broker.Response{
 		"BUSY: come again after 151 ms":      {Verdict: broker.Rejected, RetryAfter: 150_001},
--- a/internal/sftp/session.go
+++ b/internal/sftp/session.go
@@ -73,9 +73,9 @@
 // Evict implements clientconn.Connection.
 func (s *session) Evict() bool { return s.closeToCommands() && s.conn.Close() == nil }
 
-// closeToCommands makes the session accept no further commands and reports whether it did. It does not if an answer is
-// pending or input has been received. The check and the change happen in one step under s.mu. Otherwise, a command that
-// is being read at the same time could be forwarded although no client waits for its answer.
+// closeToCommands makes the session accept no further commands and reports whether it did. It returns false if an
+// answer is pending or input has been received. The check and the change happen in one step under s.mu. Otherwise, a
+// command that is being read at the same time could be forwarded although no client waits for its answer.
 func (s *session) closeToCommands() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sftp/session_test.go
+++ b/internal/sftp/session_test.go
@@ -81,12 +81,12 @@
 	s, client := newConnectedSession(t)
 	s.pending = []*pendingCommand{{}}
 	if s.Evict() {
-		t.Error("the connection was evicted while a command is pending")
+		t.Error("the connection was evicted while a command was pending")
 	}
 	s.pending = nil
 	s.setInsidePacket(true)
 	if s.closeToCommands() {
-		t.Error("the session was closed to commands while it reads a command")
+		t.Error("the session was closed to commands while it was reading a command")
 	}
 	s.setInsidePacket(false)
 	if _, err := io.WriteString(client, "x"); err != nil {
