--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -11,8 +11,9 @@
 	"junctionwharf/internal/clientconn"
 )
 
-// maxPipeline bounds the requests of one connection that wait for answers; beyond it nothing is read. Higher, one
-// client could fill the budget of buffered bytes; lower, clients that pipeline would wait for round trips.
+// maxPipeline is the maximum number of requests of one connection that wait for answers. At this number the server
+// stops reading from the connection. With a larger value one client could fill the budget of buffered bytes. With a
+// smaller value clients that pipeline would wait for round trips.
 const maxPipeline = 64
 
 // commandReader reads commands from the input guard.
@@ -20,40 +21,40 @@
 	ReadCommand() (redcon.Command, error)
 }
 
-// client is one client connection. Its goroutines are read and write; either may end first.
+// client is one client connection. It is served by the goroutines read and write, either of which may end first.
 type client struct {
 	server *Server
 	reader commandReader
-	input  *inputGuard   // the connection as the reader sees it
-	socket net.Conn      // the connection itself; a write to it gathers buffers, which one to a wrapper would not
+	input  *inputGuard   // the connection that redcon's reader reads
+	socket net.Conn      // the raw connection: net.Buffers gathers writes on it, but not on a wrapper
 	wake   chan struct{} // makes the writer look for answers
-	// peerClosed is set when the client has gone, though its end of file is not read yet.
+	// peerClosed is set when the client has disconnected and its end of file has not been read yet.
 	peerClosed atomic.Bool
 
-	mu            sync.Mutex // guards what follows; the table's lock is never taken under it
+	mu            sync.Mutex // guards the fields below; the table's lock is never acquired under it
 	pending       []*pendingReply
-	hasSpace      *sync.Cond // signalled when pending becomes shorter, or released is set
+	hasSpace      *sync.Cond // signaled when pending becomes shorter or released is set
 	lastReplyAt   time.Time
-	awaitingFirst bool       // it came while the server drains and has had no request
-	hasRequest    bool       // a request came
+	awaitingFirst bool       // accepted while the server drains, no command received yet
+	hasRequest    bool       // a request was received
 	writing       bool       // an answer is being written
-	directReply   bool       // by the reader
-	closeState    closeState // set by whoever wants it to end, and when it has
-	inputEnded    bool       // nothing more is read; what is owed is still written unless gone is set
-	gone          bool       // the client has left
+	directReply   bool       // the reader is writing an answer
+	closeState    closeState // raised by requestClose; the reader lowers it or sets closeDone
+	inputEnded    bool       // no more input is read; pending answers are written unless gone is set
+	gone          bool       // the client has disconnected
 	released      bool       // the writer has ended and released all pending replies
 }
 
-// pendingReply is an answer that is owed. The replies of a connection stand in the order of the commands.
+// pendingReply is an answer that is not written yet. The replies of a connection are in the order of its commands.
 type pendingReply struct {
-	loopID          uint64 // of the request in the loop, 0 for none
-	clientRequestID string // the client's id for it, empty for none
+	loopID          uint64 // the loop's ID of the request, 0 if none
+	clientRequestID string // the client's ID of the request, empty if none
 	ready           bool
-	rejection       bool // by admission control
-	last            bool // the connection ends after it
-	reserved        int  // bytes of the budget
+	rejection       bool // admission control rejected the request
+	last            bool // the connection is closed after this answer
+	reserved        int  // bytes reserved in the budget
 	text            net.Buffers
-	value           *stream // the value that follows text, nil for none
+	value           *stream // a long value that is written after text, nil if none
 }
 
 func newClient(server *Server, reader commandReader, input *inputGuard) *client {
@@ -68,7 +69,8 @@
 	if server.loop != nil {
 		input.onCommand = c.rejectOverload
 	}
-	// A connection that was taking a command when the drain began has not ended: it checks again once it waits.
+	// A connection that is handling a command when a drain begins stays open. It checks again for a drain when the
+	// reader begins to wait for the next command.
 	input.onWait = func() {
 		if server.Draining() {
 			c.Wake()
@@ -103,17 +105,18 @@
 	return clientconn.Busy, 0
 }
 
-// waitsForReply reports whether the client waits for an answer or takes one.
+// waitsForReply reports whether an answer to the client is pending or being written.
 func (c *client) waitsForReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.owesReply()
 }
 
-// owesReply reports whether an answer is owed or being written; the caller holds c.mu.
+// owesReply reports whether an answer is pending or being written. The caller must hold c.mu.
 func (c *client) owesReply() bool { return len(c.pending) > 0 || c.writing }
 
-// recoverPanic ends the connection on which a panic was met: it must not end the process. It is deferred.
+// recoverPanic recovers from a panic and closes its connection, so that the panic does not end the process. It must be
+// deferred.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		c.server.logger.Error("panic", "panic", cause)
@@ -121,5 +124,5 @@
 	}
 }
 
-// close closes the socket. Its error is ignored: the reader and the writer meet the same fault.
+// close closes the socket. The error is ignored, since the reader and the writer encounter the same failure.
 func (c *client) close() { _ = c.socket.Close() }
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -8,30 +8,32 @@
 	"junctionwharf/internal/pool"
 )
 
-// closeState is whether a connection is to end. A higher one replaces a lower one.
+// closeState is how far the close of a connection has come. A request for a higher state replaces a lower state.
 type closeState int
 
 const (
 	notClosing   closeState = iota
-	closeIfIdle             // it is to end unless a request comes
-	closeEvicted            // it is to end: its slot was given away
-	closeDone               // the reader has ended it
+	closeIfIdle             // the connection is to be closed unless a request arrives
+	closeEvicted            // the connection is to be closed: its slot was given to another one
+	closeDone               // the reader has closed the connection
 )
 
 const (
-	// maxDiscardedBytes bounds what is read and discarded after the last command that counts. Lower, a reset could
-	// overtake an error that follows a large value; higher, a client could keep the broker reading.
+	// maxDiscardedBytes bounds the input that is read and discarded after the last command that is handled. With a
+	// smaller value a reset could overtake an error that follows a large value. With a larger value a client could
+	// keep the broker reading.
 	maxDiscardedBytes = 16 << 20
-	// lingerChecks is how many times the input of an ended connection is checked during inputGrace.
+	// lingerChecks is the number of times that linger checks a connection for input during inputGrace.
 	lingerChecks = 10
 )
 
 // Evict implements clientconn.Connection.
 func (c *client) Evict() bool { return c.requestClose(closeEvicted) }
 
-// requestClose asks the connection to end unless an answer is owed or a request has come, and reports whether it
-// will. It only wakes the goroutine that reads, since no other can tell that nothing has been read at this moment. A
-// connection that has sent no request and is evicted is closed at once, since others wait for its slot.
+// requestClose asks the reader to close the connection and reports whether the request was accepted. The request is
+// refused if an answer is pending or a command has arrived. requestClose only wakes the reader, because no other
+// goroutine knows whether input is being read at this moment. An evicted connection that has sent no request is closed
+// at once, since other connections wait for its slot.
 func (c *client) requestClose(state closeState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,14 +52,15 @@
 	return true
 }
 
-// closeAsRequested ends the connection if it was asked to end and nothing has come. Only the goroutine that reads
-// calls it; commandRead says that it has just read a command. It reports whether the connection has ended, and
-// otherwise whether the reader goes on with its next read: the command, if there was one, was answered here.
+// closeAsRequested closes the connection if a close was requested and no command has arrived. Only the reading
+// goroutine calls it. commandRead says whether this goroutine has just read a command. ended reports whether the
+// connection is closed. Otherwise readOn reports whether the reader continues with the next read; a command that was
+// read has then been answered here.
 //
-// A request may cross the end. If it has been read, or stands unread, it is taken, or rejected where the slot
-// belongs to another connection. Only a connection without input is closed, both ways at once: closed with unread
-// input, the reset could overtake the answers before; closed one way first, a request that comes meanwhile would
-// count as taken.
+// A request may arrive while the connection is being closed. If the request has been read, or is unread in the socket,
+// it is handled, or rejected if the slot belongs to another connection. A connection without input is closed in both
+// directions at once. If a connection were closed with unread input, the reset could overtake earlier answers. If only
+// the sending side were closed first, a request that arrives in between would count as accepted.
 func (c *client) closeAsRequested(commandRead bool) (ended, readOn bool) {
 	c.mu.Lock()
 	state := c.closeState
@@ -72,7 +75,7 @@
 		c.mu.Unlock()
 		return false, false
 	case commandRead:
-		c.input.interrupt() // to check again after this command
+		c.input.interrupt() // check again after this command
 		c.mu.Unlock()
 		c.writeBusy()
 		return false, true
@@ -92,24 +95,26 @@
 	return true, false
 }
 
-// writeBusy rejects the command that has been read. No answer is owed, so that the socket has room for a line; if it
-// fails the next read does so, too.
+// writeBusy rejects the command that has been read. No answer is pending, so the socket has room for one line. The
+// error is ignored, since the next read fails too.
 func (c *client) writeBusy() {
 	_ = writeAll(c.socket, net.Buffers{c.server.limits.Load().busyLine})
 }
 
-// closeIfDraining asks an idle connection to end if the table says so. The reader ends it, and wakes the writer then.
+// closeIfDraining requests the close of an idle connection if the table's ShouldClose demands it. The reader then
+// closes the connection and wakes the writer.
 func (c *client) closeIfDraining() bool {
 	c.mu.Lock()
 	idle := len(c.pending) == 0 && !c.directReply
 	awaitingFirst := c.awaitingFirst
-	c.mu.Unlock() // the table calls its connections under its own lock
+	c.mu.Unlock() // before ShouldClose: the table calls connections under its own lock
 	return idle && c.server.ShouldClose(awaitingFirst) && c.requestClose(closeIfIdle)
 }
 
-// discardInput reads and discards what comes after the last command that counts: closing the connection with unread
-// input would be a reset, which overtakes the answers. It returns when the connection ends, or past a bound. If the
-// client ends its side while its requests wait, it has gone or waits for its answers only: these are given at once.
+// discardInput reads and discards the input after the last command that is handled. Closing the connection with unread
+// input would reset it, and the reset could overtake the answers. discardInput returns when the connection ends or
+// maxDiscardedBytes have been read. If the client closes its sending side while requests are pending, the client has
+// disconnected or waits only for its answers, and the loop answers these requests at once.
 func (c *client) discardInput() {
 	if !clientconn.DiscardInput(c.socket, time.Time{}, maxDiscardedBytes) {
 		return
@@ -127,16 +132,16 @@
 	}
 }
 
-// linger waits, not for long, until the reader has discarded what came after a malformed command, so that the close is
-// no reset. It ends as soon as that is done: a whole request that came on the open connection meanwhile would count as
-// taken.
+// linger waits until the reader has discarded the input after a malformed command, at most for inputGrace, so that the
+// close does not reset the connection. It returns as soon as the input is discarded: a whole request that arrived on
+// the open connection in the meantime would count as accepted.
 func (c *client) linger() {
 	for end := time.Now().Add(inputGrace); !pool.IsQuiet(c.socket) && time.Now().Before(end); {
 		time.Sleep(inputGrace / lingerChecks)
 	}
 }
 
-// handleInputEnd follows the last read: unless the input was ended on purpose, the client has gone.
+// handleInputEnd is called after the last read. Unless the server itself ended the input, the client has disconnected.
 func (c *client) handleInputEnd() {
 	c.mu.Lock()
 	gone := !c.inputEnded
@@ -151,7 +156,7 @@
 	c.Wake()
 }
 
-// cancelPending cancels in the loop the requests whose answers are owed here.
+// cancelPending cancels the connection's pending requests in the loop.
 func (c *client) cancelPending() {
 	c.mu.Lock()
 	var cancelled []*pendingReply
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Requests stand in the kernel's accept queue when the server is closed: their connections have not been accepted
-// yet. By the protocol they count as taken, so they get their answers. A connection made later is refused.
+// Requests are in the kernel's accept queue when the server is closed: their connections have not been accepted yet. By
+// the protocol these requests count as accepted, so they must be answered. Later connections are refused.
 func TestCloseServesTheAcceptQueue(t *testing.T) {
 	f := newFixture(t)
 	var conns []*net.TCPConn
@@ -28,42 +28,43 @@
 	}
 	for i, conn := range conns {
 		if got, err := io.ReadAll(conn); string(got) != servedValue || err != nil {
-			t.Errorf("connection %d: %q, %v", i, got, err)
+			t.Errorf("connection %d: read %q, %v", i, got, err)
 		}
 	}
 	if err := <-served; err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", f.listener.Addr().String()); err == nil {
-		t.Error("it still listens")
+		t.Error("the server still listens after Close")
 	}
 }
 
-// A connection is evicted after an answer that its client has not read yet, and other requests cross the end. The
-// answer is not lost to a reset, and the requests are rejected, not forwarded.
+// A connection is evicted after an answer that its client has not read yet, and further requests arrive during the
+// close. The reset of a close with unread input could destroy the answer. The client must get the answer, and the
+// requests must be rejected and not forwarded.
 func TestEvictionKeepsTheAnswer(t *testing.T) {
 	f := newFixture(t)
 	c, peer := f.accept(nil)
 	c.hasRequest = true
 	write(t, c.socket, servedValue)
 	if !c.Evict() {
-		t.Fatal("it does not end")
+		t.Fatal("the idle connection was not evicted")
 	}
 	write(t, peer, request("x")+request("y"))
 	f.expectInput(c)
 	c.start()
 	f.expectNoClients()
 	if got, err := io.ReadAll(peer); string(got) != servedValue+"-BUSY\r\n-BUSY\r\n" || err != nil {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("the client read %q, %v", got, err)
 	}
 	if n := len(f.transport.attempts) + f.loop.OpenRequests(); n > 0 {
-		t.Errorf("%d requests were taken", n)
+		t.Errorf("%d requests were accepted after the eviction", n)
 	}
 }
 
-// A request is read at the very moment at which its connection is to end: only the reader knows. If the broker
-// drains the request is served, and if the connection was evicted it is rejected. Only then the client reads an end of
-// file.
+// A request is read at the moment at which its connection is to be closed, which only the reader can notice. If the
+// broker drains, the request must be served. If the connection was evicted, the request must be rejected. The client
+// must get this answer before the end of file.
 func TestRequestReadWhileClosing(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -78,7 +79,7 @@
 			c, peer := f.accept(nil)
 			c.hasRequest = true
 			if !c.requestClose(test.state) {
-				t.Fatal("it does not end")
+				t.Fatal("the idle connection refuses to close")
 			}
 			c.input.clearInterrupt() // as if the read had ended just before it was interrupted
 			write(t, peer, request("x"))
@@ -89,14 +90,15 @@
 				f.attempt().serve()
 			}
 			if got, err := io.ReadAll(peer); string(got) != test.want || err != nil {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("the client read %q, %v, want %q", got, err, test.want)
 			}
 			f.expectNoClients()
 		})
 	}
 }
 
-// A request is being taken, or has come and was not read. Its connection ends neither by the drain nor by an eviction.
+// A connection with an unread request, or with a request that is being read, must not be closed by a drain or an
+// eviction.
 func TestConnectionWithRequestStays(t *testing.T) {
 	f := newFixture(t)
 	f.server.Drain()
@@ -106,20 +108,20 @@
 	write(t, peer, request("x"))
 	f.expectInput(c)
 	if c.Evict() || c.closeIfDraining() {
-		t.Error("it ends with a request unread")
+		t.Error("a connection with an unread request is closed")
 	}
 	c.input.phase.Store(takingCommand)
 	_, err := io.ReadFull(c.socket, make([]byte, len(request("x"))))
 	if err != nil || c.Evict() || c.closeIfDraining() {
-		t.Errorf("it ends while a request is taken (%v)", err)
+		t.Errorf("a connection is closed while its request is being read (%v)", err)
 	}
 	c.input.phase.Store(waitingForCommand)
 	if !c.closeIfDraining() {
-		t.Error("it stays with nothing owed")
+		t.Error("a draining server keeps a connection without pending answers")
 	}
 }
 
-// A request has begun to come as the idle timeout of its connection is over. It is served.
+// The first bytes of a request arrive just when the idle timeout of the connection expires. The request must be served.
 func TestRequestAtTheIdleTimeout(t *testing.T) {
 	f := newFixture(t)
 	c, peer := f.accept(os.ErrDeadlineExceeded)
@@ -132,11 +134,11 @@
 	f.attempt().serve()
 	got := make([]byte, len(servedValue))
 	if _, err := io.ReadFull(peer, got); err != nil || string(got) != servedValue {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q, %v, want %q", got, err, servedValue)
 	}
 }
 
-// hangUp ends a client's connection by an end of file or a reset.
+// hangUp closes a client's connection with an end of file or a reset.
 func hangUp(t *testing.T, conn *net.TCPConn, reset bool) {
 	t.Helper()
 	if reset {
@@ -147,9 +149,10 @@
 	_ = conn.Close()
 }
 
-// A client leaves while its requests wait, with more after them than the broker reads: noise, which ends the reading;
-// more requests than may wait on a connection; a part of one. Its attempts are cancelled, and nothing of it stays. The
-// counts that it logs are those of docs/acceptance.md.
+// A client disconnects while its requests are pending and more input follows them than the broker reads: malformed
+// input, which ends the reading; more requests than may be pending on a connection; or a part of a request. The
+// client's attempts must be cancelled, and no state of the client may remain. docs/acceptance.md gives the counts that
+// this test logs.
 func TestClientLeavesWithUnreadInput(t *testing.T) {
 	pipelined := ""
 	for i := range maxPipeline + 40 {
@@ -177,7 +180,7 @@
 					t.Fatal(err)
 				}
 				if len(unread) == len(pipelined) {
-					eventually(t, longWaitLimit, "all that may wait do", func() bool {
+					eventually(t, longWaitLimit, "the maximum number of requests is open", func() bool {
 						return f.loop.OpenRequests() == maxPipeline
 					})
 				}
@@ -187,19 +190,19 @@
 				case <-first.gone:
 				case <-time.After(waitLimit):
 					forwarded++
-					t.Error("its attempt goes on")
+					t.Error("the attempt was not cancelled after the client disconnected")
 				}
-				eventually(t, longWaitLimit, "it is forgotten", func() bool {
+				eventually(t, longWaitLimit, "nothing of the client remains", func() bool {
 					return f.loop.OpenRequests() == 0 && len(f.server.OpenRequestIDs()) == 0 && f.server.Count() == 0
 				})
 			})
 		}
 	}
-	t.Logf("%d clients left, %d requests of theirs went on", left, forwarded)
+	t.Logf("%d clients disconnected, %d of their requests were forwarded nevertheless", left, forwarded)
 }
 
-// A client sends much after a malformed command. It is read and discarded, so that no reset overtakes the error and
-// the answers before it.
+// A client sends much input after a malformed command. The server must read and discard this input. Otherwise the close
+// would reset the connection, and the reset could overtake the error and earlier answers.
 func TestErrorComesBeforeMuchNoise(t *testing.T) {
 	f := newFixture(t)
 	f.serveClients()
@@ -210,12 +213,13 @@
 	attempt.serve()
 	want := servedValue + "-ERR Protocol error: want arrays of bulk strings\r\n"
 	if got, err := io.ReadAll(conn); err != nil || string(got) != want {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q, %v, want %q", got, err, want)
 	}
 }
 
-// A client sends a malformed command. Behind the error its connection ends at once: a whole request that came while it
-// stayed open would count as taken, and never be answered. The least time of a few counts, since machines are busy.
+// After the error for a malformed command the connection must be closed at once. A whole request that arrived on a
+// connection that is still open would count as accepted, and would never be answered. The test takes the minimum of
+// several times, since the machine may be busy.
 func TestErrorEndsTheConnectionAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.serveClients()
@@ -233,6 +237,6 @@
 		least = min(least, time.Since(began))
 	}
 	if least > maxLingerTime/2 {
-		t.Errorf("it stays for %v", least)
+		t.Errorf("the connection stays open for %v after the error", least)
 	}
 }
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -11,11 +11,11 @@
 	"junctionwharf/broker"
 )
 
-// errMalformed is the error of a command that cannot be read or served. Its text, and those of the errors that wrap it,
-// go to the client.
+// errMalformed is the error of a command that cannot be parsed or served. Its text, and the texts of the errors that
+// wrap it, are sent to the client.
 var errMalformed = errors.New("malformed command")
 
-// The indexes of a command's parts.
+// The indexes of a command's arguments.
 const (
 	argName = iota
 	argKey
@@ -24,14 +24,14 @@
 	argValue
 )
 
-// command is a client's command as it came, for Transport to send on. It is the Message of its broker.Request.
+// command is a client's command as received, for Transport to forward. It is the Message of its broker.Request.
 type command struct {
 	raw     []byte
-	options []byte // the name=value list, a part of raw
-	timeout []byte // the value of optionTimeout, a part of options
+	options []byte // the name=value list, a slice of raw
+	timeout []byte // the value of optionTimeout, a slice of options
 }
 
-// parseCommand reads a command. The strings of the request are copies; its Message refers to raw.
+// parseCommand parses a command. The strings of the request are copies. The request's Message refers to raw.
 func parseCommand(raw []byte, args [][]byte) (*broker.Request, error) {
 	write := len(args) == argValue+1 && bytes.EqualFold(args[argName], []byte(commandWrite))
 	read := len(args) == argOptions+1 && bytes.EqualFold(args[argName], []byte(commandRead))
@@ -57,7 +57,7 @@
 	return request, nil
 }
 
-// parseOption reads one name=value of a command's list. Names that it does not know are the nodes' own.
+// parseOption parses one name=value pair of a command's options. Unknown names are ignored: they are for the nodes.
 func (c *command) parseOption(request *broker.Request, option []byte) error {
 	name, value, ok := bytes.Cut(option, []byte{'='})
 	if !ok {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// isKey reports whether text has the form of a key or a volume.
+// isKey reports whether text has the format of a key or a volume.
 func isKey(text []byte) bool {
 	if len(text) != keyDigits {
 		return false
@@ -112,16 +112,17 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// forward returns the command as it goes to a node: the client's bytes with a timeout of its own, gathered from parts.
+// forward returns the buffers of the command for a node: the client's bytes, with the given timeout in place of the
+// client's. The timeout is rounded down to milliseconds and is at least one.
 func (c *command) forward(timeout broker.Micros) net.Buffers {
 	digits := strconv.AppendInt(nil, max(1, int64(timeout/1000)), 10)
 	optionsAt := offsetIn(c.raw, c.options)
 	timeoutAt := offsetIn(c.raw, c.timeout)
 	behindTimeout := timeoutAt + len(c.timeout)
-	headerAt := bytes.LastIndexByte(c.raw[:optionsAt], '$') // of the list's header, $n\r\n, which stands before it
+	headerAt := bytes.LastIndexByte(c.raw[:optionsAt], '$') // start of the header $n\r\n of the options
 	header := bulkHeader(len(c.options) - len(c.timeout) + len(digits))
 	return net.Buffers{c.raw[:headerAt], header, c.raw[optionsAt:timeoutAt], digits, c.raw[behindTimeout:]}
 }
 
-// offsetIn returns where part, a slice of whole, begins in it.
+// offsetIn returns the offset in whole of part, which is a slice of whole.
 func offsetIn(whole, part []byte) int { return cap(whole) - cap(part) }
--- a/internal/resp/command_test.go
+++ b/internal/resp/command_test.go
@@ -10,7 +10,7 @@
 	"junctionwharf/broker"
 )
 
-// A client's bytes may come in any pieces. That must not change what it said.
+// A client's bytes may arrive in pieces of any size. The commands that are read must not depend on the pieces.
 func TestCommandsMayBeCutAnywhere(t *testing.T) {
 	for seed := range uint64(200) {
 		all, err := readCommands([]byte(readText+pingText+writeText), seed)
@@ -20,7 +20,7 @@
 	}
 }
 
-// A client sends lengths without bound, by which redcon's reader would count or index. They end the connection.
+// A client sends huge or invalid lengths, with which redcon's reader would count or index. The connection must end.
 func TestUnboundedLengthsAreStopped(t *testing.T) {
 	for _, text := range []string{
 		"*999999999\r\n", "*1\r\n$9223372036854775800\r\n", "*0\r\n", "*-1\r\n", "PING\r\n", "*1\r\n$\r\n",
@@ -48,15 +48,15 @@
 	})
 }
 
-// forwardedOptions checks that a node gets the client's command with nothing changed but its options, and returns
-// these.
+// forwardedOptions checks that a command for a node differs from the client's command only in its options, and returns
+// the options for the node.
 func forwardedOptions(t *testing.T, request *broker.Request, args [][]byte, timeout broker.Micros) string {
 	t.Helper()
 	cmd := request.Message.(*command)
 	before := string(cmd.raw)
 	text := bytes.Join(cmd.forward(timeout), nil)
 	if string(cmd.raw) != before {
-		t.Fatal("the client's bytes were changed")
+		t.Fatal("forward changed the client's bytes")
 	}
 	all, err := readCommands(text, 1)
 	if !errors.Is(err, io.EOF) || len(all) != 1 || len(all[0].Args) != len(args) {
@@ -64,13 +64,14 @@
 	}
 	for i, arg := range all[0].Args {
 		if i != argOptions && !bytes.Equal(arg, args[i]) {
-			t.Errorf("part %d is %q, was %q", i, arg, args[i])
+			t.Errorf("argument %d is %q, want %q", i, arg, args[i])
 		}
 	}
 	return string(all[0].Args[argOptions])
 }
 
-// A node gets the time that the broker waits for it in place of the client's timeout, at least one millisecond.
+// In the command for a node the client's timeout is replaced by the attempt's timeout, which is at least one
+// millisecond.
 func TestForwardChangesTheTimeoutOnly(t *testing.T) {
 	for _, test := range []struct {
 		timeout broker.Micros
@@ -88,7 +89,7 @@
 		}
 		want := strings.Replace(testOptions+",k=7", "d=480", test.want, 1)
 		if options := forwardedOptions(t, request, cmd.Args, test.timeout); options != want {
-			t.Errorf("after %d: %q, want %q", test.timeout, options, want)
+			t.Errorf("timeout of %d us: options are %q, want %q", test.timeout, options, want)
 		}
 	}
 }
@@ -112,7 +113,7 @@
 		Message: got.Message,
 	}
 	if *got != want {
-		t.Errorf("%+v, want %+v", *got, want)
+		t.Errorf("got %+v, want %+v", *got, want)
 	}
 }
 
@@ -130,12 +131,12 @@
 	} {
 		cmd := readOne(t, bulk(words...))
 		if _, err := parseCommand(cmd.Raw, cmd.Args); !errors.Is(err, errMalformed) {
-			t.Errorf("%q: %v", words, err)
+			t.Errorf("%q: got error %v, want errMalformed", words, err)
 		}
 	}
 }
 
-// A request asks for what no settings allow. It is rejected before the loop hears of it.
+// A request asks for something that the settings do not allow. It must be rejected before it reaches the loop.
 func TestRequestLimits(t *testing.T) {
 	check := func(options string) error {
 		cmd := readOne(t, bulk(commandRead, testKey, "id", options))
@@ -165,7 +166,7 @@
 		{"volume=00000003b4d60021", "volume=x"},
 	} {
 		if err := check(option(test.old, test.replacement)); !errors.Is(err, errMalformed) {
-			t.Errorf("%s: %v", test.replacement, err)
+			t.Errorf("%s: got error %v, want errMalformed", test.replacement, err)
 		}
 	}
 }
@@ -178,7 +179,7 @@
 		"-ERR failed\r\n": {Verdict: broker.Failed},
 	} {
 		if text := bytes.Join(encodeResponse(response), nil); string(text) != want {
-			t.Errorf("%q, want %q", text, want)
+			t.Errorf("encoded %q, want %q", text, want)
 		}
 	}
 }
--- a/internal/resp/commandscanner.go
+++ b/internal/resp/commandscanner.go
@@ -5,26 +5,26 @@
 
 const (
 	atCommand     scanState = iota // the first byte of a command
-	inArgCount                     // the number of a command's parts
+	inArgCount                     // the number of a command's arguments
 	atArg                          // the first byte of a bulk string
 	inArgLength                    // the length of a bulk string
-	inArgContents                  // the bytes of a bulk string, its line end included
+	inArgContents                  // the bytes of a bulk string, including its line end
 )
 
-// noDigit is the value of a number before its first digit.
+// noDigit is the value of commandScanner.number before the first digit.
 const noDigit = -1
 
-// commandScanner follows what a client sends byte by byte and checks that it consists of arrays of bulk strings with
-// bounded lengths. It keeps no bytes.
+// commandScanner checks a client's input byte by byte. The input must consist of arrays of bulk strings with bounded
+// lengths. The scanner stores no input.
 type commandScanner struct {
 	state    scanState
-	number   int // the number that is being read, noDigit before its first digit
-	argsLeft int // bulk strings still to come
-	skip     int // bytes of a bulk string still to come
-	commands int // commands that have come whole
+	number   int // the number being scanned, noDigit before its first digit
+	argsLeft int // bulk strings of the command still to be scanned
+	skip     int // bytes of the bulk string still to be skipped
+	commands int // complete commands scanned so far
 }
 
-// scan reads bytes and returns how many of them are well formed. Behind the first that is not, nothing may be scanned.
+// scan scans bytes and returns how many of them are well formed. It must not be called again after a malformed byte.
 func (s *commandScanner) scan(p []byte) int {
 	for i := 0; i < len(p); {
 		if s.state == inArgContents {
@@ -39,7 +39,7 @@
 	return len(p)
 }
 
-// scanByte reads a byte outside a bulk string's contents and reports whether it is well formed.
+// scanByte scans a byte outside a bulk string's contents and reports whether the byte is well formed.
 func (s *commandScanner) scanByte(c byte) bool {
 	switch s.state {
 	case atCommand:
@@ -65,12 +65,12 @@
 			s.state = inArgContents
 		}
 		return valid
-	case inArgContents: // read by skipContents
+	case inArgContents: // scanned by skipContents
 	}
 	return false
 }
 
-// skipContents reads up to available bytes of a bulk string's contents and returns how many it has read.
+// skipContents skips up to available bytes of a bulk string's contents and returns the number of skipped bytes.
 func (s *commandScanner) skipContents(available int) int {
 	n := min(s.skip, available)
 	s.skip -= n
@@ -86,7 +86,8 @@
 	return n
 }
 
-// scanNumber reads a byte of a number up to limit, which a line feed ends.
+// scanNumber scans a byte of a number of at most limit, which ends with a line feed. valid reports whether the byte is
+// well formed, and ended whether the number is complete.
 func (s *commandScanner) scanNumber(c byte, limit int) (valid, ended bool) {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/resp/doc.go
+++ b/internal/resp/doc.go
@@ -1,25 +1,26 @@
-// Package resp speaks RESP2, the protocol of Redis: Server serves the platform's clients, and Transport carries
+// Package resp implements RESP2, the protocol of Redis. Server serves the platform's clients, and Transport sends
 // attempts to storage nodes.
 //
 // # Rules
 //
-// Each request gets one answer, in the order of the requests on its connection. A client that sends something
-// malformed gets an error after its other answers, and its connection ends. Input is checked by inputGuard before
-// redcon's reader sees it, so that no length in it can make that reader allocate or index without bound.
+// Each request gets one answer. The answers of a connection are written in the order of its requests. After malformed
+// input the server writes the pending answers and an error, then closes the connection. An inputGuard checks all input
+// before redcon's reader sees it, so that no length in the input can make that reader allocate or index without bound.
 //
-// A connection that ends must not lose an answer: closing a socket with unread input resets the peer, and the reset
-// may overtake an answer that was already written. So only the goroutine that reads ends an idle connection, after it
-// has found nothing unread, and what follows a malformed command is read and discarded.
+// The end of a connection must not destroy an answer. Closing a socket with unread input resets the connection, and the
+// reset may overtake an answer that was already written. So only the reading goroutine closes an idle connection, after
+// it has found no unread input, and the input after a malformed command is read and discarded.
 //
-// A value of over maxValueBytes is not buffered: a stream passes it from the node to the client piece by piece.
+// A value larger than maxValueBytes is not buffered. A stream forwards the value from the node to the client piece by
+// piece.
 //
 // # State and owners
 //
-// Server owns the table of connections (clientconn.Table), the ids of open requests (requestIDs) and the budget of
-// buffered bytes. Each client connection has two goroutines: client.read, which takes commands, and client.write,
-// which writes answers; both end with the connection. While client.read has to wait, a third one watches whether the
-// client has gone. Nothing outlives the process but the ids of open requests, of which the broker's other process
-// is notified.
+// Server owns the table of connections (clientconn.Table), the IDs of open requests (requestIDs) and the budget of
+// buffered bytes. Each client connection has two goroutines: client.read reads and handles commands, and client.write
+// writes answers. Both end with the connection. While client.read is blocked, a third goroutine checks whether the
+// client has disconnected. Nothing is kept beyond the end of the process, except that the broker's other process is
+// notified of the IDs of open requests.
 //
-// Sizes are bytes, times on the wire are milliseconds, broker.Micros are microseconds.
+// Sizes are in bytes, times on the wire in milliseconds, and values of type broker.Micros in microseconds.
 package resp
--- a/internal/resp/figures.go
+++ b/internal/resp/figures.go
@@ -9,11 +9,11 @@
 	"junctionwharf/broker"
 )
 
-// The figures of nodes: those on use, and those of a load report, some of which have two names. They are part of the
-// platform's protocol and reach the scheduler, but no rule of this version reads them.
+// The names of the figures that nodes report: figures on use, and the figures of a load report, some of which have two
+// names. They are part of the platform's protocol. The scheduler receives them, but no rule of this version reads them.
 const (
-	figureUsed         = "used" // the volume's use in percent of its plan's rate, less 1
-	figureCost         = "cost" // what other brokers have had served
+	figureUsed         = "used" // percent of the plan's rate served; RateUsed is 1 more
+	figureCost         = "cost" // units of the volume served through other brokers
 	figureInFlight     = "inflight"
 	figureInFlightAlt  = "busy_reqs"
 	figureQueue        = "queue"
@@ -28,10 +28,10 @@
 	figureFailedAlt    = "failed_ps"
 )
 
-// maxFigure bounds a figure that becomes an integer or a time, so that it cannot overflow.
+// maxFigure bounds a figure that is converted to an integer or a duration, so that the conversion cannot overflow.
 const maxFigure = 1e9
 
-// readFigures reads figures of the form used=37,cost=4. What is no such figure is passed over.
+// readFigures stores figures of the format used=37,cost=4 in result. It ignores any other text.
 func readFigures(text []byte, result *broker.Result) {
 	for len(text) > 0 {
 		var figure []byte
@@ -44,7 +44,7 @@
 	}
 }
 
-// setFigure maps a figure to its field.
+// setFigure stores a figure in its field of result. It ignores unknown names.
 func setFigure(result *broker.Result, name string, value float64) {
 	load := &result.Load
 	switch name {
--- a/internal/resp/helpers_test.go
+++ b/internal/resp/helpers_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// waitLimit is how long a test waits for what must happen before it fails.
+	// waitLimit is how long a test waits for an expected event before it fails.
 	waitLimit = 5 * time.Second
-	// longWaitLimit is the same where much is sent or the server waits seconds itself.
+	// longWaitLimit replaces waitLimit where much data is sent or the server itself waits for seconds.
 	longWaitLimit = 10 * time.Second
 )
 
@@ -37,7 +37,7 @@
 	pingText  = bulk(commandPing)
 )
 
-// testLimits allow what testOptions ask for.
+// testLimits are limits that allow testOptions.
 var testLimits = NewRequestLimits(scheduler.Settings{
 	Brokers:  3,
 	MaxUnits: 8,
@@ -45,7 +45,7 @@
 	Plans:    []scheduler.Plan{{Name: "gold"}},
 }, 6)
 
-// bulk encodes a command.
+// bulk encodes a command as an array of bulk strings.
 func bulk(words ...string) string {
 	text := fmt.Sprintf("*%d\r\n", len(words))
 	for _, word := range words {
@@ -54,10 +54,10 @@
 	return text
 }
 
-// readWithID encodes a read with an id of its own.
+// readWithID encodes a read whose request ID contains id.
 func readWithID(id int) string { return bulk(commandRead, testKey, fmt.Sprint("id", id), testOptions) }
 
-// cutConn is a connection whose reads end where a seeded source of chance says.
+// cutConn is a connection whose reads return random numbers of bytes, drawn from a seeded generator.
 type cutConn struct {
 	net.Conn
 	in  io.Reader
@@ -68,7 +68,8 @@
 
 func (c *cutConn) SetReadDeadline(time.Time) error { return nil }
 
-// readCommands reads all of a client's text through the input guard and redcon's reader.
+// readCommands reads all commands of text through an input guard and redcon's reader. The seed determines the size of
+// each read.
 func readCommands(text []byte, seed uint64) ([]redcon.Command, error) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	conn := &cutConn{in: bytes.NewReader(text), rng: rng}
@@ -83,7 +84,7 @@
 	}
 }
 
-// readOne reads a text that is one command.
+// readOne reads text, which must be exactly one command.
 func readOne(t *testing.T, text string) redcon.Command {
 	t.Helper()
 	all, err := readCommands([]byte(text), 1)
@@ -98,7 +99,7 @@
 	return logging.ToFunc(func(line string) { t.Log(line) })
 }
 
-// failOnLog fails the test for each line that is logged.
+// failOnLog returns a logger that fails the test for each log line.
 func failOnLog(t *testing.T) *slog.Logger {
 	t.Helper()
 	return logging.ToFunc(func(line string) { t.Error(line) })
@@ -114,15 +115,15 @@
 	return ln
 }
 
-// serve serves a listener of its own until the test ends, and returns its address.
+// serve serves clients on a new listener until the test ends, and returns the listener's address.
 func serve(t *testing.T, server *Server) string {
 	t.Helper()
 	ln := listen(t)
-	go func() { _ = server.Serve(ln) }() // it ends with the listener
+	go func() { _ = server.Serve(ln) }() // returns when the listener is closed
 	return ln.Addr().String()
 }
 
-// dial connects to a server for so long.
+// dial connects to a server. Reads and writes on the connection fail after limit.
 func dial(t *testing.T, address string, limit time.Duration) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -143,25 +144,26 @@
 	}
 }
 
-// expectLine reads a line and compares it.
+// expectLine reads a line and compares it with want.
 func expectLine(t *testing.T, reader *bufio.Reader, want string) {
 	t.Helper()
 	if line, err := reader.ReadString('\n'); err != nil || line != want {
-		t.Fatalf("%q, %v, want %q", line, err, want)
+		t.Fatalf("read line %q, %v, want %q", line, err, want)
 	}
 }
 
-// eventually waits so long until a condition holds.
+// eventually waits until a condition is true, and fails the test after limit.
 func eventually(t *testing.T, limit time.Duration, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-// exchangeText sends text on a new connection and returns what comes until its end, and how long that took.
+// exchangeText sends text on a new connection. It returns all bytes that arrive until the connection ends, and the time
+// that this took.
 func exchangeText(t *testing.T, address, text string) (string, time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -175,5 +177,5 @@
 	return string(got), time.Since(began)
 }
 
-// option replaces one option of testOptions.
+// option returns testOptions with one option replaced.
 func option(old, replacement string) string { return strings.Replace(testOptions, old, replacement, 1) }
--- a/internal/resp/inputguard.go
+++ b/internal/resp/inputguard.go
@@ -10,16 +10,16 @@
 	"junctionwharf/internal/clientconn"
 )
 
-// idleTimeout is how long a client may send no command while it waits for no answer. Higher, clients that have gone
-// without a word would hold their slots for longer; lower, clients would have to connect more often.
+// idleTimeout is how long a client may be silent between commands while no answer to it is pending. A larger value
+// would let clients that vanished keep their slots for longer. A smaller value would make clients reconnect more often.
 const idleTimeout = 10 * time.Second
 
-// takeOverCommand is the first command of each connection. The guard makes it, no client sends it: redcon then calls
-// the handler, which takes the connection over, so that all that a client sends is read where a panic ends its
-// connection only.
+// takeOverCommand is the first command on each connection. inputGuard generates it; no client sends it. When redcon
+// has read the command it calls the handler, which detaches the connection. So all input from clients is read by
+// goroutines in which a panic ends only its own connection.
 const takeOverCommand = "*1\r\n$6\r\nATTACH\r\n"
 
-// inputError is the error of input that is no sequence of commands. Its text goes to the client.
+// inputError is the error of input that is not a sequence of commands. Its text is sent to the client.
 type inputError string
 
 func (e inputError) Error() string { return string(e) }
@@ -29,43 +29,43 @@
 	errSlowCommand = inputError("Protocol error: a command took too long")
 )
 
-// readPhase is what the goroutine that reads a connection does.
+// readPhase is what the reading goroutine of a connection is doing.
 type readPhase = int32
 
 const (
-	takingCommand     readPhase = iota // what was read is being taken
-	waitingForCommand                  // it waits for a command, and all before is taken
+	takingCommand     readPhase = iota // it is handling input
+	waitingForCommand                  // it waits for a command and has handled all earlier input
 	insideCommand                      // it waits for the rest of a command
 )
 
-// longAgo is a read deadline that ends a read at once.
+// longAgo is a read deadline in the past. It ends a read at once.
 var longAgo = time.Unix(1, 0)
 
-// inputGuard is a client's connection as redcon's reader sees it. It hands on well-formed input only, so that no length
-// can make that reader allocate, count or index without bound, and it bounds the time that clients may take. All but
-// phase and interrupted belongs to the goroutine that reads.
+// inputGuard is the client connection that redcon's reader reads. It passes on only well-formed input, so that no
+// length in the input can make that reader allocate, count or index without bound. It also limits the time that a
+// client may take for a command. Only the reading goroutine uses the fields other than Conn, phase and interrupted.
 type inputGuard struct {
 	net.Conn
 
-	// onWait is called when the guard begins to wait for a command, nil for none.
+	// onWait is called when the guard begins to wait for a command. It may be nil.
 	onWait func()
-	// onCommand may answer a whole command that came alone, and reports whether it did: such a command is not handed
-	// on. It is nil for none.
+	// onCommand may answer a complete command that one read returned alone, and reports whether it did. A command that
+	// it answered is not passed on to redcon's reader. It may be nil.
 	onCommand func(raw []byte) bool
 
 	scanner         commandScanner
-	detached        bool      // the detach command was handed on
-	commandReceived bool      // a command has come whole
-	commandDeadline time.Time // when the command that is under way must be whole, zero for none
-	readDeadline    time.Time // when the read that is under way times out
-	err             error     // of what was read last
-	aloneAndWhole   bool      // what was read last is exactly one command
+	detached        bool      // takeOverCommand was passed on
+	commandReceived bool      // a complete command was received
+	commandDeadline time.Time // when the current command must be complete, zero for none
+	readDeadline    time.Time // when the current read times out
+	err             error     // returned by all further reads
+	aloneAndWhole   bool      // the last read returned exactly one complete command
 
 	phase       atomic.Int32 // a readPhase
-	interrupted atomic.Bool  // the reader is to be woken
+	interrupted atomic.Bool  // the current or next read must fail at once
 }
 
-// Read implements net.Conn. It hands on what is well formed and then fails.
+// Read implements net.Conn. It returns well-formed input and fails after malformed input.
 func (g *inputGuard) Read(p []byte) (int, error) {
 	if !g.detached {
 		g.detached = true
@@ -83,7 +83,7 @@
 	}
 }
 
-// readOnce reads from the connection once and checks what came.
+// readOnce reads from the connection once and checks the bytes.
 func (g *inputGuard) readOnce(p []byte) (int, error) {
 	g.aloneAndWhole = false
 	g.startWaiting()
@@ -111,7 +111,7 @@
 func (g *inputGuard) startWaiting() {
 	g.readDeadline = g.nextDeadline(time.Now())
 	g.setReadDeadline(g.readDeadline)
-	if g.interrupted.Load() { // since the deadline was set: it was overwritten
+	if g.interrupted.Load() { // interrupt may have set longAgo before the line above
 		g.setReadDeadline(longAgo)
 	}
 	if g.scanner.state != atCommand {
@@ -124,11 +124,11 @@
 	}
 }
 
-// setReadDeadline sets the connection's read deadline. It fails on a closed connection only, as the read then does.
+// setReadDeadline sets the connection's read deadline. It fails only on a closed connection, on which reads fail too.
 func (g *inputGuard) setReadDeadline(deadline time.Time) { _ = g.SetReadDeadline(deadline) }
 
-// nextDeadline returns until when the next bytes must come. It keeps clients that send nothing, or half a command, from
-// holding slots and memory; between commands a client may pause for longer.
+// nextDeadline returns the time by which the next bytes must arrive. It keeps clients that send nothing, or half a
+// command, from occupying slots and memory. Between commands a client may be silent for longer.
 func (g *inputGuard) nextDeadline(now time.Time) time.Time {
 	switch {
 	case g.scanner.state == atCommand && g.commandReceived:
@@ -142,21 +142,21 @@
 	return g.commandDeadline
 }
 
-// commandDone notes that a command has come whole.
+// commandDone records that a complete command was received.
 func (g *inputGuard) commandDone() {
 	g.commandReceived = true
 	g.commandDeadline = time.Time{}
 }
 
-// interrupt makes the read that is under way, or else the next one, fail with os.ErrDeadlineExceeded. It may be called
-// from any goroutine.
+// interrupt makes the current read, or else the next one, fail with os.ErrDeadlineExceeded. It may be called from any
+// goroutine.
 func (g *inputGuard) interrupt() {
 	g.interrupted.Store(true)
 	g.setReadDeadline(longAgo)
 }
 
-// clearInterrupt lets the reader go on after an interrupt.
+// clearInterrupt makes reads wait for input again after an interrupt.
 func (g *inputGuard) clearInterrupt() { g.interrupted.Store(false) }
 
-// wasInterrupted reports whether the read that timed out did so before its time.
+// wasInterrupted reports whether the read that timed out failed before its deadline.
 func (g *inputGuard) wasInterrupted() bool { return time.Now().Before(g.readDeadline) }
--- a/internal/resp/inputguard_test.go
+++ b/internal/resp/inputguard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// sendParts writes texts one by one and ends the connection.
+// sendParts writes texts one by one and closes the connection.
 func sendParts(t *testing.T, conn net.Conn, parts ...string) {
 	for _, part := range parts {
 		if _, err := io.WriteString(conn, part); err != nil {
@@ -17,9 +17,9 @@
 	_ = conn.Close()
 }
 
-// A connection is asked to end while it takes a command. It must check again once it waits for the next command, and
-// only then: nobody else wakes it.
-func TestGuardTellsThatItWaits(t *testing.T) {
+// A connection whose close is requested while it handles a command must check again when it begins to wait for the next
+// command, since nothing else wakes it. So the guard must call onWait then, and only then.
+func TestGuardReportsThatItWaits(t *testing.T) {
 	near, far := net.Pipe()
 	phases := make(chan readPhase, 8)
 	guard := &inputGuard{Conn: near, detached: true}
@@ -30,7 +30,7 @@
 			break
 		}
 		if guard.phase.Load() != takingCommand {
-			t.Error("it waits with what it has read")
+			t.Error("the guard is in a waiting phase after it returned input")
 		}
 	}
 	close(phases)
@@ -38,16 +38,17 @@
 	for phase := range phases {
 		count++
 		if phase != waitingForCommand {
-			t.Errorf("phase %d", phase)
+			t.Errorf("onWait was called in phase %d", phase)
 		}
 	}
-	if count != 2 { // before the command and after it, not inside
-		t.Errorf("it waited %d times", count)
+	if count != 2 { // before the command and after it, not inside it
+		t.Errorf("onWait was called %d times, want 2", count)
 	}
 }
 
-// While too many requests wait for the processor, a request that comes whole and alone is rejected as it is read. What
-// comes in parts, after another, or is no request, goes its usual way, whole.
+// While too many requests wait for the processor, a complete request that one read returns alone is rejected unparsed.
+// Input that arrives in parts or together with other input, and input that is not a request, must be passed on
+// completely.
 func TestWholeRequestMayBeAnsweredUnread(t *testing.T) {
 	request := "*2\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n"
 	for _, test := range []struct {
@@ -76,7 +77,7 @@
 			go sendParts(t, far, test.parts...)
 			passed, err := io.ReadAll(guard)
 			if rejected != test.rejected || string(passed) != test.passed || err != nil {
-				t.Errorf("%d rejected, %q passed, %v", rejected, passed, err)
+				t.Errorf("%d rejected, %q passed on, %v", rejected, passed, err)
 			}
 		})
 	}
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -10,23 +10,24 @@
 	"junctionwharf/scheduler"
 )
 
-// defaultMaxTimeout is the longest timeout that a request may name where no class has a longer deadline. Higher,
-// requests of clients that have gone could be kept for longer; lower, a site without long deadlines could not wait.
+// defaultMaxTimeout is the longest timeout that a request may have if no class has a longer deadline. A larger value
+// would keep requests of disconnected clients for longer. With a smaller value the clients of a site without long
+// deadlines could not choose to wait longer.
 const defaultMaxTimeout = time.Minute
 
-// RequestLimits is what a request may ask for. It keeps requests that cannot be served from the scheduler.
+// RequestLimits limits what a request may ask for, so that requests that cannot be served do not reach the scheduler.
 type RequestLimits struct {
 	Classes    map[string]bool
 	Plans      map[string]bool
-	MaxUnits   float64 // 0 for unknown
-	Shards     int     // 0 for unknown
+	MaxUnits   float64 // 0 if unknown
+	Shards     int     // 0 if unknown
 	Brokers    int
 	MaxTimeout time.Duration
-	RetryAfter broker.Micros // when a request that is not admitted may be sent again, 0 for no advice
-	busyLine   []byte        // the answer to such a request, set by Server.SetLimits
+	RetryAfter broker.Micros // when the client may retry a request that was not admitted, 0 for no advice
+	busyLine   []byte        // the answer to a request that was not admitted, set by Server.SetLimits
 }
 
-// NewRequestLimits takes the limits from the settings.
+// NewRequestLimits returns the limits according to the settings. shards is the number of shards, 0 if unknown.
 func NewRequestLimits(settings scheduler.Settings, shards int) RequestLimits {
 	limits := RequestLimits{
 		Classes:    map[string]bool{},
@@ -37,7 +38,7 @@
 		MaxTimeout: defaultMaxTimeout,
 	}
 	if settings.Capabilities.RetryAfter && len(settings.Classes) > 0 {
-		// As scheduler.retryAfter has it for a request that it rejects: one client sees one rule.
+		// The same rule as in scheduler.retryAfter, so that clients get the same advice for every rejection.
 		shortest := slices.MinFunc(settings.Classes, func(a, b scheduler.Class) int {
 			return cmp.Compare(a.LatencyObjective, b.LatencyObjective)
 		}).LatencyObjective
@@ -53,7 +54,8 @@
 	return limits
 }
 
-// check names the option of a request that is out of range. Its text goes to the client.
+// check returns an error that names the first option of a request that is out of range, or nil if there is none. The
+// text of the error is sent to the client.
 func (l *RequestLimits) check(r *broker.Request) error {
 	for _, option := range []struct {
 		name  string
--- a/internal/resp/malformedlog.go
+++ b/internal/resp/malformedlog.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// malformedLogInterval is the least time between two log lines on malformed commands. Lower, a faulty client would fill
-// the log.
+// malformedLogInterval is the minimum time between two log lines about malformed commands. With a smaller value a
+// faulty client could fill the log.
 const malformedLogInterval = 10 * time.Second
 
-// malformedLog counts malformed commands and logs them now and then.
+// malformedLog counts malformed commands and logs the count at most once per malformedLogInterval.
 type malformedLog struct {
 	logger *slog.Logger
 
-	mu       sync.Mutex // guards what follows
-	count    int        // since the last line
-	loggedAt time.Time  // of the last line
+	mu       sync.Mutex // guards the fields below
+	count    int        // malformed commands since the last log line
+	loggedAt time.Time  // time of the last log line
 }
 
-// record counts a malformed command and logs the count if a line is due.
+// record counts a malformed command and logs the count if malformedLogInterval has passed since the last log line.
 func (m *malformedLog) record(err error) {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/resp/overload.go
+++ b/internal/resp/overload.go
@@ -7,25 +7,25 @@
 	"junctionwharf/broker"
 )
 
-// maxCountLineBytes bounds the bytes between the begin of a command and the dot of BLK. in a command that is rejected
-// unread.
+// maxCountLineBytes bounds the bytes from the start of a command to the dot of "BLK.", if the command is to be rejected
+// before it is parsed.
 const maxCountLineBytes = 16
 
-// The bytes by which a request that is rejected unread shows its class.
+// The bytes that identify a request and its class in a command that is not parsed.
 var (
 	blockCommandMark = []byte("\r\nBLK.")
 	classOptionMark  = []byte("\r\n" + optionClass + "=")
 )
 
-// rejectOverload rejects a request as it came if too many requests wait for the broker's processor. It is neither
-// parsed nor buffered, which costs a third of a rejection after its parsing. It reports whether it did.
+// rejectOverload rejects a request if too many requests wait for the broker's processor, and reports whether it did.
+// The request is neither parsed nor buffered, which costs a third of a rejection after parsing.
 func (c *client) rejectOverload(raw []byte) bool {
 	if !c.server.loop.Overloaded() {
 		return false
 	}
 	_, rest, found := bytes.Cut(raw, blockCommandMark)
 	if !found || len(raw)-len(rest) > maxCountLineBytes {
-		return false // a greeting, or something malformed
+		return false // a greeting or malformed input
 	}
 	if !c.beginDirectReply() {
 		return false
@@ -39,8 +39,8 @@
 	return c.writeDirectReply(c.server.limits.Load().busyLine, true)
 }
 
-// replyRejection answers a request that admission control rejects. If no other answer is owed the reader writes it: a
-// broker that has too much to do is spared the way through the writer. It reports whether to read on.
+// replyRejection answers a request that admission control rejected, and reports whether to read on. If no other answer
+// is pending the reader writes this one itself, so that an overloaded broker need not wake the writer.
 func (c *client) replyRejection(rejection *broker.Response) bool {
 	text := encodeResponse(*rejection)
 	if !c.beginDirectReply() {
@@ -49,8 +49,8 @@
 	return c.writeDirectReply(text[0], c.server.loop.SheddingLoad())
 }
 
-// beginDirectReply reports whether no answer is owed, so that the reader may write one itself. Then it must do so, with
-// writeDirectReply.
+// beginDirectReply reports whether no answer is pending, so that the reader may write an answer itself. If it returns
+// true, the caller must call writeDirectReply.
 func (c *client) beginDirectReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	return true
 }
 
-// writeDirectReply writes an answer from the reader and reports whether to read on.
+// writeDirectReply writes an answer in the reading goroutine and reports whether to read on.
 func (c *client) writeDirectReply(line []byte, overloaded bool) bool {
 	c.server.RequestReceived(c, overloaded)
 	_, err := c.socket.Write(line)
@@ -74,7 +74,7 @@
 	c.lastReplyAt = time.Now()
 	c.mu.Unlock()
 	if c.server.Draining() {
-		c.Wake() // its last check met this answer under way
+		c.Wake() // its last drain check found this answer in progress
 	}
 	return err == nil
 }
--- a/internal/resp/overload_test.go
+++ b/internal/resp/overload_test.go
@@ -13,12 +13,12 @@
 	"junctionwharf/scheduler"
 )
 
-// oneWindow has admission control stay in its first window however slow the machine is: the Retry-After time grows from
-// window to window with what is rejected. In microseconds.
+// oneWindow is an admission window, in microseconds, that no test outlasts even on a slow machine. The Retry-After time
+// grows from window to window with the number of rejected requests.
 const oneWindow = int64(time.Hour / time.Microsecond)
 
-// newAdmittingServer serves up to maxConnections with an admission control that lets maxOpen requests wait, and a loop
-// that never runs.
+// newAdmittingServer returns a server, and its address, for up to maxConnections. Its admission control admits maxOpen
+// open requests, and its loop never runs.
 func newAdmittingServer(t *testing.T, maxConnections, maxOpen int) (*Server, string) {
 	t.Helper()
 	settings := scheduler.Settings{
@@ -38,8 +38,8 @@
 	return server, serve(t, server)
 }
 
-// Admission control rejects a request. It is answered at once, in its turn after what is owed, with a time to come
-// back, and its connection goes on.
+// A request that admission control rejects must be answered at once, after the pending answers to earlier requests, and
+// with a Retry-After time. Its connection must stay open.
 func TestAdmissionRejects(t *testing.T) {
 	server, address := newAdmittingServer(t, 8, 1)
 	write(t, dial(t, address, waitLimit), readWithID(0))
@@ -55,13 +55,13 @@
 		expectLine(t, reader, want)
 	}
 	if open := server.OpenRequestIDs(); len(open) > 1 {
-		t.Errorf("ids of rejected requests stay open: %v", open)
+		t.Errorf("IDs of rejected requests stay open: %v", open)
 	}
 }
 
-// A full server evicts a connection. That is an end of file, not a reset, and nothing that crosses it is taken. A
-// client that has sent a part of a request gets its rejection first, so that it knows that the request was never
-// taken.
+// A connection that a full server evicts must end with an end of file and not a reset. No input that arrives during the
+// close may be accepted. A client that has sent a part of a request must get a rejection first, so that it knows that
+// the request was not accepted.
 func TestEvictionIsNoReset(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -79,25 +79,25 @@
 			write(t, conn, test.before)
 			greeting := make([]byte, len(test.greeting))
 			if _, err := io.ReadFull(conn, greeting); err != nil || string(greeting) != test.greeting {
-				t.Fatalf("%q, %v", greeting, err)
+				t.Fatalf("read greeting %q, %v, want %q", greeting, err, test.greeting)
 			}
 			other := dial(t, address, waitLimit)
 			if rest, err := io.ReadAll(conn); err != nil || string(rest) != test.want {
-				t.Errorf("%q, %v", rest, err)
+				t.Errorf("read %q, %v, want %q", rest, err, test.want)
 			}
-			_, _ = io.WriteString(conn, test.crossing) // it may meet the end
+			_, _ = io.WriteString(conn, test.crossing) // may fail, since the connection may already be closed
 			_ = conn.Close()
-			write(t, other, pingText) // it is accepted once the first has ended
+			write(t, other, pingText) // this connection is accepted after the first one has ended
 			expectLine(t, bufio.NewReader(other), pongLine)
 			if server.loop.OpenRequests() > 0 {
-				t.Error("a request was taken on a connection that had ended")
+				t.Error("a request was accepted on a connection that had ended")
 			}
 		})
 	}
 }
 
-// While the processor is the bottleneck a request is rejected unread, and counted like other rejections. None is
-// rejected so while it is not.
+// While the processor is the bottleneck, requests must be rejected unparsed and counted like other rejections. At other
+// times no request may be rejected unparsed.
 func TestOverloadRejectsUnread(t *testing.T) {
 	settings := scheduler.Settings{
 		Brokers: 1,
@@ -115,9 +115,9 @@
 	raw := []byte("*4\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n$1\r\ni\r\n$7\r\nc=w,t=p\r\n")
 	loop.SubmitAdmitted(&broker.Request{Class: "w"}, func(broker.Response) {})
 	if c.rejectOverload(raw) {
-		t.Error("rejected without scheduling lag")
+		t.Error("a request was rejected without scheduling lag")
 	}
-	for !loop.Overloaded() { // admission control believes in a lag that lasts
+	for !loop.Overloaded() { // admission control reacts only to a lag that lasts
 		loop.RecordSchedulingLag(50_000)
 	}
 	answered := make(chan string, 1)
@@ -126,7 +126,7 @@
 		answered <- line
 	}()
 	if !c.rejectOverload(raw) || <-answered != "-BUSY\r\n" {
-		t.Error("not rejected")
+		t.Error("a request was not rejected with -BUSY under scheduling lag")
 	}
 	if c.rejectOverload([]byte(pingText)) {
 		t.Error("a greeting was rejected")
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -14,11 +14,12 @@
 	"junctionwharf/internal/pool"
 )
 
-// peerCheckInterval is how often a connection from which nothing is read is asked whether its client has gone. Higher,
-// requests of clients that have gone would be forwarded for longer; lower, waiting connections would cost more.
+// peerCheckInterval is how often a connection whose reader is blocked is checked for a disconnected client. With a
+// larger value, requests of disconnected clients would be forwarded for longer. With a smaller value, waiting
+// connections would cost more processor time.
 const peerCheckInterval = 50 * time.Millisecond
 
-// read takes commands until the connection ends. It runs in a goroutine of its own.
+// read reads and handles commands until the connection ends. It runs in its own goroutine.
 func (c *client) read() {
 	defer c.handleInputEnd()
 	defer c.recoverPanic()
@@ -53,13 +54,13 @@
 	}
 }
 
-// mayBeSilent reports whether a connection whose read timed out goes on: its client waits for an answer, the read was
-// interrupted and the connection stays, or a command has begun to come.
+// mayBeSilent reports whether a connection stays open after a read timed out. It stays open if its client waits for an
+// answer, if the read was interrupted and the connection was not closed, or if a command has begun to arrive.
 func (c *client) mayBeSilent() bool {
 	return c.waitsForReply() || c.input.wasInterrupted() || !pool.IsQuiet(c.socket)
 }
 
-// failMalformed answers malformed input and ends the connection after the answer.
+// failMalformed answers malformed input with an error. The connection is closed after this answer.
 func (c *client) failMalformed(err error) {
 	c.server.malformed.record(err)
 	c.mu.Lock()
@@ -69,7 +70,7 @@
 	c.push(&pendingReply{ready: true, last: true, text: net.Buffers{line}})
 }
 
-// take takes one command and reports whether to read on.
+// take handles one command and reports whether to read on.
 func (c *client) take(cmd redcon.Command) bool {
 	if len(cmd.Args) == 1 && strings.EqualFold(string(cmd.Args[0]), commandPing) {
 		return c.push(&pendingReply{ready: true, text: net.Buffers{[]byte(pongLine)}})
@@ -102,7 +103,8 @@
 	return true
 }
 
-// reserve takes bytes from the server's budget. It waits while that is full, and fails if the client goes meanwhile.
+// reserve reserves bytes in the server's budget. It waits while the budget is full, and returns false if the client
+// disconnects in the meantime.
 func (c *client) reserve(size int) bool {
 	budget := c.server.budget
 	if budget.TryReserve(size) {
@@ -113,7 +115,7 @@
 	return reserved
 }
 
-// submit hands an admitted request to the loop and fills its reply with the response.
+// submit submits an admitted request to the loop. The loop's response completes the reply.
 func (c *client) submit(request *broker.Request, reply *pendingReply) {
 	id := c.server.loop.SubmitAdmitted(request, func(response broker.Response) {
 		c.server.ids.remove(reply.clientRequestID)
@@ -125,7 +127,7 @@
 	c.mu.Unlock()
 }
 
-// complete fills a reply with its response. A response that nobody takes any more is dropped.
+// complete fills in a reply with the response to its request. If the writer has ended, the response is dropped.
 func (c *client) complete(reply *pendingReply, response broker.Response) {
 	text := encodeResponse(response)
 	value, _ := response.Value.([]byte)
@@ -145,7 +147,7 @@
 	reply.ready = true
 }
 
-// push queues an answer that is owed, and reports whether it will be written. It waits while too many are owed.
+// push queues a reply and reports whether the reply will be written. It waits while maxPipeline replies are pending.
 func (c *client) push(reply *pendingReply) bool {
 	c.mu.Lock()
 	if len(c.pending) >= maxPipeline && !c.released {
@@ -156,7 +158,7 @@
 		})
 	}
 	released := c.released
-	if released { // the writer has ended and will not release the bytes
+	if released { // the writer has ended and does not release the bytes
 		c.server.budget.Release(reply.reserved)
 	} else {
 		c.pending = append(c.pending, reply)
@@ -176,9 +178,9 @@
 	return !released
 }
 
-// whileWatchingPeer runs a call that blocks the reader, and cancels the connection's requests if the client goes
-// meanwhile: an end of file that stands after unread input cannot be read, and the requests would be forwarded
-// although no client waits for them.
+// whileWatchingPeer runs wait, which blocks the reader. If the client disconnects in the meantime, whileWatchingPeer
+// cancels the connection's requests. An end of file behind unread input cannot be read, and without this check the
+// requests would be forwarded although no client waits for them.
 func (c *client) whileWatchingPeer(wait func()) {
 	done := make(chan struct{})
 	defer close(done)
@@ -200,14 +202,14 @@
 	wait()
 }
 
-// handlePeerClosed ends the connection of a client that has gone, and whatever its reader waits for.
+// handlePeerClosed closes the connection of a client that has disconnected, and ends any wait of its reader.
 func (c *client) handlePeerClosed() {
 	c.peerClosed.Store(true)
 	c.mu.Lock()
 	c.gone = true
 	c.mu.Unlock()
 	c.close()
-	c.Wake() // the writer ends and wakes a reader that waits for space
+	c.Wake() // the writer ends and wakes a reader that waits for space in pending
 	c.server.budget.Recheck()
 	c.cancelPending()
 }
--- a/internal/resp/reject.go
+++ b/internal/resp/reject.go
@@ -12,18 +12,22 @@
 )
 
 const (
-	// rejectReadTimeout is how long a connection over the limit may take to send something. Higher, silent newcomers
-	// would hold the few slots for rejections; lower, slow clients would get no answer.
+	// rejectReadTimeout is how long a connection over the limit may take to send its first bytes. A larger value would
+	// let silent connections occupy the few slots for rejections. With a smaller value slow clients would get no
+	// answer.
 	rejectReadTimeout = 200 * time.Millisecond
-	// rejectBufferSize is the size in bytes of the buffer for what a rejected connection sends.
+	// rejectBufferSize is the size in bytes of the buffer for the input of a rejected connection.
 	rejectBufferSize = 2048
-	// maxLingerTime bounds the time between a rejection and the end of its connection. Higher, a client that goes on
-	// sending would hold its slot for longer; lower, a reset could overtake the answer while a large value comes.
+	// maxLingerTime bounds the time from a rejection to the close of its connection. With a larger value a client that
+	// keeps sending would occupy its slot for longer. With a smaller value a reset could overtake the answer while a
+	// large value arrives.
 	maxLingerTime = time.Second / 2
-	// lingerStep is the time without input after which a rejected connection ends while others wait for its slot.
+	// lingerStep is the time without input after which a rejected connection is closed if other connections wait for
+	// its slot.
 	lingerStep = time.Millisecond
-	// inputGrace is how long a connection that ends waits for input that is on its way: longer than a request is, since
-	// input that comes after the close resets the peer. Higher, its slot would be taken for longer.
+	// inputGrace is how long a connection waits for input in transit before it is closed. It is longer than a request
+	// is in transit, since input that arrives after the close resets the connection. A larger value would occupy the
+	// slot for longer.
 	inputGrace = 10 * time.Millisecond
 )
 
@@ -32,12 +36,12 @@
 	return &buffer
 }}
 
-// reject answers a connection over the limit: a request with its rejection, a greeting with its answer, silence with
-// the end. It buffers no request and knows no class.
+// reject answers a connection over the limit: a request with a rejection, and a greeting with its answer. A silent
+// connection gets no answer. reject buffers no request and does not look for its class. The caller closes conn.
 func (s *Server) reject(conn net.Conn) {
 	buffer := rejectBuffers.Get().(*[]byte)
 	defer rejectBuffers.Put(buffer)
-	_ = conn.SetReadDeadline(time.Now().Add(rejectReadTimeout)) // fails on a closed connection only, as the read does
+	_ = conn.SetReadDeadline(time.Now().Add(rejectReadTimeout)) // fails only on a closed connection, as does the read
 	n, err := conn.Read(*buffer)
 	if n == 0 || err != nil {
 		return
@@ -46,7 +50,7 @@
 	if strings.EqualFold(string((*buffer)[:n]), pingCommand) {
 		answer = []byte(pongLine)
 	}
-	_ = conn.SetWriteDeadline(time.Now().Add(inputGrace)) // fails on a closed connection only, as the write does
+	_ = conn.SetWriteDeadline(time.Now().Add(inputGrace)) // fails only on a closed connection, as does the write
 	if _, err := conn.Write(answer); err != nil {
 		return
 	}
@@ -54,12 +58,13 @@
 	s.discardRest(conn, *buffer)
 }
 
-// discardRest reads and discards what comes after a rejection until nothing comes any more. A close with unread input
-// would be a reset, which could overtake the answer.
+// discardRest reads and discards the input after a rejection until no more arrives for inputGrace, or for lingerStep if
+// other connections wait for a slot. A close with unread input would reset the connection, and the reset could overtake
+// the answer.
 func (s *Server) discardRest(conn net.Conn, buffer []byte) {
 	quietFor := time.Duration(0)
 	for end := time.Now().Add(maxLingerTime); time.Now().Before(end); {
-		_ = conn.SetReadDeadline(time.Now().Add(lingerStep)) // fails on a closed connection only, as the read does
+		_ = conn.SetReadDeadline(time.Now().Add(lingerStep)) // fails only on a closed connection, as does the read
 		_, err := conn.Read(buffer)
 		if err == nil {
 			quietFor = 0
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -12,7 +12,7 @@
 	"junctionwharf/internal/logging"
 )
 
-// pipeListener is a listener whose accept queue is a channel.
+// pipeListener is a listener with a channel as its accept queue.
 type pipeListener struct {
 	net.Listener
 	queue chan net.Conn
@@ -29,19 +29,21 @@
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 func (p *pipeListener) Close() error   { return nil }
 
-// lingerCase is how long a rejected connection stays.
+// lingerCase is a test case for how long a rejected connection stays open.
 type lingerCase struct {
 	name     string
-	others   int           // connections in the accept queue behind it
-	sendsFor time.Duration // its client goes on sending for so long
+	others   int           // connections that are in the accept queue after the rejected one
+	sendsFor time.Duration // how long the rejected client continues to send
 	min, max time.Duration
 }
 
-// Clients keep their connections open behind a rejection. Where all slots are taken they must not hold up the queue
-// behind them: a broker of 1,024 sockets has sixteen such slots, and with 10 ms each what waited beyond 1,600 a
-// second was answered late or never. Without a queue a rejected connection stays for 10 ms, for what crosses its end.
-// While its client goes on sending it stays with a queue, too, up to half a second, so that no reset overtakes the
-// rejection. On a virtual clock.
+// Clients keep their connections open after a rejection. If all slots for rejections are occupied, these connections
+// must not delay the accept queue. A broker with 1,024 sockets has sixteen such slots. At 10 ms for each rejection it
+// could reject 1,600 connections a second, and connections beyond that were answered late or never.
+//
+// Without a queue a rejected connection stays open for 10 ms, to receive input in transit. While its client continues
+// to send, it stays open even with a queue, for up to half a second, so that no reset overtakes the rejection. The test
+// runs on a virtual clock.
 func TestRejectedConnectionsMakeRoom(t *testing.T) {
 	const queued = 50
 	for _, test := range []lingerCase{
@@ -66,7 +68,7 @@
 		clients = append(clients, near)
 		ln.queue <- far
 	}
-	go func() { _, _ = server.Accept(ln) }() // it returns when the queue is closed
+	go func() { _, _ = server.Accept(ln) }() // returns when the queue is closed
 	began := time.Now()
 	expectRejection(t, clients[0])
 	for time.Since(began) < test.sendsFor {
@@ -75,9 +77,9 @@
 		}
 		time.Sleep(lingerStep / 2)
 	}
-	_, _ = io.Copy(io.Discard, clients[0]) // to its end
+	_, _ = io.Copy(io.Discard, clients[0]) // until the connection is closed
 	if took := time.Since(began); took < test.min || took > test.max {
-		t.Errorf("ended after %v, not within %v and %v", took, test.min, test.max)
+		t.Errorf("the rejected connection ended after %v, want %v to %v", took, test.min, test.max)
 	}
 	began = time.Now()
 	for _, conn := range clients[1:] {
@@ -85,7 +87,7 @@
 	}
 	bound := time.Duration(test.others) * 2 * lingerStep
 	if took := time.Since(began); test.others > 0 && took > bound {
-		t.Errorf("%d behind it took %v", test.others, took)
+		t.Errorf("rejecting the %d connections in the queue took %v", test.others, took)
 	}
 	close(ln.queue)
 	for _, conn := range clients {
@@ -101,12 +103,13 @@
 		t.Error(err)
 	}
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "-BUSY 150\r\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("read %q, %v, want -BUSY 150", line, err)
 	}
 }
 
-// There is no slot for a connection. A request on it gets its rejection at once, a greeting its answer, and silence
-// its end. A body that is still on its way is read after the rejection, or a reset would overtake that.
+// A connection has no slot. A request on it must be rejected at once, a greeting must be answered, and a silent
+// connection must end without an answer. A body that is still in transit must be read after the rejection. Otherwise a
+// reset would overtake the rejection.
 func TestRejectAnswers(t *testing.T) {
 	server := NewServer(nil, RequestLimits{RetryAfter: 150_000}, 0, 1, 1, logging.Discard())
 	header := "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n7f3a9c21e0b4d655\r\n$2\r\nid\r\n$3\r\nc=w\r\n$300000\r\n"
@@ -136,7 +139,7 @@
 			_ = conn.Close()
 			<-ended
 			if string(got) != test.want || err != nil {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("read %q, %v, want %q", got, err, test.want)
 			}
 		})
 	}
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxLineBytes bounds a line of a node's reply, and the figures and load reports after its value. The protocol
-	// sets it.
+	// maxLineBytes bounds a line of a node's reply, and each of the bulk strings after its value. The protocol defines
+	// this bound.
 	maxLineBytes = 512
-	// maxReplyParts bounds the parts of a node's reply. The protocol has three; later versions may have more.
+	// maxReplyParts bounds the parts of a node's reply. The protocol defines three parts, and later versions may define
+	// more.
 	maxReplyParts = 8
 	// nullLength is the length of a null bulk string.
 	nullLength = -1
 )
 
-// nodeBusy is the first word of an error by which a node rejects a request without executing it.
+// nodeBusy is the first word of the error with which a node rejects a request without executing it.
 const nodeBusy = "BUSY"
 
-// errReply is the error of a node's reply that cannot be read. The connection is closed.
+// errReply is the error of a node's reply that cannot be parsed. The connection to the node is closed after it.
 var errReply = errors.New("malformed reply")
 
-// replyRest is what of a reply is still to be read.
+// replyRest describes the unread rest of a reply.
 type replyRest struct {
-	streamed int // bytes of a value that is too long to be buffered, 0 if it was read
-	parts    int // bulk strings after the value
+	streamed int // length in bytes of a value that is too long to be buffered, 0 if the value was read
+	parts    int // number of bulk strings after the value
 }
 
-// readReply reads a node's reply up to its value, or up to the header of a long one, and returns what stands after
-// that.
+// readReply reads a node's reply up to the end of its value, or up to the header of a value that is too long to be
+// buffered. rest describes the unread part of the reply.
 func readReply(r *bufio.Reader) (result broker.Result, rest replyRest, err error) {
 	result = broker.Result{Load: scheduler.NoLoadReport}
 	line, err := readLine(r)
@@ -50,10 +51,10 @@
 		err = readArray(r, line, &result, &rest)
 		return result, rest, err
 	}
-	return result, rest, fmt.Errorf("%w: %.20q is no array", errReply, line)
+	return result, rest, fmt.Errorf("%w: %.20q is not an array", errReply, line)
 }
 
-// readError reads an error line of a node. It may hold figures among its words.
+// readError parses an error line of a node. The words of the line may contain figures.
 func readError(line []byte, result *broker.Result) {
 	words := bytes.Fields(line)
 	result.Reply = broker.ReplyError
@@ -65,11 +66,11 @@
 	}
 }
 
-// readArray reads the value of a reply after its first line.
+// readArray reads an array reply, whose first line is line, up to the end of its value.
 func readArray(r *bufio.Reader, line []byte, result *broker.Result, rest *replyRest) error {
 	parts, err := strconv.Atoi(string(line[1:]))
 	if err != nil || parts < 1 || parts > maxReplyParts {
-		return fmt.Errorf("%w: %.20q is no array of 1 to %d", errReply, line, maxReplyParts)
+		return fmt.Errorf("%w: %.20q is not an array of 1 to %d parts", errReply, line, maxReplyParts)
 	}
 	rest.parts = parts - 1
 	size, err := readBulkHeader(r, maxNodeValueBytes)
@@ -84,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	if value == nil { // a null value serves nothing
+	if value == nil { // a null value does not answer a request
 		result.Reply = broker.ReplyError
 		return nil
 	}
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// readTrailer reads the parts after a value: the figures on use and the load report. They may be spoilt where the
-// value is good, so an error spoils the connection only.
+// readTrailer reads the parts after a value: the figures on use and the load report. They may be malformed although the
+// value is valid, so an error makes the connection unusable but leaves the value valid.
 func readTrailer(r *bufio.Reader, parts int, result *broker.Result) error {
 	for range parts {
 		part, err := readBulk(r, maxLineBytes)
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// readHealthCheck reads the reply to a health check, a load report in a bulk string.
+// readHealthCheck reads the reply to a health check, which is a load report in a bulk string.
 func readHealthCheck(r *bufio.Reader) (broker.Result, error) {
 	if next, err := r.Peek(1); err != nil || next[0] != '$' {
 		result, _, err := readReply(r)
@@ -117,22 +118,22 @@
 	return result, err
 }
 
-// readLine returns a line without its end. It lies in the reader's buffer until the next read.
+// readLine returns a line without its line end. The line is a slice of the reader's buffer, valid until the next read.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || len(line) > maxLineBytes {
-		return nil, fmt.Errorf("%w: a line is too long", errReply)
+		return nil, fmt.Errorf("%w: line is longer than %d bytes", errReply, maxLineBytes)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if len(line) <= len(lineEnd) || !bytes.HasSuffix(line, []byte(lineEnd)) {
-		return nil, fmt.Errorf("%w: a line ends without CR LF", errReply)
+		return nil, fmt.Errorf("%w: line is empty or does not end with CR LF", errReply)
 	}
 	return line[:len(line)-len(lineEnd)], nil
 }
 
-// readBulk reads a bulk string of at most limit bytes; nil if it is null.
+// readBulk reads a bulk string of at most limit bytes. It returns nil for a null bulk string.
 func readBulk(r *bufio.Reader, limit int) ([]byte, error) {
 	size, err := readBulkHeader(r, limit)
 	if err != nil {
@@ -141,8 +142,8 @@
 	return readBulkContents(r, size)
 }
 
-// readBulkHeader reads the header of a bulk string of at most limit bytes and returns its length, nullLength if it is
-// null.
+// readBulkHeader reads the header of a bulk string of at most limit bytes. It returns the length of the bulk string,
+// which is nullLength for a null bulk string.
 func readBulkHeader(r *bufio.Reader, limit int) (int, error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -150,12 +151,12 @@
 	}
 	size, err := strconv.Atoi(string(line[1:]))
 	if line[0] != '$' || err != nil || size < nullLength || size > limit {
-		return 0, fmt.Errorf("%w: %.20q is no bulk string", errReply, line)
+		return 0, fmt.Errorf("%w: %.20q is not the header of a bulk string of at most %d bytes", errReply, line, limit)
 	}
 	return size, nil
 }
 
-// readBulkContents reads a bulk string after its header; nil if it is null.
+// readBulkContents reads the contents of a bulk string of size bytes. It returns nil for a null bulk string.
 func readBulkContents(r *bufio.Reader, size int) ([]byte, error) {
 	if size == nullLength {
 		return nil, nil
@@ -165,7 +166,7 @@
 		return nil, err
 	}
 	if string(text[size:]) != lineEnd {
-		return nil, fmt.Errorf("%w: a bulk string ends without CR LF", errReply)
+		return nil, fmt.Errorf("%w: bulk string does not end with CR LF", errReply)
 	}
 	return text[:size:size], nil
 }
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -13,7 +13,7 @@
 	"junctionwharf/broker"
 )
 
-// replyCase is a node's reply and what it says, unless it cannot be read.
+// replyCase is a node's reply and the expected result of reading it.
 type replyCase struct {
 	text      string
 	reply     broker.Reply
@@ -24,7 +24,7 @@
 	malformed bool
 }
 
-// noInFlight is the figure of a reply without a load report.
+// noInFlight is the in-flight figure of a reply without a load report.
 const noInFlight = -1
 
 var replyCases = []replyCase{
@@ -41,7 +41,7 @@
 		reply: broker.ReplyError, rateUsed: 2, elsewhere: 2, inFlight: 5,
 	},
 	{text: "-SYNTAX\r\n", reply: broker.ReplyError, inFlight: noInFlight},
-	// This once gave a client an empty value.
+	// This reply was once read as an empty value, which a client received.
 	{text: "+noise that happens to begin like a status\r\n", malformed: true},
 	{text: "*99\r\n", malformed: true},
 	{text: "$2\r\nhi\r\n", malformed: true},
@@ -55,7 +55,7 @@
 	{text: "-" + strings.Repeat("x", 5000) + "\r\n", malformed: true},
 }
 
-// readWholeReply reads a reply to its end, a long value through a client's connection.
+// readWholeReply reads a complete reply. A long value is streamed over a client's connection.
 func readWholeReply(reader *bufio.Reader) (broker.Result, error) {
 	result, rest, err := readReply(reader)
 	if err == nil && rest.streamed > 0 {
@@ -79,7 +79,7 @@
 	for _, test := range replyCases {
 		result, err := readWholeReply(bufio.NewReader(iotest.OneByteReader(strings.NewReader(test.text))))
 		if (err != nil) != test.malformed {
-			t.Errorf("%.40q: %v", test.text, err)
+			t.Errorf("%.40q: got error %v, malformed is %v", test.text, err, test.malformed)
 		}
 		if err != nil {
 			continue
@@ -94,7 +94,7 @@
 			inFlight:  result.Load.InFlight,
 		}
 		if got != test {
-			t.Errorf("%.40q: %+v", test.text, result)
+			t.Errorf("%.40q: got result %+v", test.text, result)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		result, err := readWholeReply(bufio.NewReader(bytes.NewReader(text)))
 		if value, _ := result.Value.([]byte); err == nil && len(value) > maxNodeValueBytes {
-			t.Errorf("a value of %d bytes", len(value))
+			t.Errorf("read a value of %d bytes, above the limit", len(value))
 		}
 	})
 }
--- a/internal/resp/requestids.go
+++ b/internal/resp/requestids.go
@@ -7,11 +7,11 @@
 	"sync"
 )
 
-// requestIDs holds the ids of the requests that wait for their answer, here and at the broker's other process during a
-// handover. An id may be open only once: a second request with it would get a second final answer, and nodes could
-// execute one write twice.
+// requestIDs is the set of the IDs of open requests, that is, of requests that wait for their answers at this process
+// or, during a handover, at the broker's other process. Two open requests must not have the same ID: the client would
+// get two final answers for it, and nodes could execute one write twice.
 type requestIDs struct {
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	open     map[string]struct{}
 	remote   map[string]struct{} // open at the other process
 	onChange func(id string, opened bool)
@@ -25,7 +25,7 @@
 	}
 }
 
-// add opens an id, unless it is open already. The text of its error goes to the client.
+// add adds a request's ID. It fails if a request with this ID is open. The text of the error is sent to the client.
 func (r *requestIDs) add(id string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// remove ends an id; one that is not open is passed over.
+// remove removes the ID of a request that has ended. It ignores an ID that is not open.
 func (r *requestIDs) remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,14 +49,14 @@
 	}
 }
 
-// all returns the ids that are open here.
+// all returns the IDs that are open at this process.
 func (r *requestIDs) all() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Keys(r.open))
 }
 
-// updateRemote applies the other process's changes of its requests.
+// updateRemote applies changes of the other process's open requests.
 func (r *requestIDs) updateRemote(opened, ended []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// clearRemote forgets the ids of the other process.
+// clearRemote removes all IDs of the other process.
 func (r *requestIDs) clearRemote() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/resp/server.go
+++ b/internal/resp/server.go
@@ -18,13 +18,13 @@
 	loop      *broker.Loop
 	logger    *slog.Logger
 	limits    atomic.Pointer[RequestLimits]
-	budget    *clientconn.ByteBudget // of the requests and answers that are buffered
+	budget    *clientconn.ByteBudget // of buffered requests and answers
 	ids       *requestIDs
 	malformed *malformedLog
 }
 
-// NewServer returns a server that holds at most maxConnections, and at most maxBytes of requests and answers. Beyond
-// maxIdle connections idle ones end.
+// NewServer returns a server for at most maxConnections connections and at most maxBytes of buffered requests and
+// answers. If more than maxIdle connections are idle, the server closes idle ones.
 func NewServer(loop *broker.Loop, limits RequestLimits, maxConnections, maxIdle, maxBytes int,
 	logger *slog.Logger) *Server {
 	logger = logger.With("front", "clients")
@@ -40,35 +40,35 @@
 	return s
 }
 
-// RejectOverLimit answers and ends up to maxRejections connections at a time over the limit. It must be called before
-// Serve.
+// RejectOverLimit makes the server answer and close connections over the limit, up to maxRejections at a time. It must
+// be called before Serve.
 func (s *Server) RejectOverLimit(maxRejections int) {
 	s.Table.RejectOverLimit(maxRejections, s.reject, s.loop.SheddingLoad)
 }
 
-// SetLimits changes what requests may ask for from now on.
+// SetLimits sets the limits of the requests that arrive from now on.
 func (s *Server) SetLimits(limits RequestLimits) {
 	limits.busyLine = busyLine(limits.RetryAfter)
 	s.limits.Store(&limits)
 }
 
-// ResizeBudget changes how many bytes of requests and answers there may be.
+// ResizeBudget sets the maximum number of bytes of buffered requests and answers.
 func (s *Server) ResizeBudget(maxBytes int) { s.budget.Resize(maxBytes) }
 
-// OnRequestChange sets a function that is called for each request id that opens or ends, to notify the other process
-// of the broker during a handover. The function must not block. It must be called before Serve.
+// OnRequestChange sets a function that is called whenever a request with a given ID opens or ends. During a handover
+// the function notifies the broker's other process. It must not block. OnRequestChange must be called before Serve.
 func (s *Server) OnRequestChange(notify func(id string, opened bool)) { s.ids.onChange = notify }
 
-// OpenRequestIDs returns the ids of the requests that wait for their answer.
+// OpenRequestIDs returns the IDs of the requests that wait for their answers.
 func (s *Server) OpenRequestIDs() []string { return s.ids.all() }
 
-// UpdateRemoteRequests applies the changes of the requests of the broker's other process.
+// UpdateRemoteRequests applies changes of the open requests of the broker's other process.
 func (s *Server) UpdateRemoteRequests(opened, ended []string) { s.ids.updateRemote(opened, ended) }
 
-// ForgetRemoteRequests forgets the requests of the other process, which has gone.
+// ForgetRemoteRequests removes the IDs of the requests of the broker's other process, which has ended.
 func (s *Server) ForgetRemoteRequests() { s.ids.clearRemote() }
 
-// Serve serves the clients of a listener until Close.
+// Serve serves the clients of a listener until Close is called.
 func (s *Server) Serve(ln net.Listener) error {
 	guarded := &guardedListener{Listener: ln, table: s.Table}
 	closed := func(redcon.Conn, error) { guarded.redconConns.Done() }
@@ -76,15 +76,15 @@
 	return server.Serve(guarded)
 }
 
-// guardedListener hands redcon connections with an input guard, as many as there are slots for.
+// guardedListener wraps each accepted connection in an inputGuard. The table limits the number of connections.
 type guardedListener struct {
 	net.Listener
 	table       *clientconn.Table
 	redconConns sync.WaitGroup // connections that redcon has not detached yet
 }
 
-// Accept implements net.Listener. When the listener ends it waits until redcon has detached all connections: redcon
-// closes those that it still has, and requests on them count as taken.
+// Accept implements net.Listener. After the listener was closed, Accept waits until all connections are detached from
+// redcon: redcon closes the connections that it still has, although requests on them count as accepted.
 func (l *guardedListener) Accept() (net.Conn, error) {
 	conn, err := l.table.Accept(l.Listener)
 	if err != nil {
@@ -95,8 +95,8 @@
 	return &inputGuard{Conn: conn}, nil
 }
 
-// serveDetached gets a connection's first command, which the guard has made, and takes the connection from redcon,
-// whose own loop would read nothing more before a request is answered.
+// serveDetached receives a connection's first command, which inputGuard generated, and detaches the connection from
+// redcon. redcon's own loop would not read on before a request is answered.
 func (s *Server) serveDetached(conn redcon.Conn, _ redcon.Command) {
 	c := newClient(s, conn.Detach(), conn.NetConn().(*inputGuard))
 	c.awaitingFirst = s.Add(c)
--- a/internal/resp/server_test.go
+++ b/internal/resp/server_test.go
@@ -13,7 +13,7 @@
 	"junctionwharf/scheduler"
 )
 
-// newStalledServer serves clients with a loop that never runs, so that requests wait.
+// newStalledServer returns a server, and its address, with a loop that never runs, so that requests stay open.
 func newStalledServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	state, err := broker.NewState(scheduler.Settings{
@@ -28,7 +28,7 @@
 	return server, serve(t, server)
 }
 
-// A client sends nonsense. It gets an error after its other answers, and its connection ends.
+// A client sends malformed input. It must get an error after its other answers, and its connection must end.
 func TestMalformedInputEndsTheConnection(t *testing.T) {
 	server := NewServer(nil, RequestLimits{}, 4, 4, 1<<20, testLogger(t))
 	address := serve(t, server)
@@ -37,13 +37,13 @@
 	} {
 		got, _ := exchangeText(t, address, pingText+pingText+text)
 		if !strings.HasPrefix(got, pongLine+pongLine+errorPrefix) || !strings.HasSuffix(got, lineEnd) {
-			t.Errorf("%q: %q", text, got)
+			t.Errorf("%q: read %q, want two answers to PING and an error", text, got)
 		}
 	}
 }
 
-// A client sends nothing, or half a command. Its connection ends within three seconds, in the latter case with an
-// error. A client that waits for its answer may be silent for longer than that.
+// The connection of a client that sends nothing, or half a command, must end within three seconds. After half a command
+// the client gets an error first. A client that waits for an answer may be silent for longer than that.
 func TestSlowClientsAreEnded(t *testing.T) {
 	_, address := newStalledServer(t)
 	for text, want := range map[string]string{
@@ -55,31 +55,31 @@
 			t.Parallel()
 			got, took := exchangeText(t, address, text)
 			if !strings.HasPrefix(got, want) || (got == "") != (want == "") || took > 3200*time.Millisecond {
-				t.Errorf("%q after %v", got, took)
+				t.Errorf("read %q, want prefix %q; the connection ended after %v", got, want, took)
 			}
 		})
 	}
 }
 
-// A request comes with the id of an open one, on whatever connection. It is an error, and once the open request has
-// ended nothing is kept of its id.
+// A request has the ID of an open request, on the same connection or another one. It must get an error. After the open
+// request has ended its ID must be removed.
 func TestRequestIDMayBeOpenOnlyOnce(t *testing.T) {
 	server, address := newStalledServer(t)
 	first := dial(t, address, longWaitLimit)
 	write(t, first, readText)
 	eventually(t, waitLimit, "the request is open", func() bool { return server.loop.OpenRequests() > 0 })
 	if got, _ := exchangeText(t, address, readText); !strings.HasPrefix(got, errorPrefix) {
-		t.Errorf("%q", got)
+		t.Errorf("read %q, want an error", got)
 	}
 	if open := server.loop.OpenRequests(); open != 1 {
-		t.Errorf("%d requests are open", open)
+		t.Errorf("%d requests are open, want 1", open)
 	}
 	_ = first.Close()
-	eventually(t, waitLimit, "no id is kept", func() bool { return len(server.OpenRequestIDs()) == 0 })
+	eventually(t, waitLimit, "the ID is removed", func() bool { return len(server.OpenRequestIDs()) == 0 })
 }
 
-// A full server closes a connection without requests to make room for the next client. The table asks for an idle one
-// while others check whether to go on.
+// A full server closes a connection without requests to free a slot for the next client. The table looks for an idle
+// connection while other connections check whether they should close.
 func TestFullServerMakesRoom(t *testing.T) {
 	server := NewServer(nil, RequestLimits{}, 2, 2, 1<<20, testLogger(t))
 	address := serve(t, server)
@@ -88,12 +88,12 @@
 		write(t, conn, pingText)
 		got := make([]byte, len(pongLine))
 		if _, err := io.ReadFull(conn, got); err != nil || string(got) != pongLine {
-			t.Fatalf("client %d: %q, %v", i, got, err)
+			t.Fatalf("client %d: read %q, %v, want +PONG", i, got, err)
 		}
 	}
 }
 
-// blockingConn is a connection that keeps the table's lock while the table asks for its state.
+// blockingConn is a connection whose State blocks, so that the table keeps its lock.
 type blockingConn struct {
 	asked   chan struct{}
 	release chan struct{}
@@ -107,21 +107,21 @@
 	return clientconn.Busy, 0
 }
 
-// A connection asks the table whether it should end while the table holds its lock to check connections. The connection
-// must not hold its own lock meanwhile: the table may be waiting for it.
+// A connection asks the table whether it should close while the table checks connections under its own lock. The
+// connection must not hold its lock during this call, since the table may be waiting for that lock.
 func TestNoLockIsHeldWhileAskingTheTable(t *testing.T) {
 	server := NewServer(nil, RequestLimits{}, 0, 1, 1, logging.Discard())
 	blocking := &blockingConn{asked: make(chan struct{}), release: make(chan struct{})}
 	server.Add(blocking)
 	server.RequestReceived(blocking, false)
-	go func() { _, _ = server.Accept(nil) }() // there is no slot: it checks connections, and never comes to accept
+	go func() { _, _ = server.Accept(nil) }() // without a free slot Accept checks connections and accepts none
 	<-blocking.asked
 	c := &client{server: server}
 	go c.closeIfDraining()
 	for range 200 {
 		time.Sleep(100 * time.Microsecond)
 		if !c.mu.TryLock() {
-			t.Fatal("the connection's lock is held")
+			t.Fatal("the connection holds its lock while it calls the table")
 		}
 		c.mu.Unlock()
 	}
--- a/internal/resp/stream.go
+++ b/internal/resp/stream.go
@@ -12,33 +12,35 @@
 )
 
 const (
-	// maxNodeValueBytes bounds a node's value: nodes give more than a request may hold. The protocol sets it.
+	// maxNodeValueBytes bounds a node's value, which may be longer than the value of a request. The protocol defines
+	// this bound.
 	maxNodeValueBytes = 4 << 20
-	// pieceBytes is how much of a long value is buffered at a time. Higher, each stream takes more memory; lower, it
-	// takes more system calls.
+	// pieceBytes is the number of bytes of a long value that are buffered at a time. A larger value costs more memory
+	// for each stream. A smaller value costs more system calls.
 	pieceBytes = 16 << 10
-	// pieceTimeout bounds the time in which a node gives nothing, or a client takes nothing. Lower, slow clients would
-	// be cut off; higher, a stalled one would hold its node's connection for longer.
+	// pieceTimeout is how long a node may send nothing, or a client accept nothing. With a smaller value slow clients
+	// would be disconnected. With a larger value a stalled client would occupy its node's connection for longer.
 	pieceTimeout = 10 * time.Second
-	// claimTimeout is how long a value waits for its client's turn. Longer than any client waits for its other answers.
+	// claimTimeout is how long a value waits until it is next in its client's order of answers. It is longer than any
+	// client waits for its other answers.
 	claimTimeout = time.Minute
 )
 
 var (
-	errStreamCut       = errors.New("a value was not passed on whole")
-	errStreamAbandoned = errors.New("no client takes the value")
+	errStreamCut       = errors.New("value was not forwarded to the client completely")
+	errStreamAbandoned = errors.New("no client waits for the value")
 )
 
-// stream is a long value on its way from a node. It is passed on piece by piece, as fast as its client takes it. The
-// goroutine of the node's exchange waits in wait while the client's writer runs passTo. It implements broker.Streaming.
+// stream is a long value of a node that is forwarded piece by piece, as fast as its client accepts it. The goroutine of
+// the node's exchange blocks in wait while the client's writer runs passTo. stream implements broker.Streaming.
 type stream struct {
 	size           int
 	reader         *bufio.Reader
-	setReadTimeout func(time.Duration) // bounds the node's next bytes
-	claimed        chan struct{}       // closed when a client takes the value
-	result         chan error          // how passing it on ended
-	end            sync.Once           // sends result
-	onEnd          func(complete bool) // set before a client takes the value, nil for none
+	setReadTimeout func(time.Duration) // sets the timeout for the node's next bytes
+	claimed        chan struct{}       // closed when the client's writer begins to forward the value
+	result         chan error          // the error of forwarding, nil if the value was forwarded completely
+	end            sync.Once           // guards the send on result
+	onEnd          func(complete bool) // set before claimed is closed, may be nil
 }
 
 func newStream(size int, reader *bufio.Reader, setReadTimeout func(time.Duration)) *stream {
@@ -54,16 +56,16 @@
 // OnEnd implements broker.Streaming.
 func (s *stream) OnEnd(call func(complete bool)) { s.onEnd = call }
 
-// Close implements io.Closer for the loop, which closes a value that no client takes.
+// Close implements io.Closer. The loop closes a value for which no client waits.
 func (s *stream) Close() error {
 	s.abandon()
 	return nil
 }
 
-// abandon gives the value up.
+// abandon ends the stream because no client waits for its value.
 func (s *stream) abandon() { s.finish(errStreamAbandoned) }
 
-// finish ends the stream; only the first call counts.
+// finish ends the stream with an error, or with nil for success. Only the first call has an effect.
 func (s *stream) finish(err error) {
 	s.end.Do(func() {
 		s.result <- err
@@ -73,7 +75,7 @@
 	})
 }
 
-// wait returns once the value was passed on or given up, or stopped is closed.
+// wait returns when the value has been forwarded or abandoned, or when stopped is closed.
 func (s *stream) wait(stopped <-chan struct{}) error {
 	timer := time.NewTimer(claimTimeout)
 	defer timer.Stop()
@@ -96,11 +98,11 @@
 
 var pieceBuffers = sync.Pool{New: func() any { return new([pieceBytes]byte) }}
 
-// passTo writes the value to its client, the line end included. After an error the client has less than the whole
-// value, and its connection must end: so it can tell that the value is incomplete.
+// passTo writes the value and its line end to the client. After an error the client has not received the whole value,
+// and its connection must be closed, so that the client detects that the value is incomplete.
 func (s *stream) passTo(conn net.Conn) error {
 	err := errStreamCut
-	defer func() { s.finish(err) }() // after a panic, too: the node's exchange waits for it
+	defer func() { s.finish(err) }() // also after a panic, since the node's exchange waits for it
 	close(s.claimed)
 	if cause := s.copyTo(conn); cause != nil {
 		err = fmt.Errorf("%w: %w", errStreamCut, cause)
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// copyTo copies the value and its line end.
+// copyTo copies the value and its line end to the client's connection.
 func (s *stream) copyTo(conn net.Conn) error {
 	piece := pieceBuffers.Get().(*[pieceBytes]byte)
 	defer pieceBuffers.Put(piece)
@@ -131,12 +133,12 @@
 		return err
 	}
 	if string(ending) != lineEnd {
-		return errReply // without its line end the client can tell that the value is spoilt
+		return errReply // the client gets no line end, so that it detects the malformed value
 	}
 	return writeAll(conn, net.Buffers{ending})
 }
 
-// writeAll writes to a client that may take its time, as long as it takes something.
+// writeAll writes to a client. It fails if the client accepts no byte for pieceTimeout.
 func writeAll(conn net.Conn, out net.Buffers) error {
 	for {
 		if err := conn.SetWriteDeadline(time.Now().Add(pieceTimeout)); err != nil {
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -20,7 +20,7 @@
 	"junctionwharf/scheduler"
 )
 
-// countingConn counts the bytes that its writer got rid of.
+// countingConn counts the bytes that were written to it.
 type countingConn struct {
 	net.Conn
 	sent atomic.Int64
@@ -32,7 +32,7 @@
 	return n, err
 }
 
-// A client reads nothing of a long value. It holds up the node, and no more than a piece is buffered in between.
+// A client does not read a long value. The node must be blocked, and at most one piece may be buffered in the broker.
 func TestStreamBuffersOnePiece(t *testing.T) {
 	const size = 1 << 20
 	const chunkSize = 512
@@ -57,7 +57,7 @@
 	chunk := make([]byte, 2<<10)
 	for read := int64(0); read < size; {
 		if sent := counting.sent.Load(); sent > read+between+int64(len(chunk)) {
-			t.Fatalf("%d bytes were taken from the node while the client had %d", sent, read)
+			t.Fatalf("the broker has read %d bytes from the node, but the client only %d", sent, read)
 		}
 		n, err := client.Read(chunk)
 		if err != nil {
@@ -66,7 +66,7 @@
 		read += int64(n)
 	}
 	if _, err := io.ReadFull(client, chunk[:2]); err != nil || string(chunk[:2]) != lineEnd {
-		t.Errorf("%q, %v", chunk[:2], err)
+		t.Errorf("read %q, %v, want the line end", chunk[:2], err)
 	}
 	if err := <-passed; err != nil {
 		t.Error(err)
@@ -76,7 +76,7 @@
 	}
 }
 
-// Nobody takes a value. Its node's connection is free at once.
+// No client waits for a value. The connection to its node must be released at once.
 func TestAbandonedStreamFreesItsNode(t *testing.T) {
 	s := newStream(1, nil, nil)
 	if err := s.Close(); err != nil {
@@ -92,11 +92,11 @@
 	}
 }
 
-// The ids by which a test tells its node how to answer.
+// The request IDs that determine the answer of the test's node.
 const (
-	idCut    = "cut"    // the connection ends inside the value
-	idSpoilt = "spoilt" // the value has no line end
-	idShort  = "short"
+	idCut       = "cut"    // the connection ends inside the value
+	idNoLineEnd = "spoilt" // the value has no line end
+	idShort     = "short"
 )
 
 const (
@@ -107,14 +107,14 @@
 
 var longValue = strings.Repeat(longPattern, longSize/len(longPattern))
 
-// answerByID is a node that answers as a request's id says.
+// answerByID answers a command as a node does. The request's ID determines the answer.
 func answerByID(conn net.Conn, cmd redcon.Command) bool {
 	var err error
 	switch string(cmd.Args[argID]) {
 	case idCut:
 		_, _ = fmt.Fprintf(conn, "*3\r\n$%d\r\n%s", len(longValue), longValue[:len(longValue)/2])
 		return false
-	case idSpoilt:
+	case idNoLineEnd:
 		_, _ = fmt.Fprintf(conn, "*3\r\n$%d\r\n%sno end", len(longValue), longValue)
 		return false
 	case idShort:
@@ -125,7 +125,7 @@
 	return err == nil
 }
 
-// newLoopTo runs a loop whose one node listens at an address.
+// newLoopTo runs a loop with one node at the given address.
 func newLoopTo(t *testing.T, address string) *broker.Loop {
 	t.Helper()
 	state, err := broker.NewState(scheduler.Settings{
@@ -156,8 +156,9 @@
 	return loop
 }
 
-// Long values go through the whole broker. Whole ones come whole and leave the connections of use, broken ones end the
-// client's connection before their end. A value counts as served once it was passed on whole, and as open until then.
+// Long values are forwarded through a complete broker. After a complete value both connections must stay usable. After
+// an incomplete or malformed value the client's connection must end before the end of the value. A value counts as
+// served when it was forwarded completely, and its request is open until then.
 func TestLongValues(t *testing.T) {
 	nodeListener := listen(t)
 	var connections atomic.Int64
@@ -175,23 +176,23 @@
 			write(t, conn, bulk(commandRead, testKey, id, options))
 		}
 		var got bytes.Buffer
-		_, _ = io.CopyN(&got, conn, int64(maxBytes)) // less comes if the connection ends
+		_, _ = io.CopyN(&got, conn, int64(maxBytes)) // the connection may end earlier
 		return got.Bytes()
 	}
 	whole := fmt.Sprintf("$%d\r\n%s\r\n", len(longValue), longValue)
 	if got := read(len(whole+shortValue), "long", idShort); string(got) != whole+shortValue {
-		t.Errorf("%d bytes", len(got))
+		t.Errorf("read %d bytes, want a long and a short value", len(got))
 	}
 	before := connections.Load()
 	if got := read(len(whole+whole+shortValue), "long1", "long2", idShort); string(got) != whole+whole+shortValue {
-		t.Errorf("%d bytes", len(got))
+		t.Errorf("read %d bytes, want two long values and a short one", len(got))
 	}
 	if now := connections.Load(); now > before+2 {
-		t.Errorf("%d connections, %d before: none was used again", now, before)
+		t.Errorf("%d connections, %d before: none was reused", now, before)
 	}
-	for _, id := range []string{idCut, idSpoilt} {
+	for _, id := range []string{idCut, idNoLineEnd} {
 		if got := read(1<<30, id); len(got) >= len(whole) || !bytes.HasPrefix(got, []byte("$")) {
-			t.Errorf("%s: %d bytes of %d", id, len(got), len(whole))
+			t.Errorf("%s: read %d bytes, want an incomplete value of less than %d", id, len(got), len(whole))
 		}
 	}
 	eventually(t, waitLimit, "no request is open", func() bool { return loop.OpenRequests() == 0 })
--- a/internal/resp/stub_test.go
+++ b/internal/resp/stub_test.go
@@ -15,17 +15,17 @@
 	"junctionwharf/scheduler"
 )
 
-// heldTransport is a transport whose attempts wait for the test.
+// heldTransport is a transport whose attempts are answered by the test.
 type heldTransport struct {
 	attempts chan *heldAttempt
 }
 
-// heldAttempt is an attempt that the test answers.
+// heldAttempt is an attempt that waits until the test answers it.
 type heldAttempt struct {
 	broker.Attempt
 	onResult func(broker.Result)
-	gone     chan struct{} // closed when it is stopped or cancelled
-	once     sync.Once     // closes gone
+	gone     chan struct{} // closed when the attempt is stopped or cancelled
+	once     sync.Once     // guards the close of gone
 }
 
 func (h *heldTransport) Start(a broker.Attempt, onResult func(broker.Result)) broker.Handle {
@@ -55,7 +55,7 @@
 	a.onResult(broker.Result{Value: []byte("v"), Load: scheduler.NoLoadReport})
 }
 
-// fixture is a server over loopback sockets whose requests are answered, or not, as the test says.
+// fixture is a server on loopback sockets, with a transport whose attempts the test answers.
 type fixture struct {
 	*testing.T
 	server    *Server
@@ -64,7 +64,7 @@
 	transport *heldTransport
 }
 
-// servedValue is the answer to a request whose attempt was served (heldAttempt.serve).
+// servedValue is the encoded answer to a request whose attempt was answered by heldAttempt.serve.
 const servedValue = "$1\r\nv\r\n"
 
 func newFixture(t *testing.T) *fixture {
@@ -95,9 +95,9 @@
 	return f
 }
 
-// serveClients serves the fixture's listener until the test ends.
+// serveClients serves clients on the fixture's listener until the test ends.
 func (f *fixture) serveClients() {
-	go func() { _ = f.server.Serve(f.listener) }() // it ends with the listener
+	go func() { _ = f.server.Serve(f.listener) }() // returns when the listener is closed
 }
 
 func (f *fixture) dial() *net.TCPConn {
@@ -105,19 +105,19 @@
 	return dial(f.T, f.listener.Addr().String(), longWaitLimit)
 }
 
-// request encodes a read that the fixture's settings allow.
+// request encodes a read that is within the fixture's limits.
 func request(id string) string {
 	return bulk(commandRead, testKey, id, "c=read,t=plan,d=9000,volume=00000003b4d60021,units=1,shard=0,hosts=1")
 }
 
-// attempt returns the next attempt that the loop sends.
+// attempt returns the next attempt that the loop starts.
 func (f *fixture) attempt() *heldAttempt {
 	f.Helper()
 	select {
 	case attempt := <-f.transport.attempts:
 		return attempt
 	case <-time.After(longWaitLimit):
-		f.Fatal("nothing was sent")
+		f.Fatal("the loop started no attempt")
 		return nil
 	}
 }
@@ -136,8 +136,8 @@
 	return r.Reader.ReadCommand()
 }
 
-// accept returns a client of the server whose goroutines do not run yet, and its peer. A first error, unless it is
-// nil, is what the client's reader meets first.
+// accept returns a client of the server, whose goroutines do not run yet, and its peer. If firstError is not nil, the
+// client's first read of a command fails with it.
 func (f *fixture) accept(firstError error) (*client, *net.TCPConn) {
 	f.Helper()
 	peer := f.dial()
@@ -158,10 +158,10 @@
 	go c.read()
 }
 
-// expectInput waits until what a peer wrote stands unread in a client's socket.
+// expectInput waits until a client's socket has unread input.
 func (f *fixture) expectInput(c *client) {
 	f.Helper()
-	eventually(f.T, longWaitLimit, "input has come", func() bool { return !pool.IsQuiet(c.socket) })
+	eventually(f.T, longWaitLimit, "input has arrived", func() bool { return !pool.IsQuiet(c.socket) })
 }
 
 // expectNoClients waits until all connections have ended.
--- a/internal/resp/transport.go
+++ b/internal/resp/transport.go
@@ -11,19 +11,19 @@
 	"junctionwharf/internal/pool"
 )
 
-// healthCheckTimeout bounds a health check from the moment it has its connection. Higher, a stalled node would be found
-// out later; lower, slow nodes would be taken for failed.
+// healthCheckTimeout bounds a health check from the time at which it has a connection. With a larger value a stalled
+// node would be detected later. With a smaller value slow nodes would be considered failed.
 const healthCheckTimeout = time.Second
 
-// healthCheckCommand asks a node for its load report.
+// healthCheckCommand requests a node's load report.
 const healthCheckCommand = "*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
-var errNotRESP = errors.New("not a RESP request")
+var errNotRESP = errors.New("request is not a RESP command")
 
-// Transport carries attempts to storage nodes, each alone on its connection. It implements broker.Transport.
+// Transport sends attempts to storage nodes, one at a time on each connection. It implements broker.Transport.
 type Transport struct{ pool *pool.Pool }
 
-// NewTransport returns a transport over connections from a pool.
+// NewTransport returns a transport that uses the connections of a pool.
 func NewTransport(p *pool.Pool) *Transport { return &Transport{pool: p} }
 
 // Start implements broker.Transport.
@@ -36,7 +36,7 @@
 	return t.pool.Start(attempt.Address, call, 0, attempt.OnWritten, onResult)
 }
 
-// exchange sends a command and reads the reply to its end.
+// exchange sends a command and reads the complete reply.
 func exchange(e *pool.Exchange, cmd *command, timeout broker.Micros) (broker.Result, error) {
 	message := cmd.forward(timeout - broker.MicrosOf(e.Elapsed()))
 	if err := e.Send(message, pool.MessageSize(message)); err != nil {
@@ -52,7 +52,7 @@
 	return result, err
 }
 
-// streamValue hands a long value to whoever waits for it and returns when that has taken it whole.
+// streamValue delivers a long value as a stream. It returns when the value has been forwarded completely or abandoned.
 func streamValue(e *pool.Exchange, size int, result broker.Result) error {
 	value := newStream(size, e.Reader, e.SetReadTimeout)
 	result.Value = value
@@ -62,8 +62,8 @@
 	return value.wait(e.Stopped())
 }
 
-// readRest reads what follows a value. The client waits for it only if all of it has come: figures may be late, or so
-// spoilt that they never end.
+// readRest reads the parts of a reply after its value. Unless all of them are buffered already, it delivers the result
+// before it reads them: the figures may arrive late, or be malformed in such a way that they never end.
 func readRest(e *pool.Exchange, rest replyRest, result *broker.Result) {
 	buffered, _ := e.Reader.Peek(e.Reader.Buffered())
 	trial := *result
--- a/internal/resp/transport_test.go
+++ b/internal/resp/transport_test.go
@@ -12,8 +12,8 @@
 	"junctionwharf/internal/pool"
 )
 
-// serveCommands accepts connections until the listener ends, and calls a function for each command on them until it
-// returns false.
+// serveCommands accepts connections until the listener is closed. For each command on a connection it calls onCommand,
+// and it closes the connection when onCommand returns false.
 func serveCommands(ln net.Listener, onConnection func(), onCommand func(net.Conn, redcon.Command) bool) {
 	for {
 		conn, err := ln.Accept()
@@ -33,7 +33,8 @@
 	}
 }
 
-// A node's figures come late after its value. The answer must not wait for them, nor cost its connection.
+// A node sends its figures long after the value. The client's answer must not be delayed by this, and the connection to
+// the node must stay usable.
 func TestAnswerDoesNotWaitForFigures(t *testing.T) {
 	ln := listen(t)
 	address := ln.Addr().String()
@@ -66,15 +67,15 @@
 		select {
 		case r := <-results:
 			if value, _ := r.Value.([]byte); r.Err != nil || string(value) != "hi" {
-				t.Errorf("%+v", r)
+				t.Errorf("got %+v, want the value hi", r)
 			}
 		case <-time.After(waitLimit):
-			t.Fatal("no answer")
+			t.Fatal("no result before the figures")
 		}
 		answered <- struct{}{}
 		eventually(t, waitLimit, "the connection is kept", func() bool { return p.HasIdle(address) })
 	}
 	if n := len(connections); n != 1 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections, want 1", n)
 	}
 }
--- a/internal/resp/wire.go
+++ b/internal/resp/wire.go
@@ -7,14 +7,14 @@
 	"junctionwharf/broker"
 )
 
-// The commands of clients.
+// The names of the clients' commands.
 const (
 	commandPing  = "PING"
 	commandRead  = "BLK.READ"
 	commandWrite = "BLK.WRITE"
 )
 
-// The options of a command: the names of its name=value list.
+// The names of the options in a command's name=value list.
 const (
 	optionClass   = "c"
 	optionPlan    = "t"
@@ -22,22 +22,22 @@
 	optionTimeout = "d" // milliseconds that the client waits
 	optionUnits   = "units"
 	optionShard   = "shard"
-	optionBrokers = "hosts" // brokers through which the volume's requests come
-	optionRetry   = "r"     // 1 for a request that the client sends once more
+	optionBrokers = "hosts" // the number of brokers to which the volume's requests are sent
+	optionRetry   = "r"     // 1 for a request that the client sends again
 )
 
 const (
-	// maxValueBytes bounds the value of a request, and a node's value that is buffered. The protocol sets it.
+	// maxValueBytes bounds the value of a request, and a node's value that is buffered. The protocol defines it.
 	maxValueBytes = 64 << 10
-	// maxArgs bounds the parts of a command; the longest command has five.
+	// maxArgs bounds the arguments of a command. The longest command has five.
 	maxArgs = 8
-	// maxIDBytes bounds a request's id. Higher, the ids of open requests could take more memory.
+	// maxIDBytes bounds a request's ID. With a larger value the IDs of open requests could take more memory.
 	maxIDBytes = 128
-	// keyDigits is the number of hex digits of a key or a volume. The protocol sets it.
+	// keyDigits is the number of hex digits of a key or a volume. The protocol defines it.
 	keyDigits = 16
 )
 
-// The lines of answers.
+// The lines of answers and their prefixes.
 const (
 	lineEnd     = "\r\n"
 	pongLine    = "+PONG\r\n"
@@ -46,10 +46,10 @@
 	busyPrefix  = "-BUSY"
 )
 
-// pingCommand is a PING as clients send it.
+// pingCommand is an encoded PING.
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-// encodeResponse encodes the final answer to a request. The value of a stream follows what it returns.
+// encodeResponse encodes the final answer to a request. For a stream it encodes only the header; the value comes after.
 func encodeResponse(response broker.Response) net.Buffers {
 	switch response.Verdict {
 	case broker.Served:
@@ -65,19 +65,19 @@
 	return net.Buffers{[]byte(failedLine)}
 }
 
-// busyLine is the rejection of a request with, unless retryAfter is 0, the number of milliseconds after which it may
-// send it again.
+// busyLine returns the line that rejects a request. Unless retryAfter is 0, the line contains the number of
+// milliseconds after which the client may retry.
 func busyLine(retryAfter broker.Micros) []byte {
 	line := []byte(busyPrefix)
 	if retryAfter > 0 {
-		millis := (retryAfter + 999) / 1000 // rounded up: earlier would be too early
+		millis := (retryAfter + 999) / 1000 // rounded up, so that no client retries too early
 		line = append(line, ' ')
 		line = strconv.AppendInt(line, int64(millis), 10)
 	}
 	return append(line, lineEnd...)
 }
 
-// bulkHeader is the line before a bulk string of size bytes.
+// bulkHeader returns the header line of a bulk string of size bytes.
 func bulkHeader(size int) []byte {
 	line := strconv.AppendInt([]byte{'$'}, int64(size), 10)
 	return append(line, lineEnd...)
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// batch is a number of answers that are written together, up to one whose value is a stream or to the last.
+// batch is a sequence of answers that are written together. An answer with a stream, or the last answer of the
+// connection, ends a batch.
 type batch struct {
 	text     net.Buffers
-	reserved int     // bytes of the budget
-	value    *stream // the value that follows text, nil for none
-	last     bool    // the connection ends after it
-	gone     bool    // the client has left, nothing is written
+	reserved int     // bytes reserved in the budget
+	value    *stream // a long value that is written after text, nil if none
+	last     bool    // the connection is closed after this batch
+	gone     bool    // the client has disconnected, so nothing is written
 }
 
-// write writes answers in the order of their commands until the connection ends. It runs in a goroutine of its own and
-// gives back the connection's slot.
+// write writes answers in the order of their commands until the connection ends. It runs in its own goroutine, which
+// releases the connection's slot.
 func (c *client) write() {
 	defer c.server.Remove(c)
 	defer c.release()
@@ -42,14 +43,14 @@
 	}
 }
 
-// takeBatch takes the answers that are ready and next in order.
+// takeBatch removes the answers that can be written next from pending and returns them.
 func (c *client) takeBatch() (next batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone {
 		return batch{gone: true}
 	}
-	if c.directReply { // by the reader, which takes no further command meanwhile
+	if c.directReply { // the reader is writing and handles no further command meanwhile
 		return batch{}
 	}
 	for len(c.pending) > 0 && c.pending[0].ready && !next.last && next.value == nil {
@@ -65,7 +66,7 @@
 	return next
 }
 
-// writeBatch writes answers and reports whether more can be written.
+// writeBatch writes the answers of a batch and reports whether more can be written.
 func (c *client) writeBatch(next batch) bool {
 	err := writeAll(c.socket, next.text)
 	c.server.budget.Release(next.reserved)
@@ -83,7 +84,7 @@
 	return err == nil
 }
 
-// release gives back what the connection holds when its writer ends.
+// release releases the connection's resources when its writer ends.
 func (c *client) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
