--- a/internal/conformance/attempts_test.go
+++ b/internal/conformance/attempts_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// The scenarios of this file are about attempts: what the broker answers and what it retries when a node misbehaves.
+// The scenarios in this file are about attempts: which answers the broker gives and which attempts it retries when a
+// node misbehaves.
 
 func testServed(b *testbed) {
 	b.client.prepare(b.T, "r", "w", "dir")
@@ -12,14 +13,15 @@
 	b.want(b.run(listing, "dir"), served)
 }
 
-// A node says that it is overloaded. It has not run the request, so even a write is retried.
+// A node rejects an attempt because it is overloaded. It has not executed the request, so even a write must be retried.
 func testRejectedThenServed(b *testbed) {
 	b.client.prepare(b.T, "w")
 	b.recorder.play(firstAttempt(rejectBusy))
 	b.want(b.run(write, "w"), served)
 }
 
-// A node runs a write and closes the connection. A retry would run it twice, so the client gets an error.
+// A node executes a write and closes the connection without an answer. A retry would execute the write twice, so the
+// client must get an error.
 func testWriteThatLostItsAnswer(b *testbed) {
 	b.client.prepare(b.T, "w")
 	b.recorder.play(firstAttempt(closeAfterExecution))
@@ -27,14 +29,16 @@
 	b.recorder.wantAttempts(b.T, "w", 1)
 }
 
-// A node closes while a write is on its way. Served or failed: the protocols differ in what the broker can know.
+// A node closes the connection while it receives a write. The write may be served or fail: the protocols differ in what
+// the broker can know about its execution.
 func testWriteCutMidTransfer(b *testbed) {
 	b.client.prepare(b.T, "w")
 	b.recorder.play(firstAttempt(closeMidRequest))
 	b.run(write, "w")
 }
 
-// A node runs a write and its answer cannot be read. It may have run, so it is not retried.
+// A node executes a write and sends an answer that cannot be parsed. The write may have been executed, so it must not
+// be retried.
 func testWriteWithCorruptAnswer(b *testbed) {
 	b.client.prepare(b.T, "w")
 	b.recorder.play(firstAttempt(corruptAnswer))
@@ -48,8 +52,8 @@
 	b.want(b.run(read, "r"), served)
 }
 
-// A node answers twice. The second answer stands unread on a connection that the broker would use again: were it used,
-// the next request would get the answer of another.
+// A node answers a request twice. The second answer is unread on a connection that the broker might reuse. If the
+// broker reused this connection, the next request would get the answer to another request.
 func testDuplicateAnswer(b *testbed) {
 	ids := []string{"w1", "w2", "w3"}
 	b.client.prepare(b.T, ids...)
@@ -65,17 +69,18 @@
 	b.want(b.run(read, "r"), served)
 }
 
-// No node ever answers. The client gets its final answer in time all the same.
+// The nodes never answer. The client must still get its final answers in time.
 func testSilentNode(b *testbed) {
 	b.client.prepare(b.T, "r", "w")
 	b.recorder.play(always(hang))
 	b.want(b.run(write, "w"), failed)
 	if results := b.run(read, "r"); results[0].outcome == served {
-		b.Error("a silent node served")
+		b.Error("a read was served by a silent node")
 	}
 }
 
-// A node's address accepts no connection. Nothing was sent, so writes go to the other node.
+// A node's address accepts no connections. No byte of a request was sent to it, so writes must be retried at the other
+// node.
 func testNodeRefusesConnections(b *testbed) {
 	ids := []string{"w1", "w2", "w3"}
 	b.client.prepare(b.T, ids...)
@@ -88,8 +93,8 @@
 	b.want(b.run(write, ids...), served, served, served)
 }
 
-// One of several requests to a single node hangs while the later ones are answered. The broker ends its attempt before
-// it sends the next: the recorder fails the test where two attempts of a request are in flight at once.
+// One of several requests to a single node hangs while later requests are answered. The broker must end the attempt
+// before it starts the next one: the recorder fails the test if two attempts of a request are in flight at once.
 func testOvertakenAttempt(b *testbed) {
 	ids := []string{"r", "r1", "r2", "r3", "r4", "r5"}
 	b.client.prepare(b.T, ids...)
@@ -111,7 +116,7 @@
 	b.want(b.run(write, ids...), served, served, served, served)
 }
 
-// answerTo takes and checks the answer to a request that was sent at start.
+// answerTo receives and checks the answer to a request that was sent at start.
 func (b *testbed) answerTo(id string, k requestKind, start time.Time) result {
 	b.Helper()
 	r := b.receive(id, k, start)
--- a/internal/conformance/clients_test.go
+++ b/internal/conformance/clients_test.go
@@ -10,9 +10,9 @@
 	"junctionwharf/broker"
 )
 
-// The scenarios of this file are about clients, and about the server's settings and stop as they see them.
+// The scenarios in this file are about clients, and about new settings and the stop of the server as clients see them.
 
-// Clients send what is no command, or nothing. The server ends their connections in time, and others are served.
+// Clients send malformed input or nothing. The server must close their connections in time and still serve others.
 func testMalformedClients(b *testbed) {
 	b.client.prepare(b.T, "r1", "r2")
 	b.recorder.play(func(_, id string, _ int) behavior {
@@ -42,17 +42,17 @@
 	b.want(b.run(read, "r1"), served)
 	for range inputs {
 		if name := <-stillOpen; name != "" {
-			b.Errorf("%s: the connection is open after 3 s", name)
+			b.Errorf("%s: the connection is still open after 3 s", name)
 		}
 	}
 	b.want(b.run(read, "r2"), served)
-	eventually(b.T, "nothing of them is left", func() bool {
+	eventually(b.T, "no request and no connection of the malformed clients remains", func() bool {
 		return b.loop.OpenRequests() == 0 && b.server.Count() == 1
 	})
 }
 
-// A class is renamed while a request of it is in flight. The request ends, and is counted, under the old name; the next
-// one is of the new class.
+// A class is renamed while a request of the class is in flight. This request must be counted under the old name, and
+// the next request must get the new class.
 func testNewSettings(b *testbed) {
 	b.client.prepare(b.T, "r", "r1", "r2")
 	release := make(chan struct{})
@@ -76,24 +76,25 @@
 		counts[f.Name] = f.Value
 	}
 	if counts["success.newer"] != 1 || counts["success.read"] == 0 {
-		b.Errorf("counted %v", counts)
+		b.Errorf("counted %v, want one success of newer and at least one of read", counts)
 	}
 }
 
-// A client closes its connection while its request hangs at a node. Neither the request nor the connection stays.
+// A client closes its connection while a node holds its request without answering. The broker must remove the request
+// and the connection.
 func testClientDisconnects(b *testbed) {
 	b.client.prepare(b.T, "r")
 	b.recorder.play(always(hang))
 	b.client.send("r", read)
 	b.recorder.awaitAttempts(b.T, "r", 1)
 	b.client.close()
-	eventually(b.T, "the request is forgotten", func() bool {
+	eventually(b.T, "the request and the connection are removed", func() bool {
 		return b.loop.OpenRequests() == 0 && b.server.Count() == 0
 	})
 }
 
-// The server drains while a write is in flight. The write is answered and its connection closed; a request that crosses
-// the end of its connection is still answered; after Close nothing listens.
+// The server drains while a write is in flight. The write must be answered and its connection closed. A request on a
+// connection that is made during the drain must still be answered. After Close the server must not listen.
 func testGracefulStop(b *testbed) {
 	b.client.prepare(b.T, "w")
 	release := make(chan struct{})
@@ -111,7 +112,7 @@
 	b.client = b.protocol.client(b.T, b.address)
 	b.recorder.play(always(serve))
 	b.client.prepare(b.T, "r")
-	if b.protocol.name() == "resp" { // an SFTP client's prepare has sent its first command already
+	if b.protocol.name() == "resp" { // an SFTP client has sent its first command in prepare
 		b.client.send("r", read)
 		b.answerTo("r", read, time.Now())
 	}
--- a/internal/conformance/disconnect_test.go
+++ b/internal/conformance/disconnect_test.go
@@ -17,19 +17,19 @@
 	"junctionwharf/scheduler"
 )
 
-// heldDials is a broker whose connections to its one node come up when the test says, and a node that counts the bytes
-// it is sent. The test's cleanup ends the broker's loop, the listeners and whatever still waits for a connection.
+// heldDials is a broker whose connections to its only node are completed when the test allows it. The node counts the
+// bytes that it receives. The test's cleanup ends the broker's loop, the listeners and all waits for a connection.
 type heldDials struct {
 	*testing.T
 	loop    *broker.Loop
 	address string
-	dialing chan struct{} // one for each connection that waits to come up
-	allowed chan struct{} // closed to let them come up
-	bytes   atomic.Int64  // that the node has read
-	ended   chan struct{} // one for each connection that the node has seen the end of
+	dialing chan struct{} // receives one value for each connection that waits to be completed
+	allowed chan struct{} // closed to complete all connections
+	bytes   atomic.Int64  // received by the node
+	ended   chan struct{} // receives one value for each connection whose end the node has seen
 }
 
-// maxDials is more connections than a test here causes, so that no send to a channel of heldDials ever blocks.
+// maxDials is larger than the number of connections in any test, so that no send to a channel of heldDials blocks.
 const maxDials = 64
 
 func newHeldDials(t *testing.T, bufferBytes int) *heldDials {
@@ -68,14 +68,14 @@
 	return h
 }
 
-// handshake holds a connection until the test allows connections.
+// handshake blocks until the test allows connections.
 func (h *heldDials) handshake(net.Conn, *bufio.Reader) error {
 	h.dialing <- struct{}{}
 	<-h.allowed
 	return nil
 }
 
-// countBytes is the node.
+// countBytes is the node. It counts the bytes of a connection.
 func (h *heldDials) countBytes(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	n, _ := io.Copy(io.Discard, conn)
@@ -83,7 +83,7 @@
 	h.ended <- struct{}{}
 }
 
-// allow lets all connections come up, if it was not done yet.
+// allow completes all connections. It may be called more than once.
 func (h *heldDials) allow() {
 	select {
 	case <-h.allowed:
@@ -92,7 +92,7 @@
 	}
 }
 
-// connect opens a client's connection.
+// connect opens a client connection.
 func (h *heldDials) connect() *net.TCPConn {
 	h.Helper()
 	conn, err := net.Dial("tcp", h.address)
@@ -103,10 +103,12 @@
 	return conn.(*net.TCPConn)
 }
 
-// forwardedBytes lets the connections come up for the requests that were cancelled, of which one was taken from
-// dialing, and returns the bytes that the node has read by the end of all. A request stops to count as open before its
-// attempt is cancelled: a connection that came up between the two would rightly be kept for others and never end here.
-// So the turn that heard of the last disconnect must be over.
+// forwardedBytes completes the connections for the cancelled requests and returns the number of bytes that the node has
+// received when all connections have ended. The caller has received one value from dialing.
+//
+// The loop removes a request shortly before it cancels the attempt. A connection that is completed between these two
+// events is correctly kept for other requests and would not end during the test. So forwardedBytes first waits for the
+// end of the loop's turn that handles the last disconnect.
 func (h *heldDials) forwardedBytes() int64 {
 	h.Helper()
 	turnOver := make(chan struct{})
@@ -118,15 +120,15 @@
 		select {
 		case <-h.ended:
 		case <-time.After(5 * time.Second):
-			h.Fatal("a connection stays up for nobody")
+			h.Fatal("a connection to the node stays open although all requests were cancelled")
 		}
 	}
 	return h.bytes.Load()
 }
 
-// A burst of clients disconnects, by end of file and by reset, while the connections for their requests come up or the
-// requests wait behind these. When the connections are up not one byte of any request is forwarded. The last line of
-// the log is the count for the page of acceptance.
+// Clients disconnect in a burst, by an end of file or a reset, while the node connections for their requests are not yet
+// complete or their requests wait for such connections. When these connections are completed, no byte of a request may
+// be forwarded. The last log line gives the count for docs/acceptance.md.
 func TestRequestsOfDisconnectedClientsAreNotForwarded(t *testing.T) {
 	for _, k := range []requestKind{read, write} {
 		for _, reset := range []bool{false, true} {
@@ -147,7 +149,7 @@
 		newRESPClient(conn).send(fmt.Sprint("l", i), k)
 		conns = append(conns, conn)
 	}
-	eventually(t, "all are admitted", func() bool { return h.loop.OpenRequests() == clients })
+	eventually(t, "all requests are admitted", func() bool { return h.loop.OpenRequests() == clients })
 	<-h.dialing
 	for _, conn := range conns {
 		if reset {
@@ -155,15 +157,16 @@
 		}
 		_ = conn.Close()
 	}
-	eventually(t, "all are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
+	eventually(t, "all requests are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
 	if n := h.forwardedBytes(); n > 0 {
-		t.Errorf("class %d, reset %v: %d bytes were forwarded", k, reset, n)
+		t.Errorf("class %d, reset %v: %d bytes were forwarded, want 0", k, reset, n)
 	}
 	t.Logf("%d clients disconnected, %d bytes forwarded", clients, h.bytes.Load())
 }
 
-// A client disconnects whose next request waits for buffer space, so that nobody reads its end of file. What it asked
-// for before is not forwarded either; nor does it wait for its deadline, or for buffer space.
+// A client disconnects while its next request waits for buffer space, so that the end of file of its connection is not
+// read. Its earlier requests must not be forwarded, and they must be cancelled before their deadline and without buffer
+// space becoming free.
 func TestClientDisconnectsBehindFullBuffer(t *testing.T) {
 	for _, k := range []requestKind{read, write} {
 		t.Run(fmt.Sprintf("class=%d", k), func(t *testing.T) {
@@ -179,10 +182,10 @@
 			_ = conn.Close()
 			eventually(t, "its requests are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
 			if elapsed := time.Since(start); elapsed > deadlines[k]/2 {
-				t.Errorf("class %d: its requests were open for %v", k, elapsed)
+				t.Errorf("class %d: requests stayed open for %v after the client disconnected", k, elapsed)
 			}
 			if n := h.forwardedBytes(); n > 0 {
-				t.Errorf("class %d: %d bytes were forwarded", k, n)
+				t.Errorf("class %d: %d bytes were forwarded, want 0", k, n)
 			}
 		})
 	}
--- a/internal/conformance/nodes_test.go
+++ b/internal/conformance/nodes_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// The scenarios of this file are about the life of a node: draining and starting.
+// The scenarios in this file are about nodes that drain or start.
 
-// A node drains while it answers a listing piece by piece, without end. The broker sends it nothing new, neither the
-// rest of the listing after the grace period nor another request.
+// A node drains while it sends an endless listing piece by piece. The broker must send it no new requests, and must not
+// ask it for more of the listing after the grace period.
 func testDrainingNode(b *testbed) {
 	b.client.prepare(b.T, "dir", "r")
 	b.recorder.play(func(_, id string, earlier int) behavior {
@@ -28,13 +28,13 @@
 	b.run(read, "r")
 	for _, a := range b.recorder.seen()[1:] {
 		if a.node == draining {
-			b.Errorf("%s went to the draining node", a.id)
+			b.Errorf("an attempt of %s was sent to the draining node", a.id)
 		}
 	}
 }
 
-// A node has just started, and sixteen large requests arrive at once. It is sent no more than the slow start allows.
-// It answers none of them: an answer would prove capacity.
+// A node has just started, and sixteen large requests arrive at once. The broker must not send the node more units than
+// the slow start allows. The node answers none of the requests, since an answer would prove capacity.
 func testSlowStart(b *testbed) {
 	var ids []string
 	for i := range 16 {
@@ -51,6 +51,6 @@
 		sum += float64(unitsOf(a.id))
 	}
 	if sum == 0 || sum > slowStartUnits {
-		b.Errorf("a node that has just started was sent %v units, want some and at most %v", sum, slowStartUnits)
+		b.Errorf("a node that has just started was sent %v units, want more than 0 and at most %v", sum, slowStartUnits)
 	}
 }
--- a/internal/conformance/recorder_test.go
+++ b/internal/conformance/recorder_test.go
@@ -12,24 +12,25 @@
 
 const (
 	serve               behavior = iota
-	rejectBusy                   // answers that it is overloaded
-	hang                         // takes the request whole and says nothing
-	closeMidRequest              // ends the connection before the request is whole
-	corruptAnswer                // runs the request, answers what cannot be read and keeps the connection
-	duplicateAnswer              // answers and sends a second copy right behind
-	closeAfterExecution          // runs the request and ends the connection without an answer
-	trickle                      // answers piece by piece without end, where the protocol has such answers; else hangs
+	rejectBusy                   // answers that it is overloaded, without executing the request
+	hang                         // receives the whole request and does not answer
+	closeMidRequest              // closes the connection before it has received the whole request
+	corruptAnswer                // executes the request, sends a malformed answer and keeps the connection open
+	duplicateAnswer              // answers and sends a second copy of the answer directly after it
+	closeAfterExecution          // executes the request and closes the connection without an answer
+	trickle                      // answers piece by piece without end if the protocol has such answers, or else hangs
 )
 
-// script says what a node does with an attempt; earlier counts the attempts of the request before it.
+// script chooses a node's behavior for an attempt. earlier is the number of the request's earlier attempts.
 type script func(node, id string, earlier int) behavior
 
-// always plays one behavior for each attempt.
+// always returns a script with the same behavior for each attempt.
 func always(b behavior) script {
 	return func(string, string, int) behavior { return b }
 }
 
-// firstAttempt plays one behavior for the first attempt of each request and serves the later ones.
+// firstAttempt returns a script with the given behavior for the first attempt of each request. Later attempts are
+// served.
 func firstAttempt(b behavior) script {
 	return func(_, _ string, earlier int) behavior {
 		if earlier == 0 {
@@ -39,18 +40,18 @@
 	}
 }
 
-// recorder keeps what all fake nodes saw and checks it by the rules.
+// recorder stores the attempts that all fake nodes received and checks the rules.
 type recorder struct {
 	mu         sync.Mutex
 	changed    *sync.Cond
 	script     script
 	attempts   []*attempt
-	effects    map[string]int       // how often each request had its effect
+	effects    map[string]int       // number of executions of each request
 	drainedAt  map[string]time.Time // when the broker was notified that a node drains
 	violations []string
 }
 
-// attempt is one attempt as its node saw it.
+// attempt is one attempt that a node received.
 type attempt struct {
 	recorder *recorder
 	node, id string
@@ -64,7 +65,7 @@
 	return r
 }
 
-// play starts a scenario: what was seen before does not count.
+// play starts a scenario. Earlier attempts and effects are deleted.
 func (r *recorder) play(s script) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,11 +74,11 @@
 	r.effects = map[string]int{}
 }
 
-// waitLimit is how long a check waits for an event that is on its way over another socket.
+// waitLimit is how long a check waits for an event that has been caused over another socket.
 const waitLimit = 2 * time.Second
 
-// begin records an attempt and returns what to do with it. An earlier attempt of the same request must be over, or end
-// at once: its close may still be on its way.
+// begin records an attempt and returns the behavior that the node must show. Earlier attempts of the same request must
+// be over, or end within waitLimit, since the close of their connections may still be in transit.
 func (r *recorder) begin(node, id string) (*attempt, behavior) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +89,7 @@
 		}
 		earlier++
 		if !r.await(func() bool { return a.over }) {
-			r.violation("two attempts of %s at once, at %s and %s", id, a.node, node)
+			r.violation("two attempts of %s are in flight at once, at %s and %s", id, a.node, node)
 		}
 	}
 	a := &attempt{recorder: r, node: node, id: id}
@@ -98,33 +99,33 @@
 	return a, r.script(node, id, earlier)
 }
 
-// checkDrain checks a message to a node by the rule on draining, with r.mu held.
+// checkDrain checks a message to a node against the rule on draining nodes. The caller must hold r.mu.
 func (r *recorder) checkDrain(node string) {
 	at, drained := r.drainedAt[node]
 	if drained && time.Since(at) > drainGrace+slack {
-		r.violation("sent to %s %v after it was told to drain", node, time.Since(at))
+		r.violation("%s was sent a message %v after its drain began", node, time.Since(at))
 	}
 }
 
-// message records a further message of the attempt.
+// message records another message of the attempt.
 func (a *attempt) message() {
 	a.recorder.mu.Lock()
 	defer a.recorder.mu.Unlock()
 	a.recorder.checkDrain(a.node)
 }
 
-// apply records that the request had its effect.
+// apply records that the node executed the request.
 func (a *attempt) apply() {
 	r := a.recorder
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.effects[a.id]++
 	if r.effects[a.id] > 1 {
-		r.violation("%s had its effect %d times", a.id, r.effects[a.id])
+		r.violation("%s was executed %d times", a.id, r.effects[a.id])
 	}
 }
 
-// end records that the node has no more to do with the attempt.
+// end records that the node has finished the attempt.
 func (a *attempt) end() {
 	a.recorder.mu.Lock()
 	defer a.recorder.mu.Unlock()
@@ -132,12 +133,12 @@
 	a.recorder.changed.Broadcast()
 }
 
-// violation records a broken rule, with r.mu held.
+// violation records a violated rule. The caller must hold r.mu.
 func (r *recorder) violation(format string, args ...any) {
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// await waits until condition is true, with r.mu held.
+// await waits at most waitLimit until condition is true, and reports whether it is. The caller must hold r.mu.
 func (r *recorder) await(condition func() bool) bool {
 	end := time.Now().Add(waitLimit)
 	timer := time.AfterFunc(waitLimit, r.changed.Broadcast)
@@ -148,17 +149,17 @@
 	return condition()
 }
 
-// awaitAttempts waits until so many attempts of a request were seen.
+// awaitAttempts waits until the nodes have received count attempts of a request.
 func (r *recorder) awaitAttempts(t *testing.T, id string, count int) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.await(func() bool { return r.count(id) >= count }) {
-		t.Fatalf("%s was seen %d times, not %d", id, r.count(id), count)
+		t.Fatalf("%s: nodes received %d attempts, want at least %d", id, r.count(id), count)
 	}
 }
 
-// count returns the attempts of a request, with r.mu held.
+// count returns the number of attempts of a request. The caller must hold r.mu.
 func (r *recorder) count(id string) int {
 	n := 0
 	for _, a := range r.attempts {
@@ -169,25 +170,25 @@
 	return n
 }
 
-// wantAttempts checks how often a request was sent.
+// wantAttempts checks the number of attempts of a request.
 func (r *recorder) wantAttempts(t *testing.T, id string, want int) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := r.count(id); n != want {
-		t.Errorf("%s was sent %d times, want %d", id, n, want)
+		t.Errorf("%s had %d attempts, want %d", id, n, want)
 	}
 }
 
-// seen returns the attempts seen so far.
+// seen returns the attempts that the nodes have received so far.
 func (r *recorder) seen() []*attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*attempt(nil), r.attempts...)
 }
 
-// check fails the test on any broken rule. Each request of results got one final answer, in time; one that was served
-// or rejected has had its effect once or never.
+// check fails the test for each violated rule. Each request of results must have got one final answer in time. A served
+// write must have been executed once, and a rejected request must not have been executed.
 func (r *recorder) check(t *testing.T, results []result) {
 	t.Helper()
 	r.mu.Lock()
@@ -197,14 +198,14 @@
 	}
 	for _, res := range results {
 		if res.err != nil {
-			t.Errorf("%s got no answer: %v", res.id, res.err)
+			t.Errorf("%s was not answered: %v", res.id, res.err)
 		}
 		if res.elapsed > res.deadline+slack {
-			t.Errorf("%s was answered after %v of %v", res.id, res.elapsed, res.deadline)
+			t.Errorf("%s was answered after %v, its deadline is %v", res.id, res.elapsed, res.deadline)
 		}
 		effects := r.effects[res.id]
 		if res.write && res.outcome == served && effects != 1 || res.outcome == rejected && effects != 0 {
-			t.Errorf("%s was %s after %d effects", res.id, res.outcome, effects)
+			t.Errorf("%s was %s and executed %d times", res.id, res.outcome, effects)
 		}
 	}
 }
@@ -218,7 +219,7 @@
 	failed   outcome = "failed"
 )
 
-// result is what a fake client got for one request.
+// result is the answer that a fake client got to one request.
 type result struct {
 	id       string
 	write    bool
--- a/internal/conformance/resp_test.go
+++ b/internal/conformance/resp_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	respKey = "7f3a9c21e0b4d655" // each request's key
-	// respAttributes is the attribute list of a request: class, deadline in milliseconds, units.
+	respKey = "7f3a9c21e0b4d655" // the key of all requests
+	// respAttributes is the format of a request's attribute list: class, deadline in milliseconds, units.
 	respAttributes = "c=%s,t=plan,d=%d,volume=00000003b4d60021,units=%d,shard=0,hosts=1"
-	// respWriteArguments is the number of arguments of a write; a read has no body and one less.
+	// respWriteArguments is the number of arguments of a write. A read has one less, since it has no body.
 	respWriteArguments = 5
 )
 
-// respProtocol is the RESP2 side of the suite.
+// respProtocol implements protocol for RESP2.
 type respProtocol struct{}
 
 func (respProtocol) name() string { return "resp" }
@@ -59,7 +59,7 @@
 	}
 }
 
-// serveRESPCommand plays one attempt and returns whether the connection goes on.
+// serveRESPCommand handles one attempt and reports whether the connection stays open.
 func serveRESPCommand(conn net.Conn, reader *redcon.Reader, command redcon.Command, name string, r *recorder) bool {
 	id := string(command.Args[2])
 	a, behavior := r.begin(name, id)
@@ -71,16 +71,16 @@
 		_, _ = fmt.Fprint(conn, "-BUSY\r\n")
 		return true
 	case hang, trickle:
-		_, _ = reader.ReadCommand() // until the broker closes
+		_, _ = reader.ReadCommand() // until the broker closes the connection
 		return false
 	case corruptAnswer:
 		if isWrite {
 			a.apply()
 		}
 		_, _ = io.WriteString(conn, "*3\r\n$-7\r\n")
-		_, _ = reader.ReadCommand() // until the broker closes
+		_, _ = reader.ReadCommand() // until the broker closes the connection
 		return false
-	case closeMidRequest: // a node of this protocol knows a request only once it is whole
+	case closeMidRequest: // a RESP node learns of a request only when it has all of it
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case closeAfterExecution:
@@ -90,7 +90,7 @@
 	if isWrite {
 		a.apply()
 	}
-	a.end() // before the answer: once the broker has it, nothing is in flight any more
+	a.end() // before the answer: when the broker has the answer the attempt is not in flight
 	answer := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$10\r\ninflight=1\r\n", len(id), id)
 	if behavior == duplicateAnswer {
 		answer += answer
@@ -122,7 +122,7 @@
 	}
 }
 
-// respCommand encodes a request; one with a body is a write.
+// respCommand encodes a request. A request with a body is a write.
 func respCommand(command, id, attributes, body string) string {
 	arguments := []string{command, respKey, id, attributes}
 	if body != "" {
@@ -135,12 +135,12 @@
 	return text
 }
 
-// respClient is a client on one connection, whose answers come in the order of its requests.
+// respClient is a client on one connection. The answers arrive in the order of the requests.
 type respClient struct {
 	conn      net.Conn
 	reader    *bufio.Reader
-	pending   []string // requests without an answer yet
-	readClass string   // class of reads
+	pending   []string // IDs of requests that are not answered yet
+	readClass string   // class of its reads
 }
 
 func newRESPClient(conn net.Conn) *respClient {
@@ -174,7 +174,7 @@
 	case line[0] == '$':
 		value, err := c.reader.ReadString('\n')
 		if err == nil && value != id+"\r\n" {
-			err = fmt.Errorf("%s was served with %q", id, value)
+			err = fmt.Errorf("%s was served with the value %q", id, value)
 		}
 		return served, err
 	case strings.HasPrefix(line, "-BUSY"):
@@ -182,16 +182,16 @@
 	case line[0] == '-':
 		return failed, nil
 	}
-	return "", fmt.Errorf("unexpected %q", line)
+	return "", fmt.Errorf("unexpected answer %q", line)
 }
 
-// expectNoMoreAnswers sends a PING: what comes before its answer is one answer too many.
+// expectNoMoreAnswers sends a PING. Any answer before the one to the PING is an error.
 func (c *respClient) expectNoMoreAnswers() error {
 	_, _ = fmt.Fprint(c.conn, "*1\r\n$4\r\nPING\r\n")
 	_ = c.conn.SetReadDeadline(time.Now().Add(waitLimit))
 	line, err := c.reader.ReadString('\n')
 	if err == nil && line != "+PONG\r\n" {
-		err = fmt.Errorf("a second answer: %q", line)
+		err = fmt.Errorf("received an additional answer: %q", line)
 	}
 	return err
 }
--- a/internal/conformance/rules_test.go
+++ b/internal/conformance/rules_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// scenarios are played over both protocols. The files attempts_test.go, clients_test.go and nodes_test.go hold them.
+// scenarios run over both protocols. They are in the files attempts_test.go, clients_test.go and nodes_test.go.
 var scenarios = []struct {
 	name string
 	run  func(*testbed)
 }{
 	{"served", testServed},
 	{"rejected by a node, then served", testRejectedThenServed},
-	{"a write that ran and lost its answer is never retried", testWriteThatLostItsAnswer},
+	{"a write whose answer is lost is never retried", testWriteThatLostItsAnswer},
 	{"a write cut mid-transfer has at most one effect", testWriteCutMidTransfer},
-	{"a write whose answer is corrupt is never retried", testWriteWithCorruptAnswer},
-	{"a read whose answer is corrupt is retried", testReadWithCorruptAnswer},
-	{"a duplicate of an answer answers no other request", testDuplicateAnswer},
-	{"a read that lost its answer is retried", testReadThatLostItsAnswer},
-	{"silence ends in an answer before the deadline", testSilentNode},
-	{"a node that refuses connections has run nothing", testNodeRefusesConnections},
-	{"an attempt that later ones overtook is ended before the next", testOvertakenAttempt},
-	{"requests behind one another are all answered", testPipelinedRequests},
-	{"malformed clients end in time and cost the others nothing", testMalformedClients},
-	{"new settings hold for what comes, and requests under way keep their class", testNewSettings},
-	{"a client that disconnects frees its requests", testClientDisconnects},
-	{"what was admitted before a stop is answered", testGracefulStop},
-	{"a draining node gets nothing new", testDrainingNode},
+	{"a write whose answer is malformed is never retried", testWriteWithCorruptAnswer},
+	{"a read whose answer is malformed is retried", testReadWithCorruptAnswer},
+	{"a duplicate answer is not used for another request", testDuplicateAnswer},
+	{"a read whose answer is lost is retried", testReadThatLostItsAnswer},
+	{"requests to silent nodes are answered in time", testSilentNode},
+	{"a write to a node that refuses connections is retried", testNodeRefusesConnections},
+	{"an overtaken attempt is ended before the next attempt", testOvertakenAttempt},
+	{"pipelined requests are all answered", testPipelinedRequests},
+	{"malformed clients are disconnected and others are served", testMalformedClients},
+	{"new settings apply to new requests only", testNewSettings},
+	{"requests of a disconnected client are removed", testClientDisconnects},
+	{"requests admitted before a stop are answered", testGracefulStop},
+	{"a draining node gets no new requests", testDrainingNode},
 	{"a node that has just started is not overloaded", testSlowStart},
 }
 
--- a/internal/conformance/sftp_library_test.go
+++ b/internal/conformance/sftp_library_test.go
@@ -13,8 +13,8 @@
 
 // TestSFTPLibraryClient runs an independent client library against the SFTP server.
 //
-// The library writes 64 pieces at a time, each with an effect of its own on one path, which the recorder takes for
-// repeated effects; so the recorder's checks are not run here.
+// The library writes 64 pieces at a time. Each piece has an effect on the same path, and the recorder would report
+// repeated effects. So this test does not run the recorder's checks.
 func TestSFTPLibraryClient(t *testing.T) {
 	b := newTestbed(t, newSFTPProtocol())
 	conn, err := net.Dial("tcp", b.address)
@@ -43,7 +43,7 @@
 		t.Errorf("stat after remove: %v", err)
 	}
 	if _, err := c.Open("/elsewhere"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a path of no volume: %v", err)
+		t.Errorf("open a path outside all volumes: %v", err)
 	}
 	var status *sftp.StatusError
 	if err := c.Mkdir("/d/x"); !errors.As(err, &status) || status.FxCode() != sftp.ErrSSHFxOpUnsupported {
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if n, err := file.Write(data); err != nil || n != len(data) {
-		t.Fatalf("wrote %d, %v", n, err)
+		t.Fatalf("wrote %d bytes, %v", n, err)
 	}
 	if err := file.Close(); err != nil {
 		t.Error(err)
@@ -73,6 +73,6 @@
 	}
 	defer func() { _ = file.Close() }()
 	if got, err := io.ReadAll(file); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("read %d bytes, %v", len(got), err)
+		t.Errorf("read %d bytes, %v, want the %d written bytes", len(got), err, len(want))
 	}
 }
--- a/internal/conformance/sftp_node_test.go
+++ b/internal/conformance/sftp_node_test.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// sharedFiles is what all fake nodes of the shard hold.
+// sharedFiles are the files that all fake nodes of the shard store.
 type sharedFiles struct {
 	mu   sync.Mutex
 	data map[string][]byte // by path
 }
 
-// sftpNode is one connection to a fake node that speaks SFTP version 3 without SSH. One goroutine serves it.
+// sftpNode is one connection to a fake node, which speaks SFTP version 3 without SSH. One goroutine serves it.
 type sftpNode struct {
 	files      *sharedFiles
 	recorder   *recorder
 	name       string
 	conn       net.Conn
 	reader     io.Reader
-	attempt    *attempt // under way: from OPEN to CLOSE, or one command that names a path
+	attempt    *attempt // the current attempt: from OPEN to CLOSE, or one command that names a path
 	behavior   behavior
 	path       string
-	namesTaken bool // the whole directory was sent
+	namesTaken bool // all names of the directory were sent
 }
 
 func (p sftpProtocol) serveNode(conn net.Conn, name string, r *recorder) {
@@ -45,14 +45,14 @@
 	}
 }
 
-// handle answers one packet and returns whether the connection goes on.
+// handle answers one packet and reports whether the connection stays open.
 func (n *sftpNode) handle(packetType byte, id uint32, body *packetBody) bool {
 	if n.attempt != nil {
 		n.attempt.message()
 	}
 	switch packetType {
 	case packetClose, packetRead, packetWrite, packetReadDir:
-		body.string() // the handle: a connection has one at a time
+		body.string() // skips the handle, since a connection has one at a time
 	}
 	switch packetType {
 	case packetOpen, packetOpenDir:
@@ -81,7 +81,7 @@
 	return err == nil
 }
 
-// begin starts an attempt and returns whether to go on with it, and whether the connection goes on.
+// begin starts an attempt. proceed reports whether the attempt continues, and alive whether the connection stays open.
 func (n *sftpNode) begin(name string, id uint32) (proceed, alive bool) {
 	n.path = name
 	n.namesTaken = false
@@ -94,13 +94,13 @@
 	case closeMidRequest:
 		return false, false
 	case hang:
-		_, _, _ = receivePacket(n.reader) // until the broker closes
+		_, _, _ = receivePacket(n.reader) // until the broker closes the connection
 		return false, false
 	}
 	return true, true
 }
 
-// end ends the attempt under way, if there is one.
+// end ends the current attempt, if there is one.
 func (n *sftpNode) end() {
 	if n.attempt != nil {
 		n.attempt.end()
@@ -108,7 +108,7 @@
 	}
 }
 
-// corrupt answers with an impossible length and waits until the broker closes.
+// corrupt sends a packet with an impossible length and waits until the broker closes the connection.
 func (n *sftpNode) corrupt() bool {
 	_, _ = n.conn.Write([]byte(impossibleLength))
 	_, _ = io.Copy(io.Discard, n.reader)
@@ -126,7 +126,7 @@
 	return n.reply(packetHandle, id, "h")
 }
 
-// open creates or truncates a file as the flags say, and returns whether there is one.
+// open creates or truncates a file according to the flags, and reports whether the file exists afterwards.
 func (f *sharedFiles) open(name string, flags uint32) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +166,7 @@
 	return n.reply(packetData, id, data)
 }
 
-// read returns a part of a file, or false if it has no byte at offset.
+// read returns a part of a file, or false if the file has no byte at offset.
 func (f *sharedFiles) read(name string, offset, length uint64) (data string, found bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -217,7 +217,7 @@
 	return n.reply(append([]any{packetName, id, count}, entries...)...)
 }
 
-// entries returns the fields of each file in a directory: name, long name, attribute flags, size.
+// entries returns four fields for each file of a directory: name, long name, attribute flags, size.
 func (f *sharedFiles) entries(directory string) []any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/conformance/sftp_packet_test.go
+++ b/internal/conformance/sftp_packet_test.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// Packet types of SFTP version 3, written from the specification and not shared with the product, so that an error in
-// the product's own numbers shows.
+// Packet types of SFTP version 3. They are taken from the specification and not shared with the tested code, so that
+// the tests detect wrong numbers in that code.
 const (
 	packetInit     byte = 1
 	packetVersion  byte = 2
@@ -51,10 +51,10 @@
 	attributeSize uint32 = 1
 )
 
-// impossibleLength is the length of a packet that nobody may believe, and some bytes of it.
+// impossibleLength is a packet length that no receiver may accept, followed by some bytes.
 const impossibleLength = "\xff\xff\xff\xf0noise"
 
-// encodePacket encodes bytes, integers and strings, with the packet's length before them.
+// encodePacket encodes bytes, integers and strings as a packet, which begins with its length.
 func encodePacket(parts ...any) []byte {
 	var b []byte
 	for _, part := range parts {
@@ -76,7 +76,7 @@
 	return encodePacket(packetStatus, id, code, message, "en")
 }
 
-// packetBody takes the fields of a packet one by one. It panics on a packet that is too short: the broker sends none.
+// packetBody reads the fields of a packet one by one. It panics on a truncated packet, which the broker never sends.
 type packetBody struct{ b []byte }
 
 func (p *packetBody) uint32() uint32 {
--- a/internal/conformance/sftp_test.go
+++ b/internal/conformance/sftp_test.go
@@ -16,7 +16,7 @@
 	"junctionwharf/scheduler"
 )
 
-// sftpProtocol is the SFTP side of the suite.
+// sftpProtocol implements protocol for SFTP.
 type sftpProtocol struct{ files *sharedFiles }
 
 func newSFTPProtocol() sftpProtocol {
@@ -38,7 +38,7 @@
 	s.(*sftp.Server).SetMapping(newMapping(set, class))
 }
 
-// newMapping maps the commands that read to readClass and the others to their classes.
+// newMapping returns a mapping of the reading commands to readClass and of the other commands to their classes.
 func newMapping(set scheduler.Settings, readClass string) *sftp.Mapping {
 	commands := map[sftp.Command]sftp.CommandSettings{}
 	for _, c := range sftp.Commands {
@@ -69,7 +69,7 @@
 	c := &sftpClient{conn: conn, reader: bufio.NewReader(conn), handles: map[string]string{}}
 	_, _ = conn.Write(encodePacket(packetInit, sftpVersion))
 	if packetType, _, err := receivePacket(c.reader); err != nil || packetType != packetVersion {
-		t.Fatal("no VERSION", err)
+		t.Fatal("no VERSION packet:", err)
 	}
 	return c
 }
@@ -92,18 +92,18 @@
 	conn    net.Conn
 	reader  *bufio.Reader
 	lastID  uint32
-	pending []uint32          // requests without an answer yet
-	handles map[string]string // of open files and directories, by request
+	pending []uint32          // IDs of requests that are not answered yet
+	handles map[string]string // handles of open files and directories, by the ID in the scenario
 }
 
-// ask sends a packet under the next request ID.
+// ask sends a packet with the next request ID.
 func (c *sftpClient) ask(packetType byte, parts ...any) {
 	c.lastID++
 	c.pending = append(c.pending, c.lastID)
 	_, _ = c.conn.Write(encodePacket(append([]any{packetType, c.lastID}, parts...)...))
 }
 
-// prepare opens what the scenario reads and writes.
+// prepare opens the files and directories that the scenario reads and writes.
 func (c *sftpClient) prepare(t *testing.T, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
@@ -142,7 +142,7 @@
 	id := body.uint32()
 	index := slices.Index(c.pending, id)
 	if index < 0 {
-		return "", fmt.Errorf("an answer to %d, which has no request", id)
+		return "", fmt.Errorf("received an answer with ID %d, which no pending request has", id)
 	}
 	c.pending = slices.Delete(c.pending, index, index+1)
 	if packetType != packetStatus {
@@ -159,15 +159,15 @@
 	return failed, nil
 }
 
-// expectNoMoreAnswers sends an unknown packet: what comes before its answer is one answer too many.
+// expectNoMoreAnswers sends an unknown packet. Any answer before the one to this packet is an error.
 func (c *sftpClient) expectNoMoreAnswers() error {
 	c.ask(packetExtended, "nothing")
 	got, err := c.receive()
 	if err != nil {
-		return fmt.Errorf("a second answer: %w", err)
+		return fmt.Errorf("receive the answer to an unknown packet: %w", err)
 	}
 	if got != served {
-		return fmt.Errorf("a second answer: %s", got)
+		return fmt.Errorf("received an additional answer: %s", got)
 	}
 	return nil
 }
--- a/internal/conformance/testbed_test.go
+++ b/internal/conformance/testbed_test.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// drainGrace is how long a draining node may be sent what was under way.
+	// drainGrace is how long a draining node may be sent the rest of attempts that began before the drain.
 	drainGrace = 800 * time.Millisecond
-	// slack is what a loaded machine may add to a time before a check fails.
+	// slack is how much longer than allowed something may take before a check fails, since the machine may be busy.
 	slack = 400 * time.Millisecond
-	// slowStartUnits is what a node that has just started may be sent before it has answered.
+	// slowStartUnits is the number of units that a started node may be sent before it has answered.
 	slowStartUnits = 12.0
 )
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// unitsOf is the size of a request of a fake client: those named c… are large.
+// unitsOf returns the size in units of a fake client's request. Requests whose ID begins with c are large.
 func unitsOf(id string) int {
 	if strings.HasPrefix(id, "c") {
 		return 8
@@ -81,7 +81,7 @@
 	return 2
 }
 
-// server is the broker's side towards clients.
+// server is the protocol server under test.
 type server interface {
 	Serve(net.Listener) error
 	Drain()
@@ -91,31 +91,31 @@
 
 // client is a fake client on one connection.
 type client interface {
-	// prepare opens what the requests need.
+	// prepare opens the files and directories that the requests need.
 	prepare(t *testing.T, ids ...string)
 	send(id string, k requestKind)
 	receive() (outcome, error)
-	// expectNoMoreAnswers returns an error if anything more comes.
+	// expectNoMoreAnswers returns an error if another answer arrives.
 	expectNoMoreAnswers() error
 	close()
 }
 
-// protocol is what the suite needs of a protocol.
+// protocol is the protocol-specific part of the suite.
 type protocol interface {
 	name() string
 	transport(pool.Options) broker.Transport
 	server(*broker.Loop, broker.Transport, *slog.Logger) server
-	// applySettings has server and client use new settings; reads are of the given class.
+	// applySettings sets new settings at the server and the client. Reads are then of the given class.
 	applySettings(s server, c client, set scheduler.Settings, class string)
-	// serveNode is a fake node on one connection.
+	// serveNode serves one connection of a fake node.
 	serveNode(conn net.Conn, name string, r *recorder)
 	client(*testing.T, string) client
-	// malformedInputs returns texts that are no command, by what is wrong with them.
+	// malformedInputs returns malformed texts by their fault.
 	malformedInputs() map[string]string
 }
 
-// testbed is a broker between a fake client and two fake nodes of one shard. The test's cleanup ends its goroutines:
-// it cancels the broker's loop and closes the listeners.
+// testbed is a broker between a fake client and two fake nodes of one shard. The test's cleanup cancels the broker's
+// loop and closes the listeners, which ends the goroutines.
 type testbed struct {
 	*testing.T
 	protocol protocol
@@ -176,7 +176,7 @@
 	return listener
 }
 
-// accept serves each connection in a goroutine of its own until the listener is closed.
+// accept serves each connection in its own goroutine until the listener is closed.
 func accept(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -187,12 +187,12 @@
 	}
 }
 
-// list gives the broker a new endpoint list.
+// list posts a new endpoint list to the broker.
 func (b *testbed) list(nodes ...broker.Node) {
 	b.loop.Post(broker.NodesListed{Kind: scheduler.FullUpdate, Version: 1, Nodes: nodes})
 }
 
-// drain notifies the broker that one node drains.
+// drain notifies the broker that a node is draining.
 func (b *testbed) drain(name string) {
 	nodes := append([]broker.Node(nil), b.nodes...)
 	for i := range nodes {
@@ -206,7 +206,7 @@
 	b.list(nodes...)
 }
 
-// run sends requests one behind another without waiting, takes all answers and checks all rules.
+// run sends requests without waiting for answers in between, then receives all answers and checks the rules.
 func (b *testbed) run(k requestKind, ids ...string) []result {
 	b.Helper()
 	start := time.Now()
@@ -224,7 +224,7 @@
 	return results
 }
 
-// receive takes the answer to a request that was sent at start.
+// receive receives the answer to a request that was sent at start.
 func (b *testbed) receive(id string, k requestKind, start time.Time) result {
 	got, err := b.client.receive()
 	return result{
@@ -247,13 +247,13 @@
 	}
 }
 
-// eventually waits until condition is true.
+// eventually waits until condition is true, and fails the test after waitLimit.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	end := time.Now().Add(waitLimit)
 	for !condition() {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
