--- a/internal/conformance/attempts_test.go
+++ b/internal/conformance/attempts_test.go
@@ -94,7 +94,8 @@
 }
 
 // One of several requests to a single node hangs while later requests are answered. The broker must end the attempt
-// before it starts the next one: the recorder fails the test if two attempts of a request are in flight at once.
+// before it starts the next attempt of the same request. The recorder fails the test if two attempts of a request are
+// in flight at once.
 func testOvertakenAttempt(b *testbed) {
 	ids := []string{"r", "r1", "r2", "r3", "r4", "r5"}
 	b.client.prepare(b.T, ids...)
--- a/internal/conformance/disconnect_test.go
+++ b/internal/conformance/disconnect_test.go
@@ -126,9 +126,9 @@
 	return h.bytes.Load()
 }
 
-// Clients disconnect in a burst, by an end of file or a reset, while the node connections for their requests are not yet
-// complete or their requests wait for such connections. When these connections are completed, no byte of a request may
-// be forwarded. The last log line gives the count for docs/acceptance.md.
+// Clients disconnect in a burst, by an end of file or a reset, while the node connections for their requests are
+// incomplete or their requests wait for such connections. When these connections are completed, no byte of a request
+// may be forwarded. The last log line gives the count for docs/acceptance.md.
 func TestRequestsOfDisconnectedClientsAreNotForwarded(t *testing.T) {
 	for _, k := range []requestKind{read, write} {
 		for _, reset := range []bool{false, true} {
@@ -165,8 +165,8 @@
 }
 
 // A client disconnects while its next request waits for buffer space, so that the end of file of its connection is not
-// read. Its earlier requests must not be forwarded, and they must be cancelled before their deadline and without buffer
-// space becoming free.
+// read. Its earlier requests must not be forwarded, and they must be cancelled before their deadline, even if
+// no buffer space becomes free.
 func TestClientDisconnectsBehindFullBuffer(t *testing.T) {
 	for _, k := range []requestKind{read, write} {
 		t.Run(fmt.Sprintf("class=%d", k), func(t *testing.T) {
@@ -180,7 +180,7 @@
 			<-h.dialing
 			start := time.Now()
 			_ = conn.Close()
-			eventually(t, "its requests are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
+			eventually(t, "the client's requests are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
 			if elapsed := time.Since(start); elapsed > deadlines[k]/2 {
 				t.Errorf("class %d: requests stayed open for %v after the client disconnected", k, elapsed)
 			}
--- a/internal/conformance/recorder_test.go
+++ b/internal/conformance/recorder_test.go
@@ -74,7 +74,7 @@
 	r.effects = map[string]int{}
 }
 
-// waitLimit is how long a check waits for an event that has been caused over another socket.
+// waitLimit is how long a check waits for an expected event that arrives over another socket.
 const waitLimit = 2 * time.Second
 
 // begin records an attempt and returns the behavior that the node must show. Earlier attempts of the same request must
--- a/internal/conformance/resp_test.go
+++ b/internal/conformance/resp_test.go
@@ -80,7 +80,7 @@
 		_, _ = io.WriteString(conn, "*3\r\n$-7\r\n")
 		_, _ = reader.ReadCommand() // until the broker closes the connection
 		return false
-	case closeMidRequest: // a RESP node learns of a request only when it has all of it
+	case closeMidRequest: // a RESP node handles only requests that it has received completely
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		return false
 	case closeAfterExecution:
--- a/internal/conformance/sftp_library_test.go
+++ b/internal/conformance/sftp_library_test.go
@@ -40,14 +40,14 @@
 		t.Error(err)
 	}
 	if _, err := c.Stat("/d/course"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("stat after remove: %v", err)
+		t.Errorf("stat after remove: %v, want that the file does not exist", err)
 	}
 	if _, err := c.Open("/elsewhere"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("open a path outside all volumes: %v", err)
+		t.Errorf("open a path outside all volumes: %v, want that the file does not exist", err)
 	}
 	var status *sftp.StatusError
 	if err := c.Mkdir("/d/x"); !errors.As(err, &status) || status.FxCode() != sftp.ErrSSHFxOpUnsupported {
-		t.Errorf("mkdir: %v", err)
+		t.Errorf("mkdir: %v, want an unsupported operation", err)
 	}
 }
 
--- a/internal/conformance/testbed_test.go
+++ b/internal/conformance/testbed_test.go
@@ -17,7 +17,7 @@
 const (
 	// drainGrace is how long a draining node may be sent the rest of attempts that began before the drain.
 	drainGrace = 800 * time.Millisecond
-	// slack is how much longer than allowed something may take before a check fails, since the machine may be busy.
+	// slack is the additional time that each check of a time allows, since the machine may be busy.
 	slack = 400 * time.Millisecond
 	// slowStartUnits is the number of units that a started node may be sent before it has answered.
 	slowStartUnits = 12.0
@@ -110,7 +110,7 @@
 	// serveNode serves one connection of a fake node.
 	serveNode(conn net.Conn, name string, r *recorder)
 	client(*testing.T, string) client
-	// malformedInputs returns malformed texts by their fault.
+	// malformedInputs returns malformed texts, by a description of what is wrong with them.
 	malformedInputs() map[string]string
 }
 
--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -26,7 +26,7 @@
 	server *Server
 	reader commandReader
 	input  *inputGuard   // the connection that redcon's reader reads
-	socket net.Conn      // the raw connection: net.Buffers gathers writes on it, but not on a wrapper
+	socket net.Conn      // the raw connection, on which net.Buffers writes several buffers in one call
 	wake   chan struct{} // makes the writer look for answers
 	// peerClosed is set when the client has disconnected and its end of file has not been read yet.
 	peerClosed atomic.Bool
@@ -39,7 +39,7 @@
 	hasRequest    bool       // a request was received
 	writing       bool       // an answer is being written
 	directReply   bool       // the reader is writing an answer
-	closeState    closeState // raised by requestClose; the reader lowers it or sets closeDone
+	closeState    closeState // set by requestClose; the reader resets it or sets closeDone
 	inputEnded    bool       // no more input is read; pending answers are written unless gone is set
 	gone          bool       // the client has disconnected
 	released      bool       // the writer has ended and released all pending replies
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -8,7 +8,7 @@
 	"junctionwharf/internal/pool"
 )
 
-// closeState is how far the close of a connection has come. A request for a higher state replaces a lower state.
+// closeState is the state of the close of a connection. A request for a higher state replaces a lower state.
 type closeState int
 
 const (
@@ -60,7 +60,7 @@
 // A request may arrive while the connection is being closed. If the request has been read, or is unread in the socket,
 // it is handled, or rejected if the slot belongs to another connection. A connection without input is closed in both
 // directions at once. If a connection were closed with unread input, the reset could overtake earlier answers. If only
-// the sending side were closed first, a request that arrives in between would count as accepted.
+// the sending side were closed first, a request that arrives in between would count as accepted, but get no answer.
 func (c *client) closeAsRequested(commandRead bool) (ended, readOn bool) {
 	c.mu.Lock()
 	state := c.closeState
@@ -101,8 +101,8 @@
 	_ = writeAll(c.socket, net.Buffers{c.server.limits.Load().busyLine})
 }
 
-// closeIfDraining requests the close of an idle connection if the table's ShouldClose demands it. The reader then
-// closes the connection and wakes the writer.
+// closeIfDraining requests the close of an idle connection if the table's ShouldClose returns true. The reader
+// then closes the connection and wakes the writer.
 func (c *client) closeIfDraining() bool {
 	c.mu.Lock()
 	idle := len(c.pending) == 0 && !c.directReply
@@ -134,7 +134,7 @@
 
 // linger waits until the reader has discarded the input after a malformed command, at most for inputGrace, so that the
 // close does not reset the connection. It returns as soon as the input is discarded: a whole request that arrived on
-// the open connection in the meantime would count as accepted.
+// the open connection in the meantime would count as accepted, but get no answer.
 func (c *client) linger() {
 	for end := time.Now().Add(inputGrace); !pool.IsQuiet(c.socket) && time.Now().Before(end); {
 		time.Sleep(inputGrace / lingerChecks)
--- a/internal/resp/command_test.go
+++ b/internal/resp/command_test.go
@@ -15,7 +15,7 @@
 	for seed := range uint64(200) {
 		all, err := readCommands([]byte(readText+pingText+writeText), seed)
 		if !errors.Is(err, io.EOF) || len(all) != 3 || string(all[2].Raw) != writeText {
-			t.Fatalf("seed %d: %d commands, %v", seed, len(all), err)
+			t.Fatalf("seed %d: read %d commands, %v, want 3", seed, len(all), err)
 		}
 	}
 }
@@ -27,7 +27,7 @@
 		"*2\r\n$1\r\na\r\n:1\r\n", "*1\r\n$70000\r\n",
 	} {
 		if all, err := readCommands([]byte(readText+text), 1); !errors.Is(err, errProtocol) || len(all) > 1 {
-			t.Errorf("%q: %d commands, %v", text, len(all), err)
+			t.Errorf("%q: read %d commands, %v, want a protocol error", text, len(all), err)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	}
 	all, err := readCommands(text, 1)
 	if !errors.Is(err, io.EOF) || len(all) != 1 || len(all[0].Args) != len(args) {
-		t.Fatalf("%q: %d commands, %v", text, len(all), err)
+		t.Fatalf("%q: read %d commands, %v, want one", text, len(all), err)
 	}
 	for i, arg := range all[0].Args {
 		if i != argOptions && !bytes.Equal(arg, args[i]) {
--- a/internal/resp/doc.go
+++ b/internal/resp/doc.go
@@ -19,8 +19,8 @@
 // Server owns the table of connections (clientconn.Table), the IDs of open requests (requestIDs) and the budget of
 // buffered bytes. Each client connection has two goroutines: client.read reads and handles commands, and client.write
 // writes answers. Both end with the connection. While client.read is blocked, a third goroutine checks whether the
-// client has disconnected. Nothing is kept beyond the end of the process, except that the broker's other process is
-// notified of the IDs of open requests.
+// client has disconnected. No state outlives the process, except for the IDs of open requests, which are sent to the
+// broker's other process.
 //
 // Sizes are in bytes, times on the wire in milliseconds, and values of type broker.Micros in microseconds.
 package resp
--- a/internal/resp/figures.go
+++ b/internal/resp/figures.go
@@ -9,8 +9,9 @@
 	"junctionwharf/broker"
 )
 
-// The names of the figures that nodes report: figures on use, and the figures of a load report, some of which have two
-// names. They are part of the platform's protocol. The scheduler receives them, but no rule of this version reads them.
+// The names of the figures that nodes report about a volume's use and, in a load report, about their load. Some figures
+// of the load report have two names. The figures are part of the platform's protocol. The scheduler receives them, but
+// no rule of this version reads them.
 const (
 	figureUsed         = "used" // percent of the plan's rate served; RateUsed is 1 more
 	figureCost         = "cost" // units of the volume served through other brokers
--- a/internal/resp/helpers_test.go
+++ b/internal/resp/helpers_test.go
@@ -89,7 +89,7 @@
 	t.Helper()
 	all, err := readCommands([]byte(text), 1)
 	if !errors.Is(err, io.EOF) || len(all) != 1 {
-		t.Fatalf("%q: %d commands, %v", text, len(all), err)
+		t.Fatalf("%q: read %d commands, %v, want one", text, len(all), err)
 	}
 	return all[0]
 }
@@ -172,7 +172,7 @@
 	got, err := io.ReadAll(conn)
 	_ = conn.Close()
 	if err != nil {
-		t.Errorf("%.40q: %v", text, err)
+		t.Errorf("read the answers to %.40q: %v", text, err)
 	}
 	return string(got), time.Since(began)
 }
--- a/internal/resp/inputguard.go
+++ b/internal/resp/inputguard.go
@@ -11,7 +11,8 @@
 )
 
 // idleTimeout is how long a client may be silent between commands while no answer to it is pending. A larger value
-// would let clients that vanished keep their slots for longer. A smaller value would make clients reconnect more often.
+// would let clients that disconnected without notice keep their slots for longer. A smaller value would make clients
+// reconnect more often.
 const idleTimeout = 10 * time.Second
 
 // takeOverCommand is the first command on each connection. inputGuard generates it; no client sends it. When redcon
@@ -33,9 +34,9 @@
 type readPhase = int32
 
 const (
-	takingCommand     readPhase = iota // it is handling input
-	waitingForCommand                  // it waits for a command and has handled all earlier input
-	insideCommand                      // it waits for the rest of a command
+	takingCommand     readPhase = iota // handling input
+	waitingForCommand                  // waiting for a command, with all earlier input handled
+	insideCommand                      // waiting for the rest of a command
 )
 
 // longAgo is a read deadline in the past. It ends a read at once.
@@ -111,7 +112,7 @@
 func (g *inputGuard) startWaiting() {
 	g.readDeadline = g.nextDeadline(time.Now())
 	g.setReadDeadline(g.readDeadline)
-	if g.interrupted.Load() { // interrupt may have set longAgo before the line above
+	if g.interrupted.Load() { // the line above may have overwritten an interrupt's deadline
 		g.setReadDeadline(longAgo)
 	}
 	if g.scanner.state != atCommand {
--- a/internal/resp/overload.go
+++ b/internal/resp/overload.go
@@ -7,8 +7,8 @@
 	"junctionwharf/broker"
 )
 
-// maxCountLineBytes bounds the bytes from the start of a command to the dot of "BLK.", if the command is to be rejected
-// before it is parsed.
+// maxCountLineBytes is the maximum number of bytes from the start of a command to the dot of "BLK.". A command in which
+// more bytes precede the dot is not rejected unparsed.
 const maxCountLineBytes = 16
 
 // The bytes that identify a request and its class in a command that is not parsed.
@@ -18,7 +18,7 @@
 )
 
 // rejectOverload rejects a request if too many requests wait for the broker's processor, and reports whether it did.
-// The request is neither parsed nor buffered, which costs a third of a rejection after parsing.
+// The request is neither parsed nor buffered, so its rejection costs a third of a rejection after parsing.
 func (c *client) rejectOverload(raw []byte) bool {
 	if !c.server.loop.Overloaded() {
 		return false
--- a/internal/resp/reject.go
+++ b/internal/resp/reject.go
@@ -25,9 +25,9 @@
 	// lingerStep is the time without input after which a rejected connection is closed if other connections wait for
 	// its slot.
 	lingerStep = time.Millisecond
-	// inputGrace is how long a connection waits for input in transit before it is closed. It is longer than a request
-	// is in transit, since input that arrives after the close resets the connection. A larger value would occupy the
-	// slot for longer.
+	// inputGrace is how long a connection waits for input in transit before it is closed. It is longer than the
+	// transit time of a request, since input that arrives after the close resets the connection. A larger value would
+	// occupy the slot for longer.
 	inputGrace = 10 * time.Millisecond
 )
 
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -38,8 +38,8 @@
 }
 
 // Clients keep their connections open after a rejection. If all slots for rejections are occupied, these connections
-// must not delay the accept queue. A broker with 1,024 sockets has sixteen such slots. At 10 ms for each rejection it
-// could reject 1,600 connections a second, and connections beyond that were answered late or never.
+// must not delay the accept queue. A broker with 1,024 sockets has sixteen such slots. When each rejection
+// occupied a slot for 10 ms, connections beyond 1,600 a second were answered late or never.
 //
 // Without a queue a rejected connection stays open for 10 ms, to receive input in transit. While its client continues
 // to send, it stays open even with a queue, for up to half a second, so that no reset overtakes the rejection. The test
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	if value == nil { // a null value does not answer a request
+	if value == nil { // a null value is treated as an error
 		result.Reply = broker.ReplyError
 		return nil
 	}
--- a/internal/resp/requestids.go
+++ b/internal/resp/requestids.go
@@ -9,7 +9,7 @@
 
 // requestIDs is the set of the IDs of open requests, that is, of requests that wait for their answers at this process
 // or, during a handover, at the broker's other process. Two open requests must not have the same ID: the client would
-// get two final answers for it, and nodes could execute one write twice.
+// get two final answers with one ID, and nodes could execute one write twice.
 type requestIDs struct {
 	mu       sync.Mutex // guards the fields below
 	open     map[string]struct{}
--- a/internal/resp/server.go
+++ b/internal/resp/server.go
@@ -55,8 +55,8 @@
 // ResizeBudget sets the maximum number of bytes of buffered requests and answers.
 func (s *Server) ResizeBudget(maxBytes int) { s.budget.Resize(maxBytes) }
 
-// OnRequestChange sets a function that is called whenever a request with a given ID opens or ends. During a handover
-// the function notifies the broker's other process. It must not block. OnRequestChange must be called before Serve.
+// OnRequestChange sets a function that is called with the ID of each request that opens or ends. During a handover the
+// function notifies the broker's other process. It must not block. OnRequestChange must be called before Serve.
 func (s *Server) OnRequestChange(notify func(id string, opened bool)) { s.ids.onChange = notify }
 
 // OpenRequestIDs returns the IDs of the requests that wait for their answers.
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// takeBatch removes the answers that can be written next from pending and returns them.
+// takeBatch removes the next answers that are ready from pending and returns them.
 func (c *client) takeBatch() (next batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
