--- a/middleware/responses_test.go
+++ b/middleware/responses_test.go
@@ -7,7 +7,7 @@
 	"junctionwharf/broker"
 )
 
-// Clients of an HTTP service see these answers: their codes, texts and Retry-After stay.
+// HTTP clients depend on the status codes, the texts and the Retry-After of these answers.
 func TestResponseTexts(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -25,7 +25,7 @@
 			retryAfter: "1",
 		},
 		{
-			name:       "rejected, advice is rounded up",
+			name:       "rejected with advice, rounded up",
 			response:   broker.Response{Verdict: broker.Rejected, RetryAfter: 2*broker.Second + 1},
 			late:       true,
 			code:       503,
@@ -33,13 +33,13 @@
 			retryAfter: "3",
 		},
 		{
-			name:     "failed in time",
+			name:     "failed before the deadline",
 			response: broker.Response{Verdict: broker.Failed},
 			code:     502,
 			text:     "failed: it may or may not have run\n",
 		},
 		{
-			name:     "failed late",
+			name:     "failed after the deadline",
 			response: broker.Response{Verdict: broker.Failed},
 			late:     true,
 			code:     504,
@@ -50,7 +50,7 @@
 			w := httptest.NewRecorder()
 			writeResponse(w, c.response, c.late)
 			if w.Code != c.code || w.Body.String() != c.text {
-				t.Errorf("%d %q, want %d %q", w.Code, w.Body, c.code, c.text)
+				t.Errorf("status %d with body %q, want %d with %q", w.Code, w.Body, c.code, c.text)
 			}
 			if got := w.Header().Get("Retry-After"); got != c.retryAfter {
 				t.Errorf("Retry-After %q, want %q", got, c.retryAfter)
