--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Time is a point on the caller's clock: an alias, so that time.Duration and scheduler.Time pass.
+// Time is a point on the caller's clock. It is an alias, so that callers can pass time.Duration and scheduler.Time.
 type Time = time.Duration
 
-// Options are those of one broker. The zero value stands for the defaults.
+// Options are the options of one broker's Balancer. A field with its zero value means the default.
 type Options struct {
-	Disabled        bool    // the caller ranks replicas by their attempts in flight alone
-	SubsetSize      int     // replicas of a shard that a broker uses while its rate is low; 0: DefaultSubsetSize
-	MaxEjectedShare float64 // of a shard's weight that outlier detection may take away; 0: DefaultMaxEjectedShare
-	TrialShare      float64 // of its weight that an unresponsive replica keeps, as trials; 0: DefaultTrialShare
-	NoGossip        bool    // peers are told nothing of unresponsive replicas, and what they tell is dropped
-	Name            string  // of the broker
-	Ordinal         int     // its number among Brokers, from 0
-	Brokers         int     // that share the load; below 2 the subset goes by the name alone
+	Disabled        bool    // the caller ranks replicas only by their attempts in flight
+	SubsetSize      int     // replicas of a shard that a broker uses at a low request rate; 0: DefaultSubsetSize
+	MaxEjectedShare float64 // share of a shard's weight that outlier detection may remove; 0: DefaultMaxEjectedShare
+	TrialShare      float64 // share of its weight that an unresponsive replica keeps for trials; 0: DefaultTrialShare
+	NoGossip        bool    // send no gossip about replicas to peers, and drop gossip from peers
+	Name            string  // name of the broker
+	Ordinal         int     // number of this broker among all Brokers, from 0
+	Brokers         int     // brokers that share the load; below 2, the subset depends only on Name
 }
 
-// The defaults.
+// The defaults of Options.
 const (
-	// DefaultSubsetSize is a count of replicas. Higher, connections idle between requests and are opened
-	// anew; lower, the load of replicas is uneven.
+	// DefaultSubsetSize is a number of replicas. With a larger subset, connections idle between requests and must
+	// be reopened. With a smaller subset, the load of replicas is uneven.
 	DefaultSubsetSize = 24
-	// DefaultMaxEjectedShare is a part of a shard's weight. Higher, a common fault sends all load to few
-	// replicas; lower, more requests go to replicas at fault.
+	// DefaultMaxEjectedShare is a share of a shard's weight. With a larger share, a fault common to many replicas
+	// moves all load to a few replicas. With a smaller share, more requests go to faulty replicas.
 	DefaultMaxEjectedShare = 0.5
-	// DefaultTrialShare is a part of a replica's weight. Higher, more requests are lost to dead replicas;
-	// lower, a replica that is back is found late.
+	// DefaultTrialShare is a share of a replica's weight. With a larger share, more requests are lost to dead
+	// replicas. With a smaller share, a recovered replica is found later.
 	DefaultTrialShare = 0.02
 )
 
-// WithDefaults returns the options with the defaults where nothing is said.
+// WithDefaults returns the options with defaults in place of unset fields.
 func (o Options) WithDefaults() Options {
 	if o.SubsetSize <= 0 {
 		o.SubsetSize = DefaultSubsetSize
@@ -49,43 +49,43 @@
 }
 
 const (
-	// minWeight keeps a turn finite. Higher, an ejected replica gets a share of its own; lower, sums lose
-	// their precision.
+	// minWeight keeps the length of a turn finite. With a larger value, an ejected replica still gets a share of the
+	// requests. With a smaller value, sums of positions lose precision.
 	minWeight = 1e-6
-	// minTotalWeight keeps shares finite where no replica has a weight. Higher, the console shows too small
-	// shares for replicas with tiny weights; lower, shares lose their precision.
+	// minTotalWeight keeps shares finite when no replica has a weight. With a larger value, the console shows too
+	// small a share for replicas with tiny weights. With a smaller value, shares lose precision.
 	minTotalWeight = 1e-9
-	// evaluationPeriod is how often weights are evaluated, besides at once when a replica becomes
-	// unresponsive, errs or comes back. Higher, slow replicas keep their load for longer; lower, processor
-	// time grows with replicas.
+	// evaluationPeriod is the interval between evaluations of the weights. The weights are also evaluated at the
+	// next request after a replica fails, becomes unresponsive or recovers. With a longer period, slow replicas
+	// keep their load for longer. A shorter period costs processor time in proportion to the number of replicas.
 	evaluationPeriod = time.Second
 )
 
-// Replica is a node of the shard as one broker sees it. The fields before the blank line are the caller's.
+// Replica is a node of the shard as one broker sees it. The caller sets the fields above the blank line.
 type Replica struct {
 	Name          string
 	Priority      int
-	Weight        float64 // its size against others; 0 or less counts as 1
-	InFlight      int     // attempts
-	CapacityShare float64 // part of its capacity that it has, of one that has just started; 0 counts as 1
-	Ref           any     // the caller's own
+	Weight        float64 // size relative to other replicas; 0 or less counts as 1
+	InFlight      int     // attempts in flight
+	CapacityShare float64 // share of its capacity that a replica has while warming up; 0 counts as 1
+	Ref           any     // value for the caller's own use
 
 	statistics
 	outlierState
-	position       float64 // in virtual time, where its turn is
-	brokerOrder    []int32 // the first brokers in the replica's own order, as many as were wanted so far
-	evenFactor     float64 // of its weight, that has the subsets of all brokers add up evenly
-	factor         float64 // of its weight, by outlier detection, within the bound of the shard
+	position       float64 // virtual time of the replica's next turn
+	brokerOrder    []int32 // the first brokers in the replica's own order, computed as far as needed
+	evenFactor     float64 // factor of the weight that evens out the subsets of all brokers
+	factor         float64 // factor of the weight from outlier detection, within the shard's bound
 	previousFactor float64 // the factor before the last evaluation
-	share          float64 // of this broker's requests
-	visit          uint64  // Balancer.visits when it was last yielded
-	hash           uint32  // its name in messages to peers
+	share          float64 // share of this broker's requests
+	visit          uint64  // value of Balancer.visits when the replica was last yielded
+	hash           uint32  // hash of the name in gossip messages
 }
 
-// Share is the part of this broker's requests to the shard that is meant for the replica now.
+// Share returns the share of this broker's requests to the shard that the replica should currently receive.
 func (r *Replica) Share() float64 { return r.share }
 
-// size is its weight against others by the endpoint list.
+// size returns the replica's weight from the endpoint list, 1 if the list gives none.
 func (r *Replica) size() float64 {
 	if r.Weight > 0 {
 		return r.Weight
@@ -93,7 +93,7 @@
 	return 1
 }
 
-// weight is what its turns go by now.
+// weight returns the current weight, which determines how often the replica has a turn.
 func (r *Replica) weight() float64 {
 	weight := r.size() * r.evenFactor * r.factor
 	if r.CapacityShare > 0 {
@@ -106,30 +106,30 @@
 type Balancer struct {
 	options    Options
 	replicas   []*Replica
-	subset     []*Replica // those that this broker uses, by priority
-	doublings  int        // of the subset, by the request rate
+	subset     []*Replica // replicas that this broker uses, sorted by priority
+	doublings  int        // number of times that the subset was doubled for a high request rate
 	requests   requestRate
-	evenedAt   Time // when the factors of evenSubsets were last worked out
-	evenStale  bool // replicas have changed since
-	nextPeriod Time // when weights are evaluated again
-	stale      bool // they are to be evaluated at once
+	evenedAt   Time // when evenSubsets last computed its factors
+	evenStale  bool // replicas changed after evenedAt
+	nextPeriod Time // time of the next regular evaluation of the weights
+	stale      bool // the next request evaluates the weights
 
 	virtualNow      float64
-	visits          uint64   // counts calls of Candidates
-	earliest        *Replica // whose position is the first, if nextInTurn has just seen that; nil for not known
-	proven          bool     // the request of this call wants a replica that answered lately
-	anyUnresponsive bool     // a replica of the subset is
+	visits          uint64   // number of calls of Candidates
+	earliest        *Replica // replica with the first position, if nextInTurn has just found it; nil if unknown
+	proven          bool     // the request of the current call needs a replica that answered recently
+	anyUnresponsive bool     // at least one replica of the subset is unresponsive
 
 	decay     decayCache
-	byLatency []*Replica // the subset by mean latency
-	alarmAt   Time       // when a replica was last found unresponsive, by this broker or by peers
+	byLatency []*Replica // the subset, sorted by mean latency
+	alarmAt   Time       // when this broker or its peers last found a replica unresponsive
 	gossip    gossipQueue
 }
 
 // New returns a balancer without replicas.
 func New(options Options) *Balancer { return &Balancer{options: options.WithDefaults()} }
 
-// SetReplicas takes the replicas that could serve. One keeps its state as long as its Replica is the same.
+// SetReplicas replaces the list of replicas. A replica keeps its state if the list has the same *Replica as before.
 func (b *Balancer) SetReplicas(now Time, replicas []*Replica) {
 	known := map[*Replica]bool{}
 	for _, r := range b.replicas {
@@ -151,13 +151,13 @@
 	b.chooseSubset(now)
 }
 
-// Replicas are all replicas of the shard, those in use told by Share or Priority.
+// Replicas returns all replicas of the shard. A replica outside the subset has a Share of 0.
 func (b *Balancer) Replicas() []*Replica { return b.replicas }
 
-// SubsetSize is how many replicas this broker uses.
+// SubsetSize returns the number of replicas that this broker uses.
 func (b *Balancer) SubsetSize() int { return len(b.subset) }
 
-// evaluate brings weights and shares up to date.
+// evaluate updates weights and shares if they are stale or the evaluation period is over.
 func (b *Balancer) evaluate(now Time) {
 	if !b.stale && now < b.nextPeriod {
 		return
@@ -166,7 +166,7 @@
 	b.nextPeriod = now + evaluationPeriod
 	b.anyUnresponsive = slices.ContainsFunc(b.subset, (*Replica).Unresponsive)
 	b.detectOutliers(now)
-	total := 0.0 // of those that go first
+	total := 0.0 // weight of the replicas with the first priority
 	for _, r := range b.subset {
 		r.share = 0
 		if r.Priority == b.subset[0].Priority {
@@ -179,11 +179,11 @@
 	}
 }
 
-// rateSpan is over which the request rate is averaged, in seconds. Higher, the subset grows late in a surge;
-// lower, it changes with each burst.
+// rateSpan is the time over which the request rate is averaged, in seconds. With a longer span, the subset grows late
+// in a surge. With a shorter span, the subset changes with each burst.
 const rateSpan = 10.0
 
-// requestRate is a broker's requests to the shard a second, in the mean over rateSpan.
+// requestRate is a broker's mean request rate to the shard over rateSpan.
 type requestRate struct {
 	perSecond float64
 	updatedAt Time
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -15,7 +15,7 @@
 	return replicas
 }
 
-// take sends a request to the first candidate.
+// take sends a request to the first candidate and returns that candidate.
 func (b *Balancer) take(now Time, proven bool) *Replica {
 	for r := range b.Candidates(now, proven) {
 		b.RecordSent(now, r)
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// One broker's turns: over any stretch each replica gets its weight's share, within one request of its own
-// and one of the others.
+// The turns of one broker follow the weights: after any number of requests, each replica has received its share to
+// within 2 requests, one of its own and one of the other replicas.
 func TestTurnsFollowWeights(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(5)
@@ -36,14 +36,14 @@
 		taken[b.take(Time(i)*time.Millisecond, false)]++
 		for _, r := range replicas {
 			if want := float64(i+1) * r.size() / 6; math.Abs(float64(taken[r])-want) > 2 {
-				t.Fatalf("after %d requests %s got %d, not about %.1f", i+1, r.Name, taken[r], want)
+				t.Fatalf("after %d requests %s got %d, want about %.1f", i+1, r.Name, taken[r], want)
 			}
 		}
 	}
 }
 
-// Many brokers start at one moment, or their lists change at one. Were they in step, all would send their
-// first request to the same replica.
+// Many brokers start at the same time, or receive a changed endpoint list at the same time. If their turns were in
+// step, all of them would send their first request to the same replica.
 func TestBrokersAreNotInStep(t *testing.T) {
 	counts := map[string]int{}
 	for i := range 120 {
@@ -53,15 +53,15 @@
 	}
 	for name, count := range counts {
 		if count > 25 {
-			t.Errorf("%s got the first request of %d of 120 brokers", name, count)
+			t.Errorf("%s got the first request of %d of 120 brokers, want at most 25", name, count)
 		}
 	}
 	if len(counts) < 12 {
-		t.Errorf("only %d replicas got a first request", len(counts))
+		t.Errorf("%d replicas got a first request, want 12", len(counts))
 	}
 }
 
-// The lower priority goes first, whatever its load.
+// Replicas with the lowest priority value come first, even if they have the most attempts in flight.
 func TestPriorities(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(3)
@@ -73,7 +73,7 @@
 		order = append(order, r.Name)
 	}
 	if fmt.Sprint(order) != "[node-2 node-1 node-0]" {
-		t.Errorf("%v", order)
+		t.Errorf("order of candidates: got %v, want [node-2 node-1 node-0]", order)
 	}
 }
 
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// provenTime is for how long an answer proves that a replica lives. Higher, requests that can't be
-	// retried go to replicas that died meanwhile; lower, a broker with few requests finds none proven.
+	// provenTime is how long an answer proves that a replica is alive. With a longer time, requests that can't be
+	// retried go to replicas that have died since. With a shorter time, a broker with few requests finds no
+	// proven replica.
 	provenTime = 2 * time.Second
-	// provenLead is how many turns a proven replica may be ahead of the mean. Higher, a broker that has only
-	// requests that can't be retried meets the same few replicas; lower, it sends more of them to replicas
-	// that are not proven.
+	// provenLead is how many turns a proven replica may be ahead of the mean. With a larger lead, a broker whose
+	// requests can't be retried sends all of them to the same few replicas. With a smaller lead, it sends more of
+	// them to replicas that are not proven.
 	provenLead = 2.0
-	// provenChoices is from how many of the last replicas that answered one is taken: the last of them, since
-	// the first has just had a request. Higher, the answer is older; lower, brokers meet at the same replica.
+	// provenChoices is the number of replicas with the latest answers that nextProven considers. It takes the one
+	// with the oldest answer, because the one with the latest answer has just had a request. With more choices,
+	// that answer is older. With fewer choices, brokers choose the same replica.
 	provenChoices = 3
-	// alarmTime is for how long after a replica was found unresponsive the replica that answered last is
-	// taken without these bounds. Higher, load is uneven for longer; lower, requests that can't be retried
-	// are lost with a zone.
+	// alarmTime is the length of an alarm, which begins when a replica is found unresponsive. During an alarm,
+	// nextProven takes the replica with the latest answer, without the bounds above. With a longer time, load is
+	// uneven for longer. With a shorter time, requests that can't be retried are lost when a zone fails.
 	alarmTime = 5 * time.Second
-	// lastResort is added to the position of an unresponsive replica, in turns: it is taken where nothing
-	// else may serve. It is beyond any position; lower, a long-running broker would take such replicas in
-	// turn.
+	// lastResort is added to the position of an unresponsive replica, in turns, so that the replica is used only
+	// if no other replica can serve. It is larger than any position. With a smaller value, a long-running broker
+	// would use unresponsive replicas in turn.
 	lastResort = 1e12
 )
 
-// Candidates yields the replicas in the order in which they are to be asked; the caller takes the first that
-// may serve. With proven, for a request that can't be retried or was, those that answered lately come first,
-// and none is asked for a trial. Replicas beyond the subset follow last.
+// Candidates yields the replicas in order of preference. The caller takes the first replica that can serve the request.
+// proven is set for a request that can't be retried or that already is a retry: replicas that answered recently come
+// first, and the request is not used as a trial. Replicas outside the subset come last.
 func (b *Balancer) Candidates(now Time, proven bool) iter.Seq[*Replica] {
 	return func(yield func(*Replica) bool) {
 		if b.evenStale && now-b.evenedAt >= evenPeriod {
@@ -56,8 +58,8 @@
 	}
 }
 
-// nextTrial is an unresponsive replica that is due to be asked once more, by a request that may run twice;
-// nil for none.
+// nextTrial returns an unresponsive replica whose trial is due, for a request that may be sent twice. It returns nil if
+// there is none.
 func (b *Balancer) nextTrial(now Time) *Replica {
 	if b.proven || !b.anyUnresponsive {
 		return nil
@@ -71,14 +73,15 @@
 	return nil
 }
 
-// nextProven is a replica that answered lately, for a request that may not run twice; nil for none. It is the
-// one that did last while there is an alarm; else the third last, since the last has just had a request, and
-// two within a moment add up over brokers.
+// nextProven returns a replica that answered recently, for a request that must not be sent twice. It returns nil if
+// there is none. During an alarm it returns the replica with the latest answer. Otherwise it returns the one with the
+// third latest answer: the replica with the latest answer has just had a request, and two requests in quick succession
+// would add up over all brokers.
 func (b *Balancer) nextProven(now Time) *Replica {
 	if !b.proven {
 		return nil
 	}
-	var latest [provenChoices]*Replica // those that answered last, the latest first
+	var latest [provenChoices]*Replica // replicas with the latest answers, the latest first
 	mean := b.meanPosition()
 	alarm := b.alarmAt > 0 && now-b.alarmAt < alarmTime
 	for _, r := range b.subset {
@@ -104,8 +107,8 @@
 	return latest[0]
 }
 
-// isSound tells whether nothing speaks against a replica that was not yet yielded: it answered before, owes
-// no answer, goes first by priority and has its whole weight.
+// isSound reports whether a replica that was not yet yielded shows no sign of a fault: it has answered before, has no
+// attempt in flight, has the first priority and has its whole weight.
 func (b *Balancer) isSound(r *Replica) bool {
 	if r.visit == b.visits || r.lastAnswer == 0 || r.Unresponsive() || r.InFlight > 0 {
 		return false
@@ -113,12 +116,12 @@
 	return r.Priority == b.subset[0].Priority && r.factor >= 1
 }
 
-// isProven tells whether a replica answered lately and is not too many turns ahead of the mean.
+// isProven reports whether a replica answered recently and is at most provenLead turns ahead of the mean.
 func (r *Replica) isProven(now Time, meanPosition float64) bool {
 	return now-r.lastAnswer <= provenTime && r.position-meanPosition <= provenLead/r.weight()
 }
 
-// meanPosition is the mean position of the replicas that are not unresponsive.
+// meanPosition returns the mean position of the responsive replicas of the subset.
 func (b *Balancer) meanPosition() float64 {
 	sum, count := 0.0, 0.0
 	for _, r := range b.subset {
@@ -130,12 +133,12 @@
 	return sum / max(1, count)
 }
 
-// nextInTurn is the replica of the subset whose turn comes first among those that were not yet yielded; nil
-// for none.
+// nextInTurn returns the replica with the next turn among the replicas of the subset that were not yet yielded. It
+// returns nil if there is none.
 func (b *Balancer) nextInTurn(Time) *Replica {
 	var best *Replica
 	earliest := 0.0
-	isFirst := !b.anyUnresponsive // no position of the subset is before that of best
+	isFirst := !b.anyUnresponsive // no replica of the subset has a position before best
 	for _, r := range b.subset {
 		if r.visit == b.visits {
 			isFirst = false
@@ -165,11 +168,11 @@
 	return best
 }
 
-// RecordSent notes that a request went to a replica.
+// RecordSent records that a request was sent to a replica.
 func (b *Balancer) RecordSent(now Time, r *Replica) {
 	turn := 1 / r.weight()
 	r.position = max(r.position, b.virtualNow-turn*b.jitter(now, r))
-	if r == b.earliest { // the mean is not before it either: the sum over the subset is spared
+	if r == b.earliest { // the mean is not smaller either, so it need not be computed
 		b.virtualNow = max(b.virtualNow, r.position)
 	} else {
 		b.virtualNow = max(b.virtualNow, min(r.position, b.meanPosition()))
@@ -180,7 +183,7 @@
 	b.resizeSubset(now)
 }
 
-// jitter is a random number from 0 to below 1 that differs between brokers and times.
+// jitter returns a random number from 0 to below 1, which differs between brokers, replicas and times.
 func (b *Balancer) jitter(now Time, r *Replica) float64 {
 	return unitInterval(hash(b.options.Name, r.Name, uint64(now)))
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// reportTime is for how long a peer's report counts. Higher, a replica that is back keeps its low weight
-	// for longer; lower, peers with few requests never agree.
+	// reportTime is how long a peer's report is valid. With a longer time, a recovered replica keeps its low weight
+	// for longer. With a shorter time, the reports of peers with few requests never overlap.
 	reportTime = 10 * time.Second
-	// reportsToDoubt is how many peers must report a replica. Higher, a dead one is found late; lower, one
-	// broker without a path moves load of all others.
+	// reportsToDoubt is how many peers must report a replica before its weight is lowered. With more reports, a
+	// dead replica is found late. With fewer reports, a single broker with a network fault moves the load of all
+	// other brokers.
 	reportsToDoubt = 2
-	// reportsMax bounds the reports of one replica. Higher, it costs memory; lower, reports are lost in a
-	// large tier.
+	// reportsMax bounds the number of reports kept for a replica. A larger bound costs memory. With a smaller
+	// bound, reports are lost if there are many brokers.
 	reportsMax = 64
-	// gossipPeriod is the least time between two messages of a broker. Higher, peers hear late; lower, an
-	// outage of a zone floods them.
+	// gossipPeriod is the minimum time between two rounds of messages from a broker. With a longer period, peers
+	// are informed late. With a shorter period, an outage of a zone floods them.
 	gossipPeriod = time.Second
-	// gossipFanOut is how many peers a message goes to. Higher, messages cost more; lower, some peers hear
-	// late.
+	// gossipFanOut is how many peers receive a message. With more peers, messages cost more. With fewer peers,
+	// some peers are informed late.
 	gossipFanOut = 4
-	// drawsPerPeer bounds the draws of distinct peers. Higher or lower it makes no difference but in tiers of
-	// a few brokers.
+	// drawsPerPeer bounds the attempts to draw distinct peers. Its value only matters with a few brokers.
 	drawsPerPeer = 4
-	// gossipNames is how many replicas a message names: it stays below 256 bytes. Higher, it may not fit a
-	// datagram; lower, an outage of a zone is reported only in part.
+	// gossipNames is the maximum number of replicas in a message and keeps it below 256 bytes. With more names, a
+	// message may not fit into a datagram. With fewer names, an outage of a zone is only partly reported.
 	gossipNames = 60
-	// returnTimeMin and returnTimeMax bound the time over which brokers try a replica again that a peer says
-	// is back. Higher, it takes its load again later; lower, all brokers rush at it.
+	// returnTimeMin and returnTimeMax bound returnTime, the time over which brokers retry a replica that a peer
+	// reported as recovered. With larger bounds, the replica gets its load back later. With smaller bounds, all
+	// brokers send to the replica at once.
 	returnTimeMin = time.Second
 	returnTimeMax = 10 * time.Second
-	// minReturnRate is the least requests a second that this time is worked out from, as returnTimeMax bounds
-	// it.
+	// minReturnRate is the minimum request rate per second that returnTime uses, since returnTimeMax bounds the
+	// result anyway.
 	minReturnRate = 0.1
 )
 
-// A message names replicas of one kind: a byte that tells the kind, then hashes of 4 bytes each, big-endian.
+// A message names replicas of one kind: one byte with the kind, followed by hashes of 4 bytes each, big-endian.
 const (
-	GossipUnresponsive = 4 // replicas that were found unresponsive
-	GossipRecovered    = 5 // unresponsive replicas that answered again
+	GossipUnresponsive = 4 // replicas that became unresponsive
+	GossipRecovered    = 5 // unresponsive replicas that have answered again
 	gossipHashBytes    = 4
 )
 
@@ -50,17 +51,17 @@
 	at   Time
 }
 
-// gossipQueue holds the names of replicas that peers are to be told of.
+// gossipQueue stores the names of replicas for the next messages to peers.
 type gossipQueue struct {
 	unresponsive []string
 	recovered    []string
-	sentAt       Time // of the last message, 0 for none
+	sentAt       Time // time of the last messages; 0 before the first
 }
 
-// gossipHash is a replica's name in messages.
+// gossipHash returns the hash that identifies a replica in messages.
 func gossipHash(replica string) uint32 { return uint32(hash("", replica, saltGossip)) }
 
-// appendName adds a name unless it is there, or a message is full.
+// appendName appends a name, unless the list already has it or would not fit into a message.
 func appendName(names []string, name string) []string {
 	if slices.Contains(names, name) || len(names) >= gossipNames {
 		return names
@@ -68,8 +69,8 @@
 	return append(names, name)
 }
 
-// isDoubted tells whether enough peers lately found a replica unresponsive of which this broker has heard
-// nothing since.
+// isDoubted reports whether, within reportTime and since the replica's last answer to this broker, enough peers have
+// found the replica unresponsive.
 func (r *Replica) isDoubted(now Time) bool {
 	if len(r.reports) == 0 {
 		return false
@@ -84,8 +85,8 @@
 	return count >= reportsToDoubt
 }
 
-// GossipMessages returns the messages that are due to a few peers: the replicas found unresponsive since the
-// last, and those that answered again. There are some once in gossipPeriod at the most.
+// GossipMessages returns the messages to send to the peers of GossipPeers: the replicas that became unresponsive and
+// those that answered again, both since the last messages. It returns messages at most once per gossipPeriod.
 func (b *Balancer) GossipMessages(now Time) (messages [][]byte) {
 	queue := &b.gossip
 	if b.options.NoGossip || len(queue.unresponsive)+len(queue.recovered) == 0 {
@@ -114,7 +115,7 @@
 	return data
 }
 
-// isGossip tells whether bytes are a message of a peer.
+// isGossip reports whether data has the form of a gossip message.
 func isGossip(data []byte) bool {
 	if len(data) < 1+gossipHashBytes || data[0] != GossipUnresponsive && data[0] != GossipRecovered {
 		return false
@@ -122,8 +123,8 @@
 	return (len(data)-1)%gossipHashBytes == 0 && len(data) <= 1+gossipHashBytes*gossipNames
 }
 
-// GossipPeers draws the few peers that a message goes to, as ordinals: anew for each message, so that over
-// some messages all hear.
+// GossipPeers draws the peers that receive a message and returns their ordinals. Each message goes to newly drawn
+// peers, so that all peers are informed after several messages.
 func (b *Balancer) GossipPeers(now Time) []int {
 	var peers []int
 	for k := range uint64(drawsPerPeer * gossipFanOut) {
@@ -135,9 +136,9 @@
 	return peers
 }
 
-// ReceiveGossip takes a peer's message; bytes that are none are dropped. One peer's word alone lowers no
-// weight, and all together no more than Options.MaxEjectedShare; that a replica answers again only has it
-// tried sooner.
+// ReceiveGossip handles a message from a peer and drops data that is not a message. Reports of a single peer lower no
+// weight. Reports of all peers together lower weights by at most Options.MaxEjectedShare. A report that a replica
+// recovered only brings forward the replica's next trial.
 func (b *Balancer) ReceiveGossip(now Time, from int, data []byte) {
 	if b.options.NoGossip || !isGossip(data) {
 		return
@@ -177,8 +178,8 @@
 	b.stale = true
 }
 
-// returnTime is how long it takes until each replica of the subset has had a request: over such a time
-// brokers try a replica again that a peer says is back, which then gets about its usual load.
+// returnTime returns the time that this broker needs to send one request to each replica of the subset. Brokers spread
+// the trials of a replica that a peer reported as recovered over this time, so that it gets about its usual load.
 func (b *Balancer) returnTime() time.Duration {
 	seconds := float64(len(b.subset)) / max(minReturnRate, b.requests.perSecond)
 	return min(returnTimeMax, max(returnTimeMin, time.Duration(seconds*float64(time.Second))))
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -8,96 +8,99 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// What a broker knows of a replica rests on few answers, so outlier detection goes by intervals. An error rate
-// counts by the lower end of its interval; slowness counts in full once it is significant.
+// A broker has only a few answers from each replica, so outlier detection uses confidence intervals. An error rate
+// counts with the lower bound of its interval. Slowness counts in full once it is significant.
 const (
-	// unresponsivePeriod is the least time between two findings of one replica's silence. Higher, trials of a
-	// dead replica begin late; lower, a burst of lost attempts doubles its backoff many times.
+	// unresponsivePeriod is the minimum time between two accepted calls of RecordUnresponsive for the same replica.
+	// With a longer period, trials of a dead replica begin late. With a shorter period, a burst of lost attempts
+	// doubles the trial backoff many times.
 	unresponsivePeriod = 100 * time.Millisecond
-	// trialBackoffMin is after which an unresponsive replica is asked once more. Higher, a short pause ejects
-	// it for longer; lower, more requests are lost to dead replicas.
+	// trialBackoffMin is the first backoff before a trial of an unresponsive replica. With a longer backoff, a
+	// short pause ejects the replica for longer. With a shorter backoff, more requests are lost to dead replicas.
 	trialBackoffMin = time.Second
-	// trialBackoffMax bounds the doubling of that wait. Higher, a replica that was dead for long gets nothing
-	// for longer after its return; lower, more requests are lost to it meanwhile.
+	// trialBackoffMax bounds the doubling of the backoff. With a larger bound, a replica that was dead for long
+	// gets requests later after its recovery. With a smaller bound, more requests are lost while it is dead.
 	trialBackoffMax = 30 * time.Second
-	// recoveryFactor is the part of its weight that an unresponsive replica has with its first answer; it has
-	// all with the second. Higher, brokers rush at a replica that is just back; lower, it takes its load
-	// again later.
+	// recoveryFactor is the share of its weight that an unresponsive replica regains with its first answer. The
+	// second answer restores the whole weight. With a larger share, brokers overload a replica that has just
+	// recovered. With a smaller share, the replica gets its load back later.
 	recoveryFactor = 0.5
-	// doubtFactor is the part of its weight that a replica keeps that only peers found unresponsive. Higher,
-	// requests are lost to a dead one for longer; lower, a fault between peers and a replica moves load of
-	// all brokers.
+	// doubtFactor is the share of its weight that a replica keeps if only peers found it unresponsive. With a
+	// larger share, requests are lost to a dead replica for longer. With a smaller share, a network fault between
+	// peers and a replica moves the load of all brokers.
 	doubtFactor = 0.25
-	// normalErrorRate is the part of answers that may be errors or rejections. Higher, a failing replica
-	// keeps its load; lower, common errors of clients eject sound replicas.
+	// normalErrorRate is the share of answers that may be errors or rejections. With a larger share, a failing
+	// replica keeps its load. With a smaller share, common client errors eject sound replicas.
 	normalErrorRate = 0.1
-	// errorQuantile is the lower end of the interval of a rate of errors that counts. Higher, few errors
-	// eject a replica by chance; lower, a failing one keeps its load for longer.
+	// errorQuantile is the quantile of the error rate's distribution that is compared with normalErrorRate. With a
+	// larger quantile, a few errors eject a replica by chance. With a smaller quantile, a failing replica keeps
+	// its load for longer.
 	errorQuantile = 0.05
-	// minFailures is how many failures, decayed, are looked at. Higher, errors are found late; lower, each
-	// single error costs processor time.
+	// minFailures is the decayed number of failures above which the error rate is computed. With a larger number,
+	// errors are detected late. With a smaller number, each single error costs processor time.
 	minFailures = 0.5
-	// priorSuccesses and priorFailures are the answers that a new replica counts as having given. Higher,
-	// errors of a new replica count later; lower, its first error ejects it.
+	// priorSuccesses and priorFailures are the answers that are assumed for a new replica. With larger numbers,
+	// the errors of a new replica take effect later. With smaller numbers, its first error ejects it.
 	priorSuccesses = 9.0
 	priorFailures  = 0.5
-	// slowRatio is how many times the shard's median latency a replica may take. Higher, slow replicas keep
-	// their load; lower, load moves between equal ones.
+	// slowRatio is the multiple of the shard's median latency above which a replica is slow. With a larger ratio,
+	// slow replicas keep their load. With a smaller ratio, load moves between equally fast replicas.
 	slowRatio = 1.25
-	// slowErrors is by how many standard errors a replica must be slower. Higher, slow replicas are found
-	// late; lower, by chance.
+	// slowErrors is by how many standard errors a replica must exceed slowRatio. With a larger number, slow
+	// replicas are found late. With a smaller number, sound replicas are found slow by chance.
 	slowErrors = 1.96
-	// minSlowFactor is the part of its weight that a slow replica keeps. Higher, more answers are late;
-	// lower, its recovery is found late.
+	// minSlowFactor is the share of its weight that a slow replica keeps. With a larger share, more answers are
+	// late. With a smaller share, the replica's recovery is detected late.
 	minSlowFactor = 0.05
-	// minLogVariance is the least variance of the logarithm of latency. Higher, slow replicas are found late;
-	// lower, a few equal latencies prove too much.
+	// minLogVariance is the minimum variance of the logarithm of latency. With a larger minimum, slow replicas are
+	// found late. With a smaller minimum, a few equal latencies appear significant.
 	minLogVariance = 0.04
-	// minSamples is how many latencies, decayed, a replica must have to be found slow. Higher, slow replicas
-	// are found late; lower, by one latency.
+	// minSamples is the decayed number of latencies above which a replica can be found slow. With a larger number,
+	// slow replicas are found late. With a smaller number, a single latency is enough.
 	minSamples = 2
-	// minMedianReplicas is how many replicas with latencies there must be for a median. Higher, small shards
-	// have none; lower, a slow replica is its own measure.
+	// minMedianReplicas is the minimum number of replicas with latencies for a median. With a larger number, small
+	// shards have no median. With a smaller number, a slow replica would be compared with itself.
 	minMedianReplicas = 3
-	// returnRatio is by how many times a weight must rise for its replica's turn to begin anew at a random
-	// position. Higher, brokers meet at a replica that is back; lower, turns of sound replicas jump.
+	// returnRatio is the factor by which a weight must rise for the replica to get a new random position. With a
+	// larger factor, brokers send to a recovered replica at once. With a smaller factor, positions of sound
+	// replicas jump.
 	returnRatio = 2
 )
 
-// slowLogRatio is slowRatio as a difference of logarithms.
+// slowLogRatio is the natural logarithm of slowRatio.
 var slowLogRatio = math.Log(slowRatio)
 
-// The reasons of a factor, as the console shows them.
+// The reasons for a replica's factor, as the console shows them.
 const (
 	reasonSound        = "sound"
 	reasonUnresponsive = "silent"
 	reasonDoubted      = "peers find it silent"
 	reasonErrors       = "errors"
 	reasonSlow         = "slow"
-	reasonBounded      = ", bounded" // added where the bound of the shard gave weight back
+	reasonBounded      = ", bounded" // appended where the shard's bound raised the factor
 )
 
-// outlierState is what outlier detection keeps of a replica.
+// outlierState is the state of a replica in outlier detection.
 type outlierState struct {
-	unresponsiveSince Time          // when it was last found unresponsive, 0 for not
-	trialBackoff      time.Duration // between two trials
+	unresponsiveSince Time          // when the replica was last found unresponsive; 0 if it is responsive
+	trialBackoff      time.Duration // base of the wait until the next trial
 	nextTrial         Time
-	recovery          float64 // the factor that an unresponsive replica has earned by answers
-	reason            string  // of its factor
+	recovery          float64 // factor that an unresponsive replica has regained by an answer
+	reason            string  // reason for the factor
 	reports           []gossipReport
 }
 
-// Unresponsive tells whether the replica was found unresponsive and has not earned its weight again.
+// Unresponsive reports whether the replica was found unresponsive and has not regained its whole weight.
 func (o *outlierState) Unresponsive() bool { return o.unresponsiveSince > 0 }
 
-// Reason tells in a word what the replica's weight rests on.
+// Reason returns the reason for the replica's factor, as the console shows it.
 func (r *Replica) Reason() string { return cmp.Or(r.reason, reasonSound) }
 
-// Factor is what outlier detection leaves of the replica's weight, from 0 to 1.
+// Factor returns the share of the replica's weight that outlier detection allows, from 0 to 1.
 func (r *Replica) Factor() float64 { return r.factor }
 
-// RecordUnresponsive notes that a replica has left an attempt without an answer for far longer than usual,
-// while others of the shard answer.
+// RecordUnresponsive records that an attempt at a replica has had no answer for far longer than usual, while other
+// replicas of the shard answer.
 func (b *Balancer) RecordUnresponsive(now Time, r *Replica) {
 	if r.Unresponsive() && now-r.unresponsiveSince < unresponsivePeriod {
 		return
@@ -111,8 +114,8 @@
 	b.stale = true
 }
 
-// recoverReplica notes an answer of an unresponsive replica: it has a part of its weight with the first, and
-// all with the second.
+// recoverReplica records an answer of an unresponsive replica. The first answer restores a part of its weight, the
+// second the whole weight.
 func (b *Balancer) recoverReplica(now Time, r *Replica) {
 	if r.recovery > 0 {
 		r.unresponsiveSince = 0
@@ -127,15 +130,15 @@
 	b.stale = true
 }
 
-// postponeTrial sets the next trial of an unresponsive replica, with exponential backoff and apart from those
-// of other brokers.
+// postponeTrial sets the next trial of an unresponsive replica, with exponential backoff. Jitter separates the trials
+// of different brokers.
 func (b *Balancer) postponeTrial(now Time, r *Replica) {
 	r.recovery = 0
 	r.trialBackoff = min(trialBackoffMax, max(trialBackoffMin, 2*r.trialBackoff))
 	r.nextTrial = now + r.trialBackoff/2 + time.Duration(b.jitter(now, r)*float64(r.trialBackoff))
 }
 
-// detectOutliers works out the factor of each replica of the subset, and bounds what they take away together.
+// detectOutliers computes the factor of each replica of the subset and bounds the weight that they remove together.
 func (b *Balancer) detectOutliers(now Time) {
 	median := b.medianLatency(now)
 	total, ejected := 0.0, 0.0
@@ -158,9 +161,9 @@
 	}
 }
 
-// moveTurn has a replica's turn come as much later or sooner as its weight is less or more than it was. One
-// that has most of its weight back at once comes at a random position of its next turn: other brokers find
-// the same at the same time.
+// moveTurn adapts the position of a replica to a changed factor: a lower factor delays the next turn in proportion, and
+// a higher factor brings it forward. A replica whose factor rises by more than returnRatio gets a random position
+// within its next turn, since other brokers raise the factor at the same time.
 func (b *Balancer) moveTurn(now Time, r *Replica) {
 	if r.previousFactor == r.factor {
 		return
@@ -171,8 +174,8 @@
 	}
 }
 
-// factorOf is the part of its weight that a replica should have, and why. median is the logarithm of the
-// shard's median latency, NaN where it is not known.
+// factorOf returns the factor that a replica should have and the reason for it. median is the logarithm of the shard's
+// median latency, NaN if it is unknown.
 func (b *Balancer) factorOf(now Time, r *Replica, median float64) (factor float64, reason string) {
 	r.decayTo(now, &b.decay)
 	if r.Unresponsive() {
@@ -193,7 +196,7 @@
 	return factor, reason
 }
 
-// errorRateLowerBound is the lower end of the interval of a replica's rate of errors, 0 where there are too few.
+// errorRateLowerBound returns the lower bound of a replica's error rate, 0 if there are too few failures.
 func (s *statistics) errorRateLowerBound() float64 {
 	if s.failures <= minFailures {
 		return 0
@@ -202,8 +205,8 @@
 	return rate.Quantile(errorQuantile)
 }
 
-// significantSlowness is by how much a replica's mean logarithm of latency is above the median: the whole excess, 0
-// where it is not significant.
+// significantSlowness returns the difference between a replica's mean logarithm of latency and the median, or 0 if the
+// difference is not significant.
 func (s *statistics) significantSlowness(median float64) float64 {
 	if s.samples <= minSamples || math.IsNaN(median) {
 		return 0
@@ -216,8 +219,8 @@
 	return 0
 }
 
-// medianLatency is the median over the subset of the mean logarithm of latency, NaN without enough replicas.
-// A slow or quick minority does not move it.
+// medianLatency returns the median over the subset of each replica's mean logarithm of latency, or NaN if too few
+// replicas have a mean. A minority of slow or fast replicas hardly changes the median.
 func (b *Balancer) medianLatency(now Time) float64 {
 	if len(b.byLatency) != len(b.subset) {
 		b.byLatency = append(b.byLatency[:0], b.subset...)
@@ -230,7 +233,7 @@
 			r.logMean = r.logSum / r.samples
 			known++
 		}
-		// insertion sort: they are nearly in order since the last time
+		// Insertion sort: the replicas are nearly in order since the last call.
 		for ; i > 0 && b.byLatency[i-1].logMean > r.logMean; i-- {
 			b.byLatency[i] = b.byLatency[i-1]
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A replica at half speed gets about half, one that errs gets less, and outlier detection takes away no more
-// than the stated share even when all replicas are unresponsive.
+// A replica at half speed gets about half the load, and a replica that fails half of its requests gets less than usual.
+// Outlier detection removes at most the configured share, even if all replicas are unresponsive.
 func TestOutliersGetLess(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(8)
@@ -31,10 +31,10 @@
 	}
 	normal := float64(taken[replicas[4]])
 	if ratio := float64(taken[replicas[0]]) / normal; ratio < 0.4 || ratio > 0.7 {
-		t.Errorf("the replica at half speed got %.2f of another's share", ratio)
+		t.Errorf("the replica at half speed got %.2f of another replica's load, want 0.4 to 0.7", ratio)
 	}
 	if ratio := float64(taken[replicas[1]]) / normal; ratio > 0.7 {
-		t.Errorf("the replica that errs half the time got %.2f of another's share", ratio)
+		t.Errorf("the replica that fails half of its requests got %.2f of another's load, want at most 0.7", ratio)
 	}
 	for _, r := range replicas {
 		b.RecordUnresponsive(50*time.Second, r)
@@ -45,12 +45,12 @@
 		left += r.Factor()
 	}
 	if left < 8*(1-DefaultMaxEjectedShare)-0.01 {
-		t.Errorf("%.2f of the weight of 8 replicas is left", left)
+		t.Errorf("%.2f of the weight of 8 replicas is left, want at least %v", left, 8*(1-DefaultMaxEjectedShare))
 	}
 }
 
-// A replica dies and comes back. It is asked again with growing backoff, by requests that may run twice only,
-// and has its whole weight after two answers.
+// A replica dies and recovers. It gets trials with growing backoff, only by requests that may be sent twice. It regains
+// its whole weight after two answers.
 func TestUnresponsiveReplicaRecovers(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(6)
@@ -67,20 +67,20 @@
 		}
 		trials++
 		if trials > 2 && now-last < gap {
-			t.Errorf("trial %d after %v, the one before after %v", trials, now-last, gap)
+			t.Errorf("trial %d came after %v, want at least %v", trials, now-last, gap)
 		}
 		gap = (now - last) / 3
 		last = now
 		b.RecordUnresponsive(now, r)
 	}
 	if trials < 3 || trials > 8 {
-		t.Errorf("%d trials in a minute", trials)
+		t.Errorf("got %d trials in a minute, want 3 to 8", trials)
 	}
 	for i := range 1000 {
 		now := Time(60+i) * time.Second
 		r := b.take(now, true)
 		if r == dead {
-			t.Fatal("a request that must not run twice went to an unresponsive replica")
+			t.Fatal("a request that must not be sent twice went to an unresponsive replica")
 		}
 		b.RecordAnswer(now, r, time.Millisecond)
 	}
@@ -90,12 +90,12 @@
 	}
 	b.evaluate(now + time.Second)
 	if dead.Factor() != 1 {
-		t.Errorf("%v of its weight after two answers", dead.Factor())
+		t.Errorf("factor after two answers is %v, want 1", dead.Factor())
 	}
 }
 
-// A replica's weight was lowered and is back. Its turn follows: left where the low weight had put it, far behind
-// the others, the replica would get nothing for a while.
+// The weight of a replica was lowered and then restored. Its position must follow: if the position stayed where the low
+// weight had put it, far behind the others, the replica would get no requests for a while.
 func TestTurnFollowsWeight(t *testing.T) {
 	b := New(Options{Name: "b", Brokers: 9})
 	replicas := newReplicas(4)
@@ -126,11 +126,11 @@
 		b.RecordAnswer(now, r, time.Millisecond)
 	}
 	if taken[silent] < 3 || taken[doubted] < 3 {
-		t.Errorf("of 16 turns they got %d and %d", taken[silent], taken[doubted])
+		t.Errorf("the recovered replicas got %d and %d of 16 requests, want at least 3", taken[silent], taken[doubted])
 	}
 }
 
-// gossipOf is a message about one replica.
+// gossipOf returns a message about one replica.
 func gossipOf(kind byte, name string) []byte {
 	return binary.BigEndian.AppendUint32([]byte{kind}, uint32(hash("", name, 3)))
 }
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// statisticsSpan is over which answers decay, in time. Higher, a replica that recovered keeps its low weight
-// for longer; lower, a broker with few requests knows too little to find an outlier.
+// statisticsSpan is the time constant of the decay of answers. With a longer span, a recovered replica keeps its low
+// weight for longer. With a shorter span, a broker with few requests has too few answers to find an outlier.
 const statisticsSpan = 20 * time.Second
 
-// statistics is what a replica's answers showed. Its counts decay over statisticsSpan.
+// statistics summarizes a replica's answers. Its counts decay over statisticsSpan.
 type statistics struct {
 	successes  float64
 	failures   float64
-	samples    float64 // answers with a latency
-	logSum     float64 // of the logarithms of their latencies
-	logSquares float64 // and of their squares
-	logMean    float64 // at the last evaluation; infinite where it is not known
+	samples    float64 // answers with a known latency
+	logSum     float64 // sum of the logarithms of their latencies
+	logSquares float64 // sum of the squares of these logarithms
+	logMean    float64 // mean logarithm at the last evaluation; infinite if unknown
 	decayedAt  Time
 	lastAnswer Time
 }
 
-// decayCache keeps the last factor of decay: most replicas decayed last at one time.
+// decayCache caches the last decay factor, since the counts of most replicas decay over the same time.
 type decayCache struct {
 	elapsed Time
 	factor  float64
@@ -32,7 +32,7 @@
 	c.factor = math.Exp(-elapsed.Seconds() / statisticsSpan.Seconds())
 }
 
-// decayTo has the counts decay up to now.
+// decayTo applies the decay up to now.
 func (s *statistics) decayTo(now Time, cache *decayCache) {
 	elapsed := now - s.decayedAt
 	if elapsed <= 0 {
@@ -50,7 +50,7 @@
 	s.decayedAt = now
 }
 
-// recordLatency counts the latency of an answer. One of 0 is not known.
+// recordLatency adds the latency of an answer. A latency of 0 is unknown and is ignored.
 func (s *statistics) recordLatency(latency time.Duration) {
 	if latency <= 0 {
 		return
@@ -61,12 +61,12 @@
 	s.logSquares += log * log
 }
 
-// standardError is that of the mean logarithm. The variance counts as no less than minLogVariance.
+// standardError returns the standard error of the mean logarithm. It uses a variance of at least minLogVariance.
 func (s *statistics) standardError(mean float64) float64 {
 	return math.Sqrt(max(minLogVariance, s.logSquares/s.samples-mean*mean) / s.samples)
 }
 
-// RecordAnswer notes an answer of a replica, after so long.
+// RecordAnswer records an answer of a replica and its latency, 0 if the latency is unknown.
 func (b *Balancer) RecordAnswer(now Time, r *Replica, latency time.Duration) {
 	r.decayTo(now, &b.decay)
 	r.successes++
@@ -77,8 +77,8 @@
 	}
 }
 
-// RecordFailure notes an error, a broken connection or a rejected attempt. alive tells that the replica
-// itself answered.
+// RecordFailure records an error, a broken connection or a rejected attempt. alive means that the replica itself
+// answered.
 func (b *Balancer) RecordFailure(now Time, r *Replica, alive bool) {
 	r.decayTo(now, &b.decay)
 	r.failures++
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// reuseTime is how often a broker should meet each replica of its subset. Higher, connections time out
-	// between requests and are opened anew; lower, the requests of a broker are spread over fewer replicas.
+	// reuseTime is the mean time between two requests of a broker to the same replica that the subset size aims
+	// at. With a longer time, connections time out between requests and must be reopened. With a shorter time, the
+	// requests of a broker are spread over fewer replicas.
 	reuseTime = 4 * time.Second
-	// doublingsMax bounds how often the subset is doubled for a high rate. Higher, a busy broker keeps more
-	// connections; lower, its load is spread over fewer replicas.
+	// doublingsMax bounds how often the subset is doubled for a high request rate. With a larger bound, a busy
+	// broker keeps more connections. With a smaller bound, its load is spread over fewer replicas.
 	doublingsMax = 4
-	// shrinkRatio is how many times too large a subset must be to be halved. Higher, a quiet broker keeps
-	// idle connections; lower, its subset changes with each burst.
+	// shrinkRatio is by what factor a subset must be too large before it is halved. With a larger ratio, a broker
+	// with few requests keeps idle connections. With a smaller ratio, the subset changes with each burst.
 	shrinkRatio = 4
-	// subsetSteps is in how many steps a doubling of a shard's replicas changes how many brokers use each.
-	// Higher, each replica that joins moves connections of others; lower, subsets are further from their
-	// size.
+	// subsetSteps is the number of steps in which brokersPerReplica changes while the number of replicas doubles.
+	// With more steps, replicas that join change the brokers of other replicas more often. With fewer steps,
+	// subset sizes are further from SubsetSize.
 	subsetSteps = 4
-	// evenPeriod is the least time between two runs of evenSubsets. Higher, load is uneven for longer after a
-	// change; lower, a list that changes often costs processor time.
+	// evenPeriod is the minimum time between two runs of evenSubsets. With a longer period, load is uneven for
+	// longer after a change. With a shorter period, frequent changes of the endpoint list cost processor time.
 	evenPeriod = time.Second
-	// evenIterations is how many iterations evenSubsets makes. Higher, it costs processor time; lower, load
-	// is uneven.
+	// evenIterations is the number of iterations of evenSubsets. More iterations cost processor time. With fewer
+	// iterations, load is uneven.
 	evenIterations = 12
-	// evenFactorMax bounds the factors of evenSubsets. Higher, a replica with few brokers may get a burst
-	// from one of them; lower, it stays underused.
+	// evenFactorMax bounds the factors of evenSubsets. With a larger bound, a replica that few brokers use may get
+	// a burst from one of them. With a smaller bound, such a replica stays underused.
 	evenFactorMax = 8.0
-	// drawsPerBroker bounds the draws of brokersOf. Higher or lower it makes no difference but in a tier of
-	// very few brokers, whose replicas are then used by fewer of them.
+	// drawsPerBroker bounds the draws of brokersOf. Its value only matters with very few brokers: a replica whose
+	// draws run out is used by fewer of them.
 	drawsPerBroker = 64
 )
 
-// The numbers by which hashes for different uses differ.
+// The salts that make hashes for different purposes differ.
 const (
-	saltStart      = 1 // where a broker begins in its turn
+	saltStart      = 1 // first position of a replica in a broker's turns
 	saltRendezvous = 2 // the subset of a broker without an ordinal
-	saltGossip     = 3 // the name of a replica in messages
+	saltGossip     = 3 // hash of a replica's name in messages
 )
 
-// hash draws evenly from a broker's name, a replica's name and a number.
+// hash returns a uniformly distributed hash of a broker's name, a replica's name and a number.
 func hash(broker, replica string, number uint64) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(broker) // a hash takes all
+	_, _ = digest.WriteString(broker) // a Digest returns no error
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.WriteString(replica)
 	var bytes [8]byte
@@ -58,11 +59,11 @@
 	return digest.Sum64()
 }
 
-// unitInterval turns a hash into a number from 0 to below 1.
+// unitInterval maps a hash to a number from 0 to below 1.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// jumpHash is the jump consistent hash of Lamping and Veach (2014): with one bucket more, only that one's
-// share moves.
+// jumpHash is the jump consistent hash of Lamping and Veach (2014). If a bucket is added, only the keys of the new
+// bucket move.
 func jumpHash(key uint64, buckets int) int {
 	bucket, next := int64(-1), int64(0)
 	for next < int64(buckets) {
@@ -73,9 +74,9 @@
 	return int(bucket)
 }
 
-// brokersPerReplica is how many brokers use each replica of a shard of so many: each broker then uses
-// SubsetSize of them in the mean. It changes in steps, so that a replica that joins or leaves moves its own
-// brokers and no others, but at a step.
+// brokersPerReplica returns how many brokers use each replica, for a shard with the given number of replicas. Each
+// broker then uses SubsetSize replicas on average. The result changes in steps: between two steps, a replica that joins
+// or leaves only changes the subsets of the brokers that use it.
 func (b *Balancer) brokersPerReplica(replicas int) int {
 	if replicas == 0 || b.options.Brokers < 2 {
 		return 1
@@ -85,8 +86,8 @@
 	return max(1, min(b.options.Brokers, count))
 }
 
-// brokersOf is the first brokers in a replica's own order, distinct, up to so many. The first ones use it: so
-// each replica is used by the same number of brokers, and each moves alone.
+// brokersOf returns up to count distinct brokers, the first in the replica's own order. These brokers use the replica.
+// So each replica is used by the same number of brokers, and its brokers do not depend on other replicas.
 func (b *Balancer) brokersOf(replica string, count int) []int32 {
 	if b.options.Brokers < 2 {
 		return nil
@@ -106,7 +107,7 @@
 	return order
 }
 
-// usersOf is the brokers that use a replica when each is used by so many.
+// usersOf returns the brokers that use a replica if each replica is used by count brokers.
 func (b *Balancer) usersOf(r *Replica, count int) []int32 {
 	if len(r.brokerOrder) < count {
 		r.brokerOrder = b.brokersOf(r.Name, count)
@@ -114,12 +115,12 @@
 	return r.brokerOrder[:min(count, len(r.brokerOrder))]
 }
 
-// uses tells whether this broker uses a replica when each is used by so many.
+// uses reports whether this broker uses a replica if each replica is used by count brokers.
 func (b *Balancer) uses(r *Replica, count int) bool {
 	return count >= b.options.Brokers || slices.Contains(b.usersOf(r, count), int32(b.options.Ordinal))
 }
 
-// chooseSubset takes the subset from all replicas.
+// chooseSubset chooses the subset from all replicas.
 func (b *Balancer) chooseSubset(now Time) {
 	count := b.brokersPerReplica(len(b.replicas))
 	for _, r := range b.subset {
@@ -131,7 +132,7 @@
 			b.subset = append(b.subset, r)
 		}
 	}
-	if len(b.subset) == 0 { // no replica has this broker early in its order: any few are better than all
+	if len(b.subset) == 0 { // no replica has this broker early in its order: a small subset is better than all replicas
 		b.subset = append(b.subset, b.rendezvousSubset()...)
 	}
 	slices.SortStableFunc(b.subset, func(x, y *Replica) int { return x.Priority - y.Priority })
@@ -144,7 +145,7 @@
 	b.stale = true
 }
 
-// resizeSubset doubles or halves the subset as the request rate wants.
+// resizeSubset doubles or halves the subset if the request rate requires it.
 func (b *Balancer) resizeSubset(now Time) {
 	wanted := b.requests.perSecond * reuseTime.Seconds()
 	size := float64(b.options.SubsetSize << b.doublings)
@@ -158,8 +159,8 @@
 	}
 }
 
-// rendezvousSubset is the subset of a broker that goes by its name alone: the replicas that a weighted
-// rendezvous hash draws for it.
+// rendezvousSubset returns the subset of a broker that depends only on the broker's name: the replicas with the highest
+// weighted rendezvous hash.
 func (b *Balancer) rendezvousSubset() []*Replica {
 	ranked := slices.Clone(b.replicas)
 	score := func(r *Replica) float64 {
@@ -169,10 +170,10 @@
 	return ranked[:min(len(ranked), b.options.SubsetSize)]
 }
 
-// evenSubsets works out what factor each replica of the subset needs so that, were all brokers to send alike,
-// each replica would get its size's share: some brokers have few replicas and some many. All brokers know who
-// uses what, so each does the same sum, by Sinkhorn's scaling of rows (brokers) and columns (replicas) in
-// turn.
+// evenSubsets computes the factors that make the load even although some brokers use few replicas and others many. With
+// these factors, if all brokers send the same load, each replica receives load in proportion to its size. Every broker
+// knows which brokers use which replicas, so all of them compute the same factors. The method is Sinkhorn's alternate
+// scaling of rows (brokers) and columns (replicas).
 func (b *Balancer) evenSubsets() {
 	for _, r := range b.subset {
 		r.evenFactor = 1
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// sharesOf is what a broker's subset of replicas gets of its requests, by name.
+// sharesOf returns the share of a broker's requests that each replica of its subset receives, by name.
 func sharesOf(ordinal, brokers int, replicas []*Replica) map[string]float64 {
 	b := New(Options{Name: fmt.Sprint("b", ordinal), Ordinal: ordinal, Brokers: brokers})
 	b.SetReplicas(0, replicas)
@@ -17,15 +17,15 @@
 	return shares
 }
 
-// Each replica is used by the same number of brokers; one that leaves moves its own brokers and no others;
-// the sum over brokers that send alike is even, and the fewest and the most that a broker uses are bounded.
+// Each replica is used by the same number of brokers. A replica that leaves only changes the subsets of the brokers
+// that used it. If all brokers send the same load, the sum at each replica is even. The subset size is bounded.
 func TestSubsetsAreEven(t *testing.T) {
 	const brokers, count = 100, 203
 	users, load, moved := map[string]int{}, map[string]float64{}, 0
 	for ordinal := range brokers {
 		shares := sharesOf(ordinal, brokers, newReplicas(count))
 		if len(shares) < DefaultSubsetSize/3 || len(shares) > 3*DefaultSubsetSize {
-			t.Errorf("broker %d uses %d replicas", ordinal, len(shares))
+			t.Errorf("broker %d uses %d replicas, want a third to 3 times %d", ordinal, len(shares), DefaultSubsetSize)
 		}
 		for name, share := range shares {
 			users[name]++
@@ -44,22 +44,22 @@
 		}
 	}
 	if moved > 0 {
-		t.Errorf("%d users of other replicas moved with one replica", moved)
+		t.Errorf("%d users of other replicas changed when one replica left, want 0", moved)
 	}
 	for name, n := range users {
 		if n != users["node-0"] {
 			t.Errorf("%s is used by %d brokers, node-0 by %d", name, n, users["node-0"])
 		}
 		if relative := load[name] * count / brokers; relative < 0.97 || relative > 1.03 {
-			t.Errorf("%s gets %.2f of the mean", name, relative)
+			t.Errorf("%s gets %.2f of the mean load, want 0.97 to 1.03", name, relative)
 		}
 	}
 	if len(users) != count {
-		t.Errorf("%d of %d replicas are used", len(users), count)
+		t.Errorf("%d of %d replicas are used, want all", len(users), count)
 	}
 }
 
-// With one broker more, only its own share of the replicas' users moves.
+// If a broker is added, only its own share of the replicas' users changes.
 func TestBrokerJoins(t *testing.T) {
 	moved, all := 0, 0
 	for i := range 200 {
@@ -78,6 +78,6 @@
 		}
 	}
 	if share := float64(moved) / float64(all); share > 2.0/61 {
-		t.Errorf("%.3f of the users moved", share)
+		t.Errorf("%.3f of the users changed, want at most %.3f", share, 2.0/61)
 	}
 }
