--- a/telemetry/bench_test.go
+++ b/telemetry/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkSketch compares the sketch with a map, which is exact and has no bound on its memory.
+// BenchmarkSketch compares the sketch with a map, which is exact and whose memory is unbounded.
 func BenchmarkSketch(b *testing.B) {
 	const keyCount = 1 << 17
 	random := rand.New(rand.NewPCG(1, 3))
@@ -30,7 +30,7 @@
 	})
 }
 
-// BenchmarkObserve measures what telemetry adds to a request with one attempt.
+// BenchmarkObserve measures the cost of telemetry for a request with one attempt.
 func BenchmarkObserve(b *testing.B) {
 	for _, volumes := range []int{40, 100_000} {
 		b.Run(fmt.Sprint("volumes=", volumes), func(b *testing.B) { benchmarkObserve(b, volumes) })
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures what the broker's loop pays for an interval; the summary is its reader's.
+// BenchmarkSnapshot measures the cost of an interval on the broker's loop, without the reader's summary.
 func BenchmarkSnapshot(b *testing.B) {
 	r := newRegistry(b, Options{})
 	for i := range 60 {
--- a/telemetry/counters.go
+++ b/telemetry/counters.go
@@ -1,9 +1,9 @@
 package telemetry
 
-// Dimension is a way to divide all that a broker did.
+// Dimension is an attribute by which requests and attempts are divided into rows.
 type Dimension uint8
 
-// The dimensions. All has one row, which is named after it.
+// The dimensions. The dimension All has a single row, also named All.
 const (
 	All Dimension = iota
 	ByClass
@@ -21,8 +21,8 @@
 // Counter is the index of a counter in Counts.
 type Counter uint8
 
-// The counters. Units are counted in thousandths, as whole numbers, so that sums are exact. The first four stand in the
-// order of RequestOutcome, those from FirstAttemptOutcome on in the order of AttemptOutcome.
+// The counters. Units are counted in thousandths, as whole numbers, so that sums are exact. The first four counters
+// have the order of RequestOutcome. The counters from FirstAttemptOutcome on have the order of AttemptOutcome.
 const (
 	RequestsServed Counter = iota
 	RequestsRejected
@@ -30,12 +30,12 @@
 	RequestsAbandoned
 	Attempts
 	FirstAttemptOutcome
-	MilliUnits       = FirstAttemptOutcome + Counter(attemptOutcomeCount) // of all requests that ended
+	MilliUnits       = FirstAttemptOutcome + Counter(attemptOutcomeCount) // units of all requests that ended
 	MilliUnitsServed = MilliUnits + 1
 	counterCount     = MilliUnitsServed + 1
 )
 
-// Counts are cumulative: they only grow while a row exists.
+// Counts are the cumulative counters of a row. They only grow while the row exists.
 type Counts [counterCount]uint64
 
 // CounterNames are the names of the counters in the paths of series, in the order of Counts.
@@ -63,7 +63,7 @@
 const (
 	TotalLatency   Latency = iota // from arrival to the final answer
 	QueueLatency                  // from arrival to the first attempt
-	AttemptLatency                // of one attempt at a node
+	AttemptLatency                // from the start of an attempt at a node to its end
 	latencyCount
 )
 
@@ -73,12 +73,11 @@
 // SummaryNames are the names of a Summary's fields in the paths of series, in the order of the fields.
 var SummaryNames = [...]string{"count", "p50", "p90", "p99", "p99_9", "max"}
 
-// SeriesPerRow is how many series a sink gets of one row at the most.
+// SeriesPerRow is the maximum number of series that a sink receives for one row.
 const SeriesPerRow = int(counterCount) + int(latencyCount)*len(SummaryNames)
 
-// Names that a row has where no name of its own fits. A real name equal to one of them is kept apart when it is
-// escaped.
+// The reserved names of rows. If a class, plan, node or volume has the same name, escaping makes the two differ.
 const (
-	Other = "other" // all that has no row of its own
-	None  = "none"  // of nodes: requests that had no attempt
+	Other = "other" // the row of a dimension that counts everything without a row of its name
+	None  = "none"  // the row of the node dimension for requests without an attempt
 )
--- a/telemetry/histogram_test.go
+++ b/telemetry/histogram_test.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Twenty thousand random times are summarized as HdrHistogram does it, within 1/32 of each percentile.
+// The summary of 20,000 random times agrees with that of HdrHistogram within 1/32 of each percentile.
 func TestHistogram(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	reference := hdrhistogram.New(1, maxMicros, 4)
@@ -16,7 +16,7 @@
 		micros := int64(1) << random.IntN(26)
 		micros = clampMicros(micros + random.Int64N(micros))
 		h.add(bucketOf(micros), micros)
-		_ = reference.RecordValue(micros) // it is within the reference's range
+		_ = reference.RecordValue(micros) // the time is within the reference's range
 	}
 	summary := NewSummarizer().Summarize(&h)
 	for _, test := range []struct {
@@ -35,18 +35,18 @@
 		}
 	}
 	if summary.Count != 20_000 {
-		t.Errorf("%+v", summary)
+		t.Errorf("count of %+v: want 20000", summary)
 	}
 	if NewSummarizer().Summarize(nil) != (Summary{}) {
-		t.Error("no histogram has a summary")
+		t.Error("the summary of a nil histogram is not empty")
 	}
 }
 
-// The middle of each bucket lies in that bucket.
+// The middle of each bucket belongs to that bucket.
 func TestMiddleOfBucket(t *testing.T) {
 	for bucket := range bucketCount {
 		if bucketOf(middleOf(bucket)) != bucket {
-			t.Fatalf("bucket %d", bucket)
+			t.Fatalf("the middle of bucket %d belongs to bucket %d", bucket, bucketOf(middleOf(bucket)))
 		}
 	}
 }
--- a/telemetry/observation.go
+++ b/telemetry/observation.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// RequestOutcome says how a request ended.
+// RequestOutcome is the result of a request.
 type RequestOutcome uint8
 
 // The outcomes of a request, in the order of the first counters of Counts.
@@ -8,13 +8,13 @@
 	Served RequestOutcome = iota
 	Rejected
 	Failed
-	Abandoned // its client disconnected before the answer
+	Abandoned // the client disconnected before the answer
 )
 
-// AttemptOutcome says how an attempt ended, in the terms of package scheduler.
+// AttemptOutcome is the result of an attempt, in the terms of package scheduler.
 type AttemptOutcome uint8
 
-// The outcomes of an attempt that was started, in the order of the counters from FirstAttemptOutcome on.
+// The outcomes of a started attempt, in the order of the counters from FirstAttemptOutcome on.
 const (
 	Success AttemptOutcome = iota
 	Failure
@@ -26,7 +26,7 @@
 	attemptOutcomeCount
 )
 
-// ObservationKind says what an Observation reports.
+// ObservationKind is the type of an Observation.
 type ObservationKind uint8
 
 // The kinds of observations.
@@ -34,21 +34,21 @@
 	RequestEnded ObservationKind = iota
 	AttemptEnded
 	NodeListed
-	NodeDraining // it is listed as draining, or is no longer listed: nothing new is sent to it
+	NodeDraining // the node is listed as draining or no longer listed: it receives no new attempts
 	NodeUnlisted
 )
 
-// Observation is one thing that happened in the broker. Its strings are read during Registry.Observe alone; a row that
-// is made of one keeps a copy.
+// Observation is an event in the broker that the registry counts. Registry.Observe keeps no reference to its strings: a
+// new row gets a copy of the name.
 type Observation struct {
 	Kind           ObservationKind
 	RequestOutcome RequestOutcome // of RequestEnded
 	AttemptOutcome AttemptOutcome // of AttemptEnded
 
 	Class, Plan, Volume string
-	Node                string // of the attempt, or of the request's last one; empty if there was none
+	Node                string // of the attempt, or of the request's last attempt; empty if there was none
 
-	Units         float64 // of the request
+	Units         float64 // size of the request
 	TotalMicros   int64   // of RequestEnded: from arrival to the end
 	QueueMicros   int64   // of RequestEnded: from arrival to the first attempt, or to the end if there was none
 	AttemptMicros int64   // of AttemptEnded: from its start to its end
--- a/telemetry/observe.go
+++ b/telemetry/observe.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// maxUnits bounds the units of one request that are counted. Higher, a single wrong figure could overflow a counter;
-// lower, a request that is truly so large would be missing from the sums.
+// maxUnits bounds the units that are counted for one request. With a larger bound, a single wrong value could overflow
+// a counter. With a smaller bound, part of a request that is really that large would be missing from the sums.
 const maxUnits = 1e9
 
-// Observe counts observations, in order. It allocates only for a new row or a row's first time of an interval.
+// Observe counts observations, in order. It only allocates memory for a new row and for the first time that a row
+// counts in an interval.
 func (r *Registry) Observe(observations []Observation) {
 	for i := range observations {
 		o := &observations[i]
@@ -73,7 +74,7 @@
 	}
 }
 
-// toMilliUnits guards the exact sums against figures that are NaN, negative or too large for a counter.
+// toMilliUnits converts units to thousandths. It keeps values that are NaN, negative or too large out of the sums.
 func toMilliUnits(units float64) uint64 {
 	if !(units > 0) {
 		return 0
@@ -95,8 +96,8 @@
 	return &r.others[dimension]
 }
 
-// nodeRow is the row of a node. One that is no longer listed has none once its final value was reported: an attempt
-// that was in flight when it left ends in Other.
+// nodeRow returns the row of a node. The row of an unlisted node is removed once its final value was reported. An
+// attempt that is still in flight then counts in Other.
 func (r *Registry) nodeRow(name string) *rowState {
 	if name == "" {
 		return &r.none
@@ -107,8 +108,8 @@
 	return &r.others[ByNode]
 }
 
-// volumeRow is the row of a volume. A volume without one gets it where there is room, or where selectVolumes reserved
-// one for it; else it counts in Other.
+// volumeRow returns the row of a volume. A volume without a row gets a new row if there is room or if selectVolumes
+// reserved a row for it. Otherwise it counts in Other.
 func (r *Registry) volumeRow(name string) *rowState {
 	hash := hashOf(name)
 	if row := r.volumes[hash]; row != nil {
@@ -129,7 +130,7 @@
 	return row
 }
 
-// addNode gives a listed node its row, if there is room; else it waits for a snapshot at which a volume is removed.
+// addNode gives a listed node its row if there is room. Otherwise the node waits for a snapshot that removes a volume.
 func (r *Registry) addNode(name string) {
 	if row := r.nodes[name]; row != nil {
 		row.removing = false
@@ -148,7 +149,7 @@
 	}
 }
 
-// waitingNodes is how many listed nodes have no row though maxNodeRows allows them one.
+// waitingNodes returns how many listed nodes have no row although maxNodeRows would allow it.
 func (r *Registry) waitingNodes() int {
 	return max(0, min(len(r.listed), r.maxNodeRows())-len(r.nodes))
 }
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// maxName bounds the bytes of a name that a row holds; a longer one keeps its head and gets its hash. Higher, names
-	// that clients choose take more memory in each row; lower, more names are shown with a hash.
+	// maxName bounds the length of a name in a row, in bytes. A longer name is truncated and gets a hash as its suffix.
+	// With a larger bound, names that clients choose take more memory in each row. With a smaller bound, more names are
+	// shown with a hash.
 	maxName = 80
 	// hashSuffix is the length of "-" and 16 hex digits.
 	hashSuffix = 17
-	// rowBytes is what a row takes at the most: its histograms twice, since one set is with the reader of the last
-	// snapshot; 64 bytes beside the buckets of each, and 256 for the row, its map entry and its slice headers.
+	// rowBytes is the maximum memory of a row. It counts the histograms twice, since the reader of the last snapshot
+	// owns one set. It adds 64 bytes to the buckets of each histogram, and 256 bytes for the row, its map entry and
+	// its slice headers.
 	rowBytes = 2*int(latencyCount)*(4*bucketCount+64) + 8*int(counterCount) + maxName + 256
-	// volumeShare reserves for volumes one in so many of the rows that nodes and volumes share. Higher, a large
-	// endpoint list leaves hardly a volume with a name; lower, nodes are missing from the graphs sooner.
+	// volumeShare reserves one in volumeShare of the rows shared by nodes and volumes for volumes. With a larger value,
+	// a large endpoint list leaves few rows for volumes. With a smaller value, nodes are missing from graphs sooner.
 	volumeShare = 4
 )
 
-// rowState counts for one name of one dimension.
+// rowState is the state of one row: the counts for one name of one dimension.
 type rowState struct {
 	name         string
 	counts       Counts
-	histograms   [latencyCount]*Histogram // nil where nothing was timed since the last snapshot
-	hash         uint64                   // of a volume's name; 0 for other rows
-	decayedUnits float64                  // of a volume: units of the past, halved at each snapshot
+	histograms   [latencyCount]*Histogram // nil if no time was counted since the last snapshot
+	hash         uint64                   // of a volume's name; 0 in other rows
+	decayedUnits float64                  // of a volume: units before the last snapshot, halved at each snapshot
 	newUnits     float64                  // of a volume: units since the last snapshot
-	age          int                      // snapshots since the row was made
+	age          int                      // snapshots since the row was created
 	idle         int                      // snapshots since the last observation
-	removing     bool                     // the next snapshot is its last
+	removing     bool                     // the next snapshot reports and removes the row
 }
 
-// Registry counts observations in rows. It is not safe for concurrent use: the broker's loop owns it. A reader gets a
-// Snapshot, which is the reader's own.
+// Registry counts observations in rows. It is not safe for concurrent use: the broker's loop owns it. A reader receives
+// a Snapshot, which then belongs to the reader.
 type Registry struct {
 	options Options
 	classes map[string]*rowState
@@ -49,13 +51,13 @@
 
 	listed         map[string]bool // nodes in the endpoint list
 	sketch         *Sketch         // the heaviest volumes without a row
-	selected       map[uint64]bool // volumes that get a row at their next request
+	selected       map[uint64]bool // volumes that get a row at their next request, by hash
 	freeHistograms []*Histogram
 	sharedRows     int    // rows for nodes and volumes together
-	volumeChanges  uint64 // volumes that got or lost a row
+	volumeChanges  uint64 // number of times that a volume got or lost a row
 }
 
-// New returns an empty registry, or an *OptionError.
+// New returns an empty registry, or an *OptionError if Options.Check fails.
 func New(options Options) (*Registry, error) {
 	r := &Registry{
 		classes:  map[string]*rowState{},
@@ -72,8 +74,8 @@
 	return r, r.ApplyOptions(options)
 }
 
-// ApplyOptions changes the options. Rows beyond a smaller bound, and those of classes and plans that are gone, are
-// removed with the next snapshot. Options that fail Check change nothing.
+// ApplyOptions changes the options. The next snapshot removes the rows beyond a smaller bound and the rows of removed
+// classes and plans. If Check fails, ApplyOptions changes nothing and returns the *OptionError.
 func (r *Registry) ApplyOptions(options Options) error {
 	if err := options.Check(); err != nil {
 		return err
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// setRows gives each of names a row and has the others removed.
+// setRows gives each name a row and marks all other rows for removal.
 func setRows(rows map[string]*rowState, names []string) {
 	for _, name := range names {
 		if rows[name] == nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// removeNodesBeyondBound has the first nodes by name removed where there are more of them than maxNodeRows.
+// removeNodesBeyondBound marks nodes for removal, in order of name, so that at most maxNodeRows remain.
 func (r *Registry) removeNodesBeyondBound() {
 	excess := len(r.nodes) - r.maxNodeRows()
 	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
@@ -114,13 +116,13 @@
 	}
 }
 
-// maxNodeRows is how many nodes may have rows: all shared rows but those reserved for volumes.
+// maxNodeRows returns how many nodes may have rows: all shared rows except those reserved for volumes.
 func (r *Registry) maxNodeRows() int { return r.sharedRows - max(1, r.sharedRows/volumeShare) }
 
-// maxVolumeRows is how many volumes may have rows now: all shared rows that nodes do not use.
+// maxVolumeRows returns how many volumes may have rows now: all shared rows that nodes do not use.
 func (r *Registry) maxVolumeRows() int { return r.sharedRows - len(r.nodes) }
 
-// truncateName returns a copy of a name that is no longer than maxName.
+// truncateName returns a copy of a name. A name longer than maxName is shortened to maxName bytes.
 func truncateName(name string) string {
 	if len(name) <= maxName {
 		return strings.Clone(name)
@@ -128,19 +130,19 @@
 	return fmt.Sprintf("%s-%016x", name[:maxName-hashSuffix], xxhash.Sum64String(name))
 }
 
-// hashOf is the hash of a volume's name; it is never 0.
+// hashOf returns the hash of a volume's name, which is never 0.
 func hashOf(name string) uint64 { return max(1, xxhash.Sum64String(name)) }
 
-// Rows is how many rows there are, All among them.
+// Rows returns the number of rows, including the row of All.
 func (r *Registry) Rows() int {
 	const others, all, none = int(DimensionCount - 1), 1, 1
 	return all + others + none + len(r.classes) + len(r.plans) + len(r.nodes) + len(r.volumes)
 }
 
-// VolumeChanges counts the volumes that got or lost a row.
+// VolumeChanges returns how many times a volume got or lost a row.
 func (r *Registry) VolumeChanges() uint64 { return r.volumeChanges }
 
-// newHistogram returns an empty histogram, one that was used before if there is any.
+// newHistogram returns an empty histogram. It reuses a free histogram if there is one.
 func (r *Registry) newHistogram() *Histogram {
 	if last := len(r.freeHistograms) - 1; last >= 0 {
 		histogram := r.freeHistograms[last]
--- a/telemetry/registry_test.go
+++ b/telemetry/registry_test.go
@@ -22,7 +22,7 @@
 	return r
 }
 
-// checkSnapshot compares a snapshot with totals that were counted plainly, and checks the bound on series.
+// checkSnapshot compares a snapshot with totals that were counted without a registry, and checks the bound on series.
 func checkSnapshot(t *testing.T, r *Registry, snapshot *Snapshot, want Counts) {
 	t.Helper()
 	var sums [DimensionCount]Counts
@@ -33,22 +33,22 @@
 		}
 		key := fmt.Sprint(row.Dimension, row.Reserved, row.Name)
 		if seen[key] {
-			t.Errorf("%s stands twice", key)
+			t.Errorf("the snapshot contains row %s twice", key)
 		}
 		seen[key] = true
 	}
 	for dimension, sum := range sums {
 		if sum != want {
-			t.Fatalf("the sum over %s is %v, want %v", Dimension(dimension), sum, want)
+			t.Fatalf("sum over dimension %s: got %v, want %v", Dimension(dimension), sum, want)
 		}
 	}
 	series := len(snapshot.Rows)*SeriesPerRow + r.options.ReservedSeries
 	if series > r.options.MaxSeries {
-		t.Fatalf("%d series, bound %d", series, r.options.MaxSeries)
+		t.Fatalf("%d series, want at most %d", series, r.options.MaxSeries)
 	}
 }
 
-// count adds an observation to totals, by the rules of Counts and without a registry.
+// count adds an observation to the totals, without a registry.
 func (c *Counts) count(o Observation) {
 	switch o.Kind {
 	case RequestEnded:
@@ -87,8 +87,8 @@
 	return o
 }
 
-// Volumes and nodes come and go at random under a bound that holds only a few of them. At every snapshot the sum over
-// each dimension is the total that was counted beside the registry, and the series stay under the bound.
+// Volumes and nodes appear and disappear at random, and the bound only has room for a few of them. At every snapshot
+// the sum over each dimension equals the total that was counted without the registry. The series stay within the bound.
 func TestSumsAreExact(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -112,7 +112,7 @@
 	}
 }
 
-// heapBytes is the size of the heap after a collection.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -120,8 +120,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// Twenty heavy volumes have rows when 100,000 new volumes are used within an interval. The bound on series, the memory
-// and the rows of the heavy volumes are as before.
+// Twenty heavy volumes have rows when requests for 100,000 new volumes arrive within an interval. The heavy volumes
+// keep their rows, the series stay within the bound, and the memory hardly grows.
 func TestBurstOfVolumes(t *testing.T) {
 	r := newRegistry(t, Options{MaxSeries: 2000})
 	var want Counts
@@ -159,13 +159,13 @@
 		t.Errorf("%d of %d heavy volumes have rows", heavyRows, heavy)
 	}
 	if grown := after - before; grown > 1<<20 {
-		t.Errorf("the heap grew by %d bytes", grown)
+		t.Errorf("the heap grew by %d bytes, want at most 1 MiB", grown)
 	}
 }
 
-// Ten nodes are replaced by ten others, twenty times, while volumes use all rows that are left. Each node that leaves
-// is reported with its final value, an attempt that ends after that counts in Other, and each new node gets a row,
-// which a volume gives up.
+// Ten nodes are replaced by ten others, twenty times, while volumes use all remaining rows. Each removed node is
+// reported with its final value, and an attempt that ends later counts in Other. Each new node gets the row of a
+// volume.
 func TestNodesReplaced(t *testing.T) {
 	const nodes = 10
 	r := newRegistry(t, Options{MaxSeries: SeriesPerRow * 30})
@@ -186,7 +186,7 @@
 		r.Snapshot(nil)
 		checkSnapshot(t, r, r.Snapshot(nil), want)
 		if len(r.nodes) != nodes {
-			t.Fatalf("round %d: %d nodes have rows", round, len(r.nodes))
+			t.Fatalf("round %d: %d nodes have rows, want %d", round, len(r.nodes), nodes)
 		}
 		for i := range nodes {
 			observe(Observation{Kind: NodeUnlisted, Node: nodeName(i)})
@@ -198,13 +198,13 @@
 			}
 		}
 		if final != nodes {
-			t.Fatalf("%d nodes left with their final value", final)
+			t.Fatalf("round %d: %d nodes were removed with their final value, want %d", round, final, nodes)
 		}
 		observe(Observation{Kind: AttemptEnded, Class: "read", Plan: "gold", Node: nodeName(0)})
 	}
 }
 
-// Classes and plans always have rows: options that leave them none are rejected by an error that names the option.
+// Classes and plans always have rows. Options without room for these rows give an error that names the option.
 func TestOptionsTooSmall(t *testing.T) {
 	for _, test := range []struct {
 		options Options
@@ -218,13 +218,13 @@
 		_, err := New(test.options)
 		var optionError *OptionError
 		if !errors.As(err, &optionError) || optionError.Option != test.option {
-			t.Errorf("%s is too small: %v", test.option, err)
+			t.Errorf("options with a small %s: got error %v", test.option, err)
 		}
 	}
 }
 
-// A reload removes a class and adds another one. The row of the old one is removed with its counts kept in Other, the
-// new one counts from then on.
+// A reload removes a class and adds another class. The row of the removed class disappears, and Other keeps its counts.
+// The added class counts from then on.
 func TestApplyOptions(t *testing.T) {
 	r := newRegistry(t, Options{})
 	r.Observe([]Observation{{Kind: RequestEnded, Class: "write", Plan: "gold"}})
@@ -237,6 +237,6 @@
 	want[RequestsServed] = 2
 	checkSnapshot(t, r, r.Snapshot(nil), want)
 	if r.classes["write"] != nil || r.classes["new"].counts[RequestsServed] != 1 {
-		t.Error("the rows did not follow the options")
+		t.Error("the rows do not match the new options")
 	}
 }
--- a/telemetry/rollup.go
+++ b/telemetry/rollup.go
@@ -1,10 +1,10 @@
 package telemetry
 
-// Rollup merges snapshots for a sink whose interval is longer than that of the snapshots, so that one registry serves
+// Rollup merges snapshots for a sink whose interval is longer than the time between snapshots. So one registry serves
 // sinks with different intervals.
 type Rollup struct {
 	rows map[rowKey]*Row
-	free []*Histogram // histograms to be used again; they may still hold counts
+	free []*Histogram // histograms for reuse, not yet reset
 }
 
 type rowKey struct {
@@ -16,7 +16,7 @@
 // NewRollup returns an empty rollup.
 func NewRollup() *Rollup { return &Rollup{rows: map[rowKey]*Row{}} }
 
-// Add merges a snapshot, of which it keeps nothing. It calls yield before each row.
+// Add merges a snapshot and keeps no reference to it. It calls yield before each row.
 func (r *Rollup) Add(snapshot *Snapshot, yield func()) {
 	for i := range snapshot.Rows {
 		yield()
@@ -45,9 +45,9 @@
 	}
 }
 
-// subtractRemoved keeps the sums over a dimension exact: the counts of a row that was removed at an earlier snapshot of
-// this interval are part of Other by now, but the row itself is still to be reported once. Without it, its requests
-// would be counted twice.
+// subtractRemoved keeps the sums over a dimension exact. If an earlier snapshot of this interval removed a row, Other
+// now includes the counts of that row, but the row itself is still to be reported once. Without the subtraction, its
+// requests would be counted twice.
 func (r *Rollup) subtractRemoved(snapshot *Snapshot) {
 	present := make(map[rowKey]bool, len(snapshot.Rows))
 	for _, row := range snapshot.Rows {
@@ -75,8 +75,8 @@
 	return histogram
 }
 
-// Flush calls visit with each row, in no order, and begins the next interval. A row's histograms are valid during the
-// call alone.
+// Flush calls visit with each row, in no particular order, and begins the next interval. A row's histograms are only
+// valid during the call.
 func (r *Rollup) Flush(visit func(*Row)) {
 	for _, row := range r.rows {
 		visit(row)
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -5,16 +5,16 @@
 	"math/rand/v2"
 )
 
-// SinkState is what a sink is doing.
+// SinkState is the state of a sink.
 type SinkState int
 
 // The states of a sink. Their numbers are the values of the series telemetry.SINK.state.
 const (
-	Idle       SinkState = iota // connected or not, with nothing to send
+	Idle       SinkState = iota // nothing to send, with or without a connection
 	Connecting                  // a dial is in progress
 	Sending                     // connected, with a batch in progress
-	Stalled                     // a frame has taken longer than StallTimeout; the connection still stands
-	BackingOff                  // it failed; nothing is tried until the backoff is over
+	Stalled                     // a frame has taken longer than StallTimeout; the connection is still open
+	BackingOff                  // waiting after a failure before the next dial
 	Closed
 )
 
@@ -31,11 +31,11 @@
 	Redials       uint64 // dials after a failure
 }
 
-// jitterSeed is the second half of the seed of a sink's jitter; the first is the caller's.
+// jitterSeed is the second half of the seed of a sink's jitter. The caller of NewSink passes the first half.
 const jitterSeed = 0x5eed
 
-// Sink decides for one receiver of batches. It dials when there is something to send. Its driver carries out the
-// effects, reports what came of them as events, and guards it by a lock.
+// Sink is the state machine for one receiver of batches. It dials when it has something to send. A driver carries out
+// the effects, reports their results as events and guards the Sink by a lock.
 type Sink struct {
 	options     SinkOptions
 	jitter      *rand.Rand
@@ -43,24 +43,24 @@
 	connected   bool
 	writing     bool // a Write is in progress
 	queue       sinkQueue
-	dueAt       Micros // when the timeout, the backoff or the pause in progress is over
-	backoff     Micros // the last one; 0 after a success
-	pacing      bool   // it pauses to keep to BytesPerSecond
-	failed      bool   // since the last batch that was written whole
-	unavailable bool   // ReportUnavailable was emitted, and no ReportRecovered since
+	dueAt       Micros // end of the current timeout, backoff or pause
+	backoff     Micros // the last backoff; 0 after a success
+	pacing      bool   // the sink pauses to limit its rate to BytesPerSecond
+	failed      bool   // a failure occurred since the last batch that was written completely
+	unavailable bool   // ReportUnavailable was emitted, without a ReportRecovered since
 	closing     bool   // Shutdown was received
 	deadline    Micros // of Shutdown
 	stats       SinkStats
 	effects     []SinkEffect
 }
 
-// NewSink returns a sink. The seed is that of its jitter.
+// NewSink returns a sink. seed is the seed of its jitter.
 func NewSink(options SinkOptions, seed uint64) *Sink {
 	options.setDefaults()
 	return &Sink{options: options, jitter: rand.New(rand.NewPCG(seed, jitterSeed))}
 }
 
-// Stats returns the counters of the sink as it is now.
+// Stats returns the current counters of the sink.
 func (s *Sink) Stats() SinkStats {
 	stats := s.stats
 	stats.State = s.state
@@ -68,7 +68,7 @@
 	return stats
 }
 
-// Next returns when Reduce wants to be called at the latest, if nothing else happens.
+// Next returns when the driver must call Reduce if no event occurs before. any is false if no such call is needed.
 func (s *Sink) Next() (at Micros, any bool) {
 	waiting := s.waiting()
 	if s.closing && s.state != Closed {
@@ -80,7 +80,7 @@
 	return s.dueAt, waiting
 }
 
-// waiting tells whether dueAt is in use.
+// waiting reports whether dueAt is in use.
 func (s *Sink) waiting() bool {
 	switch s.state {
 	case Connecting, Stalled, BackingOff:
@@ -92,7 +92,7 @@
 	}
 }
 
-// Reduce takes an event, or nil for the passing of time alone, and returns what is to be done, in order.
+// Reduce handles an event, or only the passing of time if event is nil. It returns the effects to carry out, in order.
 func (s *Sink) Reduce(now Micros, event SinkEvent) []SinkEffect {
 	s.effects = nil
 	if s.state == Closed {
@@ -163,8 +163,8 @@
 	}
 }
 
-// pace begins a pause after a frame. It guards a sink that has just come back against a flood: without it, the batches
-// that waited at all brokers would arrive at once, and the sink would fail again.
+// pace begins a pause after a frame. The pause protects a sink that has just recovered from a flood: without it, the
+// queued batches of all brokers would arrive at once, and the sink would fail again.
 func (s *Sink) pace(now Micros, bytes int) {
 	if len(s.queue.batches) > 1 || s.options.PaceEveryBatch {
 		s.pacing = true
@@ -172,7 +172,7 @@
 	}
 }
 
-// onShutdown ends a backoff, for one more attempt to send what waits.
+// onShutdown ends a backoff, so that the sink makes one more attempt to send its queue.
 func (s *Sink) onShutdown(deadline Micros) {
 	s.closing = true
 	s.deadline = deadline
@@ -198,8 +198,8 @@
 	s.reportUnavailable(reason)
 }
 
-// nextBackoff is drawn between the shortest and three times the one before ("decorrelated jitter"), so that brokers
-// that lost a sink together do not come back together.
+// nextBackoff returns a random time between MinBackoff and three times the previous backoff ("decorrelated jitter"), at
+// most MaxBackoff. The jitter prevents brokers that lost a sink at the same time from dialing it at the same time.
 func (s *Sink) nextBackoff() Micros {
 	longest := min(s.options.MaxBackoff, max(s.options.MinBackoff, 3*s.backoff))
 	return s.options.MinBackoff + s.jitter.Int64N(longest-s.options.MinBackoff+1)
@@ -212,7 +212,7 @@
 	}
 }
 
-// mayClose tells whether a sink that is to close has sent all, or has reached its deadline.
+// mayClose reports whether a sink that is shutting down has sent its whole queue or reached its deadline.
 func (s *Sink) mayClose(now Micros) bool {
 	if !s.closing {
 		return false
@@ -233,7 +233,7 @@
 	s.emit(Finished{})
 }
 
-// onDue handles the end of the timeout, the backoff or the pause in progress.
+// onDue handles the end of the current timeout, backoff or pause.
 func (s *Sink) onDue(now Micros) {
 	switch {
 	case s.pacing:
@@ -259,7 +259,7 @@
 
 func millis(span Micros) int64 { return span / 1000 }
 
-// proceed begins the next dial or write, if one can begin now.
+// proceed begins the next dial or write if possible.
 func (s *Sink) proceed(now Micros) {
 	if s.pacing || s.writing || s.state == BackingOff || s.state == Connecting {
 		return
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A sink that reads at once gets every batch, on one connection, and nothing is reported.
+// A receiver that reads at once gets every batch on one connection. Nothing is reported to operators.
 func TestSinkHealthy(t *testing.T) {
 	r := newReceiver(t, SinkOptions{})
 	for _, name := range []string{"a", "b", "c"} {
@@ -20,13 +20,13 @@
 		r.advance(10 * second)
 	}
 	if fmt.Sprint(r.received, r.reports) != "[a b c] []" || r.sink.Stats().Sent != 3 {
-		t.Error(r.received, r.reports, r.sink.Stats())
+		t.Errorf("received %q, reports %q, stats %+v", r.received, r.reports, r.sink.Stats())
 	}
 }
 
-// A sink is down at the start and comes up after six batches, of which the queue holds three. It gets these three in
-// order and paced; the oldest were dropped whole and counted; operators hear once that it is unavailable and once that
-// it recovered.
+// A receiver is down at the start and comes up after six batches. The sink's queue has room for three of them. The
+// receiver gets these three in order and paced. The oldest batches are dropped as a whole and counted. Operators get one
+// report that the sink is unavailable and one report that it recovered.
 func TestSinkDownAtStart(t *testing.T) {
 	r := newReceiver(t, SinkOptions{QueueBytes: 350, BytesPerSecond: 100})
 	failedDials := 0
@@ -50,18 +50,17 @@
 		r.receive()
 	}
 	if fmt.Sprint(r.received) != "[d e f]" || fmt.Sprint(r.reports) != "[unavailable: refused recovered]" {
-		t.Error(r.received, r.reports)
+		t.Errorf("received %q, reports %q", r.received, r.reports)
 	}
 	if dropped := r.sink.Stats().Dropped; dropped != 3 || failedDials < 3 {
-		t.Errorf("%d batches dropped, %d dials failed", dropped, failedDials)
+		t.Errorf("%d batches dropped, %d dials failed, want 3 and at least 3", dropped, failedDials)
 	}
 	if r.now-began < 2*second {
-		t.Errorf("300 bytes at 100 a second took %d µs", r.now-began)
+		t.Errorf("300 bytes at 100 bytes a second took %d µs, want at least 2 s", r.now-began)
 	}
 }
 
-// Fifty dials fail in a row. The backoff stays between its bounds and reaches long pauses; after a success it begins
-// anew.
+// Fifty dials fail in a row. The backoff stays within its bounds and becomes long. After a success it is short again.
 func TestSinkBackoff(t *testing.T) {
 	const tolerance = second / 10 // the step of awaitDial
 	r := newReceiver(t, SinkOptions{MinBackoff: second, MaxBackoff: 20 * second})
@@ -71,24 +70,24 @@
 		r.endDial(false)
 		backoff := r.awaitDial()
 		if backoff < second || backoff > 20*second+tolerance {
-			t.Fatalf("a backoff of %d µs", backoff)
+			t.Fatalf("backoff of %d µs, want 1 to 20 s", backoff)
 		}
 		longest = max(longest, backoff)
 	}
 	if longest < 10*second {
-		t.Errorf("the longest of 50 backoffs took %d µs", longest)
+		t.Errorf("the longest of 50 backoffs took %d µs, want at least 10 s", longest)
 	}
 	r.endDial(true)
 	r.receive()
 	r.resetConnection()
 	r.offer("b", 10)
 	if backoff := r.awaitDial(); backoff > 3*second+tolerance {
-		t.Errorf("a backoff of %d µs after a success", backoff)
+		t.Errorf("backoff of %d µs after a success, want at most 3 s", backoff)
 	}
 }
 
-// A sink accepts the connection and reads nothing after the first batch. It is stalled, then disconnected. On the next
-// connection it gets the first batch again, since that may not have arrived, and then the second one.
+// A receiver reads nothing after the first batch. Its sink is stalled and then disconnected. On the next connection the
+// sink sends the first batch again, since the first batch may not have arrived, and then the second batch.
 func TestSinkNeverReads(t *testing.T) {
 	r := newReceiver(t, SinkOptions{ResendLast: true, MaxBackoff: second})
 	r.offer("a", 100)
@@ -99,7 +98,7 @@
 	r.wantState(Stalled)
 	r.advance(8 * second)
 	if r.open || !r.dialling && r.sink.Stats().State != BackingOff {
-		t.Fatalf("it still waits: %+v", r.sink.Stats())
+		t.Fatalf("the sink is not disconnected: %+v", r.sink.Stats())
 	}
 	r.awaitDial()
 	r.endDial(true)
@@ -109,11 +108,11 @@
 	}
 	stats := r.sink.Stats()
 	if fmt.Sprint(r.received) != "[a a b]" || stats.Sent != 2 || stats.Dropped != 0 || len(r.reports) != 2 {
-		t.Error(r.received, r.reports, stats)
+		t.Errorf("received %q, reports %q, stats %+v", r.received, r.reports, stats)
 	}
 }
 
-// A sink takes a frame after five seconds. It is stalled for a while, and keeps its connection.
+// A receiver reads a frame after five seconds. Its sink is stalled until then and keeps its connection.
 func TestSinkSlow(t *testing.T) {
 	r := newReceiver(t, SinkOptions{})
 	r.offer("a", 100)
@@ -123,12 +122,12 @@
 	r.receive()
 	r.wantState(Idle)
 	if !r.open || len(r.reports) != 2 {
-		t.Error(r.open, r.reports)
+		t.Errorf("connected %v, reports %q", r.open, r.reports)
 	}
 }
 
-// The connection is reset between the two frames of a batch. The whole batch is sent again: the receiver may hold half
-// a line.
+// The connection is reset between the two frames of a batch. The sink sends the whole batch again, since the receiver
+// may have only half of a line.
 func TestSinkResetWithinBatch(t *testing.T) {
 	r := newReceiver(t, SinkOptions{MaxBackoff: second})
 	r.send(BatchOffered{Batch{Frames: [][]byte{[]byte("x1"), []byte("y2")}}})
@@ -140,11 +139,11 @@
 	r.receive()
 	r.receive()
 	if fmt.Sprint(r.received) != "[x x y]" || r.sink.Stats().Sent != 1 {
-		t.Error(r.received, r.sink.Stats())
+		t.Errorf("received %q, stats %+v", r.received, r.sink.Stats())
 	}
 }
 
-// The broker shuts down while a sink backs off. What waits is sent at once, since the deadline leaves time.
+// The broker shuts down during a backoff. The sink sends its queue at once, since the deadline leaves enough time.
 func TestSinkShutdownWhileBackingOff(t *testing.T) {
 	r := newReceiver(t, SinkOptions{MinBackoff: 30 * second})
 	r.offer("a", 10)
@@ -153,11 +152,12 @@
 	r.endDial(true)
 	r.receive()
 	if !r.finished || r.sink.Stats().Sent != 1 {
-		t.Error("the last batch was not sent", r.sink.Stats())
+		t.Errorf("the last batch was not sent: %+v", r.sink.Stats())
 	}
 }
 
-// The broker shuts down while a sink is stalled. At the deadline its batches are dropped and counted, and it ends.
+// The broker shuts down while a sink is stalled. At the deadline the sink closes, and its batches are dropped and
+// counted.
 func TestSinkShutdownWhileStalled(t *testing.T) {
 	r := newReceiver(t, SinkOptions{})
 	r.offer("a", 10)
@@ -167,12 +167,12 @@
 	r.advance(second)
 	stats := r.sink.Stats()
 	if !r.finished || r.open || stats.Dropped != 2 || stats.QueueBytes != 0 || stats.State != Closed {
-		t.Error("a stalled sink holds up the end", stats)
+		t.Errorf("the stalled sink did not close at the deadline: %+v", stats)
 	}
 }
 
-// Batches, answers, resets and the passing of time come in any order. There is one dial or write at a time, the bounds
-// hold, and every batch is sent, dropped or waiting.
+// Batches, answers, resets and the passing of time occur in random order. There is at most one dial or write at a time,
+// the bounds are kept, and every batch is sent, dropped or queued.
 func TestSinkAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { testSinkAnyOrder(t, seed) })
@@ -207,12 +207,12 @@
 	}
 	stats := r.sink.Stats()
 	if waiting := uint64(len(r.sink.queue.batches)); stats.Sent+stats.Dropped+waiting != offered {
-		t.Fatalf("%d offered, %d wait, %+v", offered, waiting, stats)
+		t.Fatalf("%d batches offered, %d queued, stats %+v", offered, waiting, stats)
 	}
 	r.send(Shutdown{Deadline: r.now + 5*second})
 	r.advance(6 * second)
 	stats = r.sink.Stats()
 	if !r.finished || stats.QueueBytes != 0 || stats.Sent+stats.Dropped != offered {
-		t.Fatalf("%+v of %d", stats, offered)
+		t.Fatalf("after the shutdown with %d batches offered: %+v", offered, stats)
 	}
 }
--- a/telemetry/sinkevents.go
+++ b/telemetry/sinkevents.go
@@ -1,19 +1,19 @@
 package telemetry
 
-// SinkEvent is something that happened to a sink; Sink.Reduce takes it.
+// SinkEvent is an input of Sink.Reduce.
 type SinkEvent interface{ sinkEvent() }
 
 // The events of a sink.
 type (
-	// BatchOffered brings a batch to send.
+	// BatchOffered passes a batch to send.
 	BatchOffered struct{ Batch Batch }
 	// Connected reports that the dial succeeded.
 	Connected struct{}
-	// FrameWritten reports that the frame was written whole.
+	// FrameWritten reports that the whole frame was written.
 	FrameWritten struct{}
-	// ConnectionFailed reports that the dial or the connection failed. No other event of that connection follows.
+	// ConnectionFailed reports that the dial or the connection failed. It is the last event of that connection.
 	ConnectionFailed struct{ Err error }
-	// Shutdown asks to send what waits, and to end at the deadline at the latest.
+	// Shutdown makes the sink send its queue and close, at the deadline at the latest.
 	Shutdown struct{ Deadline Micros }
 )
 
@@ -23,22 +23,23 @@
 func (ConnectionFailed) sinkEvent() {}
 func (Shutdown) sinkEvent()         {}
 
-// SinkEffect is something that the driver of a sink has to do.
+// SinkEffect is an action that the driver of a sink must carry out.
 type SinkEffect interface{ sinkEffect() }
 
 // The effects of a sink.
 type (
-	// Dial opens a connection: Connected or ConnectionFailed follows.
+	// Dial opens a connection. Connected or ConnectionFailed follows.
 	Dial struct{}
-	// Write writes a frame: FrameWritten or ConnectionFailed follows.
+	// Write writes a frame. FrameWritten or ConnectionFailed follows.
 	Write struct{ Frame []byte }
-	// Disconnect ends the connection, or the dial in progress, at once. No event of it follows.
+	// Disconnect closes the connection or cancels the dial at once. No event of that connection follows.
 	Disconnect struct{}
-	// ReportUnavailable tells operators that the sink does not take its batches; once until ReportRecovered.
+	// ReportUnavailable reports to operators that the sink does not accept batches. It is emitted at most once before
+	// the next ReportRecovered.
 	ReportUnavailable struct{ Reason string }
-	// ReportRecovered tells operators that the sink takes its batches again.
+	// ReportRecovered reports to operators that the sink accepts batches again.
 	ReportRecovered struct{}
-	// Finished ends the sink: no effect follows.
+	// Finished reports that the sink is closed. No effect follows.
 	Finished struct{}
 )
 
--- a/telemetry/sinkharness_test.go
+++ b/telemetry/sinkharness_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fakeReceiver plays a sink's driver and the receiver behind it, on a clock of its own.
+// fakeReceiver simulates the driver of a sink and the receiver, with its own clock.
 type fakeReceiver struct {
 	t        *testing.T
 	sink     *Sink
@@ -14,7 +14,7 @@
 	open     bool
 	frame    []byte   // the frame in progress, nil for none
 	received []string // the first byte of each whole frame
-	reports  []string // to operators
+	reports  []string // reports to operators
 	finished bool
 }
 
@@ -23,8 +23,8 @@
 	return &fakeReceiver{t: t, sink: NewSink(options, 7)}
 }
 
-// send has the sink reduce an event, and carries out the effects. It checks that there is one dial or write at a time,
-// that nothing follows Finished, and that the queue keeps to its bound.
+// send passes an event to the sink and carries out the effects. It checks that there is at most one dial or write at a
+// time, that no effect follows Finished, and that the queue stays within its bound.
 func (r *fakeReceiver) send(event SinkEvent) {
 	r.t.Helper()
 	for _, effect := range r.sink.Reduce(r.now, event) {
@@ -35,7 +35,7 @@
 	}
 	stats := r.sink.Stats()
 	if stats.QueueBytes < 0 || stats.QueueBytes > r.sink.options.QueueBytes {
-		r.t.Fatalf("%d bytes wait, bound %d", stats.QueueBytes, r.sink.options.QueueBytes)
+		r.t.Fatalf("%d bytes are queued, want at most %d", stats.QueueBytes, r.sink.options.QueueBytes)
 	}
 }
 
@@ -44,12 +44,12 @@
 	switch e := effect.(type) {
 	case Dial:
 		if r.open || r.dialling {
-			r.t.Fatal("dialled twice")
+			r.t.Fatal("dial while connected or during another dial")
 		}
 		r.dialling = true
 	case Write:
 		if !r.open || r.frame != nil {
-			r.t.Fatal("a write without a connection, or beside another")
+			r.t.Fatal("write without a connection or during another write")
 		}
 		r.frame = e.Frame
 	case Disconnect:
@@ -72,7 +72,7 @@
 	r.send(BatchOffered{Batch{Frames: [][]byte{frame}}})
 }
 
-// endDial ends the dial in progress.
+// endDial ends the dial in progress with a success or a failure.
 func (r *fakeReceiver) endDial(succeeds bool) {
 	r.t.Helper()
 	r.dialling = false
@@ -84,7 +84,7 @@
 	}
 }
 
-// resetConnection ends the connection, and drops the frame in progress.
+// resetConnection ends the connection and drops the frame in progress.
 func (r *fakeReceiver) resetConnection() {
 	r.t.Helper()
 	r.open = false
@@ -101,7 +101,7 @@
 	r.send(FrameWritten{})
 }
 
-// advance lets time pass, with every call that Next asks for.
+// advance moves the clock forward and calls the sink at each time that Next returns.
 func (r *fakeReceiver) advance(span Micros) {
 	r.t.Helper()
 	end := r.now + span
@@ -116,7 +116,7 @@
 	}
 }
 
-// awaitDial lets time pass until the sink dials, and returns how long that took.
+// awaitDial moves the clock forward until the sink dials, and returns how long that took.
 func (r *fakeReceiver) awaitDial() Micros {
 	r.t.Helper()
 	began := r.now
@@ -126,7 +126,7 @@
 	return r.now - began
 }
 
-// awaitFrame lets time pass until the sink writes.
+// awaitFrame moves the clock forward until the sink writes.
 func (r *fakeReceiver) awaitFrame() {
 	r.t.Helper()
 	for r.frame == nil {
@@ -137,6 +137,6 @@
 func (r *fakeReceiver) wantState(want SinkState) {
 	r.t.Helper()
 	if got := r.sink.Stats().State; got != want {
-		r.t.Fatalf("the sink is %v, want %v", got, want)
+		r.t.Fatalf("state of the sink: got %v, want %v", got, want)
 	}
 }
--- a/telemetry/sinkqueue.go
+++ b/telemetry/sinkqueue.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Batch is one interval as a sink takes it: frames that are written one after the other, each whole.
+// Batch is one interval in a sink's encoding: frames to write in order, each as a whole.
 type Batch struct{ Frames [][]byte }
 
 func (b Batch) bytes() int {
@@ -11,12 +11,13 @@
 	return total
 }
 
-// sinkQueue holds the batches that a sink has to write, and the one it wrote last if that may have to be sent again.
+// sinkQueue contains the batches that a sink must write. It also keeps the last written batch if the sink may have to
+// send that batch again.
 type sinkQueue struct {
-	batches   []Batch // the first of them is the one being written
-	nextFrame int     // of batches[0]
-	sent      Batch   // the last batch written on this connection, where Options.ResendLast is set
-	bytes     int     // of batches and sent together
+	batches   []Batch // the first batch is the one being written
+	nextFrame int     // index of the next frame of batches[0]
+	sent      Batch   // the last batch written on this connection, if SinkOptions.ResendLast is set
+	bytes     int     // total size of batches and sent
 }
 
 func (q *sinkQueue) push(batch Batch) {
@@ -24,9 +25,9 @@
 	q.bytes += batch.bytes()
 }
 
-// shrink drops what is beyond the bound: first the batch kept for a repetition, then whole batches, the oldest first.
-// It keeps the first batch if that is partly written: its receiver would be left with half a line. It returns how many
-// were dropped.
+// shrink drops batches until the queue is within the bound: first the batch kept for sending again, then whole batches,
+// the oldest first. It keeps the first batch if that batch is partly written, since the receiver would otherwise be
+// left with half of a line. It returns the number of dropped batches, not counting the one kept for sending again.
 func (q *sinkQueue) shrink(maxBytes int, writing bool) (dropped uint64) {
 	if q.bytes > maxBytes {
 		q.forgetSent()
@@ -40,8 +41,8 @@
 			return dropped
 		}
 		q.bytes -= q.batches[oldest].bytes()
-		// The capacity is cut, so that append copies: in place, the end of the array would keep the memory of a batch
-		// that has long been written.
+		// The slice expression limits the capacity, so that append copies. With an append in place, the end of the
+		// array would keep the memory of a batch long after the batch was written.
 		q.batches = append(q.batches[:oldest:oldest], q.batches[oldest+1:]...)
 		dropped++
 	}
@@ -53,8 +54,8 @@
 	q.sent = Batch{}
 }
 
-// advance moves on to the next frame and tells whether the first batch was written whole. keep keeps that batch, so
-// that requeueSent can send it again.
+// advance moves on to the next frame and reports whether the first batch was written completely. If keep is set, the
+// queue keeps that batch, so that requeueSent can queue it again.
 func (q *sinkQueue) advance(keep bool) (batchWritten bool) {
 	q.nextFrame++
 	if q.nextFrame < len(q.batches[0].Frames) {
@@ -72,7 +73,7 @@
 	return true
 }
 
-// requeueSent puts the batch that was written last back in front, and tells whether there was one.
+// requeueSent puts the last written batch back at the front of the queue. It reports whether there was such a batch.
 func (q *sinkQueue) requeueSent() bool {
 	if len(q.sent.Frames) == 0 {
 		return false
--- a/telemetry/sketch.go
+++ b/telemetry/sketch.go
@@ -5,46 +5,47 @@
 	"slices"
 )
 
-// Sketch finds the heaviest of many keys in fixed memory: Space-Saving (Metwally, Agrawal, El Abbadi, 2005) with
-// weights and randomized admission (Basat, Einziger, Friedman, Kassner, 2017). A key that has no counter takes over the
-// lightest one by chance, with the probability of its weight against both together, and takes that counter's count as
-// its own possible error. So the many light keys mostly pass at the price of a lookup, and a key that stays gets a
-// counter after about as much weight as the lightest counter holds. The lower bound of a key, its count less its error,
-// is never above its true weight.
+// Sketch finds the heaviest of many keys in fixed memory. It is Space-Saving (Metwally, Agrawal, El Abbadi, 2005) with
+// weights and randomized admission (Basat, Einziger, Friedman, Kassner, 2017). A key without a counter takes over the
+// lightest counter with a probability: its own weight divided by the sum of both weights. The count of that counter
+// becomes the possible error of the new key. So most light keys only cost a lookup, and a key that keeps appearing gets
+// a counter after about as much weight as the lightest counter has. The lower bound of a key is its count minus its
+// error and is never above its true weight.
 //
-// Keys are 64-bit hashes, so no names are kept of the keys that pass by. The counters lie in a heap by count; an
-// open-addressing table finds a key's counter. Add does not allocate. The same calls give the same counters.
+// Keys are 64-bit hashes, so the sketch stores no names. The counters are in a heap ordered by count, and an
+// open-addressing table finds the counter of a key. Add does not allocate. The same calls give the same counters.
 type Sketch struct {
-	heap   []sketchCounter // the lightest first
-	index  []int32         // by hash: a position in heap + 1, 0 for none
+	heap   []sketchCounter // the lightest counter first
+	index  []int32         // by hash: a position in heap plus 1, 0 for an empty slot
 	mask   uint64          // len(index) - 1
-	random uint64          // state of the generator
+	random uint64          // state of the random number generator
 }
 
 type sketchCounter struct {
 	key          uint64
 	count, error float64
-	slot         int32 // the position in index that points here
+	slot         int32 // the position in index that refers to this counter
 }
 
-// lowerBound is what the key weighs at least.
+// lowerBound returns the minimum weight of the key.
 func (c sketchCounter) lowerBound() float64 { return c.count - c.error }
 
 const (
-	// heapArity is how many children a position of the heap has: four make half as many levels as two.
+	// heapArity is the number of children of a position in the heap. Four children need half as many levels as two.
 	heapArity = 4
-	// minIndex and indexFactor size the index: at a quarter of its slots in use a lookup takes hardly more than one.
+	// minIndex and indexFactor determine the size of the index. If at most a quarter of its slots are in use, a lookup
+	// rarely needs more than one probe.
 	minIndex    = 8
 	indexFactor = 4
-	// randomSeed and randomMultiplier are those of xorshift64*. The seed is fixed, so that the same calls give the
-	// same counters.
+	// randomSeed and randomMultiplier are the constants of xorshift64*. The seed is fixed, so that the same calls give
+	// the same counters.
 	randomSeed       = 0x9e3779b97f4a7c15
 	randomMultiplier = 0x2545f4914f6cdd1d
-	// floatBits are the bits of a float64's fraction: so many random bits make a number below 1.
+	// floatBits is the precision of a float64 in bits: this many random bits make a random number below 1.
 	floatBits = 53
 )
 
-// NewSketch returns a sketch with so many counters, at least one.
+// NewSketch returns a sketch with the given number of counters, at least one.
 func NewSketch(counters int) *Sketch {
 	counters = max(1, counters)
 	size := minIndex
@@ -59,7 +60,7 @@
 	}
 }
 
-// Add counts a weight, which must not be negative.
+// Add adds a weight to a key. The weight must not be negative.
 func (s *Sketch) Add(key uint64, weight float64) {
 	slot, found := s.find(key)
 	switch {
@@ -95,7 +96,7 @@
 	return float64(s.random*randomMultiplier>>(64-floatBits)) / (1 << floatBits)
 }
 
-// LowerBound is the weight that a key has at least: 0 for one without a counter.
+// LowerBound returns the minimum weight of a key, 0 for a key without a counter.
 func (s *Sketch) LowerBound(key uint64) float64 {
 	slot, found := s.find(key)
 	if !found {
@@ -104,7 +105,7 @@
 	return s.heap[s.index[slot]-1].lowerBound()
 }
 
-// byLowerBound is a copy of all counters, the one with the highest lower bound first.
+// byLowerBound returns a copy of all counters, sorted by lower bound, the highest first.
 func (s *Sketch) byLowerBound() []sketchCounter {
 	counters := slices.Clone(s.heap)
 	slices.SortFunc(counters, func(a, b sketchCounter) int {
@@ -113,7 +114,7 @@
 	return counters
 }
 
-// Remove drops a key's counter.
+// Remove removes the counter of a key, if there is one.
 func (s *Sketch) Remove(key uint64) {
 	slot, found := s.find(key)
 	if !found {
@@ -129,7 +130,7 @@
 	}
 }
 
-// Halve halves all weights, so that the past fades.
+// Halve halves all counts and errors, so that older weight counts less.
 func (s *Sketch) Halve() {
 	for i := range s.heap {
 		s.heap[i].count /= 2
@@ -137,7 +138,7 @@
 	}
 }
 
-// find returns the slot of the index where a key stands, or would stand.
+// find returns the slot of a key in the index, or the slot at which the key would be inserted.
 func (s *Sketch) find(key uint64) (slot uint64, found bool) {
 	for slot = key & s.mask; s.index[slot] != 0; slot = (slot + 1) & s.mask {
 		if s.heap[s.index[slot]-1].key == key {
@@ -147,8 +148,8 @@
 	return slot, false
 }
 
-// removeSlot empties a slot of the index and closes the gap behind it: a key that stands after a gap in its probe
-// sequence would no longer be found.
+// removeSlot empties a slot of the index and moves later slots into the gap. Without the move, a lookup would stop at
+// the gap and miss the keys behind it in the probe sequence.
 func (s *Sketch) removeSlot(slot int32) {
 	gap := uint64(slot)
 	for next := (gap + 1) & s.mask; s.index[next] != 0; next = (next + 1) & s.mask {
@@ -167,7 +168,7 @@
 	s.index[c.slot] = int32(position + 1)
 }
 
-// siftDown puts a counter at a position, or below it where it belongs, and returns where.
+// siftDown inserts a counter at a position, or below it as the heap order requires. It returns the final position.
 func (s *Sketch) siftDown(position int, c sketchCounter) int {
 	for {
 		first := heapArity*position + 1
@@ -190,7 +191,7 @@
 	return position
 }
 
-// siftUp puts a counter at a position, or above it where it belongs.
+// siftUp inserts a counter at a position, or above it as the heap order requires.
 func (s *Sketch) siftUp(position int, c sketchCounter) {
 	for position > 0 && c.count < s.heap[parentOf(position)].count {
 		s.set(position, s.heap[parentOf(position)])
--- a/telemetry/sketch_test.go
+++ b/telemetry/sketch_test.go
@@ -6,22 +6,22 @@
 	"testing"
 )
 
-// checkStructure checks that the heap is in order and that the index finds each counter.
+// checkStructure checks that the heap is ordered and that the index refers to each counter.
 func (s *Sketch) checkStructure(t *testing.T) {
 	t.Helper()
 	for position, c := range s.heap {
 		slot, found := s.find(c.key)
 		if !found || int(s.index[slot])-1 != position {
-			t.Fatalf("the index does not lead to position %d", position)
+			t.Fatalf("the index does not refer to heap position %d", position)
 		}
 		if position > 0 && s.heap[parentOf(position)].count > c.count {
-			t.Fatalf("the heap is out of order at %d", position)
+			t.Fatalf("the heap is out of order at position %d", position)
 		}
 	}
 }
 
-// Random keys, some far more frequent than others, are added to the sketch and to a plain map. No lower bound is above
-// the true weight, and each key with a good share of the whole has a counter.
+// Random keys, some far more frequent than others, are added to the sketch and to a plain map. No lower bound exceeds
+// the true weight, and each key with a large share of the total weight has a counter.
 func TestSketch(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { testSketch(t, seed) })
@@ -50,10 +50,10 @@
 	}
 	for key, weight := range weights {
 		if bound := s.LowerBound(key); bound > weight {
-			t.Fatalf("the lower bound of %v is %v", weight, bound)
+			t.Fatalf("the lower bound of a key of weight %v is %v", weight, bound)
 		}
 		if _, found := s.find(key); !found && weight > 2*sum/counters {
-			t.Fatalf("a key of %v of %v has no counter", weight, sum)
+			t.Fatalf("a key of weight %v out of %v has no counter", weight, sum)
 		}
 	}
 	s.checkStructure(t)
--- a/telemetry/snapshot.go
+++ b/telemetry/snapshot.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// Row is what a snapshot holds of one name of one dimension.
+// Row contains the values of one name of one dimension in a snapshot.
 type Row struct {
 	Dimension  Dimension
 	Name       string
-	Reserved   bool // Name is All's, Other or None, and not a name from the settings or a client
+	Reserved   bool // Name is that of All, Other or None, not a name from the settings or a client
 	Counts     Counts
-	Histograms [latencyCount]*Histogram // of the interval; nil where nothing was timed
-	Final      bool                     // the row is removed: from the next snapshot on its counts are part of Other
+	Histograms [latencyCount]*Histogram // of the interval; nil if no time was counted
+	Final      bool                     // the row is removed: from the next snapshot on, Other includes its counts
 }
 
-// Snapshot is all rows at one moment. The sums of Counts over the rows of each dimension are equal.
+// Snapshot contains all rows at one moment. The sums of Counts over the rows of each dimension are equal.
 type Snapshot struct{ Rows []Row }
 
-// Reset empties the histograms of a snapshot that its reader is done with, so that Registry.Snapshot can use them
-// again. The reader does it, since it takes longer than the snapshot. It calls yield after each row.
+// Reset empties the histograms of a snapshot, so that Registry.Snapshot can reuse them. The reader calls Reset when it
+// no longer needs the snapshot: on the broker's loop, Reset would take longer than the snapshot itself. It calls yield
+// after each row.
 func (s *Snapshot) Reset(yield func()) {
 	for _, row := range s.Rows {
 		for _, histogram := range row.Histograms {
@@ -31,8 +32,8 @@
 	}
 }
 
-// Snapshot ends an interval and returns its rows. previous is an earlier snapshot that its reader has reset, or nil;
-// its memory is used again.
+// Snapshot ends an interval and returns its rows. previous is nil or an earlier snapshot that its reader has reset.
+// Snapshot reuses the memory of previous.
 func (r *Registry) Snapshot(previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{}
 	if previous != nil {
@@ -51,7 +52,7 @@
 	return snapshot
 }
 
-// reclaim takes back the histograms of a snapshot that was read, and leaves it empty.
+// reclaim moves the histograms of an earlier snapshot to the free histograms and empties the snapshot.
 func (r *Registry) reclaim(previous *Snapshot) {
 	for _, row := range previous.Rows {
 		for _, histogram := range row.Histograms {
@@ -64,7 +65,7 @@
 	previous.Rows = nil
 }
 
-// appendNamed appends the rows of classes, plans or nodes and their Other, and removes those that are due.
+// appendNamed appends the rows of classes, plans or nodes and their row Other. It deletes the rows marked for removal.
 func (r *Registry) appendNamed(snapshot *Snapshot, dimension Dimension, rows map[string]*rowState) {
 	for name, row := range rows {
 		snapshot.append(dimension, row)
@@ -86,7 +87,7 @@
 	snapshot.appendReserved(ByVolume, &r.others[ByVolume])
 }
 
-// append adds a row to the snapshot and begins its next interval.
+// append adds a row to the snapshot and begins the row's next interval.
 func (s *Snapshot) append(dimension Dimension, row *rowState) {
 	s.Rows = append(s.Rows, Row{
 		Dimension:  dimension,
@@ -107,8 +108,8 @@
 	s.Rows[len(s.Rows)-1].Reserved = true
 }
 
-// moveRemovedToOther adds the counts of removed rows to Other, for the next snapshot: in this one they are still
-// reported themselves.
+// moveRemovedToOther adds the counts of removed rows to Other, for the next snapshot. This snapshot still reports the
+// removed rows themselves.
 func (r *Registry) moveRemovedToOther(snapshot *Snapshot) {
 	for i := range snapshot.Rows {
 		row := &snapshot.Rows[i]
@@ -121,7 +122,7 @@
 	}
 }
 
-// appendAll appends the row of All, which is the sum over all classes.
+// appendAll appends the row of All, the sum over all classes.
 func (r *Registry) appendAll(snapshot *Snapshot) {
 	all := Row{Dimension: All, Name: All.String(), Reserved: true}
 	for i := range snapshot.Rows {
@@ -145,7 +146,7 @@
 	snapshot.Rows = append(snapshot.Rows, all)
 }
 
-// addWaitingNodes gives the rows that removed volumes have left to the nodes that wait for one, in order of name.
+// addWaitingNodes gives the rows of removed volumes to the waiting nodes, in order of name.
 func (r *Registry) addWaitingNodes() {
 	if r.waitingNodes() == 0 || len(r.nodes)+len(r.volumes) >= r.sharedRows {
 		return
--- a/telemetry/summary.go
+++ b/telemetry/summary.go
@@ -2,25 +2,25 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// Summary is what sinks get of the times of one interval. Times are in µs.
+// Summary describes the times of one interval as sinks receive them. Times are in µs.
 type Summary struct {
 	Count                    uint64
 	P50, P90, P99, P999, Max int64
 }
 
-// significantDigits of the histogram that percentiles are read from: as fine as Histogram is. A third digit would take
-// eight times as long; with one, percentiles would be up to 10 % off.
+// significantDigits is the precision of the histogram from which percentiles are read. Two digits match the precision
+// of Histogram. A third digit would take eight times as long. With one digit, percentiles would be up to 10 % off.
 const significantDigits = 2
 
 // Summarizer computes summaries. It is not safe for concurrent use: its histogram is reused.
 type Summarizer struct{ scratch *hdrhistogram.Histogram }
 
-// NewSummarizer returns a Summarizer.
+// NewSummarizer returns a Summarizer with an empty histogram.
 func NewSummarizer() *Summarizer {
 	return &Summarizer{scratch: hdrhistogram.New(1, maxMicros, significantDigits)}
 }
 
-// Summarize summarizes what h counted; nil counted nothing.
+// Summarize returns the summary of h. The summary of a nil or empty histogram is the zero value.
 func (s *Summarizer) Summarize(h *Histogram) Summary {
 	if h == nil || h.total == 0 {
 		return Summary{}
@@ -28,7 +28,7 @@
 	s.scratch.Reset()
 	for bucket := h.lowest; bucket <= h.highest; bucket++ {
 		if count := h.counts[bucket]; count > 0 {
-			// It cannot fail: clampMicros keeps all times within the range of scratch.
+			// RecordValues cannot fail: clampMicros keeps all times within the range of scratch.
 			_ = s.scratch.RecordValues(min(middleOf(bucket), h.max), int64(count))
 		}
 	}
--- a/telemetry/timestamps.go
+++ b/telemetry/timestamps.go
@@ -1,20 +1,21 @@
 package telemetry
 
-// maxBackwardSeconds is how far the wall clock may step back before it is followed. Higher, a corrected clock would
-// show its intervals in the future for longer; lower, the small steps of a time service would repeat timestamps, and
-// the receivers would overwrite or refuse the points.
+// maxBackwardSeconds is how far the wall clock may step back before the sequence follows it. With a larger value, the
+// intervals after a clock correction are shown in the future for longer. With a smaller value, small steps of a time
+// service would repeat timestamps, and the receivers would overwrite or reject the points.
 const maxBackwardSeconds = 120
 
-// TimestampSequence gives intervals their timestamps, in Unix seconds. It guards sinks against a wall clock that steps
-// back: a receiver overwrites or refuses a point that is not newer than the one it has, which shows as a gap in the
-// graphs. Small steps are waited out, with timestamps that grow by one second an interval; a clock that is further
-// behind than maxBackwardSeconds is followed, since it is the corrected one.
+// TimestampSequence gives intervals their timestamps, in Unix seconds. It protects sinks from a wall clock that steps
+// back: a receiver overwrites or rejects a point that is not newer than its last one, which shows as a gap in the
+// graphs. After a small step, timestamps grow by one second per interval until the clock has caught up. A clock that is
+// behind by more than maxBackwardSeconds has been corrected, so the sequence follows it.
 type TimestampSequence struct {
 	last   int64
-	behind bool // the clock is behind last
+	behind bool // the wall clock is behind last
 }
 
-// Next returns the timestamp of an interval that ends now, and whether the clock has stepped back since the one before.
+// Next returns the timestamp of an interval that ends now, and whether the clock has stepped back since the previous
+// interval.
 func (s *TimestampSequence) Next(wall int64) (timestamp int64, steppedBack bool) {
 	switch {
 	case s.last == 0 || wall > s.last:
--- a/telemetry/timestamps_test.go
+++ b/telemetry/timestamps_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The wall clock steps back by 20 s and is waited out; then it steps back by minutes and is followed. Each step back is
-// reported once.
+// The wall clock steps back by 20 s, and the timestamps continue to grow. Then the clock steps back by minutes, and the
+// timestamps follow it. Each step back is reported once.
 func TestTimestampSequence(t *testing.T) {
 	var s TimestampSequence
 	for _, test := range []struct {
@@ -20,7 +20,7 @@
 	} {
 		got, steppedBack := s.Next(test.wall)
 		if got != test.want || steppedBack != test.steppedBack {
-			t.Errorf("at %d: %d, %v", test.wall, got, steppedBack)
+			t.Errorf("at %d: got %d, %v, want %d, %v", test.wall, got, steppedBack, test.want, test.steppedBack)
 		}
 	}
 }
--- a/telemetry/volumes.go
+++ b/telemetry/volumes.go
@@ -6,23 +6,25 @@
 	"strings"
 )
 
-// The choice of the volumes that have rows.
+// The constants that control which volumes have rows.
 const (
-	// replaceFactor is how many times as heavy a volume must be to replace one that has a row. Higher, a volume that
-	// became busy stays in "other" for longer; lower, two volumes of about one weight take turns.
+	// replaceFactor is how many times heavier than a volume with a row another volume must be to replace it. With a
+	// larger factor, a volume that became busy stays in "other" for longer. With a smaller factor, two volumes of
+	// similar weight replace each other again and again.
 	replaceFactor = 1.5
-	// sketchFactor is how many counters the sketch has for each row that a volume may have. Higher costs some 50
-	// bytes a counter; lower, a heavy volume may be missed among many light ones.
+	// sketchFactor is the number of counters in the sketch for each shared row. More counters cost about 50 bytes each.
+	// With fewer counters, the sketch may miss a heavy volume among many light ones.
 	sketchFactor = 4
-	// turnoverShare lets one in so many of the volumes' rows change hands at a snapshot. Higher, the rows follow a
-	// shift of the load more slowly; lower, a burst replaces most of the series in the graphs at once.
+	// turnoverShare allows one in turnoverShare of the volumes' rows to be replaced at a snapshot. With a larger value,
+	// the rows follow a change of the load more slowly. With a smaller value, a burst replaces most of the series in
+	// the graphs at once.
 	turnoverShare = 4
 )
 
-// selectVolumes decides which volumes are removed with this snapshot, and which get a row at their next request. It
-// guards against series that appear and vanish, which show as graphs of single points: a volume that is not clearly
-// heavier than one with a row stays in Other, one that got a row keeps it for MinSnapshots, and no more than one in
-// turnoverShare of the rows change hands at once.
+// selectVolumes decides which volumes this snapshot removes and which volumes get a row at their next request. It
+// prevents series that appear and disappear, which show as graphs of single points. A volume that is not clearly
+// heavier than a volume with a row stays in Other. A volume keeps a new row for at least MinSnapshots. At most one in
+// turnoverShare of the rows is replaced at once.
 func (r *Registry) selectVolumes() {
 	clear(r.selected)
 	remaining := r.removeIdleVolumes()
@@ -40,7 +42,7 @@
 	r.sketch.Halve()
 }
 
-// removeIdleVolumes marks the volumes that had no request for IdleSnapshots, and returns how many are left.
+// removeIdleVolumes marks the volumes without a request for IdleSnapshots and returns how many volumes remain.
 func (r *Registry) removeIdleVolumes() int {
 	remaining := 0
 	for _, row := range r.volumes {
@@ -52,7 +54,8 @@
 	return remaining
 }
 
-// makeRoomForNodes marks the lightest volumes, as many as there are nodes that wait for a row and find none free.
+// makeRoomForNodes marks the lightest volumes for removal, one for each waiting node without a free row. volumes is the
+// number of volumes that are not marked yet.
 func (r *Registry) makeRoomForNodes(volumes int) {
 	excess := len(r.nodes) + r.waitingNodes() + volumes - r.sharedRows
 	for ; excess > 0; excess-- {
@@ -62,7 +65,7 @@
 	}
 }
 
-// replaceableVolumes are the volumes that have had their row for long enough, the lightest first.
+// replaceableVolumes returns the volumes that have had their row for at least MinSnapshots, the lightest first.
 func (r *Registry) replaceableVolumes() []*rowState {
 	rows := make([]*rowState, 0, len(r.volumes))
 	for _, row := range r.volumes {
@@ -74,7 +77,7 @@
 	return rows
 }
 
-// lightestVolume is the volume that is removed first; nil if all are marked.
+// lightestVolume returns the lightest volume that is not marked for removal, nil if all are marked.
 func (r *Registry) lightestVolume() *rowState {
 	var lightest *rowState
 	for _, row := range r.volumes {
@@ -88,7 +91,8 @@
 	return lightest
 }
 
-// weight of a volume, in units of this interval and, with a weight that halves at each snapshot, of the past.
+// weight returns the weight of a volume in units: the units of this interval, plus the units of earlier intervals,
+// which are halved at each snapshot.
 func (row *rowState) weight() float64 { return row.decayedUnits/2 + row.newUnits }
 
 func compareWeights(a, b *rowState) int {
--- a/telemetry/volumes_test.go
+++ b/telemetry/volumes_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// volumeRows are the rows of volumes by name.
+// volumeRows returns the rows of volumes in a snapshot by name.
 func volumeRows(snapshot *Snapshot) map[string]Row {
 	rows := map[string]Row{}
 	for _, row := range snapshot.Rows {
@@ -13,9 +13,9 @@
 	return rows
 }
 
-// Four volumes compete for three rows. While they are of about one weight, the three that came first keep their rows.
-// When the fourth becomes clearly heavier, it replaces one of them. When all fall silent, each is removed with its
-// final value reported.
+// Four volumes compete for three rows. While their weights are similar, the first three keep their rows. When the
+// fourth becomes clearly heavier, it replaces one of them. When no volume has requests any more, each row is removed
+// after its final value is reported.
 func TestVolumesCompete(t *testing.T) {
 	r := newRegistry(t, Options{MaxSeries: SeriesPerRow * 13, IdleSnapshots: 4, MinSnapshots: 2})
 	send := func(name string, times int) {
@@ -34,13 +34,13 @@
 		sendInterval(110)
 	}
 	if r.VolumeChanges() != 3 {
-		t.Fatalf("%d changes: the rows flicker", r.VolumeChanges())
+		t.Fatalf("rows of volumes changed %d times, want 3", r.VolumeChanges())
 	}
 	for range 6 {
 		sendInterval(400)
 	}
-	if r.VolumeChanges() != 5 { // one was removed, and d got its row
-		t.Errorf("%d changes", r.VolumeChanges())
+	if r.VolumeChanges() != 5 { // one volume was removed, and d got its row
+		t.Errorf("rows of volumes changed %d times, want 5", r.VolumeChanges())
 	}
 	if _, exists := volumeRows(r.Snapshot(nil))["d"]; !exists {
 		t.Error("the heaviest volume has no row")
@@ -54,6 +54,6 @@
 		}
 	}
 	if final != 3 || len(volumeRows(r.Snapshot(nil))) != 0 {
-		t.Errorf("%d of 3 silent volumes were removed with their final value", final)
+		t.Errorf("%d of 3 idle volumes were removed with their final value", final)
 	}
 }
