--- a/internal/metricsexport/collectd.go
+++ b/internal/metricsexport/collectd.go
@@ -13,10 +13,10 @@
 	"junctionwharf/telemetry"
 )
 
-// pluginName is collectd's name for the source of a broker's values.
+// pluginName is the plugin name of a broker's values in collectd.
 const pluginName = "junctionwharf"
 
-// The types of value lists. Those of the broker's own stand in deploy/types.db, the others come with collectd.
+// The types of value lists. deploy/types.db defines the broker's own types. The other types come with collectd.
 const (
 	typeGauge    = "gauge"
 	typeDerive   = "derive"
@@ -26,8 +26,9 @@
 	typeLatency  = "junctionwharf_latency"
 )
 
-// expectedValueLists is the capacity that value lists begin with: the rows of a registry of the default size have six
-// each at the most. Lower, the slice grows while an interval is encoded; higher, memory is set aside for nothing.
+// expectedValueLists is the initial capacity for value lists: each row of a registry of the default size has at most
+// six value lists. With a smaller capacity, the slice grows while an interval is encoded. A larger capacity wastes
+// memory.
 const expectedValueLists = 512
 
 // newCollectdEncoder returns an encoder of the protocol of collectd's network plugin.
@@ -37,7 +38,7 @@
 	}
 }
 
-// valueLists are the broker's own metrics and all rows. It flushes the rollup.
+// valueLists returns the value lists of the broker's own metrics and of all rows. It flushes the rollup.
 func valueLists(i interval) []collectd.ValueList {
 	lists := make([]collectd.ValueList, 0, len(i.metrics)+expectedValueLists)
 	for _, metric := range i.metrics {
@@ -63,7 +64,7 @@
 	return list
 }
 
-// appendRow appends the value lists of a row: three of counters, and one for each latency that has times.
+// appendRow appends the value lists of a row: three with counters, and one for each latency with at least one time.
 func appendRow(
 	lists []collectd.ValueList, row *telemetry.Row, summarizer *telemetry.Summarizer,
 ) []collectd.ValueList {
@@ -99,7 +100,7 @@
 	return list
 }
 
-// pluginInstance names a row: DIMENSION.NAME, or the dimension alone for All.
+// pluginInstance returns the name of a row: DIMENSION.NAME, or only the dimension for All.
 func pluginInstance(row *telemetry.Row) string {
 	dimension := row.Dimension.String()
 	if row.Dimension == telemetry.All {
@@ -115,8 +116,9 @@
 // hashSuffix is the length of "-" and 16 hex digits.
 const hashSuffix = 17
 
-// truncateName keeps to the bytes that collectd keeps of a name, and escapes the slash, which divides a series' name,
-// and the zero byte, which ends a string in a packet. A longer name keeps its head and gets a hash of the whole.
+// truncateName limits a name to the length that collectd accepts. It escapes the slash, which separates the parts of a
+// series name, and the zero byte, which ends a string in a packet. A longer name is truncated and gets a hash of the
+// whole name as its suffix.
 func truncateName(name string) string {
 	name = strings.ReplaceAll(name, "/", "%2F")
 	name = strings.ReplaceAll(name, "\x00", "%00")
--- a/internal/metricsexport/connection.go
+++ b/internal/metricsexport/connection.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// sendBuffer bounds the bytes that the operating system takes for a sink that does not read. Higher, a dead sink
-	// is noticed later, and what the system holds counts as sent though it is lost; lower, a healthy one gets its
-	// intervals in more, smaller writes.
+	// sendBuffer bounds the bytes that the operating system buffers for a sink that does not read. With a larger
+	// buffer, a dead sink is detected later, and the buffered bytes count as sent although they are lost. With a
+	// smaller buffer, a healthy sink receives its intervals in more and smaller writes.
 	sendBuffer = 64 << 10
-	// discardBuffer is for what a sink sends, which is ignored.
+	// discardBuffer is the size of the buffer for data from a sink, which is ignored.
 	discardBuffer = 512
 )
 
-// errConnectionEnded stands for io.EOF in log lines and notifications.
+// errConnectionEnded replaces io.EOF in log lines and notifications.
 var errConnectionEnded = errors.New("it ended the connection")
 
-// dial connects in a goroutine that ends with the dial; disconnect cancels it.
+// dial connects in a goroutine, which ends with the dial. disconnect cancels the dial.
 func (s *sink) dial() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancelDial = cancel
@@ -33,18 +33,18 @@
 			return
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetWriteBuffer(sendBuffer) // without it the sink works, and is noticed later when it is dead
+			_ = tcp.SetWriteBuffer(sendBuffer) // if this fails, the sink works, but is found dead later
 		}
 		s.connected(id, conn)
 	}()
 }
 
-// connected takes a connection into use, or closes it if the dial was cancelled meanwhile.
+// connected starts to use a connection, or closes it if the dial has been canceled.
 func (s *sink) connected(id int, conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id != s.connectionID {
-		_ = conn.Close() // nothing was written on it
+		_ = conn.Close() // the connection was never used
 		return
 	}
 	s.conn = conn
@@ -52,8 +52,8 @@
 	s.reduceLocked(telemetry.Connected{})
 }
 
-// disconnect cancels the dial in progress and closes the connection, which ends their goroutines. The close runs in a
-// goroutine of its own: the caller holds the lock.
+// disconnect cancels the dial in progress and closes the connection, which ends their goroutines. The close runs in its
+// own goroutine, since the caller holds the lock.
 func (s *sink) disconnect() {
 	s.connectionID++
 	if s.cancelDial != nil {
@@ -63,12 +63,12 @@
 	if s.conn != nil {
 		conn := s.conn
 		s.conn = nil
-		go func() { _ = conn.Close() }() // what was not sent is sent again or counted as dropped
+		go func() { _ = conn.Close() }() // unsent data is sent again or counted as dropped
 	}
 }
 
-// reduceFrom takes an event of a connection, if that is still the one in use. An event of an earlier connection would
-// be taken for one of the new connection, and end it.
+// reduceFrom handles an event of a connection if that connection is still in use. Without the check, an event of an
+// earlier connection would end the new connection.
 func (s *sink) reduceFrom(id int, event telemetry.SinkEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +81,8 @@
 	s.reduceLocked(event)
 }
 
-// awaitEnd reports the connection's end as soon as it comes; without it, a sink that restarted would be noticed at the
-// next write. It ends with the connection.
+// awaitEnd reports the end of the connection at once. Without it, the restart of a sink would only be detected at the
+// next write. Its goroutine ends with the connection.
 func (s *sink) awaitEnd(id int, conn net.Conn) {
 	ignored := make([]byte, discardBuffer)
 	for {
@@ -98,7 +98,8 @@
 	}
 }
 
-// write writes a frame in a goroutine of its own, which ends with the write; closing the connection ends it early.
+// write writes a frame. It runs in its own goroutine, which ends with the write. Closing the connection aborts the
+// write.
 func (s *sink) write(id int, conn net.Conn, frame []byte) {
 	if _, err := conn.Write(frame); err != nil {
 		s.reduceFrom(id, telemetry.ConnectionFailed{Err: err})
--- a/internal/metricsexport/encoding_test.go
+++ b/internal/metricsexport/encoding_test.go
@@ -29,7 +29,8 @@
 	return values
 }
 
-// The types that collectd gets stand in the file for its TypesDB, with as many values.
+// deploy/types.db, which operators add to collectd's TypesDB, defines all types that collectd receives, with the same
+// number of values.
 func TestTypesDB(t *testing.T) {
 	types := readTypesDB(t)
 	registry, err := telemetry.New(testSettings("", "").Registry)
@@ -53,12 +54,12 @@
 		}
 	}
 	if len(lists) < 20 {
-		t.Errorf("%d lists", len(lists))
+		t.Errorf("%d value lists, want at least 20", len(lists))
 	}
 }
 
-// A sink's interval is six snapshots long, and volumes are removed between them. Each removed row is reported once, and
-// the sums over the dimensions still agree.
+// A sink's interval consists of six snapshots, and volumes are removed between them. Each removed row is reported once,
+// and the sums over the dimensions are still equal.
 func TestRollup(t *testing.T) {
 	registry, err := telemetry.New(telemetry.Options{
 		Classes:       []string{"read"},
@@ -96,21 +97,21 @@
 	})
 	for dimension := range telemetry.DimensionCount {
 		if sums[dimension] != 60 {
-			t.Errorf("%d served over %s", sums[dimension], dimension)
+			t.Errorf("%d requests served over dimension %s, want 60", sums[dimension], dimension)
 		}
 	}
 	if timed != 60 || volumes != 4 {
-		t.Errorf("%d timed, %d volumes", timed, volumes)
+		t.Errorf("%d times, %d volumes, want 60 and 4", timed, volumes)
 	}
 }
 
 func TestGreatestCommonDivisor(t *testing.T) {
 	if got := greatestCommonDivisor(10*time.Second, 15*time.Second); got != 5*time.Second {
-		t.Error(got)
+		t.Errorf("greatest common divisor of 10 s and 15 s: got %v, want 5 s", got)
 	}
 }
 
-// BenchmarkInterval measures what an interval costs beside the loop, with all rows in use.
+// BenchmarkInterval measures the cost of an interval outside the loop, with all rows in use.
 func BenchmarkInterval(b *testing.B) {
 	settings := testSettings("127.0.0.1:1", "127.0.0.1:1")
 	registry, err := telemetry.New(settings.Registry)
--- a/internal/metricsexport/exporter.go
+++ b/internal/metricsexport/exporter.go
@@ -12,22 +12,23 @@
 	"junctionwharf/telemetry"
 )
 
-// maxNotifications is how many notifications wait for Run; further ones are lost. Higher, a burst of them fills the
-// sink's queue at the expense of intervals; lower, some are missing when many nodes are drained at once.
+// maxNotifications is the number of notifications that can wait for Run. Further notifications are lost. With a larger
+// number, a burst of notifications fills the sink's queue, which then has less room for intervals. With a smaller
+// number, some notifications are lost when many nodes start draining at once.
 const maxNotifications = 64
 
-// Options say what an Exporter sends and where it finds it.
+// Options configure an Exporter for its whole lifetime.
 type Options struct {
-	Name    string                 // the broker's
-	Loop    Loop                   // owns the registry
-	Metrics func() []broker.Metric // the broker's own metrics; called on the loop
+	Name    string                 // name of the broker
+	Loop    Loop                   // owner of the registry
+	Metrics func() []broker.Metric // returns the broker's own metrics; called on the loop
 	Log     *slog.Logger
 }
 
-// Loop runs calls on the broker's loop, between events and in the order of Do. Do does not wait for the call.
+// Loop runs calls on the broker's loop, between events and in the order of Do. Do returns without waiting for the call.
 type Loop interface{ Do(func()) }
 
-// Settings are what may change while the broker runs. A sink without an address is off.
+// Settings are the configuration that may change while the broker runs. A sink without an address is disabled.
 type Settings struct {
 	Registry telemetry.Options
 	Graphite config.Graphite
@@ -41,21 +42,21 @@
 	registry *telemetry.Registry
 	enabled  bool
 
-	settings      chan Settings // holds the newest settings that Run has not applied
+	settings      chan Settings // the newest settings that Run has not applied
 	notifications chan collectd.Notification
-	shutdown      chan time.Time // holds the deadline
+	shutdown      chan time.Time // the deadline of Shutdown
 	done          chan struct{}  // closed when Run has returned
 	started       atomic.Bool    // Run was called
-	// testTargetHook changes the timeouts of a target: tests cannot wait for seconds. It is nil otherwise.
+	// testTargetHook lets tests shorten the timeouts of a target, which are seconds. It is nil outside tests.
 	testTargetHook func(*target)
 
 	mu            sync.Mutex
-	sinks         []*sink // replaced as a whole, by Run alone
-	rows          int     // of the last snapshot
-	volumeChanges uint64  // volumes that got or lost a row
+	sinks         []*sink // the slice is replaced, never changed, and only by Run
+	rows          int     // number of rows in the last snapshot
+	volumeChanges uint64  // number of times that a volume got or lost a row
 }
 
-// New returns an exporter. Observe takes the loop's observations, Run sends them.
+// New returns an exporter. The loop passes its observations to Observe, and Run sends them.
 func New(options Options) *Exporter {
 	return &Exporter{
 		options:       options,
@@ -66,7 +67,7 @@
 	}
 }
 
-// Observe counts observations, on the loop's goroutine. While no sink is on, it does nothing.
+// Observe counts observations. It must be called on the loop's goroutine. While no sink is enabled, it does nothing.
 func (e *Exporter) Observe(observations []telemetry.Observation) {
 	if !e.enabled {
 		return
@@ -83,7 +84,8 @@
 	}
 }
 
-// Notify sends a notification to collectd. It does not wait: beyond maxNotifications they are lost.
+// Notify queues a notification for collectd and does not block. If maxNotifications are waiting, the notification is
+// lost.
 func (e *Exporter) Notify(n collectd.Notification) {
 	select {
 	case e.notifications <- n:
@@ -91,29 +93,29 @@
 	}
 }
 
-// ApplySettings has Run apply settings, which were checked. It must not be called concurrently.
+// ApplySettings makes Run apply settings, which the caller has validated. It must not be called concurrently.
 func (e *Exporter) ApplySettings(settings Settings) {
 	select {
-	case <-e.settings: // older ones that Run has not taken
+	case <-e.settings: // older settings that Run has not applied
 	default:
 	}
 	e.settings <- settings
 }
 
-// Shutdown sends the interval in progress, and returns when Run has ended, at the deadline at the latest. What is not
-// sent by then is dropped and counted.
+// Shutdown sends the interval in progress and returns when Run has ended, at the deadline at the latest. Data that is
+// not sent by then is dropped and counted.
 func (e *Exporter) Shutdown(deadline time.Time) {
 	if !e.started.Load() {
 		return
 	}
 	select {
 	case e.shutdown <- deadline:
-	default: // an earlier call asked already
+	default: // an earlier call has already requested the shutdown
 	}
 	<-e.done
 }
 
-// Names of the exporter's own metrics. Those of a sink stand behind "telemetry.SINK".
+// The names of the exporter's own metrics. The metrics of a sink have the prefix "telemetry.SINK".
 const (
 	metricPrefix           = "telemetry."
 	metricSeries           = metricPrefix + "series"
@@ -125,8 +127,8 @@
 	metricRedials          = ".redials"
 )
 
-// Metrics returns the exporter's own metrics, for sinks and for the operators' console. It returns none while no sink
-// is on.
+// Metrics returns the exporter's own metrics, for sinks and for the operators' console. It returns nil while no sink is
+// enabled.
 func (e *Exporter) Metrics() []broker.Metric {
 	e.mu.Lock()
 	sinks := e.sinks
@@ -154,7 +156,7 @@
 	return metrics
 }
 
-// currentSinks returns the sinks that are on. The slice must not be changed.
+// currentSinks returns the enabled sinks. The caller must not change the slice.
 func (e *Exporter) currentSinks() []*sink {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/metricsexport/exporter_test.go
+++ b/internal/metricsexport/exporter_test.go
@@ -12,8 +12,8 @@
 	"junctionwharf/telemetry"
 )
 
-// Five hundred requests over 300 volumes are served. Both receivers get the broker's own counts, exactly, and the sums
-// over every dimension agree.
+// Five hundred requests for 300 volumes are served. Both receivers get the broker's own counts exactly, and the sums
+// over all dimensions are equal.
 func TestBothSinks(t *testing.T) {
 	carbon := newFakeCarbon(t)
 	receiver := newFakeCollectd(t, nil)
@@ -35,7 +35,7 @@
 			return sum == 500
 		})
 		if !reached {
-			t.Errorf("%v served over %s", sum, dimension)
+			t.Errorf("%v requests served over dimension %s, want 500", sum, dimension)
 		}
 	}
 	if faults := append(carbon.Errors(), receiver.Errors()...); len(faults) > 0 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// sumOver adds what was served over a dimension at the latest timestamp. A volume that was removed keeps its final
-// value, of an earlier one.
+// sumOver returns the number of served requests over a dimension at the latest timestamp. It skips the final values of
+// removed volumes, which have earlier timestamps.
 func sumOver(latest map[string]fakes.Point, dimension string) (sum float64) {
 	for series, point := range latest {
 		counts := strings.HasPrefix(series, "w.n1."+dimension+".") && strings.HasSuffix(series, ".served")
@@ -55,15 +55,15 @@
 	return sum
 }
 
-// Graphite never reads, or reads a byte a second. Its sink is stalled, disconnected and loses intervals; meanwhile
-// collectd gets all. Once Graphite reads again, it has the counts.
+// Graphite reads nothing, or one byte a second. Its sink is stalled, disconnected and loses intervals. Meanwhile
+// collectd receives all counts. When Graphite reads again, it receives the counts too.
 func TestSinkStalls(t *testing.T) {
 	for _, manner := range []fakes.ReceiverMode{fakes.NotReading, fakes.Trickling} {
 		carbon := newFakeCarbon(t)
 		carbon.SetMode(manner)
 		receiver := newFakeCollectd(t, nil)
 		settings := testSettings(carbon.Address(), receiver.Address())
-		settings.Graphite.QueueBytes = 24 << 10 // two intervals or three
+		settings.Graphite.QueueBytes = 24 << 10 // two or three intervals
 		h := newHarness(t, settings)
 		h.awaitEnabled()
 		for i := range 4 {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Graphite resets its connections in the middle of a line. When it reads again, there is no wrong line and no lost
-// count.
+// Graphite resets its connections in the middle of a line. When it reads again, it receives no malformed line, and no
+// count is lost.
 func TestSinkResets(t *testing.T) {
 	carbon := newFakeCarbon(t)
 	carbon.SetMode(fakes.Resetting)
@@ -95,8 +95,8 @@
 	}
 }
 
-// Graphite is killed and comes back at the same address. It gets the counts, and what was queued comes with the
-// timestamps of its own intervals. The log has one line for either.
+// Graphite is killed and restarted at the same address. It receives the counts, and queued intervals keep their own
+// timestamps. The log has one line for the outage and one for the recovery.
 func TestSinkKilledAndBack(t *testing.T) {
 	first := newFakeCarbon(t)
 	address := first.Address()
@@ -127,18 +127,18 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(timestamps) < 2 {
-		t.Errorf("%d intervals after the outage", len(timestamps))
+		t.Errorf("%d intervals arrived after the outage, want at least 2", len(timestamps))
 	}
 	logs := h.logLines()
 	if len(logs) != 2 ||
 		!strings.HasPrefix(logs[0], "sink unavailable sink=graphite reason=") ||
 		logs[1] != "sink recovered sink=graphite" {
-		t.Errorf("%q", logs)
+		t.Errorf("log lines: got %q, want one for the outage and one for the recovery", logs)
 	}
 }
 
-// The name of the Graphite receiver does not resolve, and the key for collectd is wrong. Graphite is dialled again and
-// again, collectd rejects all packets. With the right key, as after a reload, it takes them.
+// The name of the Graphite receiver does not resolve, and the key for collectd is wrong. The sink dials Graphite again
+// and again, and collectd rejects all packets. After a reload with the right key, collectd accepts packets.
 func TestSinkMisconfigured(t *testing.T) {
 	receiver := newFakeCollectd(t, map[string]string{"wharf": "right"})
 	settings := testSettings("nothing.invalid:2003", receiver.Address())
@@ -154,17 +154,17 @@
 		return len(faults) > 0 && strings.Contains(faults[0], "wrong key")
 	})
 	if !rejected {
-		t.Fatal("packets under a wrong key were taken")
+		t.Fatal("no packet under a wrong key was rejected")
 	}
 	if receiver.Received() > 0 {
-		t.Errorf("%d points under a wrong key", receiver.Received())
+		t.Errorf("%d points were accepted under a wrong key", receiver.Received())
 	}
 	settings.Collectd.Key.Secret = "right"
 	h.exporter.ApplySettings(settings)
 	h.awaitSeries(receiver.PointStore, collectdServed, 1)
 }
 
-// A node drains, and nothing listens at Graphite's address. Collectd gets a notification of either.
+// A node drains, and nothing listens at Graphite's address. Collectd receives a notification of each event.
 func TestNotifications(t *testing.T) {
 	const nodeDown, sinkDown = "2 node listed down: s-1", "1 graphite lost: "
 	receiver := newFakeCollectd(t, nil)
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = listener.Close() // only its address is needed
+	_ = listener.Close() // the test only needs its address
 	h := newHarness(t, testSettings(listener.Addr().String(), receiver.Address()))
 	h.awaitEnabled()
 	h.observe(telemetry.Observation{Kind: telemetry.NodeDraining, Node: "s-1"})
@@ -187,6 +187,6 @@
 		return strings.Contains(received(), nodeDown) && strings.Contains(received(), sinkDown)
 	})
 	if text := received(); !strings.Contains(text, nodeDown) || !strings.Contains(text, sinkDown) {
-		t.Errorf("%q", text)
+		t.Errorf("notifications: got %q, want %q and %q", text, nodeDown, sinkDown)
 	}
 }
--- a/internal/metricsexport/graphite.go
+++ b/internal/metricsexport/graphite.go
@@ -9,7 +9,7 @@
 	"junctionwharf/telemetry"
 )
 
-// protocolPickle is how the settings spell Carbon's pickle protocol.
+// protocolPickle is the name of Carbon's pickle protocol in the settings.
 const protocolPickle = "pickle"
 
 // newGraphiteEncoder returns an encoder of Carbon's plaintext or pickle protocol.
@@ -39,7 +39,7 @@
 	}
 }
 
-// addRow writes the series of a row: its counters, and for each latency the number of times and their percentiles.
+// addRow adds the series of a row: its counters, and for each latency the number of times and their percentiles.
 func addRow(w *graphite.Writer, row *telemetry.Row, summarizer *telemetry.Summarizer) {
 	for counter, count := range row.Counts {
 		w.Add(graphite.Point{Path: rowPath(row, telemetry.CounterNames[counter]), Value: count})
@@ -47,7 +47,7 @@
 	for latency, histogram := range row.Histograms {
 		for field, value := range summaryValues(summarizer.Summarize(histogram)) {
 			if histogram == nil && field > 0 {
-				break // without a time there are no percentiles, only a count of 0
+				break // without times there are no percentiles, only a count of 0
 			}
 			w.Add(graphite.Point{Path: rowPath(row, latencySeries[latency][field]), Value: value})
 		}
@@ -68,7 +68,7 @@
 	}
 }
 
-// latencySeries are the names of a row's latency series, by latency and by field of the summary.
+// latencySeries contains the names of a row's latency series, by latency and by field of the summary.
 var latencySeries = newLatencySeries()
 
 func newLatencySeries() (names [len(telemetry.LatencyNames)][len(telemetry.SummaryNames)]string) {
@@ -80,7 +80,7 @@
 	return names
 }
 
-// summaryValues are the fields of a summary, in the order of telemetry.SummaryNames.
+// summaryValues returns the fields of a summary in the order of telemetry.SummaryNames.
 func summaryValues(s telemetry.Summary) [len(telemetry.SummaryNames)]uint64 {
 	return [...]uint64{
 		s.Count,
@@ -92,11 +92,12 @@
 	}
 }
 
-// classMetricPrefixes begin the metrics that end with the name of a class, which may hold any bytes.
+// classMetricPrefixes are the prefixes of metrics whose names end with the name of a class. A class name may contain
+// any bytes.
 var classMetricPrefixes = [...]string{"success.", "busy.", "failure."}
 
-// metricPath is the path of one of the broker's own metrics. Dots of its name divide the path, but for those of a
-// class's name.
+// metricPath returns the path of one of the broker's own metrics. Dots in its name separate segments of the path,
+// except for dots in the name of a class.
 func metricPath(name string) graphite.Path {
 	for _, prefix := range classMetricPrefixes {
 		if class, found := strings.CutPrefix(name, prefix); found {
--- a/internal/metricsexport/harness_test.go
+++ b/internal/metricsexport/harness_test.go
@@ -20,24 +20,24 @@
 	testBroker   = "n1"
 )
 
-// The series that most tests wait for: requests that were served, at Graphite and at collectd.
+// The series of served requests at Graphite and at collectd. Most tests wait for them.
 const (
 	graphiteServed = "w.n1.all.served"
 	collectdServed = "n1/junctionwharf-all/junctionwharf_requests/0"
 )
 
-// fakeLoop stands in for the broker's loop: it runs one call at a time, in the order of Do, never beside an
-// observation.
+// fakeLoop replaces the broker's loop: it runs one call at a time, in the order of Do, and never during an observation.
 type fakeLoop struct {
 	mu       sync.Mutex
 	served   uint64
 	exporter *Exporter
 
 	callsMu sync.Mutex
-	calls   []func() // that have not begun, oldest first
+	calls   []func() // calls that have not begun, oldest first
 }
 
-// Do queues a call. The goroutine that it starts runs the oldest one, whichever goroutine gets the lock first.
+// Do queues a call. Its goroutine runs the oldest queued call, so the order does not depend on which goroutine gets the
+// lock first.
 func (l *fakeLoop) Do(call func()) {
 	l.callsMu.Lock()
 	l.calls = append(l.calls, call)
@@ -63,7 +63,7 @@
 	l.exporter.Observe(observations)
 }
 
-// serve observes a request that was served at its first attempt.
+// serve observes a request that is served at its first attempt.
 func (l *fakeLoop) serve(volume string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,11 +97,11 @@
 	}
 }
 
-// harness runs an exporter with intervals of 20 ms, and with sinks whose timeouts and backoffs are short.
+// harness runs an exporter with intervals of 20 ms and short timeouts and backoffs.
 type harness struct {
 	*fakeLoop
 	t       *testing.T
-	timeout chan struct{} // closed when the test has waited for long enough
+	timeout chan struct{} // closed after testTimeout
 
 	mu   sync.Mutex
 	logs []string
@@ -135,8 +135,8 @@
 	t.options.BytesPerSecond = 100 << 20
 }
 
-// log keeps a log line. Those of the clock are left out: timestamps are whole seconds, and run ahead of the clock at
-// 20 ms an interval.
+// log stores a log line. It skips lines about the clock: timestamps are whole seconds, so with intervals of 20 ms they
+// run ahead of the clock.
 func (h *harness) log(line string) {
 	if strings.Contains(line, "clock") {
 		return
@@ -179,14 +179,14 @@
 	}
 }
 
-// awaitEnabled waits until the registry counts.
+// awaitEnabled waits until the registry counts observations.
 func (h *harness) awaitEnabled() {
 	h.t.Helper()
 	h.awaitRegistry(true)
 }
 
-// awaitDisabled waits until the registry does not count. A test that turns the sinks on again calls it first: else
-// awaitEnabled could still see the registry of before, whose counts are dropped.
+// awaitDisabled waits until the registry is disabled. A test that enables sinks again must call it first. Otherwise
+// awaitEnabled could still find the previous registry, whose counts are dropped.
 func (h *harness) awaitDisabled() {
 	h.t.Helper()
 	h.awaitRegistry(false)
@@ -203,13 +203,13 @@
 		}
 		select {
 		case <-h.timeout:
-			h.t.Fatalf("the registry counts: %v, want %v, log %q", enabled, want, h.logLines())
+			h.t.Fatalf("registry enabled: got %v, want %v; log %q", enabled, want, h.logLines())
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// awaitMetrics waits until the exporter's own metrics fulfil a condition.
+// awaitMetrics waits until the exporter's own metrics fulfill a condition.
 func (h *harness) awaitMetrics(what string, fulfilled func(map[string]uint64) bool) {
 	h.t.Helper()
 	for {
@@ -222,7 +222,7 @@
 		}
 		select {
 		case <-h.timeout:
-			h.t.Fatalf("%s: %v, log %q", what, metrics, h.logLines())
+			h.t.Fatalf("timeout while waiting for %s: metrics %v, log %q", what, metrics, h.logLines())
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -238,7 +238,7 @@
 	return carbon
 }
 
-// newFakeCollectd returns a receiver. With secrets it takes encrypted packets alone.
+// newFakeCollectd returns a receiver. With secrets, the receiver only accepts encrypted packets.
 func newFakeCollectd(t *testing.T, secrets map[string]string) *fakes.Collectd {
 	t.Helper()
 	receiver, err := fakes.NewCollectd("127.0.0.1:0", secrets, fakes.NewPointStore(nil))
--- a/internal/metricsexport/lifecycle_test.go
+++ b/internal/metricsexport/lifecycle_test.go
@@ -9,12 +9,12 @@
 	"junctionwharf/telemetry"
 )
 
-// A sink with a full queue is turned off by a reload and ends at once. When a sink is turned on again, the counts begin
-// from 0.
+// A reload disables a sink with a full queue, and the sink closes at once. When a sink is enabled again, the counts
+// start at 0.
 //
-// Each connection that is made anew to a receiver that reads nothing takes what has queued into the system's buffers,
-// about 200 ms after the last one did. The queue has to be full before that, also where a busy machine makes intervals
-// late: it holds two of them, so that the third is dropped.
+// The receiver reads nothing. About every 200 ms the sink opens a new connection, and the system's buffers for that
+// connection accept the queued batches. The queue must be full before the next connection, even if a busy machine
+// delays intervals. So the queue only has room for two intervals, and the third is dropped.
 func TestSinkTurnedOff(t *testing.T) {
 	carbon := newFakeCarbon(t)
 	carbon.SetMode(fakes.NotReading)
@@ -37,7 +37,7 @@
 	h.awaitSeries(second.PointStore, graphiteServed, 1)
 }
 
-// The broker shuts down with an interval in progress. The interval is sent.
+// The broker shuts down during an interval. That interval is sent.
 func TestShutdownSendsLastInterval(t *testing.T) {
 	carbon := newFakeCarbon(t)
 	h := newHarness(t, testSettings(carbon.Address(), ""))
@@ -49,8 +49,8 @@
 	h.awaitSeries(carbon.PointStore, graphiteServed, 7)
 }
 
-// The broker shuts down while a sink is stalled. The sink holds up the end to the deadline and no longer, and what it
-// has not sent is dropped and counted.
+// The broker shuts down while a sink is stalled. The sink delays the shutdown until the deadline, but no longer. Its
+// unsent batches are dropped and counted.
 func TestShutdownWithStalledSink(t *testing.T) {
 	carbon := newFakeCarbon(t)
 	carbon.SetMode(fakes.NotReading)
@@ -70,15 +70,15 @@
 	select {
 	case <-ended:
 	case <-h.timeout:
-		t.Fatal("the end waits for a stalled sink")
+		t.Fatal("the shutdown waits for a stalled sink after its deadline")
 	}
 	after := stalled.stats()
 	if after.State != telemetry.Closed || after.QueueBytes != 0 {
-		t.Errorf("%+v", after)
+		t.Errorf("the sink is not closed and empty: %+v", after)
 	}
-	// On a busy machine the sink may have been disconnected and dialled anew by now, with its batches in the system's
-	// buffers.
+	// On a busy machine the sink may have been disconnected and dialed again, and the system's buffers may have
+	// accepted its batches.
 	if after.Dropped <= before.Dropped && after.Redials <= before.Redials {
-		t.Errorf("nothing was dropped: %+v", after)
+		t.Errorf("no batch was dropped: %+v", after)
 	}
 }
--- a/internal/metricsexport/run.go
+++ b/internal/metricsexport/run.go
@@ -10,15 +10,15 @@
 // run is the state of Exporter.Run; its goroutine owns it.
 type run struct {
 	exporter   *Exporter
-	previous   *telemetry.Snapshot // read and reset, its memory is used for the next one
+	previous   *telemetry.Snapshot // the last snapshot, read and reset; the next snapshot reuses its memory
 	timestamps telemetry.TimestampSequence
 	summarizer *telemetry.Summarizer
-	interval   time.Duration // between snapshots; 0 while no sink is on
-	ticker     *time.Ticker  // nil until a sink is on
+	interval   time.Duration // time between snapshots; 0 while no sink is enabled
+	ticker     *time.Ticker  // nil until the first sink is enabled
 	ticks      <-chan time.Time
 }
 
-// Run sends to the sinks until ctx ends or Shutdown was called. It is called once.
+// Run sends metrics to the sinks until ctx ends or Shutdown is called. It must be called only once.
 func (e *Exporter) Run(ctx context.Context) {
 	e.started.Store(true)
 	defer close(e.done)
@@ -44,8 +44,8 @@
 	}
 }
 
-// applySettings changes the sinks and begins intervals anew: the registry may be another one, so nothing of an older
-// snapshot is used again.
+// applySettings changes the sinks and restarts the snapshot intervals. It drops the previous snapshot, since the
+// registry may be a new one.
 func (r *run) applySettings(settings Settings) {
 	r.interval = r.exporter.applySinks(settings)
 	r.previous = nil
@@ -63,11 +63,12 @@
 	r.ticks = nil
 }
 
-// export takes a snapshot and hands it to the sinks. A sink whose interval is over encodes it; with final, all do.
+// export takes a snapshot and merges it into each sink. The sinks whose interval is over encode the interval. If final
+// is set, all sinks encode it.
 func (r *run) export(ctx context.Context, final bool) {
 	taken := r.exporter.takeSnapshot(ctx, r.previous)
 	if taken.snapshot == nil {
-		return // the loop had no time: the interval goes on
+		return // there is no registry, or the loop was too slow: the interval continues
 	}
 	r.previous = taken.snapshot
 	timestamp, steppedBack := r.timestamps.Next(time.Now().Unix())
@@ -89,7 +90,7 @@
 	taken.snapshot.Reset(yield)
 }
 
-// shutdown sends the interval in progress to all sinks, and waits for them until the deadline.
+// shutdown sends the interval in progress to all sinks and waits for them until the deadline.
 func (r *run) shutdown(ctx context.Context, deadline time.Time) {
 	sinks := r.exporter.currentSinks()
 	if len(sinks) > 0 {
@@ -101,7 +102,7 @@
 	r.exporter.stopSinks(deadline)
 }
 
-// stopSinks ends all sinks, at the deadline at the latest.
+// stopSinks stops all sinks, at the deadline at the latest.
 func (e *Exporter) stopSinks(deadline time.Time) {
 	for _, s := range e.currentSinks() {
 		s.stop(deadline)
--- a/internal/metricsexport/sink.go
+++ b/internal/metricsexport/sink.go
@@ -11,7 +11,7 @@
 	"junctionwharf/telemetry"
 )
 
-// The texts of notifications, and what they are about. Operators' rules in collectd match them.
+// The instances and texts of notifications. Operators' rules in collectd match them.
 const (
 	instanceNodes   = "nodes"
 	instanceSinks   = "sinks"
@@ -20,26 +20,27 @@
 	textRecovered   = " back"
 )
 
-// sink drives a telemetry.Sink: it carries out the effects and reports events. Nobody who offers a batch waits for it.
+// sink is the driver of a telemetry.Sink: it carries out the effects and reports events. Offering a batch does not
+// block.
 type sink struct {
 	log   *slog.Logger
 	alert func(collectd.Notification) // must not block
-	start time.Time                   // 0 of the state machine's clock
-	ended chan struct{}               // closed once the state machine has finished
+	start time.Time                   // time 0 of the state machine's clock
+	ended chan struct{}               // closed when the state machine has finished
 
-	// target does not change; rollup and collected belong to the goroutine of Exporter.Run.
+	// target is constant. Only the goroutine of Exporter.Run uses rollup and collected.
 	target    target
 	rollup    *telemetry.Rollup
-	collected time.Duration // of the interval in progress, in the rollup
+	collected time.Duration // time covered by the rollup
 
 	mu       sync.Mutex
 	machine  *telemetry.Sink
-	timer    *time.Timer // calls when the state machine wants to be called
+	timer    *time.Timer // calls reduce at the time that the state machine requested
 	finished bool
-	// connectionID numbers the connections; events of earlier ones are ignored.
+	// connectionID numbers the connections. Events of earlier connections are ignored.
 	connectionID int
-	conn         net.Conn           // nil while there is none
-	cancelDial   context.CancelFunc // of the dial in progress or done; nil while there is none
+	conn         net.Conn           // nil without a connection
+	cancelDial   context.CancelFunc // of the last dial; nil before the first dial and after disconnect
 }
 
 func newSink(t target, log *slog.Logger, alert func(collectd.Notification), seed uint64) *sink {
@@ -54,7 +55,7 @@
 	}
 }
 
-// add merges a snapshot that covers a span of time.
+// add merges a snapshot that covers the given time.
 func (s *sink) add(snapshot *telemetry.Snapshot, span time.Duration) {
 	s.rollup.Add(snapshot, yield)
 	s.collected += span
@@ -74,7 +75,7 @@
 	s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: frames}})
 }
 
-// notify queues a notification, if the sink takes any. One that does not fit into a packet is left out.
+// notify queues a notification if the sink supports notifications. A notification that cannot be encoded is skipped.
 func (s *sink) notify(n collectd.Notification) {
 	if s.target.encodeNotification == nil {
 		return
@@ -86,12 +87,12 @@
 	s.reduce(telemetry.BatchOffered{Batch: telemetry.Batch{Frames: [][]byte{frame}}})
 }
 
-// shutdown has the sink send what waits, until the deadline. It does not wait for it.
+// shutdown makes the sink send its queue until the deadline. It does not wait for the sink.
 func (s *sink) shutdown(deadline time.Time) {
 	s.reduce(telemetry.Shutdown{Deadline: deadline.Sub(s.start).Microseconds()})
 }
 
-// stop waits for the sink's end until the deadline, and ends it then; what is unsent is dropped.
+// stop waits until the sink has closed. At the deadline it closes the sink and drops unsent data.
 func (s *sink) stop(deadline time.Time) {
 	select {
 	case <-s.ended:
@@ -106,14 +107,14 @@
 	return s.machine.Stats()
 }
 
-// reduce takes an event that belongs to no connection, or nil for the passing of time alone.
+// reduce handles an event that belongs to no connection, or only the passing of time if event is nil.
 func (s *sink) reduce(event telemetry.SinkEvent) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reduceLocked(event)
 }
 
-// reduceLocked passes an event to the state machine and carries out the effects; nothing in it blocks.
+// reduceLocked passes an event to the state machine and carries out the effects. It does not block.
 func (s *sink) reduceLocked(event telemetry.SinkEvent) {
 	if s.finished {
 		return
@@ -162,7 +163,7 @@
 	close(s.ended)
 }
 
-// resetTimer has the state machine called when it wants to be.
+// resetTimer schedules the next call of reduce at the time that the state machine requests.
 func (s *sink) resetTimer() {
 	if s.timer != nil {
 		s.timer.Stop()
--- a/internal/metricsexport/sinks.go
+++ b/internal/metricsexport/sinks.go
@@ -8,8 +8,8 @@
 	"junctionwharf/telemetry"
 )
 
-// applySinks starts, keeps and stops sinks, and returns how often to take a snapshot: the greatest common divisor of
-// their intervals, 0 if no sink is on.
+// applySinks starts, keeps and stops sinks as the settings require. It returns the time between snapshots: the greatest
+// common divisor of the sinks' intervals, or 0 if no sink is enabled.
 func (e *Exporter) applySinks(settings Settings) time.Duration {
 	old := e.currentSinks()
 	var sinks []*sink
@@ -34,7 +34,7 @@
 	return snapshotInterval
 }
 
-// keepOrStart returns the old sink that serves the target, or a new one.
+// keepOrStart returns the old sink for the target if there is one, or starts a new sink.
 func (e *Exporter) keepOrStart(old []*sink, wanted target) *sink {
 	for _, s := range old {
 		if s.target.equal(wanted) {
@@ -44,7 +44,7 @@
 	return newSink(wanted, e.options.Log, e.Notify, randomSeed())
 }
 
-// applyRegistry starts, changes or ends the registry, on the loop's goroutine.
+// applyRegistry creates, changes or removes the registry. It runs on the loop's goroutine.
 func (e *Exporter) applyRegistry(enabled bool, options telemetry.Options) {
 	e.enabled = enabled
 	if !enabled {
@@ -57,7 +57,7 @@
 	} else {
 		err = e.registry.ApplyOptions(options)
 	}
-	if err != nil { // the settings were checked before: this guards against a check that lacks a rule
+	if err != nil { // the settings were checked before: this protects against an incomplete check
 		e.enabled = e.registry != nil
 		e.options.Log.Error("series disabled", "reason", err)
 	}
@@ -65,7 +65,7 @@
 
 func randomSeed() uint64 { return new(maphash.Hash).Sum64() }
 
-// greatestCommonDivisor is the longest span of which both are multiples.
+// greatestCommonDivisor returns the longest duration of which both a and b are multiples.
 func greatestCommonDivisor(a, b time.Duration) time.Duration {
 	for b > 0 {
 		a, b = b, a%b
--- a/internal/metricsexport/snapshot.go
+++ b/internal/metricsexport/snapshot.go
@@ -9,22 +9,23 @@
 	"junctionwharf/telemetry"
 )
 
-// snapshotTimeout is how long the loop may take to run the call that takes a snapshot. Higher, an overloaded broker's
-// intervals end late; lower, they are merged with the next one, and its graphs have gaps.
+// snapshotTimeout is the maximum time until the loop takes a requested snapshot. With a longer timeout, the intervals
+// of an overloaded broker end late. With a shorter timeout, intervals are merged with the next ones and graphs have
+// gaps.
 const snapshotTimeout = time.Second
 
-// takenSnapshot is a snapshot and the broker's own metrics of the same moment. Without a snapshot it is empty.
+// takenSnapshot is a snapshot and the broker's own metrics at the same moment. If no snapshot was taken, it is empty.
 type takenSnapshot struct {
 	snapshot *telemetry.Snapshot
 	metrics  []broker.Metric
 }
 
-// takeSnapshot has the loop take a snapshot, and waits for it until ctx ends or snapshotTimeout is over. It is empty if
-// there is no registry, or if the loop was late.
+// takeSnapshot makes the loop take a snapshot and waits for it until ctx ends or snapshotTimeout has passed. The result
+// is empty if there is no registry or if the loop was too slow.
 //
-// A late loop must not take a snapshot that nobody reads: the counts of its interval would be lost. So either side
-// claims the snapshot first; the loop that comes second takes none, and a waiter that comes second waits for the one
-// that is being taken.
+// A slow loop must not take a snapshot after takeSnapshot has returned, since the snapshot would not be read and the
+// counts of its interval would be lost. So the loop and takeSnapshot compete to claim the snapshot. If takeSnapshot
+// claims it first, the loop takes no snapshot. If the loop claims it first, takeSnapshot waits for the snapshot.
 func (e *Exporter) takeSnapshot(ctx context.Context, previous *telemetry.Snapshot) takenSnapshot {
 	result := make(chan takenSnapshot, 1)
 	var claimed atomic.Bool
@@ -49,7 +50,7 @@
 	return <-result
 }
 
-// snapshotOnLoop runs on the loop's goroutine.
+// snapshotOnLoop takes a snapshot. It runs on the loop's goroutine.
 func (e *Exporter) snapshotOnLoop(previous *telemetry.Snapshot) takenSnapshot {
 	snapshot := e.registry.Snapshot(previous)
 	volumeChanges := e.registry.VolumeChanges()
--- a/internal/metricsexport/target.go
+++ b/internal/metricsexport/target.go
@@ -22,31 +22,31 @@
 	transportUDP = "udp"
 )
 
-// target is a sink as the settings describe it.
+// target is the configuration of a sink.
 type target struct {
 	name, network, address string
 
 	interval           time.Duration
 	options            telemetry.SinkOptions
-	settings           any // all settings of the sink; a sink with other settings is another sink
+	settings           any // all settings of the sink; a change of any of them replaces the sink
 	encode             encoder
-	encodeNotification func(collectd.Notification, time.Time) ([]byte, error) // nil for none
+	encodeNotification func(collectd.Notification, time.Time) ([]byte, error) // nil if the sink has no notifications
 }
 
-// encoder encodes an interval as frames. It flushes the rollup.
+// encoder encodes an interval as frames and flushes the rollup.
 type encoder func(interval) ([][]byte, error)
 
-// interval is what an encoder gets.
+// interval is the input of an encoder.
 type interval struct {
-	broker     string // its name
+	broker     string // name of the broker
 	timestamp  int64  // Unix seconds
 	metrics    []broker.Metric
-	rollup     *telemetry.Rollup // of the sink that encodes
+	rollup     *telemetry.Rollup // rollup of the sink
 	summarizer *telemetry.Summarizer
 }
 
-// equal tells whether a sink of this target serves the other one too. The encoders need no comparison: they follow from
-// the settings, to which the key belongs.
+// equal reports whether a sink of this target can also serve the other target. It does not compare the encoders, since
+// they only depend on the settings, which include the key.
 func (t target) equal(other target) bool {
 	return t.name == other.name &&
 		t.network == other.network &&
@@ -56,7 +56,7 @@
 		reflect.DeepEqual(t.settings, other.settings)
 }
 
-// targets are the sinks that are on.
+// targets returns the targets of the enabled sinks.
 func targets(settings Settings, brokerName string) []target {
 	var all []target
 	if settings.Graphite.Address != "" {
--- a/internal/metricsexport/yield.go
+++ b/internal/metricsexport/yield.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// yieldTime is how long the encoder pauses after each row. Higher, an interval takes longer to encode; lower,
-// requests on a single core wait longer while one is encoded.
+// yieldTime is how long the encoder pauses after each row. With a longer pause, encoding an interval takes longer. With
+// a shorter pause, requests on a single core wait longer during the encoding.
 const yieldTime = 50 * time.Microsecond
 
-// yield pauses between rows, so that on a single core no request waits until all rows are encoded, which shows as a
-// latency peak at each interval. It sleeps: a goroutine that only calls runtime.Gosched stays runnable, and while any
-// is, the runtime polls the network no more than every 10 ms.
+// yield pauses between rows. Without the pause, requests on a single core would wait until all rows are encoded, which
+// shows as a latency peak at each interval. It sleeps because a goroutine that only calls runtime.Gosched stays
+// runnable, and while any goroutine is runnable, the runtime polls the network only every 10 ms.
 func yield() { time.Sleep(yieldTime) }
