--- a/internal/collectd/doc.go
+++ b/internal/collectd/doc.go
@@ -1,14 +1,16 @@
-// Package collectd encodes values and notifications in the binary protocol of collectd's network plugin, plain, signed
-// or encrypted, as the page "Binary protocol" of collectd's documentation describes it. It also reads key files.
+// Package collectd encodes values and notifications in the binary protocol of collectd's network plugin: plain, signed
+// or encrypted. The page "Binary protocol" of collectd's documentation describes the protocol. The package also reads
+// key files.
 //
 // # Rules
 //
-// A packet stands alone: it begins with host, time, interval and plugin, and keeps to MaxPacket with its protection. A
-// part that is the same as in the value list before is not repeated within a packet.
+// A packet can be read without other packets: it begins with host, time, interval and plugin. Its size, including its
+// protection, is at most MaxPacket. Within a packet, a part that is equal to that of the previous value list is not
+// repeated.
 //
 // # State and owners
 //
-// An Encoder has no state but its settings, and may be used by several goroutines. Only ReadKey does I/O.
+// An Encoder has no state except its settings and may be used by several goroutines. Only ReadKey does I/O.
 //
-// Times in packets are in units of 2^-30 s, sizes are bytes.
+// Times in packets are in units of 2^-30 s. Sizes are in bytes.
 package collectd
--- a/internal/collectd/encoder.go
+++ b/internal/collectd/encoder.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// MaxPacket bounds the bytes of a packet, as collectd's own senders do. Higher, packets are fragmented and lost more
-// often; lower, an interval takes more of them.
+// MaxPacket is the maximum size of a packet in bytes, the same as in collectd's own senders. With a larger size,
+// packets are fragmented and lost more often. With a smaller size, an interval needs more packets.
 const MaxPacket = 1452
 
-// ErrTooLarge tells of a value list that does not fit into a packet of its own.
-var ErrTooLarge = errors.New("a value list does not fit into a packet")
+// ErrTooLarge reports a value list that does not fit into a packet.
+var ErrTooLarge = errors.New("value list does not fit into a packet")
 
-// Encoder encodes packets of one sender.
+// Encoder encodes the packets of one sender.
 type Encoder struct {
 	Host     string
 	Plugin   string
 	Security Security
-	Key      Key // of Signed and Encrypted
+	Key      Key // used if Security is Signed or Encrypted
 }
 
-// EncodeValueLists encodes value lists of one time, as many to a packet as fit, in order. It returns an error that
-// wraps ErrTooLarge if one of them does not fit into any.
+// EncodeValueLists encodes value lists of the same time into as few packets as possible, in order. If a value list does
+// not fit into a packet, it returns an error that wraps ErrTooLarge.
 func (e *Encoder) EncodeValueLists(lists []ValueList, at time.Time, interval time.Duration) ([][]byte, error) {
 	var packets [][]byte
 	limit := MaxPacket - e.overhead()
 	head := e.packetHead(at, interval)
 	packet := bytes.Clone(head)
-	previous := ValueList{} // of this packet
+	previous := ValueList{} // last value list of this packet
 	var encoded []byte
 	for i := 0; i < len(lists); {
 		encoded = appendValueList(encoded[:0], previous, lists[i])
@@ -60,7 +60,7 @@
 	return append(packets, protected), nil
 }
 
-// EncodeNotification encodes a notification as a packet. A text that does not fit is cut.
+// EncodeNotification encodes a notification as a packet. A text that does not fit is truncated.
 func (e *Encoder) EncodeNotification(n Notification, at time.Time) ([]byte, error) {
 	b := appendString(nil, partHost, e.Host)
 	b = appendNumber(b, partTime, timeOf(at))
@@ -77,7 +77,7 @@
 	return e.protect(appendString(b, partMessage, text))
 }
 
-// packetHead is what each packet of value lists begins with.
+// packetHead returns the beginning of each packet of value lists.
 func (e *Encoder) packetHead(at time.Time, interval time.Duration) []byte {
 	b := appendString(nil, partHost, e.Host)
 	b = appendNumber(b, partTime, timeOf(at))
--- a/internal/collectd/encoder_test.go
+++ b/internal/collectd/encoder_test.go
@@ -16,18 +16,18 @@
 
 var testKey = collectd.Key{User: "wharf", Secret: "s3cret"}
 
-// testSecrets are those of the fake receiver.
+// testSecrets are the secrets of the fake receiver.
 var testSecrets = map[string]string{"wharf": "s3cret"}
 
-// encoders is one for each way to protect packets.
+// encoders contains one encoder for each way to protect packets.
 var encoders = []collectd.Encoder{
 	{Host: "n1", Plugin: "junctionwharf"},
 	{Host: "n1", Plugin: "junctionwharf", Security: collectd.Signed, Key: testKey},
 	{Host: "n1", Plugin: "junctionwharf", Security: collectd.Encrypted, Key: testKey},
 }
 
-// testValueLists returns 200 value lists, whose neighbours differ in some parts and not in others, and their values by
-// series.
+// testValueLists returns 200 value lists and their values by series. Consecutive lists differ in some parts and are
+// equal in others.
 func testValueLists() ([]collectd.ValueList, map[string]float64) {
 	var lists []collectd.ValueList
 	values := map[string]float64{}
@@ -52,8 +52,8 @@
 	return lists, values
 }
 
-// The fake receiver, which shares no code with the encoder, reads back what was written, in each way to protect
-// packets. It takes no packet under a wrong key, and none that was tampered with.
+// The parser of the fake receiver shares no code with the encoder. It decodes what the encoder encodes, for each way to
+// protect packets. It rejects packets under a wrong key and modified packets.
 func TestEncodeValueLists(t *testing.T) {
 	lists, want := testValueLists()
 	for _, encoder := range encoders {
@@ -65,7 +65,7 @@
 		got := map[string]float64{}
 		for _, packet := range packets {
 			if len(packet) > collectd.MaxPacket {
-				t.Fatalf("a packet of %d bytes", len(packet))
+				t.Fatalf("packet of %d bytes, want at most %d", len(packet), collectd.MaxPacket)
 			}
 			points, _, err := fakes.ParsePacket(packet, testSecrets, protected)
 			if err != nil {
@@ -73,7 +73,7 @@
 			}
 			for _, point := range points {
 				if point.Timestamp != testTime.Unix() {
-					t.Fatalf("time %d", point.Timestamp)
+					t.Fatalf("timestamp: got %d, want %d", point.Timestamp, testTime.Unix())
 				}
 				got[point.Series] = point.Value
 			}
@@ -82,36 +82,36 @@
 			}
 		}
 		if !maps.Equal(got, want) {
-			t.Errorf("%d series of %d: %v, want %v", len(got), len(want), got, want)
+			t.Errorf("got %d series, want %d: got %v, want %v", len(got), len(want), got, want)
 		}
 	}
 }
 
-// checkRejections checks that a protected packet is rejected under a wrong key, under an unknown user, and when a bit
-// of it is changed.
+// checkRejections checks that the receiver rejects a protected packet if its own key is wrong, if it does not know the
+// user, and if a bit of the packet was changed.
 func checkRejections(t *testing.T, packet []byte) {
 	t.Helper()
 	for _, secrets := range []map[string]string{{"wharf": "other"}, {"else": "s3cret"}} {
 		if points, _, err := fakes.ParsePacket(packet, secrets, true); err == nil || len(points) > 0 {
-			t.Fatalf("%d points under a wrong key", len(points))
+			t.Fatalf("%d points were accepted under a wrong key or for an unknown user", len(points))
 		}
 	}
 	packet[len(packet)-1] ^= 1
 	if points, _, err := fakes.ParsePacket(packet, testSecrets, true); err == nil || len(points) > 0 {
-		t.Fatalf("%d points of a packet that was tampered with", len(points))
+		t.Fatalf("%d points of a modified packet were accepted", len(points))
 	}
 }
 
-// A value list that fits into no packet is an error.
+// A value list that does not fit into a packet gives an error.
 func TestValueListTooLarge(t *testing.T) {
 	huge := []collectd.ValueList{{Type: "t", Values: make([]collectd.Value, 200)}}
 	if _, err := encoders[0].EncodeValueLists(huge, testTime, time.Second); !errors.Is(err, collectd.ErrTooLarge) {
-		t.Error(err)
+		t.Errorf("got error %v, want %v", err, collectd.ErrTooLarge)
 	}
 }
 
-// A notification of 2,000 bytes is cut, so that it fits into a packet in each way to protect it. The fake receiver
-// rejects a text that is longer than its own bound of 1,024 bytes; a packet that it takes holds one notification.
+// A notification of 2,000 bytes is truncated to fit into a packet, for each way to protect packets. The fake receiver
+// rejects a text longer than its own bound of 1,024 bytes. A packet that it accepts contains one notification.
 func TestLongNotification(t *testing.T) {
 	long := collectd.Notification{
 		Severity: collectd.Warning,
@@ -121,16 +121,16 @@
 	for _, encoder := range encoders {
 		packet, err := encoder.EncodeNotification(long, testTime)
 		if err != nil || len(packet) > collectd.MaxPacket {
-			t.Fatal(len(packet), err)
+			t.Fatalf("packet of %d bytes, want at most %d; error %v", len(packet), collectd.MaxPacket, err)
 		}
 		_, got, err := fakes.ParsePacket(packet, testSecrets, encoder.Security != collectd.Unprotected)
 		if err == nil && len(got) != 1 {
-			t.Fatalf("%d notifications", len(got))
+			t.Fatalf("got %d notifications, want 1", len(got))
 		}
 	}
 }
 
-// The fake receiver reads back all fields of a notification.
+// The parser of the fake receiver decodes all fields of a notification.
 func TestEncodeNotification(t *testing.T) {
 	notification := collectd.Notification{Severity: collectd.Failure, Instance: "sinks", Text: "graphite lost"}
 	packet, err := encoders[2].EncodeNotification(notification, testTime)
@@ -147,11 +147,11 @@
 	}
 	_, got, err := fakes.ParsePacket(packet, testSecrets, true)
 	if err != nil || len(got) != 1 || got[0] != want {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 }
 
-// Any names make packets that are read back as one value each.
+// A value list with any valid names is decoded as one value.
 func FuzzLists(f *testing.F) {
 	f.Add("volume.a", "type", "inst", uint64(7), byte(0))
 	f.Add("", "t", "", uint64(1)<<63, byte(2))
@@ -169,23 +169,23 @@
 		encoder := encoders[int(security)%len(encoders)]
 		packets, err := encoder.EncodeValueLists([]collectd.ValueList{list}, testTime, time.Second)
 		if err != nil || len(packets) != 1 {
-			t.Fatal(len(packets), err)
+			t.Fatalf("got %d packets, want 1; error %v", len(packets), err)
 		}
 		points, _, err := fakes.ParsePacket(packets[0], testSecrets, encoder.Security != collectd.Unprotected)
 		if err != nil || len(points) != 1 || points[0].Value != float64(n) {
-			t.Fatal(points, err)
+			t.Fatalf("got points %v, error %v, want one point of value %d", points, err, n)
 		}
 	})
 }
 
-// validNames tells whether the names keep to the rules that the encoder leaves to its caller.
+// validNames reports whether the names follow the rules that the caller of the encoder must ensure.
 func validNames(list collectd.ValueList) bool {
 	longest := max(len(list.PluginInstance), len(list.Type), len(list.TypeInstance))
 	all := list.PluginInstance + list.Type + list.TypeInstance
 	return longest <= collectd.MaxName && !strings.ContainsAny(all, "/\x00") && list.Type != ""
 }
 
-// Garbage ends in an error, never in a panic of the fake receiver.
+// Malformed packets give an error and do not make the fake receiver panic.
 func FuzzParsePacket(f *testing.F) {
 	lists := []collectd.ValueList{{
 		PluginInstance: "a",
--- a/internal/collectd/key.go
+++ b/internal/collectd/key.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// maxUser bounds a user's bytes. Higher, a packet has less room for values; lower, users that collectd takes are
-	// rejected.
+	// maxUser is the maximum length of a user in bytes. With a larger maximum, a packet has less room for values. With
+	// a smaller maximum, users that collectd accepts are rejected.
 	maxUser = 64
-	// maxKeyFile bounds the bytes of a key file, so that a wrong path is noticed before the file is read. Lower, a
-	// long AuthFile is rejected.
+	// maxKeyFile is the maximum size of a key file in bytes, so that a wrong path is detected before the file is read.
+	// With a smaller maximum, a long AuthFile is rejected.
 	maxKeyFile = 64 << 10
-	// othersAccess are the permissions of group and others.
+	// othersAccess is the mask of the permissions of group and others.
 	othersAccess = 0o077
 )
 
-// The faults of a key file.
+// The errors of ReadKey for the content and the mode of a key file.
 var (
-	ErrKeyFileMode     = errors.New("others than its owner may use it, make it 0600")
-	ErrKeyFileTooLarge = errors.New("over 64 KiB")
-	ErrKeyLine         = errors.New(`not "user: secret"`)
-	ErrNoKey           = errors.New("it holds no key")
+	ErrKeyFileMode     = errors.New("key file is accessible to group or others, want mode 0600")
+	ErrKeyFileTooLarge = errors.New("key file is larger than 64 KiB")
+	ErrKeyLine         = errors.New(`key does not have the form "user: secret"`)
+	ErrNoKey           = errors.New("key file contains no key")
 )
 
-// Key is a user and the secret that protects its packets.
+// Key is a user and the secret that protects the user's packets.
 type Key struct{ User, Secret string }
 
-// ReadKey reads a file of lines "user: secret", the form of collectd's AuthFile, and returns the key of user, or the
-// first one if user is empty. A file that others than its owner may use is rejected.
+// ReadKey reads the key of user from a file of lines "user: secret", the format of collectd's AuthFile. If user is
+// empty, it returns the first key. It rejects a file that group or others can access.
 func ReadKey(path, user string) (Key, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Key{}, err
 	}
 	if mode := info.Mode().Perm(); mode&othersAccess != 0 {
-		return Key{}, fmt.Errorf("%s: its mode is %04o: %w", path, mode, ErrKeyFileMode)
+		return Key{}, fmt.Errorf("%s: mode %04o: %w", path, mode, ErrKeyFileMode)
 	}
 	if info.Size() > maxKeyFile {
 		return Key{}, fmt.Errorf("%s: %w", path, ErrKeyFileTooLarge)
@@ -53,7 +53,7 @@
 	return key, nil
 }
 
-// findKey returns the key of user, or the first one if user is empty. Lines behind it are not read.
+// findKey returns the key of user, or the first key if user is empty. It does not read the lines after that key.
 func findKey(text, user string) (Key, error) {
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -71,7 +71,7 @@
 	if user == "" {
 		return Key{}, ErrNoKey
 	}
-	return Key{}, fmt.Errorf("%w of user %q", ErrNoKey, user)
+	return Key{}, fmt.Errorf("%w for user %q", ErrNoKey, user)
 }
 
 func parseKey(line string) (Key, error) {
--- a/internal/collectd/key_test.go
+++ b/internal/collectd/key_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/internal/collectd"
 )
 
-// writeKeyFile writes a key file of a given mode, whatever the umask.
+// writeKeyFile writes a key file with the given mode, regardless of the umask.
 func writeKeyFile(t *testing.T, text string, mode os.FileMode) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "key")
@@ -24,7 +24,7 @@
 	return path
 }
 
-// Without a user the first key is read, else the user's.
+// ReadKey returns the key of the given user, or the first key if no user is given.
 func TestReadKey(t *testing.T) {
 	path := writeKeyFile(t, "# users\nwharf: s3cret\nother:  x y \n", 0o600)
 	for user, want := range map[string]collectd.Key{
@@ -32,12 +32,12 @@
 		"other": {User: "other", Secret: "x y"},
 	} {
 		if key, err := collectd.ReadKey(path, user); err != nil || key != want {
-			t.Errorf("user %q: %v, %v", user, key, err)
+			t.Errorf("user %q: got %v, %v, want %v", user, key, err, want)
 		}
 	}
 }
 
-// The error of a key file says what is wrong with it, and where.
+// The error for a faulty key file names the fault and its location.
 func TestReadKeyFaults(t *testing.T) {
 	for _, test := range []struct {
 		text string
@@ -56,10 +56,10 @@
 		path := writeKeyFile(t, test.text, test.mode)
 		_, err := collectd.ReadKey(path, test.user)
 		if !errors.Is(err, test.want) || !strings.Contains(err.Error(), test.says) {
-			t.Errorf("want %v: %v", test.want, err)
+			t.Errorf("got error %v, want %v containing %q", err, test.want, test.says)
 		}
 	}
 	if _, err := collectd.ReadKey(filepath.Join(t.TempDir(), "none"), ""); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got error %v, want %v", err, fs.ErrNotExist)
 	}
 }
--- a/internal/collectd/parts.go
+++ b/internal/collectd/parts.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// partType is the type of a part of a packet.
+// partType is the type of a part in a packet.
 type partType uint16
 
-// The types of parts in use, as the protocol numbers them.
+// The types of parts in use, with their protocol numbers.
 const (
 	partHost           partType = 0x0000
 	partPlugin         partType = 0x0002
@@ -28,21 +28,21 @@
 
 // The sizes of parts, in bytes.
 const (
-	partHead       = 2 + 2        // type and length
-	stringOverhead = partHead + 1 // the zero byte at its end
+	partHead       = 2 + 2        // type and length of the part
+	stringOverhead = partHead + 1 // with the terminating zero byte
 	numberPart     = partHead + 8
-	valuesHead     = partHead + 2 // the number of values
+	valuesHead     = partHead + 2 // with the number of values
 	valueSize      = 1 + 8        // kind and value
 )
 
-// appendPartHead begins a part; length includes the head.
+// appendPartHead appends the head of a part. length includes the head.
 func appendPartHead(b []byte, part partType, length int) []byte {
 	b = binary.BigEndian.AppendUint16(b, uint16(part))
 	return binary.BigEndian.AppendUint16(b, uint16(length))
 }
 
-// appendString appends a part with a string, which ends with a zero byte; so a zero byte within the string ends it
-// early.
+// appendString appends a part with a string and a terminating zero byte. A string that contains a zero byte is
+// truncated there.
 func appendString(b []byte, part partType, s string) []byte {
 	s, _, _ = strings.Cut(s, "\x00")
 	b = appendPartHead(b, part, len(s)+stringOverhead)
@@ -55,7 +55,7 @@
 	return binary.BigEndian.AppendUint64(b, n)
 }
 
-// appendValueList appends the parts of a value list that differ from the previous one, and its values.
+// appendValueList appends the values of a value list and those other parts that differ from the previous list.
 func appendValueList(b []byte, previous, list ValueList) []byte {
 	if list.PluginInstance != previous.PluginInstance {
 		b = appendString(b, partPluginInstance, list.PluginInstance)
@@ -69,8 +69,8 @@
 	return appendValues(b, list.Values)
 }
 
-// appendValues appends the kinds of all values, then the values. Gauges alone are little-endian, as the protocol has
-// it.
+// appendValues appends the kinds of all values, followed by the values. As the protocol requires, gauges are
+// little-endian and other values are big-endian.
 func appendValues(b []byte, values []Value) []byte {
 	b = appendPartHead(b, partValues, valuesHead+valueSize*len(values))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(values)))
@@ -87,17 +87,17 @@
 	return b
 }
 
-// timeShift makes units of 2^-30 s of seconds.
+// timeShift is the shift from seconds to units of 2^-30 s.
 const timeShift = 30
 
-// durationOf is a span in units of 2^-30 s.
+// durationOf returns a duration in units of 2^-30 s.
 func durationOf(d time.Duration) uint64 {
 	seconds := uint64(d / time.Second)
 	fraction := uint64(d % time.Second)
 	return seconds<<timeShift + fraction<<timeShift/uint64(time.Second)
 }
 
-// timeOf is a point in time in units of 2^-30 s since 1970.
+// timeOf returns a point in time in units of 2^-30 s since 1970.
 func timeOf(t time.Time) uint64 {
 	return uint64(t.Unix())<<timeShift + uint64(t.Nanosecond())<<timeShift/uint64(time.Second)
 }
--- a/internal/collectd/security.go
+++ b/internal/collectd/security.go
@@ -10,7 +10,7 @@
 	"encoding/binary"
 )
 
-// Security says how packets are protected.
+// Security is the way in which packets are protected.
 type Security int
 
 // The ways to protect packets.
@@ -20,10 +20,10 @@
 	Encrypted            // AES-256 of checksum and packet
 )
 
-// userLengthBytes is the size of the length before the user of an encrypted packet.
+// userLengthBytes is the size of the length of the user in an encrypted packet.
 const userLengthBytes = 2
 
-// overhead is how many bytes of a packet its protection takes.
+// overhead returns how many bytes the protection adds to a packet.
 func (e *Encoder) overhead() int {
 	switch e.Security {
 	case Signed:
@@ -35,7 +35,7 @@
 	}
 }
 
-// protect signs or encrypts a packet, as the settings say.
+// protect signs or encrypts a packet, or returns it unchanged, depending on Security.
 func (e *Encoder) protect(packet []byte) ([]byte, error) {
 	switch e.Security {
 	case Signed:
@@ -47,7 +47,7 @@
 	}
 }
 
-// sign puts a part with the HMAC-SHA-256 of user and packet, and the user, before the packet.
+// sign prepends a part that contains the user and the HMAC-SHA-256 of user and packet.
 func (e *Encoder) sign(packet []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(e.Key.Secret))
 	mac.Write([]byte(e.Key.User))
@@ -58,8 +58,8 @@
 	return append(b, packet...)
 }
 
-// encrypt encrypts the packet's SHA-1 and the packet by AES-256 in output feedback mode; the key is the secret's
-// SHA-256. User and initialization vector stand before them in the clear.
+// encrypt encrypts the SHA-1 checksum of the packet and the packet with AES-256 in output feedback mode. The key is the
+// SHA-256 of the secret. The user and the initialization vector come first, unencrypted.
 func (e *Encoder) encrypt(packet []byte) ([]byte, error) {
 	key := sha256.Sum256([]byte(e.Key.Secret))
 	block, err := aes.NewCipher(key[:])
--- a/internal/collectd/values.go
+++ b/internal/collectd/values.go
@@ -1,44 +1,44 @@
 package collectd
 
-// MaxName bounds the bytes of a host, an instance or a type: collectd keeps 63 and the end. A longer one would be cut
-// by the receiver, and two names could become one.
+// MaxName is the maximum length of a host, an instance or a type in bytes. collectd stores 63 bytes and a terminating
+// zero byte. It would truncate a longer name, and two names could become equal.
 const MaxName = 63
 
 // Kind is the kind of a value.
 type Kind byte
 
-// The kinds in use. A derive only grows; its receiver computes the rate.
+// The kinds in use. A derive is a counter that only grows, from which the receiver computes the rate.
 const (
 	Gauge  Kind = 1
 	Derive Kind = 2
 )
 
-// Value is one of a list's values.
+// Value is a single value of a ValueList.
 type Value struct {
 	Kind Kind
 	N    uint64
 }
 
-// ValueList holds all values of one type of types.db.
+// ValueList contains the values of one type defined in types.db.
 type ValueList struct {
 	PluginInstance, Type, TypeInstance string
 
 	Values []Value
 }
 
-// Severity is how bad a notification is.
+// Severity is the severity of a notification.
 type Severity uint64
 
-// The severities, as the protocol numbers them.
+// The severities, with their protocol numbers.
 const (
 	Failure Severity = 1
 	Warning Severity = 2
 	Okay    Severity = 4
 )
 
-// Notification tells operators of something that happened.
+// Notification is a message to operators about an event.
 type Notification struct {
 	Severity Severity
-	Instance string // what it is about; empty for none
+	Instance string // subject of the notification; empty for none
 	Text     string
 }
--- a/internal/graphite/path.go
+++ b/internal/graphite/path.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// Path names a series: fixed segments, and between them a name that is escaped. With tags the segments make the name of
-// the series, and the name is a tag's value.
+// Path identifies a series by fixed segments and an escaped name. In Dotted naming the name is between the segments and
+// the suffix. In Tagged naming the name is the value of a tag.
 type Path struct {
-	Segments  []string // written as they are
-	Dimension string   // what Name is a name of, such as "class"; empty for none
-	Name      string   // escaped by the package
-	Verbatim  bool     // Name is one of the program's own, such as "other", and is not escaped
-	Suffix    string   // what is counted; empty for none
+	Segments  []string // written without escaping
+	Dimension string   // the kind of Name, such as "class"; empty if there is no Name
+	Name      string   // escaped unless Verbatim is set
+	Verbatim  bool     // Name is a reserved name such as "other" and is not escaped
+	Suffix    string   // the counted quantity; empty for none
 }
 
-// Naming is a way to write paths.
+// Naming is a format of paths.
 type Naming int
 
-// The ways to write paths.
+// The formats of paths.
 const (
 	Dotted Naming = iota // PREFIX.class.read.served
 	Tagged               // PREFIX.served;class=read
 )
 
-// Append appends a path.
+// Append appends the path of a series with the given prefix.
 func (n Naming) Append(b []byte, prefix string, p Path) []byte {
 	b = append(b, prefix...)
 	for _, segment := range p.Segments {
@@ -60,12 +60,12 @@
 	return AppendName(b, p.Name)
 }
 
-// reservedNames are the program's own names of rows.
+// reservedNames are the names of rows that the program itself defines.
 var reservedNames = map[string]bool{"other": true, "none": true, "all": true}
 
-// AppendName appends a name with all but letters, digits, - and _ written as % and two hex digits; so a name has no
-// dot, blank, line end or semicolon, and different names stay different. The first byte of a reserved name is escaped
-// too, and an empty name is a single %.
+// AppendName appends an escaped name: all bytes except letters, digits, - and _ become % and two hex digits. So the
+// result contains no dot, blank, line end or semicolon, and different names stay different. If the whole name is a
+// reserved name, its first byte is escaped too. An empty name becomes a single %.
 func AppendName(b []byte, name string) []byte {
 	if name == "" {
 		return append(b, '%')
@@ -89,20 +89,20 @@
 	}
 }
 
-// The faults of a prefix.
+// The errors of CheckPrefix.
 var (
-	ErrEmptySegment  = errors.New("has an empty part")
-	ErrBadCharacters = errors.New("holds more than letters, digits, -, _ and dots")
+	ErrEmptySegment  = errors.New("segment is empty")
+	ErrBadCharacters = errors.New("character is not a letter, digit, -, _ or dot")
 )
 
-// CheckPrefix checks a prefix, which is not escaped.
+// CheckPrefix checks the prefix of paths, which is written without escaping.
 func CheckPrefix(prefix string) error {
 	for segment := range strings.SplitSeq(prefix, ".") {
 		if segment == "" {
-			return fmt.Errorf("%q %w", prefix, ErrEmptySegment)
+			return fmt.Errorf("%q: %w", prefix, ErrEmptySegment)
 		}
 		if string(AppendName(nil, segment)) != segment {
-			return fmt.Errorf("%q %w", prefix, ErrBadCharacters)
+			return fmt.Errorf("%q: %w", prefix, ErrBadCharacters)
 		}
 	}
 	return nil
--- a/internal/graphite/path_test.go
+++ b/internal/graphite/path_test.go
@@ -20,12 +20,12 @@
 		"a\n":     graphite.ErrBadCharacters,
 	} {
 		if err := graphite.CheckPrefix(prefix); !errors.Is(err, want) {
-			t.Errorf("%q: %v, want %v", prefix, err, want)
+			t.Errorf("CheckPrefix(%q): got %v, want %v", prefix, err, want)
 		}
 	}
 }
 
-// No name breaks a line or a path, or is taken for another.
+// No name breaks a line or a path, and no two different names give the same path.
 func FuzzNames(f *testing.F) {
 	names := []string{"", "other", "lesson-read", "a.b", "a\nb 1 2", ";x=y", "%6Fther", "ü\xff", "~x", "none"}
 	for _, name := range names {
@@ -38,12 +38,13 @@
 		frameOfA := checkName(t, a)
 		frameOfB := checkName(t, b)
 		if a != b && bytes.Equal(frameOfA, frameOfB) {
-			t.Fatalf("%q and %q are both %q", a, b, frameOfA)
+			t.Fatalf("%q and %q both give %q", a, b, frameOfA)
 		}
 	})
 }
 
-// checkName checks that a name makes one point in both formats and namings, and returns its line.
+// checkName checks that a point with this name is read back as one point in both formats and both namings. It returns
+// the plaintext line.
 func checkName(t *testing.T, name string) (frame []byte) {
 	t.Helper()
 	for _, naming := range []graphite.Naming{graphite.Dotted, graphite.Tagged} {
@@ -54,11 +55,11 @@
 			t.Fatal(err)
 		}
 		if bytes.Count(frame, []byte("\n")) != 1 {
-			t.Fatalf("%q makes %q", name, frame)
+			t.Fatalf("%q gives %q, want one line", name, frame)
 		}
 		batch, err := fakes.ParsePickle(pickled(points, "p", naming)[0][4:])
 		if err != nil || len(batch) != 1 {
-			t.Fatal(batch, err)
+			t.Fatalf("pickled %q: got %v, %v, want one point", name, batch, err)
 		}
 	}
 	return frame
--- a/internal/graphite/pickle.go
+++ b/internal/graphite/pickle.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// maxBatch is how many points a batch holds at the most, as Carbon's own relays send them. Higher, a receiver that is
-// set up for relays may reject a batch; lower, an interval takes more frames.
+// maxBatch is the maximum number of points in a batch, the same as in Carbon's own relays. With larger batches, a
+// receiver that is configured for relays may reject a batch. With smaller batches, an interval needs more frames.
 const maxBatch = 500
 
-// The opcodes of pickle protocol 2 that a batch needs.
+// The opcodes of pickle protocol 2 that a batch uses.
 const (
 	opProto   = 0x80
 	opList    = ']'
@@ -21,9 +21,9 @@
 
 const (
 	pickleVersion = 2
-	// lengthBytes is the size of the lengths before a batch and within a string.
+	// lengthBytes is the size of the length of a batch and of a string.
 	lengthBytes = 4
-	// firstLong is the first number that BININT, which is signed, does not hold.
+	// firstLong is the smallest number that is too large for BININT, which is signed.
 	firstLong = 1 << 31
 )
 
@@ -38,25 +38,25 @@
 	return append(b, opTuple2, opTuple2)
 }
 
-// appendBatchHead appends room for the length of a batch, and the beginning of its list.
+// appendBatchHead appends space for the length of a batch and the beginning of the list of points.
 func appendBatchHead(b []byte) []byte {
 	return append(b, 0, 0, 0, 0, opProto, pickleVersion, opList, opMark)
 }
 
-// endBatch ends the list and fills in the length.
+// endBatch ends the list of points and writes the length of the batch.
 func endBatch(b []byte) []byte {
 	b = append(b, opAppends, opStop)
 	binary.BigEndian.PutUint32(b, uint32(len(b)-lengthBytes))
 	return b
 }
 
-// appendInt appends a whole number.
+// appendInt appends a non-negative integer.
 func appendInt(b []byte, n uint64) []byte {
 	if n < firstLong {
 		b = append(b, opInt)
 		return binary.LittleEndian.AppendUint32(b, uint32(n))
 	}
-	const digits = 8 + 1 // the last one is 0: it holds the sign
+	const digits = 8 + 1 // the last byte is 0, the sign
 	b = append(b, opLong, digits)
 	b = binary.LittleEndian.AppendUint64(b, n)
 	return append(b, 0)
--- a/internal/graphite/writer.go
+++ b/internal/graphite/writer.go
@@ -3,13 +3,15 @@
 import "strconv"
 
 const (
-	// maxFrame bounds a frame over TCP: a sink counts it as written whole or not at all. Higher, more is sent again
-	// after a lost connection; lower, an interval takes more writes.
+	// maxFrame bounds the size of a frame over TCP. A sink counts a frame as written completely or not at all. With a
+	// larger bound, more data is sent again after a lost connection. With a smaller bound, an interval needs more
+	// writes.
 	maxFrame = 4 << 10
-	// maxDatagram is what an Ethernet frame of 1,500 bytes holds beside the headers of IPv6 and UDP, with 20 bytes to
-	// spare. Higher, datagrams are fragmented and lost more often; lower, an interval takes more of them.
+	// maxDatagram is the size of an Ethernet frame, 1,500 bytes, minus the headers of IPv6 and UDP and 20 spare
+	// bytes. With a larger bound, datagrams are fragmented and lost more often. With a smaller bound, an interval
+	// needs more datagrams.
 	maxDatagram = 1432
-	// frameSlack is what a frame may hold beside its points: the head and the end of a batch.
+	// frameSlack is extra capacity of a frame for the head and the end of a batch.
 	frameSlack = 16
 )
 
@@ -19,21 +21,22 @@
 	Value uint64
 }
 
-// Writer encodes points, one after the other, into frames.
+// Writer encodes points into frames.
 type Writer struct {
 	prefix    string
 	naming    Naming
 	timestamp int64 // Unix seconds
-	limit     int   // bytes of a frame
+	limit     int   // maximum size of a frame in bytes
 	pickle    bool
 
-	frames [][]byte // complete ones
-	frame  []byte   // the one in progress
-	points int      // of frame
-	item   []byte   // the point in progress; its memory is used again
+	frames [][]byte // complete frames
+	frame  []byte   // the frame in progress
+	points int      // number of points in frame
+	item   []byte   // encoding of the current point; its memory is reused
 }
 
-// NewPlaintext returns a writer of lines, in frames of whole lines. With datagrams, a frame fits into a datagram.
+// NewPlaintext returns a writer of plaintext lines. Frames contain whole lines. If datagrams is set, each frame fits
+// into a datagram.
 func NewPlaintext(prefix string, naming Naming, timestamp int64, datagrams bool) *Writer {
 	w := &Writer{prefix: prefix, naming: naming, timestamp: timestamp, limit: maxFrame}
 	if datagrams {
@@ -42,7 +45,7 @@
 	return w
 }
 
-// NewPickle returns a writer of batches of [(path, (timestamp, value)), ...], a frame each.
+// NewPickle returns a writer of pickled batches [(path, (timestamp, value)), ...], one batch to a frame.
 func NewPickle(prefix string, naming Naming, timestamp int64) *Writer {
 	return &Writer{prefix: prefix, naming: naming, timestamp: timestamp, limit: maxFrame, pickle: true}
 }
@@ -100,7 +103,7 @@
 	w.points = 0
 }
 
-// Frames ends the last frame and returns all.
+// Frames completes the last frame and returns all frames.
 func (w *Writer) Frames() [][]byte {
 	w.endFrame()
 	return w.frames
--- a/internal/graphite/writer_test.go
+++ b/internal/graphite/writer_test.go
@@ -28,7 +28,7 @@
 	return w.Frames()
 }
 
-// decodeLines reads plaintext frames by the fake receiver, which shares no code with the writer.
+// decodeLines decodes plaintext frames with the parser of the fake receiver, which shares no code with the writer.
 func decodeLines(t *testing.T, frames [][]byte) []fakes.Point {
 	t.Helper()
 	var points []fakes.Point
@@ -44,13 +44,13 @@
 	return points
 }
 
-// decodeBatches reads pickled frames, and checks their lengths.
+// decodeBatches decodes pickled frames and checks their lengths.
 func decodeBatches(t *testing.T, frames [][]byte) []fakes.Point {
 	t.Helper()
 	var points []fakes.Point
 	for _, frame := range frames {
 		if int(binary.BigEndian.Uint32(frame)) != len(frame)-4 {
-			t.Fatal("the length is wrong")
+			t.Fatalf("length of a batch: got %d, want %d", binary.BigEndian.Uint32(frame), len(frame)-4)
 		}
 		batch, err := fakes.ParsePickle(frame[4:])
 		if err != nil {
@@ -61,7 +61,7 @@
 	return points
 }
 
-// The fake receiver reads back what was written, in both formats and both namings.
+// The parser of the fake receiver decodes what the writer encodes, in both formats and both namings.
 func TestFormats(t *testing.T) {
 	const hostile = "a.b;c=d e\nf\x00"
 	tests := []struct {
@@ -102,7 +102,7 @@
 		got := decodeLines(t, plaintext(points, "p.n1", naming, false))
 		got = append(got, decodeBatches(t, pickled(points, "p.n1", naming))...)
 		if len(got) != 2*len(tests) {
-			t.Fatalf("%d points of %d", len(got), 2*len(tests))
+			t.Fatalf("got %d points, want %d", len(got), 2*len(tests))
 		}
 		for i, point := range got {
 			test := tests[i%len(tests)]
@@ -111,13 +111,14 @@
 				want.Series = test.tagged
 			}
 			if point != want {
-				t.Errorf("%+v, want %+v", point, want)
+				t.Errorf("got %+v, want %+v", point, want)
 			}
 		}
 	}
 }
 
-// Five thousand points of different lengths are written for datagrams. Each frame fits into one and holds whole lines.
+// Five thousand points of different lengths are written for datagrams. Each frame fits into a datagram and contains
+// whole lines.
 func TestFrames(t *testing.T) {
 	var points []graphite.Point
 	for i := range 5000 {
@@ -128,10 +129,10 @@
 	for _, frame := range plaintext(points, "p", graphite.Dotted, true) {
 		lines += bytes.Count(frame, []byte("\n"))
 		if len(frame) > 1432 || frame[len(frame)-1] != '\n' {
-			t.Fatalf("a frame of %d bytes", len(frame))
+			t.Fatalf("frame of %d bytes, want at most 1432 and whole lines", len(frame))
 		}
 	}
 	if lines != len(points) {
-		t.Errorf("%d lines of %d", lines, len(points))
+		t.Errorf("got %d lines, want %d", lines, len(points))
 	}
 }
