--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -24,7 +24,7 @@
 	alarmTime = 5 * time.Second
 	// lastResort is added to the position of an unresponsive replica, in turns, so that the replica is used only
 	// if no other replica can serve. It is larger than any position. With a smaller value, a long-running broker
-	// would use unresponsive replicas in turn.
+	// would send requests to unresponsive replicas too.
 	lastResort = 1e12
 )
 
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -138,7 +138,7 @@
 
 // ReceiveGossip handles a message from a peer and drops data that is not a message. Reports of a single peer lower no
 // weight. Reports of all peers together lower weights by at most Options.MaxEjectedShare. A report that a replica
-// recovered only brings forward the replica's next trial.
+// recovered removes the reports against the replica and brings its next trial forward.
 func (b *Balancer) ReceiveGossip(now Time, from int, data []byte) {
 	if b.options.NoGossip || !isGossip(data) {
 		return
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -46,8 +46,8 @@
 	// slowRatio is the multiple of the shard's median latency above which a replica is slow. With a larger ratio,
 	// slow replicas keep their load. With a smaller ratio, load moves between equally fast replicas.
 	slowRatio = 1.25
-	// slowErrors is by how many standard errors a replica must exceed slowRatio. With a larger number, slow
-	// replicas are found late. With a smaller number, sound replicas are found slow by chance.
+	// slowErrors is the number of standard errors by which a replica must exceed slowRatio. With a larger number,
+	// slow replicas are found late. With a smaller number, sound replicas are found slow by chance.
 	slowErrors = 1.96
 	// minSlowFactor is the share of its weight that a slow replica keeps. With a larger share, more answers are
 	// late. With a smaller share, the replica's recovery is detected late.
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// reuseTime is the mean time between two requests of a broker to the same replica that the subset size aims
-	// at. With a longer time, connections time out between requests and must be reopened. With a shorter time, the
-	// requests of a broker are spread over fewer replicas.
+	// reuseTime is the target for the mean time between two requests of a broker to the same replica. With a longer
+	// time, connections time out between requests and must be reopened. With a shorter time, the requests of a
+	// broker are spread over fewer replicas.
 	reuseTime = 4 * time.Second
 	// doublingsMax bounds how often the subset is doubled for a high request rate. With a larger bound, a busy
 	// broker keeps more connections. With a smaller bound, its load is spread over fewer replicas.
 	doublingsMax = 4
-	// shrinkRatio is by what factor a subset must be too large before it is halved. With a larger ratio, a broker
-	// with few requests keeps idle connections. With a smaller ratio, the subset changes with each burst.
+	// shrinkRatio is the factor by which a subset must exceed the required size before it is halved. With a larger
+	// ratio, a broker with few requests keeps idle connections. With a smaller ratio, the subset changes with each
+	// burst.
 	shrinkRatio = 4
 	// subsetSteps is the number of steps in which brokersPerReplica changes while the number of replicas doubles.
 	// With more steps, replicas that join change the brokers of other replicas more often. With fewer steps,
--- a/internal/metricsexport/connection.go
+++ b/internal/metricsexport/connection.go
@@ -33,7 +33,7 @@
 			return
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetWriteBuffer(sendBuffer) // if this fails, the sink works, but is found dead later
+			_ = tcp.SetWriteBuffer(sendBuffer) // if this fails, a dead sink is detected later
 		}
 		s.connected(id, conn)
 	}()
--- a/internal/metricsexport/exporter_test.go
+++ b/internal/metricsexport/exporter_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if faults := append(carbon.Errors(), receiver.Errors()...); len(faults) > 0 {
-		t.Error(faults)
+		t.Errorf("faults that the receivers found: %q", faults)
 	}
 }
 
@@ -91,7 +91,7 @@
 	carbon.SetMode(fakes.Reading)
 	h.awaitSeries(carbon.PointStore, graphiteServed, 1)
 	if faults := carbon.Errors(); len(faults) > 0 {
-		t.Error(faults)
+		t.Errorf("faults that the receivers found: %q", faults)
 	}
 }
 
--- a/internal/metricsexport/sink.go
+++ b/internal/metricsexport/sink.go
@@ -40,7 +40,7 @@
 	// connectionID numbers the connections. Events of earlier connections are ignored.
 	connectionID int
 	conn         net.Conn           // nil without a connection
-	cancelDial   context.CancelFunc // of the last dial; nil before the first dial and after disconnect
+	cancelDial   context.CancelFunc // cancels the last dial; nil before the first dial and after disconnect
 }
 
 func newSink(t target, log *slog.Logger, alert func(collectd.Notification), seed uint64) *sink {
--- a/telemetry/histogram_test.go
+++ b/telemetry/histogram_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	if summary.Count != 20_000 {
-		t.Errorf("count of %+v: want 20000", summary)
+		t.Errorf("summary %+v, want a count of 20000", summary)
 	}
 	if NewSummarizer().Summarize(nil) != (Summary{}) {
 		t.Error("the summary of a nil histogram is not empty")
--- a/telemetry/observation.go
+++ b/telemetry/observation.go
@@ -42,14 +42,14 @@
 // new row gets a copy of the name.
 type Observation struct {
 	Kind           ObservationKind
-	RequestOutcome RequestOutcome // of RequestEnded
-	AttemptOutcome AttemptOutcome // of AttemptEnded
+	RequestOutcome RequestOutcome // set for RequestEnded
+	AttemptOutcome AttemptOutcome // set for AttemptEnded
 
 	Class, Plan, Volume string
-	Node                string // of the attempt, or of the request's last attempt; empty if there was none
+	Node                string // node of the attempt, or of the request's last attempt; empty without an attempt
 
 	Units         float64 // size of the request
-	TotalMicros   int64   // of RequestEnded: from arrival to the end
-	QueueMicros   int64   // of RequestEnded: from arrival to the first attempt, or to the end if there was none
-	AttemptMicros int64   // of AttemptEnded: from its start to its end
+	TotalMicros   int64   // for RequestEnded: time from arrival to the end
+	QueueMicros   int64   // for RequestEnded: time from arrival to the first attempt, or to the end without an attempt
+	AttemptMicros int64   // for AttemptEnded: time from the start of the attempt to its end
 }
--- a/telemetry/observe.go
+++ b/telemetry/observe.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// toMilliUnits converts units to thousandths. It keeps values that are NaN, negative or too large out of the sums.
+// toMilliUnits converts units to thousandths. To keep the sums exact, NaN and negative values count as 0, and values
+// above maxUnits count as maxUnits.
 func toMilliUnits(units float64) uint64 {
 	if !(units > 0) {
 		return 0
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -20,8 +20,9 @@
 	// owns one set. It adds 64 bytes to the buckets of each histogram, and 256 bytes for the row, its map entry and
 	// its slice headers.
 	rowBytes = 2*int(latencyCount)*(4*bucketCount+64) + 8*int(counterCount) + maxName + 256
-	// volumeShare reserves one in volumeShare of the rows shared by nodes and volumes for volumes. With a larger value,
-	// a large endpoint list leaves few rows for volumes. With a smaller value, nodes are missing from graphs sooner.
+	// volumeShare is the divisor that gives the number of rows reserved for volumes among the rows that nodes and
+	// volumes share. With a larger value, a large endpoint list leaves few rows for volumes. With a smaller value,
+	// nodes are missing from the graphs sooner.
 	volumeShare = 4
 )
 
@@ -30,7 +31,7 @@
 	name         string
 	counts       Counts
 	histograms   [latencyCount]*Histogram // nil if no time was counted since the last snapshot
-	hash         uint64                   // of a volume's name; 0 in other rows
+	hash         uint64                   // hash of a volume's name; 0 in other rows
 	decayedUnits float64                  // of a volume: units before the last snapshot, halved at each snapshot
 	newUnits     float64                  // of a volume: units since the last snapshot
 	age          int                      // snapshots since the row was created
--- a/telemetry/registry_test.go
+++ b/telemetry/registry_test.go
@@ -218,7 +218,7 @@
 		_, err := New(test.options)
 		var optionError *OptionError
 		if !errors.As(err, &optionError) || optionError.Option != test.option {
-			t.Errorf("options with a small %s: got error %v", test.option, err)
+			t.Errorf("got error %v, want an OptionError for %s", err, test.option)
 		}
 	}
 }
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -27,7 +27,7 @@
 type SinkStats struct {
 	State         SinkState
 	QueueBytes    int
-	Sent, Dropped uint64 // batches
+	Sent, Dropped uint64 // number of batches
 	Redials       uint64 // dials after a failure
 }
 
@@ -49,7 +49,7 @@
 	failed      bool   // a failure occurred since the last batch that was written completely
 	unavailable bool   // ReportUnavailable was emitted, without a ReportRecovered since
 	closing     bool   // Shutdown was received
-	deadline    Micros // of Shutdown
+	deadline    Micros // deadline of the Shutdown event
 	stats       SinkStats
 	effects     []SinkEffect
 }
@@ -68,7 +68,7 @@
 	return stats
 }
 
-// Next returns when the driver must call Reduce if no event occurs before. any is false if no such call is needed.
+// Next returns when the driver must call Reduce if no event occurs earlier. any is false if no such call is needed.
 func (s *Sink) Next() (at Micros, any bool) {
 	waiting := s.waiting()
 	if s.closing && s.state != Closed {
@@ -163,8 +163,8 @@
 	}
 }
 
-// pace begins a pause after a frame. The pause protects a sink that has just recovered from a flood: without it, the
-// queued batches of all brokers would arrive at once, and the sink would fail again.
+// pace begins a pause after a frame. The pause protects a sink that has just recovered: without it, the queued batches
+// of all brokers would arrive at once, and the sink would fail again.
 func (s *Sink) pace(now Micros, bytes int) {
 	if len(s.queue.batches) > 1 || s.options.PaceEveryBatch {
 		s.pacing = true
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -25,8 +25,8 @@
 }
 
 // A receiver is down at the start and comes up after six batches. The sink's queue has room for three of them. The
-// receiver gets these three in order and paced. The oldest batches are dropped as a whole and counted. Operators get one
-// report that the sink is unavailable and one report that it recovered.
+// receiver gets these three in order and paced. The oldest batches are dropped as a whole and counted. Operators get
+// one report that the sink is unavailable and one report that it recovered.
 func TestSinkDownAtStart(t *testing.T) {
 	r := newReceiver(t, SinkOptions{QueueBytes: 350, BytesPerSecond: 100})
 	failedDials := 0
--- a/telemetry/snapshot.go
+++ b/telemetry/snapshot.go
@@ -11,7 +11,7 @@
 	Name       string
 	Reserved   bool // Name is that of All, Other or None, not a name from the settings or a client
 	Counts     Counts
-	Histograms [latencyCount]*Histogram // of the interval; nil if no time was counted
+	Histograms [latencyCount]*Histogram // times of the interval; nil if no time was counted
 	Final      bool                     // the row is removed: from the next snapshot on, Other includes its counts
 }
 
--- a/telemetry/volumes.go
+++ b/telemetry/volumes.go
@@ -8,9 +8,9 @@
 
 // The constants that control which volumes have rows.
 const (
-	// replaceFactor is how many times heavier than a volume with a row another volume must be to replace it. With a
-	// larger factor, a volume that became busy stays in "other" for longer. With a smaller factor, two volumes of
-	// similar weight replace each other again and again.
+	// replaceFactor is the minimum ratio between the weight of a volume without a row and the weight of the volume
+	// that it replaces. With a larger factor, a volume that became busy stays in "other" for longer. With a smaller
+	// factor, two volumes of similar weight replace each other again and again.
 	replaceFactor = 1.5
 	// sketchFactor is the number of counters in the sketch for each shared row. More counters cost about 50 bytes each.
 	// With fewer counters, the sketch may miss a heavy volume among many light ones.
