--- a/internal/fleetharness/agreementchange_test.go
+++ b/internal/fleetharness/agreementchange_test.go
@@ -157,7 +157,7 @@
 
 // Discovery notifies one broker that a node drains: all stop to send there, though it lists the node as
 // serving to them. It is taken back when discovery does.
-func TestDrainKnownToOne(t *testing.T) {
+func TestDrainReportedToOneBroker(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	fleet.inject(t, ctx, Event{Kind: ViewContradicts, Brokers: []int{4}, Nodes: []int{1}})
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
--- a/internal/fleetharness/agreementcontrol_test.go
+++ b/internal/fleetharness/agreementcontrol_test.go
@@ -13,7 +13,7 @@
 // Control runs on machines set aside: brokers have no children, the voters take no clients. The leader dies in the
 // middle of a change: it is in force at all or at none, and the next one is in force at all. Requests go on all the
 // while.
-func TestControlDiesInAChange(t *testing.T) {
+func TestDedicatedLeaderKilledDuringChange(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{DedicatedVoters: true})
 	for b := voterCount; b < len(fleet.brokers); b++ {
 		s, err := fleet.agreementStatus(b)
@@ -26,8 +26,8 @@
 		defer close(proposed)
 		fleet.propose(t, 4, 1, limitKey, "2000")
 	}()
-	underWay := func(s agreement.Status) bool { return s.PendingVersion == 2 || s.Version >= 2 }
-	if _, err := fleet.AwaitStatus(ctx, 4, underWay); err != nil {
+	pendingOrActive := func(s agreement.Status) bool { return s.PendingVersion == 2 || s.Version >= 2 }
+	if _, err := fleet.AwaitStatus(ctx, 4, pendingOrActive); err != nil {
 		t.Fatal(err)
 	}
 	fleet.terminate(fleet.brokers[leader], syscall.SIGKILL)
@@ -61,7 +61,7 @@
 
 // All machines of control are gone: brokers serve on, restricted, and say so. When they are back, with nothing kept,
 // the brokers have what was in force again, and a change is in force at all.
-func TestControlIsGone(t *testing.T) {
+func TestAllDedicatedVotersKilled(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{DedicatedVoters: true})
 	if version, kind := fleet.propose(t, 3, 1, limitKey, "2000"); version != 2 {
 		t.Fatalf("%d, %q", version, kind)
--- a/internal/fleetharness/agreementfaults_test.go
+++ b/internal/fleetharness/agreementfaults_test.go
@@ -9,7 +9,7 @@
 
 // The leader is killed while a change is under way, held up by a follower that is stopped: the change comes into force,
 // once.
-func TestLeaderKilledInAChange(t *testing.T) {
+func TestLeaderKilledDuringChange(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	fleet.stop(t, 6)
 	proposed := make(chan string, 1)
@@ -17,8 +17,8 @@
 		_, kind := fleet.propose(t, 3, 1, repeatKey, "no")
 		proposed <- kind
 	}()
-	underWay := func(s agreement.Status) bool { return s.PendingVersion == 2 || s.Version == 2 }
-	if _, err := fleet.AwaitStatus(ctx, 4, underWay); err != nil {
+	pendingOrActive := func(s agreement.Status) bool { return s.PendingVersion == 2 || s.Version == 2 }
+	if _, err := fleet.AwaitStatus(ctx, 4, pendingOrActive); err != nil {
 		t.Fatal(err)
 	}
 	if err := fleet.RestartBrokers(ctx, leader); err != nil {
@@ -34,7 +34,7 @@
 }
 
 // The leader is stopped, another leads meanwhile, and it wakes: it neither grants nor acts by what it knew.
-func TestLeaderStoppedAndWoken(t *testing.T) {
+func TestLeaderStoppedAndResumed(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	fleet.stop(t, leader)
 	via := (leader + 1) % voterCount
--- a/internal/fleetharness/checker.go
+++ b/internal/fleetharness/checker.go
@@ -92,8 +92,8 @@
 
 // checkDrain checks that nothing goes to a node drainGrace after its broker was notified that it drains.
 func (f *Fleet) checkDrain(n *fakeNode, broker int, s *request, now time.Duration) {
-	told := f.discovery.drainNotified(n.name, broker)
-	if told > 0 && now-told > drainGrace+drainSlack {
+	notifiedAt := f.discovery.drainNotified(n.name, broker)
+	if notifiedAt > 0 && now-notifiedAt > drainGrace+drainSlack {
 		f.recorder.reportViolation(n.name+" was sent to after its drain", s)
 	}
 }
--- a/internal/fleetharness/checker_test.go
+++ b/internal/fleetharness/checker_test.go
@@ -12,8 +12,8 @@
 // The checker finds what it is there to find.
 func TestCheckerFindsViolations(t *testing.T) {
 	ended := &nodeConn{}
-	standing := &nodeConn{}
-	standing.Conn, _ = net.Pipe()
+	open := &nodeConn{}
+	open.Conn, _ = net.Pipe()
 	for i, c := range []struct {
 		rule string
 		do   func(r *recorder, s *request)
@@ -26,8 +26,8 @@
 			}
 		}},
 		{"two attempts out", func(r *recorder, s *request) {
-			r.attemptArrived(s.id, attempt{conn: standing})
-			r.attemptArrived(s.id, attempt{conn: standing, node: 1})
+			r.attemptArrived(s.id, attempt{conn: open})
+			r.attemptArrived(s.id, attempt{conn: open, node: 1})
 			time.Sleep(2 * attemptOverlap) // it is judged that late
 		}},
 		{"refusal for a write", func(r *recorder, s *request) {
@@ -119,7 +119,7 @@
 // A broker acted on a version as the fleet started, long before the traffic that the time axis begins with, and on the
 // next one in it. Once the time of the first was not moved along, and the broker seemed to have acted on it seconds
 // after others acted on the next.
-func TestLinesKeepTheirMoment(t *testing.T) {
+func TestMoveStartShiftsLogLines(t *testing.T) {
 	r := newRecorder(0)
 	r.startedAt -= 14 * time.Second
 	applied := func(process string, at time.Duration, version string) {
--- a/internal/fleetharness/discovery_test.go
+++ b/internal/fleetharness/discovery_test.go
@@ -105,7 +105,7 @@
 }
 
 // A node that joins is in the list that a broker asks for in full, whatever was asked before.
-func TestListHoldsWhoJoined(t *testing.T) {
+func TestFullListIncludesJoinedNode(t *testing.T) {
 	fleet := &Fleet{scenario: &Scenario{Node: NodeSpec{Zones: 1}}}
 	d := newDiscoveryState(fleet)
 	fleet.nodes = []*fakeNode{{name: "first"}}
--- a/internal/fleetharness/hollow_test.go
+++ b/internal/fleetharness/hollow_test.go
@@ -57,9 +57,9 @@
 	if err != nil || strings.Contains(text, "error") {
 		t.Fatalf("%s, %v", text, err)
 	}
-	inForce := func(now agreement.Status) bool { return now.Version > before.Version && !now.Restricted }
+	isActive := func(now agreement.Status) bool { return now.Version > before.Version && !now.Restricted }
 	for _, b := range at {
-		if _, err := fleet.AwaitStatus(ctx, b, inForce); err != nil {
+		if _, err := fleet.AwaitStatus(ctx, b, isActive); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleetharness/nodeevents.go
+++ b/internal/fleetharness/nodeevents.go
@@ -14,10 +14,10 @@
 		return func() { f.changeLinks(event, func(fault *linkFault) { fault.add(event, -1) }) }, nil
 	case NodeSlow:
 		f.eachNode(event, func(n *fakeNode) { n.setSpeed(event.Amount) })
-		return func() { f.eachNode(event, (*fakeNode).behave) }, nil
+		return func() { f.eachNode(event, (*fakeNode).restoreBehavior) }, nil
 	case NodeReportsIdle:
 		f.eachNode(event, func(n *fakeNode) { n.setReportsIdle(true) })
-		return func() { f.eachNode(event, (*fakeNode).behave) }, nil
+		return func() { f.eachNode(event, (*fakeNode).restoreBehavior) }, nil
 	case NodeReset:
 		f.eachNode(event, (*fakeNode).resetAll)
 	case NodeCrash:
@@ -73,8 +73,8 @@
 	}
 }
 
-// behave ends a node's slowness and its false reports.
-func (n *fakeNode) behave() {
+// restoreBehavior ends a node's slowness and its false reports.
+func (n *fakeNode) restoreBehavior() {
 	n.setSpeed(1)
 	n.setReportsIdle(false)
 }
--- a/internal/fleetharness/slowstart.go
+++ b/internal/fleetharness/slowstart.go
@@ -65,8 +65,8 @@
 	for _, arrival := range n.recentUnits {
 		sum += arrival.units
 	}
-	bearable := slowStartMultiple * n.currentSpeed(now) * n.nominalRate() * slowStartWindow.Seconds()
-	limit := max(slowStartMinUnits, bearable)
+	capacity := slowStartMultiple * n.currentSpeed(now) * n.nominalRate() * slowStartWindow.Seconds()
+	limit := max(slowStartMinUnits, capacity)
 	second := n.slowStartSecond(now)
 	if sum/limit >= second.fill() {
 		second.Units = sum
