--- a/internal/fleetharness/address.go
+++ b/internal/fleetharness/address.go
@@ -6,13 +6,13 @@
 	"os"
 )
 
-// The third byte of an address tells what stands there.
+// The third byte of an address identifies the kind of its owner.
 const (
-	brokerNet = 1   // brokers, from here on
-	relayNet  = 50  // relays in front of brokers
-	nodeNet   = 100 // nodes
+	brokerNet = 1   // first value for brokers
+	relayNet  = 50  // first value for the relays in front of brokers
+	nodeNet   = 100 // first value for nodes
 
-	hostsPerNet = 250 // used of each third byte; the fourth starts at firstHost
+	hostsPerNet = 250 // addresses used per third byte; the fourth byte starts at firstHost
 	firstHost   = 2
 )
 
@@ -25,8 +25,9 @@
 	nodePort      = 6379
 )
 
-// Blocks of addresses: a harness takes the first free one from a place that its process id tells, so that several run
-// beside each other. blockLockPort at the block's first address is held as long as the block is in use.
+// Bounds of address blocks. A harness takes the first free block from a position derived from its process id, so that
+// several harnesses can run concurrently. While a block is in use, the harness listens on blockLockPort of the first
+// address of the block.
 const (
 	firstBlock    = 20
 	blockSpread   = 200
@@ -34,7 +35,7 @@
 	blockLockPort = 6000
 )
 
-// acquireBlock takes a block of addresses of its own, which it holds until the listener is closed.
+// acquireBlock reserves a free block of addresses until the returned listener is closed.
 func acquireBlock() (block int, lock net.Listener, err error) {
 	for block = firstBlock + os.Getpid()%blockSpread; ; block++ {
 		lock, err = net.Listen("tcp4", fmt.Sprintf("127.%d.0.1:%d", block, blockLockPort))
@@ -47,14 +48,14 @@
 	}
 }
 
-// address is that of one of a kind: base is brokerNet, relayNet or nodeNet.
+// address returns the address of a broker, relay or node. base is brokerNet, relayNet or nodeNet.
 func (f *Fleet) address(base, number, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", f.block, base+number/hostsPerNet, number%hostsPerNet+firstHost, port)
 }
 
 func (f *Fleet) consoleAddress(broker int) string { return f.address(brokerNet, broker, consolePort) }
 
-// brokerAt tells which broker calls from an address, -1 for none.
+// brokerAt returns the number of the broker that uses an address, or -1 if the address does not belong to a broker.
 func (f *Fleet) brokerAt(address net.Addr) int {
 	host, _, err := net.SplitHostPort(address.String())
 	ip := net.ParseIP(host).To4()
--- a/internal/fleetharness/agreement.go
+++ b/internal/fleetharness/agreement.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// agreementCallTimeout bounds a call about the configuration: a proposal is answered once it is committed.
+	// agreementCallTimeout bounds a console call about the replicated configuration. The answer to a proposal comes
+	// only after the commit.
 	agreementCallTimeout = 10 * time.Second
-	// statusPollInterval is the time between two looks at a broker's status.
+	// statusPollInterval is the interval at which a broker's status is polled.
 	statusPollInterval = 20 * time.Millisecond
 	// roleLeader is the role of a leader in agreement.Status.
 	roleLeader = "leader"
-	// outcomeBrokerDown is what becomes of a proposal to a broker that does not answer.
+	// outcomeBrokerDown is the outcome of a proposal to a broker that does not answer.
 	outcomeBrokerDown = "broker down"
-	// consoleEnd ends an answer of the console.
+	// consoleEnd is the last line of an answer from the console.
 	consoleEnd = "\nEOT"
 )
 
-// errNoLeader is that of a replicated configuration that nobody leads in time.
-var errNoLeader = errors.New("nobody leads")
+// errNoLeader reports that no voter became leader before the timeout.
+var errNoLeader = errors.New("no voter became leader in time")
 
-// AgreementReport is what replicating the configuration came to in a run.
+// AgreementReport summarizes the replication of the configuration during a run.
 type AgreementReport struct {
 	Conflict
-	ProposalOutcomes map[string]int `json:"ends"`                // by the kind of error, "" for accepted
-	MeanBytesPerS    float64        `json:"bytes_a_second"`      // sent by a broker
-	MaxBytesPerS     float64        `json:"most_bytes_a_second"` // sent by the one that sent most
-	MemoryMB         float64        `json:"memory_mb"`           // resident, of a broker in the mean
+	ProposalOutcomes map[string]int `json:"ends"`                // by the kind of error; "" if accepted
+	MeanBytesPerS    float64        `json:"bytes_a_second"`      // mean over brokers of bytes sent
+	MaxBytesPerS     float64        `json:"most_bytes_a_second"` // bytes sent by the broker that sent most
+	MemoryMB         float64        `json:"memory_mb"`           // mean resident memory of a broker
 }
 
 func newAgreementReport(conflict Conflict, proposals map[string]int, costs []Cost) *AgreementReport {
@@ -49,8 +50,8 @@
 	return report
 }
 
-// AgreementCall makes a call about the configuration on a broker's console, and returns its answer without the last
-// line.
+// AgreementCall sends a command about the configuration to a broker's console and returns the answer without the end
+// marker.
 func (f *Fleet) AgreementCall(broker int, call string) (string, error) {
 	text, err := console.Call(f.consoleAddress(broker), "agree "+call, agreementCallTimeout)
 	return trimConsoleEnd(text), err
@@ -60,7 +61,7 @@
 	return strings.TrimSuffix(strings.TrimSpace(string(text)), consoleEnd)
 }
 
-// agreementStatus is what a broker says of its part in the replicated configuration.
+// agreementStatus returns a broker's status in the replication of the configuration.
 func (f *Fleet) agreementStatus(broker int) (status agreement.Status, err error) {
 	text, err := f.AgreementCall(broker, "status")
 	if err != nil {
@@ -70,7 +71,7 @@
 	return status, err
 }
 
-// AwaitStatus asks a broker for its status until it is as wanted.
+// AwaitStatus polls a broker's status until wanted returns true for it.
 func (f *Fleet) AwaitStatus(
 	ctx context.Context, broker int, wanted func(agreement.Status) bool,
 ) (agreement.Status, error) {
@@ -80,14 +81,14 @@
 			return status, nil
 		}
 		if ctx.Err() != nil {
-			return status, fmt.Errorf("%s is not as wanted: %+v: %w",
+			return status, fmt.Errorf("%s did not reach the expected status: %+v: %w",
 				brokerName(broker), status, errors.Join(ctx.Err(), err))
 		}
 		sleepFor(ctx, statusPollInterval)
 	}
 }
 
-// Leader is the number of the broker that leads, once one does and has a lease.
+// Leader waits until a voter is leader with a lease and returns its number.
 func (f *Fleet) Leader(ctx context.Context) (int, error) {
 	for ctx.Err() == nil {
 		for i := range f.scenario.Agreement.Voters {
@@ -104,7 +105,7 @@
 // repeatKey is the setting that proposals change: whether reads may be retried.
 const repeatKey = "class." + readClass + ".repeat"
 
-// propose proposes a change of one key at a broker, and returns the console's answer.
+// proposeChange proposes a change of one key at a broker and returns the console's answer.
 func (f *Fleet) proposeChange(broker int, expected uint64, author, reason, key, value string) (string, error) {
 	text, err := json.Marshal(clusterconfig.Proposal{
 		Expected: expected,
@@ -118,8 +119,8 @@
 	return f.AgreementCall(broker, "propose "+string(text))
 }
 
-// proposeChanges proposes a change at a random broker each Agreement.ChangeIntervalS until a time, and counts what
-// became of them.
+// proposeChanges proposes a change at a random broker every Agreement.ChangeIntervalS seconds until a given time. It
+// counts the proposals by outcome.
 func (f *Fleet) proposeChanges(ctx context.Context, until time.Duration) map[string]int {
 	outcomes := map[string]int{}
 	random := rand.New(rand.NewPCG(f.scenario.Seed, proposalStream))
@@ -137,7 +138,8 @@
 	return outcomes
 }
 
-// proposeToggle proposes the other value of repeatKey at a broker, and returns the kind of its error, "" for accepted.
+// proposeToggle proposes to toggle repeatKey at a broker. It returns the kind of the error, "" if the change was
+// accepted.
 func (f *Fleet) proposeToggle(broker, number int) string {
 	if f.brokers[broker].isDown() {
 		return outcomeBrokerDown
--- a/internal/fleetharness/agreementcontrol_test.go
+++ b/internal/fleetharness/agreementcontrol_test.go
@@ -10,9 +10,9 @@
 	"junctionwharf/internal/agreement"
 )
 
-// Control runs on machines set aside: brokers have no children, the voters take no clients. The leader dies in the
-// middle of a change: it is in force at all or at none, and the next one is in force at all. Requests go on all the
-// while.
+// The voters are control processes without clients, and brokers have no children. The leader is killed during a change.
+// The change becomes active at all brokers or at none, the next change becomes active at all, and requests are served
+// throughout.
 func TestDedicatedLeaderKilledDuringChange(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{DedicatedVoters: true})
 	for b := voterCount; b < len(fleet.brokers); b++ {
@@ -43,7 +43,7 @@
 	fleet.expectServed(t, 10, false)
 }
 
-// proposeUntilAccepted proposes a limit at a broker until it is accepted, and returns its version.
+// proposeUntilAccepted proposes a limit at a broker until a proposal is accepted, and returns the accepted version.
 func proposeUntilAccepted(t *testing.T, ctx context.Context, fleet *Fleet, broker int, limit string) uint64 {
 	t.Helper()
 	for ctx.Err() == nil {
@@ -55,16 +55,17 @@
 			return version
 		}
 	}
-	t.Fatal("no change was accepted")
+	t.Fatal("no proposal was accepted in time")
 	return 0
 }
 
-// All machines of control are gone: brokers serve on, restricted, and say so. When they are back, with nothing kept,
-// the brokers have what was in force again, and a change is in force at all.
+// All control processes are killed. The brokers continue to serve and report that they are restricted. After the
+// control processes restart without stored state, the brokers act on the last active version again, and a new change
+// becomes active at all brokers.
 func TestAllDedicatedVotersKilled(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{DedicatedVoters: true})
 	if version, kind := fleet.propose(t, 3, 1, limitKey, "2000"); version != 2 {
-		t.Fatalf("%d, %q", version, kind)
+		t.Fatalf("first proposal: version %d, error kind %q", version, kind)
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 	voters := fleet.brokers[:voterCount]
@@ -74,7 +75,7 @@
 	fleet.awaitAll(t, ctx, restricted, 0, 1, 2)
 	fleet.expectServed(t, 20, false)
 	if version, _ := fleet.propose(t, 3, 2, limitKey, "3000"); version > 0 {
-		t.Error("a change was accepted by nobody")
+		t.Error("a proposal was accepted without voters")
 	}
 	for _, b := range voters {
 		if err := fleet.startBroker(b, fleet.discovery.currentList()); err != nil {
@@ -89,7 +90,7 @@
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 	if text, err := fleet.AgreementCall(4, "export"); err != nil || !strings.Contains(text, "2000") {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("the export lacks the limit 2000: %s, %v", text, err)
 	}
 	s, err := fleet.agreementStatus(4)
 	if err != nil {
@@ -97,7 +98,7 @@
 	}
 	version, kind := fleet.propose(t, 4, s.Version, limitKey, "3000")
 	if version <= s.Version {
-		t.Fatalf("version %d, %q", version, kind)
+		t.Fatalf("proposal after the restart: version %d, error kind %q", version, kind)
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(version))
 	fleet.expectServed(t, 10, false)
--- a/internal/fleetharness/agreementfaults_test.go
+++ b/internal/fleetharness/agreementfaults_test.go
@@ -7,8 +7,7 @@
 	"junctionwharf/internal/agreement"
 )
 
-// The leader is killed while a change is under way, held up by a follower that is stopped: the change comes into force,
-// once.
+// The leader is killed while a change is pending because a follower is stopped. The change becomes active exactly once.
 func TestLeaderKilledDuringChange(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	fleet.stop(t, 6)
@@ -28,12 +27,13 @@
 	fleet.resume(t, 6)
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 	if kind := <-proposed; kind != "" && kind != kindUnknown {
-		t.Errorf("its proposer got %q", kind)
+		t.Errorf("the proposer received error kind %q", kind)
 	}
 	fleet.expectServed(t, 5, false)
 }
 
-// The leader is stopped, another leads meanwhile, and it wakes: it neither grants nor acts by what it knew.
+// The leader is stopped and another voter becomes leader. After it resumes, the old leader neither grants leases nor
+// acts on its old version.
 func TestLeaderStoppedAndResumed(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	fleet.stop(t, leader)
@@ -41,20 +41,20 @@
 	version, kind := fleet.propose(t, via, 1, repeatKey, "no")
 	for kind == kindNoLeader || kind == kindUnknown {
 		if ctx.Err() != nil {
-			t.Fatal("nobody leads without it")
+			t.Fatal("no voter became leader while the leader was stopped")
 		}
 		version, kind = fleet.propose(t, via, 1, repeatKey, "no")
 	}
-	if version != 2 && kind != kindExpected { // an earlier one may have come into force, though nobody said so
-		t.Fatalf("version %d, %q", version, kind)
+	if version != 2 && kind != kindExpected { // an earlier proposal may have been committed without an answer
+		t.Fatalf("proposal at another voter: version %d, error kind %q", version, kind)
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(2), leader)
 	fleet.resume(t, leader)
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 }
 
-// A follower is cut off during a change: it is restricted in time, serves on, and catches up. So it does when its links
-// carry one way only: of the three partitions that hold to begin with, the last to end are one way only.
+// A follower is partitioned during a change. It becomes restricted in time, continues to serve, and catches up after
+// the partition. Three partitions are active at first. The last two to end block only one direction each.
 func TestFollowerCutOff(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	healBoth := fleet.Partition(true, true, 5)
@@ -63,7 +63,7 @@
 	fleet.expectProposed(t, 3, 1, limitKey, "1500")
 	status, err := fleet.AwaitStatus(ctx, 5, restricted)
 	if err != nil || status.Version != 1 {
-		t.Fatalf("%+v, %v", status, err)
+		t.Fatalf("status of the partitioned follower: %+v, %v", status, err)
 	}
 	fleet.expectServed(t, 10, false)
 	fleet.expectServed(t, 5, true)
@@ -73,7 +73,8 @@
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 }
 
-// A majority is lost: changes stop, service goes on, restricted; once it is back, so are changes.
+// Two of three voters are partitioned. No change is accepted, and all brokers serve requests while restricted. Changes
+// are accepted again after the partitions end.
 func TestMajorityLost(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	healFirst := fleet.Partition(true, true, (leader+1)%voterCount)
@@ -87,15 +88,15 @@
 	version, kind := uint64(0), ""
 	for version != 2 {
 		if ctx.Err() != nil {
-			t.Fatalf("no change: %q", kind)
+			t.Fatalf("no proposal was accepted in time: error kind %q", kind)
 		}
 		version, kind = fleet.propose(t, 4, 1, limitKey, "1500")
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 }
 
-// All brokers are restarted at once. With disks the document is what it was; without, the voters form anew and begin
-// with their settings; a follower that was not restarted keeps the document for them.
+// All brokers are restarted at once. With disks, the document is unchanged. Without disks, the voters bootstrap again
+// from their settings. If a follower was not restarted, the voters recover the document from the follower.
 func TestAllRestarted(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5, 6}
 	for name, c := range map[string]struct {
@@ -129,12 +130,13 @@
 	})
 	fleet.expectServed(t, 5, false)
 	if version, kind := fleet.propose(t, 6, want, limitKey, "1500"); version != want+1 {
-		t.Errorf("version %d, %q", version, kind)
+		t.Errorf("proposal after the restart: version %d, error kind %q", version, kind)
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(want+1))
 }
 
-// A voter without a disk is restarted: it is taken in as another, and the two others may then be lost one by one.
+// A voter without a disk is restarted and joins as a new member. Then the two other voters can be lost one after the
+// other.
 func TestVotersReplacedOneByOne(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	for voter := range voterCount {
@@ -151,13 +153,13 @@
 		made, kind := uint64(0), ""
 		for made != version+1 && kind != kindExpected {
 			if ctx.Err() != nil {
-				t.Fatalf("no change: %q", kind)
+				t.Fatalf("no proposal was accepted in time: error kind %q", kind)
 			}
 			made, kind = fleet.propose(t, 5, version, limitKey, fmt.Sprint(1000+voter))
 		}
 		fleet.awaitAll(t, ctx, versionAtLeast(version+1))
 	}
 	if n := len(fleet.LogLines(agreement.LogBootstrapped)); n != voterCount {
-		t.Errorf("%d voters formed, %d did at the start", n, voterCount)
+		t.Errorf("%d voters bootstrapped, want only the %d at the start", n, voterCount)
 	}
 }
--- a/internal/fleetharness/agreementharness_test.go
+++ b/internal/fleetharness/agreementharness_test.go
@@ -10,22 +10,22 @@
 	"junctionwharf/internal/agreement"
 )
 
-// conflictBound is how long a broker may act on what contradicts a version that another acts on: the bound that these
-// tests set.
+// conflictBound is the bound that these tests configure: how long a broker may act on a version after another broker
+// has acted on a contradicting version.
 const conflictBound = time.Second
 
-// The key that these tests change, the kinds of errors in answers to a proposal, and how many brokers vote.
+// The key that the tests change, error kinds in answers to proposals, and the number of voters.
 const (
 	limitKey     = "plan.basico.limit"
-	kindExpected = "expected" // another version is in force than the one expected
-	kindUnknown  = "unknown"  // the broker ended before it answered
+	kindExpected = "expected" // the active version differs from the expected one
+	kindUnknown  = "unknown"  // the broker exited before it answered
 	kindNoLeader = "none"
 	kindInvalid  = "invalid"
 	voterCount   = 3
 )
 
-// startAgreeing starts 3 voters and 4 followers, waits until all act on the first version, and checks at the end that
-// nobody ever acted on what contradicts a version that another acted on, for longer than the bound.
+// startAgreeing starts 3 voters and 4 followers and waits until all act on the first version. When the test ends, it
+// checks that no broker acted on a contradicting version for longer than conflictBound.
 func startAgreeing(t *testing.T, a Agreement) (*Fleet, context.Context, int) {
 	t.Helper()
 	a.Voters = voterCount
@@ -48,14 +48,14 @@
 	t.Cleanup(func() {
 		c := fleet.LongestConflict()
 		if c.LongestUS > conflictBound.Microseconds() || c.Versions == 0 || c.Spans < 2*len(fleet.brokers) {
-			t.Errorf("%+v", c)
+			t.Errorf("longest conflict above %v, or too few versions or views: %+v", conflictBound, c)
 		}
 		t.Logf("%d versions, longest conflict %d us", c.Versions, c.LongestUS)
 	})
 	return fleet, ctx, leader
 }
 
-// propose proposes a change of one key, and returns the version that it made or the kind of its error.
+// propose proposes a change of one key, and returns the resulting version or the kind of the error.
 func (f *Fleet) propose(t *testing.T, broker int, expected uint64, key, value string) (version uint64, kind string) {
 	t.Helper()
 	text, err := f.proposeChange(broker, expected, "operator", "test", key, value)
@@ -72,16 +72,16 @@
 	return answer.Version, answer.Kind
 }
 
-// expectProposed proposes a change that must be accepted as the version after the expected one.
+// expectProposed proposes a change and expects it to be accepted with the version that follows the expected one.
 func (f *Fleet) expectProposed(t *testing.T, broker int, expected uint64, key, value string) {
 	t.Helper()
 	version, kind := f.propose(t, broker, expected, key, value)
 	if version != expected+1 || kind != "" {
-		t.Fatalf("version %d, %q", version, kind)
+		t.Fatalf("proposal that expects version %d: version %d, error kind %q", expected, version, kind)
 	}
 }
 
-// stop stops a broker's process until resume.
+// stop stops a broker's process with SIGSTOP until resume is called.
 func (f *Fleet) stop(t *testing.T, broker int) {
 	t.Helper()
 	if err := f.Signal(broker, syscall.SIGSTOP); err != nil {
@@ -98,5 +98,5 @@
 	f.brokers[broker].setDown(false)
 }
 
-// restricted wants no lease.
+// restricted reports whether a broker has no lease.
 func restricted(s agreement.Status) bool { return s.Restricted }
--- a/internal/fleetharness/balance.go
+++ b/internal/fleetharness/balance.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// balanceWindowS is over how long load is looked at for being balanced, in seconds. Shorter, chance alone makes it
-	// uneven; longer, the time until it is balanced is too coarse.
+	// balanceWindowS is the length of the window in which load is checked for balance, in seconds. In a shorter window,
+	// chance alone makes the load uneven. A longer window makes the measured time until balance too coarse.
 	balanceWindowS = 2.0
-	// balanceStepS is the time between two such looks, in seconds.
+	// balanceStepS is the time between the starts of consecutive windows, in seconds.
 	balanceStepS = 0.25
-	// minHitShare is the part of the mean that nodes which an event hit must get again.
+	// minHitShare is the fraction of the mean load that the nodes affected by an event must receive again.
 	minHitShare = 0.8
-	// maxOverRandom is how many times more than with random placement the fullest node may get.
+	// maxOverRandom bounds the load of the busiest node as a multiple of its load under random placement.
 	maxOverRandom = 1.2
-	// randomDraws is how often a phase is placed at random for the comparison: a worst second of one draw scatters by a
-	// tenth.
+	// randomDraws is the number of random placements of a phase to compare with. The worst second of a single placement
+	// varies by a tenth.
 	randomDraws = 41
 )
 
-// balancedAfter is how long after an event's end load is balanced again, in seconds: the nodes that it hit get
-// minHitShare of the mean or more, and the fullest no more than maxOverRandom times what random placement gives it. It
-// is -1 for not within the run.
+// balancedAfter returns the time from an event's end until load is balanced again, in seconds. Load is balanced when
+// the affected nodes receive at least minHitShare of the mean load and the busiest node at most maxOverRandom times its
+// load under random placement. The result is -1 if load does not become balanced within the run.
 func (f *Fleet) balancedAfter(event Event) float64 {
 	if event.DurationS == 0 {
 		return 0
@@ -36,7 +36,8 @@
 	return -1
 }
 
-// isBalanced reports whether load is balanced in the window from a time on, after an event that hit some nodes.
+// isBalanced reports whether load is balanced in the window that starts at from. hitNodes are the nodes that the event
+// affected.
 func (f *Fleet) isBalanced(from float64, hitNodes []int) bool {
 	f.recorder.mu.Lock()
 	counts := f.attemptsBetween(from, from+balanceWindowS)
@@ -60,8 +61,8 @@
 	return len(hitNodes) == 0 || float64(hit) >= minHitShare*mean*float64(len(hitNodes))
 }
 
-// randomWorstSecond is the median over draws of a phase's worst second, had each request gone to a random node of those
-// that no event kept from serving for any of that second.
+// randomWorstSecond returns the median, over random placements, of the worst second of a phase. A placement assigns
+// each request to a random node among those that no event kept from serving in any part of that second.
 func (f *Fleet) randomWorstSecond(from float64, bySecond [][]int) float64 {
 	random := rand.New(rand.NewPCG(f.scenario.Seed, randomLoadStream))
 	worst := make([]float64, randomDraws)
@@ -75,7 +76,8 @@
 	return worst[randomDraws/2]
 }
 
-// usableNodes are the indexes of nodes that serve all brokers through a stretch of the run, or of all if there is none.
+// usableNodes returns the indexes of the nodes that serve all brokers throughout an interval, or of all nodes if there
+// are no such nodes.
 func (f *Fleet) usableNodes(from, to float64) []int {
 	startedAt := f.recorder.start()
 	var indexes []int
@@ -91,7 +93,7 @@
 	return indexes
 }
 
-// keepsOut reports whether an event keeps a node from serving any broker for some of a stretch.
+// keepsOut reports whether an event keeps a node from serving all brokers in any part of an interval.
 func (s *Scenario) keepsOut(node int, from, to float64) bool {
 	return slices.ContainsFunc(s.Events, func(event Event) bool {
 		end := event.AtS + event.DurationS
@@ -102,13 +104,13 @@
 	})
 }
 
-// keepsOut reports whether an event keeps its nodes from serving any broker.
+// keepsOut reports whether an event keeps its nodes from serving all brokers.
 func (e Event) keepsOut() bool {
 	unusable := []EventKind{NodeSilent, NodeAnswersLost, NodeCrash, NodeDrain}
 	return slices.Contains(unusable, e.Kind) && len(e.Brokers) == 0
 }
 
-// allNodes are the indexes of all nodes.
+// allNodes returns the indexes of all nodes.
 func (f *Fleet) allNodes() []int {
 	indexes := make([]int, len(f.nodes))
 	for i := range indexes {
@@ -117,7 +119,7 @@
 	return indexes
 }
 
-// randomMaxOverMean is what maxOverMean would be, had each of these requests gone to a random one of some nodes.
+// randomMaxOverMean returns maxOverMean for a placement of the counted requests on random nodes among indexes.
 func randomMaxOverMean(random *rand.Rand, counts, indexes []int) float64 {
 	drawn := make([]int, len(counts))
 	for _, count := range counts {
@@ -129,7 +131,7 @@
 	return ratio
 }
 
-// maxOverMean is the largest count over the mean, and how many are 0.
+// maxOverMean returns the largest count divided by the mean, and the number of counts that are 0.
 func maxOverMean(counts []int) (ratio float64, idle int) {
 	sum, largest := 0, 0
 	for _, count := range counts {
--- a/internal/fleetharness/brokerconfig.go
+++ b/internal/fleetharness/brokerconfig.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Deadlines of the two classes of requests, as brokers and clients know them.
+// Classes, plan and deadlines of requests, for brokers and clients alike.
 const (
 	readClass     = "lesson-read"
 	writeClass    = "record-write"
@@ -27,16 +27,16 @@
 	writeObjective = 200 * time.Millisecond
 )
 
-// Limits of a broker's process, as its configuration says.
+// Limits of a broker process, as written to its configuration.
 const (
 	brokerCores   = 1
 	brokerSockets = 256
 )
 
-// defaultPlans are the service levels where the scenario has none.
+// defaultPlans holds the service levels for scenarios that do not define any.
 const defaultPlans = `[{"name":"basico","nominal":1000,"floorRate":500,"parts":1,"price":1}]`
 
-// brokerConfig is a broker's configuration file, in its wire form.
+// brokerConfig is the wire form of a broker's configuration file.
 type brokerConfig struct {
 	Name         string          `json:"name"`
 	Listen       string          `json:"listen"`
@@ -46,7 +46,7 @@
 	Seed         string          `json:"seed"`
 	Limits       processLimits   `json:"limits"`
 	Settings     brokerSettings  `json:"settings"`
-	Known        json.RawMessage `json:"known,omitempty"` // the endpoint list that the broker held before
+	Known        json.RawMessage `json:"known,omitempty"` // endpoint list that the broker had before a restart
 	PeerListen   string          `json:"peer_listen,omitempty"`
 	Peers        []string        `json:"peers,omitempty"`
 }
@@ -57,7 +57,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// brokerSettings are a broker's settings, in their wire form. Times are µs.
+// brokerSettings is the wire form of a broker's settings. Times are in µs.
 type brokerSettings struct {
 	Capabilities  capabilities    `json:"bounds"`
 	Classes       []requestClass  `json:"classes"`
@@ -113,7 +113,7 @@
 	IdleWeight        float64 `json:"idleWorth"`
 }
 
-// requestClasses are those of the traffic: reads are idempotent, writes are not.
+// requestClasses returns the classes of the traffic. Reads are idempotent, writes are not.
 func requestClasses() []requestClass {
 	return []requestClass{
 		{
@@ -135,7 +135,7 @@
 	}
 }
 
-// settings are those of a broker; ordinal and zone differ among brokers.
+// settings returns the settings of a broker. Only the ordinal and the zone differ between brokers.
 func (f *Fleet) settings(number int) brokerSettings {
 	s := f.scenario
 	zones := make([]string, s.Node.Zones)
@@ -178,8 +178,8 @@
 	}
 }
 
-// configure writes a broker's files; known is the endpoint list that it held before, nil for none. It returns the
-// configuration, and the path of a site file, empty where there is none.
+// configure writes a broker's files. known is the endpoint list that the broker had before a restart, or nil. It
+// returns the configuration and the path of the site file, which is empty if there is no site file.
 func (f *Fleet) configure(b *broker, known json.RawMessage) (text []byte, sitePath string, err error) {
 	config := brokerConfig{
 		Name:         brokerName(b.number),
@@ -216,12 +216,12 @@
 	return text, sitePath, err
 }
 
-// isDedicatedVoter reports whether a broker is a control process.
+// isDedicatedVoter reports whether a broker runs as a control process.
 func (f *Fleet) isDedicatedVoter(number int) bool {
 	return f.scenario.Agreement.DedicatedVoters && number < f.scenario.Agreement.Voters
 }
 
-// agreementTOML is the site file's part about the replicated configuration. Others reach a broker through its relay.
+// agreementTOML returns the agreement tables of the site file. Other brokers connect to a broker through its relay.
 func (f *Fleet) agreementTOML(number int, home string) string {
 	a := f.scenario.Agreement
 	if a.Voters == 0 {
@@ -240,7 +240,7 @@
 	}
 	if a.Persistent && number < a.Voters {
 		dir := filepath.Join(home, "state")
-		_ = os.MkdirAll(dir, 0o700) // the broker's start names a directory that is not there
+		_ = os.MkdirAll(dir, 0o700) // the broker does not start if the directory is missing
 		_, _ = fmt.Fprintf(&b, "dir = %q\n", dir)
 	}
 	b.WriteString("members = [")
@@ -254,8 +254,8 @@
 	return b.String()
 }
 
-// maxChildren is how many children a broker may have in the tree, 0 for the daemon's own bound. Dedicated voters have
-// all others as their children, also with two of the voters gone.
+// maxChildren returns the maximum number of children of a broker in the tree, 0 for the daemon's default. Dedicated
+// voters must be able to accept all other brokers as children even when two voters have failed.
 func (f *Fleet) maxChildren() int {
 	a := f.scenario.Agreement
 	if a.MaxChildren == 0 && a.DedicatedVoters {
--- a/internal/fleetharness/brokerevents.go
+++ b/internal/fleetharness/brokerevents.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// applyBrokerEvent carries out an event of brokers, all of them at once, to its end.
+// applyBrokerEvent applies an event to all its brokers concurrently and waits until the event is over.
 func (f *Fleet) applyBrokerEvent(ctx context.Context, event Event) error {
 	if event.Kind.ofAgreement() {
 		f.partitionFor(ctx, event)
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// partitionFor keeps the links over which the configuration is replicated from carrying.
+// partitionFor blocks the links over which the configuration is replicated for the event's duration.
 func (f *Fleet) partitionFor(ctx context.Context, event Event) {
 	dropsSent := event.Kind != AgreementDeaf
 	dropsReceived := event.Kind != AgreementMute
@@ -53,8 +53,8 @@
 	}
 }
 
-// endAndRestart ends a broker, and starts it again after the event's duration, if there is one. known is the endpoint
-// list that it held.
+// endAndRestart terminates a broker and restarts it after the event's duration, if the event has one. known is the
+// endpoint list that the broker had.
 func (f *Fleet) endAndRestart(
 	ctx context.Context, b *broker, event Event, signal syscall.Signal, known json.RawMessage,
 ) error {
@@ -87,12 +87,12 @@
 	return err
 }
 
-// stopFor stops a broker's process for the event's duration. Of a long stop clients give up before its end, so what
-// they sent is excused at both ends.
+// stopFor stops a broker's process for the event's duration. During a long stop clients give up before the process
+// resumes, so the broker's pending requests are excused both when it is stopped and when it resumes.
 func (f *Fleet) stopFor(ctx context.Context, b *broker, event Event) {
 	process, _ := b.process()
 	b.setDown(true)
-	_ = process.Signal(syscall.SIGSTOP) // fails for one that has ended
+	_ = process.Signal(syscall.SIGSTOP) // fails if the process has exited
 	f.recorder.excuse(b.number)
 	sleepFor(ctx, seconds(event.DurationS))
 	f.recorder.excuse(b.number)
@@ -100,7 +100,7 @@
 	b.setDown(false)
 }
 
-// faultFor sets a fault of a broker's links or view for the event's duration, or to the end.
+// faultFor sets a fault of a broker's links or discovery view for the event's duration or until the end of the run.
 func (f *Fleet) faultFor(ctx context.Context, b *broker, event Event) {
 	f.setBrokerFault(b, event)
 	if event.DurationS > 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// setBrokerFault sets a fault of a broker's links or view.
+// setBrokerFault sets a fault of a broker's links or discovery view.
 func (f *Fleet) setBrokerFault(b *broker, event Event) {
 	quality := linkQuality{delay: milliseconds(event.DelayMS), jitter: milliseconds(event.JitterMS)}
 	switch event.Kind {
@@ -133,7 +133,7 @@
 	}
 }
 
-// clearBrokerFault ends what setBrokerFault has set.
+// clearBrokerFault clears a fault that setBrokerFault set.
 func (f *Fleet) clearBrokerFault(b *broker, kind EventKind) {
 	switch kind {
 	case BrokerDeaf:
@@ -145,14 +145,14 @@
 	}
 }
 
-// changeLinks changes the quality of a broker's links.
+// changeLinks calls change, which modifies the quality of the broker's links, with b.mu held.
 func (b *broker) changeLinks(change func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change()
 }
 
-// viewOf is what is wrong with a broker's view of discovery while an event lasts.
+// viewOf returns the faults of a broker's discovery view during an event.
 func (f *Fleet) viewOf(event Event) discoveryView {
 	view := discoveryView{
 		stale:       event.Kind == ViewStale,
--- a/internal/fleetharness/checker.go
+++ b/internal/fleetharness/checker.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// attemptOverlap is how long the end of a connection may be on its way behind what was written after it: the kernel
-	// hands packets of two connections to two processors, and on a machine full of processes one of them is late. This
-	// process may be late too, and read an attempt that was cancelled behind the one that followed it. So two attempts
-	// count as out at once only if both connections still stand after this span. Shorter, a busy machine shows
-	// violations that no broker made; longer, a short overlap stays unseen.
+	// attemptOverlap is how long two attempts of one request must both be open to count as concurrent. The kernel
+	// delivers packets of two connections on two processors, so on a busy machine the end of one connection may arrive
+	// later than data that was written afterwards on another. This process may also read a canceled attempt after the
+	// attempt that followed it. A shorter value reports violations on a busy machine that no broker caused. A longer
+	// value misses short overlaps.
 	attemptOverlap = 50 * time.Millisecond
-	// maxAnswerDelay is how late an answer may come on a machine that hundreds of processes share. The protocol allows
-	// less; the report counts what is late by it.
+	// maxAnswerDelay is how long after the deadline an answer may arrive on a machine that hundreds of processes share.
+	// The protocol allows less; the report counts answers that are late by the protocol.
 	maxAnswerDelay = 500 * time.Millisecond
-	// drainGrace is for how long a broker may send to a node after it was notified that the node drains.
+	// drainGrace is how long a broker may send to a node after discovery reported to the broker that the node is
+	// draining.
 	drainGrace = 2 * time.Second
-	// drainSlack is how long a request may be on its way from the broker's decision to the node's reading of it.
+	// drainSlack is the allowed time from a broker's decision to send a request until the node has read the request.
 	drainSlack = 50 * time.Millisecond
 )
 
-// Violation is a broken rule.
+// Violation describes a broken rule.
 type Violation struct {
 	Rule  string `json:"rule"`
 	At    string `json:"at"`
 	Trace string `json:"story"`
 }
 
-// addViolation records a broken rule, with the request's trace unless it is nil; r.mu is held.
+// addViolation records a broken rule, with the trace of s unless s is nil. The caller must hold r.mu.
 func (r *recorder) addViolation(rule string, s *request) {
 	if len(r.violations) >= maxViolations {
 		return
@@ -41,22 +42,22 @@
 	r.violations = append(r.violations, v)
 }
 
-// reportViolation is addViolation for those who do not hold r.mu.
+// reportViolation is like addViolation, but acquires r.mu.
 func (r *recorder) reportViolation(rule string, s *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addViolation(rule, s)
 }
 
-// violationsSoFar returns what was broken up to now, nil for nothing.
+// violationsSoFar returns the violations recorded so far, nil if there are none.
 func (r *recorder) violationsSoFar() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.violations)
 }
 
-// attemptArrived records a complete request at a node, and checks that no other attempt of it is out, and that none
-// ran which must not run twice. It returns nil for a request that no client sent.
+// attemptArrived records that a node has read a complete request. It checks that no other attempt of the request is
+// open, and that a request that is not idempotent has not run before. It returns nil for a request that no client sent.
 func (r *recorder) attemptArrived(id string, a attempt) *request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +80,7 @@
 	return s
 }
 
-// checkOverlap records a violation if both connections still stand after attemptOverlap.
+// checkOverlap records a violation if both connections are still open after attemptOverlap.
 func (r *recorder) checkOverlap(s *request, first, second *nodeConn) {
 	time.AfterFunc(attemptOverlap, func() {
 		r.mu.Lock()
@@ -90,7 +91,7 @@
 	})
 }
 
-// checkDrain checks that nothing goes to a node drainGrace after its broker was notified that it drains.
+// checkDrain records a violation if a broker sends to a node more than drainGrace after it was notified of the drain.
 func (f *Fleet) checkDrain(n *fakeNode, broker int, s *request, now time.Duration) {
 	notifiedAt := f.discovery.drainNotified(n.name, broker)
 	if notifiedAt > 0 && now-notifiedAt > drainGrace+drainSlack {
@@ -98,7 +99,7 @@
 	}
 }
 
-// checkAtEnd checks what is known only once all requests have ended.
+// checkAtEnd checks the rules that can be judged only after all requests have ended.
 func (r *recorder) checkAtEnd() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleetharness/checker_test.go
+++ b/internal/fleetharness/checker_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The checker finds what it is there to find.
+// The checker finds a violation of each rule.
 func TestCheckerFindsViolations(t *testing.T) {
 	ended := &nodeConn{}
 	open := &nodeConn{}
@@ -28,7 +28,7 @@
 		{"two attempts out", func(r *recorder, s *request) {
 			r.attemptArrived(s.id, attempt{conn: open})
 			r.attemptArrived(s.id, attempt{conn: open, node: 1})
-			time.Sleep(2 * attemptOverlap) // it is judged that late
+			time.Sleep(2 * attemptOverlap) // the overlap is judged after attemptOverlap
 		}},
 		{"refusal for a write", func(r *recorder, s *request) {
 			s.write = true
@@ -54,13 +54,13 @@
 				return strings.Contains(v.Rule, c.rule) && strings.Contains(v.Trace, "seed 3")
 			})
 			if !found {
-				t.Errorf("%v", violations)
+				t.Errorf("violations found: %v", violations)
 			}
 		})
 	}
 }
 
-// viewApplied is the line of a broker that came to act on a view.
+// viewApplied returns the log line of a broker that begins to act on a view.
 func viewApplied(process string, at time.Duration, attributes map[string]string) LogLine {
 	all := map[string]string{"epoch": "7"}
 	for key, value := range attributes {
@@ -69,8 +69,8 @@
 	return LogLine{At: at, Process: process, Message: logViewApplied, Attributes: all}
 }
 
-// The checker finds a broker that acts on the old version once another acts on the new one, and excuses one that was
-// stopped, or restricted, or had prepared.
+// The checker finds a broker that acts on an old version after another broker acted on the new version. It does not
+// report a broker that was stopped or restricted, or that had prepared the new version.
 func TestCheckerFindsConflicts(t *testing.T) {
 	const ms = time.Millisecond
 	applied := func(process string, at time.Duration,
@@ -92,17 +92,17 @@
 		more []LogLine
 		want time.Duration
 	}{
-		{"it goes on", []LogLine{applied("b", 600*ms, "2", "0", "false", 10*ms)}, 490 * ms},
-		{"it was stopped", []LogLine{applied("b", 600*ms, "0", "0", "true", 550*ms)}, 0},
-		{"it was restricted", []LogLine{
+		{"active", []LogLine{applied("b", 600*ms, "2", "0", "false", 10*ms)}, 490 * ms},
+		{"stopped", []LogLine{applied("b", 600*ms, "0", "0", "true", 550*ms)}, 0},
+		{"restricted", []LogLine{
 			applied("b", 60*ms, "1", "0", "true", ms),
 			applied("b", 600*ms, "2", "0", "false", ms),
 		}, 0},
-		{"it had prepared", []LogLine{
+		{"prepared", []LogLine{
 			applied("b", 60*ms, "1", "2", "false", ms),
 			applied("b", 600*ms, "2", "0", "false", ms),
 		}, 0},
-		{"it was killed late", []LogLine{{At: 300 * ms, Process: "b", Message: logKilled}}, 200 * ms},
+		{"killed late", []LogLine{{At: 300 * ms, Process: "b", Message: logKilled}}, 200 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorder(0)
@@ -110,22 +110,22 @@
 			r.logs = slices.Concat(common, c.more)
 			got := r.longestConflict()
 			if got.LongestUS != c.want.Microseconds() || (c.want > 0) != (got.Trace != "") {
-				t.Errorf("%+v, want %v", got, c.want)
+				t.Errorf("longest conflict %+v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A broker acted on a version as the fleet started, long before the traffic that the time axis begins with, and on the
-// next one in it. Once the time of the first was not moved along, and the broker seemed to have acted on it seconds
-// after others acted on the next.
+// Brokers act on one version when the fleet starts, long before the origin of the time axis, and on the next version
+// after it. If moveStart did not shift the first lines, brokers would seem to act on the first version for seconds
+// after others had acted on the next.
 func TestMoveStartShiftsLogLines(t *testing.T) {
 	r := newRecorder(0)
 	r.startedAt -= 14 * time.Second
 	applied := func(process string, at time.Duration, version string) {
 		r.addLine(viewApplied(process, at-r.startedAt, map[string]string{"version": version, "before_us": "1000"}))
 	}
-	now := Now() - 5*time.Second // the checker looks up to Now
+	now := Now() - 5*time.Second // the checker reads lines up to the present time
 	for _, process := range []string{"a", "b"} {
 		applied(process, now-2*time.Second, "1")
 	}
@@ -133,23 +133,23 @@
 	applied("a", now+time.Second, "2")
 	applied("b", now+time.Second, "2")
 	if c := r.longestConflict(); c.LongestUS > 0 || c.Versions != 2 || c.Spans != 4 {
-		t.Errorf("%+v", c)
+		t.Errorf("without a conflict: %+v", c)
 	}
 	applied("b", now+1500*time.Millisecond, "1")
 	applied("b", now+2*time.Second, "2")
 	if c := r.longestConflict(); c.LongestUS < 900_000 {
-		t.Errorf("one that went back is not found: %+v", c)
+		t.Errorf("a broker that returned to an old version was not found: %+v", c)
 	}
 }
 
-// A program of an earlier version is compared with the present one. Its log lines have the earlier messages, and are
-// found all the same: if they were not, its run would show no versions, and no contradiction either.
+// Log messages of an earlier version of the program are recognized. Otherwise a comparison run with the earlier program
+// would show no versions and therefore no conflicts.
 func TestEarlierMessagesAreFound(t *testing.T) {
 	r := newRecorder(0)
 	for earlier, present := range map[string]string{"acts": logViewApplied, "version in force": logVersionActivated} {
 		line := r.parseLine("broker-1", []byte(`{"msg":"`+earlier+`","mono_us":5,"version":2}`))
 		if !line.hasMessage(present) || line.Attributes["version"] != "2" {
-			t.Errorf("%q is read as %+v", earlier, line)
+			t.Errorf("line with message %q was parsed as %+v", earlier, line)
 		}
 	}
 }
--- a/internal/fleetharness/client.go
+++ b/internal/fleetharness/client.go
@@ -20,42 +20,42 @@
 )
 
 const (
-	// trafficVolumes is how many volumes requests are spread over.
+	// trafficVolumes is the number of volumes that requests address.
 	trafficVolumes = 200
-	// maxUnits is the largest size of a request; it has 1 to so many units.
+	// maxUnits is the largest request size. Sizes are drawn from 1 to maxUnits units.
 	maxUnits = 3
-	// answerGrace is how long after its deadline a client still waits for an answer, so that a late one does not
-	// count as lost.
+	// answerGrace is how long after its deadline a client still waits for an answer, so that late answers do not count
+	// as lost.
 	answerGrace = 2 * time.Second
 	// clientDialTimeout bounds a dial to a broker on the same machine.
 	clientDialTimeout = time.Second
-	// maxAnswerSize is the largest answer in bytes that is read.
+	// maxAnswerSize is the largest accepted answer in bytes.
 	maxAnswerSize = 1 << 20
-	// lineEndSize is the length in bytes of the line end behind an answer's body.
+	// lineEndSize is the length in bytes of the line end after an answer's body.
 	lineEndSize = 2
 )
 
-// trafficClient sends one broker's requests, open loop: a new connection whenever all are in use.
+// trafficClient sends requests to one broker in an open loop: it opens a new connection if all others are in use.
 type trafficClient struct {
 	fleet  *Fleet
 	broker *broker
-	random *rand.Rand // used by the goroutine that makes requests alone
-	rate   float64    // requests a second
-	sent   int        // likewise
+	random *rand.Rand // used only by the goroutine that creates requests
+	rate   float64    // requests per second
+	sent   int        // used only by the goroutine that creates requests
 	wait   sync.WaitGroup
 
-	mu   sync.Mutex // guards what follows
+	mu   sync.Mutex // guards the fields below
 	idle []*clientConn
 }
 
-// clientConn is a connection of a client. One request uses it at a time.
+// clientConn is a connection of a client. It carries one request at a time.
 type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
-	used bool // it has had an answer
+	used bool // an answer has been received on it
 }
 
-// run sends requests at random times of the client's rate until a time, and waits for all answers.
+// run sends requests at random times at the client's rate until a given time, then waits for all answers.
 func (c *trafficClient) run(ctx context.Context, until time.Duration) {
 	at := Now()
 	for {
@@ -75,7 +75,7 @@
 	c.closeIdle()
 }
 
-// target is what a request is about.
+// target identifies what a request addresses.
 type target struct {
 	shard  int
 	volume int
@@ -90,7 +90,7 @@
 	}
 }
 
-// newRequest makes a request and records it as sent now.
+// newRequest creates a request and records it as sent now.
 func (c *trafficClient) newRequest(write bool) *request {
 	c.sent++
 	s := &request{
@@ -109,7 +109,7 @@
 	return s
 }
 
-// acquire returns an idle connection, or a new one.
+// acquire returns an idle connection or opens a new one.
 func (c *trafficClient) acquire() (*clientConn, error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
@@ -147,7 +147,7 @@
 	}
 }
 
-// command is a request in the protocol's form.
+// command encodes a request in the wire format.
 func (c *trafficClient) command(s *request, t target) string {
 	name, class := "BLK.READ", readClass
 	if s.write {
@@ -162,8 +162,8 @@
 	return string(load.AppendCommand(nil, words...))
 }
 
-// send sends a request until it has an answer or can have none, and records its outcome. A request that crosses the end
-// of its connection is sent again on another, as the platform's clients do.
+// send sends a request until it is answered or can no longer be answered, and records its outcome. If the broker closes
+// a reused connection before answering, the request is sent again on another connection, as the platform's clients do.
 func (c *trafficClient) send(s *request, t target) {
 	text := c.command(s, t)
 	for {
@@ -182,7 +182,7 @@
 			c.release(conn)
 			return
 		}
-		_ = conn.Close() // the exchange's own error is what counts
+		_ = conn.Close() // the error of the exchange decides what happens next
 		if conn.used && endedByPeer(err) && Now() < s.sentAt+s.deadline {
 			continue
 		}
@@ -191,18 +191,18 @@
 	}
 }
 
-// endedByPeer reports whether an error is that of a connection which the other side has closed or reset.
+// endedByPeer reports whether an error means that the peer has closed or reset the connection.
 func endedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// exchange sends a request over the client's link and reads its answer. On a link that cuts requests the connection is
-// reset in the middle.
+// exchange sends a request over the client's link and reads the answer. On a link that cuts requests, it resets the
+// connection in the middle of the request.
 func (c *trafficClient) exchange(conn *clientConn, s *request, t target, text string) (Outcome, error) {
 	_ = conn.SetDeadline(time.Now().Add(s.deadline + answerGrace)) // a closed connection fails below
 	link := c.broker.clientLink()
 	if link.cutAt > 0 && link.cutAt < len(text) {
-		_, _ = io.WriteString(conn, text[:link.cutAt]) // the connection ends in any case
+		_, _ = io.WriteString(conn, text[:link.cutAt]) // the connection is closed in any case
 		resetOnClose(conn.Conn)
 		_ = conn.Close()
 		return OutcomeCut, nil
@@ -213,7 +213,7 @@
 	return readAnswer(conn.in)
 }
 
-// readAnswer reads an answer: a bulk string, or an error.
+// readAnswer reads an answer, which is a bulk string or an error.
 func readAnswer(in *bufio.Reader) (Outcome, error) {
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -233,12 +233,12 @@
 	return OutcomeFailed, nil
 }
 
-// clientLink is the link from the broker's clients to it.
+// clientLink returns the link from the broker's clients to the broker.
 func (b *broker) clientLink() clientLink {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.clients
 }
 
-// burstFactor is how many times as often as usual clients ask now.
+// burstFactor returns the current multiple of the usual rate at which clients send requests.
 func (b *broker) burstFactor() float64 { return cmp.Or(b.clientLink().burst, 1) }
--- a/internal/fleetharness/clock.go
+++ b/internal/fleetharness/clock.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now reads the clock that all processes of the machine share.
+// Now returns the time of the monotonic clock that all processes of the machine share.
 func Now() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &t) != nil {
@@ -16,7 +16,7 @@
 	return time.Duration(t.Nano())
 }
 
-// sleepFor waits for a span, or until ctx ends.
+// sleepFor waits for a span or until ctx is done.
 func sleepFor(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/fleetharness/conflict.go
+++ b/internal/fleetharness/conflict.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Conflict is the longest time from when some broker acted on a version of the configuration to when another still
-// acted on one that it contradicts.
+// Conflict describes the longest time during which a broker acted on an outdated version of the configuration after
+// another broker had first acted on a version that contradicts it.
 type Conflict struct {
 	LongestUS int64  `json:"longest_us"`
 	Trace     string `json:"story,omitempty"`
 	Versions  int    `json:"versions"`
-	Spans     int    `json:"spans"` // of time in which a broker acted on one view
-	// CommitToAllUS is, of each version, the time from its commit to the last broker with a lease that acts on it,
-	// in µs, shortest first.
+	Spans     int    `json:"spans"` // intervals in which a broker acted on one view
+	// CommitToAllUS holds, for each version, the time in µs from its commit until the last broker with a lease acted on
+	// it. The times are sorted in ascending order.
 	CommitToAllUS []int64 `json:"commit_to_all_us"`
 }
 
-// viewSpan is how long a broker acted on one view of the configuration.
+// viewSpan is the interval in which a broker acted on one view of the configuration.
 type viewSpan struct {
 	process                 string
 	from, to                time.Duration
@@ -29,10 +29,11 @@
 	restricted              bool
 }
 
-// active reports whether the broker acted on a version, rather than restricted without one.
+// active reports whether the broker acted on a version. A restricted broker does not act on a version.
 func (s viewSpan) active() bool { return !s.restricted && s.version != 0 }
 
-// numberAttribute reads a number of a log line, 0 if it has none. JSON has large numbers as floats.
+// numberAttribute returns a numeric attribute of a log line, or 0 if the line does not have the attribute. It parses a
+// float because decoded JSON prints large numbers as floats.
 func numberAttribute(l LogLine, key string) uint64 {
 	n, err := strconv.ParseFloat(l.Attributes[key], 64)
 	if err != nil {
@@ -41,8 +42,8 @@
 	return uint64(n)
 }
 
-// viewSpans reads from the log lines who acted on what. A view's last moment is the last turn before the next one
-// began: a process that was stopped took no decision meanwhile.
+// viewSpans derives from the log lines which broker acted on which view, and when. A view ends with the last turn
+// before the next view began, because a stopped process makes no decisions.
 func (r *recorder) viewSpans() []viewSpan {
 	r.mu.Lock()
 	end := Now() - r.startedAt
@@ -75,7 +76,7 @@
 	return spans
 }
 
-// newViewSpan is a span that begins with a line and has no end yet.
+// newViewSpan returns a span that begins with a log line and has no end yet.
 func newViewSpan(line LogLine) viewSpan {
 	return viewSpan{
 		process:    line.Process,
@@ -88,10 +89,10 @@
 	}
 }
 
-// versionID names a version: versions count anew in each epoch.
+// versionID identifies a version. Version numbers start again in each epoch.
 type versionID struct{ epoch, version uint64 }
 
-// firstUses is when somebody first acted on each version, and on any of each epoch.
+// firstUses holds when a broker first acted on each version, and on any version of each epoch.
 type firstUses struct {
 	versions map[versionID]time.Duration
 	epochs   map[uint64]time.Duration
@@ -115,8 +116,8 @@
 	}
 }
 
-// contradicts reports whether a version contradicts what a broker acts on: it is later in the same epoch and the broker
-// has not prepared it, or its epoch began later.
+// contradicts reports whether a version contradicts the view on which a broker acts. It does if the version is later in
+// the same epoch and the broker has not prepared it, or if the version's epoch was first used later.
 func (u firstUses) contradicts(version versionID, span viewSpan) bool {
 	if version.epoch == span.epoch {
 		return version.version > span.version && span.pending != version.version
@@ -124,7 +125,7 @@
 	return u.epochs[version.epoch] > u.epochs[span.epoch]
 }
 
-// LongestConflict looks over the log lines of all processes.
+// LongestConflict returns the longest conflict that the log lines of all processes show.
 func (f *Fleet) LongestConflict() Conflict { return f.recorder.longestConflict() }
 
 func (r *recorder) longestConflict() Conflict {
@@ -154,7 +155,7 @@
 	return conflict
 }
 
-// commitToAll is Conflict.CommitToAllUS.
+// commitToAll returns the times for Conflict.CommitToAllUS.
 func (r *recorder) commitToAll(spans []viewSpan) []int64 {
 	committed := map[uint64]time.Duration{}
 	for _, line := range r.linesWith(logVersionActivated) {
@@ -173,8 +174,8 @@
 	return times
 }
 
-// lastApplied is how long after its commit the last broker came to act on a version, of those that held a lease
-// meanwhile; 0 if there is none.
+// lastApplied returns the time from a version's commit until the last broker acted on the version. Only brokers that
+// held a lease before and after the change count. The result is 0 if there are none.
 func lastApplied(spans []viewSpan, version uint64, committedAt time.Duration) time.Duration {
 	latest := time.Duration(0)
 	previous := map[string]viewSpan{} // by process
--- a/internal/fleetharness/costs.go
+++ b/internal/fleetharness/costs.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	// consoleTimeout bounds a call of a broker's console among hundreds at once.
+	// consoleTimeout bounds a call to a broker's console while hundreds of consoles are called.
 	consoleTimeout = 5 * time.Second
-	// parallelCalls is how many brokers are asked at once. More would make the machine's own queue a part of what is
-	// measured.
+	// parallelCalls is the number of brokers that are called concurrently. A larger number would add the machine's own
+	// queueing delay to the measurements.
 	parallelCalls = 32
-	// maxJoinedErrors is how many errors of many brokers are joined.
+	// maxJoinedErrors is the maximum number of errors that eachBroker joins.
 	maxJoinedErrors = 3
-	// clockTicks is the unit of processor times in /proc, in ticks a second, as Linux tells it to programs.
+	// clockTicks is the unit of processor times in /proc, in ticks per second, as Linux reports it to programs.
 	clockTicks = 100
 )
 
-// The indexes of processor times among the fields of /proc/PID/stat behind the program's name.
+// Indexes of processor times among the fields of /proc/PID/stat that follow the program's name.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
 )
 
-// Roles of a broker in a Cost, besides those of agreement.Status.
+// Roles of a broker in Cost. Cost also uses the other roles of agreement.Status.
 const (
-	roleFollower = "follower" // in agreement.Status: a leaf or a parent
+	roleFollower = "follower" // only in agreement.Status; Cost has leaf or feeder
 	roleLeaf     = "leaf"
 	roleParent   = "feeder"
 )
 
-// Cost is what the control side of one broker cost over the traffic, by the second.
+// Cost holds what the control code of one broker consumed while traffic was running. Rates are per second.
 type Cost struct {
 	Broker       int     `json:"broker"`
 	Hollow       bool    `json:"hollow,omitempty"`
 	Role         string  `json:"role"`            // leader, voter, feeder or leaf
-	Children     int     `json:"feeds,omitempty"` // in the tree of the replicated configuration
-	Sent         float64 `json:"sent"`            // bytes a second of agreement
+	Children     int     `json:"feeds,omitempty"` // number in the tree of the replicated configuration
+	Sent         float64 `json:"sent"`            // bytes per second for replicating the configuration
 	Received     float64 `json:"received"`
-	PeerSent     float64 `json:"told"`  // messages a second to other brokers
-	PeerReceived float64 `json:"heard"` // and from them
-	CPU          float64 `json:"cpu"`   // part of a core; of a hollow broker its part of the process
+	PeerSent     float64 `json:"told"`  // messages per second to other brokers
+	PeerReceived float64 `json:"heard"` // messages per second from other brokers
+	CPU          float64 `json:"cpu"`   // fraction of a core; a hollow broker has an equal share of its process
 	MemoryMB     float64 `json:"memory_mb"`
 }
 
-// meterReading is what a broker has spent up to a time.
+// meterReading holds the resource use of a broker up to a time.
 type meterReading struct {
 	at       time.Duration
-	figures  map[string]float64 // of the console, by name
+	figures  map[string]float64 // from the console, by name
 	cpuS     float64
 	memoryMB float64
 	status   agreement.Status
 }
 
-// eachBroker does something for all brokers, many at a time, and joins the first few errors.
+// eachBroker calls do for all brokers, up to parallelCalls at a time, and joins the first maxJoinedErrors errors.
 func (f *Fleet) eachBroker(do func(*broker) error) error {
 	work := make(chan *broker)
 	failures := make(chan error, len(f.brokers))
@@ -90,10 +90,10 @@
 	return errors.Join(joined...)
 }
 
-// readMeters reads all brokers' meters, by number. One that does not answer has none.
+// readMeters returns the meter readings of all brokers by number. The reading of a broker that does not answer is nil.
 func (f *Fleet) readMeters() []*meterReading {
 	readings := make([]*meterReading, len(f.brokers))
-	sharedBy := map[int]int{} // hollow brokers, by their process
+	sharedBy := map[int]int{} // number of hollow brokers by process id
 	for _, p := range f.hollowProcesses {
 		sharedBy[p.command.Process.Pid] = len(p.brokers)
 	}
@@ -104,7 +104,7 @@
 	return readings
 }
 
-// readMeter reads a broker's meters, nil if it does not answer.
+// readMeter returns a broker's meter reading, or nil if the broker does not answer.
 func (f *Fleet) readMeter(b *broker, sharedBy map[int]int) *meterReading {
 	process, _ := b.process()
 	if process == nil || b.isDown() {
@@ -129,7 +129,7 @@
 	return reading
 }
 
-// parseFigures reads the console's figures: lines of HOST.NAME:VALUE|UNIT.
+// parseFigures parses the console's figures, which are lines of the form HOST.NAME:VALUE|UNIT.
 func parseFigures(text string) map[string]float64 {
 	figures := map[string]float64{}
 	for line := range strings.Lines(text) {
@@ -142,8 +142,8 @@
 	return figures
 }
 
-// ProcessUsage is the processor time of a process in seconds, and its resident memory in MB. What cannot be read, of a
-// process that has ended, is 0.
+// ProcessUsage returns the processor time of a process in seconds and its resident memory in MB. A value that cannot be
+// read, for example because the process has exited, is 0.
 func ProcessUsage(pid int) (cpuS, memoryMB float64) {
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
@@ -161,7 +161,7 @@
 	return cpuS, memoryMB
 }
 
-// costs are the differences between two readings, by broker.
+// costs returns the costs between two readings of each broker. It skips brokers without both readings.
 func (f *Fleet) costs(before, after []*meterReading) []Cost {
 	var costs []Cost
 	for i, to := range after {
@@ -177,7 +177,7 @@
 	return costs
 }
 
-// newCost is what a broker spent between two readings, by the second.
+// newCost returns what a broker consumed between two readings.
 func newCost(from, to *meterReading) Cost {
 	span := (to.at - from.at).Seconds()
 	rate := func(name string) float64 { return max(0, to.figures[name]-from.figures[name]) / span }
--- a/internal/fleetharness/datagrams.go
+++ b/internal/fleetharness/datagrams.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxPeerDatagram is the largest datagram in bytes that a broker may send to a peer.
+	// maxPeerDatagram is the size in bytes of the largest datagram that a broker may send to a peer.
 	maxPeerDatagram = 256
-	// datagramBuffer holds more than that, so that a datagram which is too long is seen as such.
+	// datagramBuffer is larger than maxPeerDatagram, so that the relay detects datagrams that are too long.
 	datagramBuffer = 2048
 )
 
-// datagramRelay stands in front of a broker: what its peers send comes here, and is forwarded to it from the sender's
-// own relay, so that the broker sees the address that it knows the sender by.
+// datagramRelay receives the datagrams that peers send to a broker. It forwards each datagram from the relay of the
+// sender, so that the broker receives it from the address under which it knows the sender.
 type datagramRelay struct {
 	fleet    *Fleet
 	conn     *net.UDPConn
@@ -54,7 +54,7 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier datagram met a port that nobody listened at
+			continue // an earlier datagram was sent to a port on which no process listened
 		}
 		sender := r.fleet.brokerAt(from)
 		if sender < 0 || sender >= len(r.fleet.datagramRelays) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// forward sends a datagram on as the links of both brokers let it through.
+// forward delivers a datagram with the delay and loss of both brokers' links.
 func (r *datagramRelay) forward(sender int, datagram []byte, random *rand.Rand) {
 	through := r.fleet.datagramRelays[sender].conn
 	receiving := r.fleet.brokers[r.number].datagramQuality()
@@ -83,10 +83,10 @@
 		time.AfterFunc(span, func() { _, _ = through.WriteToUDP(own, r.to) })
 		return
 	}
-	_, _ = through.WriteToUDP(datagram, r.to) // a broker that does not listen loses it, as on a network
+	_, _ = through.WriteToUDP(datagram, r.to) // lost if the broker does not listen, as on a network
 }
 
-// datagramQuality is the quality of a broker's link to its peers.
+// datagramQuality returns the quality of a broker's links to its peers.
 func (b *broker) datagramQuality() linkQuality {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fleetharness/discovery.go
+++ b/internal/fleetharness/discovery.go
@@ -12,7 +12,7 @@
 	"junctionwharf/internal/fakes"
 )
 
-// The health of an endpoint, as discovery spells it.
+// Health values of an endpoint in discovery's answers.
 const (
 	healthServing  = "SERVING"
 	healthDraining = "DRAINING"
@@ -21,40 +21,40 @@
 
 const (
 	discoveryPort = 8500
-	// maxPollMS bounds a long poll, in milliseconds, whatever the broker asks for.
+	// maxPollMS is the upper bound of a long poll in milliseconds. A broker's longer wait is reduced to it.
 	maxPollMS = 60_000
-	// noBroker stands in place of a broker's number where a list is for none.
+	// noBroker replaces a broker's number for a list that is not sent to a broker.
 	noBroker = -1
 )
 
-// listedEndpoint is an endpoint as it was listed at a version.
+// listedEndpoint is the state of an endpoint as published with a version.
 type listedEndpoint struct {
 	fakes.Endpoint
 	version uint64
 }
 
-// endpointList is discovery's answer, in its wire form.
+// endpointList is the wire form of discovery's answer.
 type endpointList struct {
 	Version   uint64           `json:"seq"`
-	Full      bool             `json:"whole"` // else what is newer than the version that was asked for
+	Full      bool             `json:"whole"` // if false, Endpoints holds only entries newer than the requested version
 	Endpoints []fakes.Endpoint `json:"hosts"`
 }
 
-// fakeDiscovery is a fake of discovery, with a view of its own for each broker.
+// fakeDiscovery is a fake discovery service with a separate view for each broker.
 type fakeDiscovery struct {
 	fleet   *Fleet
 	address string
 	server  *http.Server
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	version         uint64
-	entries         []listedEndpoint                 // all that ever were, the newest last
-	changed         chan struct{}                    // closed and made anew at each change
-	views           map[int]discoveryView            // those that are faulty, by broker
-	publishedAt     []time.Duration                  // of the versions, from 1 on
-	drainNotifiedAt map[string]map[int]time.Duration // by node and broker: when it was notified that the node drains
+	entries         []listedEndpoint                 // all entries of all versions, oldest first
+	changed         chan struct{}                    // closed and replaced at each change
+	views           map[int]discoveryView            // faulty views by broker
+	publishedAt     []time.Duration                  // times of publication; version 1 is at index 0
+	drainNotifiedAt map[string]map[int]time.Duration // by node and broker: when the broker was notified of the drain
 	calls           int
-	firstList       []byte // the list of the start; nil until it was asked for
+	firstList       []byte // initial list; nil until requested
 }
 
 func newDiscovery(f *Fleet) (*fakeDiscovery, error) {
@@ -68,11 +68,11 @@
 		return nil, err
 	}
 	d.server = &http.Server{Handler: http.HandlerFunc(d.serveList)}
-	go func() { _ = d.server.Serve(listener) }() // ends with Fleet.Close, whose error it returns
+	go func() { _ = d.server.Serve(listener) }() // ends with Fleet.Close, and returns the error of the closed server
 	return d, nil
 }
 
-// newDiscoveryState is a discovery that does not listen.
+// newDiscoveryState returns a fake discovery service that does not listen.
 func newDiscoveryState(f *Fleet) *fakeDiscovery {
 	return &fakeDiscovery{
 		fleet:           f,
@@ -84,7 +84,7 @@
 	}
 }
 
-// entry is a node's entry at a version.
+// entry returns the entry that lists a node at a version.
 func (d *fakeDiscovery) entry(n *fakeNode, health string, version uint64) listedEndpoint {
 	endpoint := fakes.Endpoint{
 		Name:    n.name,
@@ -101,12 +101,12 @@
 	return listedEndpoint{Endpoint: endpoint, version: version}
 }
 
-// publishHealth lists nodes with another health, all at one version.
+// publishHealth publishes a new version in which a node has the given health.
 func (d *fakeDiscovery) publishHealth(n *fakeNode, health string) {
 	d.publish(d.entry(n, health, 0))
 }
 
-// publish lists nodes anew, for all brokers at one time.
+// publish adds a version with the given entries and notifies all brokers.
 func (d *fakeDiscovery) publish(entries ...listedEndpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +114,7 @@
 	d.wake()
 }
 
-// addVersion lists entries at a new version; d.mu is held.
+// addVersion adds a new version with the given entries. The caller must hold d.mu.
 func (d *fakeDiscovery) addVersion(entries []listedEndpoint) {
 	d.version++
 	d.publishedAt = append(d.publishedAt, Now())
@@ -124,13 +124,13 @@
 	}
 }
 
-// wake has all polls look again; d.mu is held.
+// wake makes all pending polls check for newer versions. The caller must hold d.mu.
 func (d *fakeDiscovery) wake() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// entriesAt is the list as it was at a version; d.mu is held.
+// entriesAt returns the list as of a version. The caller must hold d.mu.
 func (d *fakeDiscovery) entriesAt(version uint64) []listedEndpoint {
 	index := map[string]int{}
 	var list []listedEndpoint
@@ -148,20 +148,21 @@
 	return list
 }
 
-// drainNotified is when a broker was notified that a node drains, 0 for never.
+// drainNotified returns when a broker was notified that a node is draining, or 0 if it was not notified.
 func (d *fakeDiscovery) drainNotified(node string, broker int) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.drainNotifiedAt[node][broker]
 }
 
-// serveList answers with the full list, or, where the broker names a version, waits for what is newer.
+// serveList answers with the full list. If the broker sends a version, it waits for newer entries and answers with
+// them.
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
-	host, _, _ := net.SplitHostPort(r.RemoteAddr) // of a TCP connection, which always has a port
+	host, _, _ := net.SplitHostPort(r.RemoteAddr) // the address of a TCP connection always has a port
 	broker := d.fleet.brokerAt(&net.TCPAddr{IP: net.ParseIP(host)})
 	since, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
-	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait")) // without one the answer comes at once
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait")) // if missing, the answer is immediate
 	timeout := time.NewTimer(time.Duration(min(waitMS, maxPollMS)) * time.Millisecond)
 	defer timeout.Stop()
 	timedOut := false
@@ -173,7 +174,7 @@
 		}
 		if poll.text != nil {
 			w.Header().Set("Content-Type", "application/json")
-			_, _ = w.Write(poll.text) // a broker that has gone needs no answer
+			_, _ = w.Write(poll.text) // fails if the broker has disconnected
 			return
 		}
 		select {
@@ -187,16 +188,15 @@
 	}
 }
 
-// pollResult is what a poll gets now, or what it waits for.
+// pollResult is the answer to a poll, or the channels to wait on if there is no answer yet.
 type pollResult struct {
-	text        []byte // nil: nothing yet
+	text        []byte // nil: no answer yet
 	unavailable bool
 	changed     <-chan struct{}
-	nextVersion <-chan time.Time // nil if no version becomes visible by time alone
+	nextVersion <-chan time.Time // nil if no delayed version is due
 }
 
-// poll looks what there is for a broker. A watch gets nothing as long as there is nothing newer, unless it has timed
-// out.
+// poll returns the current answer for a broker. A watch has no answer until there is a newer version or it times out.
 func (d *fakeDiscovery) poll(broker int, since uint64, watch, timedOut bool) pollResult {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -215,8 +215,8 @@
 	return result
 }
 
-// list is the list up to a version, or for a watch what is newer than another; d.mu is held. At the start, hundreds of
-// brokers ask for the same full list at once: it is encoded once.
+// list returns the list up to version, or for a watch the entries newer than since. The caller must hold d.mu. At the
+// start hundreds of brokers request the same full list at once, so that list is encoded only once.
 func (d *fakeDiscovery) list(broker int, since, version uint64, watch bool) []byte {
 	if d.version > 1 || len(d.views) > 0 || watch {
 		return d.encodeList(broker, since, version, watch)
@@ -227,13 +227,13 @@
 	return d.firstList
 }
 
-// encodeList makes that text, and records of which drains the broker is notified; d.mu is held.
+// encodeList encodes the list and records the drains of which it notifies the broker. The caller must hold d.mu.
 func (d *fakeDiscovery) encodeList(broker int, since, version uint64, watch bool) []byte {
 	view := d.views[broker]
 	list := endpointList{
 		Version:   version,
 		Full:      !watch || view.empty,
-		Endpoints: []fakes.Endpoint{}, // [] and not null where it is empty
+		Endpoints: []fakes.Endpoint{}, // encodes as [] and not null if empty
 	}
 	hasNewer := !watch || since < version
 	if hasNewer && !view.empty {
@@ -248,11 +248,11 @@
 			list.Endpoints = append(list.Endpoints, entry.Endpoint)
 		}
 	}
-	text, _ := json.Marshal(list) // of strings and numbers, which cannot fail
+	text, _ := json.Marshal(list) // strings and numbers cannot fail to encode
 	return text
 }
 
-// recordNotified records when a broker was first notified that a node drains; d.mu is held.
+// recordNotified records when a broker was first notified that a node is draining. The caller must hold d.mu.
 func (d *fakeDiscovery) recordNotified(entry listedEndpoint, broker int) {
 	if entry.Health == healthServing {
 		delete(d.drainNotifiedAt[entry.Name], broker)
@@ -266,7 +266,7 @@
 	}
 }
 
-// currentList is the full list, as a restarted broker last held it.
+// currentList returns the current full list, which a restarted broker receives as its last known list.
 func (d *fakeDiscovery) currentList() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleetharness/discoveryview.go
+++ b/internal/fleetharness/discoveryview.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// discoveryView is what is wrong with the list that a broker gets. The zero value is nothing.
+// discoveryView holds the faults of a broker's view of discovery. The zero value has no faults.
 type discoveryView struct {
-	stale        bool // nothing newer than staleVersion
+	stale        bool // versions newer than staleVersion are hidden
 	staleVersion uint64
-	delay        time.Duration // versions come so much later; 0 or less for not
+	delay        time.Duration // delay of new versions; 0 or less: none
 	unavailable  bool          // polls fail
-	empty        bool          // no nodes at all
-	draining     []string      // nodes that are listed as draining
+	empty        bool          // the list has no nodes
+	draining     []string      // names of nodes that are listed as draining
 }
 
-// setView sets what is wrong with a broker's view. Where the list itself changes by it, there is a new version, so that
-// the broker is notified.
+// setView sets the faults of a broker's view. If they change the content of the list, it publishes a new version, so
+// that the broker is notified.
 func (d *fakeDiscovery) setView(broker int, view discoveryView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,8 +35,8 @@
 	d.wake()
 }
 
-// visibleVersion is the latest version that a broker may get, and when the next one becomes visible, 0 for not by
-// time alone; d.mu is held.
+// visibleVersion returns the latest version that is visible to a broker, and the time at which a delayed version
+// becomes visible. That time is 0 if no version is delayed. The caller must hold d.mu.
 func (d *fakeDiscovery) visibleVersion(broker int) (version uint64, nextAt time.Duration) {
 	view := d.views[broker]
 	switch {
--- a/internal/fleetharness/fleet.go
+++ b/internal/fleetharness/fleet.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// Streams of the scenario's seed: the second half of a generator's seed keeps the draws of one part apart from those of
-// the others. A number is added where there are many of a kind. Other values would give each recorded seed another run.
+// Streams of the scenario's seed. A stream is the second half of a generator's seed and keeps the generators
+// independent of each other. Where there are several generators of a kind, a number is added to the stream. Other
+// values would change the runs of all recorded seeds.
 const (
 	brokerSeedStream   = 1
 	datagramStream     = 1000
@@ -26,34 +27,34 @@
 	balancedLoadStream = 78
 )
 
-// Fleet is one run: its processes, fakes and links.
+// Fleet is one run of a scenario with its processes, fakes and links.
 type Fleet struct {
-	Program string // the daemon
+	Program string // path of the daemon
 
 	scenario  *Scenario
-	dir       string // the processes' files
-	block     int    // the second byte of all addresses
+	dir       string // directory of the processes' files
+	block     int    // second byte of all addresses
 	blockLock net.Listener
 	recorder  *recorder
 
-	nodes              []*fakeNode // those that joined later stand behind
+	nodes              []*fakeNode // nodes that join later are appended
 	discovery          *fakeDiscovery
-	brokers            []*broker // the hollow ones last
+	brokers            []*broker // full brokers first, then hollow brokers
 	hollowProcesses    []*hollowProcess
 	datagramRelays     []*datagramRelay // by broker
 	agreementListeners []net.Listener
 	partitions         *partitions
 
-	starter chan func() // run by the thread that the processes die with
+	starter chan func() // functions for the thread whose end kills the processes
 	closed  atomic.Bool
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	random       *rand.Rand
-	stepClients  map[int]*trafficClient // of SendRequests, by broker
-	restartTimes []time.Duration        // of brokers that were started again, until they answered
+	stepClients  map[int]*trafficClient // clients of SendRequests, by broker
+	restartTimes []time.Duration        // from each broker's restart until its first answer
 }
 
-// New prepares a run: addresses, nodes, discovery and relays. Close ends it.
+// New prepares a run: it allocates addresses and starts nodes, discovery and relays. The caller must call Close.
 func New(program string, scenario *Scenario) (*Fleet, error) {
 	own := *scenario
 	own.Events = slices.Clone(scenario.Events)
@@ -104,7 +105,7 @@
 	return f.prepareRelays()
 }
 
-// prepareRelays listens for what brokers send to each other.
+// prepareRelays starts the relays between brokers.
 func (f *Fleet) prepareRelays() error {
 	for i := range f.brokers {
 		if f.scenario.Agreement.Voters == 0 {
@@ -126,14 +127,14 @@
 		}
 		f.datagramRelays = append(f.datagramRelays, relay)
 	}
-	for _, relay := range f.datagramRelays { // once all are there, since each sends through the others
+	for _, relay := range f.datagramRelays { // only after all are created, since each sends through the others
 		go relay.run()
 	}
 	return nil
 }
 
-// runStarter starts processes until Close. Their parent-death signal is bound to this thread, which is never unlocked:
-// it ends with this goroutine, and the processes with it.
+// runStarter starts processes until Close. The parent-death signal of the processes is bound to this thread. The thread
+// is never unlocked, so it ends with this goroutine, and the processes are killed.
 func (f *Fleet) runStarter() {
 	runtime.LockOSThread()
 	for start := range f.starter {
@@ -141,14 +142,15 @@
 	}
 }
 
-// startOnThread starts a process by the thread that it dies with.
+// startOnThread starts a process on the thread of runStarter.
 func (f *Fleet) startOnThread(command *exec.Cmd) error {
 	started := make(chan error)
 	f.starter <- func() { started <- command.Start() }
 	return <-started
 }
 
-// Start starts all brokers and waits until each answers.
+// Start starts all brokers and waits until each broker answers. If there are hollow brokers, it also waits until all
+// brokers have their configuration.
 func (f *Fleet) Start(ctx context.Context) error {
 	fullBrokers := f.brokers[:f.scenario.Brokers]
 	for _, b := range fullBrokers {
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// Close ends all processes, fakes and relays, and removes their files.
+// Close kills all processes, stops fakes and relays, and removes the processes' files.
 func (f *Fleet) Close() {
 	f.closed.Store(true)
 	for _, b := range f.brokers {
@@ -200,11 +202,11 @@
 		f.starter = nil
 	}
 	if f.dir != "" {
-		_ = os.RemoveAll(f.dir) // what is left lies in the system's temporary directory
+		_ = os.RemoveAll(f.dir) // on failure, files stay in the system's temporary directory
 	}
 }
 
-// randomSeed draws a seed for a broker's process.
+// randomSeed draws a seed for a broker process.
 func (f *Fleet) randomSeed() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleetharness/golden_test.go
+++ b/internal/fleetharness/golden_test.go
@@ -9,14 +9,14 @@
 	"junctionwharf/internal/golden"
 )
 
-// checkGolden compares a value's JSON with a golden file, and reads that file into decoded and back.
+// checkGolden compares the JSON of a value with a golden file, and decodes the file into decoded and encodes it again.
 func checkGolden(t *testing.T, name string, value, decoded any) {
 	t.Helper()
 	golden.CheckJSON(t, name, value, decoded, "")
 }
 
-// A journal of an earlier run is read after an upgrade, and the file of hollow brokers is read by another program:
-// their bytes stay.
+// The encodings of journals and of the file of hollow brokers do not change. Journals of earlier runs must be readable
+// after an upgrade, and another program reads the file of hollow brokers.
 func TestJournalBytes(t *testing.T) {
 	checkGolden(t, "line.json", LogLine{
 		At:         1500 * time.Microsecond,
@@ -32,8 +32,8 @@
 	}}, &[]HollowBroker{})
 }
 
-// Recorded figures of earlier runs are read by today's tools, and a broker reads the settings that the harness writes:
-// the names in both stay.
+// The names in reports and settings do not change. Present tools read reports of earlier runs, and brokers read the
+// settings that the harness writes.
 func TestReportAndSettingsBytes(t *testing.T) {
 	phase := Phase{
 		FromS: 1, ToS: 2, Sent: 3, Served: 4, InObjective: 5, Rejected: 6, Failed: 7, Lost: 8, Excluded: 9, Late: 10,
--- a/internal/fleetharness/harness_test.go
+++ b/internal/fleetharness/harness_test.go
@@ -13,7 +13,7 @@
 	"junctionwharf/internal/agreement"
 )
 
-// startTimeout bounds a test's whole run, on a machine that does other work beside it.
+// startTimeout bounds the whole run of a test on a machine that also does other work.
 const startTimeout = time.Minute
 
 // logNodeUnresponsive is the scheduler's message for a node that does not answer while others of its shard do.
@@ -38,7 +38,7 @@
 	os.Exit(code)
 }
 
-// startFleet starts a fleet and has its rules checked at the end.
+// startFleet starts a fleet and checks for violations at the end of the test.
 func startFleet(t *testing.T, s Scenario) (*Fleet, context.Context) {
 	t.Helper()
 	s.Rate = 1
@@ -63,7 +63,7 @@
 	return fleet, ctx
 }
 
-// expectServed has brokers asked, all without a number, and wants each request served.
+// expectServed sends requests to the given brokers, or to all that serve clients, and expects all to be served.
 func (f *Fleet) expectServed(t *testing.T, requests int, write bool, brokers ...int) {
 	t.Helper()
 	if len(brokers) == 0 {
@@ -71,11 +71,11 @@
 	}
 	want := requests * len(brokers)
 	if outcomes := f.SendRequests(requests, write, brokers...); outcomes[OutcomeServed] != want {
-		t.Errorf("of %d: %v", want, outcomes)
+		t.Errorf("outcomes of %d requests: %v", want, outcomes)
 	}
 }
 
-// inject has an event happen.
+// inject applies an event now.
 func (f *Fleet) inject(t *testing.T, ctx context.Context, event Event) {
 	t.Helper()
 	if err := f.InjectFault(ctx, event); err != nil {
@@ -91,8 +91,9 @@
 	}
 }
 
-// expectBalanced wants no node idle and none flooded. Turns alone would give each the mean within one for each broker;
-// a busy machine makes a node seem slow now and then, which lowers its part.
+// expectBalanced expects each node to have between a fifth of and twice the mean count. Round-robin alone would keep
+// each count within one per broker of the mean, but a busy machine sometimes makes a node seem slow, which lowers its
+// count.
 func expectBalanced(t *testing.T, counts []int) {
 	t.Helper()
 	sum := 0
@@ -102,13 +103,13 @@
 	mean := float64(sum) / float64(len(counts))
 	for i, count := range counts {
 		if float64(count) < mean/5 || float64(count) > 2*mean {
-			t.Errorf("node %d got %d, the mean is %.1f: %v", i, count, mean, counts)
+			t.Errorf("node %d has count %d, the mean is %.1f: %v", i, count, mean, counts)
 			return
 		}
 	}
 }
 
-// awaitAll waits until all brokers but some have a status that is wanted.
+// awaitAll waits until wanted returns true for the status of each broker that is not in except.
 func (f *Fleet) awaitAll(t *testing.T, ctx context.Context, wanted func(agreement.Status) bool, except ...int) {
 	t.Helper()
 	skipped := map[int]bool{}
@@ -125,7 +126,7 @@
 	}
 }
 
-// versionAtLeast wants a lease, and a version or a later one.
+// versionAtLeast returns a condition on a broker's status: it has a lease and the given version or a later one.
 func versionAtLeast(version uint64) func(agreement.Status) bool {
 	return func(s agreement.Status) bool { return s.Version >= version && !s.Restricted }
 }
--- a/internal/fleetharness/hollow.go
+++ b/internal/fleetharness/hollow.go
@@ -17,33 +17,34 @@
 )
 
 const (
-	// hollowProgram runs hollow brokers. It stands beside the daemon.
+	// hollowProgram is the program that runs hollow brokers, in the daemon's directory.
 	hollowProgram = "brokerbench"
-	// hollowLogName is the process of a hollow process's lines that name no broker.
+	// hollowLogName is the process name for log lines of a hollow process that do not name a broker.
 	hollowLogName = "hollow"
-	// hollowResponseTime is how long the requests that hollow brokers draw are taken to last.
+	// hollowResponseTime is the assumed response time of the synthetic requests of hollow brokers.
 	hollowResponseTime = 20 * time.Millisecond
-	// hollowSeedShift leaves room for the broker's number below the scenario's seed.
+	// hollowSeedShift reserves the low bits of a hollow broker's seed for the broker's number.
 	hollowSeedShift = 16
-	// configuredPollInterval is the time between two looks whether a broker has its configuration. Hundreds are looked
-	// at at once.
+	// configuredPollInterval is the interval at which a broker is polled for its configuration. Hundreds of brokers are
+	// polled at the same time.
 	configuredPollInterval = 50 * time.Millisecond
 )
 
-// errNotConfigured is wrapped with the name of a broker that has no lease in time.
-var errNotConfigured = errors.New("it has no lease of the configuration")
+// errNotConfigured reports that a broker did not receive a lease in time.
+var errNotConfigured = errors.New("broker did not receive a lease of the configuration in time")
 
-// HollowBroker is the configuration of one hollow broker. The tags are those of the file that it reads.
+// HollowBroker is the configuration of one hollow broker. The struct tags are the keys of the file that the hollow
+// program reads.
 type HollowBroker struct {
 	Config json.RawMessage      `json:"config"`
-	Site   string               `json:"site"` // a path, empty for none
+	Site   string               `json:"site"` // path of the site file; empty for none
 	Demand daemon.SyntheticLoad `json:"demand"`
 }
 
-// hollowProcess is a process of hollow brokers.
+// hollowProcess is a process that runs several hollow brokers.
 type hollowProcess struct {
 	command *exec.Cmd
-	done    chan struct{} // closed when it has ended
+	done    chan struct{} // closed when the process has exited
 	brokers []*broker
 }
 
@@ -84,12 +85,12 @@
 	go func() { // ends with the process
 		defer close(p.done)
 		f.readLog(hollowLogName, output)
-		_ = p.command.Wait() // it is killed
+		_ = p.command.Wait() // it is killed, so the error is expected
 	}()
 	return nil
 }
 
-// writeHollowBrokers writes the file that the hollow program reads.
+// writeHollowBrokers writes the file with the brokers' configurations that the hollow program reads.
 func (f *Fleet) writeHollowBrokers(path string, brokers []*broker) error {
 	var all []HollowBroker
 	for _, b := range brokers {
@@ -115,8 +116,8 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// awaitAllConfigured waits until each broker's console answers and, where the configuration is replicated, each has a
-// lease.
+// awaitAllConfigured waits until the consoles of all brokers answer and, if the configuration is replicated, all
+// brokers have a lease.
 func (f *Fleet) awaitAllConfigured(ctx context.Context) error {
 	return f.eachBroker(func(b *broker) error {
 		_, done := b.process()
@@ -137,7 +138,8 @@
 	})
 }
 
-// isConfigured reports whether a broker's console answers and, where the configuration is replicated, it has a lease.
+// isConfigured reports whether a broker's console answers and, if the configuration is replicated, the broker has a
+// lease.
 func (f *Fleet) isConfigured(b *broker) bool {
 	text, err := console.Call(f.consoleAddress(b.number), "agree status", consoleTimeout)
 	if err != nil || f.scenario.Agreement.Voters == 0 {
--- a/internal/fleetharness/hollow_test.go
+++ b/internal/fleetharness/hollow_test.go
@@ -10,8 +10,8 @@
 	"junctionwharf/internal/agreement"
 )
 
-// Hollow brokers replicate the configuration with full ones. A change that one of them proposes is in force at all,
-// also when a process of theirs was killed meanwhile, and what they cost is counted by role.
+// Hollow brokers and full brokers replicate the configuration together. A change that a hollow broker proposes becomes
+// active at all brokers, also after a process of hollow brokers was killed. Costs are counted by role.
 func TestHollowBrokers(t *testing.T) {
 	program := filepath.Join(filepath.Dir(daemonProgram), hollowProgram)
 	build := exec.Command("go", "build", "-o", program, "junctionwharf/cmd/brokerbench")
@@ -35,18 +35,18 @@
 	for _, c := range costs {
 		roles[c.Role]++
 		if c.Hollow != (c.Broker >= 3) || c.Sent <= 0 || c.Received <= 0 || c.MemoryMB <= 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("cost of a broker: %+v", c)
 		}
 	}
 	if roles["leader"] != 1 || roles["voter"] != 2 || roles[roleLeaf]+roles[roleParent] != 3 {
-		t.Errorf("%v", roles)
+		t.Errorf("brokers by role: %v", roles)
 	}
 	if c := fleet.LongestConflict(); c.LongestUS > 0 || c.Versions < 2 {
-		t.Errorf("%+v", c)
+		t.Errorf("longest conflict: %+v", c)
 	}
 }
 
-// expectChange proposes a change at one broker and waits until it is in force at some.
+// expectChange proposes a change at one broker and waits until the change is active at the brokers in at.
 func expectChange(t *testing.T, ctx context.Context, fleet *Fleet, broker int, value string, at ...int) {
 	t.Helper()
 	before, err := fleet.agreementStatus(broker)
@@ -55,7 +55,7 @@
 	}
 	text, err := fleet.proposeChange(broker, before.Version, "operator", "test", repeatKey, value)
 	if err != nil || strings.Contains(text, "error") {
-		t.Fatalf("%s, %v", text, err)
+		t.Fatalf("proposal at broker %d: %s, %v", broker, text, err)
 	}
 	isActive := func(now agreement.Status) bool { return now.Version > before.Version && !now.Restricted }
 	for _, b := range at {
--- a/internal/fleetharness/logs.go
+++ b/internal/fleetharness/logs.go
@@ -12,35 +12,37 @@
 	"junctionwharf/internal/consensus"
 )
 
-// Messages that the harness looks for in what brokers log, and its own.
+// Log messages of brokers that the harness searches for, and its own message.
 const (
 	logViewApplied      = agreement.LogConfigurationApplied
 	logVersionActivated = consensus.LogVersionActivated
-	logKilled           = "killed" // the harness itself: a process has ended
+	logKilled           = "killed" // logged by the harness when it has killed a process
 )
 
-// presentMessages maps messages of earlier versions, which `fleet run --broker NAME=PROGRAM` compares, to those of now.
-// Without it a run of an earlier program would show no versions and look clean.
+// presentMessages maps log messages of earlier versions to the present ones, because `fleet run --broker NAME=PROGRAM`
+// compares with earlier versions. Without the map, the run of an earlier program would show no versions and seem to be
+// without conflicts.
 var presentMessages = map[string]string{
 	"acts":             logViewApplied,
 	"version in force": logVersionActivated,
 }
 
-// maxLogLineSize is the longest line in bytes that is read of a process; what follows a longer one is lost.
+// maxLogLineSize is the maximum length in bytes of a process's log line. Reading stops at a longer line, and all later
+// lines are lost.
 const maxLogLineSize = 1 << 20
 
-// LogLine is a structured line that a process logged.
+// LogLine is a structured log line of a process.
 type LogLine struct {
-	At         time.Duration     `json:"at"` // from the start of the traffic
+	At         time.Duration     `json:"at"` // since the start of the traffic
 	Process    string            `json:"process"`
 	Message    string            `json:"msg"`
 	Attributes map[string]string `json:"keys,omitempty"`
 }
 
-// hasMessage reports whether a line has a message; what differs between lines of one message is in the attributes.
+// hasMessage reports whether a line has a message. Values that vary between such lines are in the attributes.
 func (l LogLine) hasMessage(message string) bool { return l.Message == message }
 
-// readLog records what a process logs, until it ends.
+// readLog records the log lines of a process until the process exits.
 func (f *Fleet) readLog(process string, output io.Reader) {
 	lines := bufio.NewScanner(output)
 	lines.Buffer(nil, maxLogLineSize)
@@ -49,7 +51,8 @@
 	}
 }
 
-// parseLine reads one line. A process of many brokers names the broker in it. What is no JSON is a message by itself.
+// parseLine parses one log line. The lines of a process of several brokers name their broker. A line that is not JSON
+// becomes a message without attributes.
 func (r *recorder) parseLine(process string, text []byte) LogLine {
 	startedAt := r.start()
 	line := LogLine{At: Now() - startedAt, Process: process, Message: string(text)}
@@ -79,7 +82,7 @@
 	return line
 }
 
-// addMessage records a line of the harness itself about a process.
+// addMessage records a log line of the harness about a process.
 func (r *recorder) addMessage(process, message string) {
 	r.addLine(LogLine{At: Now() - r.start(), Process: process, Message: message})
 }
@@ -96,7 +99,7 @@
 	}
 }
 
-// nextLine is closed with the next line; r.mu is held.
+// nextLine returns a channel that is closed when the next line is added. The caller must hold r.mu.
 func (r *recorder) nextLine() <-chan struct{} {
 	if r.lineAdded == nil {
 		r.lineAdded = make(chan struct{})
@@ -104,7 +107,7 @@
 	return r.lineAdded
 }
 
-// linesWith returns the lines so far that have a message.
+// linesWith returns the lines recorded so far that have a message.
 func (r *recorder) linesWith(message string) []LogLine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleetharness/node.go
+++ b/internal/fleetharness/node.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// allBrokers stands in place of a broker's number for what concerns every one.
+// allBrokers replaces a broker's number for faults that affect all brokers.
 const allBrokers = -1
 
-// fakeNode is a fake of a storage node: so many slots, a queue, a speed, a slow start, and links that it has faults on.
+// fakeNode is a fake storage node with slots, a queue, a speed, a slow start, and links that can have faults.
 type fakeNode struct {
 	fleet   *Fleet
 	number  int
@@ -20,27 +20,27 @@
 	name    string
 	address string
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	changed        *sync.Cond // broadcast when faults or slots change
 	listener       net.Listener
 	conns          map[*nodeConn]bool
 	dials          int
 	peakConns      int
 	slotsInUse     int
-	inFlight       int           // commands in service and in the queue
-	speed          float64       // 1 is the usual one
-	startedAt      time.Duration // 0: long ago
+	inFlight       int           // commands in service or in the queue
+	speed          float64       // factor; 1 is the usual speed
+	startedAt      time.Duration // 0: not newly started
 	reportsIdle    bool
-	faults         map[int]linkFault // by broker, or allBrokers
+	faults         map[int]linkFault // by broker number, or allBrokers
 	random         *rand.Rand
 	servedBySecond []int
 	rejected       int
-	recentUnits    []unitArrival // of a node that has just started
+	recentUnits    []unitArrival // requests within the slow start window of a newly started node
 	slowStart      []SlowStartSecond
 	closed         bool
 }
 
-// newNode starts a node. Its draws come from a stream of the scenario's seed that its number tells.
+// newNode creates and starts a node. The node's number selects its random stream of the scenario's seed.
 func newNode(f *Fleet, number, shard int, name string) (*fakeNode, error) {
 	n := &fakeNode{
 		fleet:   f,
@@ -57,7 +57,7 @@
 	return n, n.listen()
 }
 
-// listen accepts connections until close; it may be called again afterwards.
+// listen starts to accept connections until close. It may be called again after close.
 func (n *fakeNode) listen() error {
 	listener, err := net.Listen("tcp4", n.address)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// close ends it: connections are reset, new ones refused.
+// close stops the node: it resets all connections and refuses new ones.
 func (n *fakeNode) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,12 +95,12 @@
 		return
 	}
 	n.closed = true
-	_ = n.listener.Close() // its accept loop ends in any case
+	_ = n.listener.Close() // the accept loop ends in any case
 	n.resetConns()
 	n.changed.Broadcast()
 }
 
-// resetConns resets all connections; n.mu is held.
+// resetConns resets all connections. The caller must hold n.mu.
 func (n *fakeNode) resetConns() {
 	for c := range n.conns {
 		resetOnClose(c.Conn)
@@ -108,7 +108,7 @@
 	}
 }
 
-// setFault changes what is wrong with the node, seen by one broker or by allBrokers.
+// setFault changes the faults of the node's link to one broker, or to all brokers for allBrokers.
 func (n *fakeNode) setFault(broker int, change func(*linkFault)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,33 +118,33 @@
 	n.changed.Broadcast()
 }
 
-// faultOf is what is wrong between a broker and the node; n.mu is held.
+// faultOf returns the faults of the link between a broker and the node. The caller must hold n.mu.
 func (n *fakeNode) faultOf(broker int) linkFault {
 	return n.faults[allBrokers].combine(n.faults[broker])
 }
 
-// setSpeed changes the node's speed.
+// setSpeed sets the node's speed factor.
 func (n *fakeNode) setSpeed(speed float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.speed = speed
 }
 
-// setReportsIdle has the node report that it is idle, or the truth.
+// setReportsIdle sets whether the node reports that it is idle or its actual load.
 func (n *fakeNode) setReportsIdle(reportsIdle bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.reportsIdle = reportsIdle
 }
 
-// resetAll resets all connections once.
+// resetAll resets all current connections.
 func (n *fakeNode) resetAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.resetConns()
 }
 
-// heal ends all that is wrong with the node. What stood on a silent link is reset.
+// heal clears all faults of the node. It resets all connections, because data on silent links is lost.
 func (n *fakeNode) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -155,7 +155,7 @@
 	n.changed.Broadcast()
 }
 
-// restart has the node listen again as one that has just started.
+// restart makes the node listen again as a newly started node.
 func (n *fakeNode) restart() error {
 	n.mu.Lock()
 	n.startedAt = Now()
@@ -170,8 +170,9 @@
 	broker int
 }
 
-// ended reports whether the broker has ended the connection, as the kernel knows it: what this process has read may
-// lag. Tests have connections that are none, and nil for one that has ended.
+// ended reports whether the broker has closed the connection. It asks the kernel, because this process may not yet have
+// read the end of the connection. In tests Conn may be another type than TCP, which counts as open, or nil, which
+// counts as closed.
 func (c *nodeConn) ended() bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -182,7 +183,7 @@
 		return true
 	}
 	ended := true
-	_ = raw.Control(func(fd uintptr) { // fails for a connection that has ended
+	_ = raw.Control(func(fd uintptr) { // fails if the connection is closed
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		ended = err != nil || info.State != unix.BPF_TCP_ESTABLISHED
 	})
--- a/internal/fleetharness/nodeevents.go
+++ b/internal/fleetharness/nodeevents.go
@@ -1,6 +1,6 @@
 package fleetharness
 
-// applyNodeEvent carries out an event of nodes. The returned function undoes it.
+// applyNodeEvent applies a node event. The returned function undoes it.
 func (f *Fleet) applyNodeEvent(event Event) (undo func(), err error) {
 	switch event.Kind {
 	case NodeSilent:
@@ -34,14 +34,14 @@
 	return func() {}, err
 }
 
-// eachNode does something for each node that an event is about.
+// eachNode calls do for each node of an event.
 func (f *Fleet) eachNode(event Event, do func(*fakeNode)) {
 	for _, i := range event.Nodes {
 		do(f.nodes[i])
 	}
 }
 
-// changeLinks changes what is wrong between the nodes and the brokers that an event is about.
+// changeLinks changes the faults of the links between the nodes and the brokers of an event.
 func (f *Fleet) changeLinks(event Event, change func(*linkFault)) {
 	brokers := event.Brokers
 	if len(brokers) == 0 {
@@ -54,7 +54,7 @@
 	})
 }
 
-// add puts what an event makes wrong on top of what is wrong with a link, or takes it off with a sign of -1.
+// add adds the faults of an event to a link, or removes them if sign is -1.
 func (f *linkFault) add(event Event, sign int) {
 	quality := linkQuality{delay: milliseconds(event.DelayMS), jitter: milliseconds(event.JitterMS)}
 	switch event.Kind {
@@ -73,20 +73,21 @@
 	}
 }
 
-// restoreBehavior ends a node's slowness and its false reports.
+// restoreBehavior restores a node's usual speed and its correct reports.
 func (n *fakeNode) restoreBehavior() {
 	n.setSpeed(1)
 	n.setReportsIdle(false)
 }
 
-// restartNode has a node that crashed come back. One that cannot listen stays away, which its brokers' figures show.
+// restartNode restarts a node that crashed. A node that cannot listen stays down, which the figures of its brokers
+// show.
 func (f *Fleet) restartNode(n *fakeNode) {
 	if n.restart() == nil {
 		f.discovery.publishHealth(n, healthServing)
 	}
 }
 
-// joinNodes adds a node that has just started beside each of some nodes.
+// joinNodes adds a newly started node to the shard of each of the given nodes.
 func (f *Fleet) joinNodes(beside []int) error {
 	for _, i := range beside {
 		n, err := newNode(f, f.scenario.Node.Count+i, f.nodes[i].shard, nodeName(i)+"-new")
@@ -96,7 +97,7 @@
 		n.mu.Lock()
 		n.startedAt = Now()
 		n.mu.Unlock()
-		f.recorder.mu.Lock() // who counts attempts by node holds it
+		f.recorder.mu.Lock() // held by functions that count attempts by node
 		f.nodes = append(f.nodes, n)
 		f.recorder.mu.Unlock()
 		f.discovery.publishHealth(n, healthServing)
--- a/internal/fleetharness/nodeserve.go
+++ b/internal/fleetharness/nodeserve.go
@@ -10,8 +10,8 @@
 	"junctionwharf/internal/fakes"
 )
 
-// minArguments is how many arguments each command of the protocol has: its name, a key, an id and its options. What has
-// fewer belongs to the connection, and is answered as it is.
+// minArguments is the number of arguments of a request: command name, key, id and options. A command with fewer
+// arguments concerns only the connection and is answered with answerOK.
 const minArguments = 4
 
 // Answers of a node.
@@ -20,10 +20,10 @@
 	answerBusy       = "-BUSY\r\n"
 	answerSyntax     = "-SYNTAX\r\n"
 	answerWrongShard = "-ERR another shard\r\n"
-	noAnswer         = "" // the connection ends
+	noAnswer         = "" // the connection is closed
 )
 
-// serve answers the commands of a connection to its end.
+// serve reads and answers the commands of a connection until it ends.
 func (c *nodeConn) serve() {
 	defer func() {
 		_ = c.Close()
@@ -47,21 +47,21 @@
 	}
 }
 
-// writeAnswer writes an answer as the link lets it through, and reports whether the connection stands.
+// writeAnswer writes an answer with the faults of the link. It reports whether the connection is still usable.
 func (c *nodeConn) writeAnswer(text string) bool {
 	c.node.mu.Lock()
 	fault := c.node.faultOf(c.broker)
 	c.node.mu.Unlock()
 	if fault.cutAt > 0 && fault.cutAt < len(text) {
-		_, _ = io.WriteString(c.Conn, text[:fault.cutAt]) // the connection ends in any case
+		_, _ = io.WriteString(c.Conn, text[:fault.cutAt]) // the connection is closed in any case
 		resetOnClose(c.Conn)
 		return false
 	}
 	return writePaced(c.Conn, text, fault.bytesPerSecond) == nil
 }
 
-// serveCommand serves one command: it comes over the link, is recorded and checked, waits for a slot, works, and its
-// answer goes over the link.
+// serveCommand serves one command and returns the answer, after the delays of the link in both directions. It records
+// and checks the command, waits for a slot and sleeps for the service time.
 func (c *nodeConn) serveCommand(command redcon.Command) string {
 	if len(command.Args) < minArguments {
 		return answerOK
@@ -99,8 +99,9 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$%d\r\n%s\r\n", len(id), id, len(report), report)
 }
 
-// awaitRequest waits until a request has come over the link, and reports false for one that the node never sees: it was
-// cancelled on its way, or the link was silent when it came, in which case what is read afterwards is over.
+// awaitRequest waits until a request has crossed the link. It returns false for a request that does not reach the node:
+// the broker canceled it in transit, or the link was silent. A silent link is awaited until the fault ends, and the
+// connection is then closed.
 func (c *nodeConn) awaitRequest() bool {
 	n := c.node
 	n.mu.Lock()
@@ -120,8 +121,8 @@
 	return true
 }
 
-// awaitAnswer waits until an answer has gone over the link, and reports false for one that was lost on it. inFlight is
-// what the answer reports.
+// awaitAnswer waits until an answer has crossed the link. It returns false for an answer that was lost. inFlight is the
+// load that the answer reports.
 func (c *nodeConn) awaitAnswer() (inFlight int, delivered bool) {
 	n := c.node
 	n.mu.Lock()
@@ -141,7 +142,7 @@
 	return inFlight, true
 }
 
-// awaitLink waits until the link is as wanted, or the node or the harness has ended.
+// awaitLink waits until the faults of the link satisfy wanted, or the node or the harness has been closed.
 func (c *nodeConn) awaitLink(wanted func(linkFault) bool) {
 	n := c.node
 	n.mu.Lock()
@@ -151,8 +152,7 @@
 	}
 }
 
-// acquireSlot queues a command until a slot is free, and draws its service time. It reports false for one that the
-// queue has no capacity for.
+// acquireSlot queues a command until a slot is free and draws its service time. It returns false if the queue is full.
 func (n *fakeNode) acquireSlot(
 	s *request, now time.Duration, units float64,
 ) (serviceTime time.Duration, accepted bool) {
@@ -175,7 +175,7 @@
 	return milliseconds(millis), true
 }
 
-// releaseSlot counts a command as served and wakes the next one.
+// releaseSlot counts a command as served and wakes the next waiting command.
 func (n *fakeNode) releaseSlot() {
 	startedAt := n.fleet.recorder.start()
 	n.mu.Lock()
--- a/internal/fleetharness/partition.go
+++ b/internal/fleetharness/partition.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// relayBuffer is how many bytes are carried at a time.
+	// relayBuffer is the size in bytes of the buffer for copying.
 	relayBuffer = 32 << 10
 	// relayDialTimeout bounds the relay's dial to a broker on the same machine.
 	relayDialTimeout = time.Second
 )
 
-// partition keeps some brokers from all others: it lies on the links between those in it and those out of it.
+// partition separates some brokers from all others. It affects only links between a member and a non-member.
 type partition struct {
 	brokers       map[int]bool
-	dropsSent     bool // what those in it send does not get through
-	dropsReceived bool // what is sent to them does not get through
+	dropsSent     bool // data from members to others is not delivered
+	dropsReceived bool // data from others to members is not delivered
 }
 
-// blocks reports whether nothing gets from one broker to another.
+// blocks reports whether the partition blocks data from one broker to another.
 func (p *partition) blocks(from, to int) bool {
 	leaves := p.brokers[from] && !p.brokers[to]
 	enters := p.brokers[to] && !p.brokers[from]
 	return leaves && p.dropsSent || enters && p.dropsReceived
 }
 
-// partitions are those that hold now, and the connections that they lie on.
+// partitions holds the active partitions and the connections that they may affect.
 type partitions struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	changed *sync.Cond // broadcast when a partition ends
 	active  []*partition
 	conns   map[net.Conn]bool
@@ -43,8 +43,8 @@
 	return p
 }
 
-// Partition keeps the links over which the configuration is replicated, between some brokers and all others, from
-// carrying: what these send, what they receive, or both. The returned function ends it.
+// Partition blocks the links over which the configuration is replicated, between some brokers and all others. It blocks
+// data that these brokers send, receive, or both. The returned function ends the partition.
 func (f *Fleet) Partition(dropsSent, dropsReceived bool, brokers ...int) (heal func()) {
 	added := &partition{brokers: map[int]bool{}, dropsSent: dropsSent, dropsReceived: dropsReceived}
 	for _, b := range brokers {
@@ -62,12 +62,12 @@
 	})
 }
 
-// blocked reports whether nothing gets from one broker to another; p.mu is held.
+// blocked reports whether any partition blocks data from one broker to another. The caller must hold p.mu.
 func (p *partitions) blocked(from, to int) bool {
 	return slices.ContainsFunc(p.active, func(active *partition) bool { return active.blocks(from, to) })
 }
 
-// awaitOpen waits until something gets from one broker to another again, and reports whether it had to wait.
+// awaitOpen waits until data from one broker to another is not blocked. It reports whether it had to wait.
 func (p *partitions) awaitOpen(from, to int) (waited bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,7 @@
 	return waited
 }
 
-// add takes connections that close ends; after it they are closed at once.
+// add registers connections that close will close. After close, it closes them at once.
 func (p *partitions) add(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// close ends all connections and all waits.
+// close closes all connections and ends all waits.
 func (p *partitions) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,8 +109,8 @@
 	p.changed.Broadcast()
 }
 
-// listenAgreementRelay stands in front of a broker: connections of others to it come here and are carried on, as long
-// as no partition lies between the two. It ends with its listener.
+// listenAgreementRelay starts the relay in front of a broker. The relay accepts connections from other brokers and
+// copies their data to the broker unless a partition separates the two. It ends when the listener is closed.
 func (f *Fleet) listenAgreementRelay(to int) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", f.address(relayNet, to, agreementPort))
 	if err != nil {
@@ -128,7 +128,7 @@
 	return listener, nil
 }
 
-// relayConnection carries a connection from one broker to another until it ends.
+// relayConnection copies data between two brokers in both directions until the connection ends.
 func (f *Fleet) relayConnection(near net.Conn, from, to int) {
 	defer func() { _ = near.Close() }()
 	if from < 0 {
@@ -146,8 +146,8 @@
 	wait.Wait()
 }
 
-// copyUntilBlocked carries bytes from one broker to another, and closes both connections at its end. What stood on a
-// link when a partition came was lost, so the connection ends once the partition does.
+// copyUntilBlocked copies bytes from one broker to another and closes both connections when it returns. Data that a
+// partition blocked is lost, so the connection is closed after the partition ends.
 func (p *partitions) copyUntilBlocked(destination, source net.Conn, from, to int) {
 	defer func() { _ = source.Close() }()
 	defer func() { _ = destination.Close() }()
--- a/internal/fleetharness/phase.go
+++ b/internal/fleetharness/phase.go
@@ -9,15 +9,17 @@
 )
 
 const (
-	// protocolSlack is how late after its deadline an answer may come by the protocol.
+	// protocolSlack is how long after its deadline the protocol still allows an answer.
 	protocolSlack = 58 * time.Millisecond
-	// maxLatencyMicros is the largest latency that a histogram holds, 100 s in µs; longer ones count as this.
+	// maxLatencyMicros is the largest latency that a histogram records, 100 s in µs. Longer latencies are recorded as
+	// this value.
 	maxLatencyMicros = 100_000_000
-	// latencyDigits are the significant decimal digits of a latency.
+	// latencyDigits is the number of significant decimal digits of a recorded latency.
 	latencyDigits = 3
 )
 
-// Phase is a stretch between two events, by the time at which requests were sent.
+// Phase holds the figures of an interval in which no event begins or ends. A request belongs to the phase in which it
+// was sent.
 type Phase struct {
 	FromS       float64 `json:"from_s"`
 	ToS         float64 `json:"to_s"`
@@ -27,21 +29,21 @@
 	Rejected    int     `json:"busy"`
 	Failed      int     `json:"failed"`
 	Lost        int     `json:"lost"`
-	// Excluded are those whose broker was ended or stopped meanwhile, or whose client broke off.
-	// They count nowhere else.
+	// Excluded counts requests whose broker was terminated or stopped while they were pending, and requests that their
+	// client did not send completely. No other field counts them.
 	Excluded      int     `json:"broker_down"`
-	Late          int     `json:"late"` // answered after the deadline and protocolSlack
+	Late          int     `json:"late"` // answered more than protocolSlack after the deadline
 	P50           int64   `json:"p50_us"`
 	P99           int64   `json:"p99_us"`
-	MaxOverMean   float64 `json:"fullest_over_mean"` // attempts at the node with most, over the mean
-	WorstSecond   float64 `json:"worst_second"`      // the same of the worst second
+	MaxOverMean   float64 `json:"fullest_over_mean"` // largest number of attempts at a node, divided by the mean
+	WorstSecond   float64 `json:"worst_second"`      // largest MaxOverMean of a single second
 	IdleNodes     int     `json:"idle_nodes"`
 	WorstSecondAt string  `json:"worst_at"`
-	// RandomWorstSecond is WorstSecond had each request gone to a random node of those that could be used.
+	// RandomWorstSecond is the median WorstSecond over draws in which each request goes to a random usable node.
 	RandomWorstSecond float64 `json:"random_worst_second"`
 }
 
-// phaseReport counts the stretch between two times, in seconds.
+// phaseReport returns the figures of the interval between two times, in seconds.
 func (f *Fleet) phaseReport(from, to float64) Phase {
 	p := Phase{FromS: from, ToS: to}
 	f.recorder.mu.Lock()
@@ -54,7 +56,7 @@
 	p.MaxOverMean, p.IdleNodes = maxOverMean(counts)
 	for _, n := range f.nodes {
 		if (n.startedAt - startedAt).Seconds() >= to {
-			p.IdleNodes-- // it joined later
+			p.IdleNodes-- // the node joined later
 		}
 	}
 	p.RandomWorstSecond = f.randomWorstSecond(from, bySecond)
@@ -69,7 +71,7 @@
 	return p
 }
 
-// countOutcomes counts what became of the requests that were sent within a phase; r.mu is held.
+// countOutcomes counts the outcomes of the requests that were sent within a phase. The caller must hold r.mu.
 func (r *recorder) countOutcomes(p *Phase) {
 	latency := hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 	for _, s := range r.sequence {
@@ -93,7 +95,7 @@
 	p.P99 = latency.ValueAtPercentile(99)
 }
 
-// countAnswer counts a request by its answer, and reports false if it had none.
+// countAnswer counts a request by its answer. It returns false if the request was not answered.
 func (p *Phase) countAnswer(s *request) bool {
 	took := s.answeredAt - s.sentAt
 	switch s.outcome {
@@ -115,7 +117,7 @@
 	return true
 }
 
-// nodeIndexes are the indexes in Fleet.nodes by the nodes' numbers: one that joined later has a number of its own.
+// nodeIndexes maps the numbers of nodes to their indexes in Fleet.nodes, which differ for nodes that joined later.
 func (f *Fleet) nodeIndexes() map[int]int {
 	indexes := map[int]int{}
 	for i, n := range f.nodes {
@@ -124,8 +126,8 @@
 	return indexes
 }
 
-// eachAttempt passes on the attempts between two times that nodes accepted: the node's index, and the time in seconds;
-// the recorder's lock is held.
+// eachAttempt calls do for each attempt between two times that a node accepted, with the index of the node and the
+// time in seconds. The caller must hold the recorder's lock.
 func (f *Fleet) eachAttempt(from, to float64, do func(index int, at float64)) {
 	indexes := f.nodeIndexes()
 	for _, s := range f.recorder.sequence {
@@ -138,14 +140,15 @@
 	}
 }
 
-// attemptsBetween counts the attempts at each node between two times; the recorder's lock is held.
+// attemptsBetween counts the attempts at each node between two times. The caller must hold the recorder's lock.
 func (f *Fleet) attemptsBetween(from, to float64) []int {
 	counts := make([]int, len(f.nodes))
 	f.eachAttempt(from, to, func(index int, _ float64) { counts[index]++ })
 	return counts
 }
 
-// attemptsBySecond is attemptsBetween for each full second; the recorder's lock is held.
+// attemptsBySecond is like attemptsBetween, but counts each full second separately. The caller must hold the recorder's
+// lock.
 func (f *Fleet) attemptsBySecond(from, to float64) [][]int {
 	bySecond := make([][]int, max(1, int(to-from)))
 	for i := range bySecond {
--- a/internal/fleetharness/process.go
+++ b/internal/fleetharness/process.go
@@ -20,31 +20,31 @@
 )
 
 const (
-	// readyPollInterval is the time between two looks whether a broker answers. It bounds how exactly the time of a
-	// restart is measured.
+	// readyPollInterval is the interval at which a starting broker is polled. It limits the accuracy of measured
+	// restart times.
 	readyPollInterval = 10 * time.Millisecond
-	// callTimeout bounds a call that waits for nothing but the broker's processor.
+	// callTimeout bounds a call that a broker answers immediately.
 	callTimeout = time.Second
 )
 
-// errEndedAtStart is wrapped with the name of a broker whose process ended before it answered.
-var errEndedAtStart = errors.New("the process ended at its start")
+// errEndedAtStart reports that a broker's process exited before the broker answered.
+var errEndedAtStart = errors.New("process exited during startup")
 
-// broker is one broker over all starts of its process.
+// broker is one broker across all restarts of its process.
 type broker struct {
 	number     int
-	address    string // where clients reach it
+	address    string // address for clients
 	configPath string
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	command     *exec.Cmd
-	done        chan struct{} // closed when the process has ended
-	down        bool          // it was ended or stopped by the harness, and does not serve
+	done        chan struct{} // closed when the process has exited
+	down        bool          // the harness has terminated or stopped it, and it does not serve
 	clients     clientLink
-	peerQuality linkQuality // of datagrams to and from it
+	peerQuality linkQuality // for datagrams to and from the broker
 }
 
-// process returns the last start's process, nil if there was none.
+// process returns the most recently started process, or nil if the broker was never started.
 func (b *broker) process() (*os.Process, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,17 +73,17 @@
 	return b.down
 }
 
-// kill ends the process, if there is one, and waits for its end.
+// kill kills the process, if there is one, and waits until it has exited.
 func (b *broker) kill() {
 	process, done := b.process()
 	if process == nil {
 		return
 	}
-	_ = process.Kill() // fails for one that has ended
+	_ = process.Kill() // fails if the process has exited
 	<-done
 }
 
-// startBroker starts a broker's process; known is the endpoint list that it held before, nil for none.
+// startBroker starts a broker's process. known is the endpoint list that the broker had before a restart, or nil.
 func (f *Fleet) startBroker(b *broker, known json.RawMessage) error {
 	_, sitePath, err := f.configure(b, known)
 	if err != nil {
@@ -104,12 +104,12 @@
 	go func() { // ends with the process
 		defer close(done)
 		f.readLog(brokerName(b.number), output)
-		_ = command.Wait() // most processes are killed
+		_ = command.Wait() // most processes are killed, so an error is expected
 	}()
 	return nil
 }
 
-// arguments are those of a broker's command line.
+// arguments returns the command-line arguments of a broker.
 func (f *Fleet) arguments(b *broker, sitePath string) []string {
 	arguments := []string{"serve", "--handover=false", "--log-format", "json"}
 	if f.isDedicatedVoter(b.number) {
@@ -119,7 +119,7 @@
 		arguments = append(arguments, "--site", sitePath)
 	}
 	if f.scenario.Agreement.Voters > 0 {
-		arguments = append(arguments, "--log-all") // the checker needs each change of a broker's view
+		arguments = append(arguments, "--log-all") // the checker needs every change of a broker's view
 	}
 	return arguments
 }
@@ -141,7 +141,7 @@
 	return ctx.Err()
 }
 
-// answers reports whether a broker answers on its port for clients, or a control process on its console.
+// answers reports whether a broker answers on its client port, or a control process on its console.
 func (f *Fleet) answers(b *broker) bool {
 	if f.isDedicatedVoter(b.number) {
 		text, err := console.Call(f.consoleAddress(b.number), "check", callTimeout)
@@ -160,8 +160,8 @@
 	return err == nil && strings.HasPrefix(answer, "+PONG")
 }
 
-// terminate ends a broker by a signal, SIGKILL or SIGTERM, and excuses what it held. It waits for the end after SIGKILL
-// alone.
+// terminate sends SIGKILL or SIGTERM to a broker and excuses the broker's pending requests. It waits until the process
+// has exited only for SIGKILL.
 func (f *Fleet) terminate(b *broker, signal syscall.Signal) {
 	process, done := b.process()
 	if process == nil {
@@ -169,7 +169,7 @@
 	}
 	b.setDown(true)
 	f.recorder.excuse(b.number)
-	_ = process.Signal(signal) // fails for one that has ended
+	_ = process.Signal(signal) // fails if the process has exited
 	if signal == syscall.SIGKILL {
 		<-done
 		f.recorder.addMessage(brokerName(b.number), logKilled)
--- a/internal/fleetharness/recorder.go
+++ b/internal/fleetharness/recorder.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxViolations bounds the violations that are kept: a rule that is broken once is mostly broken for each request.
+	// maxViolations bounds the recorded violations. A rule that is broken once is usually broken for every request.
 	maxViolations = 100
-	// maxLogLines bounds the lines that are kept, at some 200 bytes each.
+	// maxLogLines bounds the recorded log lines, which take about 200 bytes each.
 	maxLogLines = 200_000
-	// traceMargin is how long before and after a request its broker's log lines belong to its trace.
+	// traceMargin extends the interval around a request whose broker's log lines belong to the request's trace.
 	traceMargin = time.Second
 )
 
-// Outcome is what a client made of an answer, as reports print it.
+// Outcome is how a request ended for its client. Reports print the values.
 type Outcome string
 
 // The outcomes of a request.
@@ -24,60 +24,60 @@
 	OutcomeServed   Outcome = "served"
 	OutcomeRejected Outcome = "busy"
 	OutcomeFailed   Outcome = "failed"
-	OutcomeLost     Outcome = "lost" // no complete answer
-	OutcomeCut      Outcome = "cut"  // the client did not send it completely: it is owed nothing
+	OutcomeLost     Outcome = "lost" // the client received no complete answer
+	OutcomeCut      Outcome = "cut"  // the client did not send it completely, so it needs no answer
 )
 
-// attempt is what a node saw of a request.
+// attempt is a request as one node received it.
 type attempt struct {
 	node, broker int
 	arrivedAt    time.Duration
 	conn         *nodeConn
-	endedAt      time.Duration // answered, or its connection seen closed; 0 before
-	mayHaveRun   bool          // it was not rejected
-	counted      bool          // by TakeAttemptCounts
+	endedAt      time.Duration // when it was answered or its connection was found closed; 0 before
+	mayHaveRun   bool          // the node did not reject it
+	counted      bool          // TakeAttemptCounts has counted it
 }
 
-// request is one request's way through client, broker and nodes.
+// request records the path of one request through client, broker and nodes.
 type request struct {
 	id               string
 	broker           int
 	write            bool
 	units            float64
 	sentAt           time.Duration
-	deadline         time.Duration // a span
-	answeredAt       time.Duration // 0 for never
+	deadline         time.Duration // relative to sentAt
+	answeredAt       time.Duration // 0 if not answered
 	outcome          Outcome
 	closedUnanswered bool // its connection was closed without an answer
 	attempts         []attempt
-	excused          bool // its broker was killed or stopped meanwhile
+	excused          bool // its broker was killed or stopped while it was pending
 }
 
-// recorder holds all requests and log lines of one run, on one time axis.
+// recorder stores all requests and log lines of one run on one time axis.
 type recorder struct {
 	seed uint64
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	startedAt  time.Duration
 	requests   map[string]*request
-	sequence   []*request // in the order of sending
+	sequence   []*request // in the order in which they were sent
 	violations []Violation
 	logs       []LogLine
-	lineAdded  chan struct{} // closed with the next line; nil if nobody waits
+	lineAdded  chan struct{} // closed when the next line is added; nil if no goroutine waits
 }
 
 func newRecorder(seed uint64) *recorder {
 	return &recorder{seed: seed, startedAt: Now(), requests: map[string]*request{}}
 }
 
-// start is where the time axis begins.
+// start returns the origin of the time axis.
 func (r *recorder) start() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.startedAt
 }
 
-// moveStart has the time axis begin at a time. Lines that came before keep their moment: they stand below 0.
+// moveStart moves the origin of the time axis. Recorded lines keep their absolute time, so their At becomes negative.
 func (r *recorder) moveStart(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	r.startedAt = at
 }
 
-// addRequest records a request that is being sent.
+// addRequest records a request that is about to be sent.
 func (r *recorder) addRequest(s *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,7 +95,7 @@
 	r.sequence = append(r.sequence, s)
 }
 
-// attemptEnded records the end of a request's last attempt at a node.
+// attemptEnded records the end of a request's open attempts at a node.
 func (r *recorder) attemptEnded(s *request, node int, mayHaveRun bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// requestEnded records what a client made of its answer.
+// requestEnded records the outcome of a request.
 func (r *recorder) requestEnded(s *request, result Outcome, closedUnanswered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,14 +117,14 @@
 	s.closedUnanswered = closedUnanswered
 }
 
-// outcomeOf returns what a client made of its answer.
+// outcomeOf returns the outcome of a request.
 func (r *recorder) outcomeOf(s *request) Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return s.outcome
 }
 
-// excuse marks requests that a broker's own end or stop may lose.
+// excuse marks a broker's pending requests as excused, because the broker is terminated or stopped and may lose them.
 func (r *recorder) excuse(broker int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// describe is the trace of one request through every process; r.mu is held.
+// describe returns the trace of one request through all processes. The caller must hold r.mu.
 func (r *recorder) describe(s *request) string {
 	var b strings.Builder
 	at := func(t time.Duration) string { return fmt.Sprintf("%.4f", (t - r.startedAt).Seconds()) }
@@ -160,7 +160,7 @@
 	return b.String()
 }
 
-// DescribeUnserved returns the traces of up to so many requests of each outcome other than served.
+// DescribeUnserved returns the traces of at most maxOfEach requests for each outcome other than served.
 func (f *Fleet) DescribeUnserved(maxOfEach int) []string {
 	r := f.recorder
 	r.mu.Lock()
--- a/internal/fleetharness/report.go
+++ b/internal/fleetharness/report.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Report is what a run came to. The tags are its names in recorded figures.
+// Report holds the results of a run. The struct tags are the names in recorded reports.
 type Report struct {
 	Scenario       string            `json:"scenario"`
 	Seed           uint64            `json:"seed"`
@@ -11,8 +11,8 @@
 	Phases         []Phase           `json:"phases"`
 	All            Phase             `json:"all"`
 	PerNode        map[string]int    `json:"per_node"`
-	Dials          int               `json:"dials"`      // connections to nodes
-	PeakConns      int               `json:"peak_conns"` // the most at one node
+	Dials          int               `json:"dials"`      // number of connections to nodes
+	PeakConns      int               `json:"peak_conns"` // maximum at one node
 	DiscoveryCalls int               `json:"discovery_calls"`
 	Datagrams      int64             `json:"datagrams"`
 	DatagramBytes  int64             `json:"datagram_bytes"`
@@ -21,12 +21,13 @@
 	HollowBrokers  int               `json:"hollow,omitempty"`
 	Costs          []Cost            `json:"costs,omitempty"`
 	SlowStart      []SlowStartSecond `json:"cold,omitempty"`     // by node and second of its age
-	RestartMS      []float64         `json:"ready_ms,omitempty"` // from a restart to the first answer, shortest first
-	// BalancedAfterS is, for each event, the seconds from its end until load is balanced, -1 for not within the run.
+	RestartMS      []float64         `json:"ready_ms,omitempty"` // from a restart to the first answer, ascending
+	// BalancedAfterS holds, for each event, the seconds from its end until load is balanced, or -1 if load does not
+	// become balanced within the run.
 	BalancedAfterS []float64 `json:"even_after_s"`
 }
 
-// buildReport makes the report of a run whose traffic has ended.
+// buildReport creates the report of a run whose traffic has ended.
 func (f *Fleet) buildReport() *Report {
 	s := f.scenario
 	report := &Report{
@@ -64,7 +65,7 @@
 	return report
 }
 
-// phaseBounds are the times between which nothing begins or ends, in seconds.
+// phaseBounds returns the times at which events begin or end, and the run's start and end, in seconds.
 func (s *Scenario) phaseBounds() []float64 {
 	bounds := []float64{0, s.DurationS}
 	for _, event := range s.Events {
@@ -77,7 +78,7 @@
 	return slices.Compact(bounds)
 }
 
-// addTo adds what a node has counted.
+// addTo adds a node's counts to a report.
 func (n *fakeNode) addTo(report *Report) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleetharness/restart_test.go
+++ b/internal/fleetharness/restart_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// All brokers start at once and get their lists at once; then two in three are killed and come back. No node is idle,
-// none is flooded, and the first requests of brokers that know nothing go to different nodes.
+// All brokers start at once and receive their lists at once. Then two in three are killed and restarted. No node is
+// idle or overloaded, and the first requests of newly started brokers go to different nodes.
 func TestStartAndRestartTogether(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 6, Node: NodeSpec{Count: 5}})
 	fleet.expectServed(t, 50, false)
@@ -32,8 +32,8 @@
 	expectBalanced(t, fleet.TakeAttemptCounts())
 }
 
-// A broker that was stopped for 3 s wakes with old knowledge: it blames no node for its own silence, and what it was
-// not asked meanwhile it does not make up for.
+// A broker that was stopped for 3 s resumes with outdated state. It does not find nodes unresponsive because of its own
+// pause, and does not send extra requests for the time in which it was stopped.
 func TestStoppedBroker(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 3, Node: NodeSpec{Count: 4}})
 	fleet.expectServed(t, 20, false)
@@ -57,36 +57,36 @@
 	expectBalanced(t, fleet.TakeAttemptCounts())
 	for _, line := range fleet.LogLines(logNodeUnresponsive) {
 		if line.Process == brokerName(0) && line.At >= from {
-			t.Errorf("it blamed a node: %v", line)
+			t.Errorf("the resumed broker found a node unresponsive: %v", line)
 		}
 	}
 }
 
-// childProgramEnv names the daemon to the process that TestChildrenDieWithTheHarness kills.
+// childProgramEnv passes the path of the daemon to the process that TestChildrenDieWithTheHarness kills.
 const childProgramEnv = "FLEETHARNESS_CHILD"
 
-// Nothing outlives the harness: the kernel ends its processes when it is killed itself.
+// No process outlives the harness: the kernel kills its processes when the harness itself is killed.
 func TestChildrenDieWithTheHarness(t *testing.T) {
 	if program := os.Getenv(childProgramEnv); program != "" {
 		runUntilKilled(t, program)
 	}
 	pids := killHarness(t)
 	if len(pids) != 3 {
-		t.Fatalf("%d processes", len(pids))
+		t.Fatalf("the harness started %d processes, want 3", len(pids))
 	}
 	for _, pid := range pids {
 		fd, err := unix.PidfdOpen(pid, 0)
 		if err != nil {
-			continue // it is gone
+			continue // the process has exited
 		}
 		if n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 10_000); n != 1 {
-			t.Errorf("process %d lives on: %v", pid, err)
+			t.Errorf("process %d still runs: %v", pid, err)
 		}
 		_ = unix.Close(fd)
 	}
 }
 
-// runUntilKilled is the harness that is to be killed: it prints its processes' ids, 0 for the end, and waits.
+// runUntilKilled is the harness to be killed. It prints the ids of its processes, then 0, and waits.
 func runUntilKilled(t *testing.T, program string) {
 	daemonProgram = program
 	fleet, _ := startFleet(t, Scenario{Brokers: 3, Node: NodeSpec{Count: 1}})
@@ -97,7 +97,7 @@
 	select {}
 }
 
-// killHarness starts a harness, kills it once its processes run, and returns their ids.
+// killHarness starts a harness, kills it after its processes have started, and returns their ids.
 func killHarness(t *testing.T) []int {
 	t.Helper()
 	command := exec.Command(os.Args[0], "-test.run", t.Name())
@@ -114,7 +114,7 @@
 	for lines.Scan() {
 		pid := 0
 		if _, err := fmt.Sscanf(lines.Text(), "pid %d", &pid); err != nil {
-			continue // a line of the test's own
+			continue // output of the testing package
 		}
 		if pid == 0 {
 			break
--- a/internal/fleetharness/run.go
+++ b/internal/fleetharness/run.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// hotBrokerPart is the part of the brokers, one in so many, that Scenario.HotFactor is about.
+	// hotBrokerPart is the number of brokers per hot broker. Scenario.HotFactor sets the rate of the hot brokers.
 	hotBrokerPart = 20
-	// minRatePart is the least that the others keep of the mean rate, one in so many. No broker is left without
-	// traffic.
+	// minRatePart bounds the rate of the other brokers: it is at least the mean rate divided by minRatePart, so that no
+	// broker is without traffic.
 	minRatePart = 10
 )
 
-// Run has the traffic flow and the events happen, checks the rules, and returns what came of it.
+// Run runs the traffic and the events, checks the rules and returns the report.
 func (f *Fleet) Run(ctx context.Context) (*Report, error) {
 	before := f.readMeters()
 	startedAt := Now()
@@ -55,7 +55,8 @@
 	return report, ctx.Err()
 }
 
-// newClients makes the clients of all brokers that take some. Hot brokers come first; the mean rate stays.
+// newClients creates the clients of all brokers that serve clients. The hot brokers are the first ones. The mean rate
+// of all brokers stays Scenario.Rate.
 func (f *Fleet) newClients() []*trafficClient {
 	s := f.scenario
 	hot := 0
@@ -83,7 +84,7 @@
 	return clients
 }
 
-// applyEvent carries out one event at its time, and undoes it when its duration is over.
+// applyEvent applies one event at its time and undoes it after its duration.
 func (f *Fleet) applyEvent(ctx context.Context, event Event) error {
 	sleepFor(ctx, f.recorder.start()+seconds(event.AtS)-Now())
 	if ctx.Err() != nil {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// applyInWaves carries out an event of brokers, one group of them after another.
+// applyInWaves applies a broker event to one group of brokers after another.
 func (f *Fleet) applyInWaves(ctx context.Context, event Event) error {
 	remaining := event.Brokers
 	for waves := max(1, event.Waves); len(remaining) > 0 && ctx.Err() == nil; waves-- {
--- a/internal/fleetharness/scenario.go
+++ b/internal/fleetharness/scenario.go
@@ -9,115 +9,115 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Scenario is a fleet, its traffic and its events. Times are seconds from the start of the traffic.
+// Scenario describes a fleet, its traffic and its events. Times are in seconds from the start of the traffic.
 type Scenario struct {
 	Name          string    `toml:"name"`
 	Seed          uint64    `toml:"seed"`
 	Brokers       int       `toml:"brokers"`
 	Peers         bool      `toml:"peers"`  // brokers may send datagrams to each other
-	Shards        int       `toml:"shards"` // nodes are dealt out to them in turn; 0: one
+	Shards        int       `toml:"shards"` // nodes are assigned to shards round-robin; 0: one shard
 	DurationS     float64   `toml:"for_s"`
-	Rate          float64   `toml:"rate"`   // requests a second and broker, in the mean
-	HotFactor     float64   `toml:"uneven"` // one broker in twenty gets so many times the mean; 0 or 1: all the same
-	WriteFraction float64   `toml:"writes"` // of the requests, those that are not idempotent
+	Rate          float64   `toml:"rate"`   // mean number of requests per second and broker
+	HotFactor     float64   `toml:"uneven"` // multiple of the mean rate at one broker in twenty; 0 or 1: equal rates
+	WriteFraction float64   `toml:"writes"` // fraction of requests that are not idempotent
 	MemoryLimitMB float64   `toml:"limit_mb"`
-	SiteTOML      string    `toml:"site"`  // text of a site file for every broker
-	Plans         string    `toml:"plans"` // JSON of service levels in place of the harness's own
+	SiteTOML      string    `toml:"site"`  // content of the site file of every broker
+	Plans         string    `toml:"plans"` // JSON of service levels that replaces defaultPlans
 	Node          NodeSpec  `toml:"node"`
 	Agreement     Agreement `toml:"agreement"`
 	Hollow        Hollow    `toml:"hollow"`
 	Events        []Event   `toml:"event"`
 }
 
-// NodeSpec is what every fake node is.
+// NodeSpec holds the properties that all fake nodes have.
 type NodeSpec struct {
 	Count  int     `toml:"count"`
-	Slots  int     `toml:"slots"`   // commands at once
-	Queue  int     `toml:"room"`    // commands that wait beyond; more are rejected
-	UnitMS float64 `toml:"unit_ms"` // service time of a unit, in the mean
-	Zones  int     `toml:"zones"`   // nodes and brokers are dealt out to them in turn; 0: one
+	Slots  int     `toml:"slots"`   // commands that a node serves concurrently
+	Queue  int     `toml:"room"`    // commands that may wait for a slot; a node rejects further commands
+	UnitMS float64 `toml:"unit_ms"` // mean service time of a unit
+	Zones  int     `toml:"zones"`   // nodes and brokers are assigned to zones round-robin; 0: one zone
 }
 
-// Agreement has brokers replicate their configuration, over links of the harness.
+// Agreement makes brokers replicate their configuration over links of the harness.
 type Agreement struct {
-	Voters          int     `toml:"voters"`   // the first so many brokers; 0: nothing is replicated
-	BoundMS         float64 `toml:"bound_ms"` // 0: the daemon's own
-	MaxChildren     int     `toml:"feeds"`    // of a broker in the tree; 0: the daemon's own
-	Persistent      bool    `toml:"disk"`     // voters keep their state over restarts
-	LimitFloor      float64 `toml:"floor"`    // of the limit of plan basico; 0: it is not replicated
-	DedicatedVoters bool    `toml:"control"`  // voters are control processes without clients; others have no children
-	ChangeIntervalS float64 `toml:"change_s"` // a random broker proposes a change each so many seconds; 0: none
+	Voters          int     `toml:"voters"`   // number of voters, which are the first brokers; 0: no replication
+	BoundMS         float64 `toml:"bound_ms"` // 0: the daemon's default
+	MaxChildren     int     `toml:"feeds"`    // maximum number of children of a broker; 0: the daemon's default
+	Persistent      bool    `toml:"disk"`     // voters keep their state across restarts
+	LimitFloor      float64 `toml:"floor"`    // limit floor of plan basico; 0: the limit is not replicated
+	DedicatedVoters bool    `toml:"control"`  // voters are control processes; other brokers have no children
+	ChangeIntervalS float64 `toml:"change_s"` // interval at which a random broker proposes a change; 0: never
 }
 
-// Hollow adds brokers that are only the control side of one, many to a process.
+// Hollow adds brokers that run only the control code of the daemon, many in one process.
 type Hollow struct {
 	Brokers    int     `toml:"brokers"`
 	PerProcess int     `toml:"each"`    // 0: defaultHollowPerProcess
-	Rate       float64 `toml:"rate"`    // requests a second and broker that are drawn and go nowhere
-	Volumes    int     `toml:"volumes"` // of these requests, the same ones at all brokers; 0: 1
+	Rate       float64 `toml:"rate"`    // synthetic requests per second and broker, which are not sent to nodes
+	Volumes    int     `toml:"volumes"` // volumes of these requests, the same ones at all brokers; 0: 1
 }
 
-// Event is something that happens at a time.
+// Event is a fault or change that the harness injects at a given time.
 type Event struct {
 	AtS       float64   `toml:"at_s"`
 	Kind      EventKind `toml:"what"`
 	Nodes     []int     `toml:"nodes"`     // targets by number
-	Brokers   []int     `toml:"brokers"`   // targets; of an event of nodes: seen by these brokers alone
-	Fraction  float64   `toml:"part"`      // instead of numbers: a fraction of all, drawn from the seed
-	DurationS float64   `toml:"for_s"`     // 0: to the end
-	DelayMS   float64   `toml:"ms"`        // of a delay
-	JitterMS  float64   `toml:"jitter_ms"` // random, on top of it
+	Brokers   []int     `toml:"brokers"`   // targets; of a node event: the only brokers that it affects
+	Fraction  float64   `toml:"part"`      // fraction of all nodes or brokers, drawn from the seed, instead of numbers
+	DurationS float64   `toml:"for_s"`     // 0: until the end of the run
+	DelayMS   float64   `toml:"ms"`        // length of a delay
+	JitterMS  float64   `toml:"jitter_ms"` // upper bound of the random addition to the delay
 	Amount    float64   `toml:"by"`        // see EventKind
-	Waves     int       `toml:"waves"`     // brokers are hit in so many groups, one after another; 0: all at once
-	Direction Direction `toml:"way"`       // of a delay or loss
+	Waves     int       `toml:"waves"`     // number of groups of brokers, affected one after another; 0: one group
+	Direction Direction `toml:"way"`       // direction of a delay or loss
 }
 
-// EventKind names what happens. "by" is Event.Amount, "ms" Event.DelayMS.
+// EventKind names the kind of an event. In the comments below, "by" is Event.Amount and "ms" is Event.DelayMS.
 type EventKind string
 
-// Events of nodes.
+// Events that affect nodes.
 const (
-	NodeSilent      EventKind = "silent" // accepts and never answers
-	NodeAnswersLost EventKind = "oneway" // reads and works, but its answers are lost
-	NodeSlow        EventKind = "slow"   // works at by times its speed
-	NodeDelay       EventKind = "delay"  // its link is ms late
-	NodeLoss        EventKind = "loss"   // by of its packets are lost, and sent again by TCP after a timeout
-	NodePace        EventKind = "pace"   // answers at by bytes a second
-	NodeCut         EventKind = "cut"    // resets a connection after by bytes of an answer
+	NodeSilent      EventKind = "silent" // accepts connections and never answers
+	NodeAnswersLost EventKind = "oneway" // reads and serves requests, but its answers are lost
+	NodeSlow        EventKind = "slow"   // works at its usual speed multiplied by "by"
+	NodeDelay       EventKind = "delay"  // its link has a delay of "ms"
+	NodeLoss        EventKind = "loss"   // its link loses a fraction "by" of packets; TCP retransmits them
+	NodePace        EventKind = "pace"   // sends answers at "by" bytes per second
+	NodeCut         EventKind = "cut"    // resets a connection after "by" bytes of an answer
 	NodeReset       EventKind = "reset"  // resets all connections once
-	NodeCrash       EventKind = "crash"  // refuses connections; comes back newly started
-	NodeJoin        EventKind = "join"   // a node that has just started joins beside it, under a new name
-	NodeDrain       EventKind = "drain"  // is listed as draining
-	NodeReportsIdle EventKind = "lie"    // reports that it is idle, whatever it holds
+	NodeCrash       EventKind = "crash"  // refuses connections; is a newly started node afterwards
+	NodeJoin        EventKind = "join"   // a newly started node with a new name joins the shard of the target
+	NodeDrain       EventKind = "drain"  // discovery lists it as draining
+	NodeReportsIdle EventKind = "lie"    // reports 0 commands in flight, regardless of its load
 )
 
-// Events of brokers.
+// Events that affect brokers.
 const (
-	BrokerKill        EventKind = "kill"         // SIGKILL; started again after the duration, if there is one
-	BrokerTerminate   EventKind = "term"         // SIGTERM, likewise
-	BrokerStop        EventKind = "stop"         // SIGSTOP, then SIGCONT
-	BrokerDeaf        EventKind = "deaf"         // by of its datagrams are lost; 0: all
-	BrokerDatagrams   EventKind = "datagrams"    // its datagrams come ms later, with jitter out of order
-	BrokerClientDelay EventKind = "client_delay" // what its clients send comes ms later
-	BrokerClientPace  EventKind = "client_pace"  // its clients send at by bytes a second
-	BrokerClientCut   EventKind = "client_cut"   // its clients reset after by bytes of each request
-	BrokerBurst       EventKind = "burst"        // its clients ask by times as often
+	BrokerKill        EventKind = "kill"         // SIGKILL; restarted after the duration if there is one
+	BrokerTerminate   EventKind = "term"         // SIGTERM; restarted after the duration if there is one
+	BrokerStop        EventKind = "stop"         // SIGSTOP; SIGCONT after the duration
+	BrokerDeaf        EventKind = "deaf"         // a fraction "by" of its datagrams is lost; 0: all
+	BrokerDatagrams   EventKind = "datagrams"    // its datagrams are delayed by "ms"; jitter reorders them
+	BrokerClientDelay EventKind = "client_delay" // data from its clients is delayed by "ms"
+	BrokerClientPace  EventKind = "client_pace"  // its clients send at "by" bytes per second
+	BrokerClientCut   EventKind = "client_cut"   // its clients reset the connection after "by" bytes of each request
+	BrokerBurst       EventKind = "burst"        // its clients send "by" times the usual rate
 )
 
-// Events of the links between some brokers and all others over which the configuration is replicated.
+// Events that affect the links between some brokers and all others over which the configuration is replicated.
 const (
-	AgreementCut  EventKind = "agree_cut"  // nothing gets through
-	AgreementMute EventKind = "agree_mute" // nothing that these send gets through
-	AgreementDeaf EventKind = "agree_deaf" // nothing that is sent to these gets through
+	AgreementCut  EventKind = "agree_cut"  // drops data in both directions
+	AgreementMute EventKind = "agree_mute" // drops data that these brokers send
+	AgreementDeaf EventKind = "agree_deaf" // drops data that is sent to these brokers
 )
 
-// Events of what discovery tells a broker.
+// Events that affect the endpoint list that discovery sends to a broker.
 const (
-	ViewStale       EventKind = "stale"      // nothing new
-	ViewLate        EventKind = "late"       // everything new ms later
+	ViewStale       EventKind = "stale"      // no newer version is sent
+	ViewLate        EventKind = "late"       // newer versions are delayed by "ms"
 	ViewUnavailable EventKind = "blind"      // polls fail
 	ViewEmpty       EventKind = "empty"      // a list without nodes
-	ViewContradicts EventKind = "contradict" // Event.Nodes are listed as draining, to these brokers alone
+	ViewContradicts EventKind = "contradict" // Event.Nodes are listed as draining, but only for these brokers
 )
 
 var nodeEvents = []EventKind{
@@ -136,22 +136,22 @@
 
 func (k EventKind) ofBrokers() bool { return slices.Contains(brokerEvents, k) }
 
-// ofAgreement reports whether an event is one of the links over which the configuration is replicated.
+// ofAgreement reports whether an event affects the links over which the configuration is replicated.
 func (k EventKind) ofAgreement() bool {
 	return k == AgreementCut || k == AgreementMute || k == AgreementDeaf
 }
 
-// Direction is which way of a link an event concerns.
+// Direction selects the direction of a link that an event affects.
 type Direction string
 
-// The directions. None is the same as Answers.
+// The directions. An empty direction is the same as Answers.
 const (
 	Answers  Direction = "answers"
 	Requests Direction = "requests"
 	Both     Direction = "both"
 )
 
-// Load reads a scenario. Errors name the key.
+// Load reads and validates a scenario file. An error about a value is a KeyError.
 func Load(path string) (*Scenario, error) {
 	var s Scenario
 	meta, err := toml.DecodeFile(path, &s)
@@ -167,14 +167,14 @@
 	return &s, nil
 }
 
-// totalBrokers counts the hollow ones as well.
+// totalBrokers returns the number of full and hollow brokers.
 func (s *Scenario) totalBrokers() int { return s.Brokers + s.Hollow.Brokers }
 
-// targetStream is the second half of the seed of the draws of targets. Another value would hit other targets for each
-// recorded seed.
+// targetStream is the second half of the seed from which targets are drawn. Another value would select other targets
+// for each recorded seed.
 const targetStream = 0xf1ee7
 
-// drawTargets replaces the fractions of events by targets.
+// drawTargets replaces the fractions in events by randomly drawn targets.
 func (s *Scenario) drawTargets() {
 	random := rand.New(rand.NewPCG(s.Seed, targetStream))
 	draw := func(fraction float64, count int) []int {
--- a/internal/fleetharness/scenario_test.go
+++ b/internal/fleetharness/scenario_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// validScenario is the shortest scenario without a fault.
+// validScenario is a minimal valid scenario.
 const validScenario = "brokers = 3\nfor_s = 2\nrate = 1\n[node]\ncount = 2\n"
 
-// A fault in a scenario is an error that names its key.
+// An error for an invalid scenario names the invalid key.
 func TestScenarioFaults(t *testing.T) {
 	event := func(lines string) string { return validScenario + "[[event]]\n" + lines }
 	hollow := func(lines string) string { return validScenario + "[hollow]\n" + lines }
@@ -30,7 +30,7 @@
 
 		hollow("brokers = 2000\n"):                      "hollow.brokers",
 		hollow("brokers = 9\neach = 500\n"):             "hollow.each",
-		hollow("brokers = 900\neach = 1\n"):             "903 processes are over 400",
+		hollow("brokers = 900\neach = 1\n"):             "903 processes are more than 400",
 		"limit_mb = 3000\n" + hollow("brokers = 900\n"): "16200 MB",
 		hollow("brokers = 9\nvolumes = -1\n"):           "hollow: rate",
 		hollow("size = 9\n"):                            "hollow.size: unknown key",
@@ -59,7 +59,7 @@
 	return err
 }
 
-// All scenarios that the repository ships are read.
+// All scenarios in deploy/scenarios can be loaded.
 func TestShippedScenarios(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/scenarios/*.toml")
 	if err != nil || len(paths) == 0 {
--- a/internal/fleetharness/slowstart.go
+++ b/internal/fleetharness/slowstart.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// The slow start of a node, as its brokers' settings tell it.
+// Parameters of a node's slow start, which are also in the settings of its brokers.
 const (
-	// slowStartDuration is how long a node takes until it has its full speed.
+	// slowStartDuration is the time from a node's start until it reaches full speed.
 	slowStartDuration = 17 * time.Second
-	// slowStartShare is the part of its speed that it has at first; from then on it grows evenly.
+	// slowStartShare is the fraction of its full speed with which a node starts. The speed then increases linearly.
 	slowStartShare = 0.18
-	// slowStartWindow is the window in which what all brokers send is added up.
+	// slowStartWindow is the length of the window over which the requests of all brokers are summed.
 	slowStartWindow = 3 * time.Second
-	// slowStartMultiple is how many times what it can serve in a window a node bears without falling over.
+	// slowStartMultiple is the load in a window that a node can handle, as a multiple of what it can serve in that
+	// window.
 	slowStartMultiple = 4.0
-	// slowStartMinUnits is what it bears in a window in any case, in units.
+	// slowStartMinUnits is the load in a window, in units, that a node can handle regardless of its speed.
 	slowStartMinUnits = 41.0
 )
 
-// unitArrival is the work of a request that came.
+// unitArrival is the size of a request and its time of arrival.
 type unitArrival struct {
 	at    time.Duration
 	units float64
 }
 
-// SlowStartSecond is the most that a node was sent by all brokers within its slow start in any window that ended in one
-// second of its age, and what it could bear then.
+// SlowStartSecond holds the maximum load that all brokers sent to a node in slow start, in any window that ended within
+// one second of the node's age, and the load that the node could handle at that time.
 type SlowStartSecond struct {
 	Node  string  `json:"node"`
 	AgeS  int     `json:"age_s"`
 	Units float64 `json:"units"`
 	Limit float64 `json:"bears"` // units
 
-	startedAt time.Duration // of the node: it may start several times
+	startedAt time.Duration // start of the node, which may start several times
 }
 
-// fill is the part of the limit that was sent.
+// fill returns the load as a fraction of the limit.
 func (s *SlowStartSecond) fill() float64 { return s.Units / max(s.Limit, 1) }
 
-// currentSpeed is the node's speed at its age; n.mu is held.
+// currentSpeed returns the node's speed at its current age. The caller must hold n.mu.
 func (n *fakeNode) currentSpeed(now time.Duration) float64 {
 	age := now - n.startedAt
 	if n.startedAt == 0 || age >= slowStartDuration {
@@ -45,14 +46,14 @@
 	return n.speed * (slowStartShare + (1-slowStartShare)*float64(age)/float64(slowStartDuration))
 }
 
-// nominalRate is what it serves at full speed, in units a second.
+// nominalRate returns what the node serves at full speed, in units per second.
 func (n *fakeNode) nominalRate() float64 {
 	spec := n.fleet.scenario.Node
 	return float64(spec.Slots) * 1000 / spec.UnitMS
 }
 
-// addUnits records work at a node that has just started, and reports whether it is within what the node bears; n.mu is
-// held.
+// addUnits records the load of a request at a newly started node. It reports whether the load is within the limit that
+// the node can handle. The caller must hold n.mu.
 func (n *fakeNode) addUnits(now time.Duration, units float64) bool {
 	if n.startedAt == 0 || now-n.startedAt > slowStartDuration {
 		return true
@@ -75,7 +76,7 @@
 	return sum <= limit
 }
 
-// slowStartSecond is the entry of the current second of the node's age; n.mu is held.
+// slowStartSecond returns the entry for the current second of the node's age. The caller must hold n.mu.
 func (n *fakeNode) slowStartSecond(now time.Duration) *SlowStartSecond {
 	age := int((now - n.startedAt) / time.Second)
 	last := len(n.slowStart) - 1
--- a/internal/fleetharness/steps.go
+++ b/internal/fleetharness/steps.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// This file drives a fleet step by step, each of which waits for its own end: for tests whose result must not depend on
-// how fast the machine is.
+// This file controls a fleet step by step. Each step waits until it is complete, so that the results of tests do not
+// depend on the speed of the machine.
 
-// SendRequests has each of some brokers asked so many requests one after another, all brokers at once, and counts the
-// outcomes. No broker means all that take clients.
+// SendRequests sends the given number of requests to each broker one after another, to all brokers concurrently, and
+// counts the outcomes. Without brokers, it uses all brokers that serve clients.
 func (f *Fleet) SendRequests(requests int, write bool, brokers ...int) map[Outcome]int {
 	if len(brokers) == 0 {
 		brokers = f.servingBrokers()
@@ -38,7 +38,7 @@
 	return outcomes
 }
 
-// servingBrokers are the numbers of the brokers that take clients.
+// servingBrokers returns the numbers of the brokers that serve clients.
 func (f *Fleet) servingBrokers() []int {
 	var brokers []int
 	for i := range f.scenario.Brokers {
@@ -49,7 +49,7 @@
 	return brokers
 }
 
-// stepClient is the client that SendRequests uses for a broker.
+// stepClient returns the client that SendRequests uses for a broker.
 func (f *Fleet) stepClient(number int) *trafficClient {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +63,7 @@
 	return f.stepClients[number]
 }
 
-// TakeAttemptCounts returns how many attempts came to each node since the last call.
+// TakeAttemptCounts returns the number of attempts that arrived at each node since the last call.
 func (f *Fleet) TakeAttemptCounts() []int {
 	f.recorder.mu.Lock()
 	defer f.recorder.mu.Unlock()
@@ -84,7 +84,7 @@
 	return counts
 }
 
-// FirstNodes are the nodes to which each broker's first request went.
+// FirstNodes returns, by broker, the node that received the first attempt. Brokers without an attempt are missing.
 func (f *Fleet) FirstNodes() map[int]int {
 	f.recorder.mu.Lock()
 	defer f.recorder.mu.Unlock()
@@ -97,13 +97,13 @@
 	return first
 }
 
-// InjectFault has one event happen now, to its end. Events of nodes without a duration stay until HealNodes.
+// InjectFault applies one event now and returns when it is over. A node event without a duration lasts until HealNodes.
 func (f *Fleet) InjectFault(ctx context.Context, event Event) error {
 	event.AtS = 0
 	return f.applyEvent(ctx, event)
 }
 
-// HealNodes ends what is wrong with nodes.
+// HealNodes clears all faults of nodes.
 func (f *Fleet) HealNodes(numbers ...int) {
 	for _, i := range numbers {
 		f.nodes[i].heal()
@@ -116,8 +116,8 @@
 	return process.Signal(signal)
 }
 
-// RestartBrokers kills brokers, all before any is started again with the endpoint list as it is now, and waits until
-// they answer.
+// RestartBrokers kills all given brokers, then restarts them with the current endpoint list and waits until they
+// answer.
 func (f *Fleet) RestartBrokers(ctx context.Context, brokers ...int) error {
 	known := f.discovery.currentList()
 	for _, i := range brokers {
@@ -137,20 +137,20 @@
 	return nil
 }
 
-// KillHollowProcess ends a process of hollow brokers.
+// KillHollowProcess kills a process of hollow brokers.
 func (f *Fleet) KillHollowProcess(index int) {
 	p := f.hollowProcesses[index]
 	for _, b := range p.brokers {
 		b.setDown(true)
 	}
-	_ = p.command.Process.Kill() // fails for one that has ended
+	_ = p.command.Process.Kill() // fails if the process has exited
 	<-p.done
 	for _, b := range p.brokers {
 		f.recorder.addMessage(brokerName(b.number), logKilled)
 	}
 }
 
-// AwaitLog waits until a process has logged a message, from a time on, and returns its line.
+// AwaitLog waits until a process has logged a message at or after a time, and returns the line.
 func (f *Fleet) AwaitLog(ctx context.Context, process, message string, from time.Duration) (LogLine, error) {
 	for {
 		line, found, next := f.recorder.findLine(func(l LogLine) bool {
@@ -162,12 +162,13 @@
 		select {
 		case <-next:
 		case <-ctx.Done():
-			return LogLine{}, fmt.Errorf("%s never logged %q: %w", process, message, ctx.Err())
+			return LogLine{}, fmt.Errorf("%s did not log %q: %w", process, message, ctx.Err())
 		}
 	}
 }
 
-// findLine returns the first line that fits; if there is none, next is closed with the next line.
+// findLine returns the first line that fits. If there is none, next is a channel that is closed when the next line is
+// added.
 func (r *recorder) findLine(fits func(LogLine) bool) (line LogLine, found bool, next <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -177,13 +178,13 @@
 	return LogLine{}, false, r.nextLine()
 }
 
-// LogLines are the lines that processes have logged so far with a message.
+// LogLines returns the lines with a message that processes have logged so far.
 func (f *Fleet) LogLines(message string) []LogLine { return f.recorder.linesWith(message) }
 
-// Elapsed is the time on the axis of LogLine.At.
+// Elapsed returns the current time on the axis of LogLine.At.
 func (f *Fleet) Elapsed() time.Duration { return Now() - f.recorder.start() }
 
-// Violations ends the checking and returns what was broken.
+// Violations completes the checks and returns all violations.
 func (f *Fleet) Violations() []Violation {
 	f.recorder.checkAtEnd()
 	return f.recorder.violationsSoFar()
