--- a/internal/fleetharness/agreement.go
+++ b/internal/fleetharness/agreement.go
@@ -35,8 +35,8 @@
 type AgreementReport struct {
 	Conflict
 	ProposalOutcomes map[string]int `json:"ends"`                // by the kind of error; "" if accepted
-	MeanBytesPerS    float64        `json:"bytes_a_second"`      // mean over brokers of bytes sent
-	MaxBytesPerS     float64        `json:"most_bytes_a_second"` // bytes sent by the broker that sent most
+	MeanBytesPerS    float64        `json:"bytes_a_second"`      // bytes sent per second, mean over brokers
+	MaxBytesPerS     float64        `json:"most_bytes_a_second"` // bytes sent per second by the broker that sent most
 	MemoryMB         float64        `json:"memory_mb"`           // mean resident memory of a broker
 }
 
--- a/internal/fleetharness/agreementchange_test.go
+++ b/internal/fleetharness/agreementchange_test.go
@@ -21,8 +21,8 @@
 	return string(text), command.ProcessState.ExitCode(), err
 }
 
-// A change reaches all brokers. A second change with the same expected version is rejected, and so is a proposal with
-// several faults, as a whole. A rollback restores the values of the first version. Requests are served meanwhile.
+// A change reaches all brokers. A second change with the same expected version is rejected. A proposal with several
+// faults is rejected as a whole. A rollback restores the values of the first version. Requests are served meanwhile.
 func TestChangesAndRollback(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	fleet.expectProposed(t, 5, 1, limitKey, "2000")
--- a/internal/fleetharness/agreementfaults_test.go
+++ b/internal/fleetharness/agreementfaults_test.go
@@ -32,7 +32,7 @@
 	fleet.expectServed(t, 5, false)
 }
 
-// The leader is stopped and another voter becomes leader. After it resumes, the old leader neither grants leases nor
+// The leader is stopped and another voter becomes leader. After the old leader resumes, it neither grants leases nor
 // acts on its old version.
 func TestLeaderStoppedAndResumed(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
--- a/internal/fleetharness/agreementharness_test.go
+++ b/internal/fleetharness/agreementharness_test.go
@@ -67,7 +67,7 @@
 		Kind    string
 	}
 	if err := json.Unmarshal([]byte(text), &answer); err != nil {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("parse answer %q: %v", text, err)
 	}
 	return answer.Version, answer.Kind
 }
--- a/internal/fleetharness/balance.go
+++ b/internal/fleetharness/balance.go
@@ -62,7 +62,7 @@
 }
 
 // randomWorstSecond returns the median, over random placements, of the worst second of a phase. A placement assigns
-// each request to a random node among those that no event kept from serving in any part of that second.
+// each request to a random node that was usable throughout that second.
 func (f *Fleet) randomWorstSecond(from float64, bySecond [][]int) float64 {
 	random := rand.New(rand.NewPCG(f.scenario.Seed, randomLoadStream))
 	worst := make([]float64, randomDraws)
@@ -93,7 +93,7 @@
 	return indexes
 }
 
-// keepsOut reports whether an event keeps a node from serving all brokers in any part of an interval.
+// keepsOut reports whether an event prevents a node from serving any broker during a part of an interval.
 func (s *Scenario) keepsOut(node int, from, to float64) bool {
 	return slices.ContainsFunc(s.Events, func(event Event) bool {
 		end := event.AtS + event.DurationS
@@ -104,7 +104,7 @@
 	})
 }
 
-// keepsOut reports whether an event keeps its nodes from serving all brokers.
+// keepsOut reports whether an event prevents its nodes from serving any broker.
 func (e Event) keepsOut() bool {
 	unusable := []EventKind{NodeSilent, NodeAnswersLost, NodeCrash, NodeDrain}
 	return slices.Contains(unusable, e.Kind) && len(e.Brokers) == 0
@@ -119,7 +119,7 @@
 	return indexes
 }
 
-// randomMaxOverMean returns maxOverMean for a placement of the counted requests on random nodes among indexes.
+// randomMaxOverMean returns maxOverMean after a draw that places each counted request on a random node of indexes.
 func randomMaxOverMean(random *rand.Rand, counts, indexes []int) float64 {
 	drawn := make([]int, len(counts))
 	for _, count := range counts {
--- a/internal/fleetharness/checker.go
+++ b/internal/fleetharness/checker.go
@@ -16,8 +16,7 @@
 	// maxAnswerDelay is how long after the deadline an answer may arrive on a machine that hundreds of processes share.
 	// The protocol allows less; the report counts answers that are late by the protocol.
 	maxAnswerDelay = 500 * time.Millisecond
-	// drainGrace is how long a broker may send to a node after discovery reported to the broker that the node is
-	// draining.
+	// drainGrace is how long a broker may still send to a node after the broker was notified that the node drains.
 	drainGrace = 2 * time.Second
 	// drainSlack is the allowed time from a broker's decision to send a request until the node has read the request.
 	drainSlack = 50 * time.Millisecond
@@ -91,7 +90,8 @@
 	})
 }
 
-// checkDrain records a violation if a broker sends to a node more than drainGrace after it was notified of the drain.
+// checkDrain records a violation if a broker sends to a node more than drainGrace after the broker was notified of the
+// drain.
 func (f *Fleet) checkDrain(n *fakeNode, broker int, s *request, now time.Duration) {
 	notifiedAt := f.discovery.drainNotified(n.name, broker)
 	if notifiedAt > 0 && now-notifiedAt > drainGrace+drainSlack {
--- a/internal/fleetharness/conflict.go
+++ b/internal/fleetharness/conflict.go
@@ -29,7 +29,7 @@
 	restricted              bool
 }
 
-// active reports whether the broker acted on a version. A restricted broker does not act on a version.
+// active reports whether the broker acted on a version with a lease. A restricted broker has no lease.
 func (s viewSpan) active() bool { return !s.restricted && s.version != 0 }
 
 // numberAttribute returns a numeric attribute of a log line, or 0 if the line does not have the attribute. It parses a
@@ -42,8 +42,8 @@
 	return uint64(n)
 }
 
-// viewSpans derives from the log lines which broker acted on which view, and when. A view ends with the last turn
-// before the next view began, because a stopped process makes no decisions.
+// viewSpans derives from the log lines which broker acted on which view, and when. A view ends with the broker's last
+// turn before the next view, because a stopped process makes no decisions.
 func (r *recorder) viewSpans() []viewSpan {
 	r.mu.Lock()
 	end := Now() - r.startedAt
--- a/internal/fleetharness/discovery_test.go
+++ b/internal/fleetharness/discovery_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// Discovery sends one broker an empty list, another a list with two draining nodes that serve in the others' lists, and
-// a third all versions late. Each broker follows its own list, rejects at once requests for which it has no node, and
-// serves again when the fault is over.
+// Discovery sends one broker an empty list, another a list that shows two serving nodes as draining, and a third all
+// versions late. Each broker follows its own list, rejects at once requests for which it has no node, and serves again
+// when the fault is over.
 func TestViewsThatContradict(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
 	fleet.expectServed(t, 10, false)
--- a/internal/fleetharness/harness_test.go
+++ b/internal/fleetharness/harness_test.go
@@ -57,7 +57,7 @@
 	}
 	t.Cleanup(func() {
 		for _, v := range fleet.Violations() {
-			t.Errorf("%s: %s: %s", v.At, v.Rule, v.Trace)
+			t.Errorf("violation at %s: %s: %s", v.At, v.Rule, v.Trace)
 		}
 	})
 	return fleet, ctx
@@ -126,7 +126,7 @@
 	}
 }
 
-// versionAtLeast returns a condition on a broker's status: it has a lease and the given version or a later one.
+// versionAtLeast returns a condition that a broker has a lease and at least the given version.
 func versionAtLeast(version uint64) func(agreement.Status) bool {
 	return func(s agreement.Status) bool { return s.Version >= version && !s.Restricted }
 }
--- a/internal/fleetharness/hollow_test.go
+++ b/internal/fleetharness/hollow_test.go
@@ -16,7 +16,7 @@
 	program := filepath.Join(filepath.Dir(daemonProgram), hollowProgram)
 	build := exec.Command("go", "build", "-o", program, "junctionwharf/cmd/brokerbench")
 	if text, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, text)
+		t.Fatalf("build brokerbench: %v: %s", err, text)
 	}
 	fleet, ctx := startFleet(t, Scenario{
 		Brokers:   3,
--- a/internal/fleetharness/logs.go
+++ b/internal/fleetharness/logs.go
@@ -107,7 +107,7 @@
 	return r.lineAdded
 }
 
-// linesWith returns the lines recorded so far that have a message.
+// linesWith returns the lines recorded so far that have the given message.
 func (r *recorder) linesWith(message string) []LogLine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleetharness/node.go
+++ b/internal/fleetharness/node.go
@@ -171,8 +171,8 @@
 }
 
 // ended reports whether the broker has closed the connection. It asks the kernel, because this process may not yet have
-// read the end of the connection. In tests Conn may be another type than TCP, which counts as open, or nil, which
-// counts as closed.
+// read the end of the connection. Tests use connections of other types, which count as open, and nil, which counts as
+// closed.
 func (c *nodeConn) ended() bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok {
--- a/internal/fleetharness/nodeserve.go
+++ b/internal/fleetharness/nodeserve.go
@@ -100,8 +100,8 @@
 }
 
 // awaitRequest waits until a request has crossed the link. It returns false for a request that does not reach the node:
-// the broker canceled it in transit, or the link was silent. A silent link is awaited until the fault ends, and the
-// connection is then closed.
+// the broker canceled it in transit, or the link was silent. On a silent link it returns after the fault has ended, and
+// the caller closes the connection.
 func (c *nodeConn) awaitRequest() bool {
 	n := c.node
 	n.mu.Lock()
--- a/internal/fleetharness/phase.go
+++ b/internal/fleetharness/phase.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// protocolSlack is how long after its deadline the protocol still allows an answer.
+	// protocolSlack is how long after a request's deadline the protocol still allows an answer.
 	protocolSlack = 58 * time.Millisecond
 	// maxLatencyMicros is the largest latency that a histogram records, 100 s in µs. Longer latencies are recorded as
 	// this value.
@@ -29,8 +29,8 @@
 	Rejected    int     `json:"busy"`
 	Failed      int     `json:"failed"`
 	Lost        int     `json:"lost"`
-	// Excluded counts requests whose broker was terminated or stopped while they were pending, and requests that their
-	// client did not send completely. No other field counts them.
+	// Excluded counts requests that were sent or pending while their broker was down, and requests that their client
+	// did not send completely. No other field counts these requests.
 	Excluded      int     `json:"broker_down"`
 	Late          int     `json:"late"` // answered more than protocolSlack after the deadline
 	P50           int64   `json:"p50_us"`
--- a/internal/fleetharness/process.go
+++ b/internal/fleetharness/process.go
@@ -39,7 +39,7 @@
 	mu          sync.Mutex // guards the fields below
 	command     *exec.Cmd
 	done        chan struct{} // closed when the process has exited
-	down        bool          // the harness has terminated or stopped it, and it does not serve
+	down        bool          // the harness has terminated or stopped the process
 	clients     clientLink
 	peerQuality linkQuality // for datagrams to and from the broker
 }
@@ -160,8 +160,8 @@
 	return err == nil && strings.HasPrefix(answer, "+PONG")
 }
 
-// terminate sends SIGKILL or SIGTERM to a broker and excuses the broker's pending requests. It waits until the process
-// has exited only for SIGKILL.
+// terminate sends SIGKILL or SIGTERM to a broker and excuses the broker's pending requests. For SIGKILL it also waits
+// until the process has exited.
 func (f *Fleet) terminate(b *broker, signal syscall.Signal) {
 	process, done := b.process()
 	if process == nil {
--- a/internal/fleetharness/recorder.go
+++ b/internal/fleetharness/recorder.go
@@ -12,7 +12,7 @@
 	maxViolations = 100
 	// maxLogLines bounds the recorded log lines, which take about 200 bytes each.
 	maxLogLines = 200_000
-	// traceMargin extends the interval around a request whose broker's log lines belong to the request's trace.
+	// traceMargin is how long before and after a request the log lines of its broker are included in its trace.
 	traceMargin = time.Second
 )
 
@@ -25,7 +25,7 @@
 	OutcomeRejected Outcome = "busy"
 	OutcomeFailed   Outcome = "failed"
 	OutcomeLost     Outcome = "lost" // the client received no complete answer
-	OutcomeCut      Outcome = "cut"  // the client did not send it completely, so it needs no answer
+	OutcomeCut      Outcome = "cut"  // the client did not send the request completely, so no answer is required
 )
 
 // attempt is a request as one node received it.
@@ -50,7 +50,7 @@
 	outcome          Outcome
 	closedUnanswered bool // its connection was closed without an answer
 	attempts         []attempt
-	excused          bool // its broker was killed or stopped while it was pending
+	excused          bool // its broker was down when it was sent or while it was pending
 }
 
 // recorder stores all requests and log lines of one run on one time axis.
--- a/internal/fleetharness/scenario.go
+++ b/internal/fleetharness/scenario.go
@@ -151,7 +151,7 @@
 	Both     Direction = "both"
 )
 
-// Load reads and validates a scenario file. An error about a value is a KeyError.
+// Load reads and validates a scenario file. An unknown key or an invalid value is reported as a KeyError.
 func Load(path string) (*Scenario, error) {
 	var s Scenario
 	meta, err := toml.DecodeFile(path, &s)
--- a/internal/fleetharness/scenario_test.go
+++ b/internal/fleetharness/scenario_test.go
@@ -38,13 +38,13 @@
 		err := loadText(t, text)
 		if want == "" {
 			if err != nil {
-				t.Errorf("%q: %v", text, err)
+				t.Errorf("load valid scenario %q: %v", text, err)
 			}
 			continue
 		}
 		var keyError *KeyError
 		if !errors.As(err, &keyError) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: want %q: %v", text, want, err)
+			t.Errorf("load scenario %q: want an error with %q, got %v", text, want, err)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 func TestShippedScenarios(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/scenarios/*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("%d scenarios, %v", len(paths), err)
+		t.Fatalf("found %d scenarios: %v", len(paths), err)
 	}
 	for _, path := range paths {
 		if _, err := Load(path); err != nil {
--- a/internal/fleetharness/slowstart.go
+++ b/internal/fleetharness/slowstart.go
@@ -10,8 +10,8 @@
 	slowStartShare = 0.18
 	// slowStartWindow is the length of the window over which the requests of all brokers are summed.
 	slowStartWindow = 3 * time.Second
-	// slowStartMultiple is the load in a window that a node can handle, as a multiple of what it can serve in that
-	// window.
+	// slowStartMultiple is the load in a window that a node can handle, as a multiple of the load that it can serve in
+	// that window.
 	slowStartMultiple = 4.0
 	// slowStartMinUnits is the load in a window, in units, that a node can handle regardless of its speed.
 	slowStartMinUnits = 41.0
@@ -46,7 +46,7 @@
 	return n.speed * (slowStartShare + (1-slowStartShare)*float64(age)/float64(slowStartDuration))
 }
 
-// nominalRate returns what the node serves at full speed, in units per second.
+// nominalRate returns the node's service rate at full speed, in units per second.
 func (n *fakeNode) nominalRate() float64 {
 	spec := n.fleet.scenario.Node
 	return float64(spec.Slots) * 1000 / spec.UnitMS
--- a/internal/fleetharness/steps.go
+++ b/internal/fleetharness/steps.go
@@ -97,7 +97,8 @@
 	return first
 }
 
-// InjectFault applies one event now and returns when it is over. A node event without a duration lasts until HealNodes.
+// InjectFault applies one event now and returns when the event is over. A node event without a duration lasts until
+// HealNodes.
 func (f *Fleet) InjectFault(ctx context.Context, event Event) error {
 	event.AtS = 0
 	return f.applyEvent(ctx, event)
@@ -178,7 +179,7 @@
 	return LogLine{}, false, r.nextLine()
 }
 
-// LogLines returns the lines with a message that processes have logged so far.
+// LogLines returns the log lines of all processes so far that have the given message.
 func (f *Fleet) LogLines(message string) []LogLine { return f.recorder.linesWith(message) }
 
 // Elapsed returns the current time on the axis of LogLine.At.
