--- a/internal/fleetharness/run.go
+++ b/internal/fleetharness/run.go
@@ -55,8 +55,8 @@
 	return report, ctx.Err()
 }
 
-// newClients creates the clients of all brokers that serve clients. The hot brokers are the first ones. The mean rate
-// of all brokers stays Scenario.Rate.
+// newClients creates the clients of all brokers that serve clients. The first brokers are the hot ones. The rate of the
+// other brokers is lowered to keep the mean at Scenario.Rate, but not below Scenario.Rate/minRatePart.
 func (f *Fleet) newClients() []*trafficClient {
 	s := f.scenario
 	hot := 0
