--- a/internal/config/address.go
+++ b/internal/config/address.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if c.LocalAddress != "" && net.ParseIP(c.LocalAddress) == nil {
-		return fmt.Errorf("local_address: %q is no numeric address", c.LocalAddress)
+		return fmt.Errorf("local_address: %q is not a numeric IP address", c.LocalAddress)
 	}
 	for i, peer := range c.Peers {
 		if err := checkAddress(peer, true); err != nil {
@@ -32,32 +32,33 @@
 	return nil
 }
 
-// checkAddress checks a numeric address with a port: a name would be looked up, which may block a start.
+// checkAddress checks a numeric IP address with a port. It does not accept a host name, because a name lookup may block
+// the start.
 func checkAddress(address string, required bool) error {
 	if address == "" && !required {
 		return nil
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("%q is no address:port", address)
+		return fmt.Errorf("%q is not of the form address:port", address)
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil || net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no numeric address:port", address)
+		return fmt.Errorf("%q is not a numeric IP address with a port within 0 to 65535", address)
 	}
 	return nil
 }
 
-// checkHostPort takes a name too: a receiver of metrics may be looked up, which the platform's own addresses may not.
+// checkHostPort checks the host:port of a metrics receiver. Unlike checkAddress, it also accepts a host name.
 func checkHostPort(address string) error {
 	if address == "" {
 		return nil
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
-		return fmt.Errorf("%q is no host:port", address)
+		return fmt.Errorf("%q is not of the form host:port", address)
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return fmt.Errorf("%q has no port within 1 to 65535", address)
+		return fmt.Errorf("port of %q is not within 1 to 65535", address)
 	}
 	return nil
 }
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -7,17 +7,17 @@
 	"junctionwharf/scheduler"
 )
 
-// Bounds of the section, far above any machine: a higher figure is a slip of the pen, by which load would never be
-// shed.
+// Upper bounds for the section's values, far above the needs of any machine. A larger value is a typing error that
+// would disable load shedding.
 const (
 	maxLagMS = 10_000     // milliseconds
 	maxOpen  = 10_000_000 // requests
 )
 
-// Admission is when requests are rejected for want of capacity or processor time.
+// Admission configures when requests are rejected because capacity or processor time is short.
 type Admission struct {
-	LagMS   float64 `toml:"lag_ms"`    // scheduling lag of the broker's loop beyond which load is shed; 0: off
-	MaxOpen int     `toml:"most_open"` // requests that may wait for their answer; 0: bounded by memory and sockets
+	LagMS   float64 `toml:"lag_ms"`    // scheduling lag of the broker's loop above which load is shed; 0: off
+	MaxOpen int     `toml:"most_open"` // maximum number of open requests; 0: limited only by memory and sockets
 }
 
 func (a Admission) check() error {
@@ -30,7 +30,8 @@
 	return nil
 }
 
-// Controller returns the admission controller. maxOpenOverloaded is that of admission.Settings, 0 for none.
+// Controller returns the admission controller. maxOpenOverloaded is the value for admission.Settings.MaxOpenOverloaded;
+// 0 means no limit.
 func (a Admission) Controller(set scheduler.Settings, maxOpenOverloaded int) *admission.Controller {
 	settings := admission.Settings{
 		TargetLag:         int64(a.LagMS * microsPerMilli),
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	// defaultBoundMS is, in milliseconds, how long brokers that are cut off may hold up a change; half of it is their
-	// lease. Higher, an operator waits longer for a change during an outage; lower, a short loss of messages restricts
-	// brokers to the safe values.
+	// defaultBoundMS is the default, in milliseconds, of the maximum time for which disconnected brokers may delay a
+	// change. Half of it is the lease duration. With a larger value, an operator waits longer for a change during an
+	// outage. With a smaller value, a short loss of messages restricts brokers to the safe values.
 	defaultBoundMS = 2000
-	// minBoundMS, in milliseconds, keeps a lease above the usual delays of a machine. Lower, a busy broker is
-	// restricted though nothing failed.
+	// minBoundMS, in milliseconds, keeps the lease longer than the usual scheduling delays of a machine. With a smaller
+	// value, a busy broker would be restricted without any failure.
 	minBoundMS = 400
-	// maxBoundMS is in milliseconds. Higher, one broker that is cut off would hold up a change for minutes.
+	// maxBoundMS is in milliseconds. With a larger value, one disconnected broker could delay a change for minutes.
 	maxBoundMS = 60_000
-	// defaultMaxChildren is the fan-out of the tree over which a configuration spreads. Higher, a parent has more to
-	// send; lower, the tree is deeper and a change takes longer to reach all brokers.
+	// defaultMaxChildren is the default fan-out of the tree that distributes a configuration. With a larger value, a
+	// parent has more data to send. With a smaller value, the tree is deeper and a change reaches all brokers later.
 	defaultMaxChildren = 16
-	// minMaxChildren is the least fan-out of a tree: with one child each it would be a chain.
+	// minMaxChildren is the minimum fan-out. With one child per parent the tree would be a chain.
 	minMaxChildren = 2
-	// maxMaxChildren bounds the connections of a parent. Higher, they take sockets from clients.
+	// maxMaxChildren limits the connections of a parent. With a larger value, children would use sockets that clients
+	// need.
 	maxMaxChildren = 256
-	// minVoters is the least number of which a quorum outlives one. Lower, one restart stops all changes.
+	// minVoters is the smallest number of voters whose quorum survives the loss of one voter. With fewer voters, one
+	// restart would block all changes.
 	minVoters = 3
-	// maxVoters bounds the cost of a change, each of which goes to all voters. Higher, changes take longer, though no
+	// maxVoters limits the cost of a change, which is sent to all voters. More voters would make changes slower, and no
 	// deployment loses more than three voters at once.
 	maxVoters = 7
 )
 
-// Agreement is how brokers agree on a replicated, versioned configuration. It is off without a cluster.
+// Agreement configures how brokers agree on a replicated, versioned configuration. It is off if Cluster is empty.
 type Agreement struct {
-	Cluster     string  `toml:"cluster"`  // its name: brokers of another are rejected
-	Listen      string  `toml:"listen"`   // of this broker; empty: it has no children and cannot vote
-	Members     []Voter `toml:"members"`  // the brokers that vote, the same for all
-	Dir         string  `toml:"dir"`      // a voter's state, on a lasting disk; empty: a restarted voter is a new one
-	BoundMS     float64 `toml:"bound_ms"` // how long brokers that are cut off may delay a change; half of it is a lease
-	MaxChildren int     `toml:"feeds"`    // brokers that get the configuration from this one
-	// Limits are the plans whose rate limit is agreed on, with the figure below which it cannot be set, and on which
-	// brokers without a lease act.
+	Cluster     string  `toml:"cluster"`  // name of the cluster; brokers of other clusters are rejected
+	Listen      string  `toml:"listen"`   // address of this broker; empty: it has no children and cannot vote
+	Members     []Voter `toml:"members"`  // the voters, the same list on all brokers
+	Dir         string  `toml:"dir"`      // persistent directory of the voter state; empty: it is lost at a restart
+	BoundMS     float64 `toml:"bound_ms"` // maximum delay of a change by disconnected brokers; the lease is half of it
+	MaxChildren int     `toml:"feeds"`    // maximum number of brokers that receive the configuration from this one
+	// Limits maps the name of each plan whose rate limit is agreed on to its limit floor. The rate limit cannot be set
+	// below the floor, and brokers without a lease apply the floor.
 	Limits map[string]float64 `toml:"limits"`
 }
 
-// Voter is a broker that votes.
+// Voter is a broker that takes part in votes.
 type Voter struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 }
 
-// Enabled reports whether there is anything to agree on.
+// Enabled reports whether the broker takes part in the agreement.
 func (a Agreement) Enabled() bool {
 	return a.Cluster != ""
 }
 
-// Timing is the lease, and how far clocks may drift apart meanwhile.
+// Timing returns the lease duration and the clock drift that is allowed during a lease.
 func (a Agreement) Timing() clusterconfig.Timing {
 	lease := a.BoundMS * microsPerMilli / 2
 	return clusterconfig.Timing{Lease: int64(lease), DriftPPM: clusterconfig.DefaultTiming.DriftPPM}
@@ -88,11 +90,11 @@
 	return a.checkLimits(set)
 }
 
-// checkUnset guards against a cluster's name that was lost: the other keys would silently have no effect.
+// checkUnset detects a missing cluster name. Without this check, the other keys would be silently ignored.
 func (a *Agreement) checkUnset() error {
 	set := a.Listen != "" || a.Dir != "" || a.BoundMS != 0 || a.MaxChildren != 0
 	if set || len(a.Members) > 0 || len(a.Limits) > 0 {
-		return errors.New("cluster: missing, though other keys are there")
+		return errors.New("cluster: missing, but other keys of the section are set")
 	}
 	return nil
 }
@@ -101,7 +103,7 @@
 	voters := len(a.Members)
 	switch {
 	case voters < minVoters || voters > maxVoters || voters%2 == 0:
-		return fmt.Errorf("members: %d, 3, 5 or 7 are wanted", voters)
+		return fmt.Errorf("members: %d members, want 3, 5 or 7", voters)
 	case !(a.BoundMS >= minBoundMS && a.BoundMS <= maxBoundMS):
 		return fmt.Errorf("bound_ms: %v is not within %d to %d", a.BoundMS, minBoundMS, maxBoundMS)
 	case a.MaxChildren < minMaxChildren || a.MaxChildren > maxMaxChildren:
@@ -117,7 +119,7 @@
 			return fmt.Errorf("members[%d].address: %w", i, err)
 		}
 		if member.Name == "" || seen[member.Name] {
-			return fmt.Errorf("members[%d].name: %q is missing or stands twice", i, member.Name)
+			return fmt.Errorf("members[%d].name: %q is empty or a duplicate", i, member.Name)
 		}
 		seen[member.Name] = true
 	}
@@ -129,7 +131,7 @@
 		return nil
 	}
 	if info, err := os.Stat(a.Dir); err != nil || !info.IsDir() {
-		return fmt.Errorf("dir: %q is no directory", a.Dir)
+		return fmt.Errorf("dir: %q is not an accessible directory", a.Dir)
 	}
 	return nil
 }
@@ -142,10 +144,11 @@
 	for name, floor := range a.Limits {
 		plan, known := plans[name]
 		if !known {
-			return fmt.Errorf("limits.%s: no such plan", name)
+			return fmt.Errorf("limits.%s: no plan has this name", name)
 		}
 		if !(floor > 0) || plan.Limit > 0 && floor > plan.Limit {
-			return fmt.Errorf("limits.%s: %v is not above 0, or above the plan's limit of %v", name, floor, plan.Limit)
+			return fmt.Errorf("limits.%s: %v is not above 0 and at most the plan's limit (%v, 0: none)",
+				name, floor, plan.Limit)
 		}
 	}
 	return nil
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	// maxSubsetSize bounds spread.nodes: no shard has more replicas.
+	// maxSubsetSize is the upper bound of spread.nodes. No shard has more replicas.
 	maxSubsetSize = 10_000
-	// maxEjectedShare bounds spread.away. Higher, outlier detection could take almost a whole shard out of use.
+	// maxEjectedShare is the upper bound of spread.away. With a larger value, outlier detection could eject almost a
+	// whole shard.
 	maxEjectedShare = 0.9
-	// maxTrialShare bounds spread.trial. Higher, an unresponsive node would keep a quarter of its requests.
+	// maxTrialShare is the upper bound of spread.trial. With a larger value, an unresponsive node would still receive
+	// more than a quarter of its requests.
 	maxTrialShare = 0.25
 )
 
-// Balancer is how load is balanced over the replicas of a shard; a shard with one node is not affected.
+// Balancer configures the load balancing over the replicas of a shard. It has no effect on a shard with one node.
 type Balancer struct {
 	Disabled        bool    `toml:"off"`
-	SubsetSize      int     `toml:"nodes"`    // of a shard, for a broker with few requests; 0: the balancer's default
-	MaxEjectedShare float64 `toml:"away"`     // the part of a shard's weight that outliers may lose; 0: the default
-	TrialShare      float64 `toml:"trial"`    // the part of its weight that an unresponsive node keeps; 0: the default
-	NoGossip        bool    `toml:"no_peers"` // unresponsive nodes are not gossiped
+	SubsetSize      int     `toml:"nodes"`    // per shard, for a broker with few requests; 0: the balancer's default
+	MaxEjectedShare float64 `toml:"away"`     // maximum part of a shard's weight that is ejected; 0: the default
+	TrialShare      float64 `toml:"trial"`    // part of its weight that an unresponsive node keeps; 0: the default
+	NoGossip        bool    `toml:"no_peers"` // disables gossip about unresponsive nodes
 }
 
 func (b Balancer) check() error {
@@ -36,7 +38,7 @@
 	return nil
 }
 
-// Options are those of the balancer of a broker with a name.
+// Options returns the balancer options for the broker with the given name.
 func (b Balancer) Options(name string) balancer.Options {
 	return balancer.Options{
 		Disabled:        b.Disabled,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,7 +10,8 @@
 	"junctionwharf/internal/discovery"
 )
 
-// The environment variable that names the file, and those that stand in for keys that it lacks.
+// Environment variables: the first contains the path of the configuration file; the others supply values for keys that
+// are missing from the file.
 const (
 	configVariable    = "BALANCER_CONFIG"
 	nameVariable      = "BALANCER_NAME"
@@ -19,37 +20,37 @@
 	consoleVariable   = "BALANCER_CONSOLE"
 )
 
-// errNoConfig is of an environment that names no file.
+// errNoConfig reports that the environment does not contain the path of the configuration file.
 var errNoConfig = errors.New(configVariable + " is not set")
 
-// Config is the whole configuration of a broker.
+// Config is the complete configuration of a broker.
 type Config struct {
 	Name             string
-	Listen           string // host:port for clients
-	Discovery        string // host:port of the service that lists storage nodes
-	Console          string // host:port of the admin server; empty: off
-	LocalAddress     string // from which connections to nodes and discovery are made; empty: the system's choice
+	Listen           string // host:port of the listener for clients
+	Discovery        string // host:port of the discovery service, which lists the storage nodes
+	Console          string // host:port of the console; empty: off
+	LocalAddress     string // source IP address of connections to nodes and discovery; empty: chosen by the system
 	Seed             uint64
 	Limits           Limits
-	PeerListen       string // host:port for datagrams of peers; empty: off
+	PeerListen       string // host:port that receives datagrams of peers; empty: off
 	Peers            []string
 	PeersAll         string
-	CachedEndpoints  *discovery.EndpointList // the list held before the start; nil for none
+	CachedEndpoints  *discovery.EndpointList // endpoint list from before the start; nil if the file has none
 	Settings         *Settings
-	Site             Site // all off unless a file says otherwise
-	HandoverDisabled bool // processes do not connect over a Unix socket: a platform that has none says so
+	Site             Site // optional features; without a site file all are off
+	HandoverDisabled bool // disables the handover between processes over a Unix socket
 
-	keys keySet // that the file holds
+	keys keySet // keys that are present in the file
 }
 
-// wireConfig is the platform's file.
+// wireConfig is the format of the platform's file.
 type wireConfig struct {
 	Name            string          `json:"name"`
 	Listen          string          `json:"listen"`
 	Discovery       string          `json:"discovery"`
 	Console         string          `json:"console"`
 	LocalAddress    string          `json:"local_address"`
-	Seed            string          `json:"seed"` // in hexadecimal
+	Seed            string          `json:"seed"` // hexadecimal
 	Limits          Limits          `json:"limits"`
 	PeerListen      string          `json:"peer_listen"`
 	Peers           []string        `json:"peers"`
@@ -58,7 +59,7 @@
 	Settings        json.RawMessage `json:"settings"`
 }
 
-// Load reads the file that BALANCER_CONFIG names. The other variables stand in for keys it lacks.
+// Load reads the file whose path is in BALANCER_CONFIG. The other environment variables supply values for missing keys.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(configVariable)
 	if path == "" {
@@ -75,7 +76,7 @@
 	return c, nil
 }
 
-// Parse reads a configuration's JSON.
+// Parse decodes the JSON text of a configuration, checks it and sets defaults.
 func Parse(text []byte, getenv func(string) string) (*Config, error) {
 	var wire wireConfig
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -111,7 +112,7 @@
 	return c, nil
 }
 
-// firstSet is the first value that is not empty.
+// firstSet returns value, or fallback if value is empty.
 func firstSet(value, fallback string) string {
 	if value == "" {
 		return fallback
@@ -122,7 +123,7 @@
 func (c *Config) parseSeed(text string) error {
 	seed, err := strconv.ParseUint(firstSet(text, "0"), 16, 64)
 	if err != nil {
-		return fmt.Errorf("seed: %q is not 16 hex digits at most", text)
+		return fmt.Errorf("seed: %q is not a number of at most 16 hexadecimal digits", text)
 	}
 	c.Seed = seed
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,40 +21,40 @@
  "known":{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"10.1.0.18:6379","block":3,"health":"SERVING"}]},
  "settings":` + settingsText + `}`
 
-// emptyEnvironment has no variable.
+// emptyEnvironment is a getenv function of an environment without variables.
 func emptyEnvironment(string) string { return "" }
 
-// Each section of the platform's file reaches its place, and what it leaves out has its default.
+// Each section of the platform's file is decoded into its field, and missing keys get their defaults.
 func TestEachSectionIsRead(t *testing.T) {
 	c, err := Parse([]byte(configText), emptyEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 {
-		t.Errorf("seed %x", c.Seed)
+		t.Errorf("seed is %x, want 8c1f30d27a5be964", c.Seed)
 	}
 	if want := (Limits{Cores: defaultCores, MemoryMB: 100, Sockets: defaultSockets}); c.Limits != want {
 		t.Errorf("limits %+v, want %+v", c.Limits, want)
 	}
 	if c.CachedEndpoints.Version != 41 {
-		t.Errorf("known list %+v", c.CachedEndpoints)
+		t.Errorf("known list is %+v, want version 41", c.CachedEndpoints)
 	}
 	if c.Settings.ConnIdle != 30*broker.Second || c.Settings.ConnectTimeout != broker.Second/4 {
-		t.Errorf("connections end after %d, connect in %d", c.Settings.ConnIdle, c.Settings.ConnectTimeout)
+		t.Errorf("idle time %d µs, connect timeout %d µs", c.Settings.ConnIdle, c.Settings.ConnectTimeout)
 	}
 	if c.Settings.Scheduler.Ordinal != 2 {
-		t.Errorf("ordinal %d", c.Settings.Scheduler.Ordinal)
+		t.Errorf("ordinal is %d, want 2", c.Settings.Scheduler.Ordinal)
 	}
 	classes := c.Settings.Scheduler.Classes
 	if classes[1].Idempotency != scheduler.NotIdempotent || classes[0].Deadline != 750*time.Millisecond {
-		t.Errorf("%+v", classes)
+		t.Errorf("classes are %+v", classes)
 	}
 	if c.Site.SFTP.Listen != "" {
-		t.Errorf("file commands are on without a site file: %+v", c.Site.SFTP)
+		t.Errorf("SFTP is on without a site file: %+v", c.Site.SFTP)
 	}
 }
 
-// A key that the file lacks may come from the environment.
+// A key that is missing from the file is read from the environment.
 func TestEnvironmentStandsIn(t *testing.T) {
 	text := strings.Replace(configText, `"listen":"10.0.0.4:6379",`, "", 1)
 	environment := map[string]string{"BALANCER_LISTEN": "10.9.9.9:1"}
@@ -63,11 +63,11 @@
 		t.Fatal(err)
 	}
 	if c.Listen != "10.9.9.9:1" {
-		t.Errorf("%q", c.Listen)
+		t.Errorf("listen is %q, want %q", c.Listen, "10.9.9.9:1")
 	}
 }
 
-// Each fault is named by its key.
+// The error for each faulty value contains its key.
 func TestFaultsNameTheirKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{`"listen":"10.0.0.4:6379"`, `"listen":"here"`, "listen"},
@@ -86,12 +86,12 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(configText, c.old, c.new, 1)), emptyEnvironment)
 		if err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%s: %v", c.new, err)
+			t.Errorf("%s: got error %v, want one that contains %q", c.new, err, c.key)
 		}
 	}
 }
 
-// Without the variable that names the file, the error names the variable.
+// If BALANCER_CONFIG is not set, the error contains the name of the variable.
 func TestLoadWithoutFile(t *testing.T) {
 	_, err := Load(emptyEnvironment)
 	if !errors.Is(err, errNoConfig) || !strings.Contains(err.Error(), "BALANCER_CONFIG") {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,14 +1,13 @@
-// Package config reads, checks and completes the configuration of a broker: the platform's JSON file, which names
-// addresses, limits and the settings that all brokers share, and the site file in TOML, which turns optional parts
-// on.
+// Package config reads and checks the configuration of a broker and sets its defaults. The platform's JSON file
+// contains addresses, limits and the settings that all brokers share. The site file in TOML enables optional features.
 //
-// The rule: a configuration is taken as a whole or not at all, and an error names the faulty key, as "FILE:
-// section.key: reason". The site file's unknown keys are errors; the platform's are passed over, since it may know
-// more than this version. Each section has its defaults and checks in one method, complete or check.
+// Rule: a configuration is accepted completely or rejected. An error names the faulty key, in the form "FILE:
+// section.key: reason". Unknown keys of the site file are errors. Unknown keys of the platform's file are ignored,
+// since the platform may be newer than this version. Each section sets its defaults and checks its values in one method
 //
-// State: a Config is a value that nothing here changes after it was read; the daemon owns the one in force. A reload
-// takes over what ApplyReload lists; RestartOnlyChanges names the rest.
+// State: a Config is a value that this package does not change after reading it. The daemon owns the active Config.
+// ApplyReload copies the sections that a reload may change. RestartOnlyChanges lists changed keys that need a restart.
 //
-// Units are in the names: _ms, _s, _mb and _bytes in the site file; the platform's settings count spans in
+// Units: the key names of the site file end in _ms, _s, _mb or _bytes. Durations in the platform's settings are in
 // microseconds, and its memory_mb is in MiB.
 package config
--- a/internal/config/endpoint_file.go
+++ b/internal/config/endpoint_file.go
@@ -7,11 +7,11 @@
 	"junctionwharf/membership"
 )
 
-// maxEndpointFileBytes bounds a static list. Higher, a wrong path such as a log file takes the process's memory;
-// lower, the list of a large deployment is an error.
+// maxEndpointFileBytes limits the size of a static endpoint list. With a larger value, a wrong path, such as that of a
+// log file, could exhaust the memory of the process. With a smaller value, the list of a large deployment is rejected.
 const maxEndpointFileBytes = 16 << 20
 
-// endpointFile is a static list of nodes: [[node]] tables.
+// endpointFile is the format of a static endpoint list: a sequence of [[node]] tables.
 type endpointFile struct {
 	Nodes []endpointEntry `toml:"node"`
 }
@@ -27,15 +27,15 @@
 	Draining bool    `toml:"draining"`
 }
 
-// LoadEndpoints reads a static list of nodes: [[node]] tables with name, address, shard, zone, kind, share, priority
-// and draining.
+// LoadEndpoints reads a static endpoint list from a TOML file. The file contains [[node]] tables with the keys name,
+// address, shard, zone, kind, share, priority and draining.
 func LoadEndpoints(path string) ([]membership.Entry, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxEndpointFileBytes {
-		return nil, fmt.Errorf("%s: over 16 MiB", path)
+		return nil, fmt.Errorf("%s: size %d is above the maximum of %d bytes", path, info.Size(), maxEndpointFileBytes)
 	}
 	var file endpointFile
 	if err := decodeTOML(path, &file); err != nil {
@@ -48,11 +48,11 @@
 			return nil, fmt.Errorf("%s: node[%d].address: %w", path, i, err)
 		}
 		if seen[node.Address] {
-			return nil, fmt.Errorf("%s: node[%d].address: %q stands twice", path, i, node.Address)
+			return nil, fmt.Errorf("%s: node[%d].address: %q is a duplicate", path, i, node.Address)
 		}
 		seen[node.Address] = true
 		if node.Shard < 0 || node.Share < 0 {
-			return nil, fmt.Errorf("%s: node[%d]: its shard or share is below 0", path, i)
+			return nil, fmt.Errorf("%s: node[%d]: shard %d or share %v is below 0", path, i, node.Shard, node.Share)
 		}
 		entries = append(entries, node.decode())
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -3,13 +3,15 @@
 import (
 	"encoding/json"
 	"fmt"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
 	"junctionwharf/internal/golden"
 )
 
-// settingsKeys are all keys of the settings, with the JSON of a value.
+// settingsKeys lists all keys of the settings, each with a valid value in JSON.
 var settingsKeys = []struct{ path, value string }{
 	{"bounds.cancel", `true`},
 	{"bounds.peers", `true`},
@@ -63,7 +65,8 @@
 	{"zone", `"z1"`},
 }
 
-// settingsWith builds the settings' JSON; wrong, if not empty, is the key whose value is of another type.
+// settingsWith returns the settings in JSON. If wrong is not empty, the value of the key with that name has the wrong
+// type.
 func settingsWith(t *testing.T, wrong string) []byte {
 	t.Helper()
 	sections := map[string]any{}
@@ -86,7 +89,8 @@
 	return text
 }
 
-// keysOfSection are the keys of a section; classes and plans are lists of one element.
+// keysOfSection returns the keys of a section, which it adds if necessary. The sections of classes and plans are lists
+// of one element.
 func keysOfSection(sections map[string]any, section string) map[string]json.RawMessage {
 	switch existing := sections[section].(type) {
 	case map[string]json.RawMessage:
@@ -102,7 +106,7 @@
 	return keys
 }
 
-// The keys of the settings are those of the protocol: each is read, whatever its case.
+// The platform writes the keys of the settings, so their names must not change. Each key is read regardless of case.
 func TestSettingsKeys(t *testing.T) {
 	text := string(settingsWith(t, ""))
 	otherCase := strings.NewReplacer(`"maxAttempts"`, `"MAXATTEMPTS"`, `"nInstances"`, `"NInstances"`).Replace(text)
@@ -115,12 +119,92 @@
 	}
 }
 
-// A value of the wrong type is an error that names the key.
+// faultsFile records the error for each key whose value has the wrong type.
+const faultsFile = "settings-faults.txt"
+
+// rewordedFaults are texts of the recording in settings-faults.txt, each with the text that replaced it.
+var rewordedFaults = [][2]string{
+	{"bounds.cancel: a array is no value for it", "bounds.cancel: got array, want true or false"},
+	{"bounds.peers: a array is no value for it", "bounds.peers: got array, want true or false"},
+	{"bounds.probes: a array is no value for it", "bounds.probes: got array, want true or false"},
+	{"bounds.retryAfter: a array is no value for it", "bounds.retryAfter: got array, want true or false"},
+	{"bounds.secondCopies: a array is no value for it", "bounds.secondCopies: got array, want true or false"},
+	{"bounds.maxAttempts: a array is no value for it", "bounds.maxAttempts: got array, want an integer"},
+	{"bounds.maxRetryAfter: a array is no value for it", "bounds.maxRetryAfter: got array, want a number"},
+	{"bounds.connIdle: a array is no value for it", "bounds.connIdle: got array, want a number"},
+	{"bounds.connectTimeout: a array is no value for it", "bounds.connectTimeout: got array, want a number"},
+	{"classes.name: a array is no value for it", "classes.name: got array, want a string"},
+	{"classes.effect: a array is no value for it", "classes.effect: got array, want a string"},
+	{"classes.keyScope: a array is no value for it", "classes.keyScope: got array, want a string"},
+	{"classes.aim: a array is no value for it", "classes.aim: got array, want a number"},
+	{"classes.deadline: a array is no value for it", "classes.deadline: got array, want a number"},
+	{"classes.window: a array is no value for it", "classes.window: got array, want a number"},
+	{"classes.aimStretch: a array is no value for it", "classes.aimStretch: got array, want a number"},
+	{"classes.importance: a array is no value for it", "classes.importance: got array, want a number"},
+	{"classes.lateWorth: a array is no value for it", "classes.lateWorth: got array, want a number"},
+	{"classes.byArrival: a array is no value for it", "classes.byArrival: got array, want true or false"},
+	{"classes.stream: a array is no value for it", "classes.stream: got array, want true or false"},
+	{"discovery: a array is no value for it", "discovery: got array, want a string"},
+	{"invariants.answerSlack: a array is no value for it", "invariants.answerSlack: got array, want a number"},
+	{"invariants.cold: a array is no value for it", "invariants.cold: got array, want a number"},
+	{"invariants.drainGrace: a array is no value for it", "invariants.drainGrace: got array, want a number"},
+	{"invariants.fall: a array is no value for it", "invariants.fall: got array, want a number"},
+	{"invariants.mustAskIn: a array is no value for it", "invariants.mustAskIn: got array, want a number"},
+	{"invariants.keyQuiet: a array is no value for it", "invariants.keyQuiet: got array, want a number"},
+	{"invariants.ratioSpan: a array is no value for it", "invariants.ratioSpan: got array, want a number"},
+	{"invariants.coldShare: a array is no value for it", "invariants.coldShare: got array, want a number"},
+	{"invariants.fallMultiple: a array is no value for it", "invariants.fallMultiple: got array, want a number"},
+	{"invariants.extraFloor: a array is no value for it", "invariants.extraFloor: got array, want a number"},
+	{"invariants.resendRatio: a array is no value for it", "invariants.resendRatio: got array, want a number"},
+	{"nInstances: a array is no value for it", "nInstances: got array, want an integer"},
+	{"ordinal: a array is no value for it", "ordinal: got array, want an integer"},
+	{"serviceLevels.name: a array is no value for it", "serviceLevels.name: got array, want a string"},
+	{"serviceLevels.capDepth: a array is no value for it", "serviceLevels.capDepth: got array, want a number"},
+	{"serviceLevels.ceilingRate: a array is no value for it", "serviceLevels.ceilingRate: got array, want a number"},
+	{"serviceLevels.floorRate: a array is no value for it", "serviceLevels.floorRate: got array, want a number"},
+	{"serviceLevels.nominal: a array is no value for it", "serviceLevels.nominal: got array, want a number"},
+	{"serviceLevels.parts: a array is no value for it", "serviceLevels.parts: got array, want a number"},
+	{"serviceLevels.price: a array is no value for it", "serviceLevels.price: got array, want a number"},
+	{"serviceLevels.tolerance: a array is no value for it", "serviceLevels.tolerance: got array, want a number"},
+	{"specifics.idleWorth: a array is no value for it", "specifics.idleWorth: got array, want a number"},
+	{"specifics.maxUnits: a array is no value for it", "specifics.maxUnits: got array, want a number"},
+	{"specifics.usualUnits: a array is no value for it", "specifics.usualUnits: got array, want a number"},
+	{"specifics.withinShare: a array is no value for it", "specifics.withinShare: got array, want a number"},
+	{"specifics.youngLimit: a array is no value for it", "specifics.youngLimit: got array, want a number"},
+	{"specifics.usePeriod: a array is no value for it", "specifics.usePeriod: got array, want a number"},
+	{"specifics.nShards: a array is no value for it", "specifics.nShards: got array, want an integer"},
+	{"zone: a array is no value for it", "zone: got array, want a string"},
+}
+
+// readFaults returns the recorded faults with the texts of rewordedFaults replaced. Each row must be found in the
+// recording.
+func readFaults(t *testing.T) string {
+	t.Helper()
+	recorded, err := os.ReadFile(filepath.Join("testdata", faultsFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var pairs []string
+	for _, row := range rewordedFaults {
+		if !strings.Contains(string(recorded), row[0]) {
+			t.Errorf("%s contains no %q", faultsFile, row[0])
+		}
+		pairs = append(pairs, row[:]...)
+	}
+	return strings.NewReplacer(pairs...).Replace(string(recorded))
+}
+
+// A value of the wrong type causes an error that starts with the key.
 func TestSettingsTypeErrors(t *testing.T) {
 	var faults strings.Builder
 	for _, setting := range settingsKeys {
 		_, err := ParseSettings(settingsWith(t, setting.path))
 		fmt.Fprintf(&faults, "%s: %v\n", setting.path, err)
 	}
-	golden.Check(t, "settings-faults.txt", []byte(faults.String()))
+	if golden.Recording() {
+		golden.Check(t, faultsFile, []byte(faults.String()))
+	}
+	if got, want := faults.String(), readFaults(t); got != want {
+		t.Errorf("%s:\n%s\nwant:\n%s", faultsFile, got, want)
+	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// keySet is the keys of a JSON object, with those below each. A list of objects has the keys that all of them have.
+// keySet contains the keys of a JSON object, each with the keys of its value. The keySet of a list contains the keys
+// that all of its elements have.
 type keySet map[string]keySet
 
-// parseKeys reads the keys of a JSON object. One that holds null counts as missing.
+// parseKeys returns the keys of a JSON object. A key whose value is null is treated as missing.
 func parseKeys(text []byte) keySet {
 	var value any
 	if json.Unmarshal(text, &value) != nil {
@@ -33,7 +34,7 @@
 	keys := keySet{}
 	for key, inner := range object {
 		if inner != nil {
-			keys[strings.ToLower(key)] = keysOf(inner) // encoding/json matches keys whatever their case
+			keys[strings.ToLower(key)] = keysOf(inner) // encoding/json matches keys regardless of case
 		}
 	}
 	return keys
@@ -51,7 +52,7 @@
 	return common
 }
 
-// intersect is the keys that stand in k and in other.
+// intersect returns the keys that are in both k and other.
 func (k keySet) intersect(other keySet) keySet {
 	common := keySet{}
 	for key, inner := range k {
@@ -62,7 +63,7 @@
 	return common
 }
 
-// firstMissing names the first of the keys that other does not have; empty for none.
+// firstMissing returns the path of the first key of k that is not in other. It returns "" if other has all keys of k.
 func (k keySet) firstMissing(other keySet) string {
 	for _, key := range slices.Sorted(maps.Keys(k)) {
 		inner, held := other[key]
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -5,27 +5,30 @@
 	"math"
 )
 
-// What a process may use where the configuration does not say: a small machine.
+// Default limits of the process, sized for a small machine.
 const (
-	// defaultCores is in processors. Higher, Go's runtime starts more threads than the machine runs, and requests are
-	// late; lower, a broker on a larger machine sheds load too early.
+	// defaultCores is in processors. If it is higher than the actual number, the Go runtime starts more threads than
+	// the machine can run, and requests are late. If it is lower, a broker on a larger machine sheds load too early.
 	defaultCores = 1.0
-	// defaultMemoryMB is in MiB. Higher, the platform kills a broker on a small machine; lower, clients are rejected.
+	// defaultMemoryMB is in MiB. With a larger value, the platform kills a broker on a small machine. With a smaller
+	// value, clients are rejected.
 	defaultMemoryMB = 192
-	// defaultSockets is in file descriptors. Higher, accepting fails for want of them; lower, clients are rejected.
+	// defaultSockets is in file descriptors. With a larger value, accepting a connection fails when the descriptors are
+	// exhausted. With a smaller value, clients are rejected.
 	defaultSockets = 1024
 )
 
-// Below these no broker runs.
+// Minimum limits with which a broker can run.
 const (
-	// minMemoryMB is in MiB: the program itself takes about as much. Lower, a start is killed instead of refused.
+	// minMemoryMB is in MiB, about the memory that the program itself needs. With a smaller value, the platform would
+	// kill the process instead of the configuration being rejected at the start.
 	minMemoryMB = 32
-	// minSockets is in file descriptors: discovery, peers and the console take most of them. Lower, a start accepts
-	// hardly any client instead of being refused.
+	// minSockets is in file descriptors. Discovery, peers and the console use most of them. With a smaller value, the
+	// broker would start but accept hardly any client.
 	minSockets = 64
 )
 
-// Limits is what the process may use.
+// Limits are the resource limits of the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -11,36 +11,36 @@
 	"junctionwharf/membership"
 )
 
-// The kinds of sources, as the site file names them in EndpointSource.Kind.
+// Kinds of endpoint list sources, the values of EndpointSource.Kind in the site file.
 const (
 	SourceDiscovery = "discovery" // the platform's discovery service
 	SourceDNS       = "dns"       // SRV records
 	SourceFile      = "file"      // a file on this machine
 )
 
-// What a source may be allowed to do.
+// Permissions of a source, the values of EndpointSource.Allowed in the site file.
 const (
 	allowAdd    = "add"
 	allowDrain  = "drain"
 	allowRemove = "remove"
 )
 
-// Membership is where the list of storage nodes comes from. Without a source discovery alone is followed, and its
-// list is applied as it is.
+// Membership configures the sources of the endpoint list. Without a source, the broker follows discovery alone and
+// applies its list unchanged.
 type Membership struct {
-	SuspectS int              `toml:"suspect_s"` // seconds for which the removal of most nodes at once is deferred
-	Snapshot string           `toml:"snapshot"`  // a file that keeps the list across a restart; empty: none
+	SuspectS int              `toml:"suspect_s"` // how long the sudden removal of most nodes is deferred, in seconds
+	Snapshot string           `toml:"snapshot"`  // file that preserves the list across a restart; empty: none
 	Sources  []EndpointSource `toml:"source"`
 }
 
-// EndpointSource is one source of the list.
+// EndpointSource is one source of the endpoint list.
 type EndpointSource struct {
 	Name    string   `toml:"name"`
 	Kind    string   `toml:"kind"`   // "discovery", "dns" or "file"
-	Allowed []string `toml:"may"`    // of "add", "drain" and "remove"; all by default
-	FreshS  int      `toml:"good_s"` // seconds of silence after which its removals no longer outweigh what others list
+	Allowed []string `toml:"may"`    // some of "add", "drain" and "remove"; empty: all
+	FreshS  int      `toml:"good_s"` // how long the removals of a silent source outweigh other sources, in seconds
 
-	// Of kind "dns".
+	// Only for kind "dns".
 	SRV         string   `toml:"srv"`
 	Resolvers   []string `toml:"resolvers"`
 	TimeoutMS   int      `toml:"timeout_ms"`
@@ -48,25 +48,25 @@
 	MaxTTLS     int      `toml:"ttl_most_s"`
 	StaleS      int      `toml:"stale_s"`
 	QueriesPerS float64  `toml:"queries_per_s"`
-	Pattern     string   `toml:"pattern"` // over targets, with groups shard, zone, kind and share
-	UseTXT      bool     `toml:"texts"`   // TXT records of targets say the same
-	Shard       *int     `toml:"shard"`   // of targets where neither says it
+	Pattern     string   `toml:"pattern"` // matched against targets; groups: shard, zone, kind and share
+	UseTXT      bool     `toml:"texts"`   // reads shard, zone, kind and share from the targets' TXT records
+	Shard       *int     `toml:"shard"`   // shard of targets that neither the pattern nor a TXT record assigns to one
 	Zone        string   `toml:"zone"`
 	NodeKind    string   `toml:"node_kind"`
 
-	// Of kind "file".
+	// Only for kind "file".
 	Path string `toml:"path"`
 
 	pattern *regexp.Regexp // Pattern, compiled
 }
 
-// Permissions are what the source may do.
+// Permissions returns the changes that the source may make to the endpoint list.
 func (s EndpointSource) Permissions() membership.Permissions {
 	allowed := func(word string) bool { return len(s.Allowed) == 0 || slices.Contains(s.Allowed, word) }
 	return membership.Permissions{Add: allowed(allowAdd), Drain: allowed(allowDrain), Remove: allowed(allowRemove)}
 }
 
-// Mapping says where a DNS source's shards and zones come from.
+// Mapping returns how the shard, zone, kind and share of a DNS target are determined.
 func (s EndpointSource) Mapping() dnssrv.Mapping {
 	const unknownShard = -1
 	mapping := dnssrv.Mapping{Pattern: s.pattern, UseTXT: s.UseTXT, Shard: unknownShard, Zone: s.Zone, Kind: s.NodeKind}
@@ -76,7 +76,7 @@
 	return mapping
 }
 
-// Resolver are the options of a DNS source's resolver.
+// Resolver returns the options of the resolver of a DNS source.
 func (s EndpointSource) Resolver() dnssrv.Options {
 	return dnssrv.Options{
 		Servers:  s.Resolvers,
@@ -88,7 +88,7 @@
 	}
 }
 
-// Options are those of merging the sources.
+// Options returns the options for merging the lists of all sources.
 func (m Membership) Options() membership.Options {
 	options := membership.Options{SuspectHold: int64(m.SuspectS) * microsPerSecond}
 	for _, source := range m.Sources {
@@ -119,13 +119,13 @@
 		}
 	}
 	if discoveries > 1 {
-		return fmt.Errorf("source: discovery stands %d times", discoveries)
+		return fmt.Errorf("source: %d sources are of kind \"discovery\", at most 1 is allowed", discoveries)
 	}
 	if len(m.Sources) > 0 {
 		return m.Options().Validate()
 	}
 	if m.Snapshot != "" {
-		return errors.New("snapshot: it needs a source")
+		return errors.New("snapshot: requires at least one source")
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 		{"stale_s", float64(s.StaleS)},
 		{"queries_per_s", s.QueriesPerS},
 	} {
-		if !(f.value >= 0) { // not a number is no figure either
+		if !(f.value >= 0) { // written so that NaN is rejected too
 			return fmt.Errorf("%s: %v is below 0", f.key, f.value)
 		}
 	}
@@ -181,7 +181,7 @@
 		return errors.New("srv: missing")
 	}
 	if len(s.Resolvers) == 0 {
-		return errors.New("resolvers: none")
+		return errors.New("resolvers: at least one is required")
 	}
 	for i, resolver := range s.Resolvers {
 		if err := checkAddress(resolver, true); err != nil {
@@ -195,7 +195,7 @@
 		return err
 	}
 	if s.Pattern == "" && !s.UseTXT && s.Shard == nil {
-		return errors.New("pattern: missing, and neither texts nor shard tell the shards")
+		return errors.New("pattern: missing, but required unless texts or shard is set")
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 	}
 	for _, group := range pattern.SubexpNames() {
 		if group != "" && !slices.Contains([]string{"shard", "zone", "kind", "share"}, group) {
-			return fmt.Errorf("pattern: its group %q is neither shard, zone, kind nor share", group)
+			return fmt.Errorf("pattern: group %q is neither shard, zone, kind nor share", group)
 		}
 	}
 	s.pattern = pattern
--- a/internal/config/metrics.go
+++ b/internal/config/metrics.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// defaultIntervalS is the time between two exports, in seconds. Higher, graphs are coarser; lower, the receiver
-	// has more to store.
+	// defaultIntervalS is the time between two exports, in seconds. With a larger value, graphs are coarser. With a
+	// smaller value, the receiver has more data to store.
 	defaultIntervalS = 10
-	// maxIntervalS is in seconds. Higher, a slip of the pen leaves graphs empty for days.
+	// maxIntervalS is in seconds. With a larger value, a typing error could leave graphs empty for days.
 	maxIntervalS = 3600
-	// defaultPrefix begins the names of series.
+	// defaultPrefix is the first part of series names.
 	defaultPrefix = "junctionwharf"
-	// defaultQueueBytes bounds the intervals that wait for a receiver. Higher, an outage costs more memory; lower,
-	// more of it is lost.
+	// defaultQueueBytes limits the queue of unsent intervals. With a larger value, an outage of the receiver uses more
+	// memory. With a smaller value, more intervals are lost during an outage.
 	defaultQueueBytes = 4 << 20
-	// minQueueBytes is one interval of a small broker: below it each interval would be lost while the one before is
-	// sent.
+	// minQueueBytes is the size of one interval of a small broker. With a smaller queue, each interval would be lost
+	// while the previous one is being sent.
 	minQueueBytes = 64 << 10
-	// maxQueueBytes is more than any machine spares for metrics; a higher figure is a slip of the pen.
+	// maxQueueBytes is more memory than any machine can spare for metrics. A larger value is a typing error.
 	maxQueueBytes = 1 << 30
-	// fixedSeries is how many series the core and the exporters have at the most, besides those of each class. Lower,
-	// a figure of theirs would be left out of the exports.
+	// fixedSeries is the maximum number of series of the core and the exporters, without the series of each class. With
+	// a smaller value, some of these series would be omitted from the exports.
 	fixedSeries = 100
-	// seriesPerClass is how many series each class has.
+	// seriesPerClass is the number of series of each class.
 	seriesPerClass = 3
 )
 
-// Telemetry bounds what is exported.
+// Telemetry limits the number of exported series and their memory.
 type Telemetry struct {
 	MaxSeries     int `toml:"max_series"`
 	MaxBytes      int `toml:"max_bytes"`      // memory of all rows of series
-	IdleIntervals int `toml:"idle_intervals"` // a volume without requests for so long is left out
+	IdleIntervals int `toml:"idle_intervals"` // a volume is omitted after this many intervals without requests
 }
 
-// Options are those of a registry for a broker with such settings.
+// Options returns the options of the telemetry registry of a broker with the given settings.
 func (t Telemetry) Options(set scheduler.Settings) telemetry.Options {
 	options := telemetry.Options{
 		MaxSeries:      t.MaxSeries,
@@ -70,14 +70,14 @@
 	return t.Options(set).Check()
 }
 
-// Receiver is what receivers of metrics have in common.
+// Receiver contains the keys that all kinds of metrics receivers share.
 type Receiver struct {
 	Address    string `toml:"address"` // host:port; empty: off
 	IntervalS  int    `toml:"interval_s"`
-	QueueBytes int    `toml:"queue_bytes"` // intervals that wait for the receiver
+	QueueBytes int    `toml:"queue_bytes"` // limit of the queue of unsent intervals
 }
 
-// Interval is the time between two exports.
+// Interval returns the time between two exports.
 func (r Receiver) Interval() time.Duration {
 	return time.Duration(r.IntervalS) * time.Second
 }
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// The values of a Graphite receiver's keys.
+// Values of the keys of a Graphite receiver.
 const (
 	protocolPlaintext = "plaintext"
 	protocolPickle    = "pickle"
@@ -111,16 +111,16 @@
 	namesTagged       = "tagged"
 )
 
-// Graphite is a Carbon receiver.
+// Graphite configures a Carbon receiver.
 type Graphite struct {
 	Receiver
-	Prefix    string `toml:"prefix"`    // of names; the broker's name follows
+	Prefix    string `toml:"prefix"`    // first part of series names, before the broker's name
 	Protocol  string `toml:"protocol"`  // "plaintext" or "pickle"
 	Transport string `toml:"transport"` // "tcp" or "udp"
 	Names     string `toml:"names"`     // "dotted" or "tagged"
 }
 
-// Naming is the way names are written.
+// Naming returns the format of series names.
 func (g Graphite) Naming() graphite.Naming {
 	if g.Names == namesTagged {
 		return graphite.Tagged
@@ -150,7 +150,7 @@
 		}
 	}
 	if g.Protocol == protocolPickle && g.Transport == transportUDP {
-		return fmt.Errorf("transport: pickles go over tcp only")
+		return fmt.Errorf("transport: protocol %q requires %q, got %q", g.Protocol, transportTCP, g.Transport)
 	}
 	if g.Prefix == "" {
 		g.Prefix = defaultPrefix
@@ -161,17 +161,17 @@
 	return nil
 }
 
-// Collectd is a receiver of collectd's network plugin.
+// Collectd configures a receiver for the protocol of collectd's network plugin.
 type Collectd struct {
 	Receiver
 	Security string `toml:"security"` // "none", "sign" or "encrypt"
-	User     string `toml:"user"`     // whose line of the key file counts; empty: the first
+	User     string `toml:"user"`     // user of the key file whose key is used; empty: the first in the file
 	KeyFile  string `toml:"key_file"`
 
 	Key collectd.Key `toml:"-"` // read from the key file
 }
 
-// securityNone is the default of a collectd receiver.
+// securityNone is the default security level of a collectd receiver.
 const securityNone = "none"
 
 var securityLevels = map[string]collectd.Security{
@@ -180,7 +180,7 @@
 	"encrypt":    collectd.Encrypted,
 }
 
-// SecurityLevel is how packets are protected.
+// SecurityLevel returns how packets are protected.
 func (c Collectd) SecurityLevel() collectd.Security {
 	return securityLevels[c.Security]
 }
@@ -200,7 +200,7 @@
 		return nil
 	}
 	if c.KeyFile == "" {
-		return fmt.Errorf("key_file: missing, and security is %q", c.Security)
+		return fmt.Errorf("key_file: missing, but required by security %q", c.Security)
 	}
 	key, err := collectd.ReadKey(c.KeyFile, c.User)
 	if err != nil {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,12 +6,12 @@
 	"reflect"
 )
 
-// knownKey is the list of nodes held before a start, which counts at a start only.
+// knownKey is the key of the endpoint list from before the start. The list is used only at the start.
 const knownKey = "known"
 
-// CheckReloadKeys guards against a file that was cut or lost a key, which would otherwise pass for one that leaves
-// the key to its default: a configuration that comes while the broker runs holds all keys that the one in force
-// holds. The error names the first key that is missing.
+// CheckReloadKeys returns an error if other lacks a key that c has. The error names the first missing key. Without this
+// check, a truncated file or a lost key would silently reset the key to its default. A configuration that is loaded
+// while the broker runs must therefore contain all keys of the active one.
 func (c *Config) CheckReloadKeys(other *Config) error {
 	required := maps.Clone(c.keys)
 	delete(required, knownKey)
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// RestartOnlyChanges names the keys in which other differs and which are in force only from a start on. The seed and
-// the known list always are those of the start.
+// RestartOnlyChanges returns the keys whose values differ in other and take effect only after a restart. The seed and
+// the known list are not compared: a reload never changes them.
 func (c *Config) RestartOnlyChanges(other *Config) []string {
 	var keys []string
 	for _, setting := range []struct {
@@ -48,7 +48,7 @@
 	return keys
 }
 
-// ApplyReload takes over what may change while the broker runs.
+// ApplyReload copies from other the settings that may change while the broker runs.
 func (c *Config) ApplyReload(other *Config) {
 	c.Discovery = other.Discovery
 	c.Settings = other.Settings
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"reflect"
 	"strings"
 	"time"
 
@@ -11,15 +12,15 @@
 	"junctionwharf/scheduler"
 )
 
-// Settings is what all brokers of a tier share: the platform's "settings" object.
+// Settings contains the settings that all brokers of a tier share. It is decoded from the platform's "settings" object.
 type Settings struct {
 	Scheduler      scheduler.Settings
-	Shards         int           // they run from 0 to this less 1; 0 for unknown
-	ConnIdle       broker.Micros // idle connections to nodes end after this
+	Shards         int           // number of shards, which are numbered from 0; 0: unknown
+	ConnIdle       broker.Micros // idle connections to nodes are closed after this time
 	ConnectTimeout broker.Micros
 }
 
-// wireSettings is the object in the platform's file. encoding/json matches its keys whatever their case.
+// wireSettings is the format of the object in the platform's file. encoding/json matches its keys regardless of case.
 type wireSettings struct {
 	Bounds        wireBounds     `json:"bounds"`
 	Classes       []wireClass    `json:"classes"`
@@ -93,17 +94,17 @@
 	NShards     int     `json:"nShards"`
 }
 
-// subscribeMode is the value of "discovery" where all brokers poll one service.
+// subscribeMode is the value of "discovery" that means that all brokers poll one service.
 const subscribeMode = "subscribe"
 
-// idempotencies are the values of a class's "effect".
+// idempotencies maps the values of a class's "effect".
 var idempotencies = map[string]scheduler.Idempotency{
 	"safe":   scheduler.Idempotent,
 	"keyed":  scheduler.IdempotentWithKey,
 	"unsafe": scheduler.NotIdempotent,
 }
 
-// keyScopes are the values of a class's "keyScope".
+// keyScopes maps the values of a class's "keyScope".
 var keyScopes = map[string]scheduler.Scope{
 	"":     scheduler.ScopeAll,
 	"all":  scheduler.ScopeAll,
@@ -111,27 +112,45 @@
 	"cell": scheduler.ScopeShard,
 }
 
-// micros is a span of the settings, in microseconds. It is a float, since the file's figures may have fractions.
+// micros is a duration in the settings, in microseconds. It is a float because values in the file may have fractions.
 type micros float64
 
 func (m micros) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// nameTypeError names the key whose value is of the wrong type.
+// nameTypeError replaces a JSON type error by an error that starts with the key of the faulty value.
 func nameTypeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
 		return err
 	}
 	parts := strings.Split(typeError.Field, ".")
-	for i, part := range parts { // a field of an embedded struct is named as in Go
+	for i, part := range parts { // encoding/json reports a field of an embedded struct by its Go name
 		parts[i] = strings.ToLower(part[:1]) + part[1:]
 	}
-	return fmt.Errorf("%s: a %s is no value for it", strings.Join(parts, "."), typeError.Value)
+	want := expectedType(typeError.Type.Kind())
+	return fmt.Errorf("%s: got %s, want %s", strings.Join(parts, "."), typeError.Value, want)
+}
+
+// expectedType describes the JSON values that a Go field of the given kind accepts.
+func expectedType(kind reflect.Kind) string {
+	switch kind {
+	case reflect.Bool:
+		return "true or false"
+	case reflect.Int:
+		return "an integer"
+	case reflect.Float64:
+		return "a number"
+	case reflect.String:
+		return "a string"
+	case reflect.Slice:
+		return "an array"
+	}
+	return "an object"
 }
 
-// ParseSettings reads the settings' JSON. Unknown keys are passed over.
+// ParseSettings decodes the JSON text of the settings. It ignores unknown keys.
 func ParseSettings(text []byte) (*Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// defaultConnIdle is when idle connections to nodes end. Higher, they take sockets that other nodes need; lower,
-	// requests after a pause wait for a connection.
+	// defaultConnIdle is the time after which idle connections to nodes are closed. With a larger value, they use
+	// sockets that connections to other nodes need. With a smaller value, requests after a pause wait for a connection.
 	defaultConnIdle = 30 * broker.Second
-	// defaultConnectTimeout bounds a connection to a node. Higher, a request to a node that is gone is retried later;
-	// lower, a busy node counts as gone.
+	// defaultConnectTimeout limits the time for connecting to a node. With a larger value, a request to an unreachable
+	// node is retried later. With a smaller value, a busy node is treated as unreachable.
 	defaultConnectTimeout = broker.Second / 4
 )
 
-// complete checks the settings and sets what they leave out.
+// complete checks the settings and sets the defaults of missing ones.
 func (s *Settings) complete() error {
 	if err := s.completeConnections(); err != nil {
 		return err
@@ -32,13 +32,13 @@
 		return err
 	}
 	if s.Scheduler.Capabilities.MaxAttempts < 1 {
-		return fmt.Errorf("bounds.maxAttempts: %d is not above 0", s.Scheduler.Capabilities.MaxAttempts)
+		return fmt.Errorf("bounds.maxAttempts: %d is below 1", s.Scheduler.Capabilities.MaxAttempts)
 	}
 	if s.Scheduler.Brokers < 1 {
 		return fmt.Errorf("nInstances: %d is below 1", s.Scheduler.Brokers)
 	}
 	if s.Scheduler.Ordinal < 0 || s.Scheduler.Ordinal >= s.Scheduler.Brokers {
-		return fmt.Errorf("ordinal: %d is not below nInstances (%d)", s.Scheduler.Ordinal, s.Scheduler.Brokers)
+		return fmt.Errorf("ordinal: %d is below 0 or not below nInstances, %d", s.Scheduler.Ordinal, s.Scheduler.Brokers)
 	}
 	return s.Scheduler.Validate()
 }
@@ -64,19 +64,19 @@
 
 func checkClasses(classes []scheduler.Class) error {
 	if len(classes) == 0 {
-		return errors.New("classes: none")
+		return errors.New("classes: at least one class is required")
 	}
 	names := map[string]bool{}
 	for i, class := range classes {
 		if class.Name == "" || names[class.Name] {
-			return fmt.Errorf("classes[%d].name: %q is missing or stands twice", i, class.Name)
+			return fmt.Errorf("classes[%d].name: %q is empty or a duplicate", i, class.Name)
 		}
 		names[class.Name] = true
 		if class.Deadline <= 0 {
-			return fmt.Errorf("classes[%d].deadline: it is not above 0", i)
+			return fmt.Errorf("classes[%d].deadline: %v is not above 0", i, class.Deadline)
 		}
 		if class.LatencyObjective <= 0 {
-			return fmt.Errorf("classes[%d].aim: it is not above 0", i)
+			return fmt.Errorf("classes[%d].aim: %v is not above 0", i, class.LatencyObjective)
 		}
 	}
 	return nil
@@ -86,30 +86,30 @@
 	names := map[string]bool{}
 	for i, plan := range plans {
 		if plan.Name == "" || names[plan.Name] {
-			return fmt.Errorf("serviceLevels[%d].name: %q is missing or stands twice", i, plan.Name)
+			return fmt.Errorf("serviceLevels[%d].name: %q is empty or a duplicate", i, plan.Name)
 		}
 		names[plan.Name] = true
 	}
 	return nil
 }
 
-// figure is a number with its key.
+// figure is a configured number with its key.
 type figure struct {
 	key   string
 	value float64
 }
 
-// checkNotNegative names the key whose figure is below 0, before anything is served by it.
+// checkNotNegative returns an error for the first negative figure, so that a configuration with one is never applied.
 func checkNotNegative(figures []figure) error {
 	for _, f := range figures {
 		if f.value < 0 {
-			return fmt.Errorf("%s: it is below 0", f.key)
+			return fmt.Errorf("%s: must not be below 0", f.key)
 		}
 	}
 	return nil
 }
 
-// figures are those of the settings that must not be below 0.
+// figures returns the values of the settings that must not be negative.
 func (s *Settings) figures() []figure {
 	set := &s.Scheduler
 	figures := []figure{
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// Settings of deployments that have little in common.
+// Settings of three deployments that use different features.
 const (
 	smallestSettings = `{"nInstances":1,"ordinal":0,"bounds":{"maxAttempts":1},
 		"classes":[{"name":"a","aim":1000,"deadline":2000,"effect":"unsafe"}],"serviceLevels":[{"name":"p"}]}`
@@ -26,16 +26,16 @@
 		"serviceLevels":[{"name":"p"},{"name":"q","price":9}]}`
 )
 
-// Settings of deployments that have little in common pass the same reading: nothing is fitted to one of them. What
-// the protocol calls optional may be absent and means none; what is unknown is passed over.
+// The settings of deployments with different features are all accepted, so no check is written for one of them only.
+// Keys that the protocol calls optional may be missing, and unknown keys are ignored.
 func TestDeployments(t *testing.T) {
 	for _, deployment := range []struct {
 		name, text string
 		check      func(*Settings) bool
 	}{
-		{"one class, one plan, nothing optional", smallestSettings, isSmallest},
-		{"keyed by zone and cell, in order, with a budget and a limit", keyedSettings, isKeyed},
-		{"a write that may repeat, and keys of a later version", unknownKeysSettings, isWithUnknownKeys},
+		{"one class, one plan, no optional keys", smallestSettings, isSmallest},
+		{"keys by zone and shard, ordered, with a retry budget and a rate limit", keyedSettings, isKeyed},
+		{"an idempotent write and keys of a later version", unknownKeysSettings, isWithUnknownKeys},
 	} {
 		settings, err := parseComplete(deployment.text)
 		if err != nil || !deployment.check(settings) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// parseComplete reads, completes and checks settings.
+// parseComplete decodes settings, sets defaults and checks the result.
 func parseComplete(text string) (*Settings, error) {
 	settings, err := ParseSettings([]byte(text))
 	if err != nil {
@@ -71,7 +71,7 @@
 	return s.Scheduler.Classes[0].Idempotency == scheduler.Idempotent && s.Scheduler.Plans[1].Price == 9
 }
 
-// A figure of the wrong kind or out of range is an error that names its key.
+// A value of the wrong type or out of range causes an error that starts with its key.
 func TestFaultyFigures(t *testing.T) {
 	const sound = `{"nInstances":1,"ordinal":0,"bounds":{"maxAttempts":1,"maxRetryAfter":1},
 		"specifics":{"maxUnits":8,"youngLimit":3},
@@ -102,7 +102,7 @@
 	} {
 		_, err := parseComplete(strings.Replace(sound, c.old, c.new, 1))
 		if err == nil || !strings.HasPrefix(err.Error(), c.key+":") {
-			t.Errorf("%s for %s: %v", c.new, c.old, err)
+			t.Errorf("%s instead of %s: got error %v, want one that starts with %q", c.new, c.old, err, c.key+":")
 		}
 	}
 }
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// defaultConnections is how many SFTP clients may be connected. Higher, they take sockets from other clients;
-	// lower, a site's programs are rejected.
+	// defaultConnections is the default maximum number of connected SFTP clients. With a larger value, they use sockets
+	// that other clients need. With a smaller value, connections of a site's programs are rejected.
 	defaultConnections = 32
-	// maxConnections bounds that. Higher, SFTP clients could take most sockets of a small machine.
+	// maxConnections is the upper bound of the configured maximum. With a larger value, SFTP clients could use most
+	// sockets of a small machine.
 	maxConnections = 256
-	// defaultUnitBytes is how many bytes of a file count as one unit of a request's cost. Higher, file commands cost
-	// less of a volume's rate than they load the nodes; lower, more.
+	// defaultUnitBytes is the number of bytes of a file that cost one unit. With a larger value, file commands use less
+	// of a volume's rate than their load on the nodes justifies. With a smaller value, they use more.
 	defaultUnitBytes = 16 << 10
 	// maxPort is the highest TCP port.
 	maxPort = 65535
 )
 
-// SFTP is the listener for file commands.
+// SFTP configures the SFTP listener, which accepts file commands.
 type SFTP struct {
-	Listen      string                                `toml:"listen"`    // empty: off
-	NodePort    int                                   `toml:"node_port"` // of nodes; 0: the endpoint list's
+	Listen      string                                `toml:"listen"`    // host:port; empty: off
+	NodePort    int                                   `toml:"node_port"` // of nodes; 0: the port in the endpoint list
 	Connections int                                   `toml:"connections"`
 	UnitBytes   int                                   `toml:"unit_bytes"`
 	Commands    map[sftp.Command]sftp.CommandSettings `toml:"command"`
@@ -32,7 +33,7 @@
 	plan sftp.Mapping
 }
 
-// Plan maps file commands to the core's requests.
+// Plan returns the mapping of file commands to the core's requests.
 func (s *SFTP) Plan() *sftp.Mapping {
 	return &s.plan
 }
@@ -52,7 +53,7 @@
 	}
 	switch {
 	case s.NodePort < 0 || s.NodePort > maxPort:
-		return fmt.Errorf("node_port: %d is no port", s.NodePort)
+		return fmt.Errorf("node_port: %d is not within 0 to %d", s.NodePort, maxPort)
 	case s.Connections < 1 || s.Connections > maxConnections:
 		return fmt.Errorf("connections: %d is not within 1 to %d", s.Connections, maxConnections)
 	}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -8,7 +8,7 @@
 	"junctionwharf/scheduler"
 )
 
-// Site is what a broker does besides the platform's port. All of it is off by default.
+// Site configures the optional features of a broker. All of them are off by default.
 type Site struct {
 	SFTP       SFTP       `toml:"sftp"`
 	Membership Membership `toml:"membership"`
@@ -20,7 +20,7 @@
 	Agreement  Agreement  `toml:"agreement"`
 }
 
-// LoadSite reads a site file and checks it against the settings.
+// LoadSite reads a site file, sets defaults and checks the result against the settings.
 func LoadSite(path string, set scheduler.Settings) (Site, error) {
 	var site Site
 	if err := decodeTOML(path, &site); err != nil {
@@ -46,7 +46,7 @@
 	return site, nil
 }
 
-// decodeTOML reads a file in which unknown keys are errors.
+// decodeTOML decodes a TOML file into target. Unknown keys are errors.
 func decodeTOML(path string, target any) error {
 	meta, err := toml.DecodeFile(path, target)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// restartOnly is what may change with a restart only: all of a site but the mapping of file commands, the sources of
-// the endpoint list and where metrics go.
+// restartOnly returns the values of the site file that only a restart can change. A reload can change all others: the
+// mapping of file commands, the sources of the endpoint list and the settings of the metrics exports.
 func (s Site) restartOnly() any {
 	return []any{
 		s.SFTP.Listen,
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -23,7 +23,7 @@
 plan = "plan"
 `
 
-// loadSite reads a site file with the settings of settingsText.
+// loadSite reads a site file with the given text, checked against the settings in settingsText.
 func loadSite(t *testing.T, text string) (Site, error) {
 	t.Helper()
 	settings, err := ParseSettings([]byte(settingsText))
@@ -37,7 +37,7 @@
 	return LoadSite(path, settings.Scheduler)
 }
 
-// replaceLast replaces the last place of a text in another.
+// replaceLast replaces the last occurrence of old in text.
 func replaceLast(text, old, replacement string) string {
 	i := strings.LastIndex(text, old)
 	if i < 0 {
@@ -46,26 +46,26 @@
 	return text[:i] + replacement + text[i+len(old):]
 }
 
-// siteFault is a change of siteText that makes it faulty, and what the error names.
+// siteFault is a change that makes siteText faulty, and the key that the error must contain.
 type siteFault struct{ old, new, key string }
 
-// withSection adds a section before those of siteText.
+// withSection returns a fault that inserts a section before the sections of siteText.
 func withSection(section, key string) siteFault {
 	return siteFault{old: "[sftp]", new: section + "\n[sftp]", key: key}
 }
 
-// checkSiteFaults wants each change of siteText to be an error that names the key.
+// checkSiteFaults checks that each change of siteText causes an error that contains the key.
 func checkSiteFaults(t *testing.T, faults []siteFault) {
 	t.Helper()
 	for _, fault := range faults {
 		_, err := loadSite(t, replaceLast(siteText, fault.old, fault.new))
 		if err == nil || !strings.Contains(err.Error(), fault.key) {
-			t.Errorf("%s: %v", fault.new, err)
+			t.Errorf("%s: got error %v, want one that contains %q", fault.new, err, fault.key)
 		}
 	}
 }
 
-// What a command leaves out comes from its class, and the rest from defaults.
+// A file command without its own values gets those of its class. Other missing keys get fixed defaults.
 func TestSiteDefaultsComeFromClasses(t *testing.T) {
 	site, err := loadSite(t, siteText)
 	if err != nil {
@@ -73,14 +73,14 @@
 	}
 	plan := site.SFTP.Plan()
 	if plan.Commands["read"].WaitMS != 500 || plan.Commands["write"].WaitMS != 1200 {
-		t.Errorf("%+v", plan.Commands)
+		t.Errorf("commands are %+v", plan.Commands)
 	}
 	if plan.Volumes[0].Brokers != 3 || site.SFTP.Connections != defaultConnections {
-		t.Errorf("%+v, %d connections", plan.Volumes, site.SFTP.Connections)
+		t.Errorf("volumes are %+v, maximum of %d connections", plan.Volumes, site.SFTP.Connections)
 	}
 }
 
-// A fault in [sftp] is an error that names the key.
+// A fault in [sftp] causes an error that contains the key.
 func TestSFTPFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		{`listen = "127`, `listen = "x`, "sftp.listen"},
@@ -93,7 +93,7 @@
 	})
 }
 
-// A fault in [graphite], [collectd] and [telemetry] is an error that names the key.
+// A fault in [graphite], [collectd] or [telemetry] causes an error that contains the key.
 func TestMetricsFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		withSection("[graphite]\naddress = \"x\"", "graphite.address"),
@@ -113,7 +113,7 @@
 	})
 }
 
-// A fault in [agreement] is an error that names the key.
+// A fault in [agreement] causes an error that contains the key.
 func TestAgreementFaults(t *testing.T) {
 	const members = "members = [{name=\"a\",address=\"127.0.0.1:1\"},{name=\"b\",address=\"127.0.0.1:2\"}," +
 		"{name=\"c\",address=\"127.0.0.1:3\"}]\n"
@@ -131,7 +131,7 @@
 	})
 }
 
-// A fault in [admission] is an error that names the key.
+// A fault in [admission] causes an error that contains the key.
 func TestAdmissionFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		withSection("[admission]\nlag_ms = -1", "admission.lag_ms"),
@@ -139,7 +139,7 @@
 	})
 }
 
-// A fault in [spread] is an error that names the key.
+// A fault in [spread] causes an error that contains the key.
 func TestBalancerFaults(t *testing.T) {
 	checkSiteFaults(t, []siteFault{
 		withSection("[spread]\nnodes = 10001", "spread.nodes: 10001 is not within 0 to 10000"),
@@ -148,7 +148,7 @@
 	})
 }
 
-// A fault in [membership] is an error that names the key.
+// A fault in [membership] causes an error that contains the key.
 func TestMembershipFaults(t *testing.T) {
 	const source = "[[membership.source]]\n"
 	const dns = source + "kind = \"dns\"\n"
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -1,7 +1,7 @@
 package config
 
-// These convert the files' milliseconds and seconds to the microseconds of the packages that decide. They have no type,
-// since the files' figures are integers or floats.
+// Factors that convert the milliseconds and seconds of the files to the microseconds of the core packages. They are
+// untyped because the values in the files are integers or floats.
 const (
 	microsPerMilli  = 1_000
 	microsPerSecond = 1_000_000
