--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -38,7 +38,8 @@
 		return fmt.Errorf("nInstances: %d is below 1", s.Scheduler.Brokers)
 	}
 	if s.Scheduler.Ordinal < 0 || s.Scheduler.Ordinal >= s.Scheduler.Brokers {
-		return fmt.Errorf("ordinal: %d is below 0 or not below nInstances, %d", s.Scheduler.Ordinal, s.Scheduler.Brokers)
+		return fmt.Errorf("ordinal: %d is not at least 0 and below nInstances (%d)",
+			s.Scheduler.Ordinal, s.Scheduler.Brokers)
 	}
 	return s.Scheduler.Validate()
 }
