--- a/internal/discovery/current.go
+++ b/internal/discovery/current.go
@@ -8,22 +8,22 @@
 	"junctionwharf/scheduler"
 )
 
-// staleListTimeout is for how long a full list that is older than the one held is not applied. Higher, a service that
-// was set up anew and counts from the start is ignored for longer; lower, a replica of it that is behind brings back
-// nodes that drain.
+// staleListTimeout is how long full lists with a version older than the current one are rejected. With a larger value,
+// a service that was set up anew and restarted its version count is ignored for longer. With a smaller value, a replica
+// of the service that lags behind could make draining nodes ready again.
 const staleListTimeout = 10 * time.Second
 
-// staleListError is of a list that is older than the one held.
+// staleListError reports a list with a version older than the current one.
 type staleListError struct {
 	version, held uint64
 }
 
 // Error implements error.
 func (e *staleListError) Error() string {
-	return fmt.Sprintf("list %d is older than %d, which is held", e.version, e.held)
+	return fmt.Sprintf("list version %d is older than the current version %d", e.version, e.held)
 }
 
-// Current returns the full list as it is now, nil before there is one. It is for any goroutine.
+// Current returns a copy of the current full list, or nil before the first one. It may be called by any goroutine.
 func (w *Watcher) Current() *EndpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -35,7 +35,7 @@
 	return &list
 }
 
-// merge brings the current list up to date.
+// merge applies an update to the current list.
 func (w *Watcher) merge(update *EndpointList) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,9 +54,9 @@
 	}
 }
 
-// checkVersion guards against a service that is behind the one polled before: its list would bring back nodes that
-// are known to drain. Such a list is a staleListError. A full list that stays older for long comes from a new count
-// and is applied.
+// checkVersion returns a staleListError for a list whose version is older than the current one. Such a list comes from
+// a service that lags behind the previously polled one, and would make draining nodes ready again. If full lists remain
+// older for staleListTimeout, the service has restarted its version count and the list is accepted.
 func (w *Watcher) checkVersion(list *EndpointList) error {
 	now := time.Now()
 	if list.Version < w.version && (!list.Full || now.Sub(w.confirmedAt) < staleListTimeout) {
@@ -67,9 +67,9 @@
 	return nil
 }
 
-// drainingEndpoints returns, as a change of the current list, the nodes that are held as ready and that a stale list
-// names as draining or gone. They count all the same: the list may come from a new count, and a node that gets
-// nothing for a while costs less than a broken drain.
+// drainingEndpoints returns a change of the current list for a stale list. The change drains the nodes that are ready
+// in the current list and draining or removed in the stale one. They are drained although the list is stale, since the
+// list may come from a restarted version count. A node without requests for a while costs less than a missed drain.
 func (w *Watcher) drainingEndpoints(stale *EndpointList) *EndpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,12 +1,13 @@
 // Package discovery follows the list of storage nodes by HTTP long polling.
 //
-// The rule: a drain that discovery announces is known to the broker within the settings' drain grace, whatever polls
-// are lost meanwhile; pollTimeouts derives the timeouts from that. A list that is older than the one held is not
-// applied, but the nodes that it shows as draining get no new requests.
+// Rule: the broker applies a drain within the drain grace of the settings after discovery announces it, even if polls
+// are lost in the meantime. pollTimeouts derives the timeouts from this rule. A list that is older than the current one
+// is not applied, but the nodes that it reports as draining receive no new requests.
 //
-// State: a Watcher owns the address, the version of the latest list and the full list as it is now. Run is its one
-// goroutine and ends with its context. A restart loses the list, but for what a handover or the configuration's known
-// list passes on.
+// State: a Watcher owns the address, the version of the latest list and the current full list. Run is its only
+// goroutine and ends with its context. A restart loses the list, unless a handover or the known list of the
+// configuration provides it.
 //
-// Units: versions count changes at the service; times in a list are milliseconds of the service's clock.
+// Units: a version is a count of changes at the service. Times in a list are Unix times of the service's clock in
+// milliseconds.
 package discovery
--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -17,7 +17,7 @@
 	"junctionwharf/scheduler"
 )
 
-// memoryListener is a listener in memory, so that an agent's silence passes on a virtual clock.
+// memoryListener is a listener for connections in memory, so that tests can run on a virtual clock.
 type memoryListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -53,7 +53,7 @@
 	}
 }
 
-// startServer serves from a listener in memory.
+// startServer starts a server on a listener in memory.
 func startServer(t *testing.T, handler http.HandlerFunc) (*http.Server, *memoryListener) {
 	t.Helper()
 	listener := newMemoryListener()
@@ -66,7 +66,7 @@
 	return server, listener
 }
 
-// answerDrain answers that the node drains, in full or as a change; a poll from that version is held.
+// answerDrain sends a list in which the node is draining: a full list or a change. It holds polls from that version on.
 func answerDrain(w http.ResponseWriter, r *http.Request) {
 	answer := ""
 	switch r.URL.Query().Get("index") {
@@ -77,21 +77,22 @@
 	default:
 		<-r.Context().Done()
 	}
-	_, _ = fmt.Fprint(w, answer) // the poll may be given up
+	_, _ = fmt.Fprint(w, answer) // the client may have closed the connection
 }
 
-// answerFull answers with the full list, in which the node is ready.
+// answerFull sends the full list, in which the node is ready.
 func answerFull(w http.ResponseWriter) {
-	_, _ = fmt.Fprint(w, fullText) // the poll may be given up
+	_, _ = fmt.Fprint(w, fullText) // the client may have closed the connection
 }
 
-// hasDrain reports whether an event says that the node drains.
+// hasDrain reports whether an event lists the node as draining.
 func hasDrain(event broker.Event) bool {
 	list, isList := event.(broker.NodesListed)
 	return isList && len(list.Nodes) == 1 && list.Nodes[0].State == scheduler.Draining
 }
 
-// runUntilDrain runs a watcher until it knows of the drain, ends it and the server, and returns when that was.
+// runUntilDrain runs a watcher until it posts the drain. It then stops the watcher and the server, and returns the time
+// at which the drain was posted.
 func runUntilDrain(w *Watcher, server *http.Server) time.Time {
 	ctx, cancel := context.WithCancel(context.Background())
 	known := make(chan time.Time, 1)
@@ -117,8 +118,8 @@
 	return at
 }
 
-// notifiedAt is when the rules count what an agent has to say to a poll that fell silent as notified: 6 s after the
-// silence began, or 2 s after the poll's hold if that is later.
+// notifiedAt returns the time from which the platform's rules count an agent's changes as notified to a poll that
+// became silent: 6 s after the start of the silence, or 2 s after the end of the poll's hold time if that is later.
 func notifiedAt(poll, silence time.Time, hold time.Duration) time.Time {
 	afterSilence := silence.Add(6 * time.Second)
 	afterHold := poll.Add(hold + 2*time.Second)
@@ -128,17 +129,17 @@
 	return afterHold
 }
 
-// silenceCase is an agent that falls silent for a time.
+// silenceCase is a scenario in which an agent is silent for some time.
 type silenceCase struct {
 	grace   time.Duration
 	brokers int
-	before  time.Duration // of the watch before the silence
-	silent  time.Duration
+	before  time.Duration // time from the start of the watch to the silence
+	silent  time.Duration // duration of the silence
 }
 
-// A watch falls silent at any moment of its life, before its first answer or later, and its agent stays silent for
-// any time. A drain that it learns of meanwhile is known within the settings' grace, counted from the agent's return
-// or from when the rules count the silent poll as notified.
+// An agent becomes silent at different times of a watch, before or after its first answer, and for different durations.
+// It learns of a drain during the silence. The watcher must post the drain within the settings' grace, counted from the
+// end of the silence or from the time at which the rules count the silent poll as notified.
 func TestDrainDuringSilence(t *testing.T) {
 	silences := []time.Duration{
 		0, 170 * time.Millisecond, 900 * time.Millisecond,
@@ -160,13 +161,13 @@
 	t.Helper()
 	silence := time.Now().Add(c.before)
 	back := silence.Add(c.silent)
-	var silentPoll time.Time // when the poll that fell silent began
+	var silentPoll time.Time // start of the poll that became silent
 	server, listener := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		poll := time.Now()
 		switch {
 		case poll.Before(silence) && r.URL.Query().Get("index") == "":
 			answerFull(w)
-		case poll.Before(back): // it says nothing any more, even after its return
+		case poll.Before(back): // remains unanswered even after the silence
 			if silentPoll.IsZero() {
 				silentPoll = poll
 			}
@@ -179,29 +180,29 @@
 	watcher.client.Transport = &http.Transport{DialContext: listener.dial}
 	known := runUntilDrain(watcher, server)
 	notified := back
-	// A watch that is held is silent to who polled, whatever the agent does; a poll for the full list is no watch.
+	// A held poll stays unanswered even after the silence. A poll for the full list is not held.
 	if !silentPoll.IsZero() && silentPoll.Before(silence) {
 		if at := notifiedAt(silentPoll, silence, watcher.timeouts.Load().hold); at.After(notified) {
 			notified = at
 		}
 	}
 	if late := known.Sub(notified); late > c.grace {
-		t.Errorf("%+v: known %v after it counts as notified", c, late)
+		t.Errorf("%+v: drain posted %v after it counts as notified", c, late)
 	}
 }
 
-// failure is a way in which polls fail.
+// failure is a kind of poll failure.
 type failure int
 
 const (
 	pollsRejected  failure = iota // with status 503
-	pollsUnheard                  // no answer comes
-	dialsRefused                  // no connection
-	onePollUnheard                // only the poll that is held hangs; others would be answered
+	pollsUnheard                  // polls receive no answer
+	dialsRefused                  // connections are refused
+	onePollUnheard                // only the held poll receives no answer
 	failures
 )
 
-// failureCase is a service whose polls fail for a time.
+// failureCase is a scenario in which the polls of a service fail for some time.
 type failureCase struct {
 	shared  bool
 	grace   time.Duration
@@ -210,8 +211,8 @@
 	down    time.Duration
 }
 
-// Whatever became of the polls before, rejected, not connected or given up, and whether or not all brokers poll one
-// service: a drain is known 6 s and the grace after discovery had it and could be reached.
+// Polls are rejected, refused or not answered for some time, both with a shared service and with an agent. The watcher
+// must post a drain within 6 s plus the grace from the time at which discovery had the drain and could be reached.
 func TestDrainAfterFailedPolls(t *testing.T) {
 	graces := []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second}
 	const longestDown = 24 * time.Second
@@ -243,12 +244,12 @@
 		switch {
 		case poll.Before(fails) && r.URL.Query().Get("index") == "":
 			answerFull(w)
-		case poll.Before(fails) && c.failure != onePollUnheard: // the held poll ends as polls begin to fail
+		case poll.Before(fails) && c.failure != onePollUnheard: // the held poll ends when polls begin to fail
 			time.Sleep(time.Until(fails))
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		case poll.Before(back) && c.failure == pollsRejected:
 			http.Error(w, "busy", http.StatusServiceUnavailable)
-		case poll.Before(back): // also the held poll of onePollUnheard, which hangs from before
+		case poll.Before(back): // also the held poll of onePollUnheard, which began before
 			<-r.Context().Done()
 		default:
 			answerDrain(w, r)
@@ -268,6 +269,6 @@
 	}
 	watcher.client.Transport = &http.Transport{DialContext: dial}
 	if late := runUntilDrain(watcher, server).Sub(hadDrain.Add(notifiedAfter)); late > c.grace {
-		t.Errorf("%+v: known %v after it counts as notified", c, late)
+		t.Errorf("%+v: drain posted %v after it counts as notified", c, late)
 	}
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// EndpointList is what discovery answers: the full list, or changed entries. The tags are its keys in a handover's
-// message, between two versions of the program; discovery's own keys are those of wireList.
+// EndpointList is an answer of discovery: a full list or the changed entries. The tags are its keys in handover
+// messages between two versions of the program. wireList has the keys of discovery's protocol.
 type EndpointList struct {
 	Version   uint64     `json:"Seq"`
 	Full      bool       `json:"Whole"`
@@ -25,11 +25,11 @@
 
 	Shard       int                 `json:"Block"`
 	State       scheduler.NodeState `json:"State"`
-	Weight      float64             `json:"Share"`  // of the shard's requests, relative to its other nodes
-	StartedAtMS int64               `json:"BornMS"` // milliseconds
+	Weight      float64             `json:"Share"`  // relative to the other nodes of the shard
+	StartedAtMS int64               `json:"BornMS"` // Unix time in milliseconds
 }
 
-// wireList is a list in discovery's protocol.
+// wireList is an endpoint list in discovery's protocol.
 type wireList struct {
 	Version   uint64         `json:"seq"`
 	Full      bool           `json:"whole"`
@@ -47,14 +47,14 @@
 	StartedAtMS float64 `json:"born_ms"`
 }
 
-// nodeStates are the values of "health" in discovery's protocol.
+// nodeStates maps the values of "health" in discovery's protocol.
 var nodeStates = map[string]scheduler.NodeState{
 	"SERVING":  scheduler.Ready,
 	"DRAINING": scheduler.Draining,
 	"DELETED":  scheduler.Removed,
 }
 
-// ParseList reads a list's JSON.
+// ParseList decodes the JSON text of a list. It rejects the list if an entry has no name or an unknown health.
 func ParseList(text []byte) (*EndpointList, error) {
 	var wire wireList
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -64,7 +64,8 @@
 	for i, entry := range wire.Endpoints {
 		state, known := nodeStates[entry.Health]
 		if !known || entry.Name == "" {
-			return nil, fmt.Errorf("hosts[%d]: host %q has health %q", i, entry.Name, entry.Health)
+			return nil, fmt.Errorf("hosts[%d]: host %q has health %q, want a name and SERVING, DRAINING or DELETED",
+				i, entry.Name, entry.Health)
 		}
 		list.Endpoints = append(list.Endpoints, Endpoint{
 			Name:        entry.Name,
@@ -80,7 +81,7 @@
 	return list, nil
 }
 
-// Event turns a list into the core's event.
+// Event converts the list to an event of the core.
 func (l *EndpointList) Event(kind scheduler.UpdateKind, clock *broker.Clock) broker.NodesListed {
 	event := broker.NodesListed{Kind: kind, Version: l.Version}
 	for _, endpoint := range l.Endpoints {
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -7,7 +7,7 @@
 	"junctionwharf/scheduler"
 )
 
-// Answers of discovery: the full list, a change of it, and no change.
+// Answers of discovery: a full list, a change of it, and an answer without changes.
 const (
 	fullText = `{"seq":41,"whole":true,"hosts":[{"host":"a","dial":"10.1.0.18:6379","site":"a","class":"m2",` +
 		`"block":3,"health":"SERVING","share":1.5,"born_ms":0}]}`
@@ -16,7 +16,7 @@
 	noChangeText = `{"seq":43,"whole":false,"hosts":[]}`
 )
 
-// mustParse reads a list that is sound.
+// mustParse parses a valid list.
 func mustParse(t *testing.T, text string) *EndpointList {
 	t.Helper()
 	list, err := ParseList([]byte(text))
@@ -26,22 +26,22 @@
 	return list
 }
 
-// Each key of an entry reaches the core.
+// Each key of an entry is passed to the core.
 func TestParseList(t *testing.T) {
 	list := mustParse(t, fullText)
 	if list.Version != 41 || !list.Full || len(list.Endpoints) != 1 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("list is %+v", list)
 	}
 	want := broker.Node{
 		Endpoint: scheduler.Endpoint{Name: "a", Zone: "a", Kind: "m2", Shard: 3, State: scheduler.Ready, Weight: 1.5},
 		Address:  "10.1.0.18:6379",
 	}
 	if got := list.Event(scheduler.FullUpdate, broker.NewClock()).Nodes[0]; got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("node is %+v, want %+v", got, want)
 	}
 }
 
-// A list with a fault is not taken in part.
+// A list with one faulty entry is rejected as a whole.
 func TestParseFaultyList(t *testing.T) {
 	for _, text := range []string{
 		`{`,
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// maxListBytes bounds an answer. Higher, a faulty service takes more of the process's memory; lower, the list of a
-// large deployment is cut and not understood.
+// maxListBytes limits the size of an answer. With a larger value, a faulty service uses more memory of the process.
+// With a smaller value, the list of a large deployment is truncated and cannot be parsed.
 const maxListBytes = 4 << 20
 
-// errBadStatus is of an answer with another HTTP status than 200.
-var errBadStatus = errors.New("status")
+// errBadStatus reports an answer with an HTTP status other than 200.
+var errBadStatus = errors.New("unexpected HTTP status")
 
-// pollRequest is what a poll asks for: the full list at once, or changes since a version once there are some.
+// pollRequest specifies a poll: for the full list, answered immediately, or for changes since a version.
 type pollRequest struct {
 	version uint64
 	full    bool
 }
 
-// poll asks the service once.
+// poll sends one request to the service and parses its answer.
 func (w *Watcher) poll(ctx context.Context, poll pollRequest) (*EndpointList, error) {
 	url, timeout := w.pollURL(poll)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // the body was only read
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 	return ParseList(body)
 }
 
-// pollURL is the address of a poll, and the time for its answer.
+// pollURL returns the URL of a poll and the timeout for its answer.
 func (w *Watcher) pollURL(poll pollRequest) (url string, timeout time.Duration) {
 	timeouts := w.timeouts.Load()
 	url = "http://" + w.address + "/registry/instances"
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -7,72 +7,79 @@
 )
 
 const (
-	// minHold is how long a poll waits at the service for changes, at least. Lower, an idle broker polls more often.
+	// minHold is the minimum time for which the service may hold a poll until there are changes. With a smaller value,
+	// an idle broker polls more often.
 	minHold = 5 * time.Second
-	// holdPerBroker is added for each broker of the tier, since the polls of all of them add up at the service.
-	// Lower, a large tier overloads it.
+	// holdPerBroker is the hold time per broker of the tier, since the service receives the polls of all brokers. With
+	// a smaller value, a large tier overloads the service.
 	holdPerBroker = time.Second / 2
-	// maxHold bounds both. Higher, a poll that fell silent is given up later, and a drain behind it is known later.
+	// maxHold is the maximum hold time. With a larger value, a poll that became silent is abandoned later, and a drain
+	// during the silence is noticed later.
 	maxHold = 20 * time.Second
-	// firstBackoff is the mean pause after a first failed poll; it doubles with each further one. Higher, a lost poll
-	// costs more of the drain grace; lower, a service that restarts is asked by all brokers at once.
+	// firstBackoff is the mean pause after the first failed poll. Each further failure doubles the pause. With a larger
+	// value, a lost poll uses more of the drain grace. With a smaller value, all brokers poll a restarting service at
+	// once.
 	firstBackoff = 50 * time.Millisecond
 
-	// sharedAnswerTimeout and sharedMaxBackoff hold for a service that all brokers poll together: it is overloaded
-	// now and then and needs time. Lower, polls given up too early add to its load; higher, a lost poll is noticed
-	// later.
+	// sharedAnswerTimeout and sharedMaxBackoff apply to a service that all brokers poll. Such a service is overloaded
+	// at times and answers late. With smaller values, polls are abandoned too early and their repetitions add to its
+	// load. With larger values, a lost poll is noticed later.
 	sharedAnswerTimeout = 2500 * time.Millisecond
 	sharedMaxBackoff    = 3 * time.Second
 
-	// notifiedAfter is when a change counts as notified, whatever became of the polls before: so long after the
-	// service had it and could be reached. The platform's rule fixes it: a node that drains gets nothing more from
-	// notifiedAfter and the drain grace on.
+	// notifiedAfter is the time after which a change counts as notified, even if polls failed. It starts when the
+	// service has the change and can be reached. The platform's rule fixes it: a draining node must receive no requests
+	// after notifiedAfter plus the drain grace.
 	notifiedAfter = 6 * time.Second
-	// maxJitter is the longest pause after a failed poll, against its mean. watch draws from half of the mean up to
-	// this.
+	// maxJitter is the longest pause after a failed poll, as a multiple of the mean pause. watch draws the pause from
+	// half of the mean up to this.
 	maxJitter = 1.5
-	// timeoutMargin is the part of the available time that timeouts and pauses may use; the rest is for connections
-	// and the machine's own delays. Higher, a drain is known late on a busy machine; lower, slow answers count as
-	// lost.
+	// timeoutMargin is the part of the available time that timeouts and pauses may use. The rest is for connecting and
+	// for scheduling delays of the machine. With a larger value, a drain is applied too late on a busy machine. With a
+	// smaller value, slow answers are treated as lost.
 	timeoutMargin = 0.9
-	// holdMargin is the same behind a poll that waited in vain.
+	// holdMargin is the corresponding reserve after a poll that was held but received no answer.
 	holdMargin = 300 * time.Millisecond
 
-	// answerPartOfGrace and backoffPartOfGrace are the parts of the drain grace that one answer and one mean pause
-	// may take, so that a lost poll, its pause and the next poll together stay within it. Lower, a slow agent's
-	// answers count as lost.
+	// answerPartOfGrace and backoffPartOfGrace are divisors of the drain grace. They limit the time for one answer and
+	// the mean pause, so that a lost poll, its pause and the next poll together fit into the grace. With larger
+	// divisors, slow answers of an agent are treated as lost.
 	answerPartOfGrace  = 3
 	backoffPartOfGrace = 4
-	// lostAnswers is how many answers, and lostPauses how many pauses, lie between a change and its arrival at worst:
-	// a poll that is lost, another one, and the one that is answered.
+	// lostAnswers and lostPauses are the numbers of answers and pauses between a change and its arrival in the worst
+	// case: two lost polls, each with a pause, and the poll that is answered.
 	lostAnswers = 3
 	lostPauses  = 2
 )
 
-// Options says for whom a Watcher polls.
+// Options are the options of a Watcher.
 type Options struct {
-	Brokers       int           // of the tier
-	DrainGrace    time.Duration // within which requests to a draining node must end; 0 for none
-	SharedService bool          // all brokers poll one service; otherwise an agent on this machine has the list
-	Local         net.IP        // from which polls are made; nil for the system's choice
-	Log           *slog.Logger  // gets a line when polls begin to fail and when one succeeds again
+	Brokers       int           // number of brokers in the tier
+	DrainGrace    time.Duration // time within which requests to a draining node must end; 0: none
+	SharedService bool          // all brokers poll one service; false: an agent on this machine provides the list
+	Local         net.IP        // source IP address of polls; nil: chosen by the system
+	Log           *slog.Logger  // receives a line when polls begin to fail and when one succeeds again
 }
 
-// pollTimeouts is how long a Watcher waits before it takes silence for loss.
+// pollTimeouts are the times after which a Watcher treats a silent poll as lost.
 type pollTimeouts struct {
-	hold       time.Duration // how long a poll may wait at the service for changes
-	answer     time.Duration // for an answer, beyond hold
-	maxBackoff time.Duration // the longest mean pause after a failed poll
+	hold       time.Duration // maximum time for which the service holds a poll until there are changes
+	answer     time.Duration // time for an answer, in addition to hold
+	maxBackoff time.Duration // maximum mean pause after a failed poll
 }
 
-// pollTimeouts guards the platform's rule on drains: a broker must have applied a drain notifiedAfter and the drain
-// grace after the service had it. Where it fails, a draining node still gets requests. The worst case is a lost poll, a
-// pause, another lost poll, another pause, and the answer that comes: lostAnswers and lostPauses. What an agent on this
-// machine has counts as notified, whether or not it answers: all that it got while it was silent from the moment of
-// its return, and what a poll that fell silent misses 2 s after that poll's hold. So a lost poll, the pause behind it
-// and the next poll together stay within the grace. For any service, a poll that was begun too soon and is lost, the
-// pause, another lost poll, its pause and the answer that comes stay within notifiedAfter and the grace; so does a
-// poll that waits for changes in vain, with the pause and the answer behind it.
+// pollTimeouts derives the timeouts from the platform's rule on drains: a broker must apply a drain within
+// notifiedAfter plus the drain grace from when the service has it. If a broker breaks the rule, a draining node still
+// receives requests.
+//
+// For any service, the worst case is a poll that began too early and is lost, a pause, another lost poll, another
+// pause, and the poll that is answered: lostAnswers and lostPauses. Together they must fit into notifiedAfter plus the
+// grace. A poll that is held but not answered, the pause after it and the next answer must also fit.
+//
+// Changes at an agent on this machine count as notified even if the agent does not answer. Changes that the agent
+// received while it was silent count as notified when the silence ends. Changes that a silent poll missed count as
+// notified 2 s after the end of that poll's hold time. Therefore a lost poll, the pause after it and the next poll must
+// together fit into the grace.
 func (o Options) pollTimeouts() pollTimeouts {
 	available := notifiedAfter + o.DrainGrace
 	longest := time.Duration(float64(available) / (lostAnswers + lostPauses*maxJitter) * timeoutMargin)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -15,27 +15,27 @@
 	"junctionwharf/scheduler"
 )
 
-// dialTimeout bounds a connection to the service. Higher, a service that is gone is noticed later; lower, a busy one
-// counts as gone.
+// dialTimeout limits the time for connecting to the service. With a larger value, an unreachable service is noticed
+// later. With a smaller value, a busy service is treated as unreachable.
 const dialTimeout = time.Second
 
-// Watcher follows discovery.
+// Watcher follows the endpoint list of a discovery service.
 type Watcher struct {
 	client   *http.Client
 	log      *slog.Logger
-	moves    chan string // the latest address to go on at
+	moves    chan string // latest address from SetAddress that Run has not received yet
 	timeouts atomic.Pointer[pollTimeouts]
 
-	// Run's own.
+	// Used only by Run.
 	address     string
-	version     uint64    // of the list posted last
-	confirmedAt time.Time // when that list was last confirmed
+	version     uint64    // of the latest accepted list
+	confirmedAt time.Time // when a list was last accepted
 
 	mu      sync.Mutex
-	current EndpointList // the lists so far, merged
+	current EndpointList // all lists so far, merged
 }
 
-// NewWatcher returns a watcher of the service at address.
+// NewWatcher returns a watcher of the discovery service at address.
 func NewWatcher(address string, options Options) *Watcher {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if options.Local != nil {
@@ -44,7 +44,7 @@
 	transport := &http.Transport{
 		DialContext:        dialer.DialContext,
 		MaxIdleConns:       1,
-		MaxConnsPerHost:    2, // a poll that is given up and the next one
+		MaxConnsPerHost:    2, // an abandoned poll and the next one
 		DisableCompression: true,
 	}
 	w := &Watcher{
@@ -57,29 +57,29 @@
 	return w
 }
 
-// UpdateOptions has the next poll use the timeouts of changed options.
+// UpdateOptions sets the timeouts according to options, from the next poll on.
 func (w *Watcher) UpdateOptions(options Options) {
 	timeouts := options.pollTimeouts()
 	w.timeouts.Store(&timeouts)
 }
 
-// Resume has the watch go on from a list that was held before. It is called before Run.
+// Resume sets the list from which the watch starts, such as one from a handover. It must be called before Run.
 func (w *Watcher) Resume(list *EndpointList) {
 	w.version = list.Version
 	w.confirmedAt = time.Now()
 	w.merge(list)
 }
 
-// SetAddress has the watch go on at another address, at once. It is for one caller at a time.
+// SetAddress makes the watch continue immediately at another address. It must not be called concurrently.
 func (w *Watcher) SetAddress(address string) {
 	select {
-	case <-w.moves: // an earlier move that has not begun
+	case <-w.moves: // an earlier address that Run has not received yet
 	default:
 	}
 	w.moves <- address
 }
 
-// Run posts each list until ctx ends. After a lost poll or a change of address it asks for the full list anew.
+// Run posts each list until ctx ends. After a lost poll or a change of address it polls for the full list.
 func (w *Watcher) Run(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	for ctx.Err() == nil {
 		w.runUntilMoved(ctx, clock, post)
@@ -87,7 +87,7 @@
 	}
 }
 
-// runUntilMoved watches at the present address until it changes or ctx ends.
+// runUntilMoved watches the current address until the address changes or ctx ends.
 func (w *Watcher) runUntilMoved(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -108,7 +108,7 @@
 // watch polls one address until ctx ends.
 func (w *Watcher) watch(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	request := pollRequest{full: true}
-	failing := false // the latest poll failed
+	failing := false // whether the latest poll failed
 	backoff := firstBackoff
 	for {
 		list, err := w.poll(ctx, request)
@@ -134,14 +134,14 @@
 			w.log.Warn("discovery poll failed", "reason", err)
 		}
 		failing = true
-		// An overloaded service has the version still; after any other failure it may have lost it.
+		// After an HTTP status error, the service still has the version. After any other failure it may have lost it.
 		request.full = request.full || !errors.Is(err, errBadStatus)
 		wait(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, w.timeouts.Load().maxBackoff)
 	}
 }
 
-// wait waits, but no longer than ctx.
+// wait waits until the pause has passed or ctx ends.
 func wait(ctx context.Context, pause time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -149,7 +149,7 @@
 	}
 }
 
-// apply merges a list into the current one and posts it, unless it says nothing.
+// apply merges a list into the current one and posts it. It does not post a change without endpoints.
 func (w *Watcher) apply(list *EndpointList, clock *broker.Clock, post func(broker.Event)) {
 	w.merge(list)
 	if list.Full {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,16 +14,16 @@
 	"junctionwharf/scheduler"
 )
 
-// What a scripted service does in place of an answer.
+// Instructions to a scripted service that replace an answer.
 const (
 	overloaded    = "overloaded"
 	cutConnection = "cut"
 )
 
-// scriptedService is a discovery service whose answers a test gives one by one.
+// scriptedService is a discovery service that sends the answers of a test one by one.
 type scriptedService struct {
 	address string
-	queries chan string // the version from which each poll asks
+	queries chan string // the version of each poll
 	answers chan string
 }
 
@@ -46,14 +46,14 @@
 		case cutConnection:
 			panic(http.ErrAbortHandler)
 		default:
-			_, _ = w.Write([]byte(text)) // the poll may be given up
+			_, _ = w.Write([]byte(text)) // the client may have closed the connection
 		}
 	case <-r.Context().Done():
 	}
 }
 
-// The watch goes on from the last version, also where the service is overloaded, and after a lost poll begins with
-// the full list. A poll that is cut on a connection used before is sent again by the client of net/http itself.
+// The watch continues from the last version, also after an overloaded answer. After a lost poll it starts again with
+// the full list. The net/http client itself repeats a poll that is cut on a reused connection, so the test cuts two.
 func TestWatchGoesOnFromTheLastVersion(t *testing.T) {
 	service := newScriptedService(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -79,10 +79,10 @@
 		select {
 		case index := <-service.queries:
 			if index != step.index {
-				t.Fatalf("step %d polled from %q, want %q", i, index, step.index)
+				t.Fatalf("step %d: polled from version %q, want %q", i, index, step.index)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("step %d: no poll", i)
+			t.Fatalf("step %d: no poll within 5 s", i)
 		}
 		service.answers <- step.answer
 		if !step.posted {
@@ -90,15 +90,15 @@
 		}
 		event, isList := (<-events).(broker.NodesListed)
 		if !isList || event.Kind != step.kind || len(event.Nodes) != 1 {
-			t.Errorf("step %d: %+v", i, event)
+			t.Errorf("step %d: posted %+v", i, event)
 		}
 	}
 	if len(events) > 0 {
-		t.Error("more events than changes")
+		t.Error("posted more events than lists with changes")
 	}
 }
 
-// All brokers poll one overloaded service. Each polls less and less often, so that the service can recover.
+// All brokers poll one overloaded service. Each broker polls less and less often, so that the service can recover.
 func TestFailedPollsBackOff(t *testing.T) {
 	polls := make(chan struct{}, 1000)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -111,25 +111,25 @@
 	options := Options{Brokers: 48, SharedService: true, Log: logging.Discard()}
 	watcher := NewWatcher(server.Listener.Addr().String(), options)
 	watcher.Run(ctx, broker.NewClock(), func(broker.Event) {})
-	// Half of 50, 100, 200 and 400 ms at the least lie between the first five.
+	// The pauses between the first five polls are at least half of 50, 100, 200 and 400 ms.
 	if n := len(polls); n < 2 || n > 7 {
-		t.Errorf("%d polls in a second", n)
+		t.Errorf("%d polls in 1 s, want 2 to 7", n)
 	}
 }
 
-// namedService serves prepared answers, then holds polls.
+// namedService sends prepared answers and then holds polls.
 type namedService struct {
 	name    string
 	answers chan string
-	polls   chan string   // of both services: the name and the version
-	ended   chan struct{} // gets a value as a held poll ends
+	polls   chan string   // shared by both services: the name and the version of each poll
+	ended   chan struct{} // receives a value when a held poll ends
 }
 
 func (s *namedService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.polls <- s.name + r.URL.Query().Get("index")
 	select {
 	case text := <-s.answers:
-		_, _ = w.Write([]byte(text)) // the poll may be given up
+		_, _ = w.Write([]byte(text)) // the client may have closed the connection
 	case <-r.Context().Done():
 		s.ended <- struct{}{}
 	}
@@ -146,14 +146,14 @@
 	return server.Listener.Addr().String()
 }
 
-// A change of address ends the poll that is held at the old one, and asks the new one for the full list. There an
-// older list must not bring back what is known to drain.
+// A change of address ends the held poll at the old address and polls the new address for the full list. An older list
+// from there must not make a draining node ready again.
 func TestSetAddress(t *testing.T) {
 	polls := make(chan string, 64)
 	oldService := &namedService{name: "old", polls: polls, ended: make(chan struct{}, 16)}
 	newService := &namedService{name: "new", polls: polls, ended: make(chan struct{}, 16)}
 	oldAddress := oldService.start(t, fullText, changeText)
-	stale := fullText // of version 41, where 43 is held
+	stale := fullText // version 41, while version 43 is current
 	newAddress := newService.start(t, stale, strings.Replace(fullText, "41", "44", 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -161,7 +161,7 @@
 	watcher := NewWatcher(oldAddress, Options{Brokers: 1, Log: logging.ToFunc(func(line string) { lines <- line })})
 	go watcher.Run(ctx, broker.NewClock(), func(event broker.Event) { events <- event })
 	for range 3 {
-		<-polls // the third is held
+		<-polls // the third poll is held
 	}
 	watcher.SetAddress(newAddress)
 	<-oldService.ended
@@ -173,16 +173,16 @@
 	for _, version := range []uint64{41, 43, 44} {
 		event, isList := (<-events).(broker.NodesListed)
 		if !isList || event.Version != version {
-			t.Errorf("version %d, want %d", event.Version, version)
+			t.Errorf("posted version %d, want %d", event.Version, version)
 		}
 	}
-	if line := <-lines; line != "discovery poll failed reason=list 41 is older than 43, which is held" {
-		t.Error(line)
+	if line := <-lines; line != "discovery poll failed reason=list version 41 is older than the current version 43" {
+		t.Errorf("logged %q", line)
 	}
 }
 
-// A full list of an older count is not applied, but the nodes that it names as draining get nothing more. Changes of
-// one are not applied.
+// A full list of an older version is not applied, but the nodes that it reports as draining receive no new requests. A
+// change of an older version is not applied either.
 func TestStaleList(t *testing.T) {
 	watcher := NewWatcher("", Options{Brokers: 1, Log: logging.Discard()})
 	var posted []broker.NodesListed
@@ -213,13 +213,13 @@
 	change := watcher.drainingEndpoints(mustParse(t, older))
 	watcher.apply(change, clock, post)
 	if len(posted) != 2 || posted[1].Kind != scheduler.DeltaUpdate || len(posted[1].Nodes) != 1 {
-		t.Fatalf("%+v", posted)
+		t.Fatalf("posted %+v, want a second event with one node", posted)
 	}
 	if node := posted[1].Nodes[0]; node.Name != "a" || node.State != scheduler.Draining {
-		t.Errorf("%+v", node)
+		t.Errorf("node is %+v, want a draining", node)
 	}
 	if current := watcher.Current(); current.Version != 41 || len(current.Endpoints) != 1 {
-		t.Errorf("%+v", current)
+		t.Errorf("current list is %+v, want version 41 with one node", current)
 	}
 	if err := watcher.checkVersion(mustParse(t, strings.Replace(fullText, "41", "42", 1))); err != nil {
 		t.Error(err)
