--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -195,10 +195,10 @@
 type failure int
 
 const (
-	pollsRejected  failure = iota // with status 503
-	pollsUnheard                  // polls receive no answer
-	dialsRefused                  // connections are refused
-	onePollUnheard                // only the held poll receives no answer
+	pollsRejected      failure = iota // with status 503
+	pollsUnanswered                   // polls receive no answer
+	dialsRefused                      // connections are refused
+	heldPollUnanswered                // only the held poll receives no answer
 	failures
 )
 
@@ -235,7 +235,7 @@
 	fails := time.Now().Add(400 * time.Millisecond)
 	back := fails.Add(c.down)
 	hadDrain := back
-	if c.failure == onePollUnheard {
+	if c.failure == heldPollUnanswered {
 		hadDrain = fails.Add(c.down / 2)
 		back = fails
 	}
@@ -244,12 +244,12 @@
 		switch {
 		case poll.Before(fails) && r.URL.Query().Get("index") == "":
 			answerFull(w)
-		case poll.Before(fails) && c.failure != onePollUnheard: // the held poll ends when polls begin to fail
+		case poll.Before(fails) && c.failure != heldPollUnanswered: // the held poll ends when polls begin to fail
 			time.Sleep(time.Until(fails))
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		case poll.Before(back) && c.failure == pollsRejected:
 			http.Error(w, "busy", http.StatusServiceUnavailable)
-		case poll.Before(back): // also the held poll of onePollUnheard, which began before
+		case poll.Before(back): // also the held poll of heldPollUnanswered, which began before
 			<-r.Context().Done()
 		default:
 			answerDrain(w, r)
--- a/internal/dnssrv/ask.go
+++ b/internal/dnssrv/ask.go
@@ -13,8 +13,8 @@
 // is an error.
 const maxChain = 8
 
-// errCircle is of CNAMEs that lead back to a name before.
-var errCircle = errors.New("its CNAMEs go in a circle")
+// errCNAMELoop is of CNAMEs that lead back to a name before.
+var errCNAMELoop = errors.New("its CNAMEs go in a circle")
 
 // errLongChain is of more than maxChain CNAMEs.
 var errLongChain = fmt.Errorf("over %d CNAMEs", maxChain)
@@ -38,7 +38,7 @@
 // check reports whether the chain may go on at a name.
 func (c *chain) check(next string) error {
 	if c.seen[next] {
-		return fmt.Errorf("%s: %w", c.question.name, errCircle)
+		return fmt.Errorf("%s: %w", c.question.name, errCNAMELoop)
 	}
 	if len(c.seen) > maxChain {
 		return fmt.Errorf("%s: %w", c.question.name, errLongChain)
--- a/internal/dnssrv/exchange.go
+++ b/internal/dnssrv/exchange.go
@@ -19,10 +19,10 @@
 	// udpSize is the size of an answer that is asked for, as resolvers of today do: larger datagrams may be lost on
 	// the way.
 	udpSize = 1232
-	// minRest and maxRest bound how long a server that failed is tried after the others only; it doubles with each
+	// minBackoff and maxBackoff bound how long a server that failed is tried after the others only; it doubles with each
 	// failure. Higher, a server that is back is used later; lower, each question waits for a dead one first.
-	minRest = time.Second
-	maxRest = 30 * time.Second
+	minBackoff = time.Second
+	maxBackoff = 30 * time.Second
 )
 
 var (
@@ -38,8 +38,8 @@
 
 // serverHealth is what is known of a server.
 type serverHealth struct {
-	rest  time.Duration // the last one; 0 after an answer
-	until time.Time     // it is tried only if no other is left
+	backoff time.Duration // the last one; 0 after an answer
+	until   time.Time     // it is tried only if no other is left
 }
 
 // exchange asks servers in turn until one answers. Resting servers come last.
@@ -70,15 +70,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	var awake, resting []int
+	var healthy, failed []int
 	for i, health := range r.health {
 		if now.Before(health.until) {
-			resting = append(resting, i)
+			failed = append(failed, i)
 		} else {
-			awake = append(awake, i)
+			healthy = append(healthy, i)
 		}
 	}
-	return append(awake, resting...)
+	return append(healthy, failed...)
 }
 
 // recordHealth notes how a server answered. The rest is random, so that brokers do not come back together.
@@ -90,8 +90,8 @@
 		*health = serverHealth{}
 		return
 	}
-	health.rest = min(maxRest, max(minRest, 2*health.rest))
-	health.until = r.now().Add(health.rest/2 + rand.N(health.rest))
+	health.backoff = min(maxBackoff, max(minBackoff, 2*health.backoff))
+	health.until = r.now().Add(health.backoff/2 + rand.N(health.backoff))
 }
 
 // waitForToken waits until a query may be sent: a bound for the whole process, whatever the number of names.
--- a/internal/dnssrv/resolver.go
+++ b/internal/dnssrv/resolver.go
@@ -157,11 +157,11 @@
 ) []resolvedRecord {
 	resolved := make([]resolvedRecord, len(records))
 	var running sync.WaitGroup
-	places := make(chan struct{}, maxParallelTargets)
+	slots := make(chan struct{}, maxParallelTargets)
 	for i, record := range records {
-		places <- struct{}{}
+		slots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			resolved[i] = r.resolveTarget(ctx, record, additional[dns.CanonicalName(record.Target)], useTXT)
 		})
 	}
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -75,7 +75,7 @@
 // resolver answers, or fails with an error that says how, and asks the next server.
 func TestMisbehavingServers(t *testing.T) {
 	const noRecords = "no such record"
-	for trick, want := range map[fakes.DNSFault]string{
+	for fault, want := range map[fakes.DNSFault]string{
 		fakes.NoDNSFault:     "",
 		fakes.Truncated:      "",
 		fakes.Spoofed:        "",
@@ -93,17 +93,17 @@
 	} {
 		bad := startServer(t)
 		bad.Set(service, 5, testNames(3)...)
-		bad.SetFault(trick)
+		bad.SetFault(fault)
 		resolver := newTestResolver(t, bad)
 		resolver.options.Attempts = 3
 		got, err := resolver.Lookup(context.Background(), service, false)
 		if want == "" {
 			checkAnswerOf(t, 3, got, err)
 		} else if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("trick %d: %v, want %s", trick, err, want)
+			t.Errorf("trick %d: %v, want %s", fault, err, want)
 		}
 		if errors.Is(err, ErrNoRecords) != (want == noRecords) {
-			t.Errorf("trick %d: %v", trick, err)
+			t.Errorf("trick %d: %v", fault, err)
 		}
 		if want == "" || want == noRecords || want == "circle" {
 			continue
--- a/internal/dnssrv/watcher_test.go
+++ b/internal/dnssrv/watcher_test.go
@@ -15,12 +15,12 @@
 }
 
 // await returns the first update that fits.
-func (r *updateReader) await(t *testing.T, what string, fits func(Update) bool) Update {
+func (r *updateReader) await(t *testing.T, what string, matches func(Update) bool) Update {
 	t.Helper()
 	for {
 		select {
 		case update := <-r.updates:
-			if fits(update) {
+			if matches(update) {
 				return update
 			}
 		case <-r.timeout:
