--- a/internal/dnssrv/ask.go
+++ b/internal/dnssrv/ask.go
@@ -9,33 +9,33 @@
 	"github.com/miekg/dns"
 )
 
-// maxChain bounds the CNAMEs of a question. Higher, a faulty zone costs more queries; lower, a long chain of aliases
-// is an error.
+// maxChain limits the CNAME records that are followed for a question. With a larger value, a faulty zone causes more
+// queries. With a smaller value, a long chain of aliases is an error.
 const maxChain = 8
 
-// errCNAMELoop is of CNAMEs that lead back to a name before.
-var errCNAMELoop = errors.New("its CNAMEs go in a circle")
+// errCNAMELoop reports a CNAME record whose target is an earlier name of the chain.
+var errCNAMELoop = errors.New("CNAME records form a loop")
 
-// errLongChain is of more than maxChain CNAMEs.
-var errLongChain = fmt.Errorf("over %d CNAMEs", maxChain)
+// errLongChain reports a chain of more than maxChain CNAME records.
+var errLongChain = fmt.Errorf("chain has more than %d CNAME records", maxChain)
 
-// reply is the answer to a question: its records, or that there are none.
+// reply is the answer to a question: the requested records, or the fact that there are none.
 type reply struct {
-	records    []dns.RR // of the kind, at the end of the chain
+	records    []dns.RR // of the requested type, at the end of the CNAME chain
 	additional []dns.RR
 	ttl        time.Duration
-	none       bool // NXDOMAIN, or no record of the kind
+	none       bool // NXDOMAIN, or no record of the requested type
 }
 
-// chain follows a question from alias to alias.
+// chain is the chain of CNAME records that is followed for a question.
 type chain struct {
 	question question
-	name     string          // the end so far
-	seen     map[string]bool // all names but one that is asked for again
-	ttl      time.Duration   // the shortest lifetime so far
+	name     string          // the last name so far
+	seen     map[string]bool // names so far, without a name that is queried next
+	ttl      time.Duration   // the shortest TTL so far
 }
 
-// check reports whether the chain may go on at a name.
+// check returns an error if next would close a loop or make the chain too long.
 func (c *chain) check(next string) error {
 	if c.seen[next] {
 		return fmt.Errorf("%s: %w", c.question.name, errCNAMELoop)
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// ask puts a question to servers and follows its chain of names.
+// ask queries servers for a question and follows CNAME records to the requested records.
 func (r *Resolver) ask(ctx context.Context, q question) (reply, error) {
 	c := &chain{question: q, name: q.name, seen: map[string]bool{}, ttl: r.options.MaxTTL}
 	for {
@@ -69,12 +69,12 @@
 			ttl := min(c.ttl, r.negativeTTL(msg))
 			return reply{additional: msg.Extra, ttl: ttl, none: true}, nil
 		}
-		delete(c.seen, c.name) // the answer ends with a CNAME: go on from there
+		delete(c.seen, c.name) // the answer ends with a CNAME: query its target
 	}
 }
 
-// followAnswer follows the chain as far as an answer has it, and returns the records at its end, if the answer has
-// them.
+// followAnswer follows the CNAME records of an answer. It returns the requested records at the end of the chain, or nil
+// if the answer does not contain any.
 func (r *Resolver) followAnswer(c *chain, msg *dns.Msg) ([]dns.RR, error) {
 	for {
 		records, alias := r.recordsAt(c, msg)
@@ -91,8 +91,8 @@
 	}
 }
 
-// recordsAt are the records of the wanted kind at the end of the chain, or the alias that stands there before any of
-// them.
+// recordsAt returns the answer's records of the requested type for the last name of the chain. If a CNAME record for
+// that name comes before them, it returns the CNAME record instead.
 func (r *Resolver) recordsAt(c *chain, msg *dns.Msg) ([]dns.RR, *dns.CNAME) {
 	var records []dns.RR
 	for _, record := range msg.Answer {
@@ -111,12 +111,12 @@
 	return records, nil
 }
 
-// continues reports whether an answer leads to another name without saying what stands there.
+// continues reports whether an answer ends with a CNAME record whose target must be queried separately.
 func (c *chain) continues(msg *dns.Msg) bool {
 	return c.name != dns.CanonicalName(msg.Question[0].Name) && len(msg.Answer) > 0
 }
 
-// negativeTTL is how long it counts that there is nothing: by the zone's SOA (RFC 2308).
+// negativeTTL returns how long the absence of records may be cached, according to the zone's SOA record (RFC 2308).
 func (r *Resolver) negativeTTL(msg *dns.Msg) time.Duration {
 	for _, record := range msg.Ns {
 		if soa, isSOA := record.(*dns.SOA); isSOA {
--- a/internal/dnssrv/cache.go
+++ b/internal/dnssrv/cache.go
@@ -7,26 +7,26 @@
 	"github.com/miekg/dns"
 )
 
-// maxCacheEntries bounds the cache. Higher, a changing zone takes more memory; lower, a large list is asked for again
-// and again.
+// maxCacheEntries limits the cache. With a larger value, a zone whose names change uses more memory. With a smaller
+// value, the targets of a large list are queried repeatedly.
 const maxCacheEntries = 20_000
 
-// cacheEntry is the answer to a question.
+// cacheEntry is the cached answer to a question.
 type cacheEntry struct {
 	records  []dns.RR
 	expires  time.Time
-	negative bool // there are no such records
+	negative bool // the records do not exist
 }
 
-// lookup is a question that is being asked. done is closed when reply and err are there.
+// lookup is a question that is being queried. done is closed after reply and err have been set.
 type lookup struct {
 	done  chan struct{}
 	reply reply
 	err   error
 }
 
-// cached answers a question from the cache, or asks; where servers fail, an expired answer serves on for a while. One
-// question is asked once at a time.
+// cached answers a question from the cache or queries servers. If the servers fail, it returns expired records for up
+// to MaxStale. Concurrent calls for the same question share one lookup.
 func (r *Resolver) cached(ctx context.Context, q question) ([]dns.RR, time.Duration, error) {
 	r.mu.Lock()
 	now := r.now()
@@ -55,8 +55,8 @@
 	return running.reply.records, running.reply.ttl, nil
 }
 
-// startLookup returns the lookup of a question, which it begins if nobody asks it. The caller holds the lock. The
-// lookup's goroutine ends by its own timeout, since others than the caller may wait for it.
+// startLookup returns the running lookup of a question, or starts one. The caller must hold the lock. The lookup does
+// not use the caller's context but has its own timeout, since other callers may wait for the same lookup.
 func (r *Resolver) startLookup(q question) *lookup {
 	if running := r.inFlight[q]; running != nil {
 		return running
@@ -78,12 +78,12 @@
 	return started
 }
 
-// lookupTimeout is how long a question may take over all servers: each attempt may go over UDP and TCP.
+// lookupTimeout returns the time limit of a lookup over all servers. Each attempt may use UDP and then TCP.
 func (r *Resolver) lookupTimeout() time.Duration {
 	return time.Duration(2*r.options.Attempts*len(r.options.Servers)+1) * r.options.Timeout
 }
 
-// stale answers from the cache past the lifetime, or fails with err.
+// stale returns the expired cached records of a question, or err if there are none or they are too old.
 func (r *Resolver) stale(q question, err error) ([]dns.RR, time.Duration, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +94,7 @@
 	return entry.records, r.options.MinTTL, nil
 }
 
-// store caches an answer. The caller holds the lock.
+// store caches an answer. The caller must hold the lock.
 func (r *Resolver) store(q question, got reply) {
 	if len(r.cache) >= maxCacheEntries {
 		r.evict()
@@ -102,7 +102,7 @@
 	r.cache[q] = &cacheEntry{records: got.records, expires: r.now().Add(got.ttl), negative: got.none}
 }
 
-// evict makes place in the cache: what has expired goes, and if that is nothing, all.
+// evict removes expired entries from the cache. If the cache is still full, evict removes all entries.
 func (r *Resolver) evict() {
 	now := r.now()
 	for q, entry := range r.cache {
--- a/internal/dnssrv/doc.go
+++ b/internal/dnssrv/doc.go
@@ -1,11 +1,12 @@
-// Package dnssrv gets lists of storage nodes from DNS: SRV records (RFC 2782) with the addresses of their targets,
-// and what a site's names or TXT records say of each.
+// Package dnssrv reads lists of storage nodes from DNS. A list consists of SRV records (RFC 2782) with the addresses of
+// their targets. The shard, zone, kind and share of a node come from its name or its TXT records.
 //
-// The rule: a list is asked for anew before its lifetime ends; addresses and texts of targets are cached for theirs.
-// A server that fails rests for a growing time, and where all fail a cached address serves on for a while (RFC 8767).
-// A target whose address cannot be had is not one that was removed: it stays as it was.
+// Rule: a list is queried again before its lifetime ends. Addresses and TXT records of targets are cached for their
+// lifetimes. A server that failed is tried last for a growing time. If all servers fail, expired addresses are used for
+// a limited time (RFC 8767). A target whose addresses cannot be resolved is not treated as removed; its last endpoint
+// stays in the list.
 //
-// State: a Resolver owns the cache, the queries in flight, the servers' health and the rate limit, under one lock; it
-// is for many goroutines. A Watcher owns the endpoints of one name; its Run is the only goroutine that uses them and
-// ends with its context. A restart loses all of it.
+// State: a Resolver owns the cache, the lookups in progress, the servers' health and the query rate limit, all under
+// one lock. Its methods may be called by many goroutines. A Watcher owns the endpoints of one name. Run is the only
+// goroutine that uses them and ends with its context. A restart loses all state.
 package dnssrv
--- a/internal/dnssrv/exchange.go
+++ b/internal/dnssrv/exchange.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// maxDatagrams bounds the datagrams read for one question; those that do not fit are passed over. Higher, a flood
-	// of forged ones takes more processor time; lower, a few of them hide the true answer.
+	// maxDatagrams limits the datagrams that are read for one query, including those that do not match the query. With
+	// a larger value, a flood of forged datagrams uses more processor time. With a smaller value, a few forged
+	// datagrams hide the true answer.
 	maxDatagrams = 16
-	// udpSize is the size of an answer that is asked for, as resolvers of today do: larger datagrams may be lost on
-	// the way.
+	// udpSize is the maximum size in bytes of an answer over UDP. It is the usual value of current resolvers, since
+	// larger datagrams may be lost.
 	udpSize = 1232
-	// minBackoff and maxBackoff bound how long a server that failed is tried after the others only; it doubles with each
-	// failure. Higher, a server that is back is used later; lower, each question waits for a dead one first.
+	// minBackoff and maxBackoff limit the mean time for which a failed server is tried only after the others. Each
+	// further failure doubles this time. With larger values, a recovered server is used later. With smaller values,
+	// each question first waits for a failed server.
 	minBackoff = time.Second
 	maxBackoff = 30 * time.Second
 )
 
 var (
-	// errServer is of an answer that says that the server failed.
-	errServer = errors.New("the server failed")
-	// errTruncated is of an answer that does not even fit into a TCP message.
-	errTruncated = errors.New("truncated over TCP")
-	// errOtherID, errNoAnswer and errOtherQuestion are of messages that do not answer what was asked.
-	errOtherID       = errors.New("an answer with another id")
-	errNoAnswer      = errors.New("no answer")
-	errOtherQuestion = errors.New("an answer to another question")
+	// errServer reports an answer with an error code.
+	errServer = errors.New("server returned an error")
+	// errTruncated reports an answer that does not fit into a TCP message either.
+	errTruncated = errors.New("answer over TCP is truncated")
+	// errOtherID, errNoAnswer and errOtherQuestion report messages that do not match the query.
+	errOtherID       = errors.New("answer has the wrong query ID")
+	errNoAnswer      = errors.New("message is not an answer to a query")
+	errOtherQuestion = errors.New("answer is for a different question")
 )
 
-// serverHealth is what is known of a server.
+// serverHealth is the state of a server according to its last answers.
 type serverHealth struct {
-	backoff time.Duration // the last one; 0 after an answer
-	until   time.Time     // it is tried only if no other is left
+	backoff time.Duration // mean of the current or last one; 0 after an answer
+	until   time.Time     // until then the server is tried after the others
 }
 
-// exchange asks servers in turn until one answers. Resting servers come last.
+// exchange queries the servers one after the other until one answers. Servers that failed recently are tried last.
 func (r *Resolver) exchange(ctx context.Context, q question) (*dns.Msg, error) {
 	var failures []error
 	for range r.options.Attempts {
@@ -65,7 +67,7 @@
 	return nil, failures[len(failures)-1]
 }
 
-// serverOrder are the indices of the servers, resting ones last.
+// serverOrder returns the indices of the servers in the order of use. Servers that failed recently are last.
 func (r *Resolver) serverOrder() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +83,8 @@
 	return append(healthy, failed...)
 }
 
-// recordHealth notes how a server answered. The rest is random, so that brokers do not come back together.
+// recordHealth records whether a server answered. The backoff is random, so that brokers do not return to a server at
+// the same time.
 func (r *Resolver) recordHealth(server int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +97,7 @@
 	health.until = r.now().Add(health.backoff/2 + rand.N(health.backoff))
 }
 
-// waitForToken waits until a query may be sent: a bound for the whole process, whatever the number of names.
+// waitForToken waits until the rate limit admits a query. The limit applies to all queries of the resolver together.
 func (r *Resolver) waitForToken(ctx context.Context) error {
 	for {
 		wait, taken := r.takeToken()
@@ -105,13 +108,13 @@
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			return fmt.Errorf("queries are at their bound: %w", ctx.Err())
+			return fmt.Errorf("wait for the query rate limit: %w", ctx.Err())
 		case <-timer.C:
 		}
 	}
 }
 
-// takeToken refills the token bucket and takes a token, or returns the time until there is one.
+// takeToken refills the token bucket and takes a token. If there is none, it returns the time until the next one.
 func (r *Resolver) takeToken() (wait time.Duration, taken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,13 +131,13 @@
 	return time.Duration(missing * float64(time.Second)), false
 }
 
-// randomID draws a query's id. The top-level generator is seeded by the system, and ChaCha8: an id that can be
-// guessed lets others forge answers.
+// randomID returns a random query ID. The generator is ChaCha8, seeded by the system, so that an attacker cannot
+// guess the ID and forge answers.
 func randomID() uint16 {
 	return uint16(rand.Uint32())
 }
 
-// askServer asks one server: over UDP, and over TCP where the answer does not fit into a datagram.
+// askServer queries one server over UDP. If the answer does not fit into a datagram, it repeats the query over TCP.
 func (r *Resolver) askServer(ctx context.Context, server string, q question) (*dns.Msg, error) {
 	query := new(dns.Msg)
 	query.Id = randomID()
@@ -163,7 +166,7 @@
 	networkTCP = "tcp"
 )
 
-// send sends a query from a socket of its own, and so from a random port, and reads until its answer comes.
+// send sends a query and reads its answer. Each query uses a new socket and therefore a random port.
 func (r *Resolver) send(ctx context.Context, network, server string, query *dns.Msg) (*dns.Msg, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timeout)
 	defer cancel()
@@ -171,10 +174,10 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = conn.Close() }() // nothing more is wanted of it
+	defer func() { _ = conn.Close() }() // the answer has been read
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetDeadline(deadline) // fails only on a closed connection
-	// Ends the read below as soon as nobody waits for it.
+	// Ends the read below as soon as ctx is canceled.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	dnsConn := &dns.Conn{Conn: conn, UDPSize: udpSize}
@@ -184,8 +187,8 @@
 	return readAnswer(dnsConn, network, query)
 }
 
-// readAnswer reads until the answer to a query comes. Over UDP others may send datagrams to the same port, and what
-// does not fit is passed over; over TCP it ends the exchange.
+// readAnswer reads messages until one is the answer to the query. Over UDP it skips datagrams that do not match the
+// query, since any host can send datagrams to the same port. Over TCP such a message is an error.
 func readAnswer(conn *dns.Conn, network string, query *dns.Msg) (*dns.Msg, error) {
 	var mismatch error
 	for range maxDatagrams {
@@ -193,7 +196,7 @@
 		if err != nil && (network == networkTCP || msg == nil && isNetworkError(err)) {
 			return nil, errors.Join(mismatch, err)
 		}
-		if err != nil { // not a message: the true answer may follow
+		if err != nil { // not a DNS message: the true answer may follow
 			mismatch = err
 			continue
 		}
@@ -213,8 +216,8 @@
 	return errors.As(err, &networkError) || errors.Is(err, net.ErrClosed)
 }
 
-// checkAnswer checks an answer against its query. It guards against answers that somebody else sent, which would put
-// nodes of theirs into the list.
+// checkAnswer returns an error if a message is not the answer to the query. Without this check, forged answers could
+// put foreign nodes into the list.
 func checkAnswer(query, msg *dns.Msg) error {
 	switch {
 	case msg.Id != query.Id:
@@ -222,12 +225,12 @@
 	case !msg.Response || msg.Opcode != dns.OpcodeQuery:
 		return errNoAnswer
 	case len(msg.Question) != 1:
-		return fmt.Errorf("an answer with %d questions", len(msg.Question))
+		return fmt.Errorf("answer has %d questions, want 1", len(msg.Question))
 	}
 	asked, answered := query.Question[0], msg.Question[0]
 	sameName := strings.EqualFold(asked.Name, answered.Name)
 	if !sameName || asked.Qtype != answered.Qtype || asked.Qclass != answered.Qclass {
-		return fmt.Errorf("%w, %s", errOtherQuestion, answered.Name)
+		return fmt.Errorf("%w: %s", errOtherQuestion, answered.Name)
 	}
 	return nil
 }
--- a/internal/dnssrv/mapping.go
+++ b/internal/dnssrv/mapping.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// maxShare bounds a node's share; a greater one is a slip of the pen that would draw all requests to one node.
+// maxShare is the upper limit of a node's share. A larger value is a typing error that would send all requests to one
+// node.
 const maxShare = 1e6
 
-// The keys of TXT strings, and the names of a pattern's groups.
+// Keys in TXT strings, which are also the names of a pattern's groups.
 const (
 	shardKey = "shard"
 	zoneKey  = "zone"
@@ -18,27 +19,28 @@
 	shareKey = "share"
 )
 
-// Endpoint is one node as DNS has it.
+// Endpoint is a storage node according to DNS.
 type Endpoint struct {
 	Target           string
 	Address          string
-	OtherAddresses   []string // of the target
+	OtherAddresses   []string // further addresses of the target
 	Priority, Weight uint16
 	Shard            int
 	Zone, Kind       string
-	Share            float64 // of its shard's requests, relative to its other nodes; 0: unknown
+	Share            float64 // relative to the other nodes of the shard; 0: unknown
 }
 
-// Mapping says where an endpoint's shard, zone, kind and share come from: a pattern, overridden by TXT strings.
+// Mapping configures how an endpoint's shard, zone, kind and share are determined. TXT strings take precedence over the
+// pattern, and the pattern over the defaults.
 type Mapping struct {
-	Pattern *regexp.Regexp // over the target, with groups shard, zone, kind and share; nil for none
-	UseTXT  bool           // TXT strings of the target such as "shard=3"
-	Shard   int            // where neither says it; below 0: an endpoint without a shard is left out
-	Zone    string
-	Kind    string
+	Pattern *regexp.Regexp // matched against the target, with groups shard, zone, kind and share; nil: none
+	UseTXT  bool           // reads TXT strings of the target, such as "shard=3"
+	Shard   int            // default; below 0: an endpoint without a shard is omitted
+	Zone    string         // default
+	Kind    string         // default
 }
 
-// endpoint works out a record's endpoint.
+// endpoint returns the endpoint of a record.
 func (m Mapping) endpoint(record Record) (Endpoint, error) {
 	e := Endpoint{
 		Target:         record.Target,
@@ -57,12 +59,12 @@
 		return e, err
 	}
 	if e.Shard < 0 {
-		return e, fmt.Errorf("%s: its shard is told nowhere", record.Target)
+		return e, fmt.Errorf("%s: neither the name, a TXT record nor the defaults specify a shard", record.Target)
 	}
 	return e, nil
 }
 
-// applyPattern sets what the target's name says.
+// applyPattern sets the fields that the groups of the pattern match in the target's name.
 func (m Mapping) applyPattern(e *Endpoint) error {
 	if m.Pattern == nil {
 		return nil
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// applyTXT sets what the target's TXT strings say.
+// applyTXT sets the fields that the target's TXT strings contain.
 func (e *Endpoint) applyTXT(texts []string) error {
 	for _, text := range texts {
 		for pair := range strings.FieldsSeq(text) {
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// set sets a field by its key; unknown keys are passed over.
+// set parses a value and sets the field of the given key. It ignores unknown keys.
 func (e *Endpoint) set(key, value string) error {
 	var err error
 	switch key {
@@ -122,7 +124,7 @@
 func parseShare(text string) (float64, error) {
 	share, err := strconv.ParseFloat(text, 64)
 	if err == nil && !(share > 0 && share < maxShare) {
-		err = fmt.Errorf("%q is not above 0", text)
+		err = fmt.Errorf("%q is not above 0 and below %v", text, maxShare)
 	}
 	return share, err
 }
--- a/internal/dnssrv/mapping_test.go
+++ b/internal/dnssrv/mapping_test.go
@@ -30,7 +30,7 @@
 		Share:          0.5,
 	}
 	if got, err := mapping.endpoint(record); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("endpoint is %+v, error %v, want %+v", got, err, want)
 	}
 	for _, texts := range [][]string{{"shard=x"}, {"share=0"}, {"share=NaN"}, {"shard=99999999999"}} {
 		record.TXT = texts
@@ -40,6 +40,6 @@
 	}
 	unknown := Record{Target: "x.example.org", Addresses: []string{"10.0.0.1:1"}}
 	if _, err := mapping.endpoint(unknown); err == nil || !strings.Contains(err.Error(), "shard") {
-		t.Error(err)
+		t.Errorf("got error %v, want one that contains %q", err, "shard")
 	}
 }
--- a/internal/dnssrv/resolver.go
+++ b/internal/dnssrv/resolver.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	// maxTargets bounds the records of an answer that are used. Higher, a faulty zone takes more memory; lower, a
-	// large deployment loses nodes.
+	// maxTargets limits the SRV records that are used of an answer. With a larger value, a faulty zone uses more
+	// memory. With a smaller value, nodes of a large deployment are lost.
 	maxTargets = 5000
-	// maxParallelTargets bounds the targets whose addresses are asked for at once. Higher, more sockets are open;
-	// lower, a large list takes longer.
+	// maxParallelTargets limits the targets that are resolved in parallel. With a larger value, more sockets are open.
+	// With a smaller value, resolving a large list takes longer.
 	maxParallelTargets = 32
 )
 
-// ErrNoRecords is of a name that has no such record: a server said so.
+// ErrNoRecords reports that a name has no record of the requested type, according to a server.
 var ErrNoRecords = errors.New("no such record")
 
-// errNoServer is of options without a server.
-var errNoServer = errors.New("no name server")
+// errNoServer reports options that contain no server.
+var errNoServer = errors.New("no name server is configured")
 
-// Resolver asks servers and caches addresses and texts for their lifetimes. It is for many goroutines.
+// Resolver queries name servers and caches addresses and TXT strings for their lifetimes. Its methods may be called by
+// many goroutines.
 type Resolver struct {
 	options Options
 	now     func() time.Time
 
 	mu       sync.Mutex
 	health   []serverHealth // of each server
-	tokens   float64        // queries that may be sent now
+	tokens   float64        // queries that the rate limit admits now
 	refilled time.Time      // when tokens were last refilled
 	cache    map[question]*cacheEntry
 	inFlight map[question]*lookup
 	queries  uint64
 }
 
-// question is a name and a type of record.
+// question is a name and a record type.
 type question struct {
 	name string
 	kind uint16
 }
 
-// NewResolver returns a resolver.
+// NewResolver returns a resolver that uses the servers of the options. It returns an error if there is no server.
 func NewResolver(options Options) (*Resolver, error) {
 	if len(options.Servers) == 0 {
 		return nil, errNoServer
@@ -64,43 +65,44 @@
 	}, nil
 }
 
-// Queries counts what was asked of servers.
+// Queries returns the number of queries that were sent to servers.
 func (r *Resolver) Queries() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.queries
 }
 
-// Record is one SRV record with the addresses of its target, as host:port.
+// Record is one SRV record with the addresses of its target.
 type Record struct {
-	Target           string // without the last dot
+	Target           string // without the trailing dot
 	Priority, Weight uint16
-	Addresses        []string
-	TXT              []string // strings of the target's TXT records, if they were asked for
+	Addresses        []string // host:port
+	TXT              []string // strings of the target's TXT records, if requested
 }
 
-// Answer is what a name's SRV records come to.
+// Answer is the result of a lookup: a name's SRV records with the addresses of their targets.
 type Answer struct {
 	Records    []Record
-	TTL        time.Duration // the shortest lifetime of all that went into it, within the options
+	TTL        time.Duration // the shortest TTL of all records that were used, limited by the options
 	Unresolved []Unresolved
 }
 
-// Unresolved is a target whose addresses could not be had.
+// Unresolved is a target that could not be resolved.
 type Unresolved struct {
 	Target string
 	Err    error
 }
 
-// resolvedRecord is what became of one SRV record.
+// resolvedRecord is the result of resolving the target of one SRV record.
 type resolvedRecord struct {
 	record Record
 	ttl    time.Duration
 	err    error
 }
 
-// Lookup asks for a name's SRV records, always anew; addresses and texts may come from the cache. It fails if servers
-// do not answer, and with ErrNoRecords if there are no records.
+// Lookup queries the SRV records of a name and resolves their targets. The SRV records are never taken from the cache,
+// but addresses and TXT strings may be. Lookup returns an error if no server answers. If the name has no SRV records,
+// the error wraps ErrNoRecords.
 func (r *Resolver) Lookup(ctx context.Context, name string, useTXT bool) (Answer, error) {
 	got, err := r.ask(ctx, question{name: dns.CanonicalName(dns.Fqdn(name)), kind: dns.TypeSRV})
 	if err != nil {
@@ -122,7 +124,7 @@
 	return answer, nil
 }
 
-// byOwner sorts records by the name that has them.
+// byOwner groups records by their owner name.
 func byOwner(records []dns.RR) map[string][]dns.RR {
 	sorted := map[string][]dns.RR{}
 	for _, record := range records {
@@ -132,13 +134,13 @@
 	return sorted
 }
 
-// usableRecords are the SRV records that name a service, each once.
+// usableRecords returns the SRV records that have a target and a port, without duplicates.
 func usableRecords(records []dns.RR) []*dns.SRV {
 	seen := map[string]bool{}
 	var usable []*dns.SRV
 	for _, record := range records {
 		srv, isSRV := record.(*dns.SRV)
-		if !isSRV || srv.Target == "." || srv.Port == 0 { // "." says that there is no such service
+		if !isSRV || srv.Target == "." || srv.Port == 0 { // a target of "." means that the service does not exist
 			continue
 		}
 		key := fmt.Sprintf("%s:%d", dns.CanonicalName(srv.Target), srv.Port)
@@ -151,7 +153,7 @@
 	return usable
 }
 
-// resolveAll resolves records in parallel, in their order.
+// resolveAll resolves the targets of records in parallel. The results are in the order of the records.
 func (r *Resolver) resolveAll(
 	ctx context.Context, records []*dns.SRV, additional map[string][]dns.RR, useTXT bool,
 ) []resolvedRecord {
@@ -169,7 +171,7 @@
 	return resolved
 }
 
-// resolveTarget completes an SRV record.
+// resolveTarget resolves the target of an SRV record.
 func (r *Resolver) resolveTarget(ctx context.Context, srv *dns.SRV, additional []dns.RR, useTXT bool) resolvedRecord {
 	target := dns.CanonicalName(srv.Target)
 	resolved := resolvedRecord{
@@ -195,7 +197,8 @@
 	return resolved
 }
 
-// addresses are a target's, from the additional part of an answer or else asked for. It shortens ttl to their lifetime.
+// addresses returns the addresses of a target. It takes them from the additional section of an answer, or queries them
+// if that section has none. It lowers ttl to the shortest TTL of the addresses.
 func (r *Resolver) addresses(
 	ctx context.Context, target string, additional []dns.RR, ttl *time.Duration,
 ) ([]net.IP, error) {
@@ -221,7 +224,7 @@
 	return ips, nil
 }
 
-// addressesIn are the addresses among records. It shortens ttl to their lifetime.
+// addressesIn returns the addresses in A and AAAA records. It lowers ttl to the shortest TTL of these records.
 func (r *Resolver) addressesIn(records []dns.RR, ttl *time.Duration) []net.IP {
 	var ips []net.IP
 	for _, record := range records {
@@ -238,11 +241,11 @@
 	return ips
 }
 
-// texts are the strings of a target's TXT records. It shortens ttl to their lifetime.
+// texts returns the strings of a target's TXT records. It lowers ttl to the shortest TTL of these records.
 func (r *Resolver) texts(ctx context.Context, target string, ttl *time.Duration) ([]string, error) {
 	records, left, err := r.cached(ctx, question{name: target, kind: dns.TypeTXT})
 	if err != nil && !errors.Is(err, ErrNoRecords) {
-		return nil, fmt.Errorf("its text: %w", err)
+		return nil, fmt.Errorf("query TXT records: %w", err)
 	}
 	var texts []string
 	for _, record := range records {
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -26,7 +26,7 @@
 	return server
 }
 
-// newTestResolver asks servers without a bound on queries, and soon gives one up.
+// newTestResolver returns a resolver without a rate limit and with a short timeout.
 func newTestResolver(t *testing.T, servers ...*fakes.DNS) *Resolver {
 	t.Helper()
 	options := Options{Timeout: 150 * time.Millisecond, Rate: 1e6, Burst: 1e6}
@@ -40,7 +40,7 @@
 	return resolver
 }
 
-// testNames are so many targets with an IPv4 and an IPv6 address each.
+// testNames returns SRV records of count targets, each with an IPv4 and an IPv6 address.
 func testNames(count int) []fakes.SRVRecord {
 	var names []fakes.SRVRecord
 	for i := range count {
@@ -56,7 +56,7 @@
 	return names
 }
 
-// checkAnswerOf wants an answer that holds testNames.
+// checkAnswerOf checks that an answer contains the records of testNames(count).
 func checkAnswerOf(t *testing.T, count int, got Answer, err error) {
 	t.Helper()
 	if err != nil || len(got.Records) != count || len(got.Unresolved) > 0 {
@@ -66,15 +66,18 @@
 		record := got.Records[i]
 		same := record.Target == want.Target && record.Priority == want.Priority && record.Weight == want.Weight
 		if !same || len(record.Addresses) != 2 || record.Addresses[0] != want.Addresses[0]+":6379" {
-			t.Fatalf("%+v, want %+v", record, want)
+			t.Fatalf("record is %+v, want %+v", record, want)
 		}
 	}
 }
 
-// A name server misbehaves in each way that the fake knows, first alone and then with a sound one behind it. The
-// resolver answers, or fails with an error that says how, and asks the next server.
+// A name server has each fault of the fake, first as the only server and then followed by a server without a fault. The
+// resolver answers or returns an error that describes the fault. If there is another server, it queries that server.
 func TestMisbehavingServers(t *testing.T) {
-	const noRecords = "no such record"
+	const (
+		noRecords = "no such record"
+		loop      = "CNAME records form a loop"
+	)
 	for fault, want := range map[fakes.DNSFault]string{
 		fakes.NoDNSFault:     "",
 		fakes.Truncated:      "",
@@ -87,9 +90,9 @@
 		fakes.NameError:      noRecords,
 		fakes.NoData:         noRecords,
 		fakes.TruncatedNoTCP: "EOF",
-		fakes.WrongID:        "another id",
+		fakes.WrongID:        "wrong query ID",
 		fakes.Malformed:      "dns",
-		fakes.CNAMELoop:      "circle",
+		fakes.CNAMELoop:      loop,
 	} {
 		bad := startServer(t)
 		bad.Set(service, 5, testNames(3)...)
@@ -100,12 +103,12 @@
 		if want == "" {
 			checkAnswerOf(t, 3, got, err)
 		} else if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("trick %d: %v, want %s", fault, err, want)
+			t.Errorf("fault %d: got error %v, want one that contains %q", fault, err, want)
 		}
 		if errors.Is(err, ErrNoRecords) != (want == noRecords) {
-			t.Errorf("trick %d: %v", fault, err)
+			t.Errorf("fault %d: got error %v", fault, err)
 		}
-		if want == "" || want == noRecords || want == "circle" {
+		if want == "" || want == noRecords || want == loop {
 			continue
 		}
 		good := startServer(t)
@@ -115,7 +118,7 @@
 	}
 }
 
-// Five hundred records do not fit into a datagram.
+// An answer with 500 records does not fit into a datagram and is read over TCP.
 func TestLargeAnswerIsReadWhole(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 30, testNames(500)...)
@@ -123,8 +126,8 @@
 	checkAnswerOf(t, 500, got, err)
 }
 
-// Addresses and texts that do not come with the SRV records are asked for and cached. When the server falls silent
-// they serve on past their lifetime, but not for hours.
+// Addresses and TXT strings that are not in the SRV answer are queried and cached. If the server stops answering, they
+// are used after their lifetimes, but not for hours.
 func TestCachedAnswersOutliveASilentServer(t *testing.T) {
 	server := startServer(t)
 	server.OmitAdditional()
@@ -133,7 +136,7 @@
 	got, err := resolver.Lookup(context.Background(), service, true)
 	checkAnswerOf(t, 10, got, err)
 	if got.Records[7].TXT[0] != "shard=7 share=1.5" {
-		t.Errorf("%q", got.Records[7].TXT)
+		t.Errorf("TXT strings are %q", got.Records[7].TXT)
 	}
 	before := server.Queries()
 	var lookups sync.WaitGroup
@@ -146,21 +149,21 @@
 	}
 	lookups.Wait()
 	if asked := server.Queries() - before; asked != 10 {
-		t.Errorf("%d questions for 10 lists", asked)
+		t.Errorf("%d queries for 10 lists, want 10", asked)
 	}
 	server.SetFault(fakes.NoAnswer)
 	address := question{name: "s1-a.storage.example.org.", kind: dns.TypeA}
 	resolver.now = func() time.Time { return time.Now().Add(10 * time.Minute) }
 	if records, _, err := resolver.cached(context.Background(), address); err != nil || len(records) != 1 {
-		t.Errorf("%v, %v", records, err)
+		t.Errorf("records are %v, error %v, want one record", records, err)
 	}
 	resolver.now = func() time.Time { return time.Now().Add(3 * time.Hour) }
 	if _, _, err := resolver.cached(context.Background(), address); err == nil {
-		t.Error("an address is used three hours past its lifetime")
+		t.Error("an address is used three hours after the end of its lifetime")
 	}
 }
 
-// Lifetimes are kept within the options.
+// TTLs are limited to the range of the options.
 func TestTTLIsKeptWithinOptions(t *testing.T) {
 	server := startServer(t)
 	resolver := newTestResolver(t, server)
@@ -168,12 +171,12 @@
 		server.Set(service, ttl, testNames(2)...)
 		got, err := resolver.Lookup(context.Background(), service, false)
 		if err != nil || got.TTL != want {
-			t.Errorf("a lifetime of %d counts as %v, %v", ttl, got.TTL, err)
+			t.Errorf("a TTL of %d s becomes %v, want %v; error %v", ttl, got.TTL, want, err)
 		}
 	}
 }
 
-// Aliases are followed a bounded way.
+// Chains of CNAME records are followed up to a limited length.
 func TestAliasChainsAreBounded(t *testing.T) {
 	server := startServer(t)
 	resolver := newTestResolver(t, server)
@@ -186,11 +189,11 @@
 		server.SetCNAME(fmt.Sprintf("c%d.example.org", i), fmt.Sprintf("c%d.example.org", i+1))
 	}
 	if _, err := resolver.Lookup(context.Background(), "c0.example.org", false); !errors.Is(err, errLongChain) {
-		t.Errorf("a chain of 12: %v", err)
+		t.Errorf("a chain of 12: got error %v, want %v", err, errLongChain)
 	}
 }
 
-// The bound on queries holds for the process, whatever is asked.
+// The rate limit applies to all queries of the resolver, also to repeated ones for the same name.
 func TestQueryRateIsBounded(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 1, testNames(1)...)
@@ -207,11 +210,12 @@
 		}
 	}
 	if failed != 2 || server.Queries() != 3 || resolver.Queries() != 3 {
-		t.Errorf("%d failed, %d asked, %d counted", failed, server.Queries(), resolver.Queries())
+		t.Errorf("%d lookups failed, the server received %d queries, the resolver counted %d, want 2, 3 and 3",
+			failed, server.Queries(), resolver.Queries())
 	}
 }
 
-// No answer, however spoilt, counts as one to another question, or ends in a panic.
+// A corrupted answer must not be accepted for a different question and must not cause a panic.
 func FuzzCheckAnswer(f *testing.F) {
 	query := new(dns.Msg)
 	query.SetQuestion("a.example.org.", dns.TypeSRV)
@@ -230,7 +234,7 @@
 			return
 		}
 		if msg.Id != 7 || len(msg.Question) != 1 || !strings.EqualFold(msg.Question[0].Name, "a.example.org.") {
-			t.Fatalf("%v", msg)
+			t.Fatalf("accepted %v", msg)
 		}
 	})
 }
--- a/internal/dnssrv/watcher.go
+++ b/internal/dnssrv/watcher.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	// firstRetry is the mean pause after a failed lookup; it doubles with each further one, up to maxRetry. Higher, a
-	// list is late after an outage; lower, servers that come back are asked by all brokers at once.
+	// firstRetry is the mean pause after the first failed lookup. Each further failure doubles the pause, up to
+	// maxRetry. With larger values, the list is late after an outage. With smaller values, all brokers query recovering
+	// servers at once.
 	firstRetry = 250 * time.Millisecond
 	maxRetry   = 10 * time.Second
-	// refreshAt is the part of a lifetime after which the question is asked again, at the latest. Higher, an answer
-	// that is late leaves a gap; lower, servers get more queries.
+	// refreshAt is the part of a list's lifetime after which it is queried again at the latest. With a larger value, a
+	// late answer arrives after the lifetime. With a smaller value, servers receive more queries.
 	refreshAt = 0.9
-	// refreshJitter is a part of the lifetime by which the question is asked earlier, at random: brokers do not ask
-	// together.
+	// refreshJitter is a divisor of the lifetime. Its result is the maximum time by which a query is sent earlier, at
+	// random, so that brokers do not query at the same time.
 	refreshJitter = 10
 )
 
-// Update is what a Watcher passes on: the full list of a name, or that it could not be had.
+// Update is a result that a Watcher posts: the full list of a name, or an error.
 type Update struct {
-	QueriedAt time.Time // when the question was asked
+	QueriedAt time.Time // when the lookup began
 	Endpoints []Endpoint
-	Skipped   []string // records that were left out, and why
+	Skipped   []string // omitted records, each with the reason
 	Err       error
 }
 
-// Watcher follows one name's SRV records.
+// Watcher follows the SRV records of one name.
 type Watcher struct {
 	Resolver *Resolver
 	Name     string
 	Mapping  Mapping
 
-	endpoints map[string]Endpoint // the last list, by target
+	endpoints map[string]Endpoint // the latest list, by target
 }
 
-// Run passes on updates until ctx ends: at once, then before each lifetime ends, and after a failure with a growing
-// backoff. A name without records is an empty list.
+// Run posts updates until ctx ends. It queries the list immediately, again before each lifetime ends, and after a
+// failure with a growing backoff. If the name has no records, it posts an empty list.
 func (w *Watcher) Run(ctx context.Context, post func(Update)) {
 	retry := firstRetry
 	for ctx.Err() == nil {
@@ -65,8 +66,8 @@
 	}
 }
 
-// lookup asks for the list, and returns it with its lifetime. A target whose address could not be had is not one that
-// was removed: it stays as it was.
+// lookup queries the list and returns it with its lifetime. If a target cannot be resolved, its endpoint from the
+// previous list is kept, since the target was not removed.
 func (w *Watcher) lookup(ctx context.Context) (Update, time.Duration) {
 	update := Update{QueriedAt: time.Now()}
 	answer, err := w.Resolver.Lookup(ctx, w.Name, w.Mapping.UseTXT)
--- a/internal/dnssrv/watcher_test.go
+++ b/internal/dnssrv/watcher_test.go
@@ -8,13 +8,13 @@
 	"junctionwharf/internal/fakes"
 )
 
-// updateReader waits for updates of a watcher.
+// updateReader reads the updates of a watcher until a timeout.
 type updateReader struct {
 	updates chan Update
 	timeout <-chan time.Time
 }
 
-// await returns the first update that fits.
+// await returns the first update that matches.
 func (r *updateReader) await(t *testing.T, what string, matches func(Update) bool) Update {
 	t.Helper()
 	for {
@@ -24,14 +24,14 @@
 				return update
 			}
 		case <-r.timeout:
-			t.Fatalf("no %s", what)
+			t.Fatalf("no update with a %s before the timeout", what)
 		}
 	}
 }
 
-// A list gets shorter, a target loses its address, the server falls silent, and then there are no records. The
-// watcher passes on each list, an empty one where there is no record, and failures; the target without an address
-// stays.
+// A list gets shorter, a target loses its address, the server stops answering, and finally there are no records. The
+// watcher posts each list, the failure and finally an empty list. The target without an address keeps its previous
+// endpoint.
 func TestWatcherPassesOnListsAndFailures(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 1, testNames(3)...)
@@ -47,7 +47,7 @@
 
 	full := reader.await(t, "list", func(u Update) bool { return len(u.Endpoints) == 3 })
 	if full.Endpoints[2].Shard != 2 || full.Endpoints[2].Share != 1.5 {
-		t.Errorf("%+v", full)
+		t.Errorf("full list is %+v", full)
 	}
 	server.Set(service, 1, testNames(2)...)
 	reader.await(t, "shorter list", func(u Update) bool { return len(u.Endpoints) == 2 && u.Err == nil })
