--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -20,7 +20,7 @@
 // Balancer configures the load balancing over the replicas of a shard. It has no effect on a shard with one node.
 type Balancer struct {
 	Disabled        bool    `toml:"off"`
-	SubsetSize      int     `toml:"nodes"`    // per shard, for a broker with few requests; 0: the balancer's default
+	SubsetSize      int     `toml:"nodes"`    // subset size of a broker with few requests; 0: the balancer's default
 	MaxEjectedShare float64 `toml:"away"`     // maximum part of a shard's weight that is ejected; 0: the default
 	TrialShare      float64 `toml:"trial"`    // part of its weight that an unresponsive node keeps; 0: the default
 	NoGossip        bool    `toml:"no_peers"` // disables gossip about unresponsive nodes
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,8 +10,8 @@
 	"junctionwharf/internal/discovery"
 )
 
-// Environment variables: the first contains the path of the configuration file; the others supply values for keys that
-// are missing from the file.
+// Environment variables. BALANCER_CONFIG contains the path of the configuration file. The others supply values for keys
+// that are missing from the file.
 const (
 	configVariable    = "BALANCER_CONFIG"
 	nameVariable      = "BALANCER_NAME"
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -4,6 +4,7 @@
 // Rule: a configuration is accepted completely or rejected. An error names the faulty key, in the form "FILE:
 // section.key: reason". Unknown keys of the site file are errors. Unknown keys of the platform's file are ignored,
 // since the platform may be newer than this version. Each section sets its defaults and checks its values in one method
+// named complete or check.
 //
 // State: a Config is a value that this package does not change after reading it. The daemon owns the active Config.
 // ApplyReload copies the sections that a reload may change. RestartOnlyChanges lists changed keys that need a restart.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -20,11 +20,11 @@
 
 // Minimum limits with which a broker can run.
 const (
-	// minMemoryMB is in MiB, about the memory that the program itself needs. With a smaller value, the platform would
-	// kill the process instead of the configuration being rejected at the start.
+	// minMemoryMB is in MiB, about the memory that the program itself needs. A smaller limit is rejected at the
+	// start, since the platform would kill the process.
 	minMemoryMB = 32
-	// minSockets is in file descriptors. Discovery, peers and the console use most of them. With a smaller value, the
-	// broker would start but accept hardly any client.
+	// minSockets is in file descriptors. Discovery, peers and the console use most of them. A smaller limit is
+	// rejected at the start, since the broker could accept hardly any client.
 	minSockets = 64
 )
 
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,7 +6,8 @@
 	"reflect"
 )
 
-// knownKey is the key of the endpoint list from before the start. The list is used only at the start.
+// knownKey is the key of the endpoint list from before the start. The list is used only at the
+// start, so a reload does not require it.
 const knownKey = "known"
 
 // CheckReloadKeys returns an error if other lacks a key that c has. The error names the first missing key. Without this
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,7 +15,7 @@
 // Settings contains the settings that all brokers of a tier share. It is decoded from the platform's "settings" object.
 type Settings struct {
 	Scheduler      scheduler.Settings
-	Shards         int           // number of shards, which are numbered from 0; 0: unknown
+	Shards         int           // number of shards, indexed from 0; 0 means unknown
 	ConnIdle       broker.Micros // idle connections to nodes are closed after this time
 	ConnectTimeout broker.Micros
 }
@@ -94,17 +94,17 @@
 	NShards     int     `json:"nShards"`
 }
 
-// subscribeMode is the value of "discovery" that means that all brokers poll one service.
+// subscribeMode is the value of "discovery" if all brokers poll one service.
 const subscribeMode = "subscribe"
 
-// idempotencies maps the values of a class's "effect".
+// idempotencies maps the values of a class's "effect" key to the scheduler's constants.
 var idempotencies = map[string]scheduler.Idempotency{
 	"safe":   scheduler.Idempotent,
 	"keyed":  scheduler.IdempotentWithKey,
 	"unsafe": scheduler.NotIdempotent,
 }
 
-// keyScopes maps the values of a class's "keyScope".
+// keyScopes maps the values of a class's "keyScope" key to the scheduler's constants.
 var keyScopes = map[string]scheduler.Scope{
 	"":     scheduler.ScopeAll,
 	"all":  scheduler.ScopeAll,
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -47,7 +47,7 @@
 	StartedAtMS float64 `json:"born_ms"`
 }
 
-// nodeStates maps the values of "health" in discovery's protocol.
+// nodeStates maps the values of "health" in discovery's protocol to node states.
 var nodeStates = map[string]scheduler.NodeState{
 	"SERVING":  scheduler.Ready,
 	"DRAINING": scheduler.Draining,
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -69,12 +69,13 @@
 }
 
 // pollTimeouts derives the timeouts from the platform's rule on drains: a broker must apply a drain within
-// notifiedAfter plus the drain grace from when the service has it. If a broker breaks the rule, a draining node still
-// receives requests.
+// notifiedAfter plus the drain grace, counted from the time at which the service has the drain and can be reached. If a
+// broker breaks the rule, a draining node still receives requests.
 //
-// For any service, the worst case is a poll that began too early and is lost, a pause, another lost poll, another
-// pause, and the poll that is answered: lostAnswers and lostPauses. Together they must fit into notifiedAfter plus the
-// grace. A poll that is held but not answered, the pause after it and the next answer must also fit.
+// For any service, the worst case is a poll that began just before this time and is lost, a pause, another lost poll,
+// another pause, and the poll that is answered. lostAnswers and lostPauses count them. Together they must fit into
+// notifiedAfter plus the grace. A poll that is held but not answered, the pause after it and the next answer must also
+// fit.
 //
 // Changes at an agent on this machine count as notified even if the agent does not answer. Changes that the agent
 // received while it was silent count as notified when the silence ends. Changes that a silent poll missed count as
--- a/internal/dnssrv/exchange.go
+++ b/internal/dnssrv/exchange.go
@@ -40,7 +40,7 @@
 
 // serverHealth is the state of a server according to its last answers.
 type serverHealth struct {
-	backoff time.Duration // mean of the current or last one; 0 after an answer
+	backoff time.Duration // mean of the latest backoff; 0 after an answer
 	until   time.Time     // until then the server is tried after the others
 }
 
@@ -217,7 +217,7 @@
 }
 
 // checkAnswer returns an error if a message is not the answer to the query. Without this check, forged answers could
-// put foreign nodes into the list.
+// put an attacker's nodes into the list.
 func checkAnswer(query, msg *dns.Msg) error {
 	switch {
 	case msg.Id != query.Id:
--- a/internal/dnssrv/resolver.go
+++ b/internal/dnssrv/resolver.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxTargets limits the SRV records that are used of an answer. With a larger value, a faulty zone uses more
+	// maxTargets limits the SRV records of an answer that are used. With a larger value, a faulty zone uses more
 	// memory. With a smaller value, nodes of a large deployment are lost.
 	maxTargets = 5000
 	// maxParallelTargets limits the targets that are resolved in parallel. With a larger value, more sockets are open.
--- a/internal/dnssrv/watcher.go
+++ b/internal/dnssrv/watcher.go
@@ -17,8 +17,8 @@
 	// refreshAt is the part of a list's lifetime after which it is queried again at the latest. With a larger value, a
 	// late answer arrives after the lifetime. With a smaller value, servers receive more queries.
 	refreshAt = 0.9
-	// refreshJitter is a divisor of the lifetime. Its result is the maximum time by which a query is sent earlier, at
-	// random, so that brokers do not query at the same time.
+	// refreshJitter is a divisor of the lifetime. A query is sent earlier by a random time of up to the quotient, so
+	// that brokers do not query at the same time.
 	refreshJitter = 10
 )
 
