--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,7 +55,7 @@
 }
 
 // A key that is missing from the file is read from the environment.
-func TestEnvironmentStandsIn(t *testing.T) {
+func TestEnvironmentSuppliesMissingKeys(t *testing.T) {
 	text := strings.Replace(configText, `"listen":"10.0.0.4:6379",`, "", 1)
 	environment := map[string]string{"BALANCER_LISTEN": "10.9.9.9:1"}
 	c, err := Parse([]byte(text), func(name string) string { return environment[name] })
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -54,7 +54,7 @@
 
 // The watch continues from the last version, also after an overloaded answer. After a lost poll it starts again with
 // the full list. The net/http client itself repeats a poll that is cut on a reused connection, so the test cuts two.
-func TestWatchGoesOnFromTheLastVersion(t *testing.T) {
+func TestWatchContinuesFromLastVersion(t *testing.T) {
 	service := newScriptedService(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -119,7 +119,7 @@
 }
 
 // An answer with 500 records does not fit into a datagram and is read over TCP.
-func TestLargeAnswerIsReadWhole(t *testing.T) {
+func TestLargeAnswerIsReadOverTCP(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 30, testNames(500)...)
 	got, err := newTestResolver(t, server).Lookup(context.Background(), service, false)
@@ -128,7 +128,7 @@
 
 // Addresses and TXT strings that are not in the SRV answer are queried and cached. If the server stops answering, they
 // are used after their lifetimes, but not for hours.
-func TestCachedAnswersOutliveASilentServer(t *testing.T) {
+func TestExpiredAnswersAreUsedIfServersFail(t *testing.T) {
 	server := startServer(t)
 	server.OmitAdditional()
 	server.Set(service, 30, testNames(10)...)
--- a/internal/dnssrv/watcher_test.go
+++ b/internal/dnssrv/watcher_test.go
@@ -32,7 +32,7 @@
 // A list gets shorter, a target loses its address, the server stops answering, and finally there are no records. The
 // watcher posts each list, the failure and finally an empty list. The target without an address keeps its previous
 // endpoint.
-func TestWatcherPassesOnListsAndFailures(t *testing.T) {
+func TestWatcherPostsListsAndFailures(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 1, testNames(3)...)
 	watcher := &Watcher{
