--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -11,8 +11,9 @@
 
 const (
 	// defaultBoundMS is the default, in milliseconds, of the maximum time for which disconnected brokers may delay a
-	// change. Half of it is the lease duration. With a larger value, an operator waits longer for a change during an
-	// outage. With a smaller value, a short loss of messages restricts brokers to the safe values.
+	// change. The lease duration is half of it. With a larger value, an operator waits longer for a change during an
+	// outage. With a smaller value, a short loss of messages ends leases, and brokers without a lease are restricted to
+	// the safest values.
 	defaultBoundMS = 2000
 	// minBoundMS, in milliseconds, keeps the lease longer than the usual scheduling delays of a machine. With a smaller
 	// value, a busy broker would be restricted without any failure.
@@ -147,7 +148,7 @@
 			return fmt.Errorf("limits.%s: no plan has this name", name)
 		}
 		if !(floor > 0) || plan.Limit > 0 && floor > plan.Limit {
-			return fmt.Errorf("limits.%s: %v is not above 0 and at most the plan's limit (%v, 0: none)",
+			return fmt.Errorf("limits.%s: got %v, want above 0 and at most the plan's limit of %v (0: unlimited)",
 				name, floor, plan.Limit)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,13 +32,13 @@
 	LocalAddress     string // source IP address of connections to nodes and discovery; empty: chosen by the system
 	Seed             uint64
 	Limits           Limits
-	PeerListen       string // host:port that receives datagrams of peers; empty: off
-	Peers            []string
-	PeersAll         string
-	CachedEndpoints  *discovery.EndpointList // endpoint list from before the start; nil if the file has none
+	PeerListen       string                  // host:port that receives datagrams of peers; empty: off
+	Peers            []string                // host:port of all brokers by ordinal, this broker included
+	PeersAll         string                  // host:port that reaches all peers; empty: none
+	CachedEndpoints  *discovery.EndpointList // used at the start, before discovery answers; nil if the file has none
 	Settings         *Settings
 	Site             Site // optional features; without a site file all are off
-	HandoverDisabled bool // disables the handover between processes over a Unix socket
+	HandoverDisabled bool // disables the handover between processes, for platforms without Unix sockets
 
 	keys keySet // keys that are present in the file
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("limits %+v, want %+v", c.Limits, want)
 	}
 	if c.CachedEndpoints.Version != 41 {
-		t.Errorf("known list is %+v, want version 41", c.CachedEndpoints)
+		t.Errorf("cached endpoint list is %+v, want version 41", c.CachedEndpoints)
 	}
 	if c.Settings.ConnIdle != 30*broker.Second || c.Settings.ConnectTimeout != broker.Second/4 {
 		t.Errorf("idle time %d µs, connect timeout %d µs", c.Settings.ConnIdle, c.Settings.ConnectTimeout)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -65,8 +65,8 @@
 	{"zone", `"z1"`},
 }
 
-// settingsWith returns the settings in JSON. If wrong is not empty, the value of the key with that name has the wrong
-// type.
+// settingsWith returns settings in JSON with all keys of settingsKeys. If wrong is not empty, it is the path of the key
+// whose value has the wrong type.
 func settingsWith(t *testing.T, wrong string) []byte {
 	t.Helper()
 	sections := map[string]any{}
@@ -122,62 +122,62 @@
 // faultsFile records the error for each key whose value has the wrong type.
 const faultsFile = "settings-faults.txt"
 
-// rewordedFaults are texts of the recording in settings-faults.txt, each with the text that replaced it.
+// rewordedFaults lists the texts in faultsFile that have been reworded since the recording, each with its new text.
 var rewordedFaults = [][2]string{
-	{"bounds.cancel: a array is no value for it", "bounds.cancel: got array, want true or false"},
-	{"bounds.peers: a array is no value for it", "bounds.peers: got array, want true or false"},
-	{"bounds.probes: a array is no value for it", "bounds.probes: got array, want true or false"},
-	{"bounds.retryAfter: a array is no value for it", "bounds.retryAfter: got array, want true or false"},
-	{"bounds.secondCopies: a array is no value for it", "bounds.secondCopies: got array, want true or false"},
-	{"bounds.maxAttempts: a array is no value for it", "bounds.maxAttempts: got array, want an integer"},
-	{"bounds.maxRetryAfter: a array is no value for it", "bounds.maxRetryAfter: got array, want a number"},
-	{"bounds.connIdle: a array is no value for it", "bounds.connIdle: got array, want a number"},
-	{"bounds.connectTimeout: a array is no value for it", "bounds.connectTimeout: got array, want a number"},
-	{"classes.name: a array is no value for it", "classes.name: got array, want a string"},
-	{"classes.effect: a array is no value for it", "classes.effect: got array, want a string"},
-	{"classes.keyScope: a array is no value for it", "classes.keyScope: got array, want a string"},
-	{"classes.aim: a array is no value for it", "classes.aim: got array, want a number"},
-	{"classes.deadline: a array is no value for it", "classes.deadline: got array, want a number"},
-	{"classes.window: a array is no value for it", "classes.window: got array, want a number"},
-	{"classes.aimStretch: a array is no value for it", "classes.aimStretch: got array, want a number"},
-	{"classes.importance: a array is no value for it", "classes.importance: got array, want a number"},
-	{"classes.lateWorth: a array is no value for it", "classes.lateWorth: got array, want a number"},
-	{"classes.byArrival: a array is no value for it", "classes.byArrival: got array, want true or false"},
-	{"classes.stream: a array is no value for it", "classes.stream: got array, want true or false"},
-	{"discovery: a array is no value for it", "discovery: got array, want a string"},
-	{"invariants.answerSlack: a array is no value for it", "invariants.answerSlack: got array, want a number"},
-	{"invariants.cold: a array is no value for it", "invariants.cold: got array, want a number"},
-	{"invariants.drainGrace: a array is no value for it", "invariants.drainGrace: got array, want a number"},
-	{"invariants.fall: a array is no value for it", "invariants.fall: got array, want a number"},
-	{"invariants.mustAskIn: a array is no value for it", "invariants.mustAskIn: got array, want a number"},
-	{"invariants.keyQuiet: a array is no value for it", "invariants.keyQuiet: got array, want a number"},
-	{"invariants.ratioSpan: a array is no value for it", "invariants.ratioSpan: got array, want a number"},
-	{"invariants.coldShare: a array is no value for it", "invariants.coldShare: got array, want a number"},
-	{"invariants.fallMultiple: a array is no value for it", "invariants.fallMultiple: got array, want a number"},
-	{"invariants.extraFloor: a array is no value for it", "invariants.extraFloor: got array, want a number"},
-	{"invariants.resendRatio: a array is no value for it", "invariants.resendRatio: got array, want a number"},
-	{"nInstances: a array is no value for it", "nInstances: got array, want an integer"},
-	{"ordinal: a array is no value for it", "ordinal: got array, want an integer"},
-	{"serviceLevels.name: a array is no value for it", "serviceLevels.name: got array, want a string"},
-	{"serviceLevels.capDepth: a array is no value for it", "serviceLevels.capDepth: got array, want a number"},
-	{"serviceLevels.ceilingRate: a array is no value for it", "serviceLevels.ceilingRate: got array, want a number"},
-	{"serviceLevels.floorRate: a array is no value for it", "serviceLevels.floorRate: got array, want a number"},
-	{"serviceLevels.nominal: a array is no value for it", "serviceLevels.nominal: got array, want a number"},
-	{"serviceLevels.parts: a array is no value for it", "serviceLevels.parts: got array, want a number"},
-	{"serviceLevels.price: a array is no value for it", "serviceLevels.price: got array, want a number"},
-	{"serviceLevels.tolerance: a array is no value for it", "serviceLevels.tolerance: got array, want a number"},
-	{"specifics.idleWorth: a array is no value for it", "specifics.idleWorth: got array, want a number"},
-	{"specifics.maxUnits: a array is no value for it", "specifics.maxUnits: got array, want a number"},
-	{"specifics.usualUnits: a array is no value for it", "specifics.usualUnits: got array, want a number"},
-	{"specifics.withinShare: a array is no value for it", "specifics.withinShare: got array, want a number"},
-	{"specifics.youngLimit: a array is no value for it", "specifics.youngLimit: got array, want a number"},
-	{"specifics.usePeriod: a array is no value for it", "specifics.usePeriod: got array, want a number"},
-	{"specifics.nShards: a array is no value for it", "specifics.nShards: got array, want an integer"},
-	{"zone: a array is no value for it", "zone: got array, want a string"},
+	{"bounds.cancel: a array is no value for it", "bounds.cancel: got array, want bool"},
+	{"bounds.peers: a array is no value for it", "bounds.peers: got array, want bool"},
+	{"bounds.probes: a array is no value for it", "bounds.probes: got array, want bool"},
+	{"bounds.retryAfter: a array is no value for it", "bounds.retryAfter: got array, want bool"},
+	{"bounds.secondCopies: a array is no value for it", "bounds.secondCopies: got array, want bool"},
+	{"bounds.maxAttempts: a array is no value for it", "bounds.maxAttempts: got array, want int"},
+	{"bounds.maxRetryAfter: a array is no value for it", "bounds.maxRetryAfter: got array, want float64"},
+	{"bounds.connIdle: a array is no value for it", "bounds.connIdle: got array, want float64"},
+	{"bounds.connectTimeout: a array is no value for it", "bounds.connectTimeout: got array, want float64"},
+	{"classes.name: a array is no value for it", "classes.name: got array, want string"},
+	{"classes.effect: a array is no value for it", "classes.effect: got array, want string"},
+	{"classes.keyScope: a array is no value for it", "classes.keyScope: got array, want string"},
+	{"classes.aim: a array is no value for it", "classes.aim: got array, want float64"},
+	{"classes.deadline: a array is no value for it", "classes.deadline: got array, want float64"},
+	{"classes.window: a array is no value for it", "classes.window: got array, want float64"},
+	{"classes.aimStretch: a array is no value for it", "classes.aimStretch: got array, want float64"},
+	{"classes.importance: a array is no value for it", "classes.importance: got array, want float64"},
+	{"classes.lateWorth: a array is no value for it", "classes.lateWorth: got array, want float64"},
+	{"classes.byArrival: a array is no value for it", "classes.byArrival: got array, want bool"},
+	{"classes.stream: a array is no value for it", "classes.stream: got array, want bool"},
+	{"discovery: a array is no value for it", "discovery: got array, want string"},
+	{"invariants.answerSlack: a array is no value for it", "invariants.answerSlack: got array, want float64"},
+	{"invariants.cold: a array is no value for it", "invariants.cold: got array, want float64"},
+	{"invariants.drainGrace: a array is no value for it", "invariants.drainGrace: got array, want float64"},
+	{"invariants.fall: a array is no value for it", "invariants.fall: got array, want float64"},
+	{"invariants.mustAskIn: a array is no value for it", "invariants.mustAskIn: got array, want float64"},
+	{"invariants.keyQuiet: a array is no value for it", "invariants.keyQuiet: got array, want float64"},
+	{"invariants.ratioSpan: a array is no value for it", "invariants.ratioSpan: got array, want float64"},
+	{"invariants.coldShare: a array is no value for it", "invariants.coldShare: got array, want float64"},
+	{"invariants.fallMultiple: a array is no value for it", "invariants.fallMultiple: got array, want float64"},
+	{"invariants.extraFloor: a array is no value for it", "invariants.extraFloor: got array, want float64"},
+	{"invariants.resendRatio: a array is no value for it", "invariants.resendRatio: got array, want float64"},
+	{"nInstances: a array is no value for it", "nInstances: got array, want int"},
+	{"ordinal: a array is no value for it", "ordinal: got array, want int"},
+	{"serviceLevels.name: a array is no value for it", "serviceLevels.name: got array, want string"},
+	{"serviceLevels.capDepth: a array is no value for it", "serviceLevels.capDepth: got array, want float64"},
+	{"serviceLevels.ceilingRate: a array is no value for it", "serviceLevels.ceilingRate: got array, want float64"},
+	{"serviceLevels.floorRate: a array is no value for it", "serviceLevels.floorRate: got array, want float64"},
+	{"serviceLevels.nominal: a array is no value for it", "serviceLevels.nominal: got array, want float64"},
+	{"serviceLevels.parts: a array is no value for it", "serviceLevels.parts: got array, want float64"},
+	{"serviceLevels.price: a array is no value for it", "serviceLevels.price: got array, want float64"},
+	{"serviceLevels.tolerance: a array is no value for it", "serviceLevels.tolerance: got array, want float64"},
+	{"specifics.idleWorth: a array is no value for it", "specifics.idleWorth: got array, want float64"},
+	{"specifics.maxUnits: a array is no value for it", "specifics.maxUnits: got array, want float64"},
+	{"specifics.usualUnits: a array is no value for it", "specifics.usualUnits: got array, want float64"},
+	{"specifics.withinShare: a array is no value for it", "specifics.withinShare: got array, want float64"},
+	{"specifics.youngLimit: a array is no value for it", "specifics.youngLimit: got array, want float64"},
+	{"specifics.usePeriod: a array is no value for it", "specifics.usePeriod: got array, want float64"},
+	{"specifics.nShards: a array is no value for it", "specifics.nShards: got array, want int"},
+	{"zone: a array is no value for it", "zone: got array, want string"},
 }
 
-// readFaults returns the recorded faults with the texts of rewordedFaults replaced. Each row must be found in the
-// recording.
+// readFaults returns the recorded faults after replacing the texts in rewordedFaults. The test fails if a row of the
+// table is not found in the recording.
 func readFaults(t *testing.T) string {
 	t.Helper()
 	recorded, err := os.ReadFile(filepath.Join("testdata", faultsFile))
@@ -187,7 +187,7 @@
 	var pairs []string
 	for _, row := range rewordedFaults {
 		if !strings.Contains(string(recorded), row[0]) {
-			t.Errorf("%s contains no %q", faultsFile, row[0])
+			t.Errorf("%s does not contain %q", faultsFile, row[0])
 		}
 		pairs = append(pairs, row[:]...)
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -20,8 +20,8 @@
 
 // Minimum limits with which a broker can run.
 const (
-	// minMemoryMB is in MiB, about the memory that the program itself needs. A smaller limit is rejected at the
-	// start, since the platform would kill the process.
+	// minMemoryMB is in MiB. The program itself needs about this much. A smaller limit is rejected at the start, since
+	// the platform would kill the process.
 	minMemoryMB = 32
 	// minSockets is in file descriptors. Discovery, peers and the console use most of them. A smaller limit is
 	// rejected at the start, since the broker could accept hardly any client.
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -29,7 +29,7 @@
 // applies its list unchanged.
 type Membership struct {
 	SuspectS int              `toml:"suspect_s"` // how long the sudden removal of most nodes is deferred, in seconds
-	Snapshot string           `toml:"snapshot"`  // file that preserves the list across a restart; empty: none
+	Snapshot string           `toml:"snapshot"`  // file that preserves the list across a restart; empty: off
 	Sources  []EndpointSource `toml:"source"`
 }
 
@@ -38,7 +38,7 @@
 	Name    string   `toml:"name"`
 	Kind    string   `toml:"kind"`   // "discovery", "dns" or "file"
 	Allowed []string `toml:"may"`    // some of "add", "drain" and "remove"; empty: all
-	FreshS  int      `toml:"good_s"` // how long the removals of a silent source outweigh other sources, in seconds
+	FreshS  int      `toml:"good_s"` // how long the removals of a silent source stay valid, in seconds
 
 	// Only for kind "dns".
 	SRV         string   `toml:"srv"`
--- a/internal/config/metrics.go
+++ b/internal/config/metrics.go
@@ -18,16 +18,16 @@
 	maxIntervalS = 3600
 	// defaultPrefix is the first part of series names.
 	defaultPrefix = "junctionwharf"
-	// defaultQueueBytes limits the queue of unsent intervals. With a larger value, an outage of the receiver uses more
+	// defaultQueueBytes limits the queue of unsent data. With a larger value, an outage of the receiver uses more
 	// memory. With a smaller value, more intervals are lost during an outage.
 	defaultQueueBytes = 4 << 20
-	// minQueueBytes is the size of one interval of a small broker. With a smaller queue, each interval would be lost
-	// while the previous one is being sent.
+	// minQueueBytes is the size of the data that a small broker exports per interval. With a smaller queue, the data of
+	// an interval would be lost while that of the previous interval is being sent.
 	minQueueBytes = 64 << 10
 	// maxQueueBytes is more memory than any machine can spare for metrics. A larger value is a typing error.
 	maxQueueBytes = 1 << 30
-	// fixedSeries is the maximum number of series of the core and the exporters, without the series of each class. With
-	// a smaller value, some of these series would be omitted from the exports.
+	// fixedSeries is the maximum number of series of the core and the exporters. It does not include the series per
+	// class. With a smaller value, some of these series would be omitted from the exports.
 	fixedSeries = 100
 	// seriesPerClass is the number of series of each class.
 	seriesPerClass = 3
@@ -36,7 +36,7 @@
 // Telemetry limits the number of exported series and their memory.
 type Telemetry struct {
 	MaxSeries     int `toml:"max_series"`
-	MaxBytes      int `toml:"max_bytes"`      // memory of all rows of series
+	MaxBytes      int `toml:"max_bytes"`      // maximum memory of all series
 	IdleIntervals int `toml:"idle_intervals"` // a volume is omitted after this many intervals without requests
 }
 
@@ -74,7 +74,7 @@
 type Receiver struct {
 	Address    string `toml:"address"` // host:port; empty: off
 	IntervalS  int    `toml:"interval_s"`
-	QueueBytes int    `toml:"queue_bytes"` // limit of the queue of unsent intervals
+	QueueBytes int    `toml:"queue_bytes"` // maximum size of the queue of unsent data
 }
 
 // Interval returns the time between two exports.
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -6,8 +6,8 @@
 	"reflect"
 )
 
-// knownKey is the key of the endpoint list from before the start. The list is used only at the
-// start, so a reload does not require it.
+// knownKey is the key of Config.CachedEndpoints. This endpoint list is used only at the start, so the file may omit it
+// at a reload.
 const knownKey = "known"
 
 // CheckReloadKeys returns an error if other lacks a key that c has. The error names the first missing key. Without this
@@ -23,7 +23,7 @@
 }
 
 // RestartOnlyChanges returns the keys whose values differ in other and take effect only after a restart. The seed and
-// the known list are not compared: a reload never changes them.
+// CachedEndpoints are not compared, because a reload never changes them.
 func (c *Config) RestartOnlyChanges(other *Config) []string {
 	var keys []string
 	for _, setting := range []struct {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"reflect"
 	"strings"
 	"time"
 
@@ -119,7 +118,7 @@
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// nameTypeError replaces a JSON type error by an error that starts with the key of the faulty value.
+// nameTypeError replaces a JSON type error with an error that starts with the key of the faulty value.
 func nameTypeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
@@ -129,25 +128,7 @@
 	for i, part := range parts { // encoding/json reports a field of an embedded struct by its Go name
 		parts[i] = strings.ToLower(part[:1]) + part[1:]
 	}
-	want := expectedType(typeError.Type.Kind())
-	return fmt.Errorf("%s: got %s, want %s", strings.Join(parts, "."), typeError.Value, want)
-}
-
-// expectedType describes the JSON values that a Go field of the given kind accepts.
-func expectedType(kind reflect.Kind) string {
-	switch kind {
-	case reflect.Bool:
-		return "true or false"
-	case reflect.Int:
-		return "an integer"
-	case reflect.Float64:
-		return "a number"
-	case reflect.String:
-		return "a string"
-	case reflect.Slice:
-		return "an array"
-	}
-	return "an object"
+	return fmt.Errorf("%s: got %s, want %s", strings.Join(parts, "."), typeError.Value, typeError.Type.Kind())
 }
 
 // ParseSettings decodes the JSON text of the settings. It ignores unknown keys.
--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -17,7 +17,7 @@
 	defaultConnectTimeout = broker.Second / 4
 )
 
-// complete checks the settings and sets the defaults of missing ones.
+// complete sets the defaults of missing settings and checks all of them.
 func (s *Settings) complete() error {
 	if err := s.completeConnections(); err != nil {
 		return err
@@ -38,7 +38,7 @@
 		return fmt.Errorf("nInstances: %d is below 1", s.Scheduler.Brokers)
 	}
 	if s.Scheduler.Ordinal < 0 || s.Scheduler.Ordinal >= s.Scheduler.Brokers {
-		return fmt.Errorf("ordinal: %d is not at least 0 and below nInstances (%d)",
+		return fmt.Errorf("ordinal: got %d, want at least 0 and less than nInstances (%d)",
 			s.Scheduler.Ordinal, s.Scheduler.Brokers)
 	}
 	return s.Scheduler.Validate()
@@ -100,7 +100,8 @@
 	value float64
 }
 
-// checkNotNegative returns an error for the first negative figure, so that a configuration with one is never applied.
+// checkNotNegative returns an error that names the key of the first negative figure. It runs before the settings are
+// applied.
 func checkNotNegative(figures []figure) error {
 	for _, f := range figures {
 		if f.value < 0 {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -26,7 +26,7 @@
 		"serviceLevels":[{"name":"p"},{"name":"q","price":9}]}`
 )
 
-// The settings of deployments with different features are all accepted, so no check is written for one of them only.
+// The settings of deployments with different features are all accepted: no check assumes the features of one of them.
 // Keys that the protocol calls optional may be missing, and unknown keys are ignored.
 func TestDeployments(t *testing.T) {
 	for _, deployment := range []struct {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -126,7 +126,7 @@
 		{`"floorRate":100,`, ``, "settings.servicelevels.floorrate: missing"},
 		{`"importance":1`, `"importance":null`, "settings.classes.importance: missing"},
 		{`"deadline":6000000`, `"deadline":0`, "settings.classes[0].deadline: 0s is not above 0"},
-		{`"deadline":6000000`, `"deadline":"6"`, "settings.classes.deadline: got string, want a number"},
+		{`"deadline":6000000`, `"deadline":"6"`, "settings.classes.deadline: got string, want float64"},
 		{`"maxAttempts":3`, `"maxAttempts":0`, "settings.bounds.maxAttempts: 0 is below 1"},
 		{text, ``, "unexpected end of JSON input"},
 		{text, text[:len(text)-1], "unexpected end of JSON input"},
