--- a/internal/capacity/cell.go
+++ b/internal/capacity/cell.go
@@ -7,18 +7,18 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// Cell is one run of the grid.
+// Cell is one run of Grid.
 type Cell struct {
-	Brokers         int     // in all
-	Nodes           int     // one for each shard
-	Volumes         int     // active at a broker for each request a second; 0: none, and no requests
+	Brokers         int     // total, full and hollow
+	Nodes           int     // one per shard
+	Volumes         int     // active volumes per broker for each request a second; 0 means no volumes and no requests
 	ChangeSeconds   float64 // between two changes of the replicated configuration
 	Seed            uint64
 	SeparateControl bool // voters and parents are control processes without clients
-	Faults          bool // with those of dayOfFaults
+	Faults          bool // the run includes the events of dayOfFaults
 }
 
-// Name is the cell's name, and that of its raw file.
+// Name returns the cell's name, which is also the base name of its raw file.
 func (c Cell) Name() string {
 	name := fmt.Sprintf("b%d-n%d-v%d-c%g-s%d", c.Brokers, c.Nodes, c.Volumes, c.ChangeSeconds, c.Seed)
 	if c.SeparateControl {
@@ -30,30 +30,33 @@
 	return name
 }
 
-// The planned fleet, and how it is measured. The page and its raw runs are of these values; other ones need new runs.
+// The planned fleet and the length of a run. The committed raw runs and the page were made with these values; a change
+// of any value requires new runs.
 const (
-	// PlannedBrokers is the size that the operators plan for.
+	// PlannedBrokers is the fleet size that the operators plan for.
 	PlannedBrokers = 930
-	plannedNodes   = 400 // of the fleet whose sizes are compared
+	plannedNodes   = 400 // nodes of standardCell, which is used to compare fleet sizes
 	plannedZones   = 6
 	plannedVoters  = 7
-	// plannedChangeSeconds is between two changes of the configuration. Lower, the measured cost of changes is higher.
+	// plannedChangeSeconds is the interval between two changes of the configuration, in seconds. A smaller value raises
+	// the measured cost of changes.
 	plannedChangeSeconds = 20
-	// fullBrokers are whole processes; the others are hollow: they run the control side alone. Higher, a run takes more
-	// memory of its machine; lower, the mean over whole processes is less sure.
+	// fullBrokers is the number of brokers that run as full processes. All others are hollow: they run only the control
+	// side. A larger value needs more memory on the machine that runs the grid. A smaller value makes the mean over
+	// full brokers less precise.
 	fullBrokers = 20
-	// requestRate is the requests a second of a broker.
+	// requestRate is the number of requests a second per broker.
 	requestRate = 10
-	// runSeconds is the length of a run, one change and a second more. Higher, the grid takes longer to run; lower, no
-	// change is seen.
+	// runSeconds is the length of a run in seconds: one change interval plus one second. A larger value makes the grid
+	// take longer to run. With a smaller value, no change falls within a run.
 	runSeconds = 21
-	// memoryLimitMB is the limit of a whole process.
+	// memoryLimitMB is the memory limit of a full broker's process, in MB.
 	memoryLimitMB = 192
-	// idleRequestRate is that of all clients together in a cell without volumes.
+	// idleRequestRate is the number of requests a second per full broker in a cell without volumes.
 	idleRequestRate = 0.1
 )
 
-// standardCell is the cell by which sizes of the fleet are compared.
+// standardCell returns the cell that is used to compare fleet sizes.
 func standardCell(brokers int, seed uint64) Cell {
 	return Cell{
 		Brokers:       brokers,
@@ -89,7 +92,7 @@
 	return c
 }
 
-// Grid are the cells of the page, in the order in which they are run.
+// Grid lists the cells of the page in the order in which they are run.
 var Grid = []Cell{
 	standardCell(PlannedBrokers, 1),
 	standardCell(480, 1),
@@ -118,9 +121,9 @@
 	standardCell(240, 1).withChangeEachSecond().withSeparateControl(true).withFaults(),
 }
 
-// dayOfFaults are the faults that the plan allows in a day, within one run: four brokers restart, one dies, a control
-// process dies and comes back, one broker is paused, and three are cut off from the replicated configuration. All of
-// them are whole processes.
+// dayOfFaults lists the faults that the operators' plan allows in one day, compressed into one run. Four brokers
+// restart, one broker dies, one control process dies and restarts, one broker is paused, and three brokers are cut off
+// from the replicated configuration. All of these are full processes.
 var dayOfFaults = []fleetharness.Event{
 	{AtS: 4, Kind: "kill", Brokers: []int{7, 8, 9, 10}, DurationS: 2},
 	{AtS: 6, Kind: "kill", Brokers: []int{11}},
@@ -129,7 +132,7 @@
 	{AtS: 14, Kind: "agree_cut", Brokers: []int{13, 14, 15}, DurationS: 4},
 }
 
-// Scenario is what the fleet harness runs for a cell.
+// Scenario returns the fleet harness scenario of the cell.
 func (c Cell) Scenario() *fleetharness.Scenario {
 	s := &fleetharness.Scenario{
 		Name:          c.Name(),
--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Every cell can be run, within the bounds of the fleet harness, and no two have the same name.
+// Checks that the fleet harness accepts the scenario of every cell and that cell names are unique, since raw files are
+// named after cells.
 func TestGrid(t *testing.T) {
 	seen := map[string]bool{}
 	for _, c := range Grid {
@@ -10,7 +11,7 @@
 			t.Errorf("%s: %v", c.Name(), err)
 		}
 		if seen[c.Name()] {
-			t.Errorf("%s stands twice", c.Name())
+			t.Errorf("%s is in the grid twice", c.Name())
 		}
 		seen[c.Name()] = true
 	}
--- a/internal/capacity/connections.go
+++ b/internal/capacity/connections.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// connectionsFile is the raw file of ConnectionCost values.
+// connectionsFile is the name of the raw file that stores ConnectionCost values.
 const connectionsFile = "connections.json"
 
-// ConnectionCost is what one broker cost that held so many clients' connections.
+// ConnectionCost is the measured cost of one broker with a given number of open client connections.
 type ConnectionCost struct {
 	Connections int     `json:"connections"`
-	Rate        float64 `json:"rate"` // requests a second of other clients
-	Open        int     `json:"open"` // connections at the end
+	Rate        float64 `json:"rate"` // requests a second, sent by other clients
+	Open        int     `json:"open"` // connections still open at the end
 	MemoryMB    float64 `json:"memory_mb"`
 	CPU         float64 `json:"cpu"` // in cores
 	Sent        int     `json:"sent"`
@@ -17,7 +17,7 @@
 	P99Micros   int64   `json:"p99_us"`
 }
 
-// P99Milliseconds is P99Micros for the page; empty if nothing was sent.
+// P99Milliseconds formats P99Micros in milliseconds for the page. It returns "" if no request was sent.
 func (c ConnectionCost) P99Milliseconds() string {
 	if c.Sent == 0 {
 		return ""
@@ -27,7 +27,7 @@
 
 func formatMillis(micros int64) string { return fmt.Sprintf("%.1f", float64(micros)/1000) }
 
-// LoadConnectionCosts reads the raw figures of connections that a directory has, none if it lacks them.
+// LoadConnectionCosts reads the raw connection costs from a directory. It returns nil if the raw file does not exist.
 func LoadConnectionCosts(dir string) (costs []ConnectionCost, err error) {
 	_, err = readRaw(dir, connectionsFile, &costs, func() bool { return len(costs) > 0 })
 	if err != nil {
--- a/internal/capacity/curve.go
+++ b/internal/capacity/curve.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// minSizes is how many sizes of the fleet a fit needs. Lower, two points would name a law; higher, roles that only
-// large fleets have get none.
+// minSizes is the minimum number of distinct fleet sizes for a fit. With a smaller value, two points would be enough
+// to select a law. With a larger value, roles that only occur in large fleets would have no fit.
 const minSizes = 3
 
-// Curve is how a measure of a role grows with the number of brokers.
+// Curve describes how a measure of a role grows with the number of brokers.
 type Curve struct {
 	SeparateControl bool // the control side runs in separate processes
 	Role            string
-	X, Y            []float64 // of each run: brokers, and the measure of the one that has most
-	Fit             Fit       // its Law is empty below minSizes
+	X, Y            []float64 // for each run: the number of brokers, and the largest value among those of the role
+	Fit             Fit       // Law is empty if there are fewer than minSizes fleet sizes
 }
 
-// newCurve takes a measure in a role over the standard cells.
+// newCurve collects a measure of a role from the runs of the standard cells and fits it.
 func newCurve(runs Runs, separateControl bool, role string, m measure) Curve {
 	curve := Curve{SeparateControl: separateControl, Role: role}
 	for _, c := range Grid {
@@ -34,14 +34,14 @@
 	return curve
 }
 
-// Chart is a measure with its curves by role.
+// Chart is a measure with one curve per role.
 type Chart struct {
 	Measure string
 	Budget  float64
 	Curves  []Curve
 }
 
-// Charts are the measures that have a budget, with the runs that show how they grow.
+// Charts returns a chart for each measure that has a budget and at least one curve.
 func Charts(runs Runs) (charts []Chart) {
 	for _, m := range measures {
 		if m.budget == 0 {
@@ -55,7 +55,7 @@
 	return charts
 }
 
-// curves are those of a measure, for the roles that have runs.
+// curves returns the curves of a measure, for the roles that occur in the runs.
 func curves(runs Runs, m measure) (all []Curve) {
 	for _, separateControl := range controlModes {
 		for _, role := range Roles {
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,19 +1,20 @@
-// Package capacity writes the tables of docs/CAPACITY.md from raw runs of the fleet harness: what the control side of a
-// broker costs, by role and by the size of the fleet, against the operators' budgets.
+// Package capacity generates the tables of docs/CAPACITY.md from raw runs of the fleet harness. The tables compare the
+// cost of a broker's control side, by role and fleet size, with the operators' budgets.
 //
 // # Rules
 //
-// A cell of Grid is one run, and its name is that of its raw file under docs/measurements/capacity. A role is judged
-// by the broker that has most of a measure, since the mean hides the one that bears the cost. How a measure grows is
-// fitted over the sizes of the fleet that were run; a law that explains too little is named as not clear. The text
-// between the marks of the page follows from the raw files alone, so that a test can compare the two.
+// A cell of Grid is one run. Its raw file under docs/measurements/capacity is named after the cell. The verdict on a
+// role uses the broker with the largest value of a measure, because a mean would hide the most heavily loaded broker.
+// The growth of a measure is fitted over the fleet sizes that were run. The page marks a law as not clear if the law
+// explains too little of the variance. The text between the markers of the page depends on the raw files alone, so a
+// test can compare the page with the raw files.
 //
 // # State and owners
 //
-// The package holds no state. Load and LoadConnectionCosts read files; all else computes. Raw files outlive the
-// program: their keys are struct tags.
+// The package has no state. Load and LoadConnectionCosts read files; all other functions only compute. The raw files
+// are kept across versions of the program, so their keys are fixed by struct tags.
 //
 // # Units
 //
-// Rates are per second, processor time is in cores, memory in MB, latencies in µs.
+// Rates are per second, processor time is in cores, memory is in MB, and latencies are in µs.
 package capacity
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -8,10 +8,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Law names how a measure grows with the number of brokers.
+// Law is the form of a measure's growth with the number of brokers.
 type Law string
 
-// The laws. The empty Law is none.
+// The laws. The empty Law means that there is no fit.
 const (
 	Constant    Law = "constant"
 	Linear      Law = "linear"
@@ -19,7 +19,7 @@
 	Quadratic   Law = "quadratic"
 )
 
-// term is the part of a law that grows.
+// term returns the growing term of the law for x brokers.
 func (l Law) term(x float64) float64 {
 	switch l {
 	case Linear:
@@ -33,18 +33,19 @@
 	}
 }
 
-// Fit is how a measure grows with the number of brokers: A + B times the law's term.
+// Fit is a measure as a function of the number of brokers: A + B times the law's term.
 type Fit struct {
 	Law  Law
 	A, B float64
 	R2   float64 // coefficient of determination
-	N    int     // runs
+	N    int     // number of runs
 }
 
-// At is the value of the fit at a number of brokers.
+// At returns the fitted value for x brokers.
 func (f Fit) At(x float64) float64 { return f.A + f.B*f.Law.term(x) }
 
-// BestFit is the law with the highest R², of those with two parameters each; where nothing changes it is constant.
+// BestFit returns the fit with the highest R² among the linear, logarithmic and quadratic laws, which have two
+// parameters each. If all values of y are equal, it returns a Constant fit.
 func BestFit(x, y []float64) Fit {
 	if slices.Max(y) == slices.Min(y) {
 		return Fit{Law: Constant, A: y[0], R2: 1, N: len(x)}
@@ -63,10 +64,11 @@
 	return best
 }
 
-// upperQuantile of Student's t bounds the 95% confidence interval of a mean.
+// upperQuantile is the quantile of Student's t distribution that bounds a mean's 95% confidence interval.
 const upperQuantile = 0.975
 
-// confidenceInterval returns the mean and the half width of its 95% confidence interval, 0 for a single value.
+// confidenceInterval returns the mean and the half width of its 95% confidence interval. The half width of a single
+// value is 0.
 func confidenceInterval(values []float64) (mean, halfWidth float64) {
 	mean = stat.Mean(values, nil)
 	n := float64(len(values))
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Values that follow a law exactly are fitted by that law, with its parameters.
+// Checks that values which follow a law exactly are fitted by that law with its parameters, and that equal values are
+// fitted as constant.
 func TestBestFit(t *testing.T) {
 	x := []float64{60, 240, 480, 930}
 	for _, law := range []Law{Linear, Logarithmic, Quadratic} {
@@ -15,20 +16,20 @@
 		}
 		got := BestFit(x, y)
 		if got.Law != law || got.R2 < 0.999 {
-			t.Errorf("%s: %+v", law, got)
+			t.Errorf("%s: fitted as %+v", law, got)
 		}
 		if math.Abs(got.A-7) > 1e-6 || math.Abs(got.B-3) > 1e-6 || math.Abs(got.At(930)-y[3]) > 1e-3 {
-			t.Errorf("%s: %+v", law, got)
+			t.Errorf("%s: got %+v, want A = 7 and B = 3", law, got)
 		}
 	}
 	if got := BestFit(x, []float64{5, 5, 5, 5}); got.Law != Constant || got.At(77) != 5 {
-		t.Errorf("%+v", got)
+		t.Errorf("equal values: got %+v, want a constant 5", got)
 	}
 }
 
 func TestConfidenceInterval(t *testing.T) {
 	mean, halfWidth := confidenceInterval([]float64{10, 12, 14})
 	if mean != 12 || math.Abs(halfWidth-4.968) > 0.01 {
-		t.Errorf("%v ± %v", mean, halfWidth)
+		t.Errorf("got %v ± %v, want 12 ± 4.968", mean, halfWidth)
 	}
 }
--- a/internal/capacity/load.go
+++ b/internal/capacity/load.go
@@ -10,13 +10,13 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// ErrNoFigures tells of a raw file that holds no figures.
-var ErrNoFigures = errors.New("no figures in it")
+// ErrNoFigures reports a raw file without measurements.
+var ErrNoFigures = errors.New("raw file contains no measurements")
 
-// Runs are the raw reports, by the name of their cell.
+// Runs maps cell names to the raw reports of their runs.
 type Runs map[string]*fleetharness.Report
 
-// Load reads the raw runs of all cells that a directory has, and names those that it lacks.
+// Load reads the raw runs of all cells of Grid from a directory. missing lists the names of cells without a raw file.
 func Load(dir string) (runs Runs, missing []string, err error) {
 	runs = Runs{}
 	for _, c := range Grid {
@@ -34,8 +34,8 @@
 	return runs, missing, nil
 }
 
-// readRaw reads a raw file into a value and tells whether it exists. A file that cannot be read, or that has no
-// figures, is an error that names it.
+// readRaw decodes a raw file into value and reports whether the file exists. It returns an error with the file's name
+// if the file cannot be read or decoded, and ErrNoFigures if hasFigures reports false after decoding.
 func readRaw(dir, name string, value any, hasFigures func() bool) (exists bool, err error) {
 	text, err := os.ReadFile(filepath.Join(dir, name))
 	if errors.Is(err, os.ErrNotExist) {
@@ -48,7 +48,7 @@
 		err = ErrNoFigures
 	}
 	if err != nil {
-		return false, fmt.Errorf("%s: %w", name, err)
+		return false, fmt.Errorf("read raw file %s: %w", name, err)
 	}
 	return true, nil
 }
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -16,19 +16,19 @@
 	}
 }
 
-// A directory without raw files lacks all runs, and that is no error.
+// Checks that a directory without raw files yields no runs, all cells as missing, and no error.
 func TestLoadEmptyDirectory(t *testing.T) {
 	dir := t.TempDir()
 	runs, missing, err := Load(dir)
 	if err != nil || len(runs) != 0 || len(missing) != len(Grid) {
-		t.Errorf("%v, %d missing, %v", runs, len(missing), err)
+		t.Errorf("got runs %v, %d missing cells, error %v, want no runs and all cells missing", runs, len(missing), err)
 	}
 	if costs, err := LoadConnectionCosts(dir); err != nil || costs != nil {
-		t.Errorf("%v, %v", costs, err)
+		t.Errorf("got connection costs %v and error %v, want neither", costs, err)
 	}
 }
 
-// A raw file that cannot be read, or that has no figures, is named in the error.
+// Checks that the error names a raw file that cannot be decoded or that contains no measurements.
 func TestLoadBrokenFiles(t *testing.T) {
 	dir := t.TempDir()
 	for _, text := range []string{"{", "[]"} {
@@ -47,14 +47,15 @@
 func checkRawError(t *testing.T, err error, name string, empty bool) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), name) {
-		t.Errorf("want an error that names %s: %v", name, err)
+		t.Errorf("want an error that contains %s, got %v", name, err)
 	}
 	if errors.Is(err, ErrNoFigures) != empty {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("%s: ErrNoFigures is expected only for a file without measurements, got %v", name, err)
 	}
 }
 
-// The raw file of connections outlives the program: its keys are those of earlier versions, to read and to write.
+// Raw files of connection costs are kept across versions of the program. Checks that their keys, decoded and encoded,
+// are those of earlier versions.
 func TestConnectionCostKeys(t *testing.T) {
 	const golden = `{"connections":77,"rate":5,"open":76,"memory_mb":31.04,"cpu":0.25,` +
 		`"sent":9,"served":8,"p99_us":4200}`
@@ -70,9 +71,9 @@
 	}
 	var got ConnectionCost
 	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("raw file decoded as %+v, %v", got, err)
 	}
 	if text, err := json.Marshal(want); err != nil || string(text) != golden {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("connection cost encoded as %s, %v", text, err)
 	}
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -6,7 +6,7 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// The roles of a broker in the replicated configuration, as raw runs and the page spell them.
+// The roles of a broker in the replicated configuration, as the raw runs and the page spell them.
 const (
 	roleLeaf   = "leaf"
 	roleParent = "feeder"
@@ -14,15 +14,15 @@
 	roleLeader = "leader"
 )
 
-// Roles are told apart by what a broker does for others. They stand in the order of the page.
+// Roles lists the roles in the order of the page. A role is defined by what a broker does for other brokers.
 var Roles = []string{roleLeaf, roleParent, roleVoter, roleLeader}
 
-// Budgets are the operators' bounds on what a broker's control side may cost.
+// Budgets are the operators' limits on the cost of a broker's control side.
 var Budgets = struct {
 	BytesPerSecond float64
 	CPU            float64 // in cores
 	MemoryMB       float64
-	InForceSeconds float64 // until a change is in force at all brokers
+	InForceSeconds float64 // from the commit of a change until it is active at all brokers
 }{
 	BytesPerSecond: 6000,
 	CPU:            0.014,
@@ -30,7 +30,7 @@
 	InForceSeconds: 10,
 }
 
-// brokerKind says at which brokers a measure is taken.
+// brokerKind selects the brokers at which a measure is taken.
 type brokerKind int
 
 const (
@@ -50,20 +50,20 @@
 	}
 }
 
-// measure is a figure of a broker.
+// measure is a quantity that is computed from the cost of one broker.
 type measure struct {
-	title   string // on the page
-	format  string // of a figure
+	title   string // as shown on the page
+	format  string // fmt verb for a value
 	budget  float64
 	brokers brokerKind
 	value   func(fleetharness.Cost) float64
 }
 
-// datagramBytes is the size of a message between brokers with the headers of IP and UDP: where each shard has one node,
-// all messages are of volumes, 7 bytes each.
+// datagramBytes is the size of a message between brokers, including 28 bytes of IP and UDP headers. If each shard has
+// one node, all messages are about volumes, and each has a payload of 7 bytes.
 const datagramBytes = 7 + 28
 
-// The measures of the page. One without a budget is not judged.
+// The measures of the page. A measure without a budget has no verdict.
 var (
 	agreementBytes = measure{
 		title:   "bytes a second of agreement, sent and received",
@@ -111,13 +111,13 @@
 	measures = []measure{agreementBytes, messages, allBytes, fullCPU, hollowCPU, memory}
 )
 
-// sample is a measure over the brokers of one role in one run. Without brokers it is empty.
+// sample summarizes a measure over the brokers of one role in one run. It is zero if no broker has the role.
 type sample struct {
 	mean, max float64
 	brokers   int
 }
 
-// of takes a measure over the brokers of a role.
+// of computes the sample of a measure over the brokers of a role.
 func (m measure) of(r *fleetharness.Report, role string) sample {
 	s := sample{}
 	for _, c := range r.Costs {
@@ -133,10 +133,10 @@
 	return s
 }
 
-// plannedSeeds are those of the runs at the planned size.
+// plannedSeeds lists the seeds of the runs at the planned fleet size.
 var plannedSeeds = []uint64{1, 2, 3}
 
-// plannedRuns are the runs at the planned size, by seed.
+// plannedRuns returns the available runs at the planned fleet size, in the order of plannedSeeds.
 func plannedRuns(runs Runs, separateControl bool) (planned []*fleetharness.Report) {
 	for _, seed := range plannedSeeds {
 		cell := standardCell(PlannedBrokers, seed).withSeparateControl(separateControl)
@@ -147,11 +147,11 @@
 	return planned
 }
 
-// controlModes are the two ways to run the control side, in the order of the page: by the brokers themselves, and by
-// separate processes.
+// controlModes lists the two ways to run the control side, in the order of the page: within the brokers (false) and in
+// separate processes (true).
 var controlModes = []bool{false, true}
 
-// judgedApart tells whether a role's cost is borne by a control process with a machine of its own.
+// judgedApart reports whether a role runs in control processes on separate machines, where the budgets do not apply.
 func judgedApart(separateControl bool, role string) bool {
 	return separateControl && slices.Contains([]string{roleVoter, roleLeader}, role)
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -12,16 +12,16 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// The marks between which the section stands on the page.
+// The markers that enclose the generated section of the page.
 const (
 	SectionBegin = "<!-- made by brokerbench capacity page: begin -->\n"
 	SectionEnd   = "<!-- made by brokerbench capacity page: end -->\n"
 )
 
-// The faults of a page and of its runs.
+// Errors of Render and Replace.
 var (
-	ErrNoPlannedRun = errors.New("there is no run of it")
-	ErrNoMarks      = errors.New("the page lacks the marks of the section")
+	ErrNoPlannedRun = errors.New("no run at the planned fleet size")
+	ErrNoMarks      = errors.New("page lacks the begin or end marker of the generated section")
 )
 
 //go:embed page.tmpl
@@ -29,16 +29,17 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageTemplateText))
 
-// pageData is what the template gets.
+// pageData is the input of the page template.
 type pageData struct {
 	Rows        []roleRow
-	Cells       []string // the rows of all cells
-	Missing     []string // the names of cells without a run
-	HollowError string   // how well hollow brokers stand for full ones
+	Cells       []string // table rows, one per cell that was run
+	Missing     []string // names of cells without a run
+	HollowError string   // by how much the cost of hollow brokers differs from the cost of full ones
 	Connections []ConnectionCost
 }
 
-// Render returns the section of the page. It needs a run at the planned size.
+// Render returns the generated section of the page. It returns ErrNoPlannedRun if there is no run at the planned fleet
+// size.
 func Render(runs Runs, missing []string, connections []ConnectionCost) (string, error) {
 	planned := plannedRuns(runs, false)
 	if len(planned) == 0 {
@@ -67,7 +68,8 @@
 	return rows
 }
 
-// hollowBytesError compares the leaves of both kinds in the planned runs; it is empty where one kind is missing.
+// hollowBytesError compares the agreement bytes of full and hollow leaves in the planned runs. It returns "" if the
+// runs lack either kind.
 func hollowBytesError(planned []*fleetharness.Report) string {
 	var full, hollow []float64
 	for _, r := range planned {
@@ -92,10 +94,12 @@
 		percentMore(hollowMean, fullMean))
 }
 
-// hollowCPUBrokers is the size of the run without requests, where the processor time of both kinds is comparable.
+// hollowCPUBrokers is the fleet size of the run without requests. Only without requests is the processor time of full
+// and hollow brokers comparable.
 const hollowCPUBrokers = 240
 
-// hollowCPUError compares the processor time of leaves of both kinds without requests; it is empty without such a run.
+// hollowCPUError compares the processor time of full and hollow leaves in the run without requests. It returns "" if
+// the run is missing or lacks either kind.
 func hollowCPUError(runs Runs) string {
 	r := runs[standardCell(hollowCPUBrokers, 1).withVolumes(0).Name()]
 	if r == nil {
@@ -114,7 +118,8 @@
 
 func percentMore(value, reference float64) float64 { return 100 * (value/reference - 1) }
 
-// Replace puts the section between the marks of a page.
+// Replace returns the page with the text between its markers replaced by section. It returns ErrNoMarks if a marker is
+// missing.
 func Replace(page, section string) (string, error) {
 	before, rest, beginFound := strings.Cut(page, SectionBegin)
 	_, after, endFound := strings.Cut(rest, SectionEnd)
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -10,7 +10,7 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// testReport is a run with two leaves, a full and a hollow one, and a parent.
+// testReport returns a run with two leaves, one full and one hollow, and a hollow parent.
 func testReport(leafBytes, parentBytes float64) *fleetharness.Report {
 	return &fleetharness.Report{Costs: []fleetharness.Cost{
 		{Role: roleLeaf, Sent: leafBytes, CPU: 0.001, MemoryMB: 9},
@@ -19,7 +19,8 @@
 	}}
 }
 
-// testRuns are the sizes of the fleet, and a second run of the planned one. A parent's bytes grow with the fleet.
+// testRuns returns one run per fleet size and a second run of the planned size. A parent's bytes grow linearly with the
+// fleet size.
 func testRuns() Runs {
 	runs := Runs{}
 	for _, c := range Grid[:4] {
@@ -29,8 +30,8 @@
 	return runs
 }
 
-// The page says by role what is within its budget and what is not, from full processes alone where a measure is of a
-// process, and what was not run.
+// Checks the verdicts by role, the rows of connections and the list of missing runs on the page. Measures of a process
+// must be taken from full brokers alone.
 func TestRender(t *testing.T) {
 	connections := []ConnectionCost{
 		{Connections: 77, Open: 76, Rate: 5, Sent: 9, Served: 8, P99Micros: 4200, MemoryMB: 31.04, CPU: 0.25},
@@ -52,36 +53,37 @@
 		"| 78 | 0 | 0 | 0 of 0 |  | 0.0 | 0.0000 |",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not in\n%s", want, text)
+			t.Errorf("%q is not on the page:\n%s", want, text)
 		}
 	}
 	if strings.Contains(text, "leader |") {
-		t.Error("there is a row of a role that nobody had")
+		t.Error("page has a row for leader, a role that no broker has")
 	}
 }
 
-// Each measure with a budget has a chart, with a curve for each role that has runs.
+// Checks that each measure with a budget has a chart with one curve per role that occurs in the runs.
 func TestCharts(t *testing.T) {
 	charts := Charts(testRuns())
 	if len(charts) != 4 || len(charts[0].Curves) != 2 || charts[0].Budget != Budgets.BytesPerSecond {
-		t.Fatalf("%+v", charts)
+		t.Fatalf("wrong charts: %+v", charts)
 	}
 	c := charts[0].Curves[1]
 	if c.Role != roleParent || len(c.X) != 5 || c.Fit.Law != Linear || math.Abs(c.Fit.At(930)-9300) > 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("wrong curve of a parent's bytes: %+v", c)
 	}
 }
 
-// Without a run at the planned size there is no page, and the error names the run.
+// Checks that Render fails without a run at the planned fleet size, and that the error names the missing cell.
 func TestRenderWithoutPlannedRun(t *testing.T) {
 	_, err := Render(Runs{Grid[2].Name(): testReport(1, 1)}, nil, nil)
 	if !errors.Is(err, ErrNoPlannedRun) || !strings.Contains(err.Error(), Grid[0].Name()) {
-		t.Error(err)
+		t.Errorf("want ErrNoPlannedRun with the name of the missing cell, got %v", err)
 	}
 }
 
-// The page and the raw runs agree: nothing between its marks was written by hand.
-func TestPageIsOfTheRawRuns(t *testing.T) {
+// Checks that the section between the page's markers is what Render makes of the raw runs, so that it cannot be edited
+// by hand.
+func TestPageMatchesRawRuns(t *testing.T) {
 	const rawDir, pageFile = "../../docs/measurements/capacity", "../../docs/CAPACITY.md"
 	runs, missing, err := Load(rawDir)
 	if err != nil {
@@ -104,17 +106,17 @@
 		t.Fatal(err)
 	}
 	if page != string(text) {
-		t.Error("docs/CAPACITY.md is not what `brokerbench capacity page` makes of docs/measurements/capacity")
+		t.Error("docs/CAPACITY.md is not the output of `brokerbench capacity page` for docs/measurements/capacity")
 	}
 }
 
-// The section is put between the marks, whatever stood there; a page without both marks is an error.
+// Checks that the section replaces the old text between the markers, and that a page without both markers is an error.
 func TestReplace(t *testing.T) {
 	got, err := Replace("a\n"+SectionBegin+"old\n"+SectionEnd+"z\n", "new")
 	if err != nil || got != "a\n"+SectionBegin+"\nnew\n"+SectionEnd+"z\n" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got page %q, error %v", got, err)
 	}
 	if _, err := Replace("a\n"+SectionBegin, "new"); !errors.Is(err, ErrNoMarks) {
-		t.Errorf("a page without its marks: %v", err)
+		t.Errorf("page without an end marker: want ErrNoMarks, got %v", err)
 	}
 }
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -8,16 +8,17 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// minR2 is how much of the differences a law must explain to be named. Lower, the page would name laws by chance;
-// higher, a law that fits well enough to plan by would be called not clear.
+// minR2 is the minimum R² for which the page names a law as the growth of a measure. With a smaller value, the page
+// would name laws that fit by chance. With a larger value, the page would call laws unclear that fit well enough for
+// planning.
 const minR2 = 0.7
 
-// roleRow is a row of the table by role, as the page shows it.
+// roleRow is a row of the table by role. Its fields are the formatted columns.
 type roleRow struct {
 	Control, Role, Measure, Mean, Max, Budget, Verdict, Growth string
 }
 
-// roleRows are all rows of the table by role.
+// roleRows returns all rows of the table by role.
 func roleRows(runs Runs) (rows []roleRow) {
 	for _, separateControl := range controlModes {
 		for _, role := range Roles {
@@ -31,7 +32,7 @@
 	return rows
 }
 
-// newRoleRow is the row of a role and a measure; it does not exist where no run has the role.
+// newRoleRow returns the row of a role and a measure. exists is false if no planned run has the role.
 func newRoleRow(runs Runs, separateControl bool, role string, m measure) (row roleRow, exists bool) {
 	var means, maxima []float64
 	for _, r := range plannedRuns(runs, separateControl) {
@@ -52,7 +53,7 @@
 		Growth:  newCurve(runs, separateControl, role, m).Fit.describe(),
 	}
 	switch {
-	case m.budget == 0: // not judged
+	case m.budget == 0: // no verdict
 	case judgedApart(separateControl, role):
 		row.Verdict = "on a machine set aside"
 	default:
@@ -69,7 +70,7 @@
 	return "brokers"
 }
 
-// formatInterval is a mean with its confidence interval, if it has one.
+// formatInterval formats the mean of values, followed by the half width of its confidence interval unless that is 0.
 func (m measure) formatInterval(values []float64) string {
 	mean, halfWidth := confidenceInterval(values)
 	if halfWidth == 0 {
@@ -78,7 +79,7 @@
 	return fmt.Sprintf(m.format+" ± "+m.format, mean, halfWidth)
 }
 
-// verdict compares a value with a budget.
+// verdict compares a value with a budget and returns the text for the page.
 func verdict(value, budget float64) string {
 	switch {
 	case value > budget:
@@ -90,11 +91,11 @@
 	}
 }
 
-// nearBudget is the part of a budget from which on a measure is called near. Higher, a budget is exceeded with less
-// warning; lower, most measures are near.
+// nearBudget returns the value above which a measure is called near its budget. With a larger fraction of the budget,
+// operators are warned later. With a smaller fraction, most measures would be called near.
 func nearBudget(budget float64) float64 { return budget * 2 / 3 }
 
-// describe says how a measure grows; it is empty without a law.
+// describe returns the growth of a measure as text for the page. It returns "" if there is no fit.
 func (f Fit) describe() string {
 	switch {
 	case f.Law == "":
@@ -106,7 +107,7 @@
 	}
 }
 
-// cellRow is the row of a run in the table of all cells.
+// cellRow returns the row of a run in the table of all cells.
 func cellRow(c Cell, r *fleetharness.Report) string {
 	sum := 0.0
 	largest := 0.0
@@ -121,7 +122,7 @@
 			full++
 		}
 	}
-	inForce, contradiction := agreementColumns(r.Agreement)
+	activation, contradiction := agreementColumns(r.Agreement)
 	columns := []string{
 		cellName(c),
 		fmt.Sprint(c.Brokers),
@@ -134,7 +135,7 @@
 		fmt.Sprintf("%.0f", largest),
 		fmt.Sprintf("%.4f", cpu/float64(max(1, full))),
 		fmt.Sprintf("%.0f", float64(r.Datagrams)/float64(c.Brokers)),
-		inForce,
+		activation,
 		contradiction,
 		fmt.Sprint(r.All.Lost + len(r.Violations)),
 	}
@@ -149,20 +150,20 @@
 	return name
 }
 
-// agreementColumns are the times until changes were in force (p50, p99 and the longest, with their number), and the
-// longest contradiction between brokers, both in ms.
-func agreementColumns(a *fleetharness.AgreementReport) (inForce, contradiction string) {
+// agreementColumns returns two columns of the table of all cells, in ms: the time until a change was active at all
+// brokers (p50, p99 and largest, with the number of changes), and the longest contradiction between brokers.
+func agreementColumns(a *fleetharness.AgreementReport) (activation, contradiction string) {
 	if a == nil {
 		return "none", formatMillis(0)
 	}
-	inForce = "none"
+	activation = "none"
 	if n := len(a.CommitToAllUS); n > 0 {
 		p50 := millis(a.CommitToAllUS[n/2])
 		p99 := millis(a.CommitToAllUS[min(n-1, n*99/100)])
 		longest := millis(a.CommitToAllUS[n-1])
-		inForce = fmt.Sprintf("%.0f, %.0f, %.0f (%d)", p50, p99, longest, n)
+		activation = fmt.Sprintf("%.0f, %.0f, %.0f (%d)", p50, p99, longest, n)
 	}
-	return inForce, formatMillis(a.LongestUS)
+	return activation, formatMillis(a.LongestUS)
 }
 
 func millis(micros int64) float64 { return float64(micros) / 1000 }
