--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxAnswerSize is the largest answer in bytes that is read: above what the protocol lets a node send.
+	// maxAnswerSize is the size in bytes of the largest answer that is read. The protocol's limit for nodes is smaller.
 	maxAnswerSize = 16 << 20
-	// lineEndSize is the length in bytes of the line end behind an answer's body.
+	// lineEndSize is the length in bytes of the line end that follows an answer's body.
 	lineEndSize = 2
 )
 
-// client is a connection that speaks RESP2 as the platform's clients do. One request uses it at a time.
+// client is a connection that speaks RESP2 like the platform's clients. It carries one request at a time.
 type client struct {
 	conn net.Conn
 	in   *bufio.Reader
-	out  []byte // reused for each command
-	used bool   // it has had an answer
+	out  []byte // buffer of the command, reused by each request
+	used bool   // an answer was received on the connection
 }
 
 func newClient(conn net.Conn) *client {
 	return &client{conn: conn, in: bufio.NewReader(conn)}
 }
 
-// AppendCommand appends a RESP2 command of these words.
+// AppendCommand appends a RESP2 command with the given words.
 func AppendCommand(to []byte, words ...string) []byte {
 	to = fmt.Appendf(to, "*%d\r\n", len(words))
 	for _, word := range words {
@@ -37,10 +37,10 @@
 	return to
 }
 
-// exchange sends a request and reads its answer. With an error the connection cannot be used again.
+// exchange sends a request and reads its answer. After an error, the connection cannot be used again.
 func (c *client) exchange(t Traffic, a Arrival, number int, until time.Time) (Outcome, error) {
 	c.out = appendRequest(c.out[:0], t, a, number)
-	_ = c.conn.SetDeadline(until) // fails on a closed connection only, as the write below does
+	_ = c.conn.SetDeadline(until) // fails only on a closed connection, where the write below fails too
 	if _, err := c.conn.Write(c.out); err != nil {
 		return Lost, err
 	}
@@ -51,7 +51,7 @@
 	return outcome, err
 }
 
-// appendRequest appends the command of a request.
+// appendRequest appends the command of a request, a BLK.READ or a BLK.WRITE.
 func appendRequest(to []byte, t Traffic, a Arrival, number int) []byte {
 	class := t.Classes[a.Class]
 	options := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%016x,units=%d,shard=%d,hosts=%d",
@@ -64,7 +64,7 @@
 	return AppendCommand(to, "BLK.READ", key, id, options)
 }
 
-// readAnswer reads an answer: a bulk string, or an error.
+// readAnswer reads an answer, either a bulk string or an error, and returns its outcome.
 func (c *client) readAnswer() (Outcome, error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -80,7 +80,7 @@
 	return Failed, nil
 }
 
-// readBody reads past a bulk string of a size.
+// readBody discards the body of a bulk string of the given size.
 func (c *client) readBody(sizeText string) (Outcome, error) {
 	size, err := strconv.Atoi(sizeText)
 	if err != nil || size < 0 || size > maxAnswerSize {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -12,36 +12,38 @@
 	"time"
 )
 
-// Options are those of the sending side.
+// Options configures the sending side of a run.
 type Options struct {
-	Addresses      []string // of brokers, used in turn
-	MaxConnections int      // open at once; 0 for defaultMaxConnections
-	// WaitForConnection has a request wait while all connections are in use, which hides from the broker what it
-	// cannot serve in time. Without it such a request is Unsent.
+	Addresses      []string // of brokers, used in rotation
+	MaxConnections int      // maximum number of open connections; 0 means defaultMaxConnections
+	// WaitForConnection makes a request wait while all connections are in use. The broker then does not receive the
+	// load that it cannot serve in time. If WaitForConnection is false, such a request is counted as Unsent.
 	WaitForConnection bool
-	// Progress is called a few times a second by the sending goroutine; nil for not at all.
+	// Progress is called by the sending goroutine a few times a second. It may be nil.
 	Progress func(elapsed time.Duration, sent int)
-	// Dial opens a connection to a broker, or fails within the given time; nil stands for TCP.
+	// Dial opens a connection to a broker or fails within the timeout. If it is nil, a TCP connection is opened.
 	Dial func(address string, timeout time.Duration) (net.Conn, error)
 }
 
 const (
-	// defaultMaxConnections stays below the usual limit of 1024 descriptors a process.
+	// defaultMaxConnections stays below the usual limit of 1024 file descriptors per process.
 	defaultMaxConnections = 256
-	// progressInterval is the time between two calls of Options.Progress: a reader sees it move.
+	// progressInterval is the minimum time between two calls of Options.Progress, short enough to show movement.
 	progressInterval = 250 * time.Millisecond
-	// minDialTimeout is left to a dial whose request is late already, so that it fails by itself.
+	// minDialTimeout is the minimum timeout of a dial. It keeps the timeout positive for a request that is already
+	// late, so that its dial times out.
 	minDialTimeout = time.Millisecond
 
-	// patientGrace is how long after a request's deadline a client calls the answer lost where it waits for
-	// connections. It is well above the protocol's slack: lower, answers that are merely late would count as lost.
-	patientGrace = 2 * time.Second
-	// hastyGrace is the same of clients that open a new connection whenever theirs are in use, as the platform's do.
-	// Longer, requests that nobody waits for any more would hold the connections of the next ones.
-	hastyGrace = 500 * time.Millisecond
+	// waitGrace is the time after a request's deadline after which a client counts the answer as lost, if clients wait
+	// for a free connection. It is well above the protocol's slack. With a smaller value, answers that are merely late
+	// would be counted as lost.
+	waitGrace = 2 * time.Second
+	// noWaitGrace is the same time for clients that open a new connection whenever all of theirs are in use, as the
+	// platform's clients do. With a larger value, expired requests would occupy connections that new requests need.
+	noWaitGrace = 500 * time.Millisecond
 )
 
-// Run sends the traffic until its end, or until ctx ends; then it waits for the answers that are owed.
+// Run sends the traffic until it ends or ctx is canceled, and then waits for the answers to the requests in flight.
 func Run(ctx context.Context, traffic Traffic, options Options) (*Result, error) {
 	if err := traffic.Validate(); err != nil {
 		return nil, err
@@ -72,23 +74,24 @@
 type runner struct {
 	traffic  Traffic
 	options  Options
-	slots    chan struct{}  // one element for each request in flight, which has one connection
-	inFlight sync.WaitGroup // the requests' goroutines
+	slots    chan struct{}  // one element for each request in flight; each such request uses one connection
+	inFlight sync.WaitGroup // counts the requests' goroutines
 	dials    atomic.Int64
 
-	mu     sync.Mutex  // guards what follows
-	idle   [][]*client // by index of the address, the most recently used last
+	mu     sync.Mutex  // guards idle and result
+	idle   [][]*client // by index of the address, the most recently used connection last
 	result *Result
 }
 
+// grace returns the time after a request's deadline for which the client still waits for the answer.
 func (r *runner) grace() time.Duration {
 	if r.options.WaitForConnection {
-		return patientGrace
+		return waitGrace
 	}
-	return hastyGrace
+	return noWaitGrace
 }
 
-// sendAll sends each request at its time.
+// sendAll sends each request at its intended time. It returns early if ctx is canceled.
 func (r *runner) sendAll(ctx context.Context) {
 	startedAt := r.result.StartedAt
 	lastProgress := startedAt
@@ -116,7 +119,7 @@
 	}
 }
 
-// sleepUntil waits for a time, and reports false once ctx has ended.
+// sleepUntil waits until the time at. It reports false if ctx is canceled.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -131,7 +134,7 @@
 	}
 }
 
-// acquireSlot takes one of the connections that there may be.
+// acquireSlot reserves one of the MaxConnections connections and reports whether it succeeded.
 func (r *runner) acquireSlot(ctx context.Context) bool {
 	if r.options.WaitForConnection {
 		select {
@@ -149,7 +152,7 @@
 	}
 }
 
-// start sends a request in a goroutine of its own, which gives the slot back.
+// start sends a request in a new goroutine, which releases the request's slot at its end.
 func (r *runner) start(arrival Arrival, number int) {
 	r.inFlight.Add(1)
 	go func() {
@@ -159,7 +162,7 @@
 	}()
 }
 
-// request sends one request and records what became of it.
+// request sends one request and records its outcome.
 func (r *runner) request(arrival Arrival, number int) {
 	intended := r.result.StartedAt.Add(arrival.At)
 	sentAt := time.Now()
@@ -174,10 +177,11 @@
 	r.result.add(arrival, outcome, latency, late)
 }
 
-// exchange sends a request until it has an answer or can have none.
+// exchange sends a request and returns its outcome.
 //
-// Between requests a broker may close a connection. A request that crosses the close shows as the end of a connection
-// that was used before; it is sent again, as the platform's clients do.
+// A broker may close an idle connection while a request is being sent on it. The client then reads EOF on a connection
+// that was used before. In this case, exchange sends the request again on another connection, as the platform's clients
+// do.
 func (r *runner) exchange(arrival Arrival, number int, until time.Time) Outcome {
 	address := number % len(r.options.Addresses)
 	outcome := Lost
@@ -191,7 +195,7 @@
 			r.release(address, c)
 			return outcome
 		}
-		_ = c.conn.Close() // the exchange's own error is what counts
+		_ = c.conn.Close() // the error of the exchange is handled below
 		if c.used && errors.Is(err, io.EOF) {
 			continue
 		}
@@ -208,7 +212,7 @@
 	r.result.add(arrival, outcome, latency, late)
 }
 
-// acquireClient returns an idle connection, or a new one.
+// acquireClient returns an idle connection if there is one, and otherwise opens a new connection.
 func (r *runner) acquireClient(address int, until time.Time) (*client, error) {
 	if c := r.takeIdle(address); c != nil {
 		return c, nil
@@ -221,7 +225,7 @@
 	return newClient(conn), nil
 }
 
-// takeIdle returns the most recently used idle connection, nil if there is none.
+// takeIdle returns the most recently used idle connection, or nil if there is none.
 func (r *runner) takeIdle(address int) *client {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -240,11 +244,11 @@
 	r.idle[address] = append(r.idle[address], c)
 }
 
-// closeIdle closes all connections once no request is in flight.
+// closeIdle closes all connections. It is called after the last request has ended.
 func (r *runner) closeIdle() {
 	for _, idle := range r.idle {
 		for _, c := range idle {
-			_ = c.conn.Close() // the run is over
+			_ = c.conn.Close() // the result is already complete
 		}
 	}
 }
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -12,19 +12,19 @@
 	"github.com/tidwall/redcon"
 )
 
-// The time in which the test's broker answers nothing, from the start of the run.
+// The period during which the test's broker sends no answers, measured from the start of the run.
 const (
 	stallFrom  = 500 * time.Millisecond
 	stallUntil = 600 * time.Millisecond
 )
 
-// answersByUnits are what the test's broker answers to a request of so many units; an empty one closes the connection.
+// answersByUnits maps the units of a request to the answer of the test's broker; for "", it closes the connection.
 var answersByUnits = map[string]string{"1": "$2\r\nok\r\n", "2": "-BUSY 100\r\n", "3": "-ERR failed\r\n", "4": ""}
 
-// outcomesByUnits are what the client makes of these answers, from 1 unit on.
+// outcomesByUnits lists the outcome that the client must record for each of these answers, starting with 1 unit.
 var outcomesByUnits = [...]Outcome{Served, Rejected, Failed, Closed}
 
-// serve answers by the units that a request names; during the stall nothing is answered.
+// serve answers requests according to their units. It sends no answers during the stall.
 func serve(conn net.Conn, startedAt time.Time) {
 	defer func() { _ = conn.Close() }()
 	in := redcon.NewReader(conn)
@@ -47,9 +47,9 @@
 	}
 }
 
-// A broker answers in each of the ways that there are, and stalls for 100 ms. The outcomes are told apart, the stall
-// shows in the latency of all requests that it held up, and a request for which the client had no connection left
-// counts as unsent. All runs on a virtual clock, so that the counts are exact.
+// A broker gives each kind of answer and stalls for 100 ms. Checks that each outcome is counted as such, that the
+// latency of every request delayed by the stall includes the stall, and that a request without a free connection is
+// counted as unsent. The test runs on a virtual clock, so the counts are exact.
 func TestRunThroughAStall(t *testing.T) {
 	for name, maxConnections := range map[string]int{"enough connections": 256, "8 connections": 8} {
 		t.Run(name, func(t *testing.T) {
@@ -75,17 +75,17 @@
 	}
 	want, heldUp := expectedOutcomes(traffic, maxConnections)
 	if maxConnections == 8 && want[Unsent] == 0 || maxConnections > 8 && heldUp < 20 {
-		t.Fatalf("a stall that shows nothing: %v, %d held up", want, heldUp)
+		t.Fatalf("the traffic does not show the stall: expected outcomes %v, %d delayed answers", want, heldUp)
 	}
 	all := result.All
 	if all.Counts != want || all.Sent() != result.ByClass[0].Sent()+result.ByClass[1].Sent() {
-		t.Errorf("%v, want %v", all.Counts, want)
+		t.Errorf("got outcomes %v, want %v", all.Counts, want)
 	}
 	if int(all.Latency.TotalCount()) != want[Served]+want[Rejected]+want[Failed] {
-		t.Errorf("%d latencies for %v", all.Latency.TotalCount(), want)
+		t.Errorf("got %d latencies for expected outcomes %v", all.Latency.TotalCount(), want)
 	}
 	if int(all.RejectionLatency.TotalCount()) != want[Rejected] {
-		t.Errorf("%d latencies of rejections for %v", all.RejectionLatency.TotalCount(), want)
+		t.Errorf("got %d latencies of rejections for expected outcomes %v", all.RejectionLatency.TotalCount(), want)
 	}
 	slow := 0
 	for _, bar := range all.Latency.Distribution() {
@@ -94,11 +94,11 @@
 		}
 	}
 	if slow != heldUp {
-		t.Errorf("%d answers show the stall, want %d", slow, heldUp)
+		t.Errorf("got %d answers with a latency above 10 µs, want %d", slow, heldUp)
 	}
 }
 
-// expectedOutcomes counts the outcomes that the traffic must have, and the answers that the stall holds up.
+// expectedOutcomes returns the outcome counts of the traffic, and how many answered requests the stall delays.
 func expectedOutcomes(traffic Traffic, maxConnections int) (want [outcomeCount]int, heldUp int) {
 	inStall := 0
 	for a := range traffic.Arrivals {
@@ -116,14 +116,14 @@
 	return want, heldUp
 }
 
-// A run ends with its context, and still tells what came back.
-func TestRunEndsWithItsContext(t *testing.T) {
+// Checks that a run with a canceled context stops early and still returns its result.
+func TestRunStopsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	traffic := testTraffic()
 	traffic.Duration = time.Hour
 	result, err := Run(ctx, traffic, Options{Addresses: []string{"127.0.0.1:1"}})
 	if err != nil || result.All.Sent() > 1 {
-		t.Error(result.All.Sent(), err)
+		t.Errorf("got %d requests and error %v, want at most 1 request", result.All.Sent(), err)
 	}
 }
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -7,35 +7,36 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what became of a request at its client.
+// Outcome is the result of a request from its client's point of view.
 type Outcome int
 
-// The outcomes. The first three are answers of the broker. With Lost the client found no connection or gave up well
-// after its deadline; with Closed its connection was closed behind the request that it had sent completely.
+// The outcomes. Served, Rejected and Failed are answers of the broker. Lost means that the client could not connect, or
+// gave up well after the request's deadline. Closed means that the connection broke before the answer was complete.
 const (
 	Served Outcome = iota
 	Rejected
 	Failed
 	Lost
 	Closed
-	Unsent // the client had as many connections as it may have
+	Unsent // all connections that the client may open were in use
 	outcomeCount
 )
 
-// outcomeNames are what reports print; "busy" is the protocol's word for Rejected.
+// outcomeNames lists the names that reports print. "busy" is the protocol's word for Rejected.
 var outcomeNames = [outcomeCount]string{"served", "busy", "failed", "lost", "closed", "unsent"}
 
-// String returns the name that reports print.
+// String returns the outcome's name in reports.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// answered reports whether the broker gave a complete answer.
+// answered reports whether the broker sent a complete answer.
 func (o Outcome) answered() bool { return o < Lost }
 
 const (
-	// maxLatencyMicros is the largest latency that a histogram holds, 100 s in µs: above any deadline with its grace.
-	// Longer ones count as this.
+	// maxLatencyMicros is the largest latency that a histogram can record, 100 s in µs. It is above any deadline plus
+	// grace. Longer latencies are recorded as this value.
 	maxLatencyMicros = 100_000_000
-	// latencyDigits are the significant decimal digits of a latency: an error of 0.1 %, at some 100 kB a histogram.
+	// latencyDigits is the number of significant decimal digits of a recorded latency. It gives an error of 0.1 % and
+	// takes some 100 kB per histogram.
 	latencyDigits = 3
 )
 
@@ -43,18 +44,18 @@
 	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 }
 
-// clampMicros is a latency in µs within what a histogram holds, so that recording it cannot fail.
+// clampMicros returns a latency in µs, limited to the range of a histogram, so that recording it cannot fail.
 func clampMicros(latency time.Duration) int64 {
 	return max(1, min(latency.Microseconds(), maxLatencyMicros))
 }
 
-// Stats counts what became of requests. Latencies, in µs, count from the intended time of a request and are of all
-// that the broker answered.
+// Stats counts the outcomes of requests. Latencies are in µs from the intended time of a request, and are recorded for
+// all requests that the broker answered.
 type Stats struct {
 	Counts           [outcomeCount]int // by Outcome
-	Late             int               // of the answered: after the deadline, counted from the sending
+	Late             int               // requests answered after the deadline, which starts at the actual sending
 	Latency          *hdrhistogram.Histogram
-	RejectionLatency *hdrhistogram.Histogram // of the rejected alone
+	RejectionLatency *hdrhistogram.Histogram // of rejected requests only
 }
 
 func newStats() *Stats {
@@ -84,7 +85,7 @@
 	}
 }
 
-// Sent returns how many requests were to be sent.
+// Sent returns the number of requests with an outcome, including those that are Unsent.
 func (s *Stats) Sent() int {
 	sum := 0
 	for _, n := range s.Counts {
@@ -93,16 +94,16 @@
 	return sum
 }
 
-// Result is what a run came to.
+// Result holds the measurements of a run.
 type Result struct {
 	Traffic         Traffic
 	StartedAt       time.Time
 	All             *Stats
 	ByClass         []*Stats
 	ByPlan          []*Stats
-	LatencyBySecond []*hdrhistogram.Histogram // of each second of the run, by intended time
-	MaxSendLag      time.Duration             // the latest that a request was sent after its time
-	Dials           int
+	LatencyBySecond []*hdrhistogram.Histogram // one per second of the run, by intended time
+	MaxSendLag      time.Duration             // largest delay of a sending after its intended time
+	Dials           int                       // number of attempts to open a connection
 }
 
 func newResult(traffic Traffic) *Result {
@@ -119,7 +120,7 @@
 	return r
 }
 
-// add counts a request wherever it belongs.
+// add counts a request in the totals, in its class, in its plan and in its second.
 func (r *Result) add(a Arrival, outcome Outcome, latency time.Duration, late bool) {
 	r.All.add(outcome, latency, late)
 	r.ByClass[a.Class].add(outcome, latency, late)
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -10,43 +10,44 @@
 // RequestClass is a class of requests in the mix.
 type RequestClass struct {
 	Name     string
-	Share    float64       // of all requests, relative to the other classes' shares
+	Share    float64       // weight among all requests, relative to the shares of the other classes
 	Write    bool          // sent as BLK.WRITE
-	Deadline time.Duration // how long the client waits
+	Deadline time.Duration // how long the client waits for an answer
 }
 
-// Traffic says what is sent. All draws come from Seed.
+// Traffic describes the requests of a run. All random draws are derived from Seed.
 type Traffic struct {
 	Classes  []RequestClass
 	Plans    []string
-	Volumes  int     // numbered from 1, each on one plan
-	Skew     float64 // Zipf's exponent over volumes, above 1; 0 for an even draw
+	Volumes  int     // numbered from 1; each has one plan
+	Skew     float64 // exponent of the Zipf distribution over volumes, above 1; 0 for a uniform distribution
 	Shards   int     // numbered from 0
-	MaxUnits int     // a request has 1 to so many units
-	Brokers  int     // through which a volume's requests come
+	MaxUnits int     // a request has 1 to MaxUnits units
+	Brokers  int     // number of brokers that receive requests for the same volume; 0 means 1
 	Rate     float64 // requests a second
 	Duration time.Duration
 	Seed     uint64
 }
 
 const (
-	// MaxRequests bounds a run: at 50,000 requests a second it lasts 400 s, and its goroutines fit one machine.
+	// MaxRequests limits the number of requests in a run. A run at 50,000 requests a second can last 400 s, and its
+	// goroutines fit on one machine.
 	MaxRequests = 20_000_000
-	// arrivalStream is the second half of the generator's seed. It keeps the draws of arrivals apart from others that
-	// use the same seed; another value would draw other requests for each recorded seed.
+	// arrivalStream is the second half of the generator's seed. It makes the draws of arrivals independent of other
+	// draws with the same seed. A change of the value would change the requests of every recorded seed.
 	arrivalStream = 0x10ad
 )
 
-// Faults of a Traffic or of Options.
+// Errors of an invalid Traffic or of invalid Options.
 var (
-	errNoClasses = errors.New("no classes or no plans")
-	errNoRate    = errors.New("rate and length must be above 0")
-	errNoVolumes = errors.New("volumes, shards and units must be above 0")
-	errSkew      = errors.New("skew must be above 1, or 0")
-	errNoAddress = errors.New("no address")
+	errNoClasses = errors.New("classes and plans must not be empty")
+	errNoRate    = errors.New("rate and duration must be above 0")
+	errNoVolumes = errors.New("volumes, shards and maximum units must be above 0")
+	errSkew      = errors.New("skew must be 0 or above 1")
+	errNoAddress = errors.New("no broker address given")
 )
 
-// Validate names the first part that makes no sense.
+// Validate returns an error for the first invalid field.
 func (t Traffic) Validate() error {
 	requests := t.Rate * t.Duration.Seconds()
 	switch {
@@ -55,7 +56,7 @@
 	case !(t.Rate > 0) || t.Duration <= 0:
 		return errNoRate
 	case requests > MaxRequests:
-		return fmt.Errorf("%.0f requests are over %d", requests, MaxRequests)
+		return fmt.Errorf("%.0f requests exceed the limit of %d", requests, MaxRequests)
 	case t.Volumes < 1 || t.Shards < 1 || t.MaxUnits < 1:
 		return errNoVolumes
 	case t.Skew != 0 && t.Skew <= 1:
@@ -64,9 +65,9 @@
 	return nil
 }
 
-// Arrival is one request.
+// Arrival is one request of the traffic.
 type Arrival struct {
-	At     time.Duration // from the start of the run
+	At     time.Duration // intended time, from the start of the run
 	Class  int           // index in Traffic.Classes
 	Plan   int           // index in Traffic.Plans
 	Volume int
@@ -75,7 +76,7 @@
 	Key    uint64
 }
 
-// Arrivals yields the requests in the order of their times: a Poisson process.
+// Arrivals yields the requests in the order of their intended times, which form a Poisson process.
 func (t Traffic) Arrivals(yield func(Arrival) bool) {
 	random := rand.New(rand.NewPCG(t.Seed, arrivalStream))
 	var zipf *rand.Zipf
@@ -100,8 +101,8 @@
 	}
 }
 
-// draw draws a request without its time. The order of the draws belongs to the meaning of a seed. zipf is nil for an
-// even draw of volumes; shares is the sum over the classes.
+// draw draws a request without its time. The order of the draws is fixed: a change would change the requests of every
+// seed. zipf is nil for a uniform distribution of volumes; shares is the sum of the classes' shares.
 func (t Traffic) draw(random *rand.Rand, zipf *rand.Zipf, shares float64) Arrival {
 	var a Arrival
 	a.Shard = random.IntN(t.Shards)
@@ -117,7 +118,7 @@
 	return a
 }
 
-// classAt is the class in whose stretch a point lies, with the classes' shares laid out one behind another.
+// classAt returns the index of the class that covers point if the classes' shares are laid out consecutively from 0.
 func (t Traffic) classAt(point float64) int {
 	last := len(t.Classes) - 1
 	for i, class := range t.Classes[:last] {
--- a/internal/load/traffic_test.go
+++ b/internal/load/traffic_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testTraffic is a second of reads and writes.
+// testTraffic returns one second of reads and writes.
 func testTraffic() Traffic {
 	return Traffic{
 		Classes: []RequestClass{
@@ -26,37 +26,37 @@
 	}
 }
 
-// The same seed draws the same requests, in order, at the rate and in the mix.
+// Checks that a seed determines the requests, and that the requests have the right order, ranges, rate and mix.
 func TestArrivals(t *testing.T) {
 	arrivals := slices.Collect(testTraffic().Arrivals)
 	if !slices.Equal(arrivals, slices.Collect(testTraffic().Arrivals)) {
-		t.Error("two draws from one seed differ")
+		t.Error("two draws with the same seed differ")
 	}
 	reads := 0
 	for i, a := range arrivals {
 		if i > 0 && a.At < arrivals[i-1].At {
-			t.Fatalf("%+v is before %+v", a, arrivals[i-1])
+			t.Fatalf("arrival %+v precedes the one before it, %+v", a, arrivals[i-1])
 		}
 		if a.At >= time.Second || a.Volume < 1 || a.Volume > 10 || a.Shard > 1 || a.Units < 1 || a.Units > 4 {
-			t.Fatalf("%+v", a)
+			t.Fatalf("field out of range in %+v", a)
 		}
 		if a.Class == 0 {
 			reads++
 		}
 	}
 	if len(arrivals) < 400 || len(arrivals) > 600 || reads*4 < len(arrivals)*2 || reads*10 > len(arrivals)*9 {
-		t.Errorf("%d requests, %d reads", len(arrivals), reads)
+		t.Errorf("got %d requests with %d reads, want some 500 with some 375", len(arrivals), reads)
 	}
 	other := testTraffic()
 	other.Seed = 8
 	if slices.Equal(arrivals, slices.Collect(other.Arrivals)) {
-		t.Error("another seed draws the same")
+		t.Error("seeds 7 and 8 draw the same requests")
 	}
 }
 
-// Recorded figures name their seed: another order of the draws would have the same seed send another load, and no run
-// could be compared with an older one.
-func TestArrivalsOfASeedStay(t *testing.T) {
+// Recorded measurements name their seed. If the order of the draws changed, a seed would produce a different load, and
+// new runs could not be compared with older ones.
+func TestArrivalsOfSeedDoNotChange(t *testing.T) {
 	for _, c := range []struct {
 		skew  float64
 		count int
@@ -74,7 +74,7 @@
 			_, _ = fmt.Fprintln(hash, int64(a.At), a.Class, a.Plan, a.Volume, a.Shard, a.Units, a.Key)
 		}
 		if count != c.count || hash.Sum64() != c.hash {
-			t.Errorf("skew %v: %d requests of hash %x, want %d of %x", c.skew, count, hash.Sum64(), c.count, c.hash)
+			t.Errorf("skew %v: %d requests with hash %x, want %d with %x", c.skew, count, hash.Sum64(), c.count, c.hash)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 			spoil(&traffic)
 			_, err := Run(context.Background(), traffic, Options{Addresses: []string{"127.0.0.1:1"}})
 			if err == nil {
-				t.Errorf("%+v is taken", traffic)
+				t.Errorf("invalid traffic was accepted: %+v", traffic)
 			}
 		})
 	}
