--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,10 @@
-// Package golden compares in tests what leaves the process, on the wire, on a disk or to an operator, with files under
-// the testdata folder of the package under test. The files were written by an earlier version: a difference means that
-// a process of that version, or a program that reads the answers, would not be understood any more.
+// Package golden compares test output with golden files under the testdata folder of the package under test. The output
+// is data that leaves the process: on the wire, on disk or to an operator. An earlier version recorded the files. A
+// difference means that processes of that version, or programs that read the data, would no longer understand it.
 //
-// State: none but the flag. Owner: the test that calls. Units: bytes.
+// State and owner. The package has no state except its flag. Its functions run in the test that calls them.
+//
+// Units. Files are compared byte for byte.
 package golden
 
 import (
@@ -14,15 +16,15 @@
 	"testing"
 )
 
-// folder is where a package's golden files lie, from the folder in which its tests run.
+// folder contains a package's golden files. Its path is relative to the package's folder, in which its tests run.
 const folder = "testdata"
 
-var record = flag.Bool("record", false, "write the golden files under testdata again: only for a change of the format that is meant")
+var record = flag.Bool("record", false, "rewrite the golden files under testdata, for an intended change of format")
 
-// Recording reports whether the files are to be written again, for tests with a format of their own.
+// Recording reports whether the golden files are to be rewritten, for tests that compare their files themselves.
 func Recording() bool { return *record }
 
-// Check compares bytes with a golden file.
+// Check compares got with the golden file of the given name.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join(folder, name)
@@ -36,8 +38,8 @@
 	}
 }
 
-// CheckJSON compares the JSON of a value, with an ending behind it, with a golden file. It reads the file into decoded,
-// a pointer, and expects the same bytes of that.
+// CheckJSON compares the JSON encoding of value, followed by ending, with a golden file. It also decodes the file into
+// decoded, which must be a pointer, and checks that encoding decoded yields the bytes of the file.
 func CheckJSON(t testing.TB, name string, value, decoded any, ending string) {
 	t.Helper()
 	Check(t, name, encode(t, value, ending))
@@ -46,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if again := encode(t, decoded, ending); !bytes.Equal(again, want) {
-		t.Errorf("%s: encoded again:\n%s", name, again)
+		t.Errorf("%s: decoded and encoded again as:\n%s", name, again)
 	}
 }
 
--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,10 +1,9 @@
-// Package logging makes the loggers that a program hands to its parts: JSON or for human eyes, with lines that repeat
-// themselves sampled.
+// Package logging creates the program's loggers. They write JSON or human-readable lines and sample repeated lines.
 //
-// The rule: a fault that repeats itself must neither fill a disk nor hide what else is logged, so of one message and
-// level a few lines in a window pass, and the next one says how many were left out. The time of a JSON line is also
-// given on the machine's monotonic clock, so that the lines of all its processes have one order.
+// Rule. A repeated fault must neither fill the disk nor hide other log lines. Therefore only a few lines with the same
+// message and level pass in a window of time, and the next line that passes says how many were left out. A JSON line
+// also contains the time of the machine's monotonic clock, which orders the lines of all processes of the machine.
 //
-// State: a logger and those derived from it share one table of what passed lately, under a lock; it starts empty with
-// the process.
+// State. A logger and all loggers derived from it share one table of the lines that passed recently, guarded by a lock.
+// The table is kept in memory only.
 package logging
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -12,30 +12,30 @@
 	"github.com/lmittmann/tint"
 )
 
-// The ways that lines are written.
+// The formats of log lines.
 const (
 	formatHuman = "human"
 	formatJSON  = "json"
 )
 
-// humanTimeFormat has microseconds, which tell the order of lines in one burst.
+// humanTimeFormat includes microseconds, which show the order of lines within a burst.
 const humanTimeFormat = "2006/01/02 15:04:05.000000"
 
-// brokerKey is the name of the broker on every line.
+// brokerKey is the key of the broker's name, which is on every line.
 const brokerKey = "broker"
 
-// Formats are the ways that lines are written.
+// Formats lists the formats of log lines.
 var Formats = []string{formatHuman, formatJSON}
 
-// ErrFormat is of a format that is none of Formats.
-var ErrFormat = errors.New("unknown format")
+// ErrFormat reports a format that is not in Formats.
+var ErrFormat = errors.New("unknown log format")
 
-// formatError names the format.
+// formatError is an ErrFormat that names the unknown format.
 type formatError struct{ format string }
 
 // Error implements error.
 func (e formatError) Error() string {
-	return fmt.Sprintf("%q is none of %s", e.format, strings.Join(Formats, ", "))
+	return fmt.Sprintf("unknown log format %q, want one of %s", e.format, strings.Join(Formats, ", "))
 }
 
 // Is implements errors.Is.
@@ -43,22 +43,22 @@
 	return target == ErrFormat
 }
 
-// Options of a logger.
+// Options configures a logger.
 type Options struct {
-	Name             string     // the broker's, on every line as "broker"
-	Format           string     // one of Formats; empty: human
-	Level            slog.Level // what is below is left out
-	Color            bool       // of human lines, for a terminal
-	SamplingDisabled bool       // no line is left out, however often it comes: for a checker that reads them
+	Name             string     // the broker's name, on every line under the key "broker"
+	Format           string     // one of Formats; empty means human
+	Level            slog.Level // minimum level of the lines that are written
+	Color            bool       // color human lines, for a terminal
+	SamplingDisabled bool       // write all lines, even repeated ones, for a checker that reads them
 }
 
-// IsTerminal reports whether a file is a terminal: colour and progress are shown there alone.
+// IsTerminal reports whether a file is a terminal. Colors and progress are written only to a terminal.
 func IsTerminal(file *os.File) bool {
 	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// New returns a logger. ErrFormat is of a format that there is not.
+// New returns a logger that writes to w. It returns ErrFormat if options.Format is unknown.
 func New(w io.Writer, options Options) (*slog.Logger, error) {
 	handler, err := newHandler(w, options)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return nil, formatError{options.Format}
 }
 
-// Discard drops all lines.
+// Discard returns a logger that drops all lines.
 func Discard() *slog.Logger {
 	return slog.New(slog.DiscardHandler)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A JSON line has its keys and values whatever stands in them.
+// Checks that a JSON line can be decoded and contains its keys, even if a value contains quotes and line feeds.
 func TestJSONFormat(t *testing.T) {
 	var output bytes.Buffer
 	log, err := New(&output, Options{Name: "n1", Format: formatJSON})
@@ -25,14 +25,14 @@
 		t.Fatalf("%s: %v", output.String(), err)
 	}
 	if line["msg"] != "sink lost" || line["broker"] != "n1" || line["reason"] != reason {
-		t.Errorf("%s", output.String())
+		t.Errorf("wrong message, broker or reason in %s", output.String())
 	}
 	if _, hasClock := line["mono_us"].(float64); !hasClock {
-		t.Errorf("no monotonic clock in %s", output.String())
+		t.Errorf("line has no mono_us: %s", output.String())
 	}
 }
 
-// A human line is one line, without colours in a file.
+// Checks that a human line stays on one line and contains no color codes unless colors are enabled.
 func TestHumanFormat(t *testing.T) {
 	var output bytes.Buffer
 	log, err := New(&output, Options{Name: "n1", Level: slog.LevelWarn})
@@ -43,23 +43,23 @@
 	log.Warn("sink lost", "reason", "two\nlines")
 	text := output.String()
 	if strings.Count(text, "\n") != 1 || strings.Contains(text, "\x1b") {
-		t.Errorf("%q", text)
+		t.Errorf("want one line without color codes, got %q", text)
 	}
 	if !strings.Contains(text, "WRN sink lost broker=n1") {
-		t.Errorf("%q", text)
+		t.Errorf("line lacks its level, message or broker: %q", text)
 	}
 }
 
-// An unknown format is an error that names the known ones.
+// Checks that the error for an unknown format names the known formats.
 func TestUnknownFormat(t *testing.T) {
 	_, err := New(&bytes.Buffer{}, Options{Format: "xml"})
-	if !errors.Is(err, ErrFormat) || err.Error() != `"xml" is none of human, json` {
-		t.Error(err)
+	if !errors.Is(err, ErrFormat) || err.Error() != `unknown log format "xml", want one of human, json` {
+		t.Errorf("unexpected error: %v", err)
 	}
 }
 
-// A fault repeats itself a hundred times while other lines come. Its lines are sampled, others are not, and the next
-// line says how many were left out.
+// A fault is logged a hundred times along with other lines. Checks that only its lines are sampled, and that its next
+// line after the window says how many were left out.
 func TestSample(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var lines []string
@@ -73,26 +73,26 @@
 	now = now.Add(sampleWindow)
 	log.Warn("again", "i", 100)
 	if len(lines) != maxLinesPerWindow+3 {
-		t.Fatalf("%q", lines)
+		t.Fatalf("got lines %q, want %d", lines, maxLinesPerWindow+3)
 	}
 	if first := lines[0]; first != "again broker=n1 i=0" {
-		t.Errorf("%q", first)
+		t.Errorf("wrong first line: %q", first)
 	}
 	if last := lines[len(lines)-1]; last != "again broker=n1 i=100 left_out=95" {
-		t.Errorf("%q", last)
+		t.Errorf("wrong last line: %q", last)
 	}
 }
 
-// More messages than the sampler tells apart do not make its table grow.
+// Checks that the sampler's table does not grow beyond its limit if there are more kinds of messages.
 func TestSampleTableIsBounded(t *testing.T) {
 	handler, isSampling := Sample(slog.DiscardHandler, time.Now).(*samplingHandler)
 	if !isSampling {
-		t.Fatal("no sampling handler")
+		t.Fatal("Sample did not return a samplingHandler")
 	}
 	for i := range 3 * maxMessageKinds {
 		handler.sampler.sample(messageKind{message: strings.Repeat("x", i)})
 	}
 	if n := len(handler.sampler.windows); n > maxMessageKinds {
-		t.Errorf("%d kinds are held", n)
+		t.Errorf("table has %d kinds, want at most %d", n, maxMessageKinds)
 	}
 }
--- a/internal/logging/monotonic.go
+++ b/internal/logging/monotonic.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// monotonicKey is the machine's monotonic clock on a line, in microseconds.
+// monotonicKey is the key of the machine's monotonic clock on a line, in microseconds.
 const monotonicKey = "mono_us"
 
-// monotonicHandler adds the machine's monotonic clock to each line: by it the lines of all its processes stand in one
-// order, whatever happens to the system's clock.
+// monotonicHandler adds the time of the machine's monotonic clock to each line. It orders the lines of all processes of
+// the machine, even if the system clock is changed.
 type monotonicHandler struct {
 	slog.Handler
 }
--- a/internal/logging/sampler.go
+++ b/internal/logging/sampler.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// sampleWindow is the time in which lines of one message are counted. Higher, a fault that comes back is shown
-	// later; lower, one that repeats itself fills the disk.
+	// sampleWindow is the period for which lines with the same message and level are counted. With a larger value, a
+	// recurring fault is logged again later. With a smaller value, a repeated fault can fill the disk.
 	sampleWindow = 10 * time.Second
-	// maxLinesPerWindow is how many lines of one message and level pass in a window.
+	// maxLinesPerWindow is how many lines with the same message and level pass in a window.
 	maxLinesPerWindow = 5
-	// maxMessageKinds bounds the messages that are told apart; beyond it all begin a new window. Higher, the table
-	// takes more memory; lower, more lines pass.
+	// maxMessageKinds is the maximum number of message kinds in the table. If the table is full, it is cleared, and all
+	// kinds start a new window. A larger value takes more memory. With a smaller value, more lines pass.
 	maxMessageKinds = 256
-	// leftOutKey is how many lines were left out, on the next one that passes.
+	// leftOutKey is the key of the number of lines that were left out before the line.
 	leftOutKey = "left_out"
 )
 
-// Sample lets through a few lines of one message and level in each window, and notes on the next how many were left
-// out. Errors are sampled too.
+// Sample returns a handler that passes only a few lines with the same message and level in each window. The first line
+// of the next window says how many lines were left out. Errors are sampled too.
 func Sample(handler slog.Handler, now func() time.Time) slog.Handler {
 	return &samplingHandler{Handler: handler, sampler: &sampler{now: now, windows: map[messageKind]*window{}}}
 }
 
-// samplingHandler passes on what its sampler lets through.
+// samplingHandler passes the lines that its sampler accepts on to another handler.
 type samplingHandler struct {
 	slog.Handler
 	sampler *sampler
@@ -55,20 +55,20 @@
 	return &samplingHandler{Handler: h.Handler.WithGroup(name), sampler: h.sampler}
 }
 
-// messageKind is what lines of one kind have in common.
+// messageKind identifies the lines that are sampled together.
 type messageKind struct {
 	level   slog.Level
 	message string
 }
 
-// window counts the lines of one kind.
+// window counts the lines of one kind since it began.
 type window struct {
 	began   time.Time
 	lines   int
 	leftOut int
 }
 
-// sampler is shared by a handler and those derived from it.
+// sampler counts lines by kind. A handler and all handlers derived from it share one sampler.
 type sampler struct {
 	now func() time.Time
 
@@ -76,7 +76,7 @@
 	windows map[messageKind]*window
 }
 
-// sample counts a line, and reports whether it passes and how many were left out before.
+// sample counts a line. It reports whether the line passes, and how many lines were left out in the window before.
 func (s *sampler) sample(kind messageKind) (pass bool, leftOut int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	return true, leftOut
 }
 
-// windowOf returns the window of a kind, which begins now if there is none. The caller holds the lock.
+// windowOf returns the window of a kind. If the kind has none, a new window begins at now. The caller must hold s.mu.
 func (s *sampler) windowOf(kind messageKind, now time.Time) *window {
 	if current := s.windows[kind]; current != nil {
 		return current
--- a/internal/logging/text.go
+++ b/internal/logging/text.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// ToFunc returns a logger that hands each line to a function, as "message key=value ...": for tests, and for programs
-// that link the core and log in their own way.
+// ToFunc returns a logger that calls write with each line as "message key=value ...". It is used by tests and by
+// programs that link the core and have a logger of their own.
 func ToFunc(write func(line string)) *slog.Logger {
 	return slog.New(textHandler{write: write})
 }
 
-// textHandler hands on lines as text.
+// textHandler formats lines as text and passes them to a function.
 type textHandler struct {
 	write func(string)
-	attrs string // of the logger, each after a space
+	attrs string // attributes of the logger, each preceded by a space
 }
 
 // Enabled implements slog.Handler.
@@ -44,7 +44,7 @@
 	return h
 }
 
-// WithGroup implements slog.Handler; groups are not told apart.
+// WithGroup implements slog.Handler. It ignores the group.
 func (h textHandler) WithGroup(string) slog.Handler {
 	return h
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package metrics formats the broker's metrics as StatsD lines for the admin console.
 //
-// It keeps no state. Counters have the StatsD type c, gauges the type g; values are whole numbers in the unit that the
-// metric's name says.
+// The package has no state. Counters have the StatsD type c and gauges the type g. Values are integers in the unit
+// that the metric's name states.
 package metrics
 
 import (
@@ -10,7 +10,7 @@
 	"junctionwharf/broker"
 )
 
-// statsdPrefix stands before each name. Operators' tools know the series by it.
+// statsdPrefix is the first part of each name. Operators' tools use it to identify the series.
 const statsdPrefix = "edge_balancer"
 
 // The StatsD types.
@@ -19,7 +19,7 @@
 	statsdGauge   = "g"
 )
 
-// FormatStatsD formats metrics as StatsD lines.
+// FormatStatsD formats metrics as StatsD lines, one per metric.
 func FormatStatsD(metrics []broker.Metric) []byte {
 	var text []byte
 	for _, metric := range metrics {
--- a/internal/simtime/simtime.go
+++ b/internal/simtime/simtime.go
@@ -1,32 +1,32 @@
-// Package simtime is the virtual clock of the simulations: a queue of events in the order of their times.
+// Package simtime provides the virtual clock of the simulations, with a queue of events ordered by time.
 //
-// Rule. Events of the same time happen in the order in which they were scheduled. So whoever makes the same calls meets
-// the same order, and a seed replays a run exactly.
+// Rule. Events with the same time run in the order in which they were scheduled. Therefore the same calls always
+// produce the same order of events, and a run can be replayed exactly from its seed.
 //
-// State and owner. A Clock belongs to one simulation, which drives it by Step from one goroutine; events may schedule
-// others. It is not safe for concurrent use.
+// State and owner. A Clock belongs to one simulation, which calls Step from one goroutine. Events may schedule other
+// events. A Clock is not safe for concurrent use.
 //
-// Units. All times and spans are µs from the start of the simulation.
+// Units. All times and durations are µs from the start of the simulation.
 package simtime
 
 import "container/heap"
 
-// Clock is a virtual clock with the events that are to happen. The zero value stands at 0 without events.
+// Clock is a virtual clock with a queue of pending events. The zero value is at time 0 and has no events.
 type Clock struct {
 	Now int64 // µs; read only
 
-	scheduled int // events so far
+	scheduled int // number of events scheduled so far
 	queue     eventQueue
 }
 
-// After has something happen a span from now.
+// After schedules do to run when span µs have passed from now.
 func (c *Clock) After(span int64, do func()) {
 	c.scheduled++
 	heap.Push(&c.queue, event{at: c.Now + span, sequence: c.scheduled, do: do})
 }
 
-// Step moves the clock on to the next event and has it happen. It reports false if there is none, or if it lies beyond
-// end: such an event is dropped, with the clock at its time.
+// Step advances the clock to the next event and runs the event. It returns false if there is no event, or if the event
+// is later than end. In the latter case, the clock is advanced to the event's time and the event is dropped.
 func (c *Clock) Step(end int64) bool {
 	if len(c.queue) == 0 {
 		return false
@@ -40,14 +40,14 @@
 	return true
 }
 
-// event is something that happens at a time.
+// event is a function that is scheduled to run at a time.
 type event struct {
 	at       int64 // µs
 	sequence int   // order among events of the same time
 	do       func()
 }
 
-// eventQueue is a heap with the next event first.
+// eventQueue is a heap of events with the next event at the root.
 type eventQueue []event
 
 // Len implements heap.Interface.
--- a/internal/simtime/simtime_test.go
+++ b/internal/simtime/simtime_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Events are scheduled out of order, two of them for the same time and one by another. They happen in the order of
-// their times, then of scheduling; what lies beyond the end does not happen.
+// Events are scheduled out of order, two of them for the same time, and one of these by another event. Checks that they
+// run in the order of their times and then of scheduling, and that an event later than the end is dropped.
 func TestOrder(t *testing.T) {
 	var clock Clock
 	var happened []string
@@ -20,12 +20,12 @@
 	for clock.Step(100) {
 	}
 	if want := []string{"first", "second", "third"}; !slices.Equal(happened, want) {
-		t.Errorf("%v, want %v", happened, want)
+		t.Errorf("events ran in the order %v, want %v", happened, want)
 	}
 	if clock.Now != 101 {
-		t.Errorf("the clock stands at %d", clock.Now)
+		t.Errorf("clock is at %d µs, want 101", clock.Now)
 	}
 	if clock.Step(1000) {
-		t.Error("the event beyond the end was kept")
+		t.Error("event later than the end ran in a later step")
 	}
 }
