--- a/internal/fakes/carbon.go
+++ b/internal/fakes/carbon.go
@@ -14,27 +14,29 @@
 	"time"
 )
 
-// ReceiverMode is how a receiver treats its connections.
+// ReceiverMode selects how a receiver treats its connections.
 type ReceiverMode int32
 
 // The modes of a receiver.
 const (
-	Reading    ReceiverMode = iota // reads all that comes
-	NotReading                     // accepts and never reads
-	Resetting                      // reads a little, then resets the connection
-	Trickling                      // reads a byte a second
+	Reading    ReceiverMode = iota // reads all data
+	NotReading                     // accepts connections and reads nothing
+	Resetting                      // reads a few bytes, then resets the connection
+	Trickling                      // reads one byte a second
 )
 
 const (
-	// maxCarbonLine is the longest plaintext line, in bytes, that is read; longer than any path that Carbon can file.
+	// maxCarbonLine is the maximum length of a plaintext line in bytes. It exceeds the longest path that Carbon can
+	// store.
 	maxCarbonLine = 4096
-	// maxCarbonPickle is the largest batch in bytes, which is Carbon's own bound (MAX_LENGTH of its pickle receiver).
+	// maxCarbonPickle is the maximum size of a batch in bytes. Carbon has the same limit (MAX_LENGTH of its pickle
+	// receiver).
 	maxCarbonPickle = 1 << 20
-	// bytesBeforeReset is what a Resetting receiver reads first. A line is some 80 bytes long: the sender has seen its
-	// connection work, and loses a line in the middle.
+	// bytesBeforeReset is the number of bytes that a Resetting receiver reads before it resets the connection. A line
+	// has some 80 bytes. Thus the sender has used the connection successfully, and the reset cuts a line in two.
 	bytesBeforeReset = 100
-	// unreadBuffer is the receive buffer in bytes of a connection that is not read. With the system's default, of
-	// megabytes, a sender would not notice for minutes that nobody reads.
+	// unreadBuffer is the size in bytes of the receive buffer of a connection in all modes except Reading. With the
+	// system default of several megabytes, a sender would notice only after minutes that its data is not read.
 	unreadBuffer = 4096
 	// trickleInterval is the time between two bytes that a Trickling receiver reads.
 	trickleInterval = time.Second
@@ -42,25 +44,27 @@
 	maxDatagram = 64 << 10
 )
 
-// errResetByMode ends a connection in mode Resetting; it is no error of the sender.
-var errResetByMode = errors.New("reset by the receiver's mode")
+// errResetByMode is returned by reads that reset the connection in mode Resetting. It does not indicate a fault of the
+// sender.
+var errResetByMode = errors.New("connection reset by a receiver in mode Resetting")
 
-// Carbon is a fake of a Carbon receiver: plaintext lines over TCP and UDP at one port, or pickles over TCP.
+// Carbon is a fake of a Carbon receiver. It receives either plaintext lines over TCP and UDP on the same port, or
+// pickles over TCP.
 type Carbon struct {
 	*PointStore
 
 	pickles   bool
 	listener  net.Listener
-	datagrams net.PacketConn // nil with pickles
+	datagrams net.PacketConn // nil if the receiver expects pickles
 	mode      atomic.Int32   // a ReceiverMode
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	conns       map[net.Conn]bool
 	closed      bool
-	modeChanged chan struct{} // closed and made anew at each change of mode
+	modeChanged chan struct{} // closed and replaced at each change of mode
 }
 
-// NewCarbon listens at a TCP address, and at the same port for datagrams unless it takes pickles.
+// NewCarbon starts a receiver at a TCP address. A receiver of plaintext lines also listens on the same UDP port.
 func NewCarbon(address string, pickles bool, points *PointStore) (*Carbon, error) {
 	c := &Carbon{
 		PointStore:  points,
@@ -76,7 +80,7 @@
 	if !pickles {
 		c.datagrams, err = net.ListenPacket("udp", c.listener.Addr().String())
 		if err != nil {
-			_ = c.listener.Close() // the error that counts is the one above
+			_ = c.listener.Close() // the error of ListenPacket is returned
 			return nil, err
 		}
 		go c.readDatagrams()
@@ -85,10 +89,10 @@
 	return c, nil
 }
 
-// Address returns where it listens.
+// Address returns the listening address.
 func (c *Carbon) Address() string { return c.listener.Addr().String() }
 
-// SetMode changes the mode, also of open connections that wait for their next bytes.
+// SetMode changes the mode. The new mode also applies to open connections, from their next read.
 func (c *Carbon) SetMode(mode ReceiverMode) {
 	c.mode.Store(int32(mode))
 	c.mu.Lock()
@@ -101,9 +105,9 @@
 
 func (c *Carbon) currentMode() ReceiverMode { return ReceiverMode(c.mode.Load()) }
 
-// Close ends the listener and resets all connections, as a killed process would.
+// Close closes the listeners and resets all connections, as the kernel does for a killed process.
 func (c *Carbon) Close() {
-	_ = c.listener.Close() // its accept loop ends in any case
+	_ = c.listener.Close() // acceptAll returns in any case
 	if c.datagrams != nil {
 		_ = c.datagrams.Close()
 	}
@@ -119,7 +123,7 @@
 	}
 }
 
-// resetConn closes a connection by a reset (RST), as the kernel does for a killed process.
+// resetConn closes a connection with a reset (RST).
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -143,13 +147,13 @@
 			return
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok && c.currentMode() != Reading {
-			_ = tcp.SetReadBuffer(unreadBuffer) // what the system takes in its place is no reading
+			_ = tcp.SetReadBuffer(unreadBuffer) // if this fails, the sender only notices later
 		}
 		go c.serve(conn)
 	}
 }
 
-// serve reads one connection to its end.
+// serve reads one connection until it ends.
 func (c *Carbon) serve(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -186,7 +190,7 @@
 		time.Sleep(trickleInterval)
 		return r.Conn.Read(b[:1])
 	case Resetting:
-		_, _ = io.ReadFull(r.Conn, make([]byte, bytesBeforeReset)) // it is reset, whatever came
+		_, _ = io.ReadFull(r.Conn, make([]byte, bytesBeforeReset)) // the connection is reset even if fewer bytes arrive
 		resetConn(r.Conn)
 		return 0, errResetByMode
 	default:
@@ -194,7 +198,7 @@
 	}
 }
 
-// awaitModeChange waits for the next change of mode, and reports false once the receiver is closed.
+// awaitModeChange waits for the next change of mode. It returns false if the receiver is closed before the call.
 func (c *Carbon) awaitModeChange() bool {
 	c.mu.Lock()
 	changed := c.modeChanged
@@ -207,7 +211,7 @@
 	return true
 }
 
-// readLines reads plaintext lines. Half a line at the end is an error.
+// readLines reads plaintext lines until the connection ends. An incomplete last line is an error.
 func (c *Carbon) readLines(in *bufio.Reader) error {
 	for {
 		line, err := in.ReadString('\n')
@@ -230,7 +234,7 @@
 	c.add(point)
 }
 
-// readDatagrams reads plaintext lines from datagrams until Close. A receiver that is not Reading loses them.
+// readDatagrams reads plaintext lines from datagrams until Close. In all modes except Reading, it drops them.
 func (c *Carbon) readDatagrams() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -247,7 +251,7 @@
 	}
 }
 
-// readPickles reads batches, each behind its length in four bytes.
+// readPickles reads batches until the connection ends. Each batch is preceded by its length in four bytes.
 func (c *Carbon) readPickles(in *bufio.Reader) error {
 	for {
 		var size uint32
@@ -259,7 +263,7 @@
 			return err
 		}
 		if size > maxCarbonPickle {
-			return fmt.Errorf("a pickle of %d bytes", size)
+			return fmt.Errorf("pickle of %d bytes exceeds the limit of %d", size, maxCarbonPickle)
 		}
 		body := make([]byte, size)
 		if _, err := io.ReadFull(in, body); err != nil {
--- a/internal/fakes/carbonparse.go
+++ b/internal/fakes/carbonparse.go
@@ -10,35 +10,35 @@
 	pickle "github.com/kisielk/og-rek"
 )
 
-// lineFields is how many fields a plaintext line has: a path, a value and a time.
+// lineFields is the number of fields of a plaintext line: path, value and timestamp.
 const lineFields = 3
 
-// ParseLine reads a plaintext line: a path, a value and a time.
+// ParseLine parses a plaintext line "path value timestamp" without its line feed.
 func ParseLine(line string) (Point, error) {
 	fields := strings.Split(line, " ")
 	if len(fields) != lineFields || len(line) > maxCarbonLine {
-		return Point{}, fmt.Errorf("%q has not three fields", line)
+		return Point{}, fmt.Errorf("line %q: want %d fields and at most %d bytes", line, lineFields, maxCarbonLine)
 	}
 	if err := checkPath(fields[0]); err != nil {
 		return Point{}, err
 	}
 	value, err := strconv.ParseFloat(fields[1], 64)
 	if err != nil {
-		return Point{}, fmt.Errorf("%q: its value is no number", line)
+		return Point{}, fmt.Errorf("line %q: value is not a number", line)
 	}
 	timestamp, err := strconv.ParseInt(fields[2], 10, 64)
 	if err != nil || timestamp <= 0 {
-		return Point{}, fmt.Errorf("%q: its time is no whole number above 0", line)
+		return Point{}, fmt.Errorf("line %q: timestamp is not an integer above 0", line)
 	}
 	return Point{Series: fields[0], Timestamp: timestamp, Value: value}, nil
 }
 
-// checkPath rejects what Carbon would file in the wrong place.
+// checkPath returns an error for a path that Carbon would store under another name or reject.
 func checkPath(path string) error {
 	name, tags, tagged := strings.Cut(path, ";")
 	for part := range strings.SplitSeq(name, ".") {
 		if part == "" || strings.ContainsAny(part, " \t\r\n/\\*?[]{}\x00") {
-			return fmt.Errorf("path %q has a bad part %q", path, part)
+			return fmt.Errorf("path %q: invalid component %q", path, part)
 		}
 	}
 	if !tagged {
@@ -47,13 +47,13 @@
 	for tag := range strings.SplitSeq(tags, ";") {
 		key, value, found := strings.Cut(tag, "=")
 		if !found || key == "" || value == "" || value[0] == '~' {
-			return fmt.Errorf("path %q has a bad tag %q", path, tag)
+			return fmt.Errorf("path %q: invalid tag %q", path, tag)
 		}
 	}
 	return nil
 }
 
-// ParsePickle reads a batch: [(path, (time, value)), ...].
+// ParsePickle parses a batch of the form [(path, (timestamp, value)), ...].
 func ParsePickle(body []byte) ([]Point, error) {
 	value, err := pickle.NewDecoder(bytes.NewReader(body)).Decode()
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	list, ok := value.([]any)
 	if !ok {
-		return nil, fmt.Errorf("pickle: a %T is no list", value)
+		return nil, fmt.Errorf("pickle: got a value of type %T, want a list", value)
 	}
 	var points []Point
 	for _, entry := range list {
@@ -74,16 +74,16 @@
 	return points, nil
 }
 
-// parsePicklePoint reads one entry of a batch: (path, (time, value)).
+// parsePicklePoint parses one entry of a batch, (path, (timestamp, value)).
 func parsePicklePoint(entry any) (Point, error) {
 	pair, ok := entry.(pickle.Tuple)
 	if !ok || len(pair) != 2 {
-		return Point{}, fmt.Errorf("pickle: %v is no pair", entry)
+		return Point{}, fmt.Errorf("pickle: entry %v is not a pair", entry)
 	}
 	path, isPath := pair[0].(string)
 	datum, isTuple := pair[1].(pickle.Tuple)
 	if !isPath || !isTuple || len(datum) != 2 {
-		return Point{}, fmt.Errorf("pickle: %v is no point", entry)
+		return Point{}, fmt.Errorf("pickle: entry %v is not of the form (path, (timestamp, value))", entry)
 	}
 	if err := checkPath(path); err != nil {
 		return Point{}, err
@@ -99,7 +99,7 @@
 	return Point{Series: path, Timestamp: int64(timestamp), Value: value}, nil
 }
 
-// pickleNumber reads a number of any of Python's kinds.
+// pickleNumber converts a number of any of Python's types.
 func pickleNumber(value any) (float64, error) {
 	switch n := value.(type) {
 	case int64:
@@ -110,5 +110,5 @@
 		f, _ := new(big.Float).SetInt(n).Float64()
 		return f, nil
 	}
-	return 0, fmt.Errorf("pickle: a %T is no number", value)
+	return 0, fmt.Errorf("pickle: got a value of type %T, want a number", value)
 }
--- a/internal/fakes/collectd.go
+++ b/internal/fakes/collectd.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// collectdReadBuffer is the receive buffer in bytes: a report of hundreds of brokers at once must fit, or an
-	// experiment would count the kernel's losses as the broker's.
+	// collectdReadBuffer is the size of the receive buffer in bytes. The simultaneous reports of hundreds of brokers
+	// must fit. Otherwise an experiment would attribute datagrams dropped by the kernel to the brokers.
 	collectdReadBuffer = 4 << 20
-	// maxNotifications bounds the notifications that are kept; an experiment makes some hundreds.
+	// maxNotifications limits the notifications that are kept. An experiment causes some hundreds.
 	maxNotifications = 10_000
 )
 
-// Notification is a collectd notification that a receiver took.
+// Notification is a collectd notification that was received.
 type Notification struct {
 	Severity                     uint64
 	Host, Plugin, Instance, Text string
@@ -22,26 +22,27 @@
 }
 
 // Collectd is a fake of the receiving side of collectd's network plugin. A series is named
-// host/plugin[-instance]/type[-instance]/N, N being the index of the value in its list.
+// host/plugin[-instance]/type[-instance]/N, where N is the index of the value in its list.
 type Collectd struct {
 	*PointStore
 
 	conn      net.PacketConn
 	secrets   map[string]string // by user
-	protected bool              // what is neither signed nor encrypted is rejected
+	protected bool              // reject data that is neither signed nor encrypted
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards notifications
 	notifications []Notification
 }
 
-// NewCollectd listens at a UDP address. With secrets, by user, packets must be signed or encrypted by one of them.
+// NewCollectd starts a receiver at a UDP address. secrets maps users to their secrets. If it is not empty, packets must
+// be signed or encrypted by one of the users.
 func NewCollectd(address string, secrets map[string]string, points *PointStore) (*Collectd, error) {
 	conn, err := net.ListenPacket("udp", address)
 	if err != nil {
 		return nil, err
 	}
 	if udp, ok := conn.(*net.UDPConn); ok {
-		_ = udp.SetReadBuffer(collectdReadBuffer) // the system's bound may be lower, which a small test does not notice
+		_ = udp.SetReadBuffer(collectdReadBuffer) // the system's limit may be lower, which suffices for small tests
 	}
 	c := &Collectd{
 		PointStore: points,
@@ -53,13 +54,13 @@
 	return c, nil
 }
 
-// Address returns where it listens.
+// Address returns the listening address.
 func (c *Collectd) Address() string { return c.conn.LocalAddr().String() }
 
-// Close ends it.
+// Close stops the receiver.
 func (c *Collectd) Close() { _ = c.conn.Close() }
 
-// Notifications returns the notifications so far.
+// Notifications returns the notifications received so far.
 func (c *Collectd) Notifications() []Notification {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/collectdparse.go
+++ b/internal/fakes/collectdparse.go
@@ -17,7 +17,7 @@
 	partTypeName       = 0x0004
 	partTypeInstance   = 0x0005
 	partValues         = 0x0006
-	partTimeHR         = 0x0008 // units of 2^-30 s
+	partTimeHR         = 0x0008 // in units of 2^-30 s
 	partIntervalHR     = 0x0009
 	partMessage        = 0x0100
 	partSeverity       = 0x0101
@@ -33,39 +33,39 @@
 	valueAbsolute = 3
 )
 
-// Lengths that the protocol sets, in bytes unless said otherwise.
+// Sizes defined by the protocol, in bytes unless stated otherwise.
 const (
-	partHeaderSize  = 4    // the part's type and length, two bytes each
-	valueCountSize  = 2    // of a values part
-	valueSize       = 9    // a byte for the type and eight for the value
-	numberSize      = 8    // of a number part
-	maxNameSize     = 64   // of a host, plugin or type, its closing zero byte included
-	maxTextSize     = 1025 // of a message, its closing zero byte included
-	timeHRFractions = 30   // bits of a high-resolution time below the second
+	partHeaderSize  = 4    // type and length of a part, two bytes each
+	valueCountSize  = 2    // number of values in a values part
+	valueSize       = 9    // one byte for the type and eight for the value
+	numberSize      = 8    // body of a number part
+	maxNameSize     = 64   // host, plugin or type, including the terminating zero byte
+	maxTextSize     = 1025 // message, including the terminating zero byte
+	timeHRFractions = 30   // number of bits of a high-resolution time that are below one second
 )
 
-// Faults of a packet.
+// Errors of an invalid packet.
 var (
-	errUnprotected    = errors.New("a packet that is neither signed nor encrypted")
-	errUnterminated   = errors.New("a string without its end")
-	errNoValueCount   = errors.New("no number of values")
-	errIncomplete     = errors.New("values without a host, plugin, type or time")
-	errUnknownPart    = errors.New("unknown")
-	errNoSigner       = errors.New("a signature without a user")
-	errNoEncrypter    = errors.New("an encrypted part without a user")
-	errShortEncrypted = errors.New("an encrypted part that is too short")
+	errUnprotected    = errors.New("packet is neither signed nor encrypted")
+	errUnterminated   = errors.New("string is too long or not terminated by a zero byte")
+	errNoValueCount   = errors.New("values part lacks the number of values")
+	errIncomplete     = errors.New("values are not preceded by a host, plugin, type and time")
+	errUnknownPart    = errors.New("unknown part type")
+	errNoSigner       = errors.New("signature lacks a user name")
+	errNoEncrypter    = errors.New("encrypted part lacks a user name")
+	errShortEncrypted = errors.New("encrypted part is too short")
 )
 
-// ParsePacket reads a packet. With protected, what is neither signed nor encrypted is rejected. What was read before an
-// error is returned with it.
+// ParsePacket parses a packet. secrets maps users to their secrets. If protected is true, data that is neither signed
+// nor encrypted is rejected. Together with an error, it returns the points and notifications before the error.
 func ParsePacket(packet []byte, secrets map[string]string, protected bool) ([]Point, []Notification, error) {
 	r := &packetReader{secrets: secrets}
 	err := r.readParts(packet, !protected)
 	return r.points, r.notifications, err
 }
 
-// packetReader holds what the parts of a packet have set so far: a values part or a message takes the rest from the
-// parts before it.
+// packetReader holds the fields set by the parts of a packet so far. A values part or a message applies to the host,
+// plugin, type and time in the parts before it.
 type packetReader struct {
 	secrets map[string]string // by user
 
@@ -81,7 +81,8 @@
 	notifications []Notification
 }
 
-// readParts reads parts one behind another. They must be trusted: signed by a part before them, or decrypted.
+// readParts reads consecutive parts. If trusted is false, it returns an error for data that is neither encrypted nor
+// preceded by a signature.
 func (r *packetReader) readParts(packet []byte, trusted bool) error {
 	for len(packet) > 0 {
 		partType, size, err := partHeader(packet)
@@ -117,15 +118,15 @@
 	return nil
 }
 
-// partHeader reads the type of the first part and its size in bytes, the header included.
+// partHeader returns the type of the first part and its size in bytes, including the header.
 func partHeader(packet []byte) (partType uint16, size int, err error) {
 	if len(packet) < partHeaderSize {
-		return 0, 0, fmt.Errorf("%d bytes are no part", len(packet))
+		return 0, 0, fmt.Errorf("%d bytes are too short for a part header", len(packet))
 	}
 	partType = binary.BigEndian.Uint16(packet)
 	size = int(binary.BigEndian.Uint16(packet[2:]))
 	if size < partHeaderSize || size > len(packet) {
-		return 0, 0, fmt.Errorf("part %#04x has %d bytes of %d", partType, size, len(packet))
+		return 0, 0, fmt.Errorf("part %#04x: invalid size of %d bytes, %d bytes remain", partType, size, len(packet))
 	}
 	return partType, size, nil
 }
@@ -161,7 +162,7 @@
 	return err
 }
 
-// readText reads a string that ends in a zero byte.
+// readText reads a zero-terminated string.
 func readText(body []byte) (string, error) {
 	if len(body) == 0 || body[len(body)-1] != 0 || len(body) > maxTextSize {
 		return "", errUnterminated
@@ -169,29 +170,29 @@
 	return string(body[:len(body)-1]), nil
 }
 
-// readName reads a string that is a part of a series' name.
+// readName reads a zero-terminated string that is a component of a series name.
 func readName(body []byte) (string, error) {
 	if len(body) > maxNameSize {
-		return "", fmt.Errorf("a name of %d bytes", len(body))
+		return "", fmt.Errorf("name of %d bytes exceeds the limit of %d", len(body), maxNameSize)
 	}
 	name, err := readText(body)
 	if err != nil {
 		return "", err
 	}
 	if strings.Contains(name, "/") {
-		return "", fmt.Errorf("a slash in %q", name)
+		return "", fmt.Errorf("name %q contains a slash", name)
 	}
 	return name, nil
 }
 
 func readNumber(body []byte) (uint64, error) {
 	if len(body) != numberSize {
-		return 0, fmt.Errorf("a number of %d bytes", len(body))
+		return 0, fmt.Errorf("number of %d bytes, want %d", len(body), numberSize)
 	}
 	return binary.BigEndian.Uint64(body), nil
 }
 
-// readMessage reads the text that ends a notification.
+// readMessage reads the text of a notification and adds the notification.
 func (r *packetReader) readMessage(body []byte) error {
 	text, err := readText(body)
 	if err != nil {
@@ -208,14 +209,14 @@
 	return nil
 }
 
-// readValues reads a list of values: their count, their types, then the values.
+// readValues reads a values part: the number of values, their types, then the values.
 func (r *packetReader) readValues(body []byte) error {
 	if len(body) < valueCountSize {
 		return errNoValueCount
 	}
 	count := int(binary.BigEndian.Uint16(body))
 	if len(body) != valueCountSize+valueSize*count {
-		return fmt.Errorf("%d bytes for %d values", len(body), count)
+		return fmt.Errorf("values part has the wrong size: %d bytes for %d values", len(body), count)
 	}
 	if r.host == "" || r.plugin == "" || r.typeName == "" || r.timestamp == 0 {
 		return errIncomplete
@@ -243,11 +244,11 @@
 	case valueCounter, valueDerive, valueAbsolute:
 		return float64(binary.BigEndian.Uint64(body)), nil
 	default:
-		return 0, fmt.Errorf("kind %d", valueType)
+		return 0, fmt.Errorf("unknown value type %d", valueType)
 	}
 }
 
-// seriesPrefix is the name of a series without the index of its value.
+// seriesPrefix returns the name of a series without the index of its value.
 func (r *packetReader) seriesPrefix() string {
 	plugin := withInstance(r.plugin, r.pluginInstance)
 	typeName := withInstance(r.typeName, r.typeInstance)
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// The health of an endpoint, as discovery spells it.
+// The health of an endpoint, as spelled by discovery.
 const (
 	healthServing = "SERVING"
-	healthDeleted = "DELETED" // it leaves the list
+	healthDeleted = "DELETED" // the endpoint is removed from the list
 )
 
 const (
-	// maxChanges bounds the changes that a watch may ask for; a client that is further behind gets the full list.
+	// maxChanges is the number of recent changes that are kept for watches. A client that is further behind receives
+	// the full list.
 	maxChanges = 1000
-	// maxPollMS bounds a long poll, in milliseconds, whatever the client asks for.
+	// maxPollMS is the maximum duration of a long poll in milliseconds. Longer waits in requests are reduced to it.
 	maxPollMS = 60_000
 )
 
-// Endpoint is an entry of discovery's list, in its wire form.
+// Endpoint is an entry of discovery's list, as sent on the wire.
 type Endpoint struct {
 	Name      string  `json:"host"`
 	Address   string  `json:"dial"`
@@ -35,23 +36,23 @@
 	StartedMS int64   `json:"born_ms"`
 }
 
-// endpointList is discovery's answer, in its wire form.
+// endpointList is an answer of discovery, as sent on the wire.
 type endpointList struct {
 	Version   uint64     `json:"seq"`
-	Full      bool       `json:"whole"` // else what has changed since the version that was asked for
+	Full      bool       `json:"whole"` // if false, Endpoints are the changes since the requested version
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Discovery is a fake of the service that lists storage nodes, by HTTP long poll.
+// Discovery is a fake of the service that lists storage nodes. Clients watch the list by HTTP long poll.
 type Discovery struct {
 	listener net.Listener
 	server   *http.Server
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	version   uint64
 	endpoints []Endpoint
-	changes   []endpointChange // the last ones, by version
-	changed   chan struct{}    // closed and made anew at each change
+	changes   []endpointChange // the latest ones, ordered by version
+	changed   chan struct{}    // closed and replaced at each change
 }
 
 type endpointChange struct {
@@ -59,7 +60,7 @@
 	endpoint Endpoint
 }
 
-// NewDiscovery listens at an address.
+// NewDiscovery starts a discovery service at an address, with an initial list of endpoints.
 func NewDiscovery(address string, endpoints ...Endpoint) (*Discovery, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -74,17 +75,17 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", d.serveList)
 	d.server = &http.Server{Handler: mux}
-	go func() { _ = d.server.Serve(listener) }() // ends with Close, whose error it returns
+	go func() { _ = d.server.Serve(listener) }() // Serve returns after Close
 	return d, nil
 }
 
-// Address returns where it listens.
+// Address returns the listening address.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-// Close ends it and all polls that wait.
+// Close stops the service and ends all pending polls.
 func (d *Discovery) Close() { _ = d.server.Close() }
 
-// Change lists endpoints anew: one that is DELETED leaves the list.
+// Change replaces or adds endpoints, identified by their names. It removes endpoints whose health is DELETED.
 func (d *Discovery) Change(endpoints ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -103,11 +104,11 @@
 	d.changed = make(chan struct{})
 }
 
-// serveList answers with the full list, or, where the client names a version, waits for a newer one.
+// serveList answers with the list. If the request contains a version, serveList waits for a newer version first.
 func (d *Discovery) serveList(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
-	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait")) // without one the answer comes at once
+	waitMS, _ := strconv.Atoi(r.URL.Query().Get("wait")) // 0 if missing, which means an immediate answer
 	timeout := time.NewTimer(time.Duration(min(waitMS, maxPollMS)) * time.Millisecond)
 	defer timeout.Stop()
 	timedOut := false
@@ -119,7 +120,7 @@
 		d.mu.Unlock()
 		if !watch || timedOut || version > since {
 			w.Header().Set("Content-Type", "application/json")
-			_, _ = w.Write(text) // a client that has gone needs no answer
+			_, _ = w.Write(text) // ignored if the client has disconnected
 			return
 		}
 		select {
@@ -132,12 +133,13 @@
 	}
 }
 
-// list is the full list, or for a watch what has changed since a version; d.mu is held.
+// list returns the encoded list: the changes since a version if watch is true and all of them are kept, otherwise all
+// endpoints. The caller must hold d.mu.
 func (d *Discovery) list(since uint64, watch bool) []byte {
 	list := endpointList{
 		Version:   d.version,
 		Full:      true,
-		Endpoints: append([]Endpoint{}, d.endpoints...), // [] and not null where it is empty
+		Endpoints: append([]Endpoint{}, d.endpoints...), // encoded as [] and not as null if empty
 	}
 	if watch && d.hasChangesSince(since) {
 		list.Full = false
@@ -148,11 +150,11 @@
 			}
 		}
 	}
-	text, _ := json.Marshal(list) // of strings and numbers, which cannot fail
+	text, _ := json.Marshal(list) // strings and numbers can always be encoded
 	return text
 }
 
-// hasChangesSince reports whether all changes since a version are still kept; d.mu is held.
+// hasChangesSince reports whether all changes since a version are still kept. The caller must hold d.mu.
 func (d *Discovery) hasChangesSince(since uint64) bool {
 	return since == d.version || len(d.changes) > 0 && d.changes[0].version <= since+1
 }
--- a/internal/fakes/discovery_test.go
+++ b/internal/fakes/discovery_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The list's keys are those of the protocol, whatever the fields are named: brokers read this text, and a key that
-// changed its name would leave them without nodes.
+// Checks that the JSON keys of the list are those of the protocol. Brokers decode this text, and would have no nodes if
+// a key changed along with the name of its field.
 func TestDiscoveryAnswers(t *testing.T) {
 	d, err := NewDiscovery("127.0.0.1:0", Endpoint{
 		Name: "n1", Address: "127.0.0.1:6379", Zone: "a", Class: "m1", Shard: 2,
@@ -24,7 +24,7 @@
 	expect := func(query, want string) {
 		t.Helper()
 		if got := get(t, "http://"+d.Address()+"/registry/instances"+query); got != want {
-			t.Errorf("%q is answered by %s, want %s", query, got, want)
+			t.Errorf("query %q: got %s, want %s", query, got, want)
 		}
 	}
 	expect("", `{"seq":1,"whole":true,"hosts":[`+first+`]}`)
--- a/internal/fakes/dns.go
+++ b/internal/fakes/dns.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	// portAttempts is how often a port is looked for that is free for both TCP and UDP: the system picks the TCP port,
-	// and another process may hold the same one for UDP.
+	// portAttempts is the maximum number of attempts to find a port that is free for both TCP and UDP. The system
+	// selects the TCP port, and another process may already use the same UDP port.
 	portAttempts = 20
-	// maxCNAMEs is how many aliases are followed. It is above what a resolver follows, so that the resolver's own bound
-	// is what a test meets.
+	// maxCNAMEs is the maximum number of aliases that are followed. It is above the limit of resolvers, so that tests
+	// reach the limit of the resolver.
 	maxCNAMEs = 20
-	// initialTTL is the lifetime in seconds of records until Set changes it: the shortest, since tests wait for it.
+	// initialTTL is the lifetime of records in seconds until Set changes it. It has the smallest value because tests
+	// wait for records to expire.
 	initialTTL = 1
-	// negativeSOA is in answers without records: it tells for how long the absence may be cached (RFC 2308), 1 s.
+	// negativeSOA is included in answers without records. It allows the absence to be cached for 1 s (RFC 2308).
 	negativeSOA = "example.org. 1 IN SOA ns.example.org. h.example.org. 1 60 60 60 1"
 )
 
-// SRVRecord is an SRV record of a service, with the records of its target.
+// SRVRecord is an SRV record of a service, along with the records of its target.
 type SRVRecord struct {
 	Target           string
 	Port             uint16
 	Priority, Weight uint16
-	Addresses        []string // A and AAAA of the target
-	Text             string   // TXT of the target; empty for none
+	Addresses        []string // A and AAAA records of the target
+	Text             string   // TXT record of the target; empty if there is none
 }
 
-// DNS is a fake of a name server that answers faultily as it is told: UDP and TCP at one port.
+// DNS is a fake of a name server that serves UDP and TCP on the same port. It can be set to give faulty answers.
 type DNS struct {
 	address string
 	servers []*dns.Server
 	queries atomic.Int64
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	fault          DNSFault
-	ttl            uint32 // s
+	ttl            uint32 // in seconds
 	omitAdditional bool
-	zone           map[string][]SRVRecord // by service
-	aliases        map[string]string      // CNAMEs
-	answered       int                    // queries since the start, for EveryThird
+	zone           map[string][]SRVRecord // by name of the service
+	aliases        map[string]string      // targets of CNAME records, by name
+	received       int                    // queries since the start, for EveryThird
 }
 
-// NewDNS listens at an address.
+// NewDNS starts a name server without records at an address.
 func NewDNS(address string) (*DNS, error) {
 	listener, packets, err := listenBoth(address)
 	if err != nil {
@@ -65,13 +66,13 @@
 	for _, server := range d.servers {
 		started := make(chan struct{})
 		server.NotifyStartedFunc = func() { close(started) }
-		go func() { _ = server.ActivateAndServe() }() // ends with Close, whose error it returns
+		go func() { _ = server.ActivateAndServe() }() // returns after Close
 		<-started
 	}
 	return d, nil
 }
 
-// listenBoth listens for TCP and UDP at one port.
+// listenBoth opens a TCP listener and a UDP socket on the same port.
 func listenBoth(address string) (listener net.Listener, packets net.PacketConn, err error) {
 	for range portAttempts {
 		listener, err = net.Listen("tcp", address)
@@ -82,32 +83,32 @@
 		if err == nil {
 			return listener, packets, nil
 		}
-		_ = listener.Close() // another port is tried
+		_ = listener.Close() // the next attempt uses another port
 	}
 	return nil, nil, err
 }
 
-// Address returns where it listens.
+// Address returns the listening address.
 func (d *DNS) Address() string { return d.address }
 
-// Queries returns how many queries came.
+// Queries returns the number of queries received.
 func (d *DNS) Queries() int { return int(d.queries.Load()) }
 
-// Close ends it.
+// Close stops the server.
 func (d *DNS) Close() {
 	for _, server := range d.servers {
 		_ = server.Shutdown()
 	}
 }
 
-// SetFault has all answers from now on show a fault.
+// SetFault sets the fault of all further answers.
 func (d *DNS) SetFault(fault DNSFault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = fault
 }
 
-// Set lists the SRV records of a service, with a lifetime in seconds.
+// Set replaces the SRV records of a service. It also sets the lifetime of all records, in seconds.
 func (d *DNS) Set(service string, ttl uint32, records ...SRVRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,21 +116,21 @@
 	d.ttl = ttl
 }
 
-// SetCNAME makes a name an alias of another.
+// SetCNAME makes name an alias of target.
 func (d *DNS) SetCNAME(name, target string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.aliases[dns.CanonicalName(name)] = dns.CanonicalName(target)
 }
 
-// OmitAdditional leaves addresses out of the additional section: they must be asked for.
+// OmitAdditional omits addresses from the additional section of all further answers, so that clients must query them.
 func (d *DNS) OmitAdditional() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.omitAdditional = true
 }
 
-// mustRecord parses a record that the fake itself has written.
+// mustRecord parses a record written by the fake. It panics if the record is invalid.
 func mustRecord(format string, args ...any) dns.RR {
 	text := fmt.Sprintf(format, args...)
 	record, err := dns.NewRR(text)
@@ -139,7 +140,7 @@
 	return record
 }
 
-// answer is the faultless answer to a query; d.mu is held.
+// answer returns the correct answer to a query. The caller must hold d.mu.
 func (d *DNS) answer(query *dns.Msg) *dns.Msg {
 	msg := new(dns.Msg)
 	msg.SetReply(query)
@@ -170,7 +171,7 @@
 	return msg
 }
 
-// followAliases answers with the CNAMEs of a name, and returns the name that they lead to.
+// followAliases adds the CNAME records of a name to msg and returns the name that they lead to.
 func (d *DNS) followAliases(msg *dns.Msg, name string) string {
 	for range maxCNAMEs {
 		target, isAlias := d.aliases[name]
@@ -183,7 +184,7 @@
 	return name
 }
 
-// addService answers with a service's SRV records.
+// addService adds a service's SRV records to msg, and the addresses of their targets unless omitAdditional is set.
 func (d *DNS) addService(msg *dns.Msg, service string, records []SRVRecord) {
 	for _, r := range records {
 		srv := mustRecord("%s %d IN SRV %d %d %d %s",
@@ -196,7 +197,7 @@
 	}
 }
 
-// targetRecords returns the records of an SRV record's target that have a type.
+// targetRecords returns the records of an SRV record's target that have the type qtype.
 func (d *DNS) targetRecords(r SRVRecord, qtype uint16) []dns.RR {
 	var records []dns.RR
 	owner := dns.Fqdn(r.Target)
--- a/internal/fakes/dnsfaults.go
+++ b/internal/fakes/dnsfaults.go
@@ -7,31 +7,32 @@
 	"github.com/miekg/dns"
 )
 
-// DNSFault is what is wrong with a name server's answers.
+// DNSFault is a fault of a name server's answers.
 type DNSFault int
 
 // The faults of a name server.
 const (
 	NoDNSFault     DNSFault = iota
 	NoAnswer                // no answer
-	LateAnswer              // an answer after LateAnswerDelay
+	LateAnswer              // an answer that is delayed by LateAnswerDelay
 	ServFail                // SERVFAIL
 	Refused                 // REFUSED
 	NameError               // NXDOMAIN
-	NoData                  // no error and no records
-	Truncated               // truncated by UDP, complete over TCP
-	TruncatedNoTCP          // truncated by UDP, and TCP connections that end without an answer
-	WrongID                 // the id of another query
-	Spoofed                 // a false answer to another question first, then the true one
-	Malformed               // bytes that are no message
-	CNAMELoop               // CNAMEs in a circle
-	EveryThird              // every third query is answered
+	NoData                  // success without records
+	Truncated               // truncated over UDP, complete over TCP
+	TruncatedNoTCP          // truncated over UDP; TCP connections are closed without an answer
+	WrongID                 // an answer with an ID that is not the query's
+	Spoofed                 // a false answer to another question, followed by the correct answer
+	Malformed               // bytes that are not a DNS message
+	CNAMELoop               // CNAME records that form a loop
+	EveryThird              // only every third query is answered
 )
 
-// LateAnswerDelay is how long a late answer takes: longer than a resolver's first attempt, shorter than all of them.
+// LateAnswerDelay is the delay of a late answer. It is longer than a resolver's first attempt and shorter than all of
+// the resolver's attempts together.
 const LateAnswerDelay = 300 * time.Millisecond
 
-// responseCodes are those of faults that are an answer without records.
+// responseCodes maps the faults that are answers without records to their response codes.
 var responseCodes = map[DNSFault]int{
 	ServFail:  dns.RcodeServerFailure,
 	Refused:   dns.RcodeRefused,
@@ -44,7 +45,7 @@
 	d.queries.Add(1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answered++
+	d.received++
 	overTCP := strings.HasPrefix(w.RemoteAddr().Network(), "tcp")
 	if d.withheld(w, query, overTCP) {
 		return
@@ -53,19 +54,20 @@
 	if !overTCP && !d.truncates() {
 		msg.Truncate(maxUDPSize(query))
 	}
-	_ = w.WriteMsg(msg) // a resolver that has gone needs no answer
+	_ = w.WriteMsg(msg) // ignored if the resolver has disconnected
 }
 
-// truncates reports whether the fault is one that cuts answers by UDP short; d.mu is held.
+// truncates reports whether the fault truncates answers over UDP. The caller must hold d.mu.
 func (d *DNS) truncates() bool { return d.fault == Truncated || d.fault == TruncatedNoTCP }
 
-// withheld carries out the faults that do not answer, or not now, and reports whether it was one; d.mu is held.
+// withheld applies the faults that replace, delay or suppress the answer. It reports whether one of them applies to the
+// query, in which case the caller must not answer. The caller must hold d.mu.
 func (d *DNS) withheld(w dns.ResponseWriter, query *dns.Msg, overTCP bool) bool {
 	switch d.fault {
 	case NoAnswer:
 		return true
 	case EveryThird:
-		return d.answered%3 != 0
+		return d.received%3 != 0
 	case LateAnswer:
 		msg := d.answer(query)
 		time.AfterFunc(LateAnswerDelay, func() { _ = w.WriteMsg(msg) })
@@ -83,7 +85,7 @@
 	}
 }
 
-// faultyAnswer is the answer as the fault makes it; d.mu is held.
+// faultyAnswer returns the answer, altered according to the fault. The caller must hold d.mu.
 func (d *DNS) faultyAnswer(w dns.ResponseWriter, query *dns.Msg, overTCP bool) *dns.Msg {
 	switch d.fault {
 	case ServFail, Refused, NameError, NoData:
@@ -110,7 +112,7 @@
 	return msg
 }
 
-// emptyAnswer is an answer without records.
+// emptyAnswer returns an answer without records.
 func emptyAnswer(query *dns.Msg, responseCode int) *dns.Msg {
 	msg := new(dns.Msg)
 	msg.SetRcode(query, responseCode)
@@ -118,7 +120,7 @@
 	return msg
 }
 
-// loopAnswer is an answer whose CNAMEs lead back to its question.
+// loopAnswer returns an answer whose CNAME records lead back to the queried name.
 func loopAnswer(query *dns.Msg) *dns.Msg {
 	name := query.Question[0].Name
 	msg := new(dns.Msg)
@@ -130,7 +132,7 @@
 	return msg
 }
 
-// maxUDPSize is how many bytes of answer the query's sender takes by UDP.
+// maxUDPSize returns the maximum size in bytes of a UDP answer that the sender of the query accepts.
 func maxUDPSize(query *dns.Msg) int {
 	if opt := query.IsEdns0(); opt != nil {
 		return int(opt.UDPSize())
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,13 +1,14 @@
-// Package fakes has fakes of the systems around a broker: discovery, storage nodes, a DNS server, and receivers of
-// metrics (Carbon, collectd). Tests, the demonstration and the experiments of cmd/brokerbench share them.
+// Package fakes provides fakes of the systems around a broker: discovery, storage nodes, a DNS server, and receivers of
+// metrics (Carbon and collectd). They are shared by tests, the demonstration and the experiments of cmd/brokerbench.
 //
-// Rule. A fake is written from its protocol's public description and shares no code with what it checks, so that an
-// encoder and its decoder cannot be wrong in the same way. What it cannot read it records as an error; it never panics
-// on input.
+// Rule. A fake is written from the public description of its protocol. It shares no code with the code under test, so
+// that an encoder and its decoder cannot have the same error. A fake records input that it cannot parse as an error,
+// and never panics on input.
 //
-// State and owner. Each fake listens from its constructor until Close, and owns the goroutines that serve its
-// connections; Close ends all of them. All exported methods may be called from any goroutine. Nothing is kept on disk.
+// State and owner. Each fake listens from its constructor until Close. It owns the goroutines that serve its
+// connections, and Close ends all of them. All exported methods may be called from any goroutine. Nothing is stored on
+// disk.
 //
-// Units. Timestamps of points are seconds of Unix time, TTLs are seconds, fields that end in MS are milliseconds; the
-// rest are time.Duration and bytes.
+// Units. Timestamps of points are Unix time in seconds, TTLs are seconds, and fields that end in MS are milliseconds.
+// All other times are time.Duration. Sizes are bytes.
 package fakes
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -13,30 +13,30 @@
 	"github.com/tidwall/redcon"
 )
 
-// minArguments is how many arguments each command of the protocol has at least: its name, a key, an id and its options.
+// minArguments is the minimum number of arguments of a command: its name, a key, an id and the options.
 const minArguments = 4
 
-// Node is a fake of a storage node that speaks RESP2: it serves so many commands at once, lets others wait, and answers
-// -BUSY when its queue is full.
+// Node is a fake of a storage node that speaks RESP2. It serves a limited number of commands concurrently, queues
+// further commands, and answers -BUSY if its queue is full.
 type Node struct {
 	Name  string
 	Shard int
 
 	listener    net.Listener
 	serviceTime func(units float64) time.Duration
-	slots       chan struct{} // one element for each command that is being served
-	capacity    int64         // commands in service or in the queue
+	slots       chan struct{} // one element per command in service
+	capacity    int64         // maximum number of commands in service and in the queue
 	inFlight    atomic.Int64
 	served      atomic.Int64
-	stallUntil  atomic.Int64 // Unix ns
+	stallUntil  atomic.Int64 // Unix time in ns
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	conns  map[net.Conn]bool
 	closed bool
 }
 
-// NewNode listens at an address. It serves slots commands at once and queues queue more; serviceTime tells how long a
-// command of so many units takes.
+// NewNode starts a node at an address. The node serves up to slots commands concurrently and queues up to queue more.
+// serviceTime returns how long a command with the given number of units takes.
 func NewNode(
 	address, name string, shard, slots, queue int, serviceTime func(units float64) time.Duration,
 ) (*Node, error) {
@@ -57,7 +57,7 @@
 	return n, nil
 }
 
-// Endpoint returns the node's entry in discovery's list.
+// Endpoint returns the node's entry for discovery's list.
 func (n *Node) Endpoint() Endpoint {
 	return Endpoint{
 		Name:    n.Name,
@@ -70,15 +70,15 @@
 	}
 }
 
-// Served returns how many commands it has served.
+// Served returns the number of commands served.
 func (n *Node) Served() int { return int(n.served.Load()) }
 
-// Stall has the node serve nothing for a while: commands that come meanwhile wait.
+// Stall suspends the service of new commands for a duration. Commands that arrive in the meantime wait.
 func (n *Node) Stall(d time.Duration) { n.stallUntil.Store(time.Now().Add(d).UnixNano()) }
 
-// Close kills the node: its connections are reset.
+// Close stops the node and resets its connections, as if its process were killed.
 func (n *Node) Close() {
-	_ = n.listener.Close() // its accept loop ends in any case
+	_ = n.listener.Close() // acceptAll returns in any case
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
@@ -106,7 +106,7 @@
 	}
 }
 
-// serveConn answers the commands of one connection to its end.
+// serveConn answers the commands of one connection until it ends.
 func (n *Node) serveConn(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -126,7 +126,7 @@
 	}
 }
 
-// serveCommand serves one command and returns its answer.
+// serveCommand waits for a slot, serves one command and returns its answer. It rejects a command if the queue is full.
 func (n *Node) serveCommand(command redcon.Command) string {
 	if len(command.Args) < minArguments {
 		return "-ERR unknown command\r\n"
@@ -148,7 +148,8 @@
 	return fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$%d\r\n%s\r\n", len(id), id, len(report), report)
 }
 
-// NumberField reads a number from a command's options, NAME=VALUE separated by commas; 1 if it is not there.
+// NumberField returns the number of a field of a command's options, which are NAME=VALUE pairs separated by commas. It
+// returns 1 if the field is missing or not a number.
 func NumberField(options, name string) float64 {
 	for pair := range strings.SplitSeq(options, ",") {
 		key, value, found := strings.Cut(pair, "=")
--- a/internal/fakes/points.go
+++ b/internal/fakes/points.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Point is one value that a receiver took.
+// Point is one value that was received.
 type Point struct {
 	Series    string
 	Timestamp int64 // Unix time, s
@@ -15,25 +15,26 @@
 }
 
 const (
-	// maxSeries bounds the series that a receiver keeps, so that a sender which makes up names cannot exhaust the
+	// maxSeries limits the series that a receiver keeps. It prevents a sender that invents names from exhausting the
 	// memory of an experiment. The largest experiment has some 10,000 series.
 	maxSeries = 100_000
-	// maxErrors bounds the errors that a receiver keeps: an encoder that is wrong fails in each of its points, and the
-	// first thousand tell why.
+	// maxErrors limits the errors that a receiver keeps. A faulty encoder causes an error for each of its points, and
+	// the first thousand are enough to find the cause.
 	maxErrors = 1000
 )
 
-// PointStore keeps the points that a receiver took: the latest of each series by its timestamp, and how many came.
+// PointStore stores the latest point of each series by timestamp, and counts the points received.
 type PointStore struct {
 	mu       sync.Mutex
 	changed  *sync.Cond // broadcast after each point and each error
 	latest   map[string]Point
 	received int
 	errors   []string
-	onPoint  func(Point) // gets each point that is kept; nil for none
+	onPoint  func(Point) // called for each point that is stored; may be nil
 }
 
-// NewPointStore returns an empty store. onPoint, if not nil, gets each point as it comes.
+// NewPointStore returns an empty store. If onPoint is not nil, it is called for each point that is stored, while the
+// store is locked.
 func NewPointStore(onPoint func(Point)) *PointStore {
 	s := &PointStore{
 		latest:  map[string]Point{},
@@ -43,7 +44,7 @@
 	return s
 }
 
-// add records points that were received.
+// add stores and counts received points.
 func (s *PointStore) add(points ...Point) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +61,8 @@
 	s.changed.Broadcast()
 }
 
-// keeps reports whether a point is the latest of its series and there is capacity for it; s.mu is held.
+// keeps reports whether a point is the latest of its series, and whether the store has room for a new series. The
+// caller must hold s.mu.
 func (s *PointStore) keeps(point Point) bool {
 	old, known := s.latest[point.Series]
 	if known {
@@ -69,7 +71,7 @@
 	return len(s.latest) < maxSeries
 }
 
-// addError records what could not be read.
+// addError records an error about input that could not be parsed.
 func (s *PointStore) addError(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,29 +81,29 @@
 	s.changed.Broadcast()
 }
 
-// Errors returns what could not be read so far.
+// Errors returns the errors recorded so far, up to maxErrors.
 func (s *PointStore) Errors() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.errors)
 }
 
-// Received returns how many points came.
+// Received returns the number of points received, including those that were not stored.
 func (s *PointStore) Received() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.received
 }
 
-// Latest returns the latest point of each series.
+// Latest returns the latest point of each series, by name of the series.
 func (s *PointStore) Latest() map[string]Point {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.latest)
 }
 
-// Await waits until condition holds for the latest points and the errors, or until stop is closed, and reports whether
-// it held. condition must not keep its arguments.
+// Await waits until condition returns true for the latest points and the errors, or until stop is closed. It reports
+// whether condition returned true. condition must not retain its arguments.
 func (s *PointStore) Await(
 	stop <-chan struct{}, condition func(latest map[string]Point, errors []string) bool,
 ) bool {
@@ -109,7 +111,7 @@
 	defer s.mu.Unlock()
 	done := make(chan struct{})
 	defer close(done)
-	go func() { // ends with Await
+	go func() { // returns when Await returns
 		select {
 		case <-stop:
 			s.changed.Broadcast()
