--- a/internal/capacity/curve.go
+++ b/internal/capacity/curve.go
@@ -11,7 +11,7 @@
 	SeparateControl bool // the control side runs in separate processes
 	Role            string
 	X, Y            []float64 // for each run: the number of brokers, and the largest value among those of the role
-	Fit             Fit       // Law is empty if there are fewer than minSizes fleet sizes
+	Fit             Fit       // zero if there are fewer than minSizes fleet sizes
 }
 
 // newCurve collects a measure of a role from the runs of the standard cells and fits it.
--- a/internal/fakes/carbon.go
+++ b/internal/fakes/carbon.go
@@ -147,7 +147,7 @@
 			return
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok && c.currentMode() != Reading {
-			_ = tcp.SetReadBuffer(unreadBuffer) // if this fails, the sender only notices later
+			_ = tcp.SetReadBuffer(unreadBuffer) // best effort; with a larger buffer, the sender notices later
 		}
 		go c.serve(conn)
 	}
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -104,7 +104,8 @@
 	d.changed = make(chan struct{})
 }
 
-// serveList answers with the list. If the request contains a version, serveList waits for a newer version first.
+// serveList answers with the list. If the request names a version, serveList first waits until the list is newer than
+// this version or the poll times out.
 func (d *Discovery) serveList(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxAnswerSize is the size in bytes of the largest answer that is read. The protocol's limit for nodes is smaller.
+	// maxAnswerSize is the maximum size of an answer in bytes. It is above the protocol's limit for answers of nodes.
 	maxAnswerSize = 16 << 20
 	// lineEndSize is the length in bytes of the line end that follows an answer's body.
 	lineEndSize = 2
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,8 +16,9 @@
 type Options struct {
 	Addresses      []string // of brokers, used in rotation
 	MaxConnections int      // maximum number of open connections; 0 means defaultMaxConnections
-	// WaitForConnection makes a request wait while all connections are in use. The broker then does not receive the
-	// load that it cannot serve in time. If WaitForConnection is false, such a request is counted as Unsent.
+	// WaitForConnection makes a request wait while all connections are in use. This hides overload from the broker,
+	// because it limits the load to what the broker can serve in time. If WaitForConnection is false, such a request
+	// is counted as Unsent.
 	WaitForConnection bool
 	// Progress is called by the sending goroutine a few times a second. It may be nil.
 	Progress func(elapsed time.Duration, sent int)
@@ -34,12 +35,13 @@
 	// late, so that its dial times out.
 	minDialTimeout = time.Millisecond
 
-	// waitGrace is the time after a request's deadline after which a client counts the answer as lost, if clients wait
-	// for a free connection. It is well above the protocol's slack. With a smaller value, answers that are merely late
-	// would be counted as lost.
+	// waitGrace is how long a client waits for an answer beyond the request's deadline if WaitForConnection is set.
+	// After that, the answer is counted as lost. The value is well above the protocol's slack. With a smaller value,
+	// answers that are merely late would be counted as lost.
 	waitGrace = 2 * time.Second
-	// noWaitGrace is the same time for clients that open a new connection whenever all of theirs are in use, as the
-	// platform's clients do. With a larger value, expired requests would occupy connections that new requests need.
+	// noWaitGrace is the same time if WaitForConnection is not set. Clients then open a new connection whenever all of
+	// theirs are in use, as the platform's clients do. With a larger value, expired requests would occupy connections
+	// that new requests need.
 	noWaitGrace = 500 * time.Millisecond
 )
 
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -73,9 +73,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, heldUp := expectedOutcomes(traffic, maxConnections)
-	if maxConnections == 8 && want[Unsent] == 0 || maxConnections > 8 && heldUp < 20 {
-		t.Fatalf("the traffic does not show the stall: expected outcomes %v, %d delayed answers", want, heldUp)
+	want, delayed := expectedOutcomes(traffic, maxConnections)
+	if maxConnections == 8 && want[Unsent] == 0 || maxConnections > 8 && delayed < 20 {
+		t.Fatalf("the traffic does not show the stall: expected outcomes %v, %d delayed answers", want, delayed)
 	}
 	all := result.All
 	if all.Counts != want || all.Sent() != result.ByClass[0].Sent()+result.ByClass[1].Sent() {
@@ -93,13 +93,13 @@
 			slow += int(bar.Count)
 		}
 	}
-	if slow != heldUp {
-		t.Errorf("got %d answers with a latency above 10 µs, want %d", slow, heldUp)
+	if slow != delayed {
+		t.Errorf("got %d answers with a latency above 10 µs, want %d", slow, delayed)
 	}
 }
 
 // expectedOutcomes returns the outcome counts of the traffic, and how many answered requests the stall delays.
-func expectedOutcomes(traffic Traffic, maxConnections int) (want [outcomeCount]int, heldUp int) {
+func expectedOutcomes(traffic Traffic, maxConnections int) (want [outcomeCount]int, delayed int) {
 	inStall := 0
 	for a := range traffic.Arrivals {
 		outcome := outcomesByUnits[a.Units-1]
@@ -108,12 +108,12 @@
 			if inStall > maxConnections {
 				outcome = Unsent
 			} else if outcome.answered() {
-				heldUp++
+				delayed++
 			}
 		}
 		want[outcome]++
 	}
-	return want, heldUp
+	return want, delayed
 }
 
 // Checks that a run with a canceled context stops early and still returns its result.
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -49,11 +49,11 @@
 	return max(1, min(latency.Microseconds(), maxLatencyMicros))
 }
 
-// Stats counts the outcomes of requests. Latencies are in µs from the intended time of a request, and are recorded for
-// all requests that the broker answered.
+// Stats counts the outcomes of requests. Latencies are measured in µs from the intended time of a request. They are
+// recorded for all requests that the broker answered.
 type Stats struct {
 	Counts           [outcomeCount]int // by Outcome
-	Late             int               // requests answered after the deadline, which starts at the actual sending
+	Late             int               // requests answered after the deadline, measured from the actual sending
 	Latency          *hdrhistogram.Histogram
 	RejectionLatency *hdrhistogram.Histogram // of rejected requests only
 }
@@ -102,7 +102,7 @@
 	ByClass         []*Stats
 	ByPlan          []*Stats
 	LatencyBySecond []*hdrhistogram.Histogram // one per second of the run, by intended time
-	MaxSendLag      time.Duration             // largest delay of a sending after its intended time
+	MaxSendLag      time.Duration             // largest delay between the intended and the actual sending of a request
 	Dials           int                       // number of attempts to open a connection
 }
 
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -30,8 +30,8 @@
 }
 
 const (
-	// MaxRequests limits the number of requests in a run. A run at 50,000 requests a second can last 400 s, and its
-	// goroutines fit on one machine.
+	// MaxRequests is the maximum number of requests in a run, so that the goroutines of a run fit on one machine. At
+	// 50,000 requests a second, a run can last 400 s.
 	MaxRequests = 20_000_000
 	// arrivalStream is the second half of the generator's seed. It makes the draws of arrivals independent of other
 	// draws with the same seed. A change of the value would change the requests of every recorded seed.
@@ -118,7 +118,8 @@
 	return a
 }
 
-// classAt returns the index of the class that covers point if the classes' shares are laid out consecutively from 0.
+// classAt returns the index of the class whose interval contains point. The intervals have the lengths of the classes'
+// shares and follow one another from 0.
 func (t Traffic) classAt(point float64) int {
 	last := len(t.Classes) - 1
 	for i, class := range t.Classes[:last] {
--- a/internal/load/traffic_test.go
+++ b/internal/load/traffic_test.go
@@ -80,7 +80,7 @@
 }
 
 func TestInvalidTraffic(t *testing.T) {
-	for name, spoil := range map[string]func(*Traffic){
+	for name, invalidate := range map[string]func(*Traffic){
 		"no rate":           func(t *Traffic) { t.Rate = 0 },
 		"no classes":        func(t *Traffic) { t.Classes = nil },
 		"negative duration": func(t *Traffic) { t.Duration = -1 },
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			traffic := testTraffic()
-			spoil(&traffic)
+			invalidate(&traffic)
 			_, err := Run(context.Background(), traffic, Options{Addresses: []string{"127.0.0.1:1"}})
 			if err == nil {
 				t.Errorf("invalid traffic was accepted: %+v", traffic)
