--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// dnsTricks are the faults of a script's command play.
-var dnsTricks = map[string]fakes.DNSFault{
+// dnsFaults are the faults of a script's command play.
+var dnsFaults = map[string]fakes.DNSFault{
 	"honest":    fakes.NoDNSFault,
 	"silent":    fakes.NoAnswer,
 	"late":      fakes.LateAnswer,
@@ -85,11 +85,11 @@
 	case words[0] == "set" && len(words) >= 3:
 		return setRecords(server, words[1], words[2], words[3:])
 	case words[0] == "play" && len(words) == 2:
-		trick, known := dnsTricks[words[1]]
+		fault, known := dnsFaults[words[1]]
 		if !known {
 			return fmt.Errorf("%q is no trick", words[1])
 		}
-		server.SetFault(trick)
+		server.SetFault(fault)
 		return nil
 	case words[0] == "alias" && len(words) == 3:
 		server.SetCNAME(words[1], words[2])
--- a/cmd/brokerbench/load_test.go
+++ b/cmd/brokerbench/load_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestMixClassesRejects(t *testing.T) {
+func TestMixClassesRejectsInvalidShares(t *testing.T) {
 	for _, mix := range []string{"read", "read=x", "read=-1", "other=1"} {
 		t.Run(mix, func(t *testing.T) {
 			if _, err := mixClasses(testClasses, mix); err == nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRunRejectsWhatItCannotRoute(t *testing.T) {
+func TestRunRejectsInvalidInput(t *testing.T) {
 	tests := []struct{ name, input, want string }{
 		{"not running", "FRAME 1 1\nALARM gateway_9 1\nEOF_BATCH\n", "not running"},
 		{"bad settings", "FRAME 1 1\nSTART gateway_0 1 {}\nEOF_BATCH\n", "line 2: start gateway_0: settings"},
@@ -91,7 +91,7 @@
 
 // An instance is killed right after an event of its own, in one batch. The event is dropped: a killed process does not
 // act.
-func TestKilledInstanceIsSilent(t *testing.T) {
+func TestKilledInstanceDoesNotAct(t *testing.T) {
 	input := script("gateway_0") + "FRAME 9000000 99\nALARM gateway_0 1\nHALT gateway_0\nEOF_BATCH\n"
 	reply := replyOf(t, input)
 	if !strings.HasSuffix(reply, "\nNEXT 99\n") || strings.Contains(reply, "FATAL") {
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -141,7 +141,7 @@
 }
 
 // Whatever is malformed, the error names the line and what is wrong with it.
-func TestReaderNamesWhatIsMalformed(t *testing.T) {
+func TestReaderRejectsMalformedInput(t *testing.T) {
 	tests := map[string]struct{ text, want string }{
 		"frame":      {"HELLO\n", "line 1"},
 		"event":      {"FRAME 1 1\nDANCE gateway_1\n", "unknown event"},
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestReaderErrorsCanBeToldApart(t *testing.T) {
+func TestReaderErrorsMatchSentinels(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want error
