--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -8,10 +8,10 @@
 	"junctionwharf/scheduler"
 )
 
-// errNotRunning says that an event names an instance that was not started, or was killed.
-var errNotRunning = errors.New("which is not running")
+// errNotRunning reports an event for an instance that was not started or has been killed.
+var errNotRunning = errors.New("instance is not running")
 
-// adapter holds the schedulers of the instances that run.
+// adapter owns the schedulers of the running instances.
 type adapter struct {
 	schedulers map[string]*scheduler.Scheduler // by instance
 	writer     *simwire.Writer
@@ -21,9 +21,9 @@
 	return &adapter{schedulers: map[string]*scheduler.Scheduler{}, writer: writer}
 }
 
-// eventQueue holds a batch's events by instance.
+// eventQueue groups the events of a batch by instance.
 type eventQueue struct {
-	order  []string // instances by their first event; one that restarts in a batch may stand in it twice
+	order  []string // instances by their first event; an instance that restarts within a batch may occur twice
 	events map[string][]scheduler.Event
 }
 
@@ -34,10 +34,10 @@
 	q.events[instance] = append(q.events[instance], event)
 }
 
-// drop forgets the events of an instance that has ended since.
+// drop discards the events of an instance that was killed or restarted after them.
 func (q *eventQueue) drop(instance string) { delete(q.events, instance) }
 
-// reply carries a batch out and writes the reply to it.
+// reply processes a batch and writes the reply.
 func (a *adapter) reply(batch *simwire.Batch) error {
 	queue := eventQueue{events: map[string][]scheduler.Event{}}
 	for _, item := range batch.Items {
@@ -58,7 +58,7 @@
 	return a.writer.EndReply(batch.Number)
 }
 
-// receive starts or ends an instance, or queues an event for it.
+// receive starts or removes an instance, or queues an event for it.
 func (a *adapter) receive(item simwire.Item, queue *eventQueue) error {
 	switch {
 	case item.Start != nil:
@@ -70,7 +70,7 @@
 		a.schedulers[item.Instance] = state
 		queue.drop(item.Instance)
 	case a.schedulers[item.Instance] == nil:
-		err := fmt.Errorf("event for %s, %w", item.Instance, errNotRunning)
+		err := fmt.Errorf("event for %s: %w", item.Instance, errNotRunning)
 		return &simwire.LineError{Line: item.Line, Err: err}
 	case item.Killed:
 		delete(a.schedulers, item.Instance)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// decide calls the scheduler of one instance and writes its actions, or its failure.
+// decide passes the events to the scheduler of an instance and writes the scheduler's actions, or its failure.
 func (a *adapter) decide(instance string, now scheduler.Time, events []scheduler.Event) error {
 	actions, err := reduce(a.schedulers[instance], now, events)
 	if err != nil {
@@ -95,13 +95,13 @@
 	return nil
 }
 
-// panicError is a panic of a scheduler.
+// panicError is the error for a panic of a scheduler.
 type panicError struct{ value any }
 
 func (e *panicError) Error() string { return fmt.Sprint("panic: ", e.value) }
 
-// reduce calls a scheduler and turns a panic of it into an error. Without that one faulty instance would end the whole
-// simulation, and the simulator could not say which instance it was.
+// reduce calls a scheduler and converts a panic into an error. Otherwise one faulty instance would end the whole
+// simulation, and the simulator could not report which instance failed.
 func reduce(
 	state *scheduler.Scheduler, now scheduler.Time, events []scheduler.Event,
 ) (actions []scheduler.Action, err error) {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,14 +1,14 @@
-// Command simadapter lets the simulator drive brokers' schedulers: it reads batches of events from standard input and
-// writes one reply a batch to standard output.
+// Command simadapter connects the simulator to the schedulers of simulated brokers. It reads batches of events from
+// standard input and writes one reply for each batch to standard output.
 //
-// Rule. It decides nothing: package simwire decodes the events and encodes the actions, package scheduler decides.
-// An instance is one simulated broker. All its events of a batch go to its scheduler in one call, in the order of the
-// input; instances are called in the order of their first event.
+// Rule. This command makes no scheduling decisions: package simwire decodes the events and encodes the actions, and
+// package scheduler decides. An instance is one simulated broker. All events of an instance in a batch go to its
+// scheduler in one call, in input order. Instances are processed in the order of their first event.
 //
-// State and owner. adapter owns one scheduler for each instance that was started and not killed; one goroutine reads,
-// decides and writes. Everything is lost when the process ends, which it does at the end of its input.
+// State and owner. adapter owns one scheduler for each running instance. One goroutine reads, decides and writes. The
+// process ends at the end of its input and keeps no state.
 //
-// Units. Times are those of the simulated clock, time.Duration since its start.
+// Units. Times are simulated time, as a time.Duration since the start of the simulated clock.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	}
 }
 
-// run answers all batches of in.
+// run replies to all batches of in.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	adapter := newAdapter(simwire.NewWriter(out))
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,12 +10,12 @@
 	"junctionwharf/internal/simwire"
 )
 
-// settings is the document of an instance with the given ordinal.
+// settings is the settings document of an instance. The format argument is the instance's ordinal.
 const settings = `{"classes":[{"name":"read","aim":300000,"deadline":2000000,"effect":"safe","importance":1}],` +
 	`"serviceLevels":[{"name":"low","nominal":5,"floorRate":5}],"nInstances":2,"ordinal":%d,` +
 	`"bounds":{"peers":true},"specifics":{"usualUnits":2,"maxUnits":8}}`
 
-// script is the input of a short simulated day of the named instances.
+// script returns the input of a short simulation with the named instances.
 func script(instances ...string) string {
 	var b strings.Builder
 	b.WriteString("FRAME 1000 1\n")
@@ -36,7 +36,7 @@
 	return b.String()
 }
 
-// replyOf plays an input and returns the whole reply.
+// replyOf returns the output of run for an input.
 func replyOf(t *testing.T, input string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -46,7 +46,7 @@
 	return out.String()
 }
 
-// actionsOf returns the lines of a reply that belong to an instance, and the ends of the batches.
+// actionsOf returns the lines of a reply that mention an instance, and the lines that end the batches.
 func actionsOf(instance, reply string) string {
 	var lines []string
 	for line := range strings.Lines(reply) {
@@ -57,15 +57,15 @@
 	return strings.Join(lines, "")
 }
 
-// Two instances in one process share no state: each acts as it does when it has the process to itself.
+// Instances in one process share no state: an instance acts the same alone and together with another instance.
 func TestInstancesDoNotAffectEachOther(t *testing.T) {
 	together := actionsOf("gateway_0", replyOf(t, script("gateway_0", "gateway_1")))
 	apart := actionsOf("gateway_0", replyOf(t, script("gateway_0")))
 	if apart != together {
-		t.Errorf("together:\n%s\napart:\n%s", together, apart)
+		t.Errorf("actions of gateway_0 together with gateway_1:\n%s\nalone:\n%s", together, apart)
 	}
 	if !strings.Contains(together, "SUBMIT_TO gateway_0 1 10.0.0.1:80") {
-		t.Error("nothing was forwarded")
+		t.Error("request 1 of gateway_0 was not forwarded")
 	}
 }
 
@@ -79,7 +79,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := run(strings.NewReader(test.input), &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error %v, want %q", err, test.want)
+				t.Errorf("error is %v, want %q", err, test.want)
 			}
 			var lineError *simwire.LineError
 			if !errors.As(err, &lineError) {
@@ -89,21 +89,21 @@
 	}
 }
 
-// An instance is killed right after an event of its own, in one batch. The event is dropped: a killed process does not
-// act.
+// If an instance is killed after an event for it in the same batch, the event is dropped, because a killed process does
+// not act.
 func TestKilledInstanceDoesNotAct(t *testing.T) {
 	input := script("gateway_0") + "FRAME 9000000 99\nALARM gateway_0 1\nHALT gateway_0\nEOF_BATCH\n"
 	reply := replyOf(t, input)
 	if !strings.HasSuffix(reply, "\nNEXT 99\n") || strings.Contains(reply, "FATAL") {
-		t.Error("no plain reply to the last batch")
+		t.Errorf("reply to the last batch ends with a failure or without NEXT 99:\n%s", reply)
 	}
 	lines := strings.Split(strings.TrimSpace(reply), "\n")
 	if last := lines[len(lines)-2]; !strings.HasPrefix(last, "NEXT") {
-		t.Errorf("a killed instance acts: %s", last)
+		t.Errorf("killed instance acted: %s", last)
 	}
 }
 
-// A scheduler that panics ends only its own instance's turn: the panic becomes an error with its text.
+// A panic of a scheduler becomes an error with the panic's text, so that the other instances continue.
 func TestReduceTurnsPanicIntoError(t *testing.T) {
 	_, err := reduce(nil, 0, nil)
 	var failure *panicError
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxRequestID is the highest request ID of the protocol: the simulator's own numbers are exact up to it.
+	// maxRequestID is the highest request ID of the protocol. The simulator's numbers are exact up to this value.
 	maxRequestID = 1 << 52
-	// maxTimerToken is the highest token that an instance may have set a timer with.
+	// maxTimerToken is the highest token of a timer.
 	maxTimerToken = 1 << 63
 )
 
@@ -47,7 +47,7 @@
 	return item, nil
 }
 
-// start reads the seed and the settings document of an instance.
+// start decodes the seed and the settings document of a new instance.
 func (f *fields) start() *Start {
 	start := &Start{Seed: f.unsigned(math.MaxUint64)}
 	if f.err != nil {
@@ -62,7 +62,8 @@
 	return start
 }
 
-// endpointUpdate reads the kind and version of an update and looks its list up.
+// endpointUpdate decodes the kind and version of an update and looks up the endpoint list by its number. A failed
+// update has no list.
 func (r *Reader) endpointUpdate(f *fields) scheduler.Event {
 	update := scheduler.EndpointUpdate{Kind: lookUp(f, updateKinds), Version: f.unsigned(math.MaxUint64)}
 	list := f.word()
@@ -72,14 +73,14 @@
 	number, err := strconv.Atoi(list)
 	endpoints, known := r.lists[number]
 	if err != nil || !known {
-		f.fail("list %q was never sent", list)
+		f.fail("endpoint list %q was not received", list)
 	}
 	update.Endpoints = endpoints
 	return update
 }
 
-// event reads the fields of the events that need nothing but their line. The fields of each literal stand in the order
-// of the wire, in which Go calls the functions.
+// event decodes the events that need no state of the Reader. Go evaluates the fields of a composite literal in source
+// order, so each literal lists its fields in the order of the wire.
 func (f *fields) event(kind eventKind) scheduler.Event {
 	switch kind {
 	case requestArrived:
@@ -99,7 +100,7 @@
 		return scheduler.PeerMessage{From: f.signed(), Data: f.bytes()}
 	case attemptEnded:
 		return f.attemptEnded()
-	default: // responseStarted, the only kind of eventFields that is left
+	default: // responseStarted, the only remaining kind
 		return scheduler.ResponseStarted{
 			ID:      f.unsigned(maxRequestID),
 			Node:    f.word(),
@@ -139,7 +140,7 @@
 	}
 }
 
-// endpoint reads the row of an endpoint list behind its first word.
+// endpoint decodes a row of an endpoint list after the row's first word.
 func (f *fields) endpoint() scheduler.Endpoint {
 	return scheduler.Endpoint{
 		Name:      f.word(),
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,19 +11,19 @@
 	"junctionwharf/scheduler"
 )
 
-// maxSigned bounds the magnitude of a signed field, so that it fits an int of 32 bits.
+// maxSigned limits the magnitude of a signed field, so that the value fits into a 32-bit int.
 const maxSigned = 1 << 31
 
-// fields takes the parts of a line one by one and keeps the first error. Its methods return the zero value for an
-// absent or malformed field, so a caller reads a whole line and looks at err once.
+// fields reads the fields of a line in order and keeps the first error. Its methods return the zero value for an absent
+// or malformed field, so that a caller can read the whole line and check err once.
 type fields struct {
 	parts []string
-	next  int // index of the part to take next
+	next  int // index of the next field to read
 	err   error
 }
 
-// splitFields cuts a line into count parts, the last of which runs to the end of the line. Only a JSON document may
-// hold spaces.
+// splitFields splits a line into count fields. The last field extends to the end of the line, and only a JSON document
+// may contain spaces.
 func splitFields(text string, count int) *fields {
 	f := &fields{parts: strings.SplitN(text, " ", count)}
 	last := f.parts[len(f.parts)-1]
@@ -34,14 +34,14 @@
 	return f
 }
 
-// fail keeps an error unless there is an earlier one.
+// fail records an error unless an earlier error is recorded.
 func (f *fields) fail(format string, args ...any) {
 	if f.err == nil {
 		f.err = fmt.Errorf(format, args...)
 	}
 }
 
-// word takes the next part; it is empty where the value is absent.
+// word returns the next field, or an empty string if the value is absent.
 func (f *fields) word() string {
 	if f.next >= len(f.parts) {
 		return ""
@@ -54,7 +54,7 @@
 	return word
 }
 
-// unsigned takes a whole number up to limit.
+// unsigned reads a whole number from 0 to limit.
 func (f *fields) unsigned(limit uint64) uint64 {
 	word := f.word()
 	if word == "" || f.err != nil {
@@ -62,12 +62,12 @@
 	}
 	value, err := strconv.ParseUint(word, 10, 64)
 	if err != nil || value > limit {
-		f.fail("%q is no whole number up to %d", word, limit)
+		f.fail("%q is not a whole number from 0 to %d", word, limit)
 	}
 	return value
 }
 
-// signed takes a whole number that may be written as a float.
+// signed reads a whole number, which may be written as a float.
 func (f *fields) signed() int {
 	word := f.word()
 	if word == "" || f.err != nil {
@@ -75,12 +75,12 @@
 	}
 	value, err := strconv.ParseFloat(word, 64)
 	if err != nil || math.Abs(value) > maxSigned || value != math.Trunc(value) {
-		f.fail("%q is no whole number", word)
+		f.fail("%q is not a whole number", word)
 	}
 	return int(value)
 }
 
-// number takes a finite number.
+// number reads a finite number.
 func (f *fields) number() float64 {
 	word := f.word()
 	if word == "" || f.err != nil {
@@ -88,13 +88,12 @@
 	}
 	value, err := parseFinite(word)
 	if err != nil {
-		f.fail("%q is no number", word)
+		f.fail("%q is not a finite number", word)
 	}
 	return value
 }
 
-// parseFinite reads a number that is neither infinite nor NaN: with one of these the scheduler's sums would never
-// recover.
+// parseFinite parses a number and rejects infinity and NaN, which would corrupt the scheduler's sums permanently.
 func parseFinite(word string) (float64, error) {
 	value, err := strconv.ParseFloat(word, 64)
 	if err == nil && (math.IsNaN(value) || math.IsInf(value, 0)) {
@@ -103,12 +102,12 @@
 	return value, err
 }
 
-// duration takes a time or duration in microseconds.
+// duration reads a time or duration in microseconds.
 func (f *fields) duration() time.Duration {
 	return time.Duration(f.unsigned(math.MaxInt64/1000)) * time.Microsecond
 }
 
-// flag takes 0 or 1; an absent flag is false.
+// flag reads 0 or 1. An absent flag is false.
 func (f *fields) flag() bool {
 	word := f.word()
 	if word != flagFalse && word != flagTrue && word != "" {
@@ -117,16 +116,16 @@
 	return word == flagTrue
 }
 
-// bytes takes hexadecimal bytes.
+// bytes reads hexadecimal bytes.
 func (f *fields) bytes() []byte {
 	data, err := hex.DecodeString(f.word())
 	if err != nil {
-		f.fail("bytes: %w", err)
+		f.fail("decode bytes: %w", err)
 	}
 	return data
 }
 
-// loadReport takes a node's load report; what it does not hold stays unknown.
+// loadReport reads a node's load report. Values that the report does not contain stay unknown.
 func (f *fields) loadReport() scheduler.LoadReport {
 	load := scheduler.NoLoadReport
 	text := f.word()
@@ -137,7 +136,7 @@
 		key, word, _ := strings.Cut(pair, ":")
 		value, err := parseFinite(word)
 		if err != nil {
-			f.fail("%q is no load value", pair)
+			f.fail("%q is not a load value", pair)
 			return load
 		}
 		setLoad(&load, key, value)
@@ -162,7 +161,7 @@
 	}
 }
 
-// lookUp takes a word and returns its term in table.
+// lookUp reads a word and returns its value in table.
 func lookUp[T any](f *fields, table map[string]T) T {
 	word := f.word()
 	term, known := table[word]
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// maxLineBytes bounds one line of input. A START line holds a whole settings document; were the bound lower, a
-	// large site could not start, and without one a line that never ends would take all memory.
+	// maxLineBytes limits the length of an input line. A START line contains a whole settings document, so with a
+	// smaller limit a large site could not start. Without a limit, an endless line would exhaust the memory.
 	maxLineBytes = 64 << 20
-	// readBufferBytes is what a Reader begins with. A smaller buffer only grows more often.
+	// readBufferBytes is the initial size of a Reader's buffer. A smaller buffer would have to grow more often.
 	readBufferBytes = 64 << 10
-	// maxListNumber is the highest number of an endpoint list: the protocol has 16.
+	// maxListNumber is the highest number of an endpoint list. The protocol has 16 lists.
 	maxListNumber = 15
-	// maxListRows bounds the rows that a LIST line may announce.
+	// maxListRows limits the number of rows that a LIST line may announce.
 	maxListRows = 1 << 24
 )
 
-// Errors of malformed input that a caller may tell apart.
+// Errors of malformed input that callers can distinguish.
 var (
-	// ErrTruncated says that the input ended inside a batch.
+	// ErrTruncated reports that the input ended inside a batch.
 	ErrTruncated = errors.New("input ends inside a batch")
-	// ErrUnknownEvent says that a line begins with a word that is no event.
+	// ErrUnknownEvent reports a line whose first word is not an event of the protocol.
 	ErrUnknownEvent = errors.New("unknown event")
 )
 
-// LineError says in which line of the input a fault lies. Line counts from 1.
+// LineError is an error in one line of the input. Line counts from 1.
 type LineError struct {
 	Line int
 	Err  error
@@ -39,46 +39,47 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
-// Unwrap returns the fault itself.
+// Unwrap returns the underlying error.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Start says that an instance begins with nothing but its settings.
+// Start describes a new instance, which has no state other than its settings.
 type Start struct {
-	Seed     uint64 // of all the instance's random draws
+	Seed     uint64 // seed of all random draws of the instance
 	Settings scheduler.Settings
 }
 
 // Item is one event of a batch. Exactly one of Start, Killed and Event is set.
 type Item struct {
-	Line     int // line of the input, for messages
+	Line     int // number of the input line, for error messages
 	Instance string
 	Start    *Start
 	Killed   bool // the instance was killed
 	Event    scheduler.Event
 }
 
-// Batch is all that happened at one point of the simulated clock.
+// Batch contains all events of one point in simulated time.
 type Batch struct {
 	Now    scheduler.Time
 	Number uint64
 	Items  []Item
 }
 
-// Reader decodes batches.
+// Reader decodes batches from a stream.
 type Reader struct {
 	scanner *bufio.Scanner
-	line    int // number of the line read last
+	line    int // number of the last line read
 	lists   map[int][]scheduler.Endpoint
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that decodes the input r.
 func NewReader(r io.Reader) *Reader {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, readBufferBytes), maxLineBytes)
 	return &Reader{scanner: scanner, lists: map[int][]scheduler.Endpoint{}}
 }
 
-// Next returns the next batch, or io.EOF at the end of the input between batches. Any other error is a *LineError.
+// Next returns the next batch. It returns io.EOF if the input ends between two batches. Any other error is a
+// *LineError.
 func (r *Reader) Next() (*Batch, error) {
 	text, err := r.readLine()
 	if err != nil {
@@ -108,7 +109,7 @@
 	return "", io.EOF
 }
 
-// readBatch reads a batch of which the first line is text.
+// readBatch reads a batch whose first line is text.
 func (r *Reader) readBatch(text string) (*Batch, error) {
 	f := splitFields(text, batchStartFields)
 	if f.word() != batchStart {
@@ -142,7 +143,7 @@
 	}
 }
 
-// readList reads the rows of an endpoint list and keeps them under the list's number.
+// readList reads the rows of an endpoint list and stores the list under its number.
 func (r *Reader) readList(text string) error {
 	f := splitFields(text, listStartFields)
 	f.word()
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/scheduler"
 )
 
-// settings is a document with each kind of setting that reaches the scheduler.
+// settings is a settings document with each kind of setting that reaches the scheduler.
 const settings = `{"bounds":{"cancel":true,"maxAttempts":3,"maxRetryAfter":1000000,"peers":true,"novelty":4},` +
 	`"classes":[{"name":"put","aim":400000,"deadline":2000000,"effect":"keyed","keyScope":"cell","window":3000000,` +
 	`"importance":3,"byArrival":true}],"discovery":"subscribe","invariants":{"coldShare":0.2,"fall":2000000,` +
@@ -20,7 +20,7 @@
 	`"tolerance":8}],` +
 	`"specifics":{"youngLimit":70,"usualUnits":2,"maxUnits":8,"withinShare":0.3,"idleWorth":0.1},"zone":"a"}`
 
-// input is one batch with each event of the protocol.
+// input is one batch with every event of the protocol.
 const input = "FRAME 5000 3\n" +
 	"START gateway_1 77 " + settings + "\n" +
 	"LIST 2 2\n" +
@@ -38,7 +38,7 @@
 	"HALT gateway_1\n" +
 	"EOF_BATCH\n"
 
-// wantSettings is what the settings document means to the scheduler.
+// wantSettings returns the scheduler settings that the settings document describes.
 func wantSettings() scheduler.Settings {
 	return scheduler.Settings{
 		Brokers:        3,
@@ -81,7 +81,7 @@
 	}
 }
 
-// wantEvents are the events of input between the start and the end of the instance.
+// wantEvents returns the events of input between START and HALT.
 func wantEvents() []scheduler.Event {
 	serviceTime := scheduler.NoLoadReport
 	serviceTime.ServiceTime = 14500 * time.Microsecond
@@ -121,11 +121,11 @@
 		t.Fatal(err)
 	}
 	if batch.Now != 5*time.Millisecond || batch.Number != 3 || len(batch.Items) != 11 {
-		t.Fatalf("batch at %v, number %d, %d items", batch.Now, batch.Number, len(batch.Items))
+		t.Fatalf("batch %d at %v has %d items, want batch 3 at 5ms with 11", batch.Number, batch.Now, len(batch.Items))
 	}
 	start := batch.Items[0].Start
 	if start.Seed != 77 || !reflect.DeepEqual(start.Settings, wantSettings()) {
-		t.Errorf("settings are %+v", start.Settings)
+		t.Errorf("start is %+v, want seed 77 and settings %+v", start, wantSettings())
 	}
 	for i, event := range wantEvents() {
 		if got := batch.Items[i+1].Event; !reflect.DeepEqual(got, event) {
@@ -133,27 +133,27 @@
 		}
 	}
 	if !batch.Items[10].Killed {
-		t.Error("the end of the instance is missing")
+		t.Errorf("item 10 is %+v, want the kill of the instance", batch.Items[10])
 	}
 	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last batch: %v", err)
+		t.Errorf("error after the last batch is %v, want io.EOF", err)
 	}
 }
 
-// Whatever is malformed, the error names the line and what is wrong with it.
+// The error for malformed input names the line and the cause.
 func TestReaderRejectsMalformedInput(t *testing.T) {
 	tests := map[string]struct{ text, want string }{
 		"frame":      {"HELLO\n", "line 1"},
 		"event":      {"FRAME 1 1\nDANCE gateway_1\n", "unknown event"},
 		"count":      {"FRAME 1 1\nALARM gateway_1\n", "line 2: ALARM: want 3 fields"},
 		"extra":      {"FRAME 1 1\nALARM gateway_1 4 5\n", "want 3 fields"},
-		"number":     {"FRAME 1 1\nALARM gateway_1 x\n", "no whole number"},
-		"range":      {"FRAME 1 1\nTIMED_OUT_CLIENT gateway_1 9999999999999999\n", "no whole number"},
+		"number":     {"FRAME 1 1\nALARM gateway_1 x\n", "not a whole number"},
+		"range":      {"FRAME 1 1\nTIMED_OUT_CLIENT gateway_1 9999999999999999\n", "not a whole number"},
 		"json":       {"FRAME 1 1\nSTART gateway_1 1 {\"a\":\n", "settings"},
 		"short list": {"FRAME 1 1\nLIST 0 2\nM a z k 0 in_service 1 -\nEOF_BATCH\n", "want 2 rows"},
-		"no list":    {"FRAME 1 1\nMEMBERSHIP gateway_1 full 1 3\n", "never sent"},
+		"no list":    {"FRAME 1 1\nMEMBERSHIP gateway_1 full 1 3\n", "was not received"},
 		"outcome":    {"FRAME 1 1\nSAMPLED gateway_1 1 a maybe -\n", "unknown word"},
-		"load":       {"FRAME 1 1\nSAMPLED gateway_1 1 a success svc_ms:fast\n", "no load value"},
+		"load":       {"FRAME 1 1\nSAMPLED gateway_1 1 a success svc_ms:fast\n", "not a load value"},
 		"flag":       {"FRAME 1 1\nENDED gateway_1 1 0 a success 1 2 0 0 -\n", "neither 0 nor 1"},
 		"truncated":  {"FRAME 1 1\nALARM gateway_1 1\n", "ends inside"},
 	}
@@ -161,7 +161,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(test.text)).Next()
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "line ") {
-				t.Errorf("error is %v, want %q", err, test.want)
+				t.Errorf("error is %v, want one with a line number and %q", err, test.want)
 			}
 			var lineError *LineError
 			if !errors.As(err, &lineError) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// The reader ends on any input without a panic.
+// The reader returns an error or io.EOF for any input and does not panic.
 func FuzzReader(f *testing.F) {
 	f.Add(input)
 	f.Add("FRAME 1 1\nEOF_BATCH\n")
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -2,10 +2,10 @@
 
 import "junctionwharf/scheduler"
 
-// absent stands for a value that is not there, in both directions.
+// absent stands for a missing value, in both directions.
 const absent = "-"
 
-// Words that structure the input.
+// Words that delimit batches and endpoint lists in the input.
 const (
 	batchStart  = "FRAME"
 	batchEnd    = "EOF_BATCH"
@@ -13,10 +13,10 @@
 	endpointRow = "M"
 )
 
-// eventKind is the word that begins an event line.
+// eventKind is the first word of an event line.
 type eventKind string
 
-// Event lines, one instance each.
+// First words of event lines. Each event is for one instance.
 const (
 	instanceStarted   eventKind = "START"
 	instanceKilled    eventKind = "HALT"
@@ -30,7 +30,7 @@
 	responseStarted   eventKind = "HEADERS"
 )
 
-// eventFields is the number of fields of each event line, the event's word among them.
+// eventFields is the number of fields of each event line, including the first word.
 var eventFields = map[eventKind]int{
 	instanceStarted:   4,
 	instanceKilled:    2,
@@ -44,14 +44,15 @@
 	responseStarted:   6,
 }
 
-// Numbers of fields of the lines that are not events.
+// Field counts of the lines that are not events, including the first word.
 const (
 	batchStartFields  = 3
 	listStartFields   = 3
 	endpointRowFields = 8
 )
 
-// Words of the reply: one for each action of the scheduler, one for a failed instance, and the end of the reply.
+// Words of the reply: one for each action of the scheduler, the word for a failed instance, the word that ends the
+// reply, and the peer field that addresses all peers.
 const (
 	forwardAction     = "SUBMIT_TO"
 	rejectAction      = "TURN_AWAY"
@@ -75,7 +76,7 @@
 	flagTrue  = "1"
 )
 
-// Keys of a load report, "key:value" pairs separated by commas. Keys that are not listed here are ignored.
+// Keys of a load report, which is a list of "key:value" pairs separated by commas. Other keys are ignored.
 const (
 	loadInFlight    = "busy_reqs"
 	loadQueued      = "pending"
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -12,13 +12,14 @@
 	"junctionwharf/scheduler"
 )
 
-// writeBufferBytes is a Writer's buffer. Replies are flushed whole; a smaller buffer costs more writes a reply.
+// writeBufferBytes is the size of a Writer's buffer. Each reply is flushed once at its end. With a smaller buffer, a
+// reply takes more writes.
 const writeBufferBytes = 64 << 10
 
-// Writer encodes replies.
+// Writer encodes replies to batches.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, writeBufferBytes)} }
 
 // WriteAction writes one action of an instance.
@@ -30,19 +31,19 @@
 	return nil
 }
 
-// WriteFailure reports that an instance failed.
+// WriteFailure reports to the simulator that an instance failed.
 func (w *Writer) WriteFailure(instance, text string) error {
 	_, err := fmt.Fprintln(w.out, instanceFailed, instance, singleLine(text))
 	if err != nil {
-		return fmt.Errorf("write fatal: %w", err)
+		return fmt.Errorf("write failure of %s: %w", instance, err)
 	}
 	return nil
 }
 
-// EndReply closes the reply to a batch and flushes it.
+// EndReply ends the reply to the batch with this number and flushes the buffer.
 func (w *Writer) EndReply(number uint64) error {
 	if _, err := fmt.Fprintln(w.out, replyEnd, number); err != nil {
-		return fmt.Errorf("write reply: %w", err)
+		return fmt.Errorf("write end of reply: %w", err)
 	}
 	if err := w.out.Flush(); err != nil {
 		return fmt.Errorf("flush reply: %w", err)
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// encodeAction returns the line of an action, without its end.
+// encodeAction returns the line of an action without its line feed.
 func encodeAction(instance string, action scheduler.Action) string {
 	switch a := action.(type) {
 	case scheduler.Forward:
@@ -80,7 +81,7 @@
 	}
 }
 
-// encodeLine joins the parts of a line with one space each.
+// encodeLine joins the fields of a line with single spaces.
 func encodeLine(parts ...any) string {
 	return strings.TrimSuffix(fmt.Sprintln(parts...), "\n")
 }
@@ -106,7 +107,7 @@
 	return flagFalse
 }
 
-// encodeDuration returns microseconds; a duration that is not set is absent.
+// encodeDuration returns whole microseconds, or "-" for a duration that is not set.
 func encodeDuration(d time.Duration) string {
 	if d <= 0 {
 		return absent
@@ -114,7 +115,7 @@
 	return strconv.FormatInt(d.Microseconds(), 10)
 }
 
-// singleLine replaces control characters, which would end a line of the reply or garble it, by spaces.
+// singleLine replaces control characters by spaces. They would end or corrupt a line of the reply.
 func singleLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' {
--- a/internal/simwire/writer_test.go
+++ b/internal/simwire/writer_test.go
@@ -44,6 +44,6 @@
 	}
 	want += "FATAL g why not\nNEXT 9\n"
 	if got := out.String(); got != want {
-		t.Errorf("have %s\nwant %s", got, want)
+		t.Errorf("reply is:\n%swant:\n%s", got, want)
 	}
 }
