--- a/cmd/brokerbench/broker_process.go
+++ b/cmd/brokerbench/broker_process.go
@@ -15,12 +15,12 @@
 	"junctionwharf/internal/console"
 )
 
-// brokerProcess is a broker in a process of its own. One goroutine waits for its end, which is the process's.
+// brokerProcess is a broker that runs in its own process. One goroutine waits for the process and ends with it.
 type brokerProcess struct {
 	address string
 	console string
 	command *exec.Cmd
-	ended   chan error // receives the process's end, once
+	ended   chan error // receives the result of Wait, once
 }
 
 func startProcess(command *exec.Cmd, address, consoleAddress string) (*brokerProcess, error) {
@@ -33,7 +33,8 @@
 	return p, nil
 }
 
-// errorLines passes on what a broker logs of errors, and drops the rest: earlier versions have no flag for it.
+// errorLines writes a broker's error and panic lines to standard error and drops all other lines. It filters them here,
+// because earlier versions of the broker have no flag for the log level.
 type errorLines struct{}
 
 func (errorLines) Write(p []byte) (int, error) {
@@ -45,7 +46,7 @@
 	return len(p), nil
 }
 
-// metrics reads the broker's metrics from its console. A broker that is gone has none.
+// metrics reads the broker's metrics from its console. It returns an empty map if the broker does not answer.
 func (p *brokerProcess) metrics() map[string]float64 {
 	metrics := map[string]float64{}
 	text, _ := console.Call(p.console, "vars", 2*time.Second)
@@ -59,13 +60,13 @@
 	return metrics
 }
 
-// kill ends the process at once.
+// kill ends the process immediately.
 func (p *brokerProcess) kill() {
 	_ = p.command.Process.Kill()
 	<-p.ended //nolint:errcheck // killed on purpose: how it ended says nothing
 }
 
-// stop ends the process as the platform does, so that it exports its last interval.
+// stop ends the process with SIGTERM, as the platform does, so that the broker exports its last interval.
 func (p *brokerProcess) stop() error {
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -73,7 +74,7 @@
 	return <-p.ended
 }
 
-// peakKiB is the most memory the process held; it must have ended.
+// peakKiB returns the peak memory of the process in KiB. The process must have ended.
 func (p *brokerProcess) peakKiB() int64 {
 	if usage, ok := p.command.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		return usage.Maxrss
@@ -81,8 +82,8 @@
 	return 0
 }
 
-// freeAddress returns an address of loopback where nothing listens. Another process may take it before the caller does;
-// then the broker does not start and the measurement fails.
+// freeAddress returns a loopback address without a listener. If another process takes the address before the broker
+// does, the broker does not start and the measurement fails.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", loopback)
 	if err != nil {
@@ -92,12 +93,12 @@
 	return listener.Addr().String(), nil
 }
 
-// awaitServing waits until a broker answers clients, or has ended.
+// awaitServing waits until a broker answers clients. It returns an error if the broker ends first.
 func awaitServing(ctx context.Context, address string, ended <-chan error) error {
 	for !answersPing(address) {
 		select {
 		case err := <-ended:
-			return fmt.Errorf("the broker ended: %s", fmt.Sprint(err)) // nil where it ended by itself
+			return fmt.Errorf("broker ended before it served clients: %s", fmt.Sprint(err)) // err may be nil
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(5 * time.Millisecond):
--- a/cmd/brokerbench/capacity.go
+++ b/cmd/brokerbench/capacity.go
@@ -15,28 +15,28 @@
 )
 
 func capacityCommand() *cli.Command {
-	raw := &cli.StringFlag{Name: "raw", Value: "docs/measurements/capacity", Usage: "`FOLDER` of the raw runs"}
+	raw := &cli.StringFlag{Name: "raw", Value: "docs/measurements/capacity", Usage: "`FOLDER` with the raw runs"}
 	return &cli.Command{
 		Name:  "capacity",
-		Usage: "measure the control side of a fleet by role, and make the tables of docs/CAPACITY.md",
+		Usage: "measure the control-plane costs of a fleet by role, and make the tables of docs/CAPACITY.md",
 		Commands: []*cli.Command{
 			{
 				Name:  "run",
-				Usage: "play the cells of the grid that have no raw run yet, one at a time",
+				Usage: "run the cells of the grid that have no raw run yet, one at a time",
 				Flags: []cli.Flag{
 					raw,
 					&cli.StringFlag{
 						Name: "program", Value: "bin/junctionwharf",
-						Usage: "the broker; brokerbench stands beside it",
+						Usage: "the broker's program; brokerbench must be in the same folder",
 					},
-					&cli.StringSliceFlag{Name: "cell", Usage: "`NAME` of one cell; without it all"},
+					&cli.StringSliceFlag{Name: "cell", Usage: "`NAME` of a cell to run; default: all cells"},
 				},
 				Action: runCapacity,
 			},
 			connectionsCommand(),
 			{
 				Name:  "report",
-				Usage: "draw the slopes as an HTML page with plots beside it",
+				Usage: "write an HTML page of the costs over the number of brokers, with plots in the same folder",
 				Flags: []cli.Flag{
 					raw,
 					&cli.StringFlag{Name: "to", Value: "capacity.html", Usage: "`FILE` of the page"},
@@ -49,7 +49,7 @@
 				Flags: []cli.Flag{
 					raw,
 					&cli.StringFlag{Name: "page", Value: "docs/CAPACITY.md"},
-					&cli.BoolFlag{Name: "whole", Usage: "fail where a cell of the grid has no raw run"},
+					&cli.BoolFlag{Name: "whole", Usage: "fail if a cell of the grid has no raw run"},
 				},
 				Action: writeCapacity,
 			},
@@ -57,8 +57,8 @@
 	}
 }
 
-// runCapacity plays the cells that have no raw run. A cell has one from the moment its file exists, so that a long
-// measurement may be ended and begun again.
+// runCapacity runs the cells that have no raw run. A cell's file is written when its run has ended, so that a long
+// measurement can be interrupted and resumed.
 func runCapacity(ctx context.Context, cmd *cli.Command) error {
 	if err := os.MkdirAll(cmd.String("raw"), 0o755); err != nil {
 		return err
@@ -95,7 +95,7 @@
 		return err
 	}
 	if cmd.Bool("whole") && len(missing) > 0 {
-		return fmt.Errorf("%s: there is no run of it", missing[0])
+		return fmt.Errorf("%s: cell has no run", missing[0])
 	}
 	costs, err := capacity.LoadConnectionCosts(cmd.String("raw"))
 	if err != nil {
--- a/cmd/brokerbench/capacity_report.go
+++ b/cmd/brokerbench/capacity_report.go
@@ -20,14 +20,14 @@
 	"junctionwharf/internal/capacity"
 )
 
-// Ranges of the plots, in brokers.
+// Ranges of the plots. axisMin, axisMax, curveStart and curveEnd are numbers of brokers.
 const (
 	axisMin      = 50
 	axisMax      = 1000
-	curveStart   = 60  // below the smallest fleet that is run
-	curveEnd     = 930 // the planned size
-	curveStep    = 1.1 // times
-	smallestPlot = 1e-6
+	curveStart   = 60   // below the smallest measured fleet
+	curveEnd     = 930  // the planned size
+	curveStep    = 1.1  // factor between two points of a curve
+	smallestPlot = 1e-6 // minimum of a plotted value, since a logarithmic axis has no 0
 )
 
 //go:embed capacity.html.tmpl
@@ -36,16 +36,16 @@
 var capacityPage = template.Must(
 	template.New("capacity").Funcs(template.FuncMap{"name": curveName}).Parse(capacityPageText))
 
-// capacityReport is what the page shows.
+// capacityReport is the data of the page.
 type capacityReport struct {
 	Charts  []capacityChart
-	Missing []string // cells of the grid that have no run
+	Missing []string // cells of the grid without a run
 }
 
-// capacityChart is a measure with its plot.
+// capacityChart is a measure and its plot.
 type capacityChart struct {
 	capacity.Chart
-	Plot string // name of the plot's file
+	Plot string // name of the plot file
 }
 
 func curveName(c capacity.Curve) string {
@@ -55,7 +55,7 @@
 	return c.Role
 }
 
-// reportCapacity draws the slopes of the raw runs.
+// reportCapacity writes the page and the plots of the raw runs.
 func reportCapacity(_ context.Context, cmd *cli.Command) error {
 	runs, missing, err := capacity.Load(cmd.String("raw"))
 	if err != nil {
@@ -71,7 +71,7 @@
 		report.Charts = append(report.Charts, chart)
 	}
 	if len(report.Charts) == 0 {
-		return fmt.Errorf("%s: no runs", cmd.String("raw"))
+		return fmt.Errorf("%s: no runs found", cmd.String("raw"))
 	}
 	file, err := os.Create(page)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return errors.Join(capacityPage.Execute(file, report), file.Close())
 }
 
-// draw plots a measure over brokers on logarithmic axes: roles differ by a hundred times.
+// draw plots a measure over the number of brokers. Both axes are logarithmic, because roles differ by a factor of 100.
 func (c *capacityChart) draw(path string) error {
 	chart := plot.New()
 	chart.X.Label.Text = "brokers"
@@ -108,7 +108,7 @@
 	return chart.Save(20*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// addCurve adds the runs of a role as dots, and the law that fits them as a line.
+// addCurve adds the runs of a role as dots and the fitted law as a line.
 func addCurve(chart *plot.Plot, curve capacity.Curve, index int) error {
 	var dots plotter.XYs
 	for i := range curve.X {
@@ -125,7 +125,7 @@
 	return addFit(chart, curve, scatter.Color)
 }
 
-// addFit adds the line of a curve's law, where there is one.
+// addFit adds the line of a curve's fitted law, if there is one.
 func addFit(chart *plot.Plot, curve capacity.Curve, color color.Color) error {
 	var points plotter.XYs
 	for x := float64(curveStart); curve.Fit.Law != "" && x <= curveEnd; x *= curveStep {
--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	// connectionOpeners is how many connections are opened at a time. All must be open within a moment: a broker may
-	// end one that has said nothing for ten seconds.
+	// connectionOpeners is the number of connections that are opened concurrently. Opening all connections must be
+	// quick, because a broker may close a connection that has been silent for ten seconds.
 	connectionOpeners = 32
-	// loadConnections is the connections of the load beside the idle ones.
+	// loadConnections is the maximum number of connections of the load beside the idle connections.
 	loadConnections = 2000
-	// firstAnswerTimeout ends a measurement whose broker does not answer a connection's first request.
+	// firstAnswerTimeout limits the wait for the answer to a connection's first request. The measurement fails then.
 	firstAnswerTimeout = 5 * time.Second
 )
 
 func connectionsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "connections",
-		Usage: "measure one broker that holds many clients' connections, idle and under load",
+		Usage: "measure one broker with many client connections, idle and under load",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker"},
+			&cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker's program"},
 			&cli.StringFlag{
-				Name: "connections", Value: "500,1500,3550", Usage: "held open, each having had one request",
+				Name: "connections", Value: "500,1500,3550", Usage: "numbers of connections, idle after one request",
 			},
 			&cli.StringFlag{
-				Name: "rates", Value: "0,250,1075", Usage: "requests a second on connections beside them",
+				Name: "rates", Value: "0,250,1075", Usage: "rates of the load on other connections, requests a second",
 			},
 			&cli.DurationFlag{Name: "for", Value: 4 * time.Second, Usage: "length of a run"},
 			&cli.IntFlag{Name: "nodes", Value: 64},
 			&cli.IntFlag{Name: "volumes", Value: 2000},
-			&cli.FloatFlag{Name: "memory", Value: 256, Usage: "the broker's, MB"},
-			&cli.IntFlag{Name: "sockets", Value: 16384, Usage: "the broker's: a quarter of them may be idle"},
+			&cli.FloatFlag{Name: "memory", Value: 256, Usage: "the broker's memory limit, MB"},
+			&cli.IntFlag{Name: "sockets", Value: 16384, Usage: "the broker's socket limit; a quarter may be idle"},
 			&cli.StringFlag{
 				Name: "json", Value: "docs/measurements/capacity/connections.json",
 				Usage: "write all figures to `FILE`",
@@ -54,7 +54,7 @@
 	}
 }
 
-// parseNumbers reads numbers separated by commas.
+// parseNumbers parses numbers from 0 to 100000 that are separated by commas.
 func parseNumbers(text string) ([]float64, error) {
 	var numbers []float64
 	for part := range strings.SplitSeq(text, ",") {
@@ -88,7 +88,7 @@
 		for _, rate := range rates {
 			cost, err := bed.measureIdleConnections(ctx, cmd, int(count), rate)
 			if err != nil {
-				return fmt.Errorf("%.0f connections at %.0f a second: %w", count, rate, err)
+				return fmt.Errorf("%.0f connections at %.0f requests a second: %w", count, rate, err)
 			}
 			fmt.Printf("%d connections, %.0f a second: %d open at the end, %.1f MB, %.4f of a core, served %d of %d\n",
 				cost.Connections, cost.Rate, cost.Open, cost.MemoryMB, cost.CPU, cost.Served, cost.Sent)
@@ -98,7 +98,8 @@
 	return saveJSON(cmd, costs)
 }
 
-// measureIdleConnections has a new broker hold connections that had a request each, and meet a load on others.
+// measureIdleConnections starts a broker, opens connections that send one request each, and measures the broker while
+// other connections carry the load.
 func (b *testbed) measureIdleConnections(
 	ctx context.Context, cmd *cli.Command, count int, rate float64,
 ) (capacity.ConnectionCost, error) {
@@ -136,7 +137,7 @@
 	return cost, ctx.Err()
 }
 
-// loadBesideConnections sends the load of cost.Rate and records what came of it.
+// loadBesideConnections sends the load of cost.Rate and records its result in cost.
 func (b *testbed) loadBesideConnections(
 	ctx context.Context, cmd *cli.Command, process *brokerProcess, cost *capacity.ConnectionCost,
 ) error {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// sleep waits for a duration, or until ctx ends.
+// sleep waits for a duration, or returns an error when ctx ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -166,7 +167,7 @@
 	}
 }
 
-// openConnections fills conns, several at a time. The caller closes them, also after an error.
+// openConnections opens all connections of conns, several at a time. The caller closes them, also after an error.
 func openConnections(conns []net.Conn, address string, shards int) error {
 	results := make(chan error, connectionOpeners)
 	for first := range connectionOpeners {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// openConnection opens a connection and has it send one request.
+// openConnection opens a connection, sends one request and reads its answer.
 func openConnection(address string, number, shard int) (net.Conn, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -195,11 +196,11 @@
 	_ = conn.SetDeadline(time.Now().Add(firstAnswerTimeout))
 	key := fmt.Sprintf("%016x", number)
 	attributes := fmt.Sprintf("c=lesson-read,t=completo,d=750,volume=%s,units=1,shard=%d,hosts=1", key, shard)
-	// a failed write shows in the read
+	// the read fails if this write failed
 	_, _ = conn.Write(load.AppendCommand(nil, "BLK.READ", key, fmt.Sprintf("held-%d", number), attributes))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil && !strings.HasPrefix(line, "$") && !strings.HasPrefix(line, "-BUSY") {
-		err = fmt.Errorf("connection %d was answered %q", number, line)
+		err = fmt.Errorf("connection %d: unexpected answer %q", number, line)
 	}
 	if err != nil {
 		_ = conn.Close()
@@ -208,7 +209,7 @@
 	return conn, conn.SetDeadline(time.Time{})
 }
 
-// countOpen counts the connections that the broker has not ended: one that it ended reads an end of file.
+// countOpen counts the connections that the broker has not closed. A read from a closed connection returns io.EOF.
 func countOpen(conns []net.Conn) int {
 	open := 0
 	for _, conn := range conns {
--- a/cmd/brokerbench/curve.go
+++ b/cmd/brokerbench/curve.go
@@ -18,8 +18,8 @@
 func curveCommand() *cli.Command {
 	return &cli.Command{
 		Name: "curve",
-		Usage: "offer rising rates to brokers among stand-ins, version by version in turn, and say what was served, " +
-			"refused and lost",
+		Usage: "send rising rates to brokers in front of fake nodes, to each version in turn, and print how many " +
+			"requests were served, rejected and lost",
 		Flags: []cli.Flag{
 			versionsFlag(),
 			&cli.StringFlag{
@@ -28,17 +28,17 @@
 			&cli.DurationFlag{Name: "for", Value: 3 * time.Second, Usage: "length of a run"},
 			&cli.IntFlag{Name: "rounds", Value: 1},
 			&cli.IntFlag{Name: "nodes", Value: 64},
-			&cli.DurationFlag{Name: "unit", Value: 100 * time.Microsecond, Usage: "a node's time for a unit"},
-			&cli.IntFlag{Name: "cores", Value: 1, Usage: "the broker's"},
-			&cli.IntFlag{Name: "sockets", Value: 4096, Usage: "the broker's"},
-			&cli.FloatFlag{Name: "memory", Value: 128, Usage: "the broker's, MB"},
+			&cli.DurationFlag{Name: "unit", Value: 100 * time.Microsecond, Usage: "time of a node for one unit"},
+			&cli.IntFlag{Name: "cores", Value: 1, Usage: "the broker's cores"},
+			&cli.IntFlag{Name: "sockets", Value: 4096, Usage: "the broker's socket limit"},
+			&cli.FloatFlag{Name: "memory", Value: 128, Usage: "the broker's memory limit, MB"},
 			&cli.IntFlag{
 				Name: "connections", Value: 12000,
-				Usage: "the clients', at once; what would need more is counted as unsent",
+				Usage: "maximum of open client connections; a request that would need one more is unsent",
 			},
 			&cli.BoolFlag{
 				Name:  "bounded",
-				Usage: "clients wait for one of the connections instead, up to 2 s past their deadline",
+				Usage: "clients wait for a free connection instead, up to 2 s past their deadline",
 			},
 			&cli.IntFlag{Name: "volumes", Value: 2000},
 			&cli.UintFlag{Name: "seed", Value: 1},
@@ -48,31 +48,31 @@
 	}
 }
 
-// versionsFlag names the versions of the broker that are compared.
+// versionsFlag returns the flag for the versions of the broker to compare.
 func versionsFlag() cli.Flag {
 	return &cli.StringSliceFlag{
 		Name: "broker", Value: []string{"now=bin/junctionwharf"},
-		Usage: "`NAME=PROGRAM[:SITE]` of a version and its site file; may stand several times",
+		Usage: "`NAME=PROGRAM[:SITE]` of a version and its site file; may be repeated",
 	}
 }
 
-// version is one version of the broker.
+// version is a version of the broker to measure.
 type version struct {
 	name    string
 	program string
-	site    string // path of its site file, if any
+	site    string // path of the site file; empty for none
 }
 
 func parseVersion(text string) (version, error) {
 	name, rest, found := strings.Cut(text, "=")
 	if !found {
-		return version{}, fmt.Errorf("--broker: %q is no NAME=PROGRAM", text)
+		return version{}, fmt.Errorf("--broker: %q is not NAME=PROGRAM", text)
 	}
 	program, site, _ := strings.Cut(rest, ":")
 	return version{name: name, program: program, site: site}, nil
 }
 
-// curvePoint is what one broker made of one rate.
+// curvePoint is the result of one broker at one rate.
 type curvePoint struct {
 	Round       int     `json:"round"`
 	Broker      string  `json:"broker"`
@@ -88,10 +88,11 @@
 	P50         int64   `json:"p50_us"`
 	P99         int64   `json:"p99_us"`
 	RejectedP99 int64   `json:"busy_p99_us"`
-	// MaxSendLag is the latest that a client sent: beyond a few ms the clients, or their connections, were the limit.
+	// MaxSendLag is the longest delay of a request past its intended send time. If it exceeds a few ms, the clients or
+	// their connections were the limit, not the broker.
 	MaxSendLag int64 `json:"behind_us"`
 	PeakKB     int64 `json:"peak_kib"`
-	// RejectedAtAdmission are those of Busy that the broker rejected before it queued them, as it counts.
+	// RejectedAtAdmission is the part of Busy that the broker rejected before queueing, according to its metrics.
 	RejectedAtAdmission float64 `json:"door_refused"`
 	Dials               int     `json:"dials"`
 }
@@ -126,14 +127,14 @@
 	for part := range strings.SplitSeq(text, ",") {
 		rate, err := strconv.ParseFloat(part, 64)
 		if err != nil || !(rate > 0) {
-			return nil, fmt.Errorf("--rates: %q is no rate", part)
+			return nil, fmt.Errorf("--rates: %q is not a rate above 0", part)
 		}
 		rates = append(rates, rate)
 	}
 	return rates, nil
 }
 
-// playCurve plays the versions in turn at each rate: what the machine does beside them meets all versions alike.
+// playCurve measures the versions in turn at each rate, so that other load on the machine affects all versions alike.
 func (b *testbed) playCurve(ctx context.Context, cmd *cli.Command, rates []float64) ([]curvePoint, error) {
 	var points []curvePoint
 	versions := cmd.StringSlice("broker")
@@ -161,7 +162,7 @@
 	return points, nil
 }
 
-// playRate has a new broker meet one rate.
+// playRate starts a broker and sends it the load of one rate.
 func (b *testbed) playRate(ctx context.Context, cmd *cli.Command, rate float64, seed uint64) (curvePoint, error) {
 	process, err := b.startBroker(ctx, noMetrics)
 	if err != nil {
--- a/cmd/brokerbench/dashboard.go
+++ b/cmd/brokerbench/dashboard.go
@@ -19,11 +19,11 @@
 func dashboardCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dashboard",
-		Usage: "print a dashboard for Graphite's web application, by the paths that a broker tells",
+		Usage: "print a dashboard for Graphite's web application, with the series that a broker exports",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "prefix", Value: "junctionwharf", Usage: "graphite.prefix of the site file"},
-			&cli.StringFlag{Name: "broker", Value: "*", Usage: "a broker's name; * for all"},
-			&cli.IntFlag{Name: "top", Value: 10, Usage: "volumes and nodes shown"},
+			&cli.StringFlag{Name: "broker", Value: "*", Usage: "name of a broker; * for all"},
+			&cli.IntFlag{Name: "top", Value: 10, Usage: "number of volumes and nodes to show"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			return writeDashboard(os.Stdout, cmd.String("prefix"), cmd.String("broker"), cmd.Int("top"))
@@ -34,7 +34,7 @@
 //go:embed dashboard.json.tmpl
 var dashboardText string
 
-// graph is one picture: its title and what it draws.
+// graph is one graph of the dashboard: its title and its Graphite expressions.
 type graph struct {
 	Title   string
 	Targets []string
@@ -50,13 +50,13 @@
 	},
 }).Parse(dashboardText))
 
-// dashboardData is what the template shows.
+// dashboardData is the data of the template.
 type dashboardData struct {
 	Name   string
 	Graphs []graph
 }
 
-// writeDashboard writes the dashboard of one broker, or of all for "*".
+// writeDashboard writes the dashboard of one broker, or of all brokers for "*".
 func writeDashboard(w io.Writer, prefix, broker string, top int) error {
 	if err := graphite.CheckPrefix(prefix); err != nil {
 		return fmt.Errorf("--prefix: %w", err)
@@ -73,34 +73,36 @@
 	})
 }
 
-// targets builds expressions of Graphite over the series below root.
+// targets builds Graphite expressions over the series below root.
 type targets struct {
 	root string
-	top  int // series that a ranking shows
+	top  int // number of series in a ranking
 }
 
-// series is a path below the root.
+// series returns the full path of a series below root.
 func (t targets) series(path string) string { return t.root + "." + path }
 
-// rate is a counter's increase a second.
+// rate returns the expression for a counter's increase per second.
 func (t targets) rate(path string) string { return "perSecond(" + t.series(path) + ")" }
 
-// nameIndex is the index in a path of the name of a class, plan, volume or node: behind the root and the dimension.
+// nameIndex returns the index of the path segment with the name of a class, plan, volume or node. The segment follows
+// root and the dimension.
 func (t targets) nameIndex() int { return strings.Count(t.root, ".") + 2 }
 
-// highestRates ranks the names of a dimension by the rate of a counter.
+// highestRates returns the expression for the names of a dimension with the highest rates of a counter.
 func (t targets) highestRates(dimension, counter string) string {
 	counters := t.rate(dimension + ".*." + counter)
 	return fmt.Sprintf("highestAverage(groupByNode(%s,%d,'sum'),%d)", counters, t.nameIndex(), t.top)
 }
 
-// highestMaxima ranks the names of a dimension by the largest value of a figure.
+// highestMaxima returns the expression for the names of a dimension with the largest values of a figure.
 func (t targets) highestMaxima(dimension, figure string) string {
 	figures := t.series(dimension + ".*." + figure)
 	return fmt.Sprintf("highestMax(groupByNode(%s,%d,'max'),%d)", figures, t.nameIndex(), t.top)
 }
 
-// dashboardGraphs are the graphs in the order of an on-call engineer's questions: is something wrong, for whom, where.
+// dashboardGraphs returns the graphs in the order of an on-call engineer's questions: whether there is a problem, whom
+// it affects and where it is.
 func dashboardGraphs(t targets) []graph {
 	return []graph{
 		{"Requests a second, by end", []string{
--- a/cmd/brokerbench/dashboard_test.go
+++ b/cmd/brokerbench/dashboard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The dashboard is JSON that Graphite's web application takes: a name, and graphs of three parts each.
+// The dashboard is JSON in the format of Graphite's web application: a name, and graphs of three elements each.
 func TestDashboard(t *testing.T) {
 	var text bytes.Buffer
 	if err := writeDashboard(&text, "a.b", "n1", 5); err != nil {
@@ -21,10 +21,10 @@
 		t.Fatal(err)
 	}
 	if dashboard.Name == "" || len(dashboard.Graphs) < 10 || len(dashboard.Graphs[0]) != 3 {
-		t.Errorf("%s", text.String())
+		t.Errorf("dashboard has no name, fewer than 10 graphs, or a graph without 3 elements: %s", text.String())
 	}
 	if !strings.Contains(text.String(), "a.b.n1.volume.*.units_milli),4,") {
-		t.Errorf("no volumes by their name, the fifth part of the path: %s", text.String())
+		t.Errorf("volumes are not grouped by their name, the fifth segment of the path: %s", text.String())
 	}
 }
 
--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	// demoSlots and demoQueue are the commands that a node of the demonstration works on and queues: few, so that it
-	// rejects some.
+	// demoSlots and demoQueue are the numbers of commands that a node of the demo executes and queues. They are small,
+	// so that nodes reject some requests.
 	demoSlots = 2
 	demoQueue = 30
-	// demoStall is how long each node stalls once, so that there are timeouts and retries to see.
+	// demoStall is how long each node stalls, once. The stalls cause timeouts and retries.
 	demoStall = 150 * time.Millisecond
-	// demoConnections is the clients' connections: more than the default rate needs at once.
+	// demoConnections is the maximum number of client connections, more than the default rate needs at a time.
 	demoConnections = 256
-	// demoSeries begins the series of the demonstration's broker.
+	// demoSeries is the prefix of the series of the demo's broker.
 	demoSeries = "wharf.demo."
 )
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "start stand-ins and a broker on loopback, send a mixed load and say what became of it",
+		Usage: "start fakes and a broker on loopback, send a mixed load and print its result",
 		Flags: []cli.Flag{
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "length of the load"},
 			&cli.FloatFlag{Name: "rate", Value: 120, Usage: "requests a second"},
@@ -75,7 +75,7 @@
 	return printNodes(os.Stdout, d.carbon, result)
 }
 
-// demo is the fakes that the demonstration's broker stands among. close ends them.
+// demo owns the fakes that the demo's broker connects to. close ends them.
 type demo struct {
 	carbon    *fakes.Carbon
 	nodes     []*fakes.Node
@@ -109,7 +109,7 @@
 	return d, err
 }
 
-// demoCost is the time of a node's slot for a command.
+// demoCost returns how long a command occupies a slot of a node.
 func demoCost(units float64) time.Duration {
 	return time.Duration((4 + 6*units) * float64(time.Millisecond))
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// brokerConfig is the configuration of a broker among the fakes.
+// brokerConfig returns the configuration of a broker that uses the fakes.
 func (d *demo) brokerConfig() (*config.Config, error) {
 	address, err := freeAddress()
 	if err != nil {
@@ -176,14 +176,14 @@
 	}, nil
 }
 
-// serveLoad runs a broker in this process while it meets a load. The broker has ended when it returns without an error,
+// serveLoad runs a broker in this process and sends it a load. When it returns without an error, the broker has ended
 // and has exported its last interval.
 func serveLoad(ctx context.Context, c *config.Config, traffic load.Traffic) (*load.Result, error) {
 	log, err := logging.New(os.Stderr, logging.Options{Name: c.Name, Color: logging.IsTerminal(os.Stderr)})
 	if err != nil {
 		return nil, err
 	}
-	// not of ctx: the broker ends after the load, also when ctx ends first
+	// not derived from ctx: the broker ends after the load, even if ctx ends first
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	ended := make(chan error, 1)
@@ -210,10 +210,11 @@
 	return result, nil
 }
 
-// printNodes prints what the broker exported of each node, and whether that adds up to what clients saw.
+// printNodes prints the metrics that the broker exported for each node, and whether the served requests of all nodes
+// equal those of the clients.
 func printNodes(w io.Writer, carbon *fakes.Carbon, result *load.Result) error {
 	latest := carbon.Latest()
-	_, _ = fmt.Fprintln(w, "\nby node, as the broker told its stand-in of Graphite:")
+	_, _ = fmt.Fprintln(w, "\nby node, as the broker exported it to the fake Graphite:")
 	table := newTable(w)
 	_, _ = fmt.Fprintln(table, "\tattempts\tsuccess\ttimed out\tturned away\tserved\tp99 ms at the node, last second\t")
 	served := 0.0
@@ -228,17 +229,17 @@
 		return err
 	}
 	if faults := carbon.Errors(); len(faults) > 0 {
-		return fmt.Errorf("the stand-in could not read: %s", faults[0])
+		return fmt.Errorf("fake Graphite could not parse its input: %s", faults[0])
 	}
-	verdict := "as many as clients got"
+	verdict := "as many as clients received"
 	if got := result.All.Counts[load.Served]; served != float64(got) {
-		verdict = fmt.Sprintf("but clients got %d", got)
+		verdict = fmt.Sprintf("but clients received %d", got)
 	}
-	_, err := fmt.Fprintf(w, "%.0f served over all nodes, %s\n", served, verdict)
+	_, err := fmt.Fprintf(w, "%.0f requests served by all nodes, %s\n", served, verdict)
 	return err
 }
 
-// exportedNodes returns the names of the nodes that have series, in order.
+// exportedNodes returns the sorted names of the nodes that have series.
 func exportedNodes(latest map[string]fakes.Point) []string {
 	var names []string
 	for series := range latest {
--- a/cmd/brokerbench/disconnects.go
+++ b/cmd/brokerbench/disconnects.go
@@ -20,29 +20,30 @@
 )
 
 const (
-	// lateLimit is the time after a disconnect from which a forwarded request counts as late by itself.
+	// lateLimit is the delay after a client's disconnect above which a forwarded request is counted separately.
 	lateLimit = 100 * time.Millisecond
-	// maxDisconnectDelay is the latest disconnect, in times of a node's answer: some clients leave while their request
-	// is queued, some while it is at the node, some after the answer.
+	// maxDisconnectDelay is the latest disconnect, in multiples of a node's answer time. Some clients disconnect while
+	// their request is queued, some while it is at the node, and some after the answer.
 	maxDisconnectDelay = 10
 	// settleTime is longer than any request's deadline.
 	settleTime = time.Second
-	// backgroundLength is longer than a measurement takes; it ends the load beside it.
+	// backgroundLength is the maximum length of the background load, longer than a measurement takes.
 	backgroundLength = 5 * time.Minute
-	// backgroundConnections is its connections; with fewer the clients, not the broker, would be the limit.
+	// backgroundConnections is the maximum number of connections of the background load. With fewer connections, the
+	// clients would be the limit, not the broker.
 	backgroundConnections = 1000
 )
 
 func disconnectsCommand() *cli.Command {
 	return &cli.Command{
 		Name: "leavers",
-		Usage: "have clients leave at any moment of their requests, with the broker idle and kept busy, and say how " +
-			"late a node still got one",
+		Usage: "disconnect clients at random times during their requests, from an idle and from a busy broker, and " +
+			"print how late a node still received such a request",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker"},
-			&cli.IntFlag{Name: "leavers", Value: 4000, Usage: "of each kind, 1 to 100000"},
-			&cli.IntFlag{Name: "at-once", Value: 100, Usage: "leavers at a time, 1 to 1000"},
-			&cli.DurationFlag{Name: "answer", Value: 20 * time.Millisecond, Usage: "a node's time for a request"},
+			&cli.StringFlag{Name: "program", Value: "bin/junctionwharf", Usage: "the broker's program"},
+			&cli.IntFlag{Name: "leavers", Value: 4000, Usage: "clients for each of the two runs, 1 to 100000"},
+			&cli.IntFlag{Name: "at-once", Value: 100, Usage: "clients at a time, 1 to 1000"},
+			&cli.DurationFlag{Name: "answer", Value: 20 * time.Millisecond, Usage: "answer time of a node"},
 			&cli.FloatFlag{Name: "rate", Value: 12000, Usage: "requests a second that keep the broker busy"},
 			&cli.UintFlag{Name: "seed", Value: 1},
 		},
@@ -83,16 +84,16 @@
 	return table.Flush()
 }
 
-// disconnectRecorder is a node that records when requests came, and clients that record when they disconnected.
+// disconnectRecorder records when its fake node received requests, and when its clients disconnected.
 type disconnectRecorder struct {
 	answerTime time.Duration // of the node
 
 	mu             sync.Mutex
-	disconnectedAt map[string]time.Time // by request, just before its client closed the connection
-	receivedAt     map[string]time.Time // when its last byte came to the node
+	disconnectedAt map[string]time.Time // by request ID, just before the client closed its connection
+	receivedAt     map[string]time.Time // by request ID, when the node received the last byte
 }
 
-// serveNode answers requests one at a time, each after answerTime, until the connection ends.
+// serveNode answers the requests of a connection one at a time, each after answerTime, until the connection ends.
 func (r *disconnectRecorder) serveNode(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := redcon.NewReader(conn)
@@ -109,7 +110,8 @@
 	}
 }
 
-// disconnect sends a request and closes the connection after delay, whether or not the answer has come.
+// disconnect sends a request and closes the connection after delay, with or without an answer. If reset is set, the
+// connection ends with a TCP reset.
 func (r *disconnectRecorder) disconnect(address, id string, delay time.Duration, reset bool) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -130,8 +132,8 @@
 	return conn.Close()
 }
 
-// late returns, in order, how long after its client's disconnect each late request came to the node, and the number of
-// requests that came before.
+// late returns the sorted delays from a client's disconnect until the node received its request, and the number of
+// requests that the node received before the disconnect.
 func (r *disconnectRecorder) late() (late []time.Duration, before int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +151,8 @@
 	return late, before
 }
 
-// playDisconnects has clients disconnect from a new broker, which meets a load beside them if busy.
+// playDisconnects starts a broker and runs the clients that disconnect. If busy is set, a background load runs beside
+// them.
 func playDisconnects(ctx context.Context, cmd *cli.Command, busy bool) (late []time.Duration, before int, err error) {
 	recorder := &disconnectRecorder{
 		answerTime:     cmd.Duration("answer"),
@@ -167,7 +170,7 @@
 		return nil, 0, err
 	}
 	defer bed.close()
-	// the recording node takes the place of node-0, the replica of shard 0
+	// the recording node replaces node-0, the replica of shard 0
 	bed.discovery.Change(
 		fakes.Endpoint{Name: "node-0", Health: "DELETED"},
 		fakes.Endpoint{Name: "leavers", Address: listener.Addr().String(), Health: "SERVING", Share: 1})
@@ -194,7 +197,7 @@
 	return late, before, clientError
 }
 
-// acceptAll serves each connection in a goroutine of its own until the listener is closed.
+// acceptAll serves each connection in its own goroutine until the listener is closed.
 func acceptAll(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -205,7 +208,7 @@
 	}
 }
 
-// backgroundLoad keeps a broker busy until ctx ends.
+// backgroundLoad sends a load that keeps a broker busy until ctx ends.
 func backgroundLoad(ctx context.Context, cmd *cli.Command, address string) error {
 	traffic := load.Traffic{
 		Classes:  []load.RequestClass{{Name: "lesson-read", Share: 1, Deadline: 750 * time.Millisecond}},
@@ -225,7 +228,7 @@
 	return err
 }
 
-// runClients has all clients disconnect, several at a time, and returns an error of one of them.
+// runClients runs all clients, several at a time, and returns the error of one of them if any fails.
 func (r *disconnectRecorder) runClients(ctx context.Context, cmd *cli.Command, address string) error {
 	count := cmd.Int("leavers")
 	atOnce := cmd.Int("at-once")
--- a/cmd/brokerbench/dns.go
+++ b/cmd/brokerbench/dns.go
@@ -18,7 +18,7 @@
 func dnsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "dns",
-		Usage: "serve SRV records from a script, for trying things by hand",
+		Usage: "serve SRV records from a script, for manual tests",
 		Description: "A script is read from standard input, a line at a time:\n" +
 			"  set SERVICE TTL [TARGET,PORT,PRIORITY,WEIGHT,ADDRESS,TEXT ...]   " +
 			"list these records (TEXT may be empty)\n" +
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// dnsFaults are the faults of a script's command play.
+// dnsFaults maps the arguments of the script command play to faults.
 var dnsFaults = map[string]fakes.DNSFault{
 	"honest":    fakes.NoDNSFault,
 	"silent":    fakes.NoAnswer,
@@ -65,7 +65,7 @@
 	"third":     fakes.EveryThird,
 }
 
-// runDNSScript carries out a script's lines; an error names the line.
+// runDNSScript executes a script line by line. An error names the line.
 func runDNSScript(ctx context.Context, server *fakes.DNS, script io.Reader) error {
 	lines := bufio.NewScanner(script)
 	for number := 1; lines.Scan(); number++ {
@@ -87,7 +87,7 @@
 	case words[0] == "play" && len(words) == 2:
 		fault, known := dnsFaults[words[1]]
 		if !known {
-			return fmt.Errorf("%q is no trick", words[1])
+			return fmt.Errorf("%q is not a known fault", words[1])
 		}
 		server.SetFault(fault)
 		return nil
@@ -97,19 +97,19 @@
 	case words[0] == "wait" && len(words) == 2:
 		seconds, err := strconv.ParseFloat(words[1], 64)
 		if err != nil || !(seconds >= 0) {
-			return fmt.Errorf("%q is no time", words[1])
+			return fmt.Errorf("%q is not a number of seconds, 0 or above", words[1])
 		}
-		_ = sleep(ctx, time.Duration(seconds*float64(time.Second))) // the end of ctx ends the command, without an error
+		_ = sleep(ctx, time.Duration(seconds*float64(time.Second))) // when ctx ends, the command ends without an error
 		return nil
 	}
-	return fmt.Errorf("%q is no command", strings.Join(words, " "))
+	return fmt.Errorf("%q is not a valid command", strings.Join(words, " "))
 }
 
-// setRecords lists the records of a service.
+// setRecords replaces the records of a service.
 func setRecords(server *fakes.DNS, service, lifetime string, records []string) error {
 	ttl, err := strconv.ParseUint(lifetime, 10, 32)
 	if err != nil {
-		return fmt.Errorf("%q is no lifetime", lifetime)
+		return fmt.Errorf("%q is not a TTL in seconds", lifetime)
 	}
 	var names []fakes.SRVRecord
 	for _, record := range records {
@@ -123,17 +123,17 @@
 	return nil
 }
 
-// parseRecord reads TARGET,PORT,PRIORITY,WEIGHT,ADDRESS[,TEXT]; a plus sign in TEXT stands for a space.
+// parseRecord parses TARGET,PORT,PRIORITY,WEIGHT,ADDRESS[,TEXT]. A plus sign in TEXT stands for a space.
 func parseRecord(record string) (fakes.SRVRecord, error) {
 	parts := strings.SplitN(record, ",", 6)
 	if len(parts) < 5 {
-		return fakes.SRVRecord{}, fmt.Errorf("%q is no record", record)
+		return fakes.SRVRecord{}, fmt.Errorf("%q is not TARGET,PORT,PRIORITY,WEIGHT,ADDRESS[,TEXT]", record)
 	}
 	var numbers [3]uint16
 	for i := range numbers {
 		number, err := strconv.ParseUint(parts[1+i], 10, 16)
 		if err != nil {
-			return fakes.SRVRecord{}, fmt.Errorf("%q: %q is no number", record, parts[1+i])
+			return fakes.SRVRecord{}, fmt.Errorf("%q: %q is not a number from 0 to 65535", record, parts[1+i])
 		}
 		numbers[i] = uint16(number)
 	}
--- a/cmd/brokerbench/drains.go
+++ b/cmd/brokerbench/drains.go
@@ -22,36 +22,36 @@
 const (
 	// drainService is the name that the measured resolver polls.
 	drainService = "_resp._tcp.storage.example.org"
-	// maxRemovalPause is the longest time between two removals: well below a lifetime, so that they fall at any moment
-	// between two polls.
+	// maxRemovalPause is the longest time between two removals. It is well below the TTL of the records, so that
+	// removals happen at arbitrary times between two polls.
 	maxRemovalPause = 40 * time.Millisecond
-	// removalTimeout is how long the last removals may take to be noticed.
+	// removalTimeout limits the wait until the core is notified of the last removals.
 	removalTimeout = 10 * time.Second
-	// removalSeed sets these draws apart from those of other commands with the same seed.
+	// removalSeed separates these draws from those of other commands with the same seed.
 	removalSeed = 0xd
 )
 
 func drainsCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "drains",
-		Usage: "measure how long it takes from a node's removal from DNS until the core is told",
+		Usage: "measure the time from a node's removal from DNS until the core is notified",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "removals", Value: 1000},
 			&cli.IntFlag{Name: "nodes", Value: 200},
-			&cli.UintFlag{Name: "ttl", Value: 1, Usage: "of the records, s"},
+			&cli.UintFlag{Name: "ttl", Value: 1, Usage: "TTL of the records, s"},
 			&cli.UintFlag{Name: "seed", Value: 1},
 		},
 		Action: measureDrains,
 	}
 }
 
-// measureDrains replaces one node at a time, at random times, and waits until the core is notified that it is gone.
+// measureDrains replaces one node at a time, at random times, and measures when the core is notified of each removal.
 func measureDrains(ctx context.Context, cmd *cli.Command) error {
 	nodes := cmd.Int("nodes")
 	removals := cmd.Int("removals")
 	ttl := uint32(cmd.Uint("ttl"))
 	if nodes < 10 || nodes > 250 || removals < 1 {
-		return errors.New("nodes must lie within 10 and 250, removals above 0")
+		return errors.New("--nodes must be from 10 to 250 and --removals at least 1")
 	}
 	server, err := fakes.NewDNS(loopback)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return m.print(removals, nodes)
 }
 
-// dnsMembership polls the service at one resolver.
+// dnsMembership returns a configuration that polls the service at one resolver.
 func dnsMembership(resolver string) config.Membership {
 	shard := 0
 	return config.Membership{Sources: []config.EndpointSource{{
@@ -95,20 +95,20 @@
 	}}}
 }
 
-// drainMeasurement changes the DNS zone and observes what the core is notified of.
+// drainMeasurement changes the DNS zone and records the notifications that the core would receive.
 type drainMeasurement struct {
 	server *fakes.DNS
 	ttl    uint32
-	listed chan struct{} // receives after the first list
+	listed chan struct{} // receives a value after the first endpoint list
 
 	mu        sync.Mutex
 	zone      []fakes.SRVRecord
-	created   int                  // nodes so far, for their names
-	removedAt map[string]time.Time // of the nodes whose removal the core does not know yet
+	created   int                  // number of nodes so far, for unique names
+	removedAt map[string]time.Time // by node, for removals that the core is not yet notified of
 	delays    []time.Duration
 }
 
-// addNodes fills the zone.
+// addNodes adds nodes to the zone.
 func (m *drainMeasurement) addNodes(count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +118,7 @@
 	m.server.Set(drainService, m.ttl, m.zone...)
 }
 
-// newNode returns a node with a name and address of its own, with m.mu held.
+// newNode returns a node with a unique name and address. The caller holds m.mu.
 func (m *drainMeasurement) newNode() fakes.SRVRecord {
 	m.created++
 	n := m.created
@@ -138,7 +138,7 @@
 	m.server.Set(drainService, m.ttl, m.zone...)
 }
 
-// observe stands in for the core.
+// observe receives the notifications in place of the core.
 func (m *drainMeasurement) observe(event broker.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// awaitRemovals waits until the core knows of all removals, or removalTimeout has passed.
+// awaitRemovals waits until the core is notified of all removals, or until removalTimeout has passed.
 func (m *drainMeasurement) awaitRemovals() {
 	for end := time.Now().Add(removalTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		m.mu.Lock()
@@ -171,15 +171,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.delays) == 0 {
-		return errors.New("no removal was told")
+		return errors.New("the core was notified of no removal")
 	}
 	slices.Sort(m.delays)
 	last := len(m.delays) - 1
 	quantile := func(q float64) time.Duration {
 		return m.delays[min(last, int(q*float64(len(m.delays))))].Round(time.Millisecond)
 	}
-	_, err := fmt.Printf("%d of %d removals told, of %d nodes with a lifetime of %d s: "+
-		"p50 %v, p99 %v, largest %v after the zone changed\n",
+	_, err := fmt.Printf("core notified of %d of %d removals, with %d nodes and a TTL of %d s: "+
+		"p50 %v, p99 %v, maximum %v after the zone change\n",
 		len(m.delays), removals, nodes, m.ttl, quantile(0.5), quantile(0.99), m.delays[last].Round(time.Millisecond))
 	return err
 }
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -35,7 +35,7 @@
 func (w *Writer) WriteFailure(instance, text string) error {
 	_, err := fmt.Fprintln(w.out, instanceFailed, instance, singleLine(text))
 	if err != nil {
-		return fmt.Errorf("write failure of %s: %w", instance, err)
+		return fmt.Errorf("write FATAL line: %w", err)
 	}
 	return nil
 }
