--- a/cmd/brokerbench/fleet.go
+++ b/cmd/brokerbench/fleet.go
@@ -13,35 +13,35 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// fleetStartTimeout is how long all brokers of a scenario may take to start.
+// fleetStartTimeout limits how long all brokers of a scenario together may take to start.
 const fleetStartTimeout = 60 * time.Second
 
 func fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name: "fleet",
-		Usage: "run many brokers as processes among stand-ins, with faults between them, and check the rules; " +
+		Usage: "run many broker processes among fakes, inject faults and check the rules; " +
 			"docs/fleetharness.md",
 		Commands: []*cli.Command{
 			{
 				Name:      "run",
-				Usage:     "play a scenario, version by version in turn",
+				Usage:     "run a scenario with each version in turn",
 				ArgsUsage: "SCENARIO.toml ...",
 				Flags: []cli.Flag{
 					versionsFlag(),
-					&cli.UintFlag{Name: "seed", Usage: "instead of the scenario's"},
-					&cli.IntFlag{Name: "rounds", Value: 1, Usage: "with seeds that follow each other"},
-					&cli.IntFlag{Name: "stories", Usage: "tell so many requests of each ending other than served"},
+					&cli.UintFlag{Name: "seed", Usage: "seed in place of the scenario's"},
+					&cli.IntFlag{Name: "rounds", Value: 1, Usage: "number of rounds; each adds 1 to the seed"},
+					&cli.IntFlag{Name: "stories", Usage: "print this many requests of each outcome other than served"},
 					&cli.StringFlag{Name: "json", Usage: "write all figures to `FILE`"},
 				},
 				Action: runFleet,
 			},
 			{
 				Name:      "report",
-				Usage:     "make a page of figures that run wrote",
+				Usage:     "write an HTML page from the figures of runs",
 				ArgsUsage: "FIGURES.json",
 				Flags: []cli.Flag{
 					&cli.StringFlag{
-						Name: "to", Value: "fleet.html", Usage: "the page's `FILE`; plots lie beside it",
+						Name: "to", Value: "fleet.html", Usage: "`FILE` of the page; plots go into the same folder",
 					},
 				},
 				Action: reportFleet,
@@ -50,7 +50,7 @@
 	}
 }
 
-// fleetRun is one run of one version.
+// fleetRun is the report of one run with one version.
 type fleetRun struct {
 	Version string `json:"version"`
 	*fleetharness.Report
@@ -58,7 +58,7 @@
 
 func runFleet(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
-		return errors.New("no scenario")
+		return errors.New("no scenario file given")
 	}
 	var runs []fleetRun
 	for _, path := range cmd.Args().Slice() {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// playVersions plays a scenario with each version in turn and prints the reports.
+// playVersions runs a scenario with each version in turn and prints the reports.
 func playVersions(
 	ctx context.Context, cmd *cli.Command, path string, scenario *fleetharness.Scenario,
 ) ([]fleetRun, error) {
@@ -119,7 +119,7 @@
 	return runs, nil
 }
 
-// playFleet plays a scenario once. It prints so many requests of each outcome other than served.
+// playFleet runs a scenario once. It prints up to unserved requests of each outcome other than served.
 func playFleet(
 	ctx context.Context, program string, scenario *fleetharness.Scenario, unserved int,
 ) (*fleetharness.Report, error) {
@@ -140,7 +140,7 @@
 	return report, err
 }
 
-// readRuns reads the file of figures that a run wrote.
+// readRuns reads a file of figures that the run command wrote.
 func readRuns(path string) ([]fleetRun, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/brokerbench/fleet_print.go
+++ b/cmd/brokerbench/fleet_print.go
@@ -8,18 +8,18 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// maxPrintedViolations bounds the violations that are printed: the first say what went wrong, and one fault may cause
-// thousands.
+// maxPrintedViolations limits the number of printed violations. One fault may cause thousands of them, and the first
+// ones show the cause.
 const maxPrintedViolations = 5
 
-// printFleet prints the report of a run. Errors of writing to a terminal are of no use to anyone.
+// printFleet prints the report of a run. It ignores write errors, which cannot be handled usefully for a terminal.
 func printFleet(w io.Writer, version string, r *fleetharness.Report) {
-	_, _ = fmt.Fprintf(w, "%s, %s, seed %d: %d brokers, %d nodes; %d connections made to nodes, at most %d at one; "+
-		"%d calls of discovery; %d datagrams\n",
+	_, _ = fmt.Fprintf(w, "%s, %s, seed %d: %d brokers, %d nodes; "+
+		"%d connections opened to nodes, at most %d at a node; %d discovery calls; %d datagrams\n",
 		r.Scenario, version, r.Seed, r.Brokers, r.Nodes, r.Dials, r.PeakConns, r.DiscoveryCalls, r.Datagrams)
 	printPhases(w, r)
 	if len(r.BalancedAfterS) > 0 {
-		_, _ = fmt.Fprintf(w, "load is even again after the end of each event, s: %.2f\n", r.BalancedAfterS)
+		_, _ = fmt.Fprintf(w, "seconds from the end of each event until load was balanced: %.2f\n", r.BalancedAfterS)
 	}
 	printAgreement(w, r)
 	printSlowStart(w, r.SlowStart)
@@ -27,7 +27,7 @@
 	printViolations(w, r)
 }
 
-// printPhases prints a row for each phase between events, and one for the whole run.
+// printPhases prints a row for each phase between events, and a row for the whole run.
 func printPhases(w io.Writer, r *fleetharness.Report) {
 	table := newTable(w)
 	_, _ = fmt.Fprintln(table, "from s\tto s\tsent\tserved\tin aim\trefused\tfailed\tlost\tbroker down\tlate\t"+
@@ -42,7 +42,7 @@
 	_ = table.Flush()
 }
 
-// printAgreement prints how the replicated configuration fared, where the scenario has one.
+// printAgreement prints the results of the replicated configuration if the scenario has one.
 func printAgreement(w io.Writer, r *fleetharness.Report) {
 	a := r.Agreement
 	if a == nil {
@@ -54,8 +54,8 @@
 		}
 		return float64(atQuantile(a.CommitToAllUS, q)) / 1000
 	}
-	_, _ = fmt.Fprintf(w, "agreement: %d versions acted on, proposals %v, longest contradiction %.3f ms; "+
-		"from commit to all acting, ms: p50 %.0f, p99 %.0f, largest %.0f; "+
+	_, _ = fmt.Fprintf(w, "agreement: %d versions used, proposals %v, longest contradiction %.3f ms; "+
+		"from commit to use by all brokers, ms: p50 %.0f, p99 %.0f, maximum %.0f; "+
 		"%.0f bytes a second and broker, at most %.0f; %.1f MB a broker\n",
 		a.Versions, a.ProposalOutcomes, float64(a.LongestUS)/1000,
 		quantile(0.5), quantile(0.99), quantile(1),
@@ -65,12 +65,13 @@
 	}
 }
 
-// atQuantile returns the value at a quantile of sorted values, of which there is one at least.
+// atQuantile returns the value at a quantile of sorted values, which must not be empty.
 func atQuantile[T any](sorted []T, q float64) T {
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// printSlowStart prints, for each second of age of a node that started, the fullest window over all nodes.
+// printSlowStart prints, for each second of age of a started node, the window with the highest ratio of units to its
+// limit.
 func printSlowStart(w io.Writer, seconds []fleetharness.SlowStartSecond) {
 	fullest := fullestByAge(seconds)
 	if len(fullest) == 0 {
@@ -87,7 +88,8 @@
 	_ = table.Flush()
 }
 
-// fullestByAge returns the window with the most units over its limit for each age; ages without one have no limit.
+// fullestByAge returns, for each age, the window with the highest ratio of units to its limit. Ages without a window
+// have the limit 0.
 func fullestByAge(seconds []fleetharness.SlowStartSecond) []fleetharness.SlowStartSecond {
 	var fullest []fleetharness.SlowStartSecond
 	for _, s := range seconds {
@@ -102,13 +104,13 @@
 	return fullest
 }
 
-// printRestarts prints how long brokers took to be ready again, sorted in ms.
+// printRestarts prints how long restarted brokers took to become ready. The values of ms are sorted.
 func printRestarts(w io.Writer, ms []float64) {
 	if len(ms) == 0 {
 		return
 	}
-	_, _ = fmt.Fprintf(w, "%d brokers started again, ready after, ms: "+
-		"least %.0f, p50 %.0f, p90 %.0f, p99 %.0f, largest %.0f\n",
+	_, _ = fmt.Fprintf(w, "%d restarts of brokers, ms until ready: "+
+		"minimum %.0f, p50 %.0f, p90 %.0f, p99 %.0f, maximum %.0f\n",
 		len(ms), ms[0], atQuantile(ms, 0.5), atQuantile(ms, 0.9), atQuantile(ms, 0.99), ms[len(ms)-1])
 }
 
--- a/cmd/brokerbench/fleet_report.go
+++ b/cmd/brokerbench/fleet_report.go
@@ -21,15 +21,16 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// maxPlottedRatio cuts a node's requests over the mean off, so that one overloaded node does not flatten all others.
+// maxPlottedRatio caps a node's plotted ratio of requests to the mean, so that one overloaded node does not flatten the
+// curve of all others.
 const maxPlottedRatio = 6
 
-// studentT95 holds Student's t for a two-sided 95% interval, from one degree of freedom up; the last one serves for all
-// above.
+// studentT95 contains the quantiles of Student's t distribution for a two-sided 95% interval, from one degree of
+// freedom on. The last value is used for all higher degrees.
 var studentT95 = []float64{12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26}
 
-// The page names fields of fleetScenario, fleetVersion and fleetharness.Phase, which the compiler does not check:
-// TestFleetPageShowsPhases does.
+// The page's template names fields of fleetScenario, fleetVersion and fleetharness.Phase. The compiler does not check
+// these names, but TestFleetPageShowsPhases does.
 //
 //go:embed fleet.html.tmpl
 var fleetPageText string
@@ -39,8 +40,8 @@
 	"two": func(v float64) string { return fmt.Sprintf("%.2f", v) },
 }).Parse(fleetPageText))
 
-// fleetVersion sums up the runs of one version in one scenario: the mean of MaxOverMean with its 95% interval, the
-// largest of the others.
+// fleetVersion summarizes the runs of one version in one scenario. MaxOverMean is a mean with its 95% interval,
+// UnservedPerMill covers all runs, Violations is a total, and the other figures are maxima.
 type fleetVersion struct {
 	Version         string
 	Runs            int
@@ -60,21 +61,21 @@
 	runs []fleetRun
 }
 
-// fleetScenario is the section of one scenario.
+// fleetScenario is the section of the page for one scenario.
 type fleetScenario struct {
 	Name     string
-	Plot     string // name of the plot's file
+	Plot     string // name of the plot file
 	Brokers  int
 	Nodes    int
 	Versions []*fleetVersion
 }
 
-// fleetSections are the sections of a page, in the order of the figures.
+// fleetSections contains the sections of the page, in the order of the figures.
 type fleetSections []*fleetScenario
 
 func reportFleet(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
-		return errors.New("no figures")
+		return errors.New("no figures file given")
 	}
 	var sections fleetSections
 	for _, path := range cmd.Args().Slice() {
@@ -102,7 +103,7 @@
 	return errors.Join(fleetPage.Execute(file, sections), file.Close())
 }
 
-// add adds a run to its scenario and version.
+// add adds a run to the section of its scenario, under its version.
 func (s *fleetSections) add(run fleetRun) {
 	index := slices.IndexFunc(*s, func(f *fleetScenario) bool { return f.Name == run.Scenario })
 	if index < 0 {
@@ -122,7 +123,7 @@
 	})
 }
 
-// summarize fills the figures from the runs.
+// summarize computes the figures from the runs.
 func (v *fleetVersion) summarize() {
 	var ratios []float64
 	sent := 0
@@ -147,7 +148,8 @@
 	v.IntervalHigh = v.MaxOverMean + width
 }
 
-// confidence95 is half the width of the 95% interval of the mean by Student's t; one value has none.
+// confidence95 returns half the width of the 95% interval of the mean, by Student's t distribution. It returns 0 for
+// fewer than two values.
 func confidence95(values []float64) float64 {
 	if len(values) < 2 {
 		return 0
@@ -156,13 +158,13 @@
 	return t * stat.StdErr(stat.StdDev(values, nil), float64(len(values)))
 }
 
-// draw plots requests by node over the mean, the fullest node first, of each version's first run.
+// draw plots, for each version's first run, the requests of each node over the mean, in descending order.
 func (f *fleetScenario) draw(path string) error {
 	chart := plot.New()
 	chart.Title.Text = f.Name + ": requests by node, fullest first"
 	chart.X.Label.Text = "node"
 	chart.Y.Label.Text = "requests over the mean"
-	var lines []any // pairs of a name and its points, as AddLines takes them
+	var lines []any // pairs of a name and its points, the arguments of AddLines
 	for _, v := range f.Versions {
 		lines = append(lines, v.Version, nodePoints(v.runs[0].PerNode))
 	}
--- a/cmd/brokerbench/fleet_report_test.go
+++ b/cmd/brokerbench/fleet_report_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// The page's template names fields of the harness's report, which the compiler does not check: after a rename of these
-// the command failed on every file of figures.
+// The page's template names fields of the harness's report, and the compiler does not check these names. After a rename
+// of the fields, the report command failed on every file of figures.
 func TestFleetPageShowsPhases(t *testing.T) {
 	report := &fleetharness.Report{Scenario: "s", Brokers: 3, Nodes: 2}
 	report.Phases = []fleetharness.Phase{{Sent: 11, Served: 7, Rejected: 4321, IdleNodes: 5678}}
@@ -22,7 +22,7 @@
 	}
 	for _, want := range []string{"4321", "5678"} {
 		if !strings.Contains(page.String(), want) {
-			t.Errorf("the page has no %s", want)
+			t.Errorf("page does not contain %s:\n%s", want, page.String())
 		}
 	}
 }
--- a/cmd/brokerbench/hollow.go
+++ b/cmd/brokerbench/hollow.go
@@ -21,9 +21,9 @@
 func hollowCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "hollow",
-		Usage: "run the control side of many brokers in one process, without clients and nodes: the rig starts it",
+		Usage: "run the control code of many brokers in one process, without clients and nodes; for the fleet harness",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "brokers", Required: true, Usage: "`FILE` with the configurations, in JSON"},
+			&cli.StringFlag{Name: "brokers", Required: true, Usage: "`FILE` with the brokers' configurations, in JSON"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
@@ -33,7 +33,7 @@
 	}
 }
 
-// runHollowFile runs the brokers that a file describes.
+// runHollowFile runs the hollow brokers that a file describes.
 func runHollowFile(ctx context.Context, path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return runHollow(ctx, brokers)
 }
 
-// runHollow runs brokers until ctx ends, or one of them does. All have ended when it returns, unless a configuration is
-// wrong: then the process is about to end.
+// runHollow runs brokers until ctx ends or one of them fails, and returns when all have ended. If a configuration is
+// invalid, it returns immediately, and the process ends.
 func runHollow(ctx context.Context, brokers []fleetharness.HollowBroker) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// parseHollowConfig reads a broker's configuration and site file. The environment does not count: all brokers of the
-// process would share it.
+// parseHollowConfig parses a broker's configuration and site file. It ignores the environment, which all brokers of the
+// process would share.
 func parseHollowConfig(broker fleetharness.HollowBroker) (*config.Config, error) {
 	c, err := config.Parse(broker.Config, func(string) string { return "" })
 	if err != nil || broker.Site == "" {
--- a/cmd/brokerbench/listen.go
+++ b/cmd/brokerbench/listen.go
@@ -16,23 +16,23 @@
 	"junctionwharf/internal/fakes"
 )
 
-// listenReportInterval is how often faults and notifications are printed and points are flushed.
+// listenReportInterval is the interval at which faults and notifications are printed and points are flushed.
 const listenReportInterval = time.Second
 
 func listenCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "listen",
-		Usage: "receive, check and print or store what brokers tell Graphite and collectd",
+		Usage: "receive, check and print or store the metrics that brokers send to Graphite and collectd",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "graphite", Usage: "take plaintext at `ADDR`, TCP and UDP"},
-			&cli.StringFlag{Name: "pickle", Usage: "take Graphite's pickles at `ADDR`, TCP"},
-			&cli.StringFlag{Name: "collectd", Usage: "take collectd's packets at `ADDR`, UDP"},
+			&cli.StringFlag{Name: "graphite", Usage: "receive plaintext at `ADDR`, TCP and UDP"},
+			&cli.StringFlag{Name: "pickle", Usage: "receive Graphite pickles at `ADDR`, TCP"},
+			&cli.StringFlag{Name: "collectd", Usage: "receive collectd packets at `ADDR`, UDP"},
 			&cli.StringFlag{
 				Name:  "key-file",
-				Usage: "take only collectd packets signed or encrypted by the first key of `FILE`",
+				Usage: "accept only collectd packets that are signed or encrypted with the first key of `FILE`",
 			},
 			&cli.StringFlag{Name: "out", Usage: "store the points in `FILE` instead of printing them"},
-			&cli.DurationFlag{Name: "for", Usage: "end after so long; 0: at SIGINT or SIGTERM"},
+			&cli.DurationFlag{Name: "for", Usage: "time to listen; 0: until SIGINT or SIGTERM"},
 		},
 		Action: listen,
 	}
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = file.Close() }() // errors of writing show in flush
+		defer func() { _ = file.Close() }() // flush returns write errors
 		out = file
 	}
 	l := newListener(out)
@@ -60,11 +60,11 @@
 	return l.run(ctx)
 }
 
-// listener receives metrics and prints them. run owns the counts of what was reported; the receivers' goroutines only
-// add points, under the lock of the output. The receivers end with the context that start is given.
+// listener receives metrics and prints them. run owns the counts of reported faults and notifications. The receivers'
+// goroutines only add points, with outLock held. The receivers end with the context that is passed to start.
 type listener struct {
 	points   *fakes.PointStore
-	collectd *fakes.Collectd // nil without the flag
+	collectd *fakes.Collectd // nil without --collectd
 
 	outLock sync.Mutex
 	out     *bufio.Writer
@@ -79,7 +79,7 @@
 	l.points = fakes.NewPointStore(func(p fakes.Point) {
 		l.outLock.Lock()
 		defer l.outLock.Unlock()
-		_, _ = fmt.Fprintf(l.out, "%d %s %v\n", p.Timestamp, p.Series, p.Value) // errors show in flush
+		_, _ = fmt.Fprintf(l.out, "%d %s %v\n", p.Timestamp, p.Series, p.Value) // flush returns write errors
 	})
 	return l
 }
@@ -90,7 +90,7 @@
 	Close()
 }
 
-// start opens the receivers that flags name.
+// start opens the receivers whose flags are set.
 func (l *listener) start(ctx context.Context, cmd *cli.Command) error {
 	secrets := map[string]string{}
 	if path := cmd.String("key-file"); path != "" {
@@ -116,12 +116,12 @@
 		return err
 	}
 	if l.receivers == 0 {
-		return errors.New("nothing to listen for: give --graphite, --pickle or --collectd")
+		return errors.New("no receiver: set --graphite, --pickle or --collectd")
 	}
 	return nil
 }
 
-// open opens one receiver at the address of its flag, if it is given. It is closed when ctx ends.
+// open opens a receiver at the address of its flag, if the flag is set. The receiver is closed when ctx ends.
 func (l *listener) open(
 	ctx context.Context, cmd *cli.Command, flag string, open func(address string) (receiver, error),
 ) error {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// run reports until ctx ends.
+// run flushes points and reports faults and notifications until ctx ends.
 func (l *listener) run(ctx context.Context) error {
 	ticker := time.NewTicker(listenReportInterval)
 	defer ticker.Stop()
@@ -167,7 +167,7 @@
 	return l.out.Flush()
 }
 
-// reportFaults prints the faults that are new.
+// reportFaults prints the faults since the last call.
 func (l *listener) reportFaults() {
 	faults := l.points.Errors()
 	for _, fault := range faults[l.reportedFaults:] {
@@ -176,7 +176,7 @@
 	l.reportedFaults = len(faults)
 }
 
-// reportNotices prints collectd's notifications that are new.
+// reportNotices prints the collectd notifications since the last call.
 func (l *listener) reportNotices() {
 	if l.collectd == nil {
 		return
--- a/cmd/brokerbench/load.go
+++ b/cmd/brokerbench/load.go
@@ -19,24 +19,24 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "send an open-loop load to a running broker and say what came back",
+		Usage: "send an open-loop load to a running broker and print the result",
 		Flags: []cli.Flag{
 			&cli.StringFlag{
 				Name: "config", Required: true,
-				Usage: "the broker's configuration `FILE`: its address, classes and plans",
+				Usage: "the broker's configuration `FILE` with its address, classes and plans",
 			},
-			&cli.StringSliceFlag{Name: "address", Usage: "send to `ADDR` instead; may stand several times"},
+			&cli.StringSliceFlag{Name: "address", Usage: "send to `ADDR` instead; may be repeated"},
 			&cli.FloatFlag{Name: "rate", Value: 200, Usage: "requests a second"},
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "length of the run"},
 			&cli.StringFlag{Name: "mix", Usage: "shares of classes, such as lesson-read=55,record-write=30"},
 			&cli.IntFlag{Name: "volumes", Value: 40},
-			&cli.FloatFlag{Name: "skew", Usage: "Zipf's exponent over volumes, above 1; 0: all alike"},
-			&cli.IntFlag{Name: "shards", Usage: "draw from so many shards; 0: as many as the settings name"},
-			&cli.IntFlag{Name: "units", Value: 4, Usage: "a request's units at the most"},
+			&cli.FloatFlag{Name: "skew", Usage: "exponent of Zipf's law over volumes, above 1; 0: all volumes alike"},
+			&cli.IntFlag{Name: "shards", Usage: "number of shards; 0: the number in the settings"},
+			&cli.IntFlag{Name: "units", Value: 4, Usage: "maximum units of a request"},
 			&cli.IntFlag{Name: "connections", Value: 256},
-			&cli.UintFlag{Name: "seed", Value: 1, Usage: "of all draws: the same seed sends the same requests"},
+			&cli.UintFlag{Name: "seed", Value: 1, Usage: "seed of all draws: the same seed sends the same requests"},
 			&cli.StringFlag{Name: "json", Usage: "write the result to `FILE`"},
-			&cli.StringFlag{Name: "hdr", Usage: "write latencies of each second to `FILE`, an HdrHistogram log"},
+			&cli.StringFlag{Name: "hdr", Usage: "write the latencies of each second to `FILE`, an HdrHistogram log"},
 		},
 		Action: sendLoad,
 	}
@@ -76,7 +76,7 @@
 	return printResult(os.Stdout, result)
 }
 
-// loadBrokerConfig reads a broker's configuration from path instead of where its environment points.
+// loadBrokerConfig reads a broker's configuration from path, not from the file that the environment names.
 func loadBrokerConfig(path string) (*config.Config, error) {
 	return config.Load(func(name string) string {
 		if name == "BALANCER_CONFIG" {
@@ -86,7 +86,7 @@
 	})
 }
 
-// configuredTraffic is the traffic that flags describe, on the classes and plans of a broker.
+// configuredTraffic returns the traffic that the flags describe, with the classes and plans of a broker.
 func configuredTraffic(c *config.Config, cmd *cli.Command) (load.Traffic, error) {
 	settings := c.Settings.Scheduler
 	classes, err := mixClasses(settings.Classes, cmd.String("mix"))
@@ -113,7 +113,7 @@
 	return traffic, nil
 }
 
-// mixClasses makes the classes of settings into a mix: all alike, or by shares as in "a=1,b=2".
+// mixClasses returns the classes of the settings with equal shares, or with the shares of a mix such as "a=1,b=2".
 func mixClasses(classes []scheduler.Class, mix string) ([]load.RequestClass, error) {
 	shares, err := parseShares(mix)
 	if err != nil {
@@ -139,7 +139,7 @@
 	return mixed, nil
 }
 
-// parseShares reads "a=1,b=2".
+// parseShares parses shares of classes, such as "a=1,b=2".
 func parseShares(mix string) (map[string]float64, error) {
 	shares := map[string]float64{}
 	if mix == "" {
@@ -149,7 +149,7 @@
 		name, text, found := strings.Cut(part, "=")
 		share, err := strconv.ParseFloat(text, 64)
 		if !found || err != nil || !(share >= 0) {
-			return nil, fmt.Errorf("--mix: %q is no class=share", part)
+			return nil, fmt.Errorf("--mix: %q is not CLASS=SHARE with a share of 0 or above", part)
 		}
 		shares[name] = share
 	}
--- a/cmd/brokerbench/load_output.go
+++ b/cmd/brokerbench/load_output.go
@@ -12,7 +12,7 @@
 	"junctionwharf/internal/load"
 )
 
-// forEachStats calls each for the statistics of every class and plan, and of all requests.
+// forEachStats calls each for the statistics of every class, of every plan and of all requests.
 func forEachStats(r *load.Result, each func(group, name string, s *load.Stats)) {
 	for i, s := range r.ByClass {
 		each("class", r.Traffic.Classes[i].Name, s)
@@ -23,7 +23,7 @@
 	each("all", "", r.All)
 }
 
-// printResult prints a table of a result.
+// printResult prints the table of a result.
 func printResult(w io.Writer, r *load.Result) error {
 	table := newTable(w)
 	_, _ = fmt.Fprintln(table, "\tsent\tserved\tbusy\tfailed\tlost\tclosed\tp50 ms\tp90\tp99\tp99.9\tmax\t")
@@ -40,12 +40,12 @@
 		return err
 	}
 	_, err := fmt.Fprintf(w,
-		"latency counts from the intended time; sent %v late at the most, over %d connections\n",
+		"latency counts from the intended send time; requests were sent up to %v late, over %d connections\n",
 		r.MaxSendLag.Round(time.Microsecond), r.Dials)
 	return err
 }
 
-// statsJSON is the statistics of a group of requests in the file of the flag json.
+// statsJSON contains the statistics of a group of requests in the file of --json.
 type statsJSON struct {
 	Group    string `json:"group"`
 	Name     string `json:"name,omitempty"`
@@ -64,7 +64,7 @@
 	StdevUS  int64  `json:"stdev_us"`
 }
 
-// resultJSON is the file of the flag json.
+// resultJSON is the content of the file of --json.
 type resultJSON struct {
 	Seed         uint64      `json:"seed"`
 	Rate         float64     `json:"rate"`
@@ -109,7 +109,7 @@
 	return encoder.Encode(out)
 }
 
-// writeHDR writes a log that HdrHistogram's own tools read, an interval a second, in µs.
+// writeHDR writes a log for the tools of HdrHistogram, with an interval for each second, in µs.
 func writeHDR(w io.Writer, r *load.Result) error {
 	log := hdrhistogram.NewHistogramLogWriter(w)
 	if err := log.OutputLogFormatVersion(); err != nil {
--- a/cmd/brokerbench/load_test.go
+++ b/cmd/brokerbench/load_test.go
@@ -24,7 +24,7 @@
 	}
 	read, write := classes[0], classes[1]
 	if read.Share != 1 || read.Write || write.Share != 2 || !write.Write {
-		t.Errorf("%+v", classes)
+		t.Errorf("classes are %+v, want a share of 1 for reads and of 2 for writes", classes)
 	}
 }
 
@@ -32,16 +32,16 @@
 	for _, mix := range []string{"read", "read=x", "read=-1", "other=1"} {
 		t.Run(mix, func(t *testing.T) {
 			if _, err := mixClasses(testClasses, mix); err == nil {
-				t.Error("no error")
+				t.Error("mix was accepted")
 			}
 		})
 	}
 }
 
-// testResult is a result of 42 requests that took 1.5 ms each.
+// testResult returns the result of 42 requests that took 1.5 ms each.
 func testResult() (*load.Result, *hdrhistogram.Histogram) {
 	latency := hdrhistogram.New(1, 1e8, 3)
-	_ = latency.RecordValues(1500, 42) // within the histogram's range
+	_ = latency.RecordValues(1500, 42) // the value is in the histogram's range
 	stats := &load.Stats{Latency: latency}
 	stats.Counts[load.Served] = 42
 	return &load.Result{
@@ -54,7 +54,7 @@
 	}, latency
 }
 
-// HdrHistogram's own reader reads the log of latencies.
+// The reader of the HdrHistogram library can read the written log.
 func TestWriteHDR(t *testing.T) {
 	result, latency := testResult()
 	var text bytes.Buffer
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if read.TotalCount() != 42 || read.ValueAtPercentile(50) != latency.ValueAtPercentile(50) {
-		t.Errorf("%+v", read)
+		t.Errorf("histogram is %+v, want 42 values with the median %d", read, latency.ValueAtPercentile(50))
 	}
 }
 
@@ -74,7 +74,7 @@
 	result, _ := testResult()
 	var text bytes.Buffer
 	if err := writeJSON(&text, result); err != nil || !strings.Contains(text.String(), `"p50_us": 1500`) {
-		t.Errorf("%s, %v", text.String(), err)
+		t.Errorf("JSON is %s, error %v, want a p50_us of 1500", text.String(), err)
 	}
 }
 
@@ -82,11 +82,11 @@
 	result, _ := testResult()
 	var text bytes.Buffer
 	if err := printResult(&text, result); err != nil || !strings.Contains(text.String(), "class read") {
-		t.Errorf("%s, %v", text.String(), err)
+		t.Errorf("table is %s, error %v, want a row for class read", text.String(), err)
 	}
 }
 
-// Files of measurements outlive the program: their keys stay.
+// Files of measurements outlive the program, so their keys must not change.
 func TestResultKeys(t *testing.T) {
 	const stats = `{"group":"class","name":"read","sent":1,"served":2,"busy":3,"failed":4,"lost":5,"closed":6,` +
 		`"p50_us":7,"p90_us":8,"p99_us":9,"p99_9_us":10,"max_us":11,"mean_us":12,"stdev_us":13}`
--- a/cmd/brokerbench/main.go
+++ b/cmd/brokerbench/main.go
@@ -1,16 +1,17 @@
-// Command brokerbench holds load, experiments and measurements for brokers: an open-loop load, a demonstration, fakes
-// to try things by hand with, and the runs behind the figures of docs/.
+// Command brokerbench contains the load generator, the demo, the experiments and the measurements for brokers: an
+// open-loop load, fakes for manual tests, and the runs behind the figures of docs/.
 //
-// Rule. Each command stands in a file of its own: its flags, its run, its table. What several share: testbed.go starts
-// the fakes that a broker stands among, broker_process.go the broker under test, output.go writes tables and files. The
-// tool measures and prints; it decides nothing of the product. Names of commands, flags and JSON keys, and the words of
-// tables, are those of the measurements that are kept under docs/measurements, so that new figures compare with them.
+// Rule. Each command has its own file with its flags, its run and its table. Commands share testbed.go, which starts
+// the fakes that a broker connects to, broker_process.go, which runs the broker under test, and output.go, which writes
+// tables and files. The tool measures and prints; it contains no logic of the product. The names of commands, flags and
+// JSON keys and the headings of tables are those of the measurements under docs/measurements, so that new figures can
+// be compared with the stored ones.
 //
-// State and owner. A command's function owns what it starts, and has ended it when it returns: fakes by testbed.close,
-// broker processes by kill or stop. main's context ends at SIGTERM or an interrupt; nothing is kept but the files that
-// flags name.
+// State and owner. A command's function owns what it starts and ends all of it before it returns: the fakes by
+// testbed.close, the broker processes by kill or stop. The context of main ends at SIGTERM or an interrupt. Only the
+// files that flags name outlive the process.
 //
-// Units. Durations of flags carry their unit ("3s"); keys of JSON end with theirs (_us, _ms, _kib); rates are requests
+// Units. Durations of flags carry their unit ("3s"). JSON keys end with their unit (_us, _ms, _kib). Rates are requests
 // a second.
 package main
 
@@ -29,7 +30,7 @@
 	defer stop()
 	app := &cli.Command{
 		Name:  "brokerbench",
-		Usage: "tools round a junctionwharf broker",
+		Usage: "load generator, experiments and measurements for junctionwharf brokers",
 		Commands: []*cli.Command{
 			demoCommand(),
 			loadCommand(),
--- a/cmd/brokerbench/measurements_test.go
+++ b/cmd/brokerbench/measurements_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Files of measurements outlive the program: their keys stay.
+// Files of measurements outlive the program, so their keys must not change.
 func TestMeasurementKeys(t *testing.T) {
 	t.Run("curve", func(t *testing.T) {
 		const golden = `{"round":1,"broker":"now","rate":2,"sent":3,"served":4,"busy":5,"failed":6,"lost":7,` +
@@ -28,7 +28,7 @@
 	})
 }
 
-// Each variant is compared with "off" of the same round, not with the mean of all rounds.
+// Each variant is compared with "off" of the same round, not with the mean of "off" over all rounds.
 func TestCompareSinks(t *testing.T) {
 	runs := []sinkRun{
 		{Round: 0, Variant: sinksOff, P50: 1000},
@@ -41,6 +41,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(text.String(), "+0.50 to +0.50") {
-		t.Errorf("no difference of 0.5 ms in each round:\n%s", text.String())
+		t.Errorf("the difference is not 0.5 ms in each round:\n%s", text.String())
 	}
 }
--- a/cmd/brokerbench/output.go
+++ b/cmd/brokerbench/output.go
@@ -13,12 +13,12 @@
 	"junctionwharf/internal/logging"
 )
 
-// newTable returns a writer of tables: cells end with a tab and are aligned to the right.
+// newTable returns a writer for tables. Each cell ends with a tab and is aligned to the right.
 func newTable(w io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 }
 
-// progress shows on a terminal how far a load is; elsewhere it is nil.
+// progress returns a function that shows the progress of a load on a terminal. It returns nil without a terminal.
 func progress(length time.Duration) func(time.Duration, int) {
 	if !logging.IsTerminal(os.Stderr) {
 		return nil
@@ -28,21 +28,21 @@
 	}
 }
 
-// showProgress overwrites the line of progress of a terminal; elsewhere it does nothing.
+// showProgress overwrites the progress line of a terminal. It does nothing without a terminal.
 func showProgress(format string, args ...any) {
 	if logging.IsTerminal(os.Stderr) {
 		fmt.Fprintf(os.Stderr, "\r"+format+" ", args...)
 	}
 }
 
-// clearProgress removes the line of progress.
+// clearProgress clears the progress line.
 func clearProgress() {
 	if logging.IsTerminal(os.Stderr) {
 		fmt.Fprint(os.Stderr, "\r\033[K")
 	}
 }
 
-// writeFile has write fill a new file; without a path it does nothing.
+// writeFile creates a file and calls write to fill it. It does nothing if path is empty.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "" {
 		return nil
@@ -52,13 +52,13 @@
 		return err
 	}
 	if err := write(file); err != nil {
-		_ = file.Close() // the error of write says more
+		_ = file.Close() // the error of write matters more
 		return err
 	}
 	return file.Close()
 }
 
-// saveJSON writes a value where the flag json says.
+// saveJSON writes a value to the file of --json, if the flag is set.
 func saveJSON(cmd *cli.Command, value any) error {
 	err := writeFile(cmd.String("json"), func(w io.Writer) error {
 		encoder := json.NewEncoder(w)
--- a/cmd/brokerbench/reject_all.go
+++ b/cmd/brokerbench/reject_all.go
@@ -15,24 +15,24 @@
 	"github.com/urfave/cli/v3"
 )
 
-// rejectAllIdleTimeout ends connections whose clients have gone without a word.
+// rejectAllIdleTimeout closes connections whose clients disappeared without closing them.
 const rejectAllIdleTimeout = time.Minute
 
-// rejectAllCommand is the least that a program can be which reads each request and answers it: what rejections cost
-// before anything is decided. It stands in for a broker in curve, --broker floor=bin/brokerbench, so it takes a
-// broker's command line and environment.
+// rejectAllCommand is a minimal server that reads each request and rejects it. It measures the cost of a rejection
+// without any decision. In the curve command it takes the place of a broker (--broker floor=bin/brokerbench), so it
+// accepts a broker's command line and environment.
 func rejectAllCommand() *cli.Command {
 	return &cli.Command{
 		Name: "serve",
-		Usage: "refuse every request, at the cost of reading it and writing an answer: the floor that curve compares " +
-			"a broker with",
+		Usage: "reject every request, at the cost of reading it and writing an answer: the minimum cost with which " +
+			"curve compares a broker",
 		Hidden: true,
 		Flags:  []cli.Flag{&cli.StringFlag{Name: "site"}},
 		Action: func(ctx context.Context, _ *cli.Command) error { return serveRejections(ctx) },
 	}
 }
 
-// serveRejections serves until ctx ends.
+// serveRejections accepts connections until ctx ends.
 func serveRejections(ctx context.Context) error {
 	var config struct {
 		Listen string
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// rejectAll answers each command of a connection until it ends.
+// rejectAll rejects each command of a connection until the connection ends. It answers PING, the command with one
+// argument, with PONG.
 func rejectAll(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := redcon.NewReader(conn)
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -13,14 +13,14 @@
 	"junctionwharf/internal/load"
 )
 
-// sinksConnections is the clients' connections: more than the rates of this command ever need at once.
+// sinksConnections is the maximum number of client connections, more than the rates of this command need at a time.
 const sinksConnections = 1024
 
 func sinksCommand() *cli.Command {
 	return &cli.Command{
 		Name: "sinks",
-		Usage: "measure in paired runs whether sinks of figures that are healthy, stalled or dead change what " +
-			"clients see, and check that the counts received are the broker's",
+		Usage: "measure in paired runs whether healthy, stalled or dead metrics receivers change what clients see, " +
+			"and check that the received counts equal the broker's",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "broker", Value: "bin/junctionwharf", Usage: "the broker's program"},
 			&cli.IntFlag{Name: "rounds", Value: 10},
@@ -28,7 +28,7 @@
 			&cli.FloatFlag{Name: "rate", Value: 1500},
 			&cli.IntFlag{
 				Name: "interval", Value: 1,
-				Usage: "of the sinks in the compared runs, s; the default of a site file is 10",
+				Usage: "export interval in the compared runs, s; the default of a site file is 10",
 			},
 			&cli.IntFlag{Name: "nodes", Value: 16},
 			&cli.IntFlag{Name: "volumes", Value: 2000},
@@ -39,7 +39,7 @@
 	}
 }
 
-// Variants of a run: the state of the metrics receivers.
+// Variants of a run. Each one is a state of the metrics receivers.
 const (
 	sinksOff      = "off"
 	sinksOffAgain = "off again"
@@ -48,11 +48,11 @@
 	sinksDead     = "dead"
 )
 
-// sinkVariants are what a round plays, in an order that is drawn anew. Off stands twice: its difference from itself is
-// the noise.
+// sinkVariants are the variants of a round, which runs them in a new random order. Off occurs twice: the difference
+// between its two runs is the noise.
 var sinkVariants = []string{sinksOff, sinksOffAgain, sinksHealthy, sinksStalled, sinksDead}
 
-// sinkRun is what clients saw in one run.
+// sinkRun is the result that clients saw in one run.
 type sinkRun struct {
 	Round   int     `json:"round"`
 	Variant string  `json:"variant"`
@@ -62,7 +62,7 @@
 	Served  int     `json:"served"`
 	Busy    int     `json:"busy"`
 	Failed  int     `json:"failed"`
-	Lost    int     `json:"lost"` // with those whose connection was closed
+	Lost    int     `json:"lost"` // including requests whose connection was closed
 	PeakKB  int64   `json:"peak_kib"`
 }
 
@@ -98,7 +98,7 @@
 	return compareSinks(os.Stdout, runs, random)
 }
 
-// prepareSinks sets the receivers up for a variant and returns where the broker sends its metrics.
+// prepareSinks puts the receivers into the state of a variant and returns the broker's metrics targets.
 func (b *testbed) prepareSinks(variant string, interval int) metricsTargets {
 	targets := metricsTargets{interval: interval}
 	b.carbon.SetMode(fakes.Reading)
@@ -117,7 +117,7 @@
 	return targets
 }
 
-// playSinks has a new broker meet the load with its receivers as the variant says.
+// playSinks starts a broker with the receivers of a variant and sends it the load.
 func (b *testbed) playSinks(ctx context.Context, cmd *cli.Command, round int, variant string) (sinkRun, error) {
 	process, err := b.startBroker(ctx, b.prepareSinks(variant, cmd.Int("interval")))
 	if err != nil {
--- a/cmd/brokerbench/sinks_compare.go
+++ b/cmd/brokerbench/sinks_compare.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// bootstrapSamples is how many means are drawn for an interval; fewer make its ends unsteady.
+	// bootstrapSamples is the number of means drawn for an interval. With fewer, the interval's ends vary more.
 	bootstrapSamples = 4000
-	// bootstrapTail is one in so many means that lie beyond each end: both make up the 5% outside the interval.
+	// bootstrapTail sets the interval's ends: one in bootstrapTail means lies beyond each end, 5% in total.
 	bootstrapTail = 40
 )
 
-// sinkFigures are the latencies that are compared.
+// sinkFigures are the compared latencies.
 var sinkFigures = []struct {
 	name  string
 	value func(sinkRun) float64 // µs
@@ -25,15 +25,15 @@
 	{"p99.9", func(r sinkRun) float64 { return r.P999 }},
 }
 
-// sinkSummary is what the runs of one variant make.
+// sinkSummary summarizes the runs of one variant.
 type sinkSummary struct {
 	runs        int
-	total       sinkRun     // sums of the counts, the largest of the peaks
-	means       []float64   // of each figure, ms
-	differences [][]float64 // of each figure from "off" of the same round, ms
+	total       sinkRun     // sums of the counts, and the maximum of PeakKB
+	means       []float64   // by figure, ms
+	differences [][]float64 // by figure, the differences from "off" of the same round, ms
 }
 
-// compareSinks prints each variant's quantiles, and the mean difference from "off" of the same round with a 95%
+// compareSinks prints each variant's mean quantiles and their mean difference from "off" of the same round, with a 95%
 // bootstrap interval.
 func compareSinks(w io.Writer, runs []sinkRun, random *rand.Rand) error {
 	table := newTable(w)
@@ -93,7 +93,7 @@
 	return total / math.Max(1, float64(len(values)))
 }
 
-// bootstrap returns the 95% percentile interval of the mean.
+// bootstrap returns the 95% percentile interval of the mean of values.
 func bootstrap(values []float64, random *rand.Rand) (low, high float64) {
 	if len(values) == 0 {
 		return 0, 0
--- a/cmd/brokerbench/sinks_counts.go
+++ b/cmd/brokerbench/sinks_counts.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// minCountsLength is long enough for the receivers to stall, die and return in quarters of it.
+	// minCountsLength is the minimum length of the load. Each of its quarters has another state of
+	// the receivers: healthy, stalled, stopped, restarted.
 	minCountsLength = 12 * time.Second
-	// flushTime is how long the broker may take to send what it queued while the receivers were away.
+	// flushTime is how long the broker may take to send the metrics that it queued while the receivers were down.
 	flushTime = 3 * time.Second
-	// socketTime is how long the receivers may take to read what their sockets hold.
+	// socketTime is how long the receivers may take to read the data in their socket buffers.
 	socketTime = 100 * time.Millisecond
 )
 
-// Series of the broker n1 at Graphite and collectd.
+// Series of the broker n1 in Graphite and collectd.
 const (
 	graphiteBroker    = "wharf.n1."
 	collectdServed    = "n1/junctionwharf-all/junctionwharf_requests/0"
@@ -32,8 +33,8 @@
 	graphiteAllServed = graphiteBroker + "all.served"
 )
 
-// checkCounts has both receivers stall, die and return under load, and checks that what they got in the end is what the
-// broker counted and clients saw, exactly.
+// checkCounts stalls, stops and restarts both receivers under load. It checks that the counts that they received by the
+// end of the run are exactly those of the broker and of the clients.
 func (b *testbed) checkCounts(ctx context.Context, cmd *cli.Command, w io.Writer) error {
 	targets := metricsTargets{graphite: b.carbon.Address(), collectd: b.collectd.Address(), interval: 1}
 	process, err := b.startBroker(ctx, targets)
@@ -71,7 +72,8 @@
 	return received.compare(w, result.All)
 }
 
-// disturbReceivers waits, has the receivers stall, then die, then starts new ones at the same addresses.
+// disturbReceivers stalls the receivers, stops them and starts new ones at the same addresses, with a pause before each
+// step. Only Graphite's receiver stalls.
 func (b *testbed) disturbReceivers(targets metricsTargets, pause time.Duration) error {
 	time.Sleep(pause)
 	b.carbon.SetMode(fakes.NotReading)
@@ -82,7 +84,7 @@
 	return b.startReceivers(targets.graphite, targets.collectd)
 }
 
-// receivedCounts is what the receivers got by the end of a run.
+// receivedCounts contains the metrics that the receivers have at the end of a run.
 type receivedCounts struct {
 	carbon   map[string]fakes.Point
 	collectd map[string]fakes.Point
@@ -90,12 +92,12 @@
 	kinds    []load.RequestClass
 }
 
-// all is a count over all requests at Graphite.
+// all returns Graphite's count of an outcome over all requests.
 func (r *receivedCounts) all(outcome string) float64 {
 	return r.carbon[graphiteBroker+"all."+outcome].Value
 }
 
-// counted is the sum of the broker's own counters of an outcome over the classes.
+// counted returns the sum over the classes of the broker's own counters of an outcome.
 func (r *receivedCounts) counted(outcome string) (total float64) {
 	for _, kind := range r.kinds {
 		total += r.carbon[graphiteBroker+outcome+"."+kind.Name].Value
@@ -103,12 +105,12 @@
 	return total
 }
 
-// compare prints the counts and returns an error where they differ.
+// compare prints the counts and returns an error if they differ.
 func (r *receivedCounts) compare(w io.Writer, clients *load.Stats) error {
 	got := clients.Counts
-	_, _ = fmt.Fprintf(w, "sinks stalled, killed and returned under load: clients were served %d, refused %d, "+
-		"failed %d, lost %d\n", got[load.Served], got[load.Rejected], got[load.Failed], got[load.Lost])
-	_, _ = fmt.Fprintf(w, "the broker counted %.0f, %.0f, %.0f; Graphite got %.0f, %.0f, %.0f; "+
+	_, _ = fmt.Fprintf(w, "receivers stalled, stopped and restarted under load: clients counted %d served, "+
+		"%d rejected, %d failed, %d lost\n", got[load.Served], got[load.Rejected], got[load.Failed], got[load.Lost])
+	_, _ = fmt.Fprintf(w, "served, rejected, failed: broker %.0f, %.0f, %.0f; Graphite %.0f, %.0f, %.0f; "+
 		"collectd %.0f, %.0f, %.0f; %d faults\n",
 		r.counted("success"), r.counted("busy"), r.counted("failure"),
 		r.all("served"), r.all("busy"), r.all("failed"),
@@ -123,13 +125,13 @@
 		busy == r.counted("busy") && busy == float64(got[load.Rejected]) &&
 		r.collectd[collectdServed].Value == served
 	if !equal || len(r.faults) > 0 {
-		return fmt.Errorf("the counts differ; faults %q", r.faults)
+		return fmt.Errorf("counts differ or receivers found faults: %q", r.faults)
 	}
 	_, _ = fmt.Fprintln(w, "all counts are equal")
 	return nil
 }
 
-// compareDimensions checks that the rows of each dimension add up to all requests.
+// compareDimensions checks that the served requests of each dimension add up to those of all requests.
 func (r *receivedCounts) compareDimensions(w io.Writer) error {
 	served := r.all("served")
 	stamp := r.carbon[graphiteAllServed].Timestamp
@@ -145,7 +147,7 @@
 		}
 		_, _ = fmt.Fprintf(w, "sum over %d rows of %s: %.0f\n", rows, dimension, total)
 		if total != served {
-			return fmt.Errorf("the sum over %s is %.0f, not %.0f", dimension, total, served)
+			return fmt.Errorf("sum of served requests over %s is %.0f, want %.0f", dimension, total, served)
 		}
 	}
 	return nil
--- a/cmd/brokerbench/spread.go
+++ b/cmd/brokerbench/spread.go
@@ -11,24 +11,24 @@
 	"github.com/urfave/cli/v3"
 )
 
-// spreadWorkers bounds the models that run at the same time: they keep their core busy and leave two of eight free.
+// spreadWorkers limits the number of models that run concurrently. Each keeps a core busy, and two of eight stay free.
 const spreadWorkers = 6
 
 func spreadCommand() *cli.Command {
 	return &cli.Command{
 		Name: "spread",
-		Usage: "weigh ways to spread load over the nodes of a shard, in a model of brokers that each see little; " +
-			"docs/spread.md",
+		Usage: "compare policies that spread load over the nodes of a shard, in a model of brokers with a limited " +
+			"view; docs/spread.md",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "brokers", Value: 300},
 			&cli.IntFlag{Name: "nodes", Value: 200},
 			&cli.FloatFlag{Name: "rate", Value: 5, Usage: "requests a second and broker"},
-			&cli.FloatFlag{Name: "uneven", Value: 1, Usage: "one broker in twenty has so many times the mean"},
-			&cli.FloatFlag{Name: "slow", Value: 0, Usage: "part of the nodes at half speed"},
-			&cli.FloatFlag{Name: "load", Value: 0.5, Usage: "of what the nodes can do"},
-			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "of model time"},
+			&cli.FloatFlag{Name: "uneven", Value: 1, Usage: "rate of one broker in twenty, as a multiple of the mean"},
+			&cli.FloatFlag{Name: "slow", Value: 0, Usage: "fraction of the nodes with half speed"},
+			&cli.FloatFlag{Name: "load", Value: 0.5, Usage: "load as a fraction of the nodes' capacity"},
+			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "length of a run in model time"},
 			&cli.IntFlag{
-				Name: "rounds", Value: 5, Usage: "with seeds that follow each other; the same arrivals for each way",
+				Name: "rounds", Value: 5, Usage: "rounds; each has a new seed and the same arrivals for all policies",
 			},
 			&cli.UintFlag{Name: "seed", Value: 1},
 			&cli.StringFlag{Name: "json", Usage: "write all figures to `FILE`"},
@@ -58,7 +58,7 @@
 	return printSpread(os.Stdout, runs, rounds)
 }
 
-// check names the flag that is out of range.
+// check returns an error that names the first flag that is out of range.
 func (o spreadOptions) check(rounds int) error {
 	flags := []struct {
 		name  string
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// playSpreadRounds plays each policy in each round. The seeds of the rounds follow each other; all policies of a round
-// meet the same arrivals.
+// playSpreadRounds runs each policy in each round. The seed increases by 1 from round to round. All policies of a round
+// receive the same arrivals.
 func playSpreadRounds(options spreadOptions, rounds int, seed uint64) []spreadRun {
 	runs := make([]spreadRun, rounds*len(spreadPolicies))
 	var wait sync.WaitGroup
@@ -101,7 +101,7 @@
 	return runs
 }
 
-// printSpread prints a row a policy: the means over the rounds.
+// printSpread prints a row for each policy with the means over the rounds.
 func printSpread(w io.Writer, runs []spreadRun, rounds int) error {
 	mean := func(policy string, figure func(spreadRun) float64) float64 {
 		sum := 0.0
--- a/cmd/brokerbench/spread_model.go
+++ b/cmd/brokerbench/spread_model.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// slotsPerNode is how many requests a node of the model works on at a time.
+	// slotsPerNode is the number of requests that a node of the model executes at a time.
 	slotsPerNode = 4
-	// slowNodeFactor is how many times as long a slow node takes.
+	// slowNodeFactor is the execution time at a slow node over the time at a node of full speed.
 	slowNodeFactor = 2
-	// hotBrokerShare is one in so many brokers that has an uneven rate.
+	// hotBrokerShare sets the number of hot brokers: one in hotBrokerShare brokers has a higher rate than the mean.
 	hotBrokerShare = 20
-	// minRateShare keeps the other brokers at a tenth of the mean rate at least, however uneven the rates.
+	// minRateShare limits the rate of the other brokers to at least 1/minRateShare of the mean rate.
 	minRateShare = 10
-	// arrivalSeed sets the draws of arrivals apart from those of policies.
+	// arrivalSeed separates the draws of arrivals from those of policies.
 	arrivalSeed = 0x5b
 )
 
-// spreadOptions describe a run of the model.
+// spreadOptions describes a run of the model.
 type spreadOptions struct {
 	brokers int
 	nodes   int
-	rate    float64       // requests a second and broker, in the mean
-	uneven  float64       // times the mean that a hot broker has; at 1 there are none
-	slow    float64       // share of the nodes at half speed
-	load    float64       // share of what the nodes can do
+	rate    float64       // mean rate, requests a second and broker
+	uneven  float64       // rate of a hot broker over the mean rate; up to 1, no broker is hot
+	slow    float64       // fraction of the nodes with half speed
+	load    float64       // load as a fraction of the nodes' capacity
 	length  time.Duration // of model time
 }
 
-// serviceTime is the mean time of a request at a node that makes up the load.
+// serviceTime returns the mean execution time of a request that results in the load, at nodes of full speed.
 func (o spreadOptions) serviceTime() time.Duration {
 	seconds := o.load * float64(o.nodes*slotsPerNode) / (o.rate * float64(o.brokers))
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// hotBrokers is how many brokers have an uneven rate: the first ones.
+// hotBrokers returns the number of hot brokers, which have the lowest ordinals.
 func (o spreadOptions) hotBrokers() int {
 	if o.uneven > 1 {
 		return max(1, o.brokers/hotBrokerShare)
@@ -45,7 +45,7 @@
 	return 0
 }
 
-// rateOf is the rate of one broker.
+// rateOf returns the rate of a broker.
 func (o spreadOptions) rateOf(broker int) float64 {
 	hot := o.hotBrokers()
 	if broker < hot {
@@ -57,30 +57,30 @@
 
 func (o spreadOptions) slowNodes() int { return int(o.slow * float64(o.nodes)) }
 
-// spreadRun is what one policy made of one round.
+// spreadRun is the result of one policy in one round.
 type spreadRun struct {
 	Policy         string  `json:"way"`
 	Round          int     `json:"round"`
-	MaxOverMean    float64 `json:"fullest_over_mean"` // requests of the node with most over the mean, slow ones aside
-	WorstSecond    float64 `json:"worst_second"`      // the same, of the worst second
+	MaxOverMean    float64 `json:"fullest_over_mean"` // most requests of a node over the mean, without slow nodes
+	WorstSecond    float64 `json:"worst_second"`      // MaxOverMean of the worst second
 	IdleNodes      int     `json:"idle_nodes"`
 	P50            float64 `json:"p50_ms"`
 	P99            float64 `json:"p99_ms"`
-	Connections    int     `json:"connections"`     // pairs of broker and node that met
-	MaxConnections int     `json:"most_at_a_node"`  // of these at one node
-	SlowNodeShare  float64 `json:"slow_nodes_part"` // what a slow node got of what another got
+	Connections    int     `json:"connections"`     // pairs of a broker and a node that received a request from it
+	MaxConnections int     `json:"most_at_a_node"`  // maximum of the connections by node
+	SlowNodeShare  float64 `json:"slow_nodes_part"` // mean requests of a slow node over those of another node
 }
 
-// spreadEvent is the arrival of a request at a broker, or its end at a node.
+// spreadEvent is the arrival of a request at a broker or the end of a request at a node.
 type spreadEvent struct {
 	at     time.Duration
 	broker int
-	node   int // noNode: an arrival
+	node   int // noNode for an arrival
 	sentAt time.Duration
 	work   time.Duration // at a node of full speed
 }
 
-// noNode is the node of a request that has not been sent yet.
+// noNode is the node of a request that has not been sent.
 const noNode = -1
 
 // spreadQueue is a heap of events by time.
@@ -96,17 +96,17 @@
 	return last
 }
 
-// spreadModel runs one policy: brokers with Poisson arrivals, nodes with slots and a queue in order of arrival.
+// spreadModel simulates one policy: brokers with Poisson arrivals, and nodes with slots and a first-in-first-out queue.
 type spreadModel struct {
 	options  spreadOptions
 	policy   string
 	policies []spreadPolicy // by broker
 	queue    spreadQueue
 	busy     []int           // slots in use, by node
-	waiting  [][]spreadEvent // requests that wait for a slot, by node
+	waiting  [][]spreadEvent // waiting requests, by node
 
 	counts     []int   // requests sent, by node
-	perSecond  [][]int // the same, by second and node
+	perSecond  [][]int // requests sent, by second and node
 	pairs      map[[2]int]bool
 	latencies  []time.Duration
 	slowNodes  int
@@ -145,7 +145,7 @@
 	return m.result()
 }
 
-// drawArrivals draws all requests beforehand: they are the same for each policy.
+// drawArrivals draws all requests in advance, so that they are the same for each policy.
 func (m *spreadModel) drawArrivals(random *rand.Rand) {
 	service := float64(m.options.serviceTime())
 	end := m.options.length.Seconds()
@@ -163,7 +163,7 @@
 	heap.Init(&m.queue)
 }
 
-// arrive sends a request to a node, which begins or queues it.
+// arrive sends a request to a node, which executes or queues it.
 func (m *spreadModel) arrive(event spreadEvent) {
 	if m.usesOracle {
 		event.node = m.leastLoaded()
@@ -183,7 +183,7 @@
 	m.waiting[event.node] = append(m.waiting[event.node], event)
 }
 
-// leastLoaded is the oracle's choice.
+// leastLoaded returns the choice of the oracle: the node with the fewest requests from all brokers.
 func (m *spreadModel) leastLoaded() int {
 	best := 0
 	for node := range m.busy {
@@ -196,7 +196,7 @@
 
 func (m *spreadModel) inFlight(node int) int { return m.busy[node] + len(m.waiting[node]) }
 
-// begin has a node work on a request.
+// begin starts the execution of a request at its node.
 func (m *spreadModel) begin(now time.Duration, event spreadEvent) {
 	m.busy[event.node]++
 	work := event.work
@@ -207,7 +207,7 @@
 	heap.Push(&m.queue, event)
 }
 
-// finish ends a request at its node, which begins the next that waits.
+// finish ends a request at its node, which then starts the first request in its queue.
 func (m *spreadModel) finish(event spreadEvent) {
 	m.busy[event.node]--
 	latency := event.at - event.sentAt
@@ -221,7 +221,7 @@
 	}
 }
 
-// result sums a finished run up.
+// result computes the figures of a finished run.
 func (m *spreadModel) result() spreadRun {
 	slices.Sort(m.latencies)
 	run := spreadRun{
@@ -248,7 +248,7 @@
 	return run
 }
 
-// slowNodeShare is the mean of slow nodes over that of others, or 0 where no node is slow.
+// slowNodeShare returns the mean requests of a slow node over those of another node, or 0 if no node is slow.
 func (m *spreadModel) slowNodeShare() float64 {
 	if m.slowNodes == 0 {
 		return 0
--- a/cmd/brokerbench/spread_policies.go
+++ b/cmd/brokerbench/spread_policies.go
@@ -11,25 +11,25 @@
 	"junctionwharf/balancer"
 )
 
-// Names of the policies, as they stand in tables and JSON files.
+// Names of the policies in tables and JSON files, and constants of the policies.
 const (
-	policyListed       = "listed"        // fewest in flight, the first listed of equals: the broker's first policy
+	policyListed       = "listed"        // fewest in flight, ties to the first listed node: the broker's first policy
 	policyUniform      = "uniform"       // a random node
-	policyLeast        = "least out"     // fewest in flight, a random one of equals
-	policyTwoChoices   = "two choices"   // fewer in flight of two random nodes
-	policyTwoReported  = "two by report" // less by report of two random nodes
-	policyLeastReport  = "least report"  // least by report of all nodes
+	policyLeast        = "least out"     // fewest in flight, random choice among ties
+	policyTwoChoices   = "two choices"   // of two random nodes, the one with fewer in flight
+	policyTwoReported  = "two by report" // of two random nodes, the one with the lower reported load
+	policyLeastReport  = "least report"  // the lowest reported load of all nodes
 	policySubset       = "subset"        // fewest in flight in a deterministic subset
-	policyRendezvous   = "rendezvous"    // a random node of the first by rendezvous hashing
+	policyRendezvous   = "rendezvous"    // a random node of a subset by rendezvous hashing
 	policyBalancerAll  = "turns of all"  // package balancer without subsetting
 	policyBalancer     = "turns"         // package balancer
-	policyOracle       = "oracle"        // sees all nodes as they are
+	policyOracle       = "oracle"        // fewest requests of all brokers, which no broker can know
 	spreadSubsetSize   = balancer.DefaultSubsetSize
-	subsetShuffleSeed  = 5 // any constant: all brokers must shuffle alike
-	reportDecaySeconds = 1 // in which a report loses all but 1/e of its weight
+	subsetShuffleSeed  = 5 // any constant, the same for all brokers
+	reportDecaySeconds = 1 // time in which the weight of a report decays to 1/e
 )
 
-// spreadPolicies is the order of tables and files.
+// spreadPolicies lists the policies in the order of tables and files.
 var spreadPolicies = []string{
 	policyListed, policyUniform, policyLeast, policyTwoChoices, policyTwoReported, policyLeastReport,
 	policySubset, policyRendezvous, policyBalancerAll, policyBalancer, policyOracle,
@@ -42,7 +42,8 @@
 	answered(now time.Duration, node int, latency time.Duration, inFlight int)
 }
 
-// newSpreadPolicy returns the policy of one broker. The oracle has none of its own: the model chooses for it.
+// newSpreadPolicy returns the policy of one broker. For policyOracle, the model chooses the nodes, and the returned
+// policy is not used.
 func newSpreadPolicy(name string, ordinal, brokers, nodes int, seed uint64) spreadPolicy {
 	view := newBrokerView(ordinal, nodes, seed)
 	switch name {
@@ -68,13 +69,13 @@
 	return leastPolicy{view}
 }
 
-// brokerView is what a broker sees of nodes. Its slices are indexed by node.
+// brokerView is what a broker knows of the nodes. Its slices are indexed by node.
 type brokerView struct {
 	random     *rand.Rand
 	inFlight   []int           // this broker's requests at the node
-	reported   []float64       // requests that the node said it holds
-	reportedAt []time.Duration // when it said so
-	sentSince  []int           // own requests sent since then
+	reported   []float64       // requests at the node, by the node's last report
+	reportedAt []time.Duration // time of the last report
+	sentSince  []int           // this broker's requests sent since the last report
 }
 
 func newBrokerView(ordinal, nodes int, seed uint64) *brokerView {
@@ -106,7 +107,8 @@
 	return first, second
 }
 
-// estimate is a node's report, which decays towards nothing known, and the own requests sent since.
+// estimate returns the node's last report, which decays toward 0 with its age, plus the requests that this broker has
+// sent since then.
 func (v *brokerView) estimate(now time.Duration, node int) float64 {
 	age := (now - v.reportedAt[node]).Seconds()
 	return v.reported[node]*math.Exp(-age/reportDecaySeconds) + float64(v.sentSince[node])
@@ -168,7 +170,7 @@
 	return first
 }
 
-// leastReportPolicy shows herding: brokers that have the same report choose the same node.
+// leastReportPolicy shows herding: brokers with the same reports choose the same node.
 type leastReportPolicy struct{ *brokerView }
 
 func (p leastReportPolicy) choose(now time.Duration) int {
@@ -183,7 +185,8 @@
 	return best
 }
 
-// subsetPolicy uses a deterministic subset: rounds of brokers deal the shuffled nodes out among them.
+// subsetPolicy uses a deterministic subset. Consecutive brokers form a round, and the brokers of a round divide one
+// shuffle of the nodes among themselves.
 type subsetPolicy struct {
 	*brokerView
 	subset []int
@@ -198,8 +201,8 @@
 	return subsetPolicy{brokerView: view, subset: order[start : start+size]}
 }
 
-// choose draws once for the first node of the subset too, unlike leastPolicy: measurements that are kept depend on the
-// draws.
+// choose draws a random number for the first node of the subset too, unlike leastPolicy. The stored measurements depend
+// on the sequence of draws.
 func (p subsetPolicy) choose(time.Duration) int {
 	best := p.subset[0]
 	ties := 0
@@ -218,7 +221,7 @@
 	return best
 }
 
-// rendezvousPolicy draws among a broker's first nodes by rendezvous hashing.
+// rendezvousPolicy chooses a random node of the subset that rendezvous hashing gives to the broker.
 type rendezvousPolicy struct {
 	*brokerView
 	subset []int
@@ -237,7 +240,7 @@
 
 func (p rendezvousPolicy) choose(time.Duration) int { return p.subset[p.random.IntN(len(p.subset))] }
 
-// balancerPolicy is the product's own package balancer.
+// balancerPolicy uses package balancer, the policy of the product.
 type balancerPolicy struct {
 	balancer *balancer.Balancer
 	replicas []*balancer.Replica // by node
--- a/cmd/brokerbench/spread_test.go
+++ b/cmd/brokerbench/spread_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// The model is deterministic: testdata/spread.txt was written by
+// The model is deterministic. testdata/spread.txt was written by
 //
 //	brokerbench spread --brokers 20 --nodes 12 --for 3s --rounds 2 --slow 0.25 --uneven 3
 //
-// before its code was split, so a change of one draw or of one decision shows.
+// before the model's code was split, so the test detects a change of a single draw or decision.
 func TestSpreadIsReproducible(t *testing.T) {
 	want, err := os.ReadFile("testdata/spread.txt")
 	if err != nil {
@@ -27,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("have\n%swant\n%s", got.String(), want)
+		t.Errorf("table is\n%swant\n%s", got.String(), want)
 	}
 }
 
-// Files of measurements outlive the program: their keys stay.
+// Files of measurements outlive the program, so their keys must not change.
 func TestSpreadRunKeys(t *testing.T) {
 	const want = `{"way":"turns","round":1,"fullest_over_mean":2,"worst_second":3,"idle_nodes":4,"p50_ms":5,` +
 		`"p99_ms":6,"connections":7,"most_at_a_node":8,"slow_nodes_part":9}`
@@ -42,7 +42,7 @@
 	checkGolden(t, run, want)
 }
 
-// checkGolden checks that a value is written as the golden line, and that the line is read as the value.
+// checkGolden checks that the JSON encoding of a value is the golden line, and that the line decodes to the value.
 func checkGolden[T comparable](t *testing.T, value T, golden string) {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -50,13 +50,13 @@
 		t.Fatal(err)
 	}
 	if string(text) != golden {
-		t.Errorf("written as %s, want %s", text, golden)
+		t.Errorf("encoded as %s, want %s", text, golden)
 	}
 	var read T
 	if err := json.Unmarshal([]byte(golden), &read); err != nil {
 		t.Fatal(err)
 	}
 	if read != value {
-		t.Errorf("read as %+v, want %+v", read, value)
+		t.Errorf("decoded as %+v, want %+v", read, value)
 	}
 }
--- a/cmd/brokerbench/testbed.go
+++ b/cmd/brokerbench/testbed.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// loopback lets the system choose a port, so that several measurements may run beside each other.
+	// loopback lets the system choose a port, so that measurements can run concurrently.
 	loopback = "127.0.0.1:0"
-	// testbedSlots and testbedQueue are the commands that a fake node works on and queues: enough that the broker under
-	// test, not the nodes, is the limit.
+	// testbedSlots and testbedQueue are the numbers of commands that a fake node executes and queues. They are large
+	// enough that the broker under test is the limit, not the nodes.
 	testbedSlots = 8
 	testbedQueue = 64
 )
 
-// platformSettings are like those of the platform, with the number of shards to fill in.
+// platformSettings resembles the settings of the platform. The format argument is the number of shards.
 const platformSettings = `{"bounds":{"cancel":true,"connIdle":30000000,"connectTimeout":250000,"maxAttempts":3,` +
 	`"maxRetryAfter":1000000,"retryAfter":true},
 "classes":[{"name":"lesson-read","aim":150000,"deadline":750000,"effect":"safe","importance":3,"lateWorth":0.1},
@@ -39,7 +39,7 @@
 "specifics":{"usualUnits":2.13,"maxUnits":8,"nShards":%d,"youngLimit":41,"withinShare":0.4,"idleWorth":0.05},` +
 	`"nInstances":1,"ordinal":0}`
 
-// tenfoldRates makes the plans' rates ten times as high, so that the rates of measurements stay below them.
+// tenfoldRates multiplies the rates of the plans by ten, so that the rates of measurements stay below them.
 var tenfoldRates = strings.NewReplacer(
 	`"nominal":6.7`, `"nominal":67`,
 	`"nominal":13`, `"nominal":130`,
@@ -68,21 +68,21 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// testbed is what a broker under test stands among: fake nodes, discovery and metrics receivers, in this process. Its
-// brokers are processes of their own. close ends the fakes; a broker's starter ends the broker.
+// testbed contains the fakes that a broker under test connects to: nodes, discovery and metrics receivers. The fakes
+// run in this process, and each broker runs in its own process. close ends the fakes. Whoever starts a broker ends it.
 type testbed struct {
-	dir       string // of configuration files, removed by close
-	program   string // of the broker
-	site      string // a site file, instead of one that names the receivers
+	dir       string // directory of configuration files, removed by close
+	program   string // path of the broker's program
+	site      string // path of a site file that replaces the generated one; empty for none
 	limits    brokerLimits
 	nodes     []*fakes.Node
 	discovery *fakes.Discovery
 	carbon    *fakes.Carbon
 	collectd  *fakes.Collectd
-	closed    string // an address where nothing listens
+	closed    string // an address without a listener
 }
 
-// newTestbed starts nodes whose commands take unitTime for each unit.
+// newTestbed starts the fakes. A command takes unitTime at a node for each of its units.
 func newTestbed(program string, nodes int, unitTime time.Duration) (_ *testbed, err error) {
 	b := &testbed{program: program, limits: brokerLimits{Cores: 1, MemoryMB: 256, Sockets: 4096}}
 	defer func() {
@@ -113,7 +113,7 @@
 	return b, err
 }
 
-// startReceivers starts new fakes of Graphite and collectd.
+// startReceivers starts new fake receivers for Graphite and collectd.
 func (b *testbed) startReceivers(carbonAddress, collectdAddress string) (err error) {
 	if b.carbon, err = fakes.NewCarbon(carbonAddress, false, fakes.NewPointStore(nil)); err != nil {
 		return err
@@ -136,24 +136,24 @@
 		b.collectd.Close()
 	}
 	if b.dir != "" {
-		_ = os.RemoveAll(b.dir) // what is left lies in the temporary directory
+		_ = os.RemoveAll(b.dir) // remaining files are in the temporary directory
 	}
 }
 
-// metricsTargets says where a broker sends its metrics. An empty address switches a receiver off.
+// metricsTargets contains the addresses to which a broker sends its metrics. An empty address disables a target.
 type metricsTargets struct {
 	graphite string
 	collectd string
-	interval int // seconds
+	interval int // export interval in seconds
 }
 
-// siteFile is the text of a site file that names the targets.
+// siteFile returns the text of a site file with the targets.
 func (t metricsTargets) siteFile() string {
 	return fmt.Sprintf("[graphite]\naddress = %q\nprefix = \"wharf\"\ninterval_s = %d\n", t.graphite, t.interval) +
 		fmt.Sprintf("[collectd]\naddress = %q\ninterval_s = %d\n", t.collectd, t.interval)
 }
 
-// noMetrics starts a broker without receivers.
+// noMetrics disables both targets.
 var noMetrics = metricsTargets{interval: 10}
 
 // startBroker starts a broker and waits until it serves clients.
@@ -199,13 +199,13 @@
 		return nil, err
 	}
 	if err := awaitServing(ctx, address, process.ended); err != nil {
-		_ = command.Process.Kill() // where it has not ended by itself
+		_ = command.Process.Kill() // unless it has ended already
 		return nil, err
 	}
 	return process, nil
 }
 
-// traffic is the mixed load of measurements, on the platform's classes and plans.
+// traffic returns the mixed load of measurements, with the classes and plans of the platform.
 func (b *testbed) traffic(cmd *cli.Command, rate float64, seed uint64) (load.Traffic, error) {
 	traffic := load.Traffic{
 		Classes: []load.RequestClass{
