--- a/cmd/brokerbench/spread.go
+++ b/cmd/brokerbench/spread.go
@@ -17,8 +17,8 @@
 func spreadCommand() *cli.Command {
 	return &cli.Command{
 		Name: "spread",
-		Usage: "compare policies that spread load over the nodes of a shard, in a model of brokers with a limited " +
-			"view; docs/spread.md",
+		Usage: "compare load balancing policies for the nodes of a shard, in a model of brokers with limited views; " +
+			"docs/spread.md",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "brokers", Value: 300},
 			&cli.IntFlag{Name: "nodes", Value: 200},
--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -28,9 +28,9 @@
 )
 
 // agreeUsage is the help text of the agree command.
-const agreeUsage = "see and change what the brokers have agreed on, over a running broker's console; " +
-	"exits with 3 if another version is in force, 4 if a proposal is faulty, 5 if no leader answers, " +
-	"6 if the end of a change is not known"
+const agreeUsage = "show and change the configuration that the brokers agreed on, over a running broker's console; " +
+	"exits with 3 if another version is active, 4 if a proposal is invalid, 5 if no leader answers, " +
+	"6 if the outcome of a change is unknown"
 
 func agreeCommand() *cli.Command {
 	changeFlags := []cli.Flag{
@@ -47,42 +47,42 @@
 		Commands: []*cli.Command{
 			agreeSubcommand(&cli.Command{
 				Name:   statusCall,
-				Usage:  "what this broker acts on, and its place among the others",
+				Usage:  "print the version, role and lease of this broker",
 				Action: showAnswer(statusCall),
 			}),
 			agreeSubcommand(&cli.Command{
 				Name:   membersCall,
-				Usage:  "the leader's status: voters, and the brokers that it waits for or that are behind",
+				Usage:  "print the leader's status: the voters, and the brokers that it waits for or that are behind",
 				Action: showAnswer(membersCall),
 			}),
 			agreeSubcommand(&cli.Command{
 				Name:      historyCall,
 				ArgsUsage: "[N]",
-				Usage:     "the latest versions, with author and reason",
+				Usage:     "print the latest versions with author and reason",
 				Action:    showAnswer(historyCall),
 			}),
 			agreeSubcommand(&cli.Command{
 				Name:      diffCall,
 				ArgsUsage: "VERSION",
-				Usage:     "what has changed since a version",
+				Usage:     "print the changes since a version",
 				Action:    showAnswer(diffCall),
 			}),
 			agreeSubcommand(&cli.Command{
 				Name:   exportCall,
-				Usage:  "the document that this broker knows to be in force",
+				Usage:  "print the document that is active, as known to this broker",
 				Action: showAnswer(exportCall),
 			}),
 			agreeSubcommand(&cli.Command{
 				Name:      proposeCall,
 				ArgsUsage: "KEY=VALUE ...",
-				Usage:     "propose a change whole; an empty value takes a key away",
+				Usage:     "propose all given changes as one version; an empty value removes a key",
 				Action:    propose,
 				Flags:     proposeFlags,
 			}),
 			agreeSubcommand(&cli.Command{
 				Name:      rollbackCall,
 				ArgsUsage: "VERSION",
-				Usage:     "propose the values of an earlier version",
+				Usage:     "propose the values of an earlier version as a new version",
 				Action:    rollback,
 				Flags:     changeFlags,
 			}),
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -79,20 +79,20 @@
 			},
 			{
 				Name: "control",
-				Usage: "vote on the agreed document and feed brokers until SIGTERM, " +
-					"without clients: for machines set aside",
+				Usage: "vote on configuration changes and distribute them to brokers until SIGTERM, " +
+					"without serving clients; for dedicated machines",
 				Flags:  slices.Concat(logFlags, configFlags),
 				Action: serveControl,
 			},
 			{
 				Name:   "check",
-				Usage:  "check the configuration and say what it holds",
+				Usage:  "check the configuration and print a summary",
 				Flags:  configFlags,
 				Action: check,
 			},
 			{
 				Name:   "nodes",
-				Usage:  "print the list of storage nodes, from a running broker's console or else from its sources",
+				Usage:  "print the storage nodes known to a running broker, or else those of its endpoint sources",
 				Flags:  configFlags,
 				Action: printNodes,
 			},
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -95,7 +95,7 @@
 	input := script("gateway_0") + "FRAME 9000000 99\nALARM gateway_0 1\nHALT gateway_0\nEOF_BATCH\n"
 	reply := replyOf(t, input)
 	if !strings.HasSuffix(reply, "\nNEXT 99\n") || strings.Contains(reply, "FATAL") {
-		t.Errorf("reply to the last batch ends with a failure or without NEXT 99:\n%s", reply)
+		t.Errorf("reply contains a failure or does not end with NEXT 99:\n%s", reply)
 	}
 	lines := strings.Split(strings.TrimSpace(reply), "\n")
 	if last := lines[len(lines)-2]; !strings.HasPrefix(last, "NEXT") {
