--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -24,7 +24,8 @@
 	connectionOpeners = 32
 	// loadConnections is the maximum number of connections of the load beside the idle connections.
 	loadConnections = 2000
-	// firstAnswerTimeout limits the wait for the answer to a connection's first request. The measurement fails then.
+	// firstAnswerTimeout limits the wait for the answer to a connection's first request. If it expires, the measurement
+	// fails.
 	firstAnswerTimeout = 5 * time.Second
 )
 
--- a/cmd/brokerbench/dashboard_test.go
+++ b/cmd/brokerbench/dashboard_test.go
@@ -39,7 +39,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if err := writeDashboard(&bytes.Buffer{}, test.prefix, "*", test.top); err == nil {
-				t.Error("no error")
+				t.Error("flags were accepted")
 			}
 		})
 	}
--- a/cmd/brokerbench/fleet_print.go
+++ b/cmd/brokerbench/fleet_print.go
@@ -56,7 +56,7 @@
 	}
 	_, _ = fmt.Fprintf(w, "agreement: %d versions used, proposals %v, longest contradiction %.3f ms; "+
 		"from commit to use by all brokers, ms: p50 %.0f, p99 %.0f, maximum %.0f; "+
-		"%.0f bytes a second and broker, at most %.0f; %.1f MB a broker\n",
+		"%.0f bytes a second per broker, at most %.0f; %.1f MB per broker\n",
 		a.Versions, a.ProposalOutcomes, float64(a.LongestUS)/1000,
 		quantile(0.5), quantile(0.99), quantile(1),
 		a.MeanBytesPerS, a.MaxBytesPerS, a.MemoryMB)
--- a/cmd/brokerbench/reject_all.go
+++ b/cmd/brokerbench/reject_all.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// rejectAllIdleTimeout closes connections whose clients disappeared without closing them.
+// rejectAllIdleTimeout closes idle connections, because clients may disappear without closing theirs.
 const rejectAllIdleTimeout = time.Minute
 
 // rejectAllCommand is a minimal server that reads each request and rejects it. It measures the cost of a rejection
--- a/cmd/brokerbench/sinks_counts.go
+++ b/cmd/brokerbench/sinks_counts.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// minCountsLength is the minimum length of the load. Each of its quarters has another state of
-	// the receivers: healthy, stalled, stopped, restarted.
+	// minCountsLength is the minimum length of the load. In its four quarters, the receivers are healthy, stalled,
+	// stopped and restarted. It is long enough for each of these states.
 	minCountsLength = 12 * time.Second
 	// flushTime is how long the broker may take to send the metrics that it queued while the receivers were down.
 	flushTime = 3 * time.Second
--- a/cmd/brokerbench/spread.go
+++ b/cmd/brokerbench/spread.go
@@ -11,7 +11,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// spreadWorkers limits the number of models that run concurrently. Each keeps a core busy, and two of eight stay free.
+// spreadWorkers limits the number of models that run concurrently. Each model keeps a core busy, so that two of eight
+// cores stay free.
 const spreadWorkers = 6
 
 func spreadCommand() *cli.Command {
@@ -22,7 +23,7 @@
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "brokers", Value: 300},
 			&cli.IntFlag{Name: "nodes", Value: 200},
-			&cli.FloatFlag{Name: "rate", Value: 5, Usage: "requests a second and broker"},
+			&cli.FloatFlag{Name: "rate", Value: 5, Usage: "requests a second of a broker"},
 			&cli.FloatFlag{Name: "uneven", Value: 1, Usage: "rate of one broker in twenty, as a multiple of the mean"},
 			&cli.FloatFlag{Name: "slow", Value: 0, Usage: "fraction of the nodes with half speed"},
 			&cli.FloatFlag{Name: "load", Value: 0.5, Usage: "load as a fraction of the nodes' capacity"},
--- a/cmd/brokerbench/spread_model.go
+++ b/cmd/brokerbench/spread_model.go
@@ -24,7 +24,7 @@
 type spreadOptions struct {
 	brokers int
 	nodes   int
-	rate    float64       // mean rate, requests a second and broker
+	rate    float64       // mean rate of a broker, requests a second
 	uneven  float64       // rate of a hot broker over the mean rate; up to 1, no broker is hot
 	slow    float64       // fraction of the nodes with half speed
 	load    float64       // load as a fraction of the nodes' capacity
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -115,7 +115,7 @@
 	return strconv.FormatInt(d.Microseconds(), 10)
 }
 
-// singleLine replaces control characters by spaces. They would end or corrupt a line of the reply.
+// singleLine replaces control characters, which would end or corrupt a line of the reply, with spaces.
 func singleLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' {
