--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -9,8 +9,8 @@
 // Action is an instruction from a Scheduler to its caller.
 type Action interface{ action() }
 
-// Forward starts an attempt of a request at a node. With a Timeout of 0 the attempt may last as long as its
-// client waits. No rule of this version sets another value.
+// Forward starts an attempt of a request at a node. A Timeout of 0 sets no limit: the attempt may last until
+// the deadline of the request. No rule of this version sets another Timeout.
 type Forward struct {
 	ID      uint64
 	Node    string
@@ -59,7 +59,7 @@
 // CloseIdleConnections closes idle connections to a node. No rule of this version emits it.
 type CloseIdleConnections struct{ Node string }
 
-// Log is a log line for the engineers on call: a fixed message with its values as attributes.
+// Log is a log line for the engineers on call: a fixed message, and the variable values as attributes.
 type Log struct {
 	Message    string
 	Attributes []slog.Attr
--- a/scheduler/arrival.go
+++ b/scheduler/arrival.go
@@ -6,7 +6,7 @@
 )
 
 // handleArrival computes the first arrival, the deadlines and the value of a request, and queues the request.
-// A request of an unknown class or plan fails at once. No request is rejected here. A request whose ID is
+// A request of an unknown class or plan fails at once. All other requests are queued. A request whose ID is
 // already in use is ignored.
 func (s *Scheduler) handleArrival(e Request) {
 	if s.requests[e.ID] != nil {
@@ -32,24 +32,28 @@
 	s.enqueue(r)
 }
 
-// retryKey identifies a request and its retries by the same client: all of them have equal fields.
+// retryKey identifies an unserved request and the client's retries of it, which have equal fields. It does
+// not name the client: equal requests of different clients have the same retryKey.
 type retryKey struct {
 	class, volume, key string
 	units              float64
 }
 
-// unservedRecord describes a request that was not served. With it, the client's retry keeps the first arrival
-// time.
+// unservedRecord describes a request that was not served, so that the client's retry keeps its first arrival.
 type unservedRecord struct {
 	firstArrival Time
-	expires      Time // when the client gives up
+	expires      Time // when a client that waits for the class's deadline gives up
 }
 
-// firstArrival returns the time at which a client first sent a request. The latency objective starts there. A
-// request that equals an unserved request, and whose deadline is not later, is treated as the retry of that
-// request. For a request that is only marked as a retry, the client is assumed to have waited for the class's
-// deadline minus the remaining time. Any other request with little time left is treated as new, from a client
-// with a short timeout. The result is wrong if two clients send equal requests at the same time.
+// firstArrival estimates the time at which a client first sent a request. The latency objective starts there.
+// There are three cases:
+//   - The request equals an unserved request, and its deadline is not later than that record expires: it is
+//     treated as a retry and keeps the first arrival of the unserved request.
+//   - Otherwise, the request is marked as a retry: the client is assumed to have waited already for the
+//     class's deadline minus the remaining time.
+//   - Any other request is treated as new. If little time remains, the client uses a short timeout.
+//
+// The result is wrong if two clients send equal requests at the same time.
 func firstArrival(now Time, e *Request, deadline time.Duration, earlier unservedRecord, known bool) Time {
 	if known && now+e.Remaining <= earlier.expires {
 		return earlier.firstArrival
@@ -60,7 +64,8 @@
 	return now
 }
 
-// enqueue queues a request at its shard. A new object goes to the shard with the shortest expected wait.
+// enqueue queues a request at its shard, or a new object at the shard that placeNewObject chooses. If no node
+// is a candidate, a new object is queued at shard -1.
 func (s *Scheduler) enqueue(r *request) {
 	id := r.Shard
 	if id < 0 {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -9,7 +9,7 @@
 
 // Limits on the attempts in flight at a node, as a count of attempts.
 const (
-	// limitInitial is the limit of a new node. It gives most nodes enough work. With a larger value all
+	// limitInitial is the limit of a new node. It is enough to keep most nodes busy. With a larger value all
 	// brokers together overload a node that has just started. With a smaller value nodes idle in the first
 	// ticks.
 	limitInitial = 2.0
@@ -28,17 +28,18 @@
 	// connections accumulate at a node that does not answer. With a smaller value a few lost answers block a
 	// healthy node.
 	attemptsMax = 2 * limitMax
-	// catchUpTicksMax is the maximum number of ticks without an answer for which the next answer
-	// compensates. With a larger value one late answer moves the limit as much as many answers. With a
-	// smaller value brokers with few requests react late to congestion.
+	// catchUpTicksMax is the maximum number of ticks by which one adjustment changes the limit. The ticks
+	// since the last adjustment, in which no answer arrived, are included up to this number. With a larger
+	// value one late answer moves the limit as much as many answers. With a smaller value brokers with few
+	// requests react late to congestion.
 	catchUpTicksMax = 3
 )
 
 // Latency thresholds, as fractions of the smallest latency objective.
 const (
-	// targetLatencyShare is the fraction that answers may take before the limit falls. A larger value leaves
-	// too little time for the queue, and requests miss the objective. A smaller value keeps healthy nodes
-	// below their capacity.
+	// targetLatencyShare is the fraction that answers may take before the limit falls. With a larger value
+	// too little time remains for the queue, and requests miss the objective. With a smaller value healthy
+	// nodes are used below their capacity.
 	targetLatencyShare = 0.22
 	// congestedLatencyShare is the fraction that even the fastest answers of a congested node exceed. With a
 	// larger value congested nodes are overloaded for longer. With a smaller value nodes that are slow
@@ -46,45 +47,47 @@
 	congestedLatencyShare = 0.36
 )
 
-// latencyFade is the fraction by which a node's latency falls in a tick without attempts in flight. With a
-// larger value a congested node is overloaded again at once. With a smaller value a broker with few requests
-// avoids a recovered node for longer.
+// latencyFade is the fraction by which a node's smoothed latency falls in a tick without attempts in flight,
+// while it is above the target. With a larger value a congested node is overloaded again at once. With a
+// smaller value a broker with few requests avoids a recovered node for longer.
 const latencyFade = 0.03
 
 // concurrencyLimit is the limit on attempts in flight at a node. With a limit below 1, forwards are paced.
 type concurrencyLimit struct {
 	value       float64 // attempts
 	reached     bool    // the limit delayed a request since the last adjustment
-	changedTick int     // tick in which answers last adjusted the limit
+	changedTick int     // tick in which the limit was last adjusted to answers
 	lastForward Time    // a limit below 1 delays the next forward relative to this time
 }
 
 // latencyStats holds statistics of the latencies of a node's answers, in seconds.
 type latencyStats struct {
 	smoothed float64
-	min      float64 // running minimum of the mean per tick; rises slowly
+	min      float64 // running minimum of the mean latency of each tick; rises slowly
 	answers  int     // in this tick
-	sum      float64 // of the latencies of these answers
+	sum      float64 // sum of the latencies of these answers
 }
 
 // targetLatency returns the latency above which a node's limit falls, in seconds.
 func targetLatency(objective time.Duration) float64 { return targetLatencyShare * objective.Seconds() }
 
-// hasFreeSlot reports whether a node has fewer attempts in flight than its limit.
+// hasFreeSlot reports whether another attempt would keep a node within its limit, rounded down and at least
+// 1, and within attemptsMax.
 func (n *node) hasFreeSlot() bool {
 	return float64(n.inFlight) < max(1, math.Floor(n.limit.value)) && len(n.attempts) < attemptsMax
 }
 
-// isPaced reports whether the last forward to a node is too recent for a request with a value share. The
-// smaller the share, the longer the request waits.
+// isPaced reports whether the last forward to a node is too recent for a request with the given value share.
+// The smaller the share, the longer the request waits after that forward.
 func (n *node) isPaced(now Time, valueShare float64) bool {
 	return (now-n.limit.lastForward).Seconds()*valueShare < n.latency.smoothed/n.limit.value
 }
 
-// belowLimit reports whether the concurrency limit of a node admits a request now. Forwards are paced if the
-// limit is below 1. At a congested node, requests beyond their volume's reserved rate are always paced. This
-// protects the reserved requests of other brokers, which this broker does not see, from a surge. As a
-// trade-off, nodes that are slow without congestion lose some throughput.
+// belowLimit reports whether the concurrency limit and the backoff of a node admit a request now. Forwards
+// are paced if the limit is below 1. At a congested node, requests with a value share below 1, which are
+// beyond their volume's reserved rate, are always paced. During a surge this protects the reserved requests
+// of other brokers, which this broker does not see. As a trade-off, nodes that are slow without congestion
+// lose some throughput.
 func (s *Scheduler) belowLimit(n *node, r *request) bool {
 	free := n.hasFreeSlot()
 	paced := n.limit.value < 1 || r.valueShare < 1 && n.congested(s.minObjective)
@@ -121,8 +124,8 @@
 	n.limit.changedTick = s.ticks
 }
 
-// update adds the mean latency of a tick's answers to smoothed and min, and clears the sums of the tick. The
-// mean has the weight of the given number of ticks in smoothed.
+// update adds the mean latency of a tick's answers to smoothed and min, and clears the sums of the tick.
+// smoothed changes as if this mean had been measured in each of the given number of ticks.
 func (l *latencyStats) update(ticks float64) {
 	mean := l.sum / float64(l.answers)
 	l.smoothed += (1 - math.Pow(1-smoothing, ticks)) * (mean - l.smoothed)
@@ -135,8 +138,8 @@
 // negative if it is below.
 //
 // A limit below 1 is meant for a node that many brokers use with a few requests each. While such a node is
-// congested, the limit of each broker falls to limitMax divided by the number of brokers. Pauses, flushes and
-// large requests of a healthy node do not count as congestion, because some of its answers are fast. As a
+// congested, the limit of each broker can fall to limitMax divided by the number of brokers. Pauses, flushes
+// and large requests of a healthy node do not count as congestion, because some of its answers are fast. As a
 // trade-off, a congested node loses throughput if only a few of many brokers use it.
 func (l *concurrencyLimit) adjust(ticks float64, slow int, congested bool, brokers int) {
 	switch {
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// gossipTicks is the number of ticks between two reports of a volume's demand. With a larger value a
-	// surge through several brokers is granted tokens based on stale demand. With a smaller value gossip
-	// costs more messages.
+	// gossipTicks is the number of ticks between two reports of a volume's demand. With a larger value
+	// tokens are granted based on older demand during a surge through several brokers. With a smaller value
+	// gossip costs more messages.
 	gossipTicks = 3
 	// reportTicks is the number of ticks for which a report is valid. It tolerates two lost messages. With a
 	// larger value a failed broker keeps its part of a volume's tokens for longer. With a smaller value one
 	// lost message makes the other brokers grant too many tokens.
 	reportTicks = 9
-	// demandSteps is the number of steps per unit in the encoding. With a larger value large demand is
-	// capped, at 65,535 steps. With a smaller value small volumes are not reported.
+	// demandSteps is the number of steps per unit in the encoding. With a larger value less demand fits into
+	// a message, which holds at most 65,535 steps; higher demand is capped. With a smaller value more volumes
+	// have too little demand to be reported.
 	demandSteps = 16.0
 )
 
@@ -29,14 +30,15 @@
 	messageBytes  = 7
 )
 
-// demandReport is the demand that a broker reported, in units a tick.
+// demandReport is a report of demand, in units a tick: the demand at one broker, or, in an aggregator's
+// answer, the demand at all other brokers.
 type demandReport struct {
 	units float64
 	tick  int // tick of this broker in which the report arrived
-	from  int // ordinal of its sender
+	from  int // ordinal of the broker that sent it
 }
 
-// current returns the demand of a report in a tick: 0 after reportTicks.
+// current returns the demand of a report in the given tick: 0 if the report is older than reportTicks.
 func (d demandReport) current(tick int) float64 {
 	if tick-d.tick > reportTicks {
 		return 0
@@ -50,7 +52,7 @@
 }
 
 // add stores a broker's report about a volume and returns the demand at all other brokers. It drops expired
-// reports.
+// reports about that volume.
 func (a *demandAggregator) add(hash uint32, report demandReport) float64 {
 	replaced := func(d demandReport) bool { return d.from == report.from || d.current(report.tick) == 0 }
 	others := slices.DeleteFunc(a.reports[hash], replaced)
@@ -62,7 +64,7 @@
 	return sum
 }
 
-// forgetOld drops the volumes that have only expired reports.
+// forgetOld drops the volumes that have no current report of demand above 0.
 func (a *demandAggregator) forgetOld(tick int) {
 	for hash, reports := range a.reports {
 		counts := func(d demandReport) bool { return d.current(tick) > 0 }
@@ -84,7 +86,8 @@
 // gossipDemand reports the demand for volumes whose requests also arrive through other brokers. The hash of a
 // volume's name selects one broker as its aggregator. The aggregator sums the reports and answers each with
 // the demand at all other brokers. The number of messages thus depends on a broker's own requests and not on
-// the number of brokers. Without its aggregator a volume falls back to the even split.
+// the number of brokers. If the aggregator does not answer, its last answer expires after reportTicks, and
+// this broker then assumes no demand at other brokers.
 func (s *Scheduler) gossipDemand() {
 	for _, v := range s.volumes.active {
 		if v.brokers < 2 || v.demand*demandSteps < 1 || (s.ticks+v.sequence)%gossipTicks > 0 {
@@ -120,7 +123,8 @@
 	return data[0], binary.BigEndian.Uint32(data[1:]), units, true
 }
 
-// receivePeerMessage handles a message from a peer. It drops unknown messages and unknown senders.
+// receivePeerMessage handles a message from a peer. It drops messages of unknown kind or wrong length, and
+// messages whose sender is not another broker of the tier.
 func (s *Scheduler) receivePeerMessage(e PeerMessage) {
 	if e.From < 0 || e.From >= s.settings.Brokers || e.From == s.settings.Ordinal {
 		return
@@ -155,7 +159,8 @@
 	}
 }
 
-// receiveUnresponsive handles a gossip message about unresponsive nodes. It reports whether e is one.
+// receiveUnresponsive handles a gossip message about unresponsive or recovered nodes. It reports whether e is
+// such a message.
 func (s *Scheduler) receiveUnresponsive(e PeerMessage) bool {
 	if len(e.Data) == 0 || e.Data[0] != balancer.GossipUnresponsive && e.Data[0] != balancer.GossipRecovered {
 		return false
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -7,20 +7,21 @@
 
 // subscribeRetryShare is the first wait before the subscription to the endpoint list is retried, as a
 // fraction of the poll deadline. With a larger value a broker that lost its subscription uses a stale list
-// for longer. With a smaller value a fleet sends discovery too many requests after it lost all subscriptions
-// at once.
+// for longer. With a smaller value a fleet that lost all subscriptions at once sends too many requests to
+// discovery.
 const subscribeRetryShare = 0.25
 
 // endpointWatch is the state of the subscription to the endpoint list.
 type endpointWatch struct {
-	known      bool          // a list has named nodes
-	subscribed bool          // a list has arrived since the last failure
+	known      bool          // an update has named nodes
+	subscribed bool          // an update other than a cached one has arrived since the last failure
 	retryAt    Time          // earliest time of the next subscription attempt
-	backoff    time.Duration // wait after the next subscription attempt
-	updates    uint64        // number of lists received
+	backoff    time.Duration // minimum wait after the next subscription attempt
+	updates    uint64        // number of updates received, without failures
 }
 
-// subscribe requests the endpoint list. It retries with exponential backoff and jitter until a list arrives.
+// subscribe requests the endpoint list if no subscription exists. Until an update arrives, it retries with
+// exponential backoff and jitter.
 func (s *Scheduler) subscribe() {
 	watch := &s.endpoints
 	if !s.settings.Subscribe || watch.subscribed || s.now < watch.retryAt {
@@ -64,8 +65,9 @@
 	}
 }
 
-// applyEndpoint applies one entry of an endpoint list. first reports that no earlier list named a node. A
-// node of the first list is treated as warm unless its entry has a start time.
+// applyEndpoint applies one entry of an endpoint update. first reports that no earlier update named a node. A
+// node warms up if the entry has a later start time than before, or if the node was removed and is ready
+// again. A node of the first update is therefore treated as warm unless its entry has a start time.
 func (s *Scheduler) applyEndpoint(endpoint Endpoint, first bool) {
 	n := s.nodes.byName[endpoint.Name]
 	if n == nil {
@@ -88,8 +90,8 @@
 	}
 }
 
-// addNode adds a node that was not listed before. A node of the first list is treated as warm. A node of a
-// later list is treated as just started.
+// addNode adds a node that was not listed before. It treats a node of the first update as warm, and a node of
+// a later update as just started.
 func (s *Scheduler) addNode(endpoint Endpoint, first bool) *node {
 	n := &node{sequence: s.nodes.seen}
 	n.limit.value = limitInitial
@@ -105,8 +107,8 @@
 
 // beginSlowStart sets the initial budget of a node that has just started. The budget begins below zero by a
 // random fraction of a request, so that the first requests of many brokers do not arrive at the node
-// together. If this is the only process of the broker, the budget begins as if it had been saved for one
-// overload window. Otherwise another process may already have spent those savings.
+// together. If this is the only process of the broker, the budget begins as if it had already been refilled
+// for one overload window. Otherwise another process may already have spent the budget of that window.
 func (s *Scheduler) beginSlowStart(n *node) {
 	window := s.settings.Rules.OverloadWindow
 	if !n.slowStart.warmingUp || n.slowStart.refilledAt >= n.slowStart.startedAt-window {
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -5,7 +5,8 @@
 // Event is an input of Scheduler.Reduce.
 type Event interface{ event() }
 
-// Request is a client's request. It must receive exactly one final answer.
+// Request is a client's request. The scheduler ends it with Reject or Fail, unless the caller reports that no
+// such answer is needed: by AttemptEnded with Success or Finished, ResponseStarted or ClientGone.
 type Request struct {
 	ID        uint64
 	Class     string
@@ -42,14 +43,14 @@
 	Data []byte
 }
 
-// AttemptEnded reports how one attempt of a request ended. Each Forward is followed by exactly one.
+// AttemptEnded reports how one attempt of a request ended. The caller must pass one for each Forward.
 type AttemptEnded struct {
 	ID              uint64
 	Attempt         int // from 0
 	Node            string
 	Outcome         Outcome
 	Latency         time.Duration
-	Finished        bool       // the request has its final answer; if false, one is still due
+	Finished        bool       // the caller has given the client its final answer
 	RateUsed        int        // 1 + percent of the plan's rate served, 0 for unknown; no rule reads it
 	ServedElsewhere float64    // units of the volume through other brokers; no rule reads it
 	Load            LoadReport // no rule reads it
@@ -74,7 +75,7 @@
 // Ordinal are ignored: a Scheduler keeps those with which it started.
 type SettingsChanged struct{ Settings Settings }
 
-// ProcessesChanged reports the number of running processes of this broker, which is 2 while one process
+// ProcessesChanged reports the number of known running processes of this broker, which is 2 while one process
 // replaces another, and the number of further processes that may run undetected.
 type ProcessesChanged struct{ Processes, Unseen int }
 
@@ -121,7 +122,7 @@
 	StartedAt Time // time of the last start, 0 if long ago
 
 	Priority      int     // in a shard, nodes with a lower value are preferred while they have a slot
-	TrafficWeight float64 // relative load among nodes of equal priority; 0 counts as 1
+	TrafficWeight float64 // relative load among nodes of equal priority; 0 or less counts as 1
 }
 
 // LoadReport is a node's report about its own load. Fields that the node does not report are negative.
@@ -147,7 +148,7 @@
 // Outcome is the result of an attempt or of a health check.
 type Outcome int
 
-// The outcomes. Overloaded, Unreachable and NotSent prove that the attempt never executed.
+// The outcomes. Overloaded, Unreachable and NotSent prove that the node did not execute the request.
 const (
 	Success          Outcome = iota
 	Failure                  // the node answered with an error
@@ -159,5 +160,5 @@
 	NotSent                  // the request ended before the attempt was sent
 )
 
-// MayHaveExecuted reports whether an attempt with this outcome may have executed.
+// MayHaveExecuted reports whether the node may have executed the request in an attempt with this outcome.
 func (o Outcome) MayHaveExecuted() bool { return o != Overloaded && o != Unreachable && o != NotSent }
