--- a/scheduler/giveup.go
+++ b/scheduler/giveup.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// giveUpExpired gives up the requests of a shard that can no longer be answered by their soft deadline, or
-// that are about to reach their deadline.
+// giveUpExpired gives up the queued requests of a shard that can no longer be answered by their soft
+// deadline, or that are within answerTicks of their deadline.
 func (s *Scheduler) giveUpExpired(sh *shard) {
 	serviceTime := sh.serviceTime()
 	if s.nothingExpires(sh, serviceTime) {
@@ -21,8 +21,8 @@
 	}
 }
 
-// giveUp sends the final answer: a rejection if the client may safely repeat the request, otherwise a
-// failure.
+// giveUp sends the final answer of a request: a rejection if the client may safely repeat the request and the
+// deadline has not passed, otherwise a failure.
 func (s *Scheduler) giveUp(r *request) {
 	mayHaveExecuted := r.executedOn != nil || r.inFlightAt != nil
 	safe := !mayHaveExecuted || r.safeToRepeat()
@@ -42,7 +42,8 @@
 	return min(s.minObjective, s.settings.Capabilities.MaxRetryAfter)
 }
 
-// endUnserved ends a request that was not served, and records it so that the client's retry is recognized.
+// endUnserved ends a request. If the request has no answer yet, it is recorded as unserved, so that the
+// client's retry is recognized.
 func (s *Scheduler) endUnserved(r *request) {
 	if !r.answered {
 		key := retryKey{r.Class, r.Volume, r.Key, r.Units}
@@ -54,7 +55,8 @@
 	s.finish(r)
 }
 
-// finish marks a request as answered and dequeues it. It deletes the request unless an attempt is in flight.
+// finish marks a request as answered and dequeues it. It deletes the request unless an attempt is in flight;
+// then onAttemptEnded deletes it.
 func (s *Scheduler) finish(r *request) {
 	r.answered = true
 	if r.queuedAt != nil {
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -12,26 +12,27 @@
 	// at a dead node for longer. With a smaller value a pause of a healthy node removes the node from the
 	// capacity from which tokens are granted.
 	unresponsiveObjectives = 3.0
-	// faultsToBackOff is the number of consecutive broken connections after which the node backs off. With a
-	// larger value a node that closes all connections receives requests for longer. With a smaller value one
-	// lost answer among successful ones makes the requests of its shard wait.
+	// faultsToBackOff is the number of faults since the last success from which a broken connection makes the
+	// node back off. Other faults do so at once. With a larger value a node that closes all connections
+	// receives requests for longer. With a smaller value one lost answer among successful ones makes the
+	// requests of its shard wait.
 	faultsToBackOff = 2
 )
 
 // nodeHealth is the health of a node as its attempts show it.
 type nodeHealth struct {
-	lastAnswer          Time          // of any kind
-	waitingSince        Time          // last outcome, or a later forward that found no attempt in flight
+	lastAnswer          Time          // last outcome that proves the node alive, or when the node was added
+	waitingSince        Time          // last outcome, or a later forward without a live attempt before it
 	backoffUntil        Time          // no request is forwarded to the node before this time
-	backoff             time.Duration // doubles with each fault up to the smallest latency objective
-	faults              int           // since the last success
+	backoff             time.Duration // last backoff: doubles up to the smallest objective, 0 after a success
+	faults              int           // faults since the last success
 	canceledSinceAnswer bool          // a late attempt was canceled since the last success
 }
 
 // unresponsive reports whether a node with attempts in flight has not answered for long, because it is dead,
-// disconnected or stuck. The state applies to nodes of any shard and ends with the node's next outcome. It
-// differs from balancer.Replica.Unresponsive: that replica did not answer while others of its shard did, and
-// trial requests end that state.
+// disconnected or stuck. The state applies to nodes of any shard and ends with the next outcome of an attempt
+// at the node. balancer.Replica.Unresponsive reports another state: the replica did not answer while other
+// nodes of its shard did, and trial requests end that state.
 func (n *node) unresponsive(now Time, objective time.Duration) bool {
 	if len(n.attempts) == 0 {
 		return false
@@ -56,7 +57,8 @@
 	}
 }
 
-// provesAlive reports whether an outcome was caused by the node itself.
+// provesAlive reports whether an outcome shows that the node was alive: the node answered, or had a
+// connection that broke.
 func (o Outcome) provesAlive() bool {
 	return o != TimedOut && o != Canceled && o != Unreachable && o != NotSent
 }
@@ -84,15 +86,16 @@
 	}
 }
 
-// recordServed adds units to the rate at which warm nodes of the shard serve this broker. The rate is an
-// exponential mean over span seconds.
+// recordServed updates the rate at which warm nodes of the shard serve this broker, after a request with the
+// given units. The rate is an exponential mean over span seconds.
 func (sh *shard) recordServed(now Time, units, span float64) {
 	sh.servedRate = sh.servedRate*math.Exp(-(now-sh.servedAt).Seconds()/span) + units/span
 	sh.servedAt = now
 }
 
-// recordNotSent undoes a forward that was never sent. The node's slow-start budget regains the units. If the
-// request is answered and this was its only attempt, its volume's tokens and quota are refunded too.
+// recordNotSent undoes the charges for a forward that was never sent. The node's slow-start budget regains
+// the units. If the request is answered and this was its only attempt, its volume's tokens and quota are
+// refunded too.
 func (s *Scheduler) recordNotSent(n *node, r *request) {
 	n.slowStart.tokens += r.Units
 	if r.answered && r.attempts == 1 {
@@ -101,9 +104,9 @@
 	}
 }
 
-// recordFault makes a node back off after it rejected an attempt, could not be reached, or broke several
-// connections in a row. An error answer of a node does not count as a fault here: the shard may not have
-// another node, and the requests that wait during the backoff would be given up.
+// recordFault makes a node back off, and lowers its limit, after the node rejected an attempt, could not be
+// reached, or broke several connections in a row. An error answer (Failure) does not count as a fault here:
+// the shard may not have another node, and the requests that wait during the backoff would be given up.
 func (s *Scheduler) recordFault(n *node, outcome Outcome) {
 	n.health.faults++
 	if n.health.faults < faultsToBackOff && outcome == ConnectionBroken {
@@ -124,7 +127,7 @@
 	case Success:
 		from := r.failover.from
 		if from != nil && from != n && from.health.lastAnswer < r.failover.sentAt && from.replica != nil {
-			s.reportUnresponsive(from) // from has not answered since, and another node has
+			s.reportUnresponsive(from) // from has not answered since the request was moved away, and n has
 		}
 		replicas.RecordAnswer(s.now, n.replica, s.latencyOfMeanRequest(latency, r.Units))
 	case Failure, Overloaded:
--- a/scheduler/log.go
+++ b/scheduler/log.go
@@ -7,8 +7,8 @@
 // second fault of the same kind remains unnoticed for longer.
 const logIntervalTicks = 100
 
-// The messages of log lines. They are fixed, because the limit applies to each message. Variable values are
-// attributes.
+// The messages of log lines. Each is a constant, because logLimiter limits the lines by message. Variable
+// values are attributes.
 const (
 	messageUnknownClass        = "unknown class or plan"
 	messageAttemptLost         = "attempt lost"
@@ -19,8 +19,8 @@
 )
 
 // logLimiter limits log lines: each message is logged at most once in logIntervalTicks. All nodes share this
-// limit: a line about a second node that fails within the interval is dropped. Lines that are dropped here
-// are not counted: the key `left_out` of log lines counts only the lines that internal/logging drops.
+// limit: a line about a second node that fails within the interval is dropped. Nothing counts the lines that
+// logLimiter drops: the key `left_out` of log lines counts only the lines that internal/logging drops.
 type logLimiter struct {
 	lastTick map[string]int // tick of the last line, by message
 }
--- a/scheduler/lost.go
+++ b/scheduler/lost.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// overtakesToLose is the number of later attempts that a node must answer before an earlier attempt is
-	// presumed lost. With a larger value a lost attempt occupies its slot for longer. With a smaller value
-	// attempts that would succeed are presumed lost at a node that answers out of order.
+	// overtakesToLose is the number of later attempts that a node must serve before an earlier attempt is
+	// presumed lost within the smallest latency objective. With a larger value a lost attempt occupies its
+	// slot for longer. With a smaller value attempts that would succeed are presumed lost at a node that
+	// answers out of order.
 	overtakesToLose = 4
-	// lateFactor is the time in flight after which an attempt may be presumed lost, as a multiple of its
-	// expected latency. With a larger value clients wait longer behind lost attempts. With a smaller value
-	// large requests are canceled.
+	// lateFactor is the minimum time in flight of an attempt that is presumed lost or moved to another node,
+	// as a multiple of its expected latency. With a larger value clients wait longer behind lost attempts.
+	// With a smaller value large requests are canceled.
 	lateFactor = 3.0
 	// failoverTicks is the minimum time in flight before an attempt is moved to another node of its shard,
 	// in ticks. With a larger value clients wait longer for a dead node. With a smaller value short pauses
 	// double the work of a shard.
 	failoverTicks = 4
-	// suspicionEarned is the number of attempts per forward that may be moved without proof, that is,
-	// although no other node of the shard has answered since. With a larger value retries add to the load
-	// of a shard that is slow as a whole. With a smaller value a dead node blocks a shard with few
-	// requests.
+	// suspicionEarned is the number of moves without proof that each forward earns. A move has proof if
+	// another node of the shard has answered since the attempt was sent, or if the balancer considers the
+	// attempt's node unresponsive. With a larger value retries add to the load of a shard that is slow as a
+	// whole. With a smaller value a dead node blocks a shard with few requests.
 	suspicionEarned = 0.1
-	// suspicionMax is the maximum number of such moves in a row. With a larger value a shard that is slow
-	// as a whole receives a burst of retries. With a smaller value the first requests at a dead node wait
-	// longer.
+	// suspicionMax is the maximum number of moves without proof that forwards have not yet earned back. With
+	// a larger value a shard that is slow as a whole receives a burst of retries. With a smaller value the
+	// first requests at a dead node wait longer.
 	suspicionMax = 5.0
 	// stallTicks is the interval between two ticks, in tick periods, above which this broker itself counts
 	// as stalled. With a larger value a broker without processor time blames nodes for answers that it has
 	// not read. With a smaller value a broker on a busy machine detects dead nodes late.
 	stallTicks = 3
-	// settleTicks is the time after a stall in which a broker does not fail over, in ticks, while it reads
-	// the answers that arrived meanwhile. With a larger value dead nodes are found later. With a smaller
-	// value answers that were already received count as missing.
+	// settleTicks is the time after a stall, in ticks, in which a broker does not fail over, because it reads
+	// the answers that arrived during the stall. With a larger value dead nodes are found later. With a
+	// smaller value answers that were already received count as missing.
 	settleTicks = 2
 )
 
-// failover describes the move of a request to another node without proof that the first node failed.
+// failover describes the move of a request away from a node without proof that the node failed.
 type failover struct {
 	from   *node // nil for none
-	sentAt Time  // when the attempt at that node was sent
+	sentAt Time  // when the attempt at from was sent
 }
 
 // failoverGuard limits the moves that failOver makes without proof, and prevents moves after a stall.
@@ -49,10 +50,11 @@
 	lastTick       int // tick in which attempts were last checked
 	lastTickAt     Time
 	stalledUntil   Time
-	suspicionSpent float64 // moves without proof, minus those that forwards have earned
+	suspicionSpent float64 // moves without proof that forwards have not yet earned back
 }
 
-// observeTick records a tick. It detects a stall of this broker from the time since the last tick.
+// observeTick records a tick in which attempts were checked. If the last such tick is too long ago, it
+// assumes a stall of this broker. A longer time without attempts in flight has the same effect.
 func (f *failoverGuard) observeTick(tick int, now Time, period time.Duration) {
 	if tick == f.lastTick {
 		return
@@ -64,17 +66,18 @@
 	f.lastTickAt = now
 }
 
-// recordForward earns a fraction of a move without proof.
+// recordForward earns a part of a move without proof.
 func (f *failoverGuard) recordForward() { f.suspicionSpent = max(0, f.suspicionSpent-suspicionEarned) }
 
 // exhausted reports whether another move without proof would exceed the limit.
 func (f *failoverGuard) exhausted() bool { return f.suspicionSpent > suspicionMax-1 }
 
-// detectLost finds the attempts at a node whose answers will not arrive, because of a lost message, a stuck
-// request, or a dead node or network path. Such an attempt was overtaken by later attempts, or is in flight
-// for far longer than any answer takes. Its slot is freed. Unless the attempt is only late, it is canceled
-// and retried if the rules allow it. Every tick checks every attempt, so that no lost attempt is missed. As
-// a trade-off, nodes that answer out of order, or suddenly become slower, cause some retries.
+// detectLost presumes attempts at a node lost if their answers probably will not arrive, because of a lost
+// message, a stuck request, or a dead node or network path. An attempt is presumed lost if it is in flight
+// for lateFactor times its expected latency and if, in addition, the node has served overtakesToLose later
+// attempts or the attempt is in flight for the smallest latency objective. Before that check, failOver and
+// cancelLate may cancel the attempt. Each tick checks all attempts, so that no lost attempt is missed. As a
+// trade-off, nodes that answer out of order, or suddenly become slower, cause some retries.
 func (s *Scheduler) detectLost(n *node) {
 	for _, r := range n.attempts {
 		inFlight := (s.now - r.sentAt).Seconds()
@@ -94,9 +97,10 @@
 	return max(1, units/max(1, s.settings.MeanUnits))
 }
 
-// presumeLost frees the slot of an attempt that is in flight for the given number of seconds. It cancels
-// the attempt if the request may be retried, unless the attempt is only late: a retry would then double the
-// work.
+// presumeLost frees the slot of an attempt that is in flight for the given number of seconds. It cancels the
+// attempt, so that the request is retried, if later attempts were served or the node is unresponsive.
+// Otherwise the attempt may only be late, and a retry would double the work. It does not cancel if the class
+// is not Idempotent, the soft deadline has passed or the request may not be retried.
 func (s *Scheduler) presumeLost(n *node, r *request, inFlight float64) {
 	r.lost = true
 	n.inFlight--
@@ -113,17 +117,17 @@
 	}
 }
 
-// cancelUseless fails over or cancels an attempt that is no longer useful at its node. It reports whether
-// it did so.
+// cancelUseless fails over or cancels an attempt that is no longer useful at its node. It reports whether it
+// canceled the attempt.
 func (s *Scheduler) cancelUseless(n *node, r *request) bool {
 	return s.failOver(n, r) || s.cancelLate(n, r)
 }
 
 // cancelLate cancels an attempt at a congested node after its soft deadline and answers the request. The
-// node can then serve requests that can still be in time. A node that continues to execute canceled
-// attempts would hide how slow it is. Therefore, after one cancellation no other late attempt is canceled
-// until the next success. As a trade-off, classes whose late answers still earn much lose value. cancelLate
-// reports whether it canceled.
+// node can then serve requests that can still be in time. If a node continues to execute canceled attempts,
+// further cancellations would hide how slow it is. Therefore, after one cancellation no other late attempt at
+// the node is canceled until the next success. As a trade-off, classes whose late answers still earn much
+// lose value. cancelLate reports whether it canceled the attempt.
 func (s *Scheduler) cancelLate(n *node, r *request) bool {
 	if r.answered || s.now <= r.softDeadline || !n.congested(s.minObjective) {
 		return false
@@ -144,13 +148,14 @@
 	s.emit(Cancel{ID: r.ID, Attempt: r.attempts - 1})
 }
 
-// failOver cancels an attempt at a node that does not answer, so that the request is retried at another
-// node of its shard. It acts if the attempt is in flight for far longer than expected from the latency of
-// another node. Only requests that are safe to repeat are moved; other requests stay at their first node.
-// If no other node has answered since the attempt was sent, the moves are limited: if all nodes are slow,
-// moves would only add load. A broker that was stalled does not fail over until it has read the answers
-// that arrived meanwhile. As a trade-off, a healthy node that pauses for that long loses some requests.
-// failOver reports whether it canceled.
+// failOver cancels an attempt at a node that does not answer, so that the request is retried at another node
+// of its shard. It acts if the node has not answered since the attempt was sent, and the attempt is in flight
+// for far longer than expected from the latency of another node. Only requests that are safe to repeat are
+// moved; other requests stay at their first node. Moves without proof (see suspicionEarned) are limited: if
+// all nodes are slow, moves would only add load. If there is proof, failOver reports the node to the balancer
+// as unresponsive, even if the request is not moved. A broker that was stalled does not fail over while it
+// reads the answers that arrived during the stall. As a trade-off, a healthy node that pauses for that long
+// loses some requests. failOver reports whether it canceled the attempt.
 func (s *Scheduler) failOver(n *node, r *request) bool {
 	s.failovers.observeTick(s.ticks, s.now, s.tickPeriod)
 	if n.replica == nil || n.shard.balancer == nil || r.answered || s.now < s.failovers.stalledUntil {
@@ -186,7 +191,8 @@
 	return true
 }
 
-// alternative returns the other ready and responsive node of the shard that answered last, nil for none.
+// alternative returns, of the other ready and responsive nodes of the shard, the one with the latest answer,
+// or nil if there is none.
 func (n *node) alternative() *node {
 	var latest *node
 	for _, other := range n.shard.nodes {
--- a/scheduler/memory.go
+++ b/scheduler/memory.go
@@ -8,26 +8,26 @@
 const (
 	// volumeIdleTicks is the number of ticks without a request after which a volume is forgotten. With a
 	// larger value memory grows with all volumes of the last hours. With a smaller value a volume that
-	// returns starts with a full bucket, and its demand is unknown.
+	// returns has lost its saved tokens or its overdraft, and its demand is unknown.
 	volumeIdleTicks = 2400
 	// expiryTicks is the number of ticks between two searches for expired key queues and unserved requests.
 	// With a larger value expired entries use memory for longer. With a smaller value ticks take longer.
 	expiryTicks = 16
 	// sweepMin and sweepFraction define the number of volumes that a tick checks: the total divided by
-	// sweepFraction, at least sweepMin. When more volumes are checked, ticks take longer. When fewer are
-	// checked, memory is freed later.
+	// sweepFraction, at least sweepMin. If a tick checks more volumes, it takes longer. If it checks fewer,
+	// memory is freed later.
 	sweepMin      = 256
 	sweepFraction = 64
 	// servedWarmUps is the time for which the served rate of a shard without nodes is kept, as a multiple of
-	// the warm-up time. With a larger value memory grows with all shards that ever existed. With a smaller
+	// the warm-up time. With a larger value memory holds more shards that no longer exist. With a smaller
 	// value a node that replaces the last node of its shard starts slower than it could.
 	servedWarmUps = 4
 )
 
 // forget bounds the memory of a process that runs for months, while nodes are replaced under new names,
-// volumes appear and disappear, and reports expire. A removed node is kept while attempts are in flight
-// there. A shard without nodes is kept while the rate that its last node served may set the slow-start budget
-// of a new node.
+// volumes appear and disappear, and reports expire. A removed node is kept while attempts are in flight at
+// it. A shard without nodes is kept while it has queued requests, or while the rate at which its nodes served
+// this broker may set the slow-start budget of a new node.
 func (s *Scheduler) forget() {
 	if s.nodes.recount {
 		s.nodes.recount = s.forgetNodes()
@@ -49,7 +49,8 @@
 	})
 }
 
-// forgetNodes drops removed nodes and empty shards. It reports whether some must be dropped in a later tick.
+// forgetNodes drops removed nodes and empty shards. It reports whether nodes or shards remain that a later
+// tick must drop.
 func (s *Scheduler) forgetNodes() (left bool) {
 	before := len(s.nodes.list)
 	s.nodes.list = slices.DeleteFunc(s.nodes.list, func(n *node) bool {
@@ -72,7 +73,8 @@
 	return s.forgetShards() || left
 }
 
-// forgetShards drops shards without nodes and requests. It reports whether some shards without nodes remain.
+// forgetShards drops shards without nodes, unless they have queued requests or served a request recently. It
+// reports whether shards without nodes remain.
 func (s *Scheduler) forgetShards() (left bool) {
 	memory := servedWarmUps*s.settings.Rules.WarmUpTime + s.minObjective
 	s.shards.ids = slices.DeleteFunc(s.shards.ids, func(id int) bool {
@@ -93,7 +95,7 @@
 	return left
 }
 
-// forgetVolumes drops volumes that have been idle for long. Each tick checks a part of the volumes.
+// forgetVolumes drops volumes without a request for volumeIdleTicks. Each tick checks a part of the volumes.
 func (s *Scheduler) forgetVolumes() {
 	t := &s.volumes
 	if t.sweepPosition >= len(t.list) {
@@ -116,7 +118,7 @@
 	t.sweepPosition = kept
 }
 
-// closeGap fills the places from start to end with the last volumes of the list, whose order is irrelevant.
+// closeGap fills list[start:end] with the last volumes of the list. The order of the list is irrelevant.
 func (t *volumeTable) closeGap(start, end int) {
 	if start >= end {
 		return
--- a/scheduler/nodes.go
+++ b/scheduler/nodes.go
@@ -11,15 +11,15 @@
 type node struct {
 	Endpoint
 	state            NodeState // as listed, or Removed if the last full list did not name the node
-	listedGeneration uint64    // scanSchedule.generation of the last list that named the node
+	listedGeneration uint64    // scanSchedule.generation of the last update that named the node
 	sequence         int       // position in the order in which nodes were first seen
-	shard            *shard    // shard in the node's first list entry
+	shard            *shard    // shard in the first list entry of the node
 	replica          *balancer.Replica
 
 	active        bool       // ticks process the node
 	attempts      []*request // in flight, in the order sent
 	inFlight      int        // attempts that are not presumed lost
-	finishedUnits float64    // units answered in this tick
+	finishedUnits float64    // units of the requests that succeeded in this tick
 
 	limit     concurrencyLimit
 	latency   latencyStats
@@ -78,7 +78,8 @@
 }
 
 // fastest returns the ready node from which the shard's service time is estimated, nil for none. In a shard
-// with a balancer it is the responsive node with the lowest latency, because the next request goes there.
+// with a balancer it is the responsive node with the lowest known latency, because a request is given up only
+// if even that node could not serve it in time. If no latency is known, it is the first ready node.
 func (sh *shard) fastest() *node {
 	first := sh.firstReady()
 	if first == nil || sh.balancer == nil {
@@ -105,7 +106,8 @@
 	return 0
 }
 
-// workingNodes returns the number of nodes that serve the shard's queue.
+// workingNodes returns the number of nodes that serve the shard's queue: 1 without a balancer, otherwise the
+// ready and responsive nodes, at least 1 and at most the size of the balancer's subset.
 func (sh *shard) workingNodes() float64 {
 	if sh.balancer == nil {
 		return 1
--- a/scheduler/ordering.go
+++ b/scheduler/ordering.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// keyQueue keeps the requests of ordered classes with one key in the order of arrival.
+// keyQueue keeps the unfinished requests of ordered classes with one key in the order of arrival.
 type keyQueue struct {
-	waiting    []*request // the first may run next
+	waiting    []*request // only the first may run
 	quietUntil Time       // until this time an earlier attempt may still run at its node
 }
 
@@ -21,8 +21,8 @@
 	r.keyQueue.waiting = append(r.keyQueue.waiting, r)
 }
 
-// isNextOfKey reports whether a request may run according to the order of requests with its key. A retry need
-// not wait for its own earlier attempt.
+// isNextOfKey reports whether a request may run according to the order of requests with its key: it is the
+// first of its queue, and the quiet period has ended. The quiet period does not apply to a retry.
 func (r *request) isNextOfKey(now Time) bool {
 	if r.keyQueue == nil {
 		return true
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -3,15 +3,16 @@
 import "math"
 
 // placementChoices is the number of nodes that are compared for a new object. With a larger value all brokers
-// choose the same few idle nodes. With a smaller value new objects wait at busy nodes while others idle.
+// choose the same few idle nodes. With a smaller value new objects wait at busy nodes while other nodes idle.
 const placementChoices = 8
 
 // placeNewObject chooses the shard of a new object: the shard with the shortest expected wait among a few
-// healthy nodes. The comparison starts at a random node, so that brokers do not all choose the same node. A
-// node that is warming up is a candidate if its slow-start budget covers the object. Without these nodes, all
-// new objects would go to the few old nodes after many restarts. A node whose latency is unknown is assumed
-// to have the target latency. As a trade-off, later reads go to a node that is still warming up. The result
-// is -1 if no node is a candidate.
+// candidates. Candidates are ready nodes that answer, do not back off and are within the scope of the
+// request's key. The search starts at a random node, so that brokers do not all choose the same node. A node
+// that is warming up is a candidate if its slow-start budget covers the object. Without these nodes, all new
+// objects would go to the few old nodes after many restarts. As a trade-off, later reads of the object go to
+// a node that is still warming up. The latency of a node counts as at least the target latency. The result is
+// -1 if no node is a candidate.
 func (s *Scheduler) placeNewObject(r *request) int {
 	best := -1
 	leastWait := math.Inf(1)
@@ -37,7 +38,7 @@
 }
 
 // inScope reports whether a request may be sent to a node under the scope of its idempotency key. A request
-// with a key that may have executed must stay within the nodes that recognize the key.
+// that may have executed must stay within the nodes that recognize its key.
 func inScope(r *request, n *node) bool {
 	if r.executedOn == nil || r.class.Idempotency != IdempotentWithKey || r.class.Scope == ScopeAll {
 		return true
--- a/scheduler/queue.go
+++ b/scheduler/queue.go
@@ -18,20 +18,20 @@
 	nodes          []*node
 	balancer       *balancer.Balancer // of the nodes, nil until there are several
 	balancerUpdate uint64             // endpointWatch.updates when the balancer last received the nodes
-	servedRate     float64            // units a second that warm nodes served, a mean over WarmUpTime
-	servedAt       Time               // when warm nodes last served a request
+	servedRate     float64            // units a second that warm nodes served this broker, see recordServed
+	servedAt       Time               // when a warm node last served a request
 
 	queue        []*request
 	unscanned    []*request // queued requests that arrived since the last scan
-	lateArrivals []*request // queued requests that arrived since the marks were set
+	lateArrivals []*request // queued requests that arrived since the marks were reset
 	marks        [passes]scanMark
-	marksSet     uint64 // scanSchedule.generation when the marks were set, 0 for never
+	marksSet     uint64 // scanSchedule.generation when the marks were reset, 0 for never
 	scan         scan   // the current scan; a field to avoid an allocation
 	summary      queueSummary
-	changed      bool // a request may have become forwardable since the last scan or by that scan
+	changed      bool // a request may have become forwardable since the last scan or during it
 	pending      bool // the shard is in scanSchedule.pending
 	queued       bool // the shard is in scanSchedule.queued
-	wakeupAt     Time // of the shard's earliest wake-up, 0 for none
+	wakeupAt     Time // time of the shard's earliest wake-up, 0 for none
 }
 
 // queueSummary summarizes the queued requests of a shard. It is valid for one generation and one service
@@ -40,7 +40,7 @@
 	generation    uint64  // scanSchedule.generation, 0 if invalid
 	serviceTime   float64 // seconds
 	timeDependent int     // number of requests that may become forwardable by the passing of time alone
-	giveUpAt      Time    // slightly before the first request is given up
+	giveUpAt      Time    // when the first request may have to be given up, slightly early
 }
 
 // enqueueAt queues a request at a shard until it is forwarded or given up.
@@ -80,8 +80,8 @@
 }
 
 // removeByDeadline removes a request from a list if the list contains it. Most removed requests are the first
-// of the list. They are cut off by reslicing: shifting the others took seconds when all requests of a queue
-// of 100,000 left at once. TestAllDueAtOnce guards against that.
+// of the list, and are cut off by reslicing: shifting the others took seconds when all requests of a queue of
+// 100,000 left at once. TestAllDueAtOnce guards against that.
 func removeByDeadline(list []*request, r *request) []*request {
 	at, found := slices.BinarySearchFunc(list, r, compareSoftDeadline)
 	switch {
@@ -97,8 +97,8 @@
 	return slices.Delete(list, at, at+1)
 }
 
-// add adds a queued request to the summary. A request is time-dependent if it may wait for its key, its retry
-// budget or its quota. giveUpAt is a microsecond early, because the service time is rounded.
+// add adds a queued request to the summary. A request is time-dependent if it may have to wait for its key,
+// the retry budget or its quota. giveUpAt is a microsecond early, because the service time is rounded.
 func (q *queueSummary) add(r *request, tickPeriod time.Duration) {
 	r.timeDependent = r.keyQueue != nil || r.attempts > 0 || r.volume.plan.Limit > 0
 	if r.timeDependent {
@@ -131,9 +131,9 @@
 	return current && s.now < sh.summary.giveUpAt
 }
 
-// isUniform reports whether the shard's nodes can currently accept either every queued request or none. This
-// holds if no request is time-dependent or restricted to some of the nodes, and no node paces forwards or is
-// warming up.
+// isUniform reports whether the shard's nodes can currently accept either every queued request or none. It
+// requires that no request is time-dependent or restricted to some of the nodes, and that no node paces
+// forwards or is warming up.
 func (s *Scheduler) isUniform(sh *shard) bool {
 	s.summarize(sh)
 	if sh.summary.timeDependent != 0 {
@@ -166,8 +166,9 @@
 	}
 }
 
-// isSettled reports whether another scan of the queue would not move any request: since the last scan,
-// nothing relevant has changed at this shard, for all shards, or by the passing of time.
+// isSettled reports whether another scan of the queue would not move any request: since the last scan, no
+// event changed the shard, no request arrived, no new generation began and no request became due to be given
+// up, and the shard is uniform.
 func (s *Scheduler) isSettled(sh *shard) bool {
 	if s.scans.exhaustive || sh.changed || len(sh.unscanned) > 0 {
 		return false
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// onAttemptEnded handles the outcome of an attempt: it ends the request, retries it, or sends its final
-// answer. A TimedOut attempt is never retried, because the client no longer waits.
+// onAttemptEnded handles the outcome of an attempt: it ends the request, queues it for a retry, or sends its
+// final answer. A TimedOut attempt is never retried, because the client no longer waits.
 func (s *Scheduler) onAttemptEnded(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || r.inFlightAt == nil || r.inFlightAt.Name != e.Node || e.Attempt != r.attempts-1 {
@@ -115,7 +115,7 @@
 // mayStillRun reports whether a node may still execute an attempt that ended with this outcome.
 func (o Outcome) mayStillRun() bool { return o == TimedOut || o == ConnectionBroken || o == Canceled }
 
-// requeue queues a request again after its attempt at a node ended without an answer.
+// requeue queues a request again after its attempt at a node ended without success.
 func (s *Scheduler) requeue(r *request, n *node) {
 	if n.shard.balancer != nil && n.shard.hasSeveralReady() {
 		s.extendSoftDeadline(r)
@@ -123,8 +123,9 @@
 	s.enqueue(r)
 }
 
-// extendSoftDeadline gives a request that is retried at another node enough time to run there. The request
-// may miss its latency objective, but a late answer is worth more than none.
+// extendSoftDeadline gives a request that is retried at another node enough time to run there: the smallest
+// latency objective from now, but no longer than until answerTicks before the deadline. The request may miss
+// its latency objective, but a late answer is worth more than none.
 func (s *Scheduler) extendSoftDeadline(r *request) {
 	extended := max(r.softDeadline, s.now+s.minObjective)
 	r.softDeadline = min(r.deadline-answerTicks*s.tickPeriod, extended)
--- a/scheduler/scan.go
+++ b/scheduler/scan.go
@@ -8,9 +8,9 @@
 
 // The passes of a scan.
 const (
-	paidPass      = iota // requests whose volume has enough tokens
-	overdraftPass        // requests whose volume must overdraw its tokens
-	lastPass             // deprioritized requests
+	paidPass      = iota // requests whose volume has enough tokens ("can pay")
+	overdraftPass        // requests whose volume overdraws its tokens
+	lastPass             // deprioritized requests, also with overdraft
 	passes
 )
 
@@ -25,8 +25,8 @@
 	exhaustive bool       // each scan checks all queued requests, as a reference for tests
 }
 
-// wakeup schedules a scan of a shard. A wake-up may be too early, in which case the shard sleeps again. A
-// shard may have two wake-ups; the second one then finds the shard awake.
+// wakeup schedules a scan of a shard. A wake-up may be too early; the shard then sleeps again. A shard may
+// have several wake-ups, of which the later ones may have no effect.
 type wakeup struct {
 	at    Time
 	shard *shard
@@ -89,7 +89,8 @@
 	})
 }
 
-// sleep excludes a settled shard from scans until its wake-up or an event. It reports whether it did so.
+// sleep excludes a settled shard from scans until its wake-up or an event. It reports whether the shard was
+// settled.
 func (s *Scheduler) sleep(sh *shard) bool {
 	if !s.isSettled(sh) {
 		return false
@@ -102,7 +103,7 @@
 	return true
 }
 
-// dispatchPending scans the pending shards, and gives up their requests that can no longer be in time.
+// dispatchPending forwards requests of the pending shards, and gives up those that can no longer be in time.
 func (s *Scheduler) dispatchPending() {
 	s.scans.wakeDue(s.now)
 	s.scans.pending = slices.DeleteFunc(s.scans.pending, func(sh *shard) bool {
@@ -136,9 +137,10 @@
 	}
 }
 
-// scan is one scan of a shard's queue. Within a generation the tokens of volumes only fall, so that a request
-// that could not pay still cannot. Each pass therefore starts at its mark, after the requests that could not
-// pay. Before that, the pass checks the requests before the mark that arrived since the mark was set.
+// scan is one scan of a shard's queue. Within a generation the tokens of volumes fall, apart from refunds, so
+// that a request that could not pay still cannot. Each pass therefore starts at its mark, after the requests
+// that could not pay. Before that, the pass checks the requests before the mark that arrived after the marks
+// were reset. A refund thus takes effect for the other requests before the mark in the next generation.
 type scan struct {
 	shard          *shard
 	unscannedOnly  bool // only requests that arrived since the last scan
@@ -158,8 +160,9 @@
 	return cmp.Or(cmp.Compare(r.softDeadline, mark.softDeadline), cmp.Compare(r.ID, mark.id))
 }
 
-// beginScan starts a scan. The scan covers only the requests that arrived since the last scan if that scan
-// moved no request and no later event could change its result. Otherwise it covers the whole queue.
+// beginScan starts a scan. The scan covers only the requests that arrived since the last scan, if that scan
+// moved no request and nothing that happened since could change its result. Otherwise it covers the whole
+// queue.
 func (s *Scheduler) beginScan(sh *shard) *scan {
 	nothingChanged := !s.scans.exhaustive && !sh.changed &&
 		s.nothingExpires(sh, sh.serviceTime()) && s.isUniform(sh)
@@ -204,7 +207,8 @@
 	return nil
 }
 
-// skipUnpaid skips a request that cannot be forwarded in this pass, for example because it cannot pay.
+// skipUnpaid skips a request that cannot be forwarded in this pass, because it cannot pay or for another
+// reason that does not depend on nodes.
 func (l *scan) skipUnpaid(r *request) {
 	l.index++
 	if !l.unscannedOnly && !l.lateArrivals && !l.skippedPayable {
@@ -218,8 +222,8 @@
 	l.skippedPayable = l.skippedPayable || !l.lateArrivals
 }
 
-// finishScan ends a scan of a shard whose queue had the given length before. Another scan follows if this
-// scan moved a request or if one of the shard's nodes backs off.
+// finishScan ends a scan of a shard whose queue had the given length before. If this scan moved a request, or
+// if one of the shard's nodes backs off, the next call of Reduce scans the whole queue again.
 func (s *Scheduler) finishScan(sh *shard, before int) {
 	clear(sh.unscanned)
 	sh.unscanned = sh.unscanned[:0]
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -39,7 +39,7 @@
 	nodes     nodeTable
 	shards    shardTable
 	scans     scanSchedule
-	kept      lowestValueFirst // reused by deprioritizeLate
+	kept      lowestValueFirst // buffer that deprioritizeLate reuses
 
 	demand    demandAggregator
 	budget    retryBudget
--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -8,8 +8,8 @@
 	"junctionwharf/balancer"
 )
 
-// selectNode returns the first node of a shard, in the balancer's order, that may serve a request now. It
-// returns nil for none.
+// selectNode returns the first node of a shard, in the order of candidates, that may serve a request now, or
+// nil if there is none.
 func (s *Scheduler) selectNode(sh *shard, r *request) *node {
 	for n := range s.candidates(sh, r) {
 		if s.mayServe(n, r) {
@@ -24,8 +24,8 @@
 	return n.state == Ready && s.belowLimit(n, r) && inScope(r, n) && s.slowStartAllows(n, r.Units)
 }
 
-// candidates yields the nodes of a shard, best choice first. If at most one node is ready, the balancer is
-// not used.
+// candidates yields the nodes of a shard, best choice first. The balancer is used only if several nodes are
+// ready and the settings do not disable it.
 func (s *Scheduler) candidates(sh *shard, r *request) iter.Seq[*node] {
 	if len(sh.nodes) < 2 || s.settings.Balancer.Disabled || !sh.hasSeveralReady() {
 		return s.leastLoaded(sh, r)
@@ -47,8 +47,9 @@
 	}
 }
 
-// leastLoaded yields the node that may serve a request and has the fewest attempts in flight relative to its
-// traffic weight. Of equal nodes it yields the first listed. It yields the only node of a shard unchecked.
+// leastLoaded yields at most one node: of those that may serve a request and have the first priority, the one
+// with the fewest attempts in flight relative to its traffic weight. Of equal nodes it yields the first
+// listed. The only node of a shard is yielded without a check.
 func (s *Scheduler) leastLoaded(sh *shard, r *request) iter.Seq[*node] {
 	if len(sh.nodes) < 2 {
 		return slices.Values(sh.nodes)
@@ -62,8 +63,8 @@
 	return slices.Values(best)
 }
 
-// isLessLoaded reports whether a node with one more request would be less loaded than another node with one
-// more request, relative to their weights. Priority takes precedence.
+// isLessLoaded reports whether a node with one more request would be less loaded, relative to its weight,
+// than another node with one more request. If their priorities differ, only the priorities are compared.
 func (n *node) isLessLoaded(other *node) bool {
 	if n.Priority != other.Priority {
 		return n.Priority < other.Priority
@@ -79,8 +80,8 @@
 	}
 	if sh.balancer == nil {
 		options := s.settings.Balancer
-		// A broker without a name is named by its ordinal as one character: decisions depend on the name's
-		// hash.
+		// A broker without a name gets the character with its ordinal as code point: decisions depend on
+		// the name's hash.
 		options.Name = cmp.Or(options.Name, string(rune(s.settings.Ordinal)))
 		options.Ordinal = s.settings.Ordinal
 		options.Brokers = s.settings.Brokers
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -26,8 +26,8 @@
 	MaxUnits       float64       // largest size of a request
 	SlowStartUnits float64       // load that a starting node can handle from all brokers in an OverloadWindow
 	MeterPeriod    time.Duration // period of AttemptEnded.RateUsed, 0 for none; no rule reads it
-	ShareWeight    float64       // fraction of value earned between the reserved and the normal rate
-	SpareWeight    float64       // fraction of value earned above both rates
+	ShareWeight    float64       // fraction of its value that a request just above the reserved rate earns
+	SpareWeight    float64       // fraction of its value that a request far above the normal rate earns
 	Balancer       balancer.Options
 }
 
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// settingsError is an error of Validate. It replaces the text of the error that it wraps by a specific text.
+// settingsError is an error of Validate. It replaces the text of the error that it wraps with a specific
+// text.
 type settingsError struct {
 	kind error
 	text string
@@ -83,11 +84,12 @@
 // The kinds of idempotency that a class may have.
 const (
 	Idempotent        Idempotency = iota // a second execution does no harm
-	IdempotentWithKey                    // the nodes of a scope ignore repeats of its key for a while
+	IdempotentWithKey                    // nodes in the scope of the key ignore repeats of it for a while
 	NotIdempotent                        // must not execute twice
 )
 
-// Scope is the group of nodes that ignores repeats of an idempotency key.
+// Scope is the group of nodes that ignores repeats of an idempotency key. The group contains the node at
+// which the request may have executed.
 type Scope int
 
 // The scopes of an idempotency key.
@@ -100,7 +102,7 @@
 // Class is a kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within it earns its full value
+	LatencyObjective time.Duration // an answer within this time earns its full value
 	ObjectiveStretch float64       // additional objective, a multiple of the work; no rule reads it
 	Deadline         time.Duration // time that the client waits, over all attempts
 	PriorityWeight   float64       // value of a unit answered within the latency objective
@@ -115,7 +117,7 @@
 // Plan is the service contract of a volume. Rates are in units a second over all brokers and nodes.
 type Plan struct {
 	Name           string
-	Rate           float64 // normal rate, which weights requests beyond the reserved rate
+	Rate           float64 // normal rate, above which the value of requests falls further
 	ReservedRate   float64
 	Limit          float64 // rate limit, 0 for none
 	LimitBurst     float64 // capacity of the limit's token bucket, in units
--- a/scheduler/shares.go
+++ b/scheduler/shares.go
@@ -12,7 +12,7 @@
 	Reason string  // reason for the factor
 }
 
-// NodeShares returns the shares of the nodes of all shards with several ready nodes.
+// NodeShares returns the shares of the nodes of all shards that have a balancer and several ready nodes.
 func (s *Scheduler) NodeShares() []NodeShare {
 	var shares []NodeShare
 	for _, id := range s.shards.ids {
--- a/scheduler/tokens.go
+++ b/scheduler/tokens.go
@@ -2,20 +2,21 @@
 
 import "math"
 
-// smoothing is the weight of the newest measurement in a running mean, from 0 to 1. With a larger value
-// demand and node latency jump with a single burst or pause. With a smaller value they follow an outage
-// several ticks late.
+// smoothing is the weight of the newest measurement in a running mean, from 0 to 1. With a larger value a
+// single burst or pause makes the means of demand and node latency jump. With a smaller value they follow an
+// outage several ticks late.
 const smoothing = 0.2
 
-// bucketCapacity returns the capacity of a volume's token bucket in units. It is the plan's rate over a
-// second plus one request of the largest size. The rate is not split over brokers, since a volume may send
-// all its requests through one broker.
+// bucketCapacity returns the capacity of a volume's token bucket in units: the larger of the plan's normal
+// and reserved rates, over a second, plus one request of the largest size. The rate is not split over
+// brokers, since a volume may send all its requests through one broker.
 func bucketCapacity(plan *Plan, maxUnits float64) float64 {
 	return max(plan.Rate, plan.ReservedRate) + maxUnits
 }
 
-// refillTokens grants tokens to the active volumes by equation 12 of the paper. The sum of demand includes
-// the demand that peers reported. elapsed is the time since the last tick in seconds.
+// refillTokens grants tokens to the active volumes by equation 12 of the paper by Pencheva and Atanasov (see
+// the package comment). The sum of demand includes the demand that peers reported. elapsed is the time since
+// the last tick in seconds.
 func (s *Scheduler) refillTokens(elapsed float64) {
 	capacity := s.availableCapacity()
 	totalDemand := 0.0
@@ -33,12 +34,13 @@
 	}
 }
 
-// grant returns u(t) of equation 12, in units:
+// grant returns the tokens u(t) that equation 12 grants a volume, in units:
 //
 //	u(t) = guarantee + V(t) / sum of V(t) * (W(t) - tokens)
 //
-// The guarantee is this broker's even part of the volume's reserved rate over elapsed seconds. capacity is
-// W(t) of equation 11. The second term is ignored if it is negative.
+// The guarantee is this broker's even part of the volume's reserved rate over elapsed seconds. V(t) is the
+// number of the volume's units that arrived in this tick. The sum is totalDemand, over all active volumes.
+// W(t) is capacity, by equation 11. A negative second term counts as 0.
 func (v *volume) grant(elapsed, totalDemand, capacity float64) float64 {
 	grant := v.plan.ReservedRate / v.brokers * elapsed
 	if totalDemand > 0 {
@@ -47,10 +49,10 @@
 	return grant
 }
 
-// valueShare returns the fraction of its value that a request with the given units earns. Within the volume's
-// reserved rate the fraction is 1. Beyond it, the fraction falls as the volume's excess grows relative to its
-// normal rate. For the value, this broker's part of the reserved rate is proportional to its part of the
-// volume's demand.
+// valueShare returns the fraction of its value that a request with the given units earns. Within this
+// broker's part of the volume's reserved rate the fraction is 1. Beyond it, the fraction falls as the
+// volume's excess grows relative to its normal rate. For the value, the broker's part is proportional to its
+// part of the volume's demand, and at least the even part.
 func (s *Scheduler) valueShare(v *volume, units float64) float64 {
 	rate := v.plan.ReservedRate * v.demandShare(v.peerDemand.current(s.ticks))
 	v.reserved.refill(s.now, rate, rate+s.settings.MaxUnits)
@@ -71,8 +73,8 @@
 	b.refilledAt = now
 }
 
-// demandShare returns the fraction of a volume's demand that arrives at this broker, at least the broker's
-// even part. peerDemand is in units a tick.
+// demandShare estimates the fraction of a volume's demand that arrives at this broker. The result is at least
+// the broker's even part. peerDemand is in units a tick.
 func (v *volume) demandShare(peerDemand float64) float64 {
 	share := 1 / v.brokers
 	if peerDemand > 0 || v.demand > 0 {
--- a/scheduler/volumes.go
+++ b/scheduler/volumes.go
@@ -10,9 +10,9 @@
 )
 
 // volume is the state of one volume at this broker. A tick processes the active volumes: those with recent
-// requests or demand reports, or whose demand must be reported to peers. For the other volumes, catchUp
-// computes the effect of the missed ticks at the next use. That effect depends only on the number of ticks
-// and the elapsed time.
+// requests or demand reports, or whose demand must be reported to peers. If another volume is used, catchUp
+// first computes the effect of the ticks that it missed, which depends only on their number and the elapsed
+// time.
 type volume struct {
 	name    string
 	hash    uint32 // identifies the volume in peer messages
@@ -128,7 +128,7 @@
 	v.caughtUpAt = tickAt
 }
 
-// retireVolumes removes from the active volumes those for which catchUp alone can compute the next ticks.
+// retireVolumes removes volumes from the active volumes if catchUp alone can compute their next ticks.
 func (s *Scheduler) retireVolumes() {
 	if s.scans.exhaustive {
 		return
