--- a/scheduler/balancing_test.go
+++ b/scheduler/balancing_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// Requests arrive one after another and each is answered in 0.4 ms, so that no attempt is in flight when a node
-// is chosen. The requests must still be spread evenly over the nodes of the shard.
+// Each request is answered after 0.4 ms, before the next one arrives, so that no attempt is in flight when a node is
+// chosen. The requests must still be spread evenly over the nodes of the shard.
 func TestNodesOfAShardTakeTurns(t *testing.T) {
 	const latency = 400 * time.Microsecond
 	settings := basicSettings()
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkStep sends requests and their answers through the scheduler of one of 10 or 200 brokers. The time for
-// each request should not grow with the number of brokers.
+// BenchmarkStep measures a call of Reduce with a request and the call with its answer, for one of 10 or 200 brokers.
+// The time for each request should not grow with the number of brokers.
 func BenchmarkStep(b *testing.B) {
 	for _, brokers := range []int{10, 200} {
 		b.Run(fmt.Sprint("hosts=", brokers), func(b *testing.B) {
--- a/scheduler/capacity_test.go
+++ b/scheduler/capacity_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// checkActiveNodes checks that every node that is not idle is active, that at most maxActive nodes are active,
-// and that the stored sum of the limits of idle nodes is correct.
+// checkActiveNodes checks that every node that is not idle is active. Unless a recount is due, it also checks that the
+// stored sum of the limits of idle nodes is correct and, after the first tick, that at most maxActive nodes are active.
 func checkActiveNodes(t *testing.T, s *Scheduler, maxActive int) {
 	t.Helper()
 	active, idleLimits := 0, 0.0
@@ -18,7 +18,7 @@
 		case n.active:
 			active++
 		case !n.isIdle(targetLatency(s.minObjective)):
-			t.Fatalf("node %s has %d attempts in flight but is not active", n.Name, len(n.attempts))
+			t.Fatalf("node %s is not active although it is not idle: %d attempts in flight", n.Name, len(n.attempts))
 		case n.state == Ready:
 			idleLimits += n.limit.value
 		}
@@ -34,9 +34,9 @@
 	}
 }
 
-// A tick must process the nodes with requests and no others, and know the capacity of the other nodes without
-// visiting them. Nodes that drain, are removed or return during the test must be processed too.
-// TestIncrementalScanEqualsFullScan checks that a tick over all nodes makes the same decisions.
+// A tick must process only the nodes with requests, and use the stored sum of limits for the other nodes. Some nodes
+// drain, are removed or return during the test. A scheduler whose ticks process all nodes, the reference of the
+// simulation, must make the same decisions.
 func TestTicksWorkOnActiveNodes(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
--- a/scheduler/checker_test.go
+++ b/scheduler/checker_test.go
@@ -9,9 +9,9 @@
 
 // The rules that a checker checks.
 const (
-	ruleAnswer    = "answer"     // each request gets one final answer in time
-	ruleExecution = "execution"  // no request executes more often than its class allows
-	ruleDrain     = "drain"      // no request is forwarded to a draining or removed node
+	ruleAnswer    = "answer"     // each request gets a final answer in time, and is not forwarded after its end
+	ruleExecution = "execution"  // no request executes, or is offered for repetition, more often than its class allows
+	ruleDrain     = "drain"      // no request is forwarded to a node DrainGrace after it drained or was removed
 	ruleOrder     = "order"      // requests with the same key run in the order of arrival
 	ruleBudget    = "budget"     // retries do not exceed the retry budget
 	ruleLimit     = "limit"      // volumes do not exceed their rate limit
@@ -21,8 +21,8 @@
 // rounding is the tolerance for sums of units.
 const rounding = 1e-6
 
-// checker observes the events and actions of one scheduler and records each violation of a rule. Rules about all
-// brokers together (limit, slow start) are checked against this broker's even part of the figure.
+// checker observes the events and actions of one scheduler and records each violation of a rule. Limits for all
+// brokers together (rate limit, slow start) are checked as this broker's even part of the limit.
 type checker struct {
 	settings     scheduler.Settings
 	now          scheduler.Time
@@ -42,7 +42,7 @@
 	class     scheduler.Class
 	deadline  scheduler.Time
 	answers   int
-	over      bool
+	over      bool // the request was answered, or its client disconnected
 	attempts  []*checkedAttempt
 	forwarded bool
 }
@@ -182,7 +182,7 @@
 	}
 }
 
-// checkActions checks the actions of a step, and that no final answer is overdue.
+// checkActions checks the actions of a step, and that no final answer is later than AnswerSlack after the deadline.
 func (c *checker) checkActions(actions []scheduler.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -199,7 +199,7 @@
 	}
 	for _, r := range c.unanswered {
 		if !r.over && c.now > r.deadline+c.settings.Rules.AnswerSlack {
-			c.violate(ruleAnswer, "request %d has no answer after its deadline", r.ID)
+			c.violate(ruleAnswer, "request %d has no answer although its deadline has passed", r.ID)
 			r.over = true
 		}
 	}
@@ -212,7 +212,7 @@
 		return
 	}
 	if r.over {
-		return // an answer after the end of the request has no recipient
+		return // the client already has an answer or has disconnected, so this answer is not counted
 	}
 	r.over = true
 	r.answers++
@@ -325,8 +325,8 @@
 	}
 }
 
-// checkLimit checks the rate limit. This broker's part of the limit starts empty, as if the burst had been spent before
-// a restart.
+// checkLimit checks the rate limit at the first forward of a request. This broker's part of the token bucket is
+// assumed to be empty at time 0, and therefore full again when a random day starts, at 1000 s.
 func (c *checker) checkLimit(r *checkedRequest) {
 	plan := c.plan(r.Plan)
 	if plan.Limit <= 0 || r.forwarded {
@@ -342,12 +342,12 @@
 	limit.level = min(plan.LimitBurst/brokers, limit.level+refill) - r.Units
 	limit.at = c.now
 	if limit.level < -plan.LimitOverdraft/brokers-rounding {
-		c.violate(ruleLimit, "the token bucket of volume %s is at %.1f units", r.Volume, limit.level)
+		c.violate(ruleLimit, "token bucket of volume %s is at %.1f units, beyond its overdraft", r.Volume, limit.level)
 	}
 }
 
-// checkSlowStart checks that the units sent to a starting node within the overload window are at most what the
-// node can certainly handle at its age: the units that it served, plus this broker's part of the load beyond.
+// checkSlowStart checks the units sent to a starting node within the overload window. They must not exceed the units
+// that the node served, plus this broker's even part of SlowStartUnits, which grows with the age of the node.
 func (c *checker) checkSlowStart(r *checkedRequest, n *checkedNode) {
 	rules := c.settings.Rules
 	n.sent = append(n.sent, sentUnits{c.now, r.Units})
@@ -363,11 +363,11 @@
 	}
 	growth := 1 + (1-rules.InitialCapacity)/rules.InitialCapacity*float64(age)/float64(rules.WarmUpTime)
 	if sum > c.settings.SlowStartUnits*growth/float64(c.settings.Brokers)+rounding {
-		c.violate(ruleSlowStart, "node %s received %.1f units in the window at age %v", n.Name, sum, age)
+		c.violate(ruleSlowStart, "node %s received %.1f units in the window, too many at age %v", n.Name, sum, age)
 	}
 }
 
-// finish checks that no final answer is overdue at the end, and that no request has several final answers.
+// finish checks that no final answer is overdue at the end, and that no request has several counted answers.
 func (c *checker) finish(at scheduler.Time) {
 	c.now = at
 	c.checkActions(nil)
--- a/scheduler/decisions_test.go
+++ b/scheduler/decisions_test.go
@@ -16,7 +16,7 @@
 	"junctionwharf/scheduler"
 )
 
-// defaultSeeds is the minimum number of streams to play.
+// defaultSeeds is the minimum number of streams that TestDecisions plays without the balancer.
 const defaultSeeds = 10
 
 // record rewrites the recorded decisions. Use it only for a change that is meant to alter decisions, and say so
@@ -28,7 +28,7 @@
 	recordings = flag.String("recordings", "testdata", "folder of the recorded decisions")
 )
 
-// seedCount returns the number of streams to play. The flag -seeds can only raise it.
+// seedCount returns the number of seeds. The flag -seeds can only raise it. Some tests use a fraction of the seeds.
 func seedCount() uint64 { return uint64(max(defaultSeeds, *moreSeeds)) }
 
 // decisionStream plays a seeded stream of events against a scheduler and hashes all its actions. The stream
@@ -293,8 +293,8 @@
 	})
 }
 
-// The decisions of simulated days must equal the recorded decisions. decisions.txt was recorded without the
-// balancer. See the flag -record.
+// The decisions of each stream must equal the recorded decisions. decisions.txt was recorded without the balancer,
+// decisions-balanced.txt with it. See the flag -record.
 func TestDecisions(t *testing.T) {
 	for name, balancerDisabled := range map[string]bool{"decisions.txt": true, "decisions-balanced.txt": false} {
 		count := seedCount()
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -127,9 +127,9 @@
 	return most
 }
 
-// A node starts, and the even part of its slow-start budget for each of 120 brokers is less than a request. The
-// node once stayed idle until it was warm. All brokers together must use the node, and must never send it more
-// than it can handle.
+// A node starts, and each of 120 brokers has an even part of SlowStartUnits that is less than a request. With such a
+// part as its budget, no broker could send, and the node stayed idle until it was warm. All brokers together must use
+// the node, and must never send it more than it can handle.
 func TestManyBrokersShareAStartingNode(t *testing.T) {
 	for _, multiple := range []float64{2, 4} {
 		t.Run(fmt.Sprint("multiple=", multiple), func(t *testing.T) {
@@ -161,8 +161,8 @@
 	}
 }
 
-// The rate limit of a volume must hold over all its brokers together, even if a broker's part of the limit is
-// less than a request.
+// The rate limit of a volume must hold over all its 12 brokers together, even if a broker's part of the limit is only
+// a unit a second.
 func TestManyBrokersKeepALimitTogether(t *testing.T) {
 	settings := basicSettings()
 	settings.Brokers = 120
@@ -184,10 +184,10 @@
 		at[s.volume] = s.at
 		total += s.units
 		if level[s.volume] < -plan.LimitOverdraft {
-			t.Fatalf("the token bucket of volume %s fell to %.1f units", s.volume, level[s.volume])
+			t.Fatalf("token bucket of volume %s fell to %.1f units, beyond its overdraft", s.volume, level[s.volume])
 		}
 	}
 	if even := total / 10 / 40; even < 0.7*plan.Limit {
-		t.Errorf("each volume got %.1f units a second, want at least 0.7 of the limit of %v", even, plan.Limit)
+		t.Errorf("volumes got a mean of %.1f units a second, want at least 0.7 of the limit of %v", even, plan.Limit)
 	}
 }
--- a/scheduler/gossip_test.go
+++ b/scheduler/gossip_test.go
@@ -54,9 +54,9 @@
 	return count
 }
 
-// The number of a broker's demand reports must depend on its own requests and not on the number of peers. If
-// every broker reports to all peers, reports grow with the square of the number of brokers. That cut off
-// simulated days at 150 brokers.
+// The number of a broker's demand reports must depend on its own requests and not on the number of peers. If every
+// broker reports to all peers, the number of reports grows with the square of the number of brokers. Because of that,
+// simulated days with 150 brokers were cut off.
 func TestReportsFollowTheBrokersOwnRequests(t *testing.T) {
 	if few, many := reportsOf(t, 3), reportsOf(t, 300); few == 0 || many > 40 {
 		t.Errorf("%d messages for 40 requests with 3 brokers, want some; %d with 300, want at most 40", few, many)
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -22,7 +22,7 @@
 // nodeHealth is the health of a node as its attempts show it.
 type nodeHealth struct {
 	lastAnswer          Time          // last outcome that proves the node alive, or when the node was added
-	waitingSince        Time          // last outcome, or a later forward without a live attempt before it
+	waitingSince        Time          // last outcome, or a later forward while no slot was occupied
 	backoffUntil        Time          // no request is forwarded to the node before this time
 	backoff             time.Duration // last backoff: doubles up to the smallest objective, 0 after a success
 	faults              int           // faults since the last success
--- a/scheduler/limit_test.go
+++ b/scheduler/limit_test.go
@@ -10,7 +10,7 @@
 	"junctionwharf/scheduler"
 )
 
-// answerTime is the time that the node needs for each request.
+// answerTime is the time after which the node answers each request.
 const answerTime = 30 * ms
 
 // tier simulates the processes of a tier with one node that answers each request after answerTime. A broker may
@@ -108,7 +108,7 @@
 	return events
 }
 
-// checkLimit checks that the sent units never exceeded a plan's limit, and that they used enough of it.
+// checkLimit checks that the sent units never exceeded a plan's limit, and that they used at least 0.3 of it.
 func (r *tier) checkLimit(plan scheduler.Plan, start scheduler.Time) {
 	r.t.Helper()
 	level, at, total := plan.LimitBurst, start, 0.0
@@ -117,7 +117,7 @@
 		at = s.at
 		total += s.units
 		if level < -plan.LimitOverdraft-1e-6 {
-			r.t.Fatalf("the limit's token bucket fell to %.2f units at %v", level, s.at-start)
+			r.t.Fatalf("the limit's token bucket fell to %.2f units after %v, beyond its overdraft", level, s.at-start)
 		}
 	}
 	if want := 0.3 * plan.Limit * (r.now - start).Seconds(); total < want {
@@ -125,7 +125,7 @@
 	}
 }
 
-// disturbances are events that happen to one broker after another while its volume is at the limit.
+// disturbances are what happens to one broker after another while the volume is at its limit.
 var disturbances = map[string]func(r *tier, ordinal int, rng *rand.Rand){
 	"nothing": func(*tier, int, *rand.Rand) {},
 	"second process runs beside the first": func(r *tier, ordinal int, rng *rand.Rand) {
@@ -154,9 +154,9 @@
 	},
 }
 
-// The rate limit of a volume must hold over one, two and five brokers, although the processes exchange no
-// messages. Each broker runs a second process, is killed and restarted, or receives its settings again. The
-// brokers must also use enough of the limit.
+// The rate limit of a volume must hold over one, two and five brokers, although the processes exchange no messages.
+// Depending on the subtest, each broker in turn runs a second process, is killed and restarted, or receives its
+// settings again. The brokers must also use at least 0.3 of the limit.
 func TestRateLimitOverBrokers(t *testing.T) {
 	plans := []struct {
 		maxUnits float64
--- a/scheduler/nodes_test.go
+++ b/scheduler/nodes_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// Discovery fails for 20 s. A single timer must retry the subscription. If each failed list started its own chain
-// of timers, the broker would retry more and more often.
+// Discovery fails for 20 s. A single timer must retry the subscription. If each failed update started its own chain of
+// timers, the broker would retry more and more often.
 func TestFailedListsKeepOneTimer(t *testing.T) {
 	settings := basicSettings()
 	settings.Subscribe = true
@@ -38,12 +38,12 @@
 		ID: 50, Class: "read", Plan: "high", Volume: "v", Units: 1, Brokers: 1, Remaining: 2000 * ms,
 	})
 	if got := d.takeForwarded(); len(got) != 0 {
-		t.Errorf("forwarded requests %v to a draining node", got)
+		t.Errorf("forwarded requests %v to a draining node, want none", got)
 	}
 }
 
-// An attempt receives no answer. Its slot must be freed before its deadline, because otherwise the requests queued
-// behind it would be given up.
+// Two attempts receive no answer. Their slots must be freed before their deadlines, because otherwise the requests
+// queued behind them would be given up.
 func TestLostAttemptsFreeTheirSlots(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
 	served := d.request("high", "v", 1)
@@ -54,16 +54,16 @@
 	d.takeActions()
 	queued := d.request("high", "v", 1)
 	if got := d.takeForwarded(); len(got) != 0 {
-		t.Fatalf("forwarded requests %v above the limit", got)
+		t.Fatalf("forwarded requests %v above the limit, want none", got)
 	}
 	d.advance(370 * ms)
 	next := d.request("high", "v", 1)
 	if got := d.takeForwarded(); len(got) == 0 {
-		t.Errorf("no request forwarded; requests %d and %d wait behind lost attempts", queued, next)
+		t.Errorf("no request forwarded, want request %d or %d: the attempts before them are lost", queued, next)
 	}
 }
 
-// A starting node must receive as many requests as it serves, and not stay idle because of its slow-start budget.
+// A starting node must receive most of the requests that it serves, and not stay idle because of its slow-start budget.
 func TestStartingNodeGetsWhatItServes(t *testing.T) {
 	settings := basicSettings()
 	settings.SlowStartUnits = 8
@@ -88,8 +88,8 @@
 	}
 }
 
-// A starting node must receive the new objects that it can certainly handle. Otherwise, after many restarts, all new
-// objects would go to the few nodes that had not restarted.
+// A starting node must receive some new objects, but not more than it can certainly handle. Without new objects for
+// starting nodes, all new objects would go to the few nodes that had not restarted, after many restarts.
 func TestStartingNodesGetNewObjects(t *testing.T) {
 	settings := basicSettings()
 	settings.SlowStartUnits = 40
@@ -112,7 +112,7 @@
 	}
 }
 
-// Brokers without knowledge of the nodes must spread their new objects, and not all choose the first node.
+// Brokers that know nothing of the nodes' latencies must spread their new objects, and not all choose the first node.
 func TestBrokersSpreadNewObjects(t *testing.T) {
 	var endpoints []scheduler.Endpoint
 	for i := range 40 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// forwardsOf returns how many of 12 requests are forwarded to a node whose answers take the given latencies in turn.
+// forwardsOf returns how many of 12 requests are forwarded to a node that answers after the given latencies in turn.
 func forwardsOf(t *testing.T, brokers int, plan string, latencies ...time.Duration) (count int) {
 	t.Helper()
 	settings := basicSettings()
@@ -152,7 +152,7 @@
 }
 
 // Many brokers use a slow node. They must pace their forwards to it. Otherwise one attempt of each broker would give
-// the node a hundred requests at once, and keep the queue at every node just below a latency objective.
+// the node a hundred requests at once, and each request would wait at the node for almost a latency objective.
 func TestManyBrokersPaceTheirForwardsToACongestedNode(t *testing.T) {
 	for _, latency := range []time.Duration{400 * ms, 200 * ms} {
 		t.Run(latency.String(), func(t *testing.T) {
@@ -203,12 +203,12 @@
 	d.advance(15 * second)
 	id := d.request("high", "v", 2)
 	if got := d.takeForwarded(); len(got) == 0 || got[len(got)-1] != id {
-		t.Errorf("forwarded requests %v, want %d after a long time without requests", got, id)
+		t.Errorf("forwarded requests %v, want %d as the last after a long time without requests", got, id)
 	}
 }
 
-// An attempt that later attempts overtook must be canceled and retried. An attempt that is only late must not: a
-// retry would double the work of a congested node.
+// An attempt must be canceled if the node has served later attempts, so that its request is retried. An attempt that
+// is only late must not be canceled: a retry would double the work of a congested node.
 func TestLateAttemptsAreRetriedOnlyIfOvertaken(t *testing.T) {
 	settings := basicSettings()
 	settings.Classes[0].LatencyObjective = 400 * ms
@@ -238,8 +238,8 @@
 	t.Error("an overtaken attempt is not canceled")
 }
 
-// actionsOfLateAttempt returns the actions of a scheduler while a node answers all requests except the first with a
-// latency, until the first attempt is late.
+// actionsOfLateAttempt returns the actions of a scheduler while a node answers all requests except the first after the
+// given latency, until the first attempt is late.
 func actionsOfLateAttempt(t *testing.T, latency time.Duration) []scheduler.Action {
 	t.Helper()
 	settings := basicSettings()
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// The files of this package make the decisions (`policy` in deploy/balancer.toml). Engineers read them aloud
-// after outages, so the size of each file is limited: the number of non-blank lines, and the width of a line with a
-// tab as four characters. The total is not limited, because the operators lifted the limit on the lines of the module.
+// The files of this package make the decisions (`policy` in deploy/balancer.toml). Engineers read them aloud after
+// outages, so the size of each file is limited: the number of non-blank lines, and the width of a line with a tab as
+// four characters. The total number of lines is not limited, because the operators lifted the limit on the lines of
+// the module.
 const (
 	maxLines = 240
 	maxWidth = 110
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// 100,000 requests are queued and reach their soft deadline within one millisecond. Each must receive exactly one
-// answer at once. A queue that shifted all other requests for each request that left took seconds.
+// 100,000 queued requests reach their soft deadline at the same time. Each must receive exactly one answer within the
+// next tick. A queue that shifted all other requests for each request that left took seconds.
 func TestAllDueAtOnce(t *testing.T) {
 	m := newSimulation(t, queueSettings(), 1)
 	m.reference = nil // the reference would scan the whole queue in every step
@@ -115,12 +115,12 @@
 	}
 	m.runUntil(m.now + time.Second)
 	if len(m.answers)+len(m.forwards) < 10_000 {
-		t.Errorf("%d requests answered and %d forwarded, want 10,000 in total", len(m.answers), len(m.forwards))
+		t.Errorf("%d requests answered, %d forwarded, want at least 10,000 together", len(m.answers), len(m.forwards))
 	}
 }
 
 // The clock stands still for a while and then jumps by a second, the classes of queued requests are removed from the
-// settings, and ids are used again. Each request must end exactly once.
+// settings, and ids are used again. Each request must be answered once, or be forwarded and not answered.
 func TestClockJumpsAndClassesVanish(t *testing.T) {
 	m := newSimulation(t, queueSettings(), 1)
 	m.listNodes(2, 1)
@@ -146,7 +146,8 @@
 	m.runUntil(m.now + 3*time.Second)
 	for id := uint64(1); id <= 3000; id++ {
 		if m.answers[id]+min(1, m.forwards[id]) != 1 && m.answers[id] != 1 {
-			t.Fatalf("request %d has %d answers and %d forwards, want one end", id, m.answers[id], m.forwards[id])
+			t.Fatalf("request %d has %d answers and %d forwards, want 1 answer, or 0 answers and a forward",
+				id, m.answers[id], m.forwards[id])
 		}
 	}
 	if len(m.scheduler.requests) > 0 {
--- a/scheduler/random_day_test.go
+++ b/scheduler/random_day_test.go
@@ -12,7 +12,7 @@
 	"junctionwharf/scheduler"
 )
 
-// reducer is the object under test of a random day: a Scheduler, or a stub that breaks a rule.
+// reducer is what a random day tests: a Scheduler, or a stub that breaks a rule.
 type reducer interface {
 	Reduce(now scheduler.Time, events []scheduler.Event) []scheduler.Action
 }
@@ -77,7 +77,7 @@
 	return settings
 }
 
-// randomDay generates random events for a reducer. It does not model servers: each attempt ends at a random time with a
+// randomDay generates random events for a reducer. It does not model nodes: each attempt ends at a random time with a
 // random outcome.
 type randomDay struct {
 	rng          *rand.Rand
@@ -117,7 +117,7 @@
 	d.pending = append(d.pending, timedEvent{d.now + after, d.sequence, 0, event})
 }
 
-// dueEvents removes and returns the events whose time has come. On the first call it adds an endpoint list.
+// dueEvents removes and returns the pending events that are due. On the first call it adds an endpoint list.
 func (d *randomDay) dueEvents(start scheduler.Time) []scheduler.Event {
 	var events []scheduler.Event
 	if d.now == start {
@@ -252,7 +252,7 @@
 	}
 }
 
-// cancel ends an attempt in flight after a millisecond.
+// cancel lets an attempt in flight end as canceled after a millisecond.
 func (d *randomDay) cancel(a scheduler.Cancel) {
 	for i, pending := range d.pending {
 		if end, ok := pending.event.(scheduler.AttemptEnded); ok && end.ID == a.ID && end.Attempt == a.Attempt {
@@ -308,7 +308,7 @@
 	return func(settings scheduler.Settings) reducer { return newScheduler(t, settings, 5) }
 }
 
-// No sequence of events must make the scheduler break a rule.
+// The scheduler must not break a rule on any of the random days.
 func TestRandomDaysBreakNoRule(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -337,7 +337,7 @@
 func (s stub) Reduce(_ scheduler.Time, events []scheduler.Event) []scheduler.Action { return s(events) }
 
 // forwardAtOnce returns a stub that forwards each request at once, and again after each failed attempt. It uses the
-// node of the request's shard in the first list or, if a node of the shard has started since, that node.
+// node of the request's shard that was listed last, either in the cached list or with a start time.
 func forwardAtOnce(scheduler.Settings) reducer {
 	nodes, requests := map[int]string{}, map[uint64]scheduler.Request{}
 	forward := func(r scheduler.Request) []scheduler.Action {
--- a/scheduler/reference_test.go
+++ b/scheduler/reference_test.go
@@ -34,8 +34,9 @@
 	return last
 }
 
-// simulation sends the same events to two schedulers: one scans only shards that may have changed, the reference scans
-// all queued requests in every step. Both must make the same decisions. Each node serves one request after another.
+// simulation sends the same events to two schedulers. The scheduler under test scans only shards that may have changed.
+// The reference scans all queued requests in every step. Both must make the same decisions. Each node serves one
+// request after another.
 type simulation struct {
 	t           *testing.T
 	scheduler   *Scheduler
--- a/scheduler/requests_test.go
+++ b/scheduler/requests_test.go
@@ -45,7 +45,7 @@
 
 func TestOverloadShedsTheLowestValue(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
-	for range 6 { // the scheduler learns that the node takes 60 ms
+	for range 6 { // the scheduler measures a latency of 60 ms
 		id := d.request("high", "v", 2)
 		d.advance(60 * ms)
 		d.succeed(id, 60*ms)
@@ -72,9 +72,9 @@
 	}
 }
 
-// The soft deadline of a client with little time left must be the end of that time: such a request must not be treated
-// as a retry whose latency objective has passed. The soft deadline of a client's retry must be that of its first
-// request.
+// If a client has little time left, the soft deadline must be the deadline: such a request must not be treated as a
+// retry whose latency objective has passed. If a client retries a request, the soft deadline of the retry must be that
+// of the earlier request.
 func TestSoftDeadlineOfImpatientClientsAndRetries(t *testing.T) {
 	d := newDriver(t, basicSettings(), oneNode)
 	request := func(key string, remaining time.Duration) uint64 {
@@ -84,7 +84,7 @@
 		d.request("high", "v", 1)
 	}
 	patient, retried := request("p", 2000*ms), request("r", 100*ms)
-	d.advance(110 * ms) // the second request is given up, and its client retries
+	d.advance(110 * ms) // request "r" is given up, and its client retries
 	d.step(scheduler.ClientGone{ID: retried})
 	again, impatient := request("r", 1880*ms), request("s", 250*ms)
 	d.takeActions()
@@ -138,7 +138,7 @@
 			}
 			for id := uint64(1); id <= d.lastID; id++ {
 				if answers[id] > 1 || answers[id] == 0 && !forwards[id] {
-					t.Errorf("request %d (%+v) has %d answers, want 1 or a forward", id, odd[id-1], answers[id])
+					t.Errorf("request %d (%+v): %d answers, want 1, or 0 if forwarded", id, odd[id-1], answers[id])
 				}
 			}
 		})
--- a/scheduler/settings_test.go
+++ b/scheduler/settings_test.go
@@ -87,7 +87,7 @@
 	if s.volumes.byName["v"].plan.Rate != 5 {
 		t.Error("the volume does not have the new plan")
 	}
-	// The tokens of a volume without requests must not rise because of the new plan.
+	// The new plan must apply to a volume without open requests too, and must not fill its token bucket.
 	if v := s.volumes.byName["idle"]; v.brokers != 1 || v.capacity != 13 || v.tokens >= v.capacity {
 		t.Errorf("idle volume has %v brokers and %v of %v tokens, want 1 broker, a capacity of 13 and fewer tokens",
 			v.brokers, v.tokens, v.capacity)
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -41,9 +41,9 @@
 	return units
 }
 
-// One process of a broker replaces another while a node starts. Together the two processes must not send more to the
-// node than one process would. Therefore the newer process starts without saved budget, and each accumulates budget
-// half as fast.
+// One process of a broker replaces another while a node starts. Each of the two processes must send at most half of
+// what a single process would send to the node. Therefore a process that is not alone starts without saved budget, and
+// accumulates budget half as fast.
 func TestProcessesShareSlowStartBudget(t *testing.T) {
 	alone, shared := unitsToNewNode(t, 1, 3*time.Second), unitsToNewNode(t, 2, 3*time.Second)
 	if shared == 0 || shared > alone/2 {
