--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -40,9 +40,10 @@
 	}})
 }
 
-// maySend reports whether an attempt may still be sent although events have occurred that the scheduler did not know
-// when it decided. An attempt may not be sent if the request is answered, past its deadline or already in flight, or if
-// the node has no address, was removed from the list or is in another shard.
+// maySend reports whether an attempt may still be sent. It checks this again, because events may have occurred since
+// the scheduler's decision. An attempt may not be sent if the request is answered, past its deadline or already in
+// flight, if the scheduler's timeout for the attempt is negative, or if the node has no address, was removed from the
+// list or is in another shard than the request.
 func (s *State) maySend(r *requestState, a scheduler.Forward, node *nodeState) bool {
 	if r.inFlight || r.answered || s.now >= r.deadline || a.Timeout < 0 {
 		return false
@@ -53,7 +54,7 @@
 	return r.request.Shard < 0 || node.shard == r.request.Shard
 }
 
-// limitAttempt returns the timeout of an attempt. It sets a timer if the timeout ends before the client's deadline.
+// limitAttempt returns the timeout of an attempt. It sets a timer if the timeout ends before the request's deadline.
 func (s *State) limitAttempt(r *requestState, a scheduler.Forward) Micros {
 	timeout := r.deadline - s.now
 	if a.Timeout <= 0 || MicrosOf(a.Timeout) >= timeout {
@@ -65,10 +66,10 @@
 	return timeout
 }
 
-// limitIdempotency prevents a retry from running twice. Nodes drop repeats of a request with an idempotency key only
-// within its class's window, which starts with the first attempt that may have run. The scheduler observes the window
-// when it decides on a retry, but the connection may be established later. Therefore a timer cancels the attempt at
-// the end of the window unless it is fully written.
+// limitIdempotency prevents a request from being executed twice because of a retry. Nodes drop repeats of a request
+// with an idempotency key only within its class's window, which starts with the first attempt that may have run. The
+// scheduler allows a retry only within the window, but the connection may be established later. Therefore a timer
+// cancels the attempt at the end of the window unless the request is fully written by then.
 func (s *State) limitIdempotency(r *requestState, id uint64) {
 	at, limited := s.idempotencyEnd(r)
 	if !limited {
@@ -78,8 +79,8 @@
 	r.idempotencyTimer = s.setTimer(at, timer{kind: idempotencyTimer, id: id, attempt: r.attempts - 1})
 }
 
-// idempotencyEnd returns the time until which a further attempt of a request may be sent, and whether the request's
-// class has such a limit.
+// idempotencyEnd returns the time until which a request may be sent again. limited is false if there is no such limit:
+// if no attempt can have run yet, or if the request's class is not idempotent with a key.
 func (s *State) idempotencyEnd(r *requestState) (at Micros, limited bool) {
 	if !r.mayHaveRun {
 		return 0, false
@@ -92,7 +93,7 @@
 	return 0, false
 }
 
-// stopAttempt ends the attempt in flight.
+// stopAttempt stops the attempt in flight. The loop then reports with AttemptStopped how much was written.
 func (s *State) stopAttempt(id uint64, r *requestState, reason scheduler.Outcome) {
 	if !r.inFlight || r.stopped {
 		return
@@ -103,7 +104,7 @@
 }
 
 // handleAttemptEnd handles the result of an attempt that ended without being stopped. A result is discarded if the
-// attempt was stopped or its request is no longer tracked.
+// attempt was stopped or is no longer the attempt in flight, or if its request is no longer tracked.
 func (s *State) handleAttemptEnd(e AttemptEnded) {
 	r := s.requests[e.ID]
 	if r == nil || !r.awaits(e.Attempt) || r.stopped {
@@ -111,7 +112,7 @@
 		return
 	}
 	outcome := e.Result.outcome()
-	if r.answered && e.Result.Err != nil { // canceled with its request: the error says nothing about the node
+	if r.answered && e.Result.Err != nil { // the attempt was canceled because its request ended: no fault of the node
 		outcome = scheduler.NotSent
 		if e.Result.Err.Progress == FullyWritten {
 			outcome = scheduler.Canceled
@@ -120,7 +121,8 @@
 	s.endAttempt(e.ID, r, outcome, e.Result)
 }
 
-// handleAttemptStop handles the progress of an attempt that was stopped.
+// handleAttemptStop handles the end of an attempt that was stopped. The event reports how much of the request was
+// written.
 func (s *State) handleAttemptStop(e AttemptStopped) {
 	r := s.requests[e.ID]
 	if r == nil || !r.awaits(e.Attempt) {
--- a/broker/attempts_test.go
+++ b/broker/attempts_test.go
@@ -21,8 +21,8 @@
 }
 
 // A client disconnects while the connection for its request is being established. The attempt is canceled, and the
-// error with which it ends does not count against the node: the next request is sent there immediately. The attempt
-// may have been fully written when it is canceled.
+// error with which it ends does not count against the node: the next request is sent there immediately. This holds
+// even if the request was partly or fully written before the cancellation.
 func TestCancelledBeforeItIsSent(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
--- a/broker/doc.go
+++ b/broker/doc.go
@@ -1,11 +1,13 @@
 // Package broker is the core of junctionwharf. It accepts requests, sends attempts to the storage nodes that package
-// scheduler chooses, and gives each request one final answer. It knows no wire protocol: protocol servers submit
-// requests to a Loop, and a Transport sends the attempts.
+// scheduler chooses, and answers each request once. It knows no wire protocol: protocol servers submit requests to a
+// Loop, and a Transport sends the attempts.
 //
 // # Rule
 //
-// A submitted request gets exactly one final answer, not later than a short grace after its deadline. An attempt that
-// may have run is never repeated unless its class is idempotent. A request has at most one attempt in flight.
+// A submitted request gets at most one final answer. It gets none if its client disconnects first. Otherwise the answer
+// comes at the latest shortly after the deadline (see answerGrace). A request that may have run is sent again only if
+// its class is idempotent or, for a class that is idempotent with a key, within the idempotency window: the time in
+// which nodes drop repeats of the key. A request has at most one attempt in flight.
 //
 // # Shape
 //
@@ -24,5 +26,5 @@
 //
 // # Units
 //
-// Times are Micros: whole microseconds of the monotonic clock. Request.Units are the deployment's units of work.
+// Times are Micros: whole microseconds of the monotonic clock. Request.Units is the size of a request.
 package broker
--- a/broker/effects.go
+++ b/broker/effects.go
@@ -24,8 +24,8 @@
 	Number int
 }
 
-// CancelUnlessWritten ends an attempt unless it was fully written. It is used when the client has disconnected or the
-// idempotency window has ended.
+// CancelUnlessWritten ends an attempt unless its request was fully written. It is used when the client has disconnected
+// or the idempotency window has ended.
 type CancelUnlessWritten struct {
 	ID     uint64
 	Number int
--- a/broker/events.go
+++ b/broker/events.go
@@ -17,7 +17,7 @@
 type RequestCancelled struct{ ID uint64 }
 
 // ClientHalfClosed reports that a request's client has closed its sending side. The client may have disconnected, or
-// may still expect an answer, so the request is answered immediately.
+// may still expect an answer, so the request is ended and answered as soon as possible.
 type ClientHalfClosed struct{ ID uint64 }
 
 // AttemptEnded reports the result of an attempt that ended without being stopped.
@@ -81,8 +81,8 @@
 	Unknown bool
 }
 
-// ShuttingDown reports that the process is about to exit. Open requests, and requests that arrive later, are answered
-// immediately.
+// ShuttingDown reports that the process is about to exit. Open requests, and requests that arrive later, are ended and
+// answered as soon as possible.
 type ShuttingDown struct{}
 
 func (RequestArrived) event()   {}
--- a/broker/execute.go
+++ b/broker/execute.go
@@ -55,7 +55,7 @@
 }
 
 // stopAttempt ends an attempt. An attempt without a handle, as after a panic in Transport.Start, is reported as fully
-// written: it may have run, and no other report would be safe.
+// written: its request may have run, and any other report could cause a second execution.
 func (l *Loop) stopAttempt(e StopAttempt) Event {
 	l.Metrics.stopped.Add(1)
 	progress := FullyWritten
@@ -66,7 +66,8 @@
 	return AttemptStopped{ID: e.ID, Attempt: e.Number, Progress: progress}
 }
 
-// respond passes the final answer to the client. A request with a Streaming value stays open until its delivery ends.
+// respond passes the final answer to the client, or discards its value if the client is no longer registered. A request
+// with a Streaming value stays open until the delivery of the value ends.
 func (l *Loop) respond(e Respond) {
 	c, waits := l.clients[e.ID]
 	if !waits {
--- a/broker/idempotency_test.go
+++ b/broker/idempotency_test.go
@@ -42,8 +42,9 @@
 // retryCase describes when the first attempt of a request breaks and when a retry is answered.
 type retryCase struct {
 	name       string
-	brokenAt   float64 // when the first attempt breaks, as a part of span
-	answeredIn float64 // time from there to the retry's answer, as a part of span; 0: no answer
+	brokenAt   float64 // when the first attempt breaks, as a fraction of span
+	answeredIn float64 // time from there to the retry's answer, as a fraction of span; 0: no answer
+	// between is called just before the first attempt breaks, unless it is nil.
 	between    func(h *harness, settings scheduler.Settings)
 	maxRetries int
 	served     bool
@@ -64,9 +65,9 @@
 }
 
 // The connection of a request with an idempotency key breaks after the request may have run. The request may be
-// retried only within the idempotency window and within its scope of nodes. This must hold when the scheduler decides
-// on the retry, when the second connection is established late, and when a list or new settings arrive in between.
-// Nodes would run a retry that is written after the window a second time.
+// retried only within the idempotency window and within the scope of its key. The cases cover the scheduler's decision
+// on the retry, a retry whose connection is established late, and a list or new settings that arrive before the first
+// connection breaks. A retry that is written after the window would run a second time at the node.
 func TestRetryWithinIdempotencyWindow(t *testing.T) {
 	for _, keyed := range keyedClasses {
 		for _, c := range retryCases {
@@ -106,8 +107,8 @@
 	c.checkEnd(h, class)
 }
 
-// span is the time of which brokenAt and answeredIn are parts. A retry that is to be served must also meet the latency
-// objective.
+// span is the time of which brokenAt and answeredIn are fractions. For a retry that must be served, it is at most the
+// latency objective.
 func (c retryCase) span(class scheduler.Class) Micros {
 	if c.served {
 		return min(MicrosOf(class.DedupWindow), MicrosOf(class.LatencyObjective))
@@ -161,7 +162,7 @@
 	case c.served:
 		want = Served
 	case class.Scope == scheduler.ScopeAll && len(h.responses[1]) == 1 && h.responses[1][0].Verdict == Rejected:
-		want = Rejected // a retry by the client is safe, because nodes of any scope drop it
+		want = Rejected // a repeat by the client is safe, because all nodes drop it
 	}
 	h.response(1, want)
 }
--- a/broker/inbox.go
+++ b/broker/inbox.go
@@ -19,11 +19,11 @@
 	newClients map[uint64]client
 	// rejections are observations of requests that admission control rejected, for telemetry.
 	rejections []telemetry.Observation
-	// since is when the first of events was queued. It is set only if there is an admission controller.
+	// since is when an event was last queued while events was empty. It is set only with an admission controller.
 	since Micros
 	// lag is the longest time that an event was queued since the last RecordSchedulingLag.
 	lag Micros
-	// hasCapacity is signaled when events has become shorter, or when the loop has ended.
+	// hasCapacity is signaled at each turn, when events may have become shorter, and when the loop has ended.
 	hasCapacity *sync.Cond
 	ended       bool // the loop runs no more turns
 
@@ -45,14 +45,14 @@
 	// smaller value, short bursts would delay connections. With a larger value, a loop that is far behind would queue
 	// more requests that cannot meet their deadlines.
 	maxQueuedEvents = 16 * maxTurnEvents
-	// maxQueuedRejections bounds the observations of rejections that are queued for the loop. Metrics also count the
-	// rejections beyond the bound. With a smaller value, telemetry would miss rejections during an overload. With a
+	// maxQueuedRejections bounds the observations of rejections that are queued for telemetry. Further rejections are
+	// counted only by the metrics. With a smaller value, telemetry would miss rejections during an overload. With a
 	// larger value, an overload would take more memory.
 	maxQueuedRejections = 1 << 12
 )
 
-// Submit submits a request and returns its id, or 0 if admission control rejected it. The loop calls reply once with
-// the final answer, unless Cancel is called first. reply must not block.
+// Submit submits a request and returns its id, or 0 if admission control rejected it. The loop's goroutine calls reply
+// once with the final answer, unless it handles a Cancel of the request first. reply must not block.
 func (l *Loop) Submit(request *Request, reply func(Response)) uint64 {
 	if rejected := l.Admit(request); rejected != nil {
 		l.Do(func() { reply(*rejected) })
@@ -77,11 +77,12 @@
 // Cancel reports that a request's client has disconnected.
 func (l *Loop) Cancel(id uint64) { l.Post(RequestCancelled{ID: id}) }
 
-// ClientHalfClosed reports that a request's client has closed its sending side. The client may have disconnected. If
-// not, it expects an answer immediately.
+// ClientHalfClosed reports that a request's client has closed its sending side. The client may have disconnected, or
+// may still expect an answer, so the loop ends and answers the request as soon as possible.
 func (l *Loop) ClientHalfClosed(id uint64) { l.Post(ClientHalfClosed{ID: id}) }
 
-// OpenRequests returns the number of requests that have no final answer yet.
+// OpenRequests returns the number of requests that have no final answer yet, or whose Streaming value is still being
+// delivered.
 func (l *Loop) OpenRequests() int { return int(l.Metrics.open.Load()) }
 
 // Post queues an event for the loop.
@@ -101,7 +102,7 @@
 	l.Wake()
 }
 
-// Wake makes the loop run a turn immediately, even if no event is queued.
+// Wake makes the loop run a turn as soon as possible, even if no event is queued.
 func (l *Loop) Wake() {
 	select {
 	case l.inbox.wakeUp <- struct{}{}:
@@ -138,8 +139,8 @@
 }
 
 // WaitForCapacity blocks while maxQueuedEvents or more events are queued, the loop runs and givenUp returns false.
-// givenUp is checked after each turn. Protocol servers call WaitForCapacity before they read a request, without
-// holding a lock. This bounds the requests that were read and are not handled yet.
+// givenUp is checked at each turn. Protocol servers call WaitForCapacity before they read a request, without holding a
+// lock. This bounds the number of requests that were read and are not handled yet.
 func (l *Loop) WaitForCapacity(givenUp func() bool) {
 	l.inbox.mu.Lock()
 	defer l.inbox.mu.Unlock()
@@ -156,8 +157,8 @@
 	l.inbox.hasCapacity.Broadcast()
 }
 
-// collect takes the calls and up to maxTurnEvents events that were queued since the last turn. The inbox reuses spare
-// as its buffer of events. more reports whether events are left.
+// collect takes the queued calls and up to maxTurnEvents of the queued events. The inbox reuses spare as its buffer of
+// events. more reports whether events are left.
 func (l *Loop) collect(now Micros, spare []Event) (events []Event, calls []func(), more bool) {
 	clear(spare)
 	l.inbox.mu.Lock()
@@ -192,9 +193,9 @@
 	return events[:maxTurnEvents], true
 }
 
-// insertCancellations puts the cancellations of known requests before all events, and those of other requests directly
-// behind the arrivals of these requests. This way a cancellation is not delayed while the loop is behind, and no
-// attempt is started for a client that has disconnected.
+// insertCancellations puts the cancellations of known requests before all events. A cancellation of a request whose
+// arrival is still queued is put directly behind that arrival, in this turn or a later one. This way a cancellation is
+// not delayed while the loop is behind, and no attempt is started for a client whose cancellation is queued.
 func (l *Loop) insertCancellations(cancellations, events []Event) []Event {
 	if len(cancellations) == 0 && len(l.cancelledBeforeArrival) == 0 {
 		return events
--- a/broker/loop.go
+++ b/broker/loop.go
@@ -60,7 +60,7 @@
 	number int
 }
 
-// client receives the answer to a request.
+// client is where the answer to a request is sent.
 type client struct {
 	class string
 	reply func(Response)
@@ -140,8 +140,9 @@
 	l.safeTurn(now, changes)
 }
 
-// safeTurn runs a turn and contains a panic that one of its events causes, so that open requests survive. The panic is
-// logged and the turn ends. Requests that the turn did not finish are answered at their deadlines.
+// safeTurn runs a turn and contains a panic that one of its events causes, so that the process and its open requests
+// survive. The panic is logged, and the rest of the turn is lost. Requests that are still open in the state are
+// answered at their deadlines at the latest.
 func (l *Loop) safeTurn(now Micros, events []Event) {
 	l.safely(func() { l.turn(now, events) })
 }
@@ -155,8 +156,8 @@
 	call()
 }
 
-// turn reduces events and executes the effects. Stopping attempts produces further events, which turn reduces with the
-// same time, until there are none.
+// turn reduces events and executes the effects. An effect that stops an attempt produces a further event. turn reduces
+// these events with the same time, until there are none.
 func (l *Loop) turn(now Micros, events []Event) {
 	for again := true; again; {
 		for _, e := range events {
@@ -199,8 +200,8 @@
 	l.Metrics.open.Add(-1)
 }
 
-// observe passes observations to telemetry. It runs after the effects were executed and is guarded separately, so that
-// a panic in telemetry leaves no request without an answer.
+// observe passes observations to telemetry. It runs after the effects were executed, and turn contains a panic in it
+// separately, so that a panic in telemetry leaves no request without an answer.
 func (l *Loop) observe() {
 	if len(l.rejections) > 0 {
 		l.dependencies.Observe(l.rejections)
@@ -221,7 +222,8 @@
 	sharesInterval = Second
 )
 
-// countNodes updates the metrics and shares of the nodes: immediately after a new list, else at intervals.
+// countNodes updates the metrics of the nodes: immediately after a new list, else every nodeCountInterval. With them,
+// it updates the shares of the nodes if sharesInterval has passed.
 func (l *Loop) countNodes(now Micros, events []Event) {
 	if now < l.nextNodeCount && !slices.ContainsFunc(events, isNodeList) {
 		return
@@ -243,8 +245,8 @@
 	return is
 }
 
-// NodeShares returns how requests are spread over the nodes of shards with several nodes. The shares are up to one
-// second old.
+// NodeShares returns how requests are spread over the nodes of shards with several nodes. The loop updates the shares
+// about once a second.
 func (l *Loop) NodeShares() []scheduler.NodeShare {
 	if shares := l.shares.Load(); shares != nil {
 		return *shares
--- a/broker/loop_test.go
+++ b/broker/loop_test.go
@@ -61,8 +61,8 @@
 	return writtenAttempt{}
 }
 
-// A panic in a transport must not end the process or other requests. The turn ends, and the request whose attempt was
-// not started fails at its deadline.
+// A panic in a transport must not end the process or affect other requests. The rest of the turn is lost, and the
+// request whose attempt was not started fails at its deadline.
 func TestPanicEndsOneTurn(t *testing.T) {
 	lines := make(chan string, 8)
 	log := logging.ToFunc(func(line string) { lines <- line })
@@ -91,7 +91,7 @@
 func TestSchedulerLinesAreSampledByMessage(t *testing.T) {
 	const (
 		nodes          = 10
-		linesPerWindow = 5 // of one message that are logged in a sampling window
+		linesPerWindow = 5 // lines with the same message that are logged in a sampling window
 		nodeLeaves     = "node leaves"
 		attemptLost    = "attempt lost"
 	)
@@ -226,9 +226,9 @@
 	<-waited
 }
 
-// Clients disconnect while the loop is far behind. The next turn handles their cancellations before all queued events:
-// one request is queued in the scheduler, the arrival of another is next in the inbox, and the arrival of a third is
-// last in the inbox. None of these three requests must be started. The request of a connected client must be started.
+// Clients disconnect while the loop is far behind: one request is queued in the scheduler, the arrival of another is
+// first in the inbox, and the arrival of a third is last in the inbox. The next turn must cancel the first two
+// requests. None of the three must be started. The request of a connected client must be started.
 func TestCancellationsOvertake(t *testing.T) {
 	transport := recordingTransport{started: map[string]bool{}}
 	loop := NewLoop(newState(t, testSettings()), NewClock(), transport, Dependencies{})
--- a/broker/metrics.go
+++ b/broker/metrics.go
@@ -38,7 +38,7 @@
 // Metrics is the registry of a broker's metrics. It can be read at any time without the loop, because metrics are most
 // important when the loop is busy.
 type Metrics struct {
-	open   atomic.Int64 // requests without a final answer
+	open   atomic.Int64 // requests without a final answer, or with a Streaming value that is being delivered
 	listed atomic.Int64 // nodes on the list
 	down   atomic.Int64 // listed nodes that the scheduler avoids
 
@@ -130,7 +130,7 @@
 	}
 }
 
-// Read returns all metrics. Each class is listed with all its counters, even if they are 0.
+// Read returns all metrics. Each class that was ever configured or used has all its counters, even if they are 0.
 func (m *Metrics) Read() []Metric {
 	var all []Metric
 	for _, c := range m.allClasses() {
@@ -159,8 +159,8 @@
 	return Metric{Name: name, Value: count.Load(), Counter: true}
 }
 
-// gauge reads a gauge. Between two updates by the loop, the value may be below 0 for a moment. It is then reported
-// as 0.
+// gauge reads a gauge. The value may be below 0 for a moment, between two updates that belong together. It is then
+// reported as 0.
 func gauge(name string, value *atomic.Int64) Metric {
 	return Metric{Name: name, Value: uint64(max(0, value.Load()))}
 }
--- a/broker/nodes.go
+++ b/broker/nodes.go
@@ -12,11 +12,11 @@
 	address    string // empty until a list contained an address
 	shard      int
 	leaving    bool   // listed as draining or removed
-	lastListed uint64 // value of State.listUpdates when a list last contained the node
+	lastListed uint64 // value of State.listUpdates when an update last named the node
 }
 
-// handleNodeList applies a list of nodes. It closes idle connections to nodes that are draining or removed, stops
-// attempts in flight at these nodes from sending more data, and passes the list to the scheduler.
+// handleNodeList applies an update of the list of nodes. It closes idle connections to nodes that are draining or
+// removed, stops attempts in flight at these nodes from sending more data, and passes the update to the scheduler.
 func (s *State) handleNodeList(e NodesListed) {
 	s.listUpdates++
 	infos := make([]scheduler.Endpoint, 0, len(e.Nodes))
@@ -91,9 +91,9 @@
 	return ""
 }
 
-// stopSendingTo enforces the rule on drains for attempts that consist of several messages. Such attempts would
-// otherwise continue to send to nodes that are draining or removed. They are stopped from sending immediately, so that
-// the scheduler may still choose another node in time.
+// stopSendingTo prevents attempts in flight at nodes that have just begun to drain or were removed from sending more
+// data to these nodes. An attempt that consists of several messages would otherwise continue to send. Sending stops
+// immediately, so that the scheduler may still choose another node in time.
 func (s *State) stopSendingTo(leaving map[string]bool) {
 	if len(leaving) == 0 {
 		return
--- a/broker/nodes_test.go
+++ b/broker/nodes_test.go
@@ -8,8 +8,8 @@
 	"junctionwharf/telemetry"
 )
 
-// A node starts draining while an attempt that consists of several messages is in flight there. The attempt must not
-// continue to send after the drain grace: it is stopped from sending and retried at another node.
+// A node starts draining while an attempt that consists of several messages is in flight there. The attempt must be
+// stopped from sending, once although the node is listed as draining twice, and the request is retried at another node.
 func TestDrainStopsSending(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
@@ -26,7 +26,7 @@
 	}
 }
 
-// A node that is missing from a full list is removed.
+// A node that is missing from a full list is removed: requests of its shard are not sent to it.
 func TestMissingFromFullList(t *testing.T) {
 	h := newHarness(t)
 	h.turn(fullList(2, testNode("n2", 1, scheduler.Ready)))
--- a/broker/overload.go
+++ b/broker/overload.go
@@ -24,11 +24,11 @@
 	o.lagWanted = make(chan struct{}, 1)
 }
 
-// manyOpen is the number of open requests from which on the lag is measured: half of maxOpen, which applies only while
-// the broker lags.
+// manyOpen is the number of open requests from which on the lag is measured: half of maxOpen. The bound maxOpen itself
+// applies only while the broker lags.
 func (o *overload) manyOpen() int64 { return max(1, o.maxOpen/2) }
 
-// noteOpen requests lag measurements when the number of open requests reaches manyOpen.
+// noteOpen asks for lag measurements when the number of open requests reaches manyOpen.
 func (o *overload) noteOpen(open int64) {
 	if open != o.manyOpen() || o.maxOpen <= 0 {
 		return
@@ -112,8 +112,8 @@
 	}
 	l.inbox.lag = 0
 	l.inbox.mu.Unlock()
-	// The event wakes an idle loop. Otherwise the event would wait for the next one, and its waiting time would be
-	// recorded as lag.
+	// The event wakes an idle loop. The next event would otherwise have to wake it, and the time until the loop runs
+	// would be recorded as lag.
 	l.Post(LagMeasured{Waited: waited})
 }
 
--- a/broker/overload_test.go
+++ b/broker/overload_test.go
@@ -10,8 +10,8 @@
 	"junctionwharf/telemetry"
 )
 
-// The number of open requests is at admission control's bound. A request that is rejected, by Submit or by Admit, gets
-// one answer, is counted in the metrics, is reported to telemetry and never reaches the scheduler.
+// The number of open requests is at admission control's bound. A request that is rejected, by Submit or by Admit, is
+// answered with Rejected, counted in the metrics and reported to telemetry.
 func TestAdmissionRejects(t *testing.T) {
 	observations := make(chan telemetry.Observation, 8)
 	loop := NewLoop(newState(t, testSettings()), NewClock(), echoTransport{}, Dependencies{
@@ -55,8 +55,8 @@
 	loop.Cancel(id)
 }
 
-// The scheduling lag is not measured while few requests are open. The loop requests measurements when half of the bound
-// is reached. Once measuring ends, earlier measurements no longer apply.
+// The scheduling lag is not measured while few requests are open. The loop asks for measurements once, when half of the
+// bound is reached. When the lag is no longer measured, earlier measurements no longer affect the node's time.
 func TestLagIsMeasuredOnDemand(t *testing.T) {
 	state := newState(t, testSettings())
 	const bound = 6
@@ -75,7 +75,8 @@
 	for i := range bound + 1 {
 		loop.SubmitAdmitted(testRequest("read", 0), func(Response) {})
 		if got := wanted(); got != (i == bound/2-1) || loop.KeepMeasuringLag() != (i >= bound/2-1) {
-			t.Errorf("%d open: measurement wanted %v, keep measuring %v", i+1, got, loop.KeepMeasuringLag())
+			t.Errorf("%d open: wanted %v, keep measuring %v; want the first only at %d, the second from there on",
+				i+1, got, loop.KeepMeasuringLag(), bound/2)
 		}
 	}
 	loop.SetLagMeasured(true)
--- a/broker/request.go
+++ b/broker/request.go
@@ -24,17 +24,18 @@
 const (
 	Served   Verdict = iota // a storage node's answer is in Response.Value
 	Rejected                // a retry is safe: the request never ran, or its class is idempotent
-	Failed                  // the request may have run
+	Failed                  // the request may have run, its deadline has passed, or its class or plan is unknown
 )
 
-// Response is the one final answer to a request.
+// Response is the final answer to a request.
 type Response struct {
 	Verdict    Verdict
 	Value      any    // the transport's value of a Served request; closed, if an io.Closer, when no client receives it
 	RetryAfter Micros // of a Rejected request: when to retry, 0 for no advice
 }
 
-// Streaming is a value whose delivery takes time and may be interrupted. Its request stays open until then.
+// Streaming is a value whose delivery takes time and may be interrupted. The request stays open until the delivery
+// ends.
 type Streaming interface {
 	// OnEnd registers a function that is called once, when the value was delivered completely or the delivery has
 	// failed.
--- a/broker/requests.go
+++ b/broker/requests.go
@@ -16,15 +16,15 @@
 	deadline  Micros
 	answered  bool // the final answer was given, or the client has disconnected
 
-	attempts    int    // number of attempts sent; the last attempt's number is one less
+	attempts    int    // attempts that the scheduler started, sent or not; the last attempt's number is one less
 	node        string // node of the last attempt
 	firstSentAt Micros // when the first attempt was sent; 0 before that
 	sentAt      Micros // when the last attempt was sent
 	inFlight    bool   // the last attempt has not ended
-	stopped     bool   // the last attempt is being stopped; its progress is not known yet
+	stopped     bool   // the last attempt is being stopped; how much of it was written is not known yet
 	stopReason  scheduler.Outcome
 
-	mayHaveRun   bool
+	mayHaveRun   bool   // an ended attempt may have run
 	mayHaveRunAt Micros // when the first attempt that may have run was sent
 
 	deadlineTimer    timingwheel.Handle
@@ -84,8 +84,8 @@
 	return r
 }
 
-// handleCancellation ends a request whose client has disconnected. If the connection of its attempt is established
-// later, the request is not sent.
+// handleCancellation ends a request whose client has disconnected. If an attempt is in flight and its request is not
+// fully written, the attempt is canceled.
 func (s *State) handleCancellation(id uint64) {
 	r := s.requests[id]
 	if r == nil || r.answered {
@@ -100,7 +100,7 @@
 	s.forget(id, r)
 }
 
-// handleShutdown answers all open requests, because the process is about to exit.
+// handleShutdown ends all open requests as soon as possible, because the process is about to exit.
 func (s *State) handleShutdown() {
 	s.shuttingDown = true
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
@@ -108,7 +108,10 @@
 	}
 }
 
-// answerNow makes a request end now: an attempt in flight is stopped, and a request that was never sent is rejected.
+// answerNow ends a request as soon as possible:
+//   - A request without any attempt is rejected.
+//   - An attempt in flight is stopped. Its outcome determines the answer, as at the deadline.
+//   - A request that waits for a retry fails.
 func (s *State) answerNow(id uint64) {
 	r := s.requests[id]
 	if r == nil {
@@ -129,8 +132,8 @@
 	s.forget(id, r)
 }
 
-// conclude gives a final answer of which the scheduler need not be notified. It does nothing for a request that is
-// already answered.
+// conclude gives the final answer that the scheduler decided on, or that was given before the scheduler received the
+// request. The scheduler need not be notified. conclude does nothing for a request that is already answered.
 func (s *State) conclude(id uint64, response Response) {
 	if r := s.requests[id]; r != nil && !r.answered {
 		s.respond(id, r, response)
@@ -138,8 +141,8 @@
 	}
 }
 
-// respond gives the final answer. It ensures that a request gets exactly one answer: no other function emits Respond,
-// only handleCancellation also sets answered, and all callers check answered first.
+// respond gives the final answer. A request gets at most one answer: no other function emits Respond, only
+// handleCancellation also sets answered, and all callers check answered first.
 func (s *State) respond(id uint64, r *requestState, response Response) {
 	r.answered = true
 	observation := s.requestObservation(r, verdictEnds[response.Verdict])
--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// A client disconnects while an attempt is in flight. The node's answer is discarded, the request's state is dropped,
-// and the request is not retried.
+// A client disconnects while an attempt is in flight. The node's answer does not reach the client, the request's state
+// is dropped, and the request is not retried.
 func TestCancelledRequestGetsNoAnswer(t *testing.T) {
 	h := newHarness(t)
 	h.turn(RequestArrived{ID: 1, Request: testRequest("read", 0)})
@@ -52,7 +52,8 @@
 	}
 }
 
-// An attempt in flight is stopped at the deadline, at any progress. An answer that arrives later is discarded.
+// An attempt in flight is stopped at the deadline, and the request fails, even if the request was not written. A result
+// that arrives after the stop has no effect.
 func TestStoppedAtDeadline(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
@@ -74,9 +75,9 @@
 	}
 }
 
-// All open requests are answered when the process shuts down. A request that may have run fails, unless it is
-// idempotent. Requests that are idempotent or were never sent are rejected, so that clients may retry them. Requests
-// that arrive later on open connections are rejected, too.
+// All open requests are answered when the process shuts down. A request whose attempt in flight may have run fails,
+// unless it is idempotent. Idempotent requests with an attempt in flight, and requests that were never sent, are
+// rejected, so that clients may retry them. Requests that arrive later on open connections are rejected, too.
 func TestShutdownAnswersAll(t *testing.T) {
 	h := newHarness(t)
 	h.turn(
@@ -122,7 +123,7 @@
 	}
 }
 
-// The demand for a shared volume is reported to its aggregator. This broker does not aggregate all of the four volumes.
+// The demand for a shared volume is reported to its aggregator. Peer 1 aggregates at least one of the four volumes.
 func TestDemandIsGossiped(t *testing.T) {
 	h := newHarness(t)
 	for i := range uint64(40) {
--- a/broker/state.go
+++ b/broker/state.go
@@ -16,16 +16,16 @@
 	now       Micros // time of the current Reduce
 
 	requests     map[uint64]*requestState
-	freeRequests []*requestState                  // finished request states for reuse
+	freeRequests []*requestState                  // states of finished requests, for reuse
 	streaming    map[uint64]telemetry.Observation // by id: requests whose Streaming value is being delivered
 
 	nodes       map[string]*nodeState // by name
-	listUpdates uint64                // number of lists that were applied
+	listUpdates uint64                // number of list updates that were applied
 
 	timers timingwheel.Wheel[timer]
 
-	schedulerEvents      []scheduler.Event // for the scheduler's next round
-	spareSchedulerEvents []scheduler.Event // buffer that becomes schedulerEvents in the next round
+	schedulerEvents      []scheduler.Event // for the next call of the scheduler
+	spareSchedulerEvents []scheduler.Event // buffer for the events after these
 
 	effects      []Effect
 	observations []telemetry.Observation
@@ -49,9 +49,9 @@
 	}, nil
 }
 
-// maxSchedulerRounds bounds how many times within one turn the scheduler may react to the results of its own actions.
-// With a smaller value, an attempt that could not be sent would be assigned to another node one turn later. Without a
-// bound, a fault in the scheduler could block the loop forever.
+// maxSchedulerRounds bounds how many times the scheduler is called within one turn, to react to the results of its own
+// actions. With a smaller value, an attempt that could not be sent would be assigned to another node one turn later.
+// Without a bound, a fault in the scheduler could block the loop forever.
 const maxSchedulerRounds = 8
 
 // Reduce applies the events of one turn of the loop and returns the effects to execute, in order. The slice is valid
@@ -72,7 +72,7 @@
 	return s.effects
 }
 
-// runScheduler passes the pending events to the scheduler and applies its actions, which may cause further events.
+// runScheduler passes the pending events to the scheduler and carries out its actions, which may cause further events.
 func (s *State) runScheduler() {
 	events := s.schedulerEvents
 	s.schedulerEvents = s.spareSchedulerEvents[:0]
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -22,9 +22,10 @@
 	attempt int    // the attempt's number, for an attemptTimer or idempotencyTimer
 }
 
-// answerGrace is how long after the deadline a request whose attempt was stopped stays open for the outcome of the
-// attempt and the scheduler's answer: 5 ms. After that the request fails. With a smaller value, requests whose attempt
-// never ran would fail instead of being rejected. With a larger value, clients would wait longer past their deadlines.
+// answerGrace is how long a request whose attempt was stopped stays open for the outcome of the attempt and the
+// scheduler's answer: 5 ms after the deadline or the call of answerNow. If the attempt has ended by then without an
+// answer, the request fails. With a smaller value, requests that answerNow ends and whose attempt never ran
+// could fail instead of being rejected. With a larger value, clients could wait longer past their deadlines.
 const answerGrace Micros = 5000
 
 func (s *State) setTimer(at Micros, t timer) timingwheel.Handle { return s.timers.Set(int64(at), t) }
@@ -63,8 +64,10 @@
 	}
 }
 
-// handleDeadline ends a request at its deadline. If an attempt is in flight, the attempt is stopped and its outcome
-// determines the answer.
+// handleDeadline ends a request at its deadline. It distinguishes these cases:
+//   - An attempt is in flight: the attempt is stopped, its outcome determines the answer, and the request is checked
+//     again after answerGrace.
+//   - No attempt is in flight and the request has no answer: the request fails.
 func (s *State) handleDeadline(id uint64, r *requestState) {
 	if r.inFlight {
 		s.stopAttempt(id, r, scheduler.TimedOut)
--- a/broker/transport.go
+++ b/broker/transport.go
@@ -6,10 +6,10 @@
 	"junctionwharf/scheduler"
 )
 
-// Progress is how far the sending of an attempt had come when it ended.
+// Progress is how much of an attempt's request was written when the attempt ended.
 type Progress int
 
-// The stages of an attempt. Only an attempt that was fully written may have run.
+// The stages of an attempt. Only an attempt whose request was fully written may have run.
 const (
 	NotConnected Progress = iota
 	PartiallyWritten
@@ -37,8 +37,8 @@
 // The replies.
 const (
 	ReplyOK       Reply = iota // the request was served
-	ReplyError                 // the request may have run
-	ReplyRejected              // the request did not run
+	ReplyError                 // the node answered with an error; the request may have run
+	ReplyRejected              // the node rejected the request, which did not run
 )
 
 // Result is the result of an attempt or a health check that was not stopped. If Err is set, Reply is ignored.
@@ -51,13 +51,13 @@
 	Load            scheduler.LoadReport
 }
 
-// Attempt is one attempt to have a storage node serve a request.
+// Attempt is one attempt to send a request to a storage node and to receive the answer.
 type Attempt struct {
 	Node      string // the node's name in the list
 	Address   string
 	Request   *Request
 	Timeout   Micros // how long the broker waits for the answer
-	OnWritten func() // called by the transport once the attempt is fully written; it must not block
+	OnWritten func() // called by the transport once the request is fully written; it must not block
 }
 
 // Transport sends attempts over a protocol. The loop's goroutine calls its methods, which must not block. done may be
@@ -72,14 +72,14 @@
 type Handle interface {
 	// Stop ends the attempt and returns its progress. done is not called afterwards.
 	Stop() Progress
-	// StopSending prevents the attempt from sending more data. An attempt that is not fully written yet ends.
+	// StopSending prevents the attempt from sending more data. An attempt whose request is not fully written yet ends.
 	StopSending()
-	// CancelUnlessWritten ends the attempt unless it was fully written. Even a message that is partly written is not
-	// completed. CancelUnlessWritten does not block, and done is called.
+	// CancelUnlessWritten ends the attempt unless its request was fully written. Even a message that is partly written
+	// is not completed. CancelUnlessWritten does not block, and done is still called.
 	CancelUnlessWritten()
 }
 
-// outcome returns the outcome that is reported to the scheduler. It depends on the result alone.
+// outcome returns the outcome of an attempt or a health check with this result, as the scheduler names it.
 func (r Result) outcome() scheduler.Outcome {
 	if r.Err == nil {
 		return replyOutcomes[r.Reply]
