--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,15 +11,15 @@
 	"junctionwharf/scheduler"
 )
 
-// Settings is what all brokers of a tier share: the platform's "settings" object.
+// Settings contains the settings that all brokers of a tier share. It is decoded from the platform's "settings" object.
 type Settings struct {
 	Scheduler      scheduler.Settings
-	Shards         int           // they run from 0 to this less 1; 0 for unknown
-	ConnIdle       broker.Micros // idle connections to nodes end after this
+	Shards         int           // number of shards, indexed from 0; 0 means unknown
+	ConnIdle       broker.Micros // idle connections to nodes are closed after this time
 	ConnectTimeout broker.Micros
 }
 
-// wireSettings is the object in the platform's file. encoding/json matches its keys whatever their case.
+// wireSettings is the format of the object in the platform's file. encoding/json matches its keys regardless of case.
 type wireSettings struct {
 	Bounds        wireBounds     `json:"bounds"`
 	Classes       []wireClass    `json:"classes"`
@@ -93,17 +93,17 @@
 	NShards     int     `json:"nShards"`
 }
 
-// subscribeMode is the value of "discovery" where all brokers poll one service.
+// subscribeMode is the value of "discovery" if all brokers poll one service.
 const subscribeMode = "subscribe"
 
-// idempotencies are the values of a class's "effect".
+// idempotencies maps the values of a class's "effect" key to the scheduler's constants.
 var idempotencies = map[string]scheduler.Idempotency{
 	"safe":   scheduler.Idempotent,
 	"keyed":  scheduler.IdempotentWithKey,
 	"unsafe": scheduler.NotIdempotent,
 }
 
-// keyScopes are the values of a class's "keyScope".
+// keyScopes maps the values of a class's "keyScope" key to the scheduler's constants.
 var keyScopes = map[string]scheduler.Scope{
 	"":     scheduler.ScopeAll,
 	"all":  scheduler.ScopeAll,
@@ -111,27 +111,27 @@
 	"cell": scheduler.ScopeShard,
 }
 
-// micros is a span of the settings, in microseconds. It is a float, since the file's figures may have fractions.
+// micros is a duration in the settings, in microseconds. It is a float because values in the file may have fractions.
 type micros float64
 
 func (m micros) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// nameTypeError names the key whose value is of the wrong type.
+// nameTypeError replaces a JSON type error with an error that starts with the key of the faulty value.
 func nameTypeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
 		return err
 	}
 	parts := strings.Split(typeError.Field, ".")
-	for i, part := range parts { // a field of an embedded struct is named as in Go
+	for i, part := range parts { // encoding/json reports a field of an embedded struct by its Go name
 		parts[i] = strings.ToLower(part[:1]) + part[1:]
 	}
-	return fmt.Errorf("%s: a %s is no value for it", strings.Join(parts, "."), typeError.Value)
+	return fmt.Errorf("%s: got %s, want %s", strings.Join(parts, "."), typeError.Value, typeError.Type.Kind())
 }
 
-// ParseSettings reads the settings' JSON. Unknown keys are passed over.
+// ParseSettings decodes the JSON text of the settings. It ignores unknown keys.
 func ParseSettings(text []byte) (*Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
