--- a/broker/loop.go
+++ b/broker/loop.go
@@ -142,7 +142,7 @@
 
 // safeTurn runs a turn and contains a panic that one of its events causes, so that the process and its open requests
 // survive. The panic is logged, and the rest of the turn is lost. Requests that are still open in the state are
-// answered at their deadlines at the latest.
+// answered at their deadlines at the latest. A request whose arrival or answer is lost with the turn gets no answer.
 func (l *Loop) safeTurn(now Micros, events []Event) {
 	l.safely(func() { l.turn(now, events) })
 }
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -17,8 +17,8 @@
 	// larger value a failed broker keeps its part of a volume's tokens for longer. With a smaller value one
 	// lost message makes the other brokers grant too many tokens.
 	reportTicks = 9
-	// demandSteps is the number of steps per unit in the encoding. With a larger value less demand fits into
-	// a message, which holds at most 65,535 steps; higher demand is capped. With a smaller value more volumes
+	// demandSteps is the number of steps per unit in the encoding. With a larger value more demand is
+	// capped, because a message can contain at most 65,535 steps. With a smaller value more volumes
 	// have too little demand to be reported.
 	demandSteps = 16.0
 )
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -55,9 +55,10 @@
 //     the load at which a starting node fails. The sum over all brokers is safe, because what the shard
 //     served all brokers was at most the capacity of one warm node.
 //
-// In a window the node may receive a whole saved budget, the refill of one window, and the units that it
-// served, which are at most the base divided by multiple. The budget is therefore half of the rest of the
-// base. It grows as slowly as a node may warm up, and is split evenly over the processes of the broker.
+// In a window the node may receive, from all brokers together, their saved budgets, the refill of one window,
+// and as many units as it served. The served units are at most the sum of the bases divided by multiple. The
+// budget is therefore half of the rest of the base. It grows as slowly as a node may warm up, and is split
+// evenly over the processes of the broker.
 func slowStartBudget(age time.Duration, rules *Rules, even, servedRate, processes float64) float64 {
 	multiple := max(minOverloadMultiple, rules.OverloadMultiple)
 	own := servedRate * rules.InitialCapacity * multiple * rules.OverloadWindow.Seconds()
