--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -12,17 +12,17 @@
 	"junctionwharf/clusterconfig"
 )
 
-// Term and index of the snapshot with which all voters of a new cluster start.
+// Term and index of the snapshot with which each voter of a new cluster starts.
 const (
 	bootstrapTerm  = 1
 	bootstrapIndex = 1
 )
 
-// RandomID draws a raft identity. It is never 0, which means no voter in raft, and it fits a signed integer.
+// RandomID draws a raft identity. It is never 0, which stands for no voter in raft, and it fits a signed integer.
 func RandomID(random *rand.Rand) uint64 { return random.Uint64()>>1 | 1 }
 
-// Bootstrap writes the initial state of a new cluster to an empty storage. All voters of the cluster need the same
-// epoch and members.
+// Bootstrap writes the initial state of a new cluster to an empty storage. It must be called for each voter, with the
+// same epoch and members.
 func Bootstrap(s Storage, epoch uint64, members map[string]uint64) error {
 	data, err := msgpack.Marshal(clusterconfig.NewState(epoch, members))
 	if err != nil {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -17,9 +17,10 @@
 
 const simSpan = 20_000_000 // µs
 
-// Real voters and lease holders with drifting clocks exchange messages that are delayed, lost and reordered. Voters
-// crash, stop, are partitioned, and lose their disks. No holder may act on a value that the latest version forbids.
-// Voters must hold the same values. The histories of proposals and reads must be linearizable.
+// Voters and lease holders with drifting clocks exchange messages that are delayed, lost and reordered. Voters crash,
+// stop, are partitioned, and lose their disks. No holder may act on a value that the latest version in use forbids. Two
+// voters at the same version must have the same values. The histories of proposals and reads must be linearizable. Long
+// after the last fault, there must be a leader, and no voter may be outside the cluster.
 func TestClusterIsLinearizableUnderFaults(t *testing.T) {
 	activated, replaced, operations := 0, 0, 0
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
@@ -34,13 +35,15 @@
 		replaced += c.replaced
 		operations += len(c.operations)
 	}
-	t.Logf("%d changes, %d voters replaced, %d calls", activated, replaced, operations)
+	t.Logf("%d changes, %d voters that lost their state, %d operations", activated, replaced, operations)
 	if activated < 5**seedCount || replaced < *seedCount/4 {
-		t.Errorf("too few events: %d changes, %d voters lost their state", activated, replaced)
+		t.Errorf("%d changes, want at least %d; %d voters that lost their state, want at least %d",
+			activated, 5**seedCount, replaced, *seedCount/4)
 	}
 }
 
-// A checker that cannot find faults proves nothing. It must find each fault that is planted into the implementation.
+// Each fault that is planted into the implementation must be found by a checker of the cluster test, or by raft itself.
+// Otherwise a run without a finding would prove nothing.
 func TestClusterFindsPlantedFaults(t *testing.T) {
 	for _, c := range []struct {
 		fault plantedFault
@@ -57,12 +60,12 @@
 					return
 				}
 			}
-			t.Error("no checker found the fault")
+			t.Error("no checker found the planted fault in 150 runs")
 		})
 	}
 }
 
-// findBreach returns the first fault that a checker or raft itself finds in a simulation, empty for none.
+// findBreach returns the first violation that a checker or raft itself finds in a simulation, empty for none.
 func findBreach(t *testing.T, seed uint64, fault plantedFault) (found string) {
 	t.Helper()
 	defer func() { // raft panics when its invariants are broken
@@ -78,7 +81,7 @@
 }
 
 // Voters without disks restart one after another, as in a rolling upgrade, and each loses its state. The cluster must
-// add each voter again, no matter which voter is the leader, and must have a leader before the next voter restarts.
+// add each voter again, and must have a confirmed leader before the next voter restarts.
 func TestVotersReplacedOneByOne(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, rand.New(rand.NewPCG(seed, 0xc1)), noFault)
@@ -104,7 +107,7 @@
 	return false
 }
 
-// stepUntil runs the simulation until a condition holds, for at most simSpan.
+// stepUntil runs the simulation until a condition holds. It fails the test if that takes longer than simSpan.
 func (c *cluster) stepUntil(seed uint64, what string, holds func() bool) {
 	c.t.Helper()
 	for end := c.Now + simSpan; !holds(); {
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -24,20 +24,23 @@
 
 const (
 	filePermission = 0o600
-	// lockTimeout is how long a start waits for another process to release the file. A predecessor closes the file
-	// during its shutdown. With a longer timeout, a second broker on the same directory would hang instead of fail.
+	// lockTimeout is how long a start waits for another process to release the file. A predecessor that is shutting
+	// down releases the file within this time. With a longer timeout, a second broker on the same directory would
+	// hang instead of fail.
 	lockTimeout = 2 * time.Second
 	idBytes     = 8
 )
 
-// DiskStorage is a storage in a bbolt file, with a copy in memory that raft reads. Each change is one transaction.
-// After a crash at any byte of the write, the file holds either its previous content or the complete change.
+// DiskStorage is a storage in a bbolt file, with a copy in memory that raft reads. Each change of the file is one
+// transaction. If the process or the machine fails at any byte of the write, the file has either its previous content
+// or the complete change.
 type DiskStorage struct {
 	MemoryStorage
 	db *bbolt.DB
 }
 
-// OpenDisk opens or creates a file and returns the identity stored in it. newID draws the identity of a new file.
+// OpenDisk opens or creates a file and returns the raft identity stored in it. newID draws the identity of a new file.
+// If another process has the file open, OpenDisk waits up to lockTimeout.
 func OpenDisk(path string, newID func() uint64) (d *DiskStorage, id uint64, err error) {
 	db, err := bbolt.Open(path, filePermission, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
@@ -49,13 +52,13 @@
 		err = d.load()
 	}
 	if err != nil {
-		_ = db.Close() // no transaction is open that closing could lose
+		_ = db.Close() // no transaction is open, so closing loses nothing
 		return nil, 0, fmt.Errorf("%s: %w", path, err)
 	}
 	return d, id, nil
 }
 
-// initialize creates the buckets and the identity unless the file has them, and returns the identity.
+// initialize creates the buckets and the identity that the file lacks, and returns the identity.
 func (d *DiskStorage) initialize(newID func() uint64) (id uint64, err error) {
 	err = d.db.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists([]byte(metaBucket))
@@ -133,7 +136,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	// The entries of a new leader replace all entries that an earlier leader wrote from that index on.
+	// The new entries replace all stored entries from the first new index on, which an earlier leader wrote.
 	if err := deleteEntries(log, entries[0].GetIndex(), math.MaxUint64); err != nil {
 		return err
 	}
@@ -180,7 +183,7 @@
 
 // deleteEntries deletes the entries with from <= index < before.
 func deleteEntries(log *bbolt.Bucket, from, before uint64) error {
-	var keys [][]byte // deleting during the iteration would make the cursor lose its position
+	var keys [][]byte // collected first, because deleting during the iteration would make the cursor lose its position
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(encodeUint64(from)); key != nil; key, _ = cursor.Next() {
 		if binary.BigEndian.Uint64(key) >= before {
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	if id != testID || !d.isBootstrapped(t) {
-		t.Fatalf("reopened file: id %d, bootstrapped %v", id, d.isBootstrapped(t))
+		t.Fatalf("reopened file: id %d, bootstrapped %v; want %d and true", id, d.isBootstrapped(t), testID)
 	}
 	return d
 }
@@ -61,7 +61,7 @@
 	return hasSnapshot(snapshot)
 }
 
-// content returns the hard state and the entries of a file as text.
+// content returns the hard state and the entries of a storage as text.
 func (d *DiskStorage) content(t *testing.T) string {
 	t.Helper()
 	hard, _, errState := d.InitialState()
@@ -86,14 +86,14 @@
 	return data
 }
 
-// tornWrite is a file before and after a change, and its content at both times.
+// tornWrite describes a change of a file, and is used to write files in which only a part of the change is stored.
 type tornWrite struct {
-	path          string
-	before, after []byte
-	was, is       string
+	path          string // of the partly changed files
+	before, after []byte // bytes of the file before and after the change
+	was, is       string // content of the file before and after the change
 }
 
-// newTornWrite returns a change that overwrites an entry of an earlier leader.
+// newTornWrite returns a change that replaces an entry of an earlier leader.
 func newTornWrite(t *testing.T, dir string) *tornWrite {
 	t.Helper()
 	path := filepath.Join(dir, "a")
@@ -111,13 +111,13 @@
 		t.Fatal(err)
 	}
 	if w.was == w.is || len(w.before) != len(w.after) {
-		t.Fatalf("content %q before and %q after the change, in %d and %d bytes",
+		t.Fatalf("content %q before and %q after the change, want different ones; %d and %d bytes, want equal numbers",
 			w.was, w.is, len(w.before), len(w.after))
 	}
 	return w
 }
 
-// contentOf reopens a file with the given bytes and returns its content.
+// contentOf writes a file with the given bytes, opens it as a voter does, and returns its content.
 func (w *tornWrite) contentOf(t *testing.T, file []byte) string {
 	t.Helper()
 	if err := os.WriteFile(w.path, file, filePermission); err != nil {
@@ -128,12 +128,13 @@
 	return d.content(t)
 }
 
-// The machine loses power while a transaction is written. Any part of its pages may have reached the disk before the
-// meta page that commits them, and any part of that page. The file must hold either its previous content or the
-// complete change.
+// The machine loses power while a transaction is written. bbolt writes the pages of the transaction first, and then the
+// meta page that commits them. The write is interrupted after each changed byte, in the order of the file within these
+// two groups. Until the meta page is written, the file must have its previous content. After that, it must have either
+// its previous content or the complete change.
 func TestWriteTornAtEveryByte(t *testing.T) {
 	w := newTornWrite(t, t.TempDir())
-	const metaPages = 2 * 4096 // two meta pages, written last; one of them commits a transaction
+	const metaPages = 2 * 4096 // size of the two meta pages, one of which is written last and commits the transaction
 	torn := bytes.Clone(w.before)
 	steps := 0
 	for _, span := range [][2]int{{metaPages, len(w.after)}, {0, metaPages}} {
@@ -145,16 +146,17 @@
 			steps++
 			got := w.contentOf(t, torn)
 			if got != w.was && got != w.is || i >= metaPages && got != w.was {
-				t.Fatalf("write torn after byte %d: content %q", i, got)
+				t.Fatalf("write torn after byte %d: content %q, want %q or, once the meta page is written, %q",
+					i, got, w.was, w.is)
 			}
 		}
 	}
 	if got := w.contentOf(t, torn); got != w.is || steps < 100 {
-		t.Errorf("content after %d steps: %q, want %q", steps, got, w.is)
+		t.Errorf("content after %d steps: %q, want %q after at least 100 steps", steps, got, w.is)
 	}
 }
 
-// A voter restarts after its log was compacted. It must find the snapshot and the entries after it.
+// A voter restarts after its log was compacted. It must find the snapshot and the index of the last entry after it.
 func TestCompactedFileReopens(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "a")
 	d := createDisk(t, path)
@@ -173,7 +175,7 @@
 	defer func() { _ = d.Close() }()
 	snapshot, err := d.Snapshot()
 	if err != nil || snapshot.GetMetadata().GetIndex() != 150 || string(snapshot.GetData()) != "state" {
-		t.Errorf("snapshot %v, error %v", snapshot, err)
+		t.Errorf(`snapshot %v, error %v; want "state" at index 150`, snapshot, err)
 	}
 	if last, err := d.LastIndex(); last != 200 || err != nil {
 		t.Errorf("last index %d, want 200; error %v", last, err)
@@ -186,8 +188,8 @@
 
 func (fullStorage) Save(*pb.HardState, []*pb.Entry, *pb.Snapshot) error { return errDiskFull }
 
-// A voter's disk is full. The voter must not send messages that depend on state that it cannot store: it must neither
-// vote nor grant a lease.
+// A voter's disk is full. The voter must not send messages that depend on state that it could not store. It must stop,
+// and must neither vote nor grant a lease.
 func TestVoterWithFullDiskIsSilent(t *testing.T) {
 	storage := fullStorage{bootstrapped(t, map[string]uint64{"a": 1, "b": 2, "c": 3})}
 	v, err := New(0, Options{ID: 1, Timing: testTiming, Schema: testSchema}, storage)
@@ -213,7 +215,7 @@
 		}
 	}
 	if !errors.Is(v.Err(), errDiskFull) {
-		t.Errorf("the voter stopped with error %v, want %v", v.Err(), errDiskFull)
+		t.Errorf("the voter has error %v, want %v", v.Err(), errDiskFull)
 	}
 	if v.HandleRenewal(0, clusterconfig.Renewal{Holder: "h"}) != nil {
 		t.Error("the stopped voter granted a lease")
--- a/internal/consensus/golden_disk_test.go
+++ b/internal/consensus/golden_disk_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// bootstrapGoldenDisk bootstraps a file. It tries again until the encoded map of members is sorted.
+// bootstrapGoldenDisk bootstraps a new file. It tries again until the members in the encoded snapshot are sorted.
 func bootstrapGoldenDisk(t *testing.T, path string) *DiskStorage {
 	t.Helper()
 	sorted := sortedMaps(t, clusterconfig.NewState(77, goldenMembers()))
@@ -48,11 +48,12 @@
 			t.Fatal(err)
 		}
 	}
-	t.Fatalf("the members were not in order in %d encodings", encodeTries)
+	t.Fatalf("the members were not sorted in any of %d encodings", encodeTries)
 	return nil
 }
 
-// goldenEntry returns an entry of term 2. A nil value gives the empty entry with which a leader starts its term.
+// goldenEntry returns an entry of term 2. For a nil value it returns the empty entry with which a leader starts its
+// term.
 func goldenEntry(t *testing.T, index uint64, value any) *pb.Entry {
 	t.Helper()
 	kind := pb.EntryNormal
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -21,9 +21,9 @@
 
 const (
 	goldenValues = "testdata/values.golden"    // one encoded value per line: name and hex
-	goldenDisk   = "testdata/agreement.golden" // a voter's bbolt file: its size, then the rows that are not all zero
+	goldenDisk   = "testdata/agreement.golden" // a voter's bbolt file, as written by dump
 	rowBytes     = 32
-	encodeTries  = 1000 // msgpack writes a map in the random order of a Go range
+	encodeTries  = 1000 // maximum number of encodings; msgpack writes a map in the random order of a Go range
 )
 
 // goldenEntries returns the entries of two versions, the second of which builds on the first.
@@ -61,7 +61,7 @@
 	return state
 }
 
-// goldenValue is a value that leaves the process as msgpack, and an empty value into which it is decoded.
+// goldenValue is a value that is stored on disk as msgpack, and an empty value into which it is decoded.
 type goldenValue struct {
 	name  string
 	value any
@@ -86,7 +86,7 @@
 	}
 }
 
-// encode returns an encoding of a value that accept approves, or the last one after encodeTries attempts.
+// encode encodes a value until accept returns true, at most encodeTries times, and returns the last encoding.
 func encode(t *testing.T, value any, accept func([]byte) bool) []byte {
 	t.Helper()
 	var data []byte
@@ -102,14 +102,15 @@
 	return data
 }
 
-// encodeSorted returns the encoding of a value in which maps are sorted by key.
+// encodeSorted returns an encoding of a value in which all maps are sorted by key.
 func encodeSorted(t *testing.T, value any) []byte {
 	t.Helper()
 	return encode(t, value, sortedMaps(t, value))
 }
 
-// sortedMaps returns a function that reports whether an encoding of the value has its maps sorted by key. The encoder
-// cannot sort the map of members, so sortedMaps encodes the value again until the members are in order.
+// sortedMaps returns a function that reports whether an encoding of the value has all its maps sorted by key. The
+// encoder's own sorting does not cover the map of members, so sortedMaps encodes the value until the members are
+// sorted.
 func sortedMaps(t *testing.T, value any) func([]byte) bool {
 	t.Helper()
 	for range encodeTries {
@@ -125,7 +126,7 @@
 			return func(got []byte) bool { return bytes.Equal(got, data) }
 		}
 	}
-	t.Fatalf("the members were not in order in %d encodings", encodeTries)
+	t.Fatalf("the members were not sorted in any of %d encodings", encodeTries)
 	return nil
 }
 
@@ -143,9 +144,9 @@
 	return values
 }
 
-// A voter reads the log and the snapshot that an earlier build wrote, or both builds run side by side during a rolling
-// upgrade. Each recorded value of raft's log or snapshot must decode to the expected value and encode to the same
-// bytes.
+// A voter reads the log and the snapshot that another build wrote, for example after an upgrade or from another voter
+// during a rolling upgrade. Each recorded value of the log or the snapshot must decode to the expected value and encode
+// to the same bytes.
 func TestGoldenValues(t *testing.T) {
 	if golden.Recording() {
 		var text strings.Builder
@@ -174,7 +175,7 @@
 	}
 }
 
-// dump returns a file as text: its size, and each row that is not all zero.
+// dump returns a file as text: its size, and each row that has a byte other than zero.
 func dump(file []byte) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "size: %x\n", encodeUint64(uint64(len(file))))
@@ -187,7 +188,7 @@
 	return text.String()
 }
 
-// readDump returns the file from which dump wrote the text at path.
+// readDump returns the file whose dump is stored at path.
 func readDump(t *testing.T, path string) []byte {
 	t.Helper()
 	rows := readGolden(t, path)
@@ -204,8 +205,8 @@
 }
 
 // A broker is upgraded in place, and its voter opens the file that the previous build wrote. The voter must find its
-// identity, its vote, its snapshot and the entries after it, and continue from them. If this build writes the same
-// history, it must write the same file.
+// identity, its vote, its snapshot and the entries after it, and apply them. A file that this build writes for the same
+// history must contain the same keys and values, and the same bytes if the page size is that of the recorded file.
 func TestGoldenDisk(t *testing.T) {
 	dir := t.TempDir()
 	fresh, kept := filepath.Join(dir, "fresh"), filepath.Join(dir, "kept")
@@ -242,28 +243,29 @@
 	v.Tick(TickInterval)
 	document := v.State().Document
 	if id != 0x1111111111111111 || v.Err() != nil || document.Epoch != 77 || document.Version != 2 {
-		t.Errorf("id %x, error %v, document %+v", id, v.Err(), document)
+		t.Errorf("id %x, error %v, document %+v; want id 1111111111111111, no error, epoch 77, version 2",
+			id, v.Err(), document)
 	}
 	want := map[string]string{"limit": "40", "repeat": "yes", "zone": "a"}
 	if !maps.Equal(document.Values, want) {
 		t.Errorf("values %v, want %v", document.Values, want)
 	}
 	if members := v.State().Members; members["v2"] != 0x4444444444444444 {
-		t.Errorf("members %x", members)
+		t.Errorf("members %x, want v2 with id 4444444444444444", members)
 	}
 	if err := v.State().VerifyHistory(); err != nil || len(v.State().History) != 2 {
-		t.Errorf("verification: %v, history %+v", err, v.State().History)
+		t.Errorf("verification error %v, history %+v; want no error and 2 entries", err, v.State().History)
 	}
 	if _, term := v.LeaderAndTerm(); term != 2 {
 		t.Errorf("term %d, want 2", term)
 	}
 	hard, _, err := d.InitialState()
 	if err != nil || hard.GetVote() != 0x2222222222222222 {
-		t.Errorf("hard state %v, error %v", hard, err)
+		t.Errorf("hard state %v, error %v; want a vote for 2222222222222222 (hex)", hard, err)
 	}
 }
 
-// If a field of a type that is stored on disk is renamed, the next build no longer finds the stored value. Each
+// If a field of a type that is stored on disk is renamed, the next build must still find the stored value. Each
 // exported field must therefore have its name on disk as a tag.
 func TestFieldsOnDiskAreTagged(t *testing.T) {
 	for _, value := range []any{clusterconfig.Command{}, clusterconfig.State{}, clusterconfig.Member{}} {
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -14,15 +14,16 @@
 
 // Timing of the leader, in microseconds.
 const (
-	// LeadershipLease is how long a leader may grant leases after a majority has confirmed it. A new leader
-	// assumes that its predecessor may grant for this long. It is the shortest election timeout, so no other leader can
-	// have been elected sooner.
+	// LeadershipLease is how long a leader may grant leases, counted from when it sent the request by which a majority
+	// confirmed it. A new leader assumes that its predecessor may grant for this long. LeadershipLease equals the
+	// minimum election timeout, so no other leader can be elected before it has passed.
 	LeadershipLease clusterconfig.Micros = electionTicks * TickInterval
 	// confirmInterval is how often a leader asks a majority for confirmation. An interval above LeadershipLease would
 	// interrupt grants. A shorter interval would cost messages.
 	confirmInterval = 100_000
 	// retryInterval is the time after which the leader proposes a command again that was not committed. If it were
-	// shorter than a commit, the log would fill with duplicates.
+	// shorter than a commit takes, the log would fill with duplicates. Only the commands that activate a version, adopt
+	// a document or replace a member are proposed again.
 	retryInterval = 300_000
 	// proposalTimeout is the time after which an uncommitted proposal no longer blocks other proposals. If the proposal
 	// is committed later, it is rejected, or it becomes pending as if it had just been proposed.
@@ -30,47 +31,47 @@
 )
 
 const (
-	// maxProposals limits the proposals whose callers wait for an outcome. Above the limit, a proposal is rejected with
-	// ErrChangePending. Each waiting proposal costs the leader one map entry.
+	// maxProposals limits the proposals whose callers wait for an outcome. At the limit, a further proposal is rejected
+	// with ErrChangePending. Each waiting caller costs the leader one map entry.
 	maxProposals = 1024
-	// maxConfirmations limits the confirmations in flight. Only the latest ones matter: one must arrive within
-	// LeadershipLease, during which a leader requests five.
+	// maxConfirmations limits the confirmation requests in flight, in case none is answered. Only the requests of the
+	// last LeadershipLease matter, of which there are five.
 	maxConfirmations = 64
 )
 
-// errEarlierLeases is returned while a broker may hold a lease on a document from before the bootstrap.
+// errEarlierLeases is returned for a proposal while a broker may hold a lease on a document from before the bootstrap.
 var errEarlierLeases = fmt.Errorf("%w: brokers may still hold leases on a document from before the bootstrap",
 	clusterconfig.ErrNotLeader)
 
 // leadership is the state that a voter needs as the leader. Voter owns it.
 type leadership struct {
 	isLeader bool                  // according to raft
-	lessor   *clusterconfig.Lessor // nil until the leader has applied all entries of earlier terms
+	lessor   *clusterconfig.Lessor // nil until the leader has applied an entry of its own term
 
 	confirmations map[uint64]clusterconfig.Micros // send times of the read index requests in flight, by sequence number
-	confirmSeq    uint64                          // of the latest read index request
+	confirmSeq    uint64                          // sequence number of the latest read index request
 	nextConfirm   clusterconfig.Micros
 
 	proposed     string // hash of the entry that was proposed but is not yet pending, empty for none
 	proposedAt   clusterconfig.Micros
 	nextActivate clusterconfig.Micros // earliest time to propose the activation again, 0 if it was not proposed
-	callers      map[string]Outcome   // callers of open proposals, by entry hash
+	callers      map[string]Outcome   // callers that wait for the outcome of a proposal, by entry hash
 
 	offer       *clusterconfig.Document // latest document of an earlier epoch that a lease holder sent
 	nextAdopt   clusterconfig.Micros
 	nextReplace clusterconfig.Micros
 }
 
-// Outcome receives the outcome of a proposal: the entry once it is active, or an error, which is the reason
-// for its rejection or ErrOutcomeUnknown.
+// Outcome receives the outcome of a proposal: the entry once it is active, or an error. The error is the reason for the
+// rejection, or ErrOutcomeUnknown.
 type Outcome func(clusterconfig.Entry, error)
 
 func newLeadership() leadership {
 	return leadership{confirmations: map[uint64]clusterconfig.Micros{}, callers: map[string]Outcome{}}
 }
 
-// setLeader records whether this voter is the leader according to raft. A voter that is no longer the leader cannot
-// learn the outcome of its proposals, so it ends them with ErrOutcomeUnknown.
+// setLeader records whether this voter is the leader according to raft. A voter that is not the leader cannot learn the
+// outcome of proposals that were made at it, so setLeader passes ErrOutcomeUnknown to their callers.
 func (l *leadership) setLeader(isLeader bool) {
 	l.isLeader = isLeader
 	if isLeader {
@@ -86,7 +87,7 @@
 	}
 }
 
-// finish reports the outcome of a proposal to its caller, if the proposal was made at this voter.
+// finish reports the outcome of a proposal to its caller, if a caller at this voter waits for it.
 func (l *leadership) finish(hash string, e clusterconfig.Entry, err error) {
 	outcome := l.callers[hash]
 	if outcome == nil {
@@ -96,9 +97,9 @@
 	outcome(e, err)
 }
 
-// confirm records that a majority has answered a read index request. A voter that answered elects no other leader
-// within the election timeout, counted from when the request was sent (raft's CheckQuorum). The leader may grant leases
-// until then.
+// confirm records that a majority has answered a read index request. A voter that answered does not help to elect
+// another leader within the election timeout, counted from when the request was sent (raft's CheckQuorum). The leader
+// may grant leases until then.
 func (l *leadership) confirm(request []byte) {
 	seq := binary.BigEndian.Uint64(request)
 	sent := l.confirmations[seq]
@@ -109,7 +110,8 @@
 	maps.DeleteFunc(l.confirmations, func(n uint64, _ clusterconfig.Micros) bool { return n <= seq })
 }
 
-// began handles a committed Begin. err is the error with which the state rejected it, nil if it was accepted.
+// began handles a committed Begin. err is the error with which the state rejected it, nil if the state accepted it. If
+// the state or the lessor rejected the entry, began reports that to the caller of the proposal and returns the error.
 func (l *leadership) began(e clusterconfig.Entry, err error) error {
 	if l.proposed == e.Hash {
 		l.proposed = ""
@@ -138,10 +140,12 @@
 	l.offer = nil
 }
 
-// IsLeader reports whether the voter grants leases and accepts proposals.
+// IsLeader reports whether the voter runs, is the leader, and has applied an entry of its own term. Even then it grants
+// leases and accepts proposals only while its leadership is confirmed.
 func (v *Voter) IsLeader() bool { return v.leadership.lessor != nil && v.err == nil }
 
-// Lessor returns the leader's lessor, nil while the voter is not the leader.
+// Lessor returns the leader's lessor, nil while the voter is not the leader or has not yet applied an entry of its
+// term.
 func (v *Voter) Lessor() *clusterconfig.Lessor { return v.leadership.lessor }
 
 // Read returns the active document, nil if this voter cannot be sure which document is active.
@@ -160,8 +164,8 @@
 	return v.leadership.lessor.HandleRenewal(now, r)
 }
 
-// WantsDocument reports whether the sender of a renewal should send its document. After a
-// restart of all voters without disks, that document may be the only remaining copy of the configuration.
+// WantsDocument reports whether the sender of a renewal should send its document. If the voters store nothing on disk
+// and all of them restart, the documents of lease holders may be the only remaining copies of the configuration.
 func (v *Voter) WantsDocument(r clusterconfig.Renewal) bool {
 	if !v.IsLeader() || v.state.Document.Version > 0 {
 		return false
@@ -170,8 +174,8 @@
 	return r.Epoch != v.state.Document.Epoch && r.Version > 0 && (offer == nil || r.Version > offer.Version)
 }
 
-// OfferDocument handles a document that WantsDocument asked for. The latest such document is adopted once all brokers
-// that can act on an earlier document have lost their leases.
+// OfferDocument handles a document that a lease holder sent because WantsDocument returned true. The leader adopts the
+// document of the highest version once all leases from before the bootstrap have ended.
 func (v *Voter) OfferDocument(document *clusterconfig.Document) {
 	if !v.IsLeader() || v.state.Document.Version > 0 {
 		return
@@ -181,10 +185,10 @@
 	}
 }
 
-// HasOffer reports whether a lease holder has sent a document of an earlier epoch.
+// HasOffer reports whether a lease holder has sent a document of an earlier epoch that was not yet adopted.
 func (v *Voter) HasOffer() bool { return v.leadership.offer != nil }
 
-// Propose proposes a change. It passes the result to outcome, possibly before it returns.
+// Propose proposes a change. It calls outcome once the outcome of the proposal is known, possibly before it returns.
 func (v *Voter) Propose(now clusterconfig.Micros, p clusterconfig.Proposal, outcome Outcome) Effects {
 	e, err := v.prepareProposal(now, p)
 	if err == nil {
@@ -223,7 +227,9 @@
 	return v.raw.Propose(data)
 }
 
-// ReplaceMember replaces the identity of a voter that has lost its state, by a joint membership change.
+// ReplaceMember replaces the raft identity of a voter that has lost its state, by a joint membership change. It does
+// nothing if this voter is not the leader, if the member is unknown or has that identity already, or if a replacement
+// was proposed within retryInterval or is incomplete.
 func (v *Voter) ReplaceMember(now clusterconfig.Micros, m clusterconfig.Member) Effects {
 	old, known := v.state.Members[m.Name]
 	if !v.IsLeader() || !known || old == m.ID || now < v.leadership.nextReplace || v.inJointConfig() {
@@ -251,7 +257,8 @@
 // inJointConfig reports whether a membership change is incomplete.
 func (v *Voter) inJointConfig() bool { return len(v.conf.GetVotersOutgoing()) > 0 }
 
-// runLeader performs the next action that is due for a leader, and reports whether raft has work to process after it.
+// runLeader performs at most one overdue action of the leader, and reports whether process must continue because raft
+// has new work.
 func (v *Voter) runLeader(now clusterconfig.Micros) bool {
 	l := &v.leadership
 	if l.isLeader && now >= l.nextConfirm {
@@ -282,7 +289,7 @@
 	return l.lessor.EarlierLeasesExpired(now) && now >= l.nextAdopt
 }
 
-// requestConfirmation asks a majority, by a read index request, whether this voter is still the leader.
+// requestConfirmation asks the other voters, by a read index request, whether this voter is still the leader.
 func (v *Voter) requestConfirmation(now clusterconfig.Micros) {
 	l := &v.leadership
 	l.nextConfirm = now + confirmInterval
--- a/internal/consensus/logger.go
+++ b/internal/consensus/logger.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// raftLogger writes raft's log lines at debug level, and its errors as warnings. Raft calls Fatal and Panic when its
-// invariants are broken. Both panic here, because continuing would break the guarantees of the package.
+// raftLogger writes raft's log lines up to warnings at level debug, and its errors at level warn. Raft calls Fatal and
+// Panic when its invariants are broken. Both panic here, because continuing would break the guarantees of the package.
 type raftLogger struct{ log *slog.Logger }
 
 func (l raftLogger) Debug(v ...any)                   { l.log.Debug(fmt.Sprint(v...)) }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -15,11 +15,12 @@
 // this text.
 const LogVersionActivated = "version activated"
 
-// minCompactBytes is the minimum size of the log before it is compacted. A smaller value would write snapshots more
-// often. A larger value would make a restarted voter replay more entries.
+// minCompactBytes is the minimum size of the log entries since the last snapshot at which the log is compacted. A
+// smaller value would write snapshots more often. A larger value would make a restarted voter replay more entries.
 const minCompactBytes = 1 << 20
 
-// process handles raft's ready batches and the leader's due actions until there are no more.
+// process handles raft's ready batches and the leader's overdue actions until none is left, and returns the messages to
+// send.
 func (v *Voter) process(now clusterconfig.Micros) Effects {
 	var effects Effects
 	for v.err == nil {
@@ -37,12 +38,12 @@
 	return effects
 }
 
-// handleReady handles raft's next batch and reports whether the voter continues. The order matters: the state must be
+// handleReady handles raft's next batch and reports whether the voter still runs. The order matters: the state must be
 // saved before any message that depends on it is returned.
 func (v *Voter) handleReady(now clusterconfig.Micros, effects *Effects) bool {
 	ready := v.raw.Ready()
 	if err := v.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
-		v.fail(err) // no message of the batch was sent, as if the voter had crashed
+		v.fail(err) // the messages of the batch are not sent, as if the voter had crashed
 		return false
 	}
 	if hasSnapshot(ready.Snapshot) {
@@ -59,7 +60,7 @@
 		v.leadership.confirm(s.RequestCtx)
 	}
 	for _, m := range ready.Messages {
-		if m.GetType() == pb.MsgSnap { // the follower's next answer shows whether the snapshot arrived
+		if m.GetType() == pb.MsgSnap { // the follower's next answer shows whether it received the snapshot
 			v.raw.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
@@ -71,7 +72,7 @@
 	return v.err == nil
 }
 
-// applyEntry applies a committed entry of the log.
+// applyEntry applies a committed entry of the log. If that fails, it stops the voter.
 func (v *Voter) applyEntry(now clusterconfig.Micros, e *pb.Entry) {
 	v.applied = e.GetIndex()
 	v.bytesSinceSnapshot += len(e.GetData())
@@ -134,8 +135,8 @@
 	v.changed = v.changed || err == nil
 }
 
-// activated activates a version at the leader's lessor after the state has activated it, and reports the version to the
-// caller of its proposal.
+// activated handles a version that the state has just activated: it activates the version at the leader's lessor, and
+// reports it to the caller of the proposal.
 func (v *Voter) activated() error {
 	e := v.state.Document.LastEntry
 	if err := v.leadership.activated(); err != nil {
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// maybeStartLessor starts the leader's lessor once the leader has applied an entry of its own term. By then it has also
-// applied all entries that earlier leaders committed.
+// maybeStartLessor starts the leader's lessor once the leader has applied an entry of its own term. The leader has then
+// also applied all entries that earlier leaders committed.
 func (v *Voter) maybeStartLessor(now clusterconfig.Micros, entryTerm uint64) {
 	_, term := v.LeaderAndTerm()
 	if !v.leadership.isLeader || v.leadership.lessor != nil || entryTerm != term {
@@ -160,9 +161,9 @@
 	v.options.Logger.Info("became leader", "term", term, "version", document.Version)
 }
 
-// maybeCompact replaces the log by a snapshot once the log is twice as large as the last snapshot, so that the cost
-// stays proportional to the changes. It also does so after a membership change, because an added voter accepts only a
-// snapshot that contains it as a member.
+// maybeCompact replaces the log by a snapshot once the entries since the last snapshot are twice as large as that
+// snapshot, and at least minCompactBytes. The cost thus stays proportional to the changes. It also does so after a
+// membership change, because an added voter accepts only a snapshot that names it as a member.
 func (v *Voter) maybeCompact() {
 	if v.err != nil || v.conf == nil {
 		return
--- a/internal/consensus/sim_clients_test.go
+++ b/internal/consensus/sim_clients_test.go
@@ -14,13 +14,13 @@
 type outcomeKind int
 
 const (
-	rejected outcomeKind = iota // rejected for a reason that does not depend on the version
-	accepted
-	conflict
-	unknown
+	rejected outcomeKind = iota // for a reason other than the version; not recorded
+	accepted                    // the change became active
+	conflict                    // the proposal was not based on the active version
+	unknown                     // the change may have become active, now or later
 )
 
-// The input and the output of an operation, which is a read or a proposal based on the expected version.
+// The input and the output of an operation: a read, or a proposal that is based on the expected version.
 type (
 	operationInput struct {
 		read     bool
@@ -32,7 +32,7 @@
 	}
 )
 
-// versionRegister is the sequential model of the document's version.
+// versionRegister is the sequential model for linearizability: a register with the document's version.
 var versionRegister = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -52,7 +52,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// read records a read of a voter. The voter may decline the read.
+// read reads from a voter and records the operation, unless the voter declines the read.
 func (c *cluster) read(client int, v *simVoter) {
 	document := v.Read(v.clock.read(c.Now))
 	if c.fault == staleRead && v.IsLeader() {
@@ -70,8 +70,8 @@
 	})
 }
 
-// callAsClient sends a proposal or a read to a voter that considers itself the leader. Each client makes one call at a
-// time.
+// callAsClient sends a proposal or a read to a voter that considers itself the leader. Each client has at most one
+// operation in progress, apart from those with an unknown outcome.
 func (c *cluster) callAsClient(id int) {
 	v := c.voters[c.random.IntN(len(c.voters))]
 	if v.stopped || !v.IsLeader() {
@@ -129,7 +129,8 @@
 	c.openCalls = append(c.openCalls, timeout)
 }
 
-// openCall returns the function that ends a proposal and schedules the client's next call. Only its first call counts.
+// openCall returns the function that ends a proposal, records it, and schedules the client's next operation. Only the
+// first call of the function has an effect.
 func (c *cluster) openCall(id int, expected uint64) (end func(operationOutput)) {
 	ended, start := false, c.Now
 	return func(out operationOutput) {
@@ -151,7 +152,7 @@
 			})
 		}
 		if out.kind == unknown {
-			id += clientCount // the call stays open forever, so the client continues under a new id
+			id += clientCount // the operation stays open forever, so the client continues under a new id
 		}
 		c.callLater(id)
 	}
--- a/internal/consensus/sim_faults_test.go
+++ b/internal/consensus/sim_faults_test.go
@@ -6,7 +6,7 @@
 	"junctionwharf/clusterconfig"
 )
 
-// disturb injects a random fault of a voter, a link or a lease holder, and schedules the next one.
+// disturb injects a random fault of a voter, a link or a lease holder, and schedules the next fault.
 func (c *cluster) disturb() {
 	if c.Now > c.lastFault {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// suspend stops a voter. When the voter runs again, a client reads from it before it receives anything. The voter then
-// receives the messages that arrived meanwhile, before its clock ticks.
+// suspend stops a voter. When the voter runs again, a client reads from it first. The voter then receives the messages
+// that arrived meanwhile, before its clock ticks.
 func (c *cluster) suspend(v *simVoter, span clusterconfig.Micros) {
 	if v.stopped {
 		return
@@ -60,7 +60,7 @@
 	})
 }
 
-// crash ends the open calls of a leader with an unknown outcome.
+// crash ends the open proposals of a leader with an unknown outcome.
 func crash(v *simVoter) {
 	if !v.leadership.isLeader {
 		return
@@ -86,8 +86,9 @@
 	c.startVoter(v, id)
 }
 
-// othersComplete reports whether all voters are reachable, and the last voter that lost its state has been added again.
-// If they are not, losing the state of another voter would lose the majority, and the cluster could not continue.
+// othersComplete reports whether all voters are reachable and know each other's present identities, so that each voter
+// that lost its state has been added again. Otherwise, the loss of another voter's state could lose the majority for
+// good.
 func (c *cluster) othersComplete() bool {
 	for _, v := range c.voters {
 		if v.stopped || c.Now < v.receivesFrom || c.Now < v.sendsFrom || v.inJointConfig() {
--- a/internal/consensus/sim_test.go
+++ b/internal/consensus/sim_test.go
@@ -16,7 +16,7 @@
 	"junctionwharf/internal/simtime"
 )
 
-// plantedFault is a deliberate fault of the implementation. One of the checkers must find each.
+// plantedFault is a deliberate fault of the implementation. A checker or raft itself must find each of them.
 type plantedFault int
 
 const (
@@ -43,7 +43,7 @@
 	holderCount = 4
 	clientCount = 2
 	quietSpan   = 8_000_000 // µs without new faults at the end of a run, in which the cluster must recover
-	maxWaiting  = 200       // messages that the kernel keeps for a stopped voter
+	maxWaiting  = 200       // maximum number of messages that the kernel keeps for a stopped voter
 )
 
 type simClock struct {
@@ -62,8 +62,8 @@
 	storage      Storage
 	stopped      bool
 	waiting      []func()
-	receivesFrom clusterconfig.Micros // until then, the voter receives nothing
-	sendsFrom    clusterconfig.Micros // until then, messages from the voter are lost
+	receivesFrom clusterconfig.Micros // until then, messages to the voter are lost
+	sendsFrom    clusterconfig.Micros // until then, messages that the voter sends are lost
 }
 
 type simHolder struct {
@@ -74,7 +74,8 @@
 	partitionedUntil clusterconfig.Micros
 }
 
-// cluster simulates real voters and lease holders on one true time axis. The seed determines the whole run.
+// cluster simulates voters and lease holders, which run the real code, on one true time axis. The seed determines the
+// whole run.
 type cluster struct {
 	simtime.Clock
 	t      *testing.T
@@ -84,14 +85,14 @@
 	voters  []*simVoter
 	holders []*simHolder
 
-	values     map[uint64]map[string]string // values of each version, as read when it became active
+	values     map[uint64]map[string]string // values of each version, as read from the first voter that activated it
 	newest     uint64                       // the latest version that any holder has acted on
 	breach     string                       // violation of the guarantees, empty for none
 	activated  int
 	replaced   int // number of voters that lost their state
 	operations []porcupine.Operation
 	lastFault  clusterconfig.Micros
-	openCalls  []func() // functions that end the calls still open at the end of the run
+	openCalls  []func() // functions that end the proposals still open at the end of the run
 }
 
 func simulate(t *testing.T, seed uint64, fault plantedFault, span clusterconfig.Micros) *cluster {
@@ -121,7 +122,7 @@
 	return c
 }
 
-// checkRecovered records a breach if the cluster has not recovered long after the last fault.
+// checkRecovered records a breach if, at the end of the run, there is no leader or a voter was not added again.
 func (c *cluster) checkRecovered() {
 	leaderFound := false
 	for _, v := range c.voters {
@@ -171,10 +172,10 @@
 	h.LeaseHolder = clusterconfig.NewLeaseHolder(fmt.Sprint("h", index), h.incarnation, testTiming, testSchema)
 }
 
-// send delivers the messages that a voter returned.
+// send delivers the messages that a call of a voter returned, each after a random delay, or loses them.
 func (c *cluster) send(from *simVoter, e Effects) {
 	for _, m := range e.Messages {
-		m := proto.Clone(m).(*pb.Message) // as over a network: the storage changes its snapshot in place
+		m := proto.Clone(m).(*pb.Message) // because the storage changes its snapshot in place
 		d := c.drawDelay()
 		if d < 0 || c.Now < from.sendsFrom {
 			continue
@@ -189,7 +190,8 @@
 	}
 }
 
-// run calls do, or queues it while the voter is stopped, and then checks the voter.
+// run calls do, or queues it while the voter is stopped. After the call it checks that the voter has not failed, and
+// that all voters have the same values of a version.
 func (c *cluster) run(v *simVoter, do func()) {
 	if v.stopped {
 		if len(v.waiting) < maxWaiting {
@@ -220,7 +222,7 @@
 		return
 	}
 	c.run(v, func() { c.send(v, v.Tick(v.clock.read(c.Now))) })
-	for _, other := range c.voters { // a voter that lost its state asks to be added again
+	for _, other := range c.voters { // a voter that lost its state asks the leader to be added again
 		reachable := !other.stopped && c.Now >= v.receivesFrom && c.Now >= other.sendsFrom
 		if other != v && reachable && c.fault != reusedIdentity {
 			m := clusterconfig.Member{Name: other.name, ID: other.ID()}
@@ -281,7 +283,7 @@
 		lattice, _ := testSchema(key)
 		newest, set := c.values[c.newest][key]
 		if value := view.Value(key); set && !clusterconfig.AtMost(lattice, value, newest) {
-			c.breach = fmt.Sprintf("%s: acting on %q at version %d (restricted %v), while %q of version %d is in use",
+			c.breach = fmt.Sprintf("%s: acting on %q at version %d (restricted %v), want at most %q of version %d",
 				key, value, view.Version, view.Restricted, newest, c.newest)
 		}
 	}
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -5,21 +5,23 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// retainedEntries is the number of entries that stay in the log before the end of a snapshot. A voter that lags by no
-// more receives these entries. A voter that lags further receives the snapshot, which is larger.
+// retainedEntries is the number of entries before the end of a snapshot that stay in the log. A voter that lags by at
+// most this number receives entries. A voter that lags further receives the snapshot, which is larger.
 const retainedEntries = 64
 
-// Storage stores the state of a voter. Save and Compact return once the state is as durable as the storage makes it.
-// The messages that a voter sends depend on this.
+// Storage stores the state of a voter. Save and Compact return when the state is as durable as this storage can make
+// it. A voter relies on that when it sends messages about the state.
 type Storage interface {
 	raft.Storage
-	// Save stores the state that raft must keep before its messages are sent. Each argument may be empty.
+	// Save stores what raft must keep before its messages are sent. Each argument may be empty. A snapshot replaces
+	// the log.
 	Save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error
-	// Compact replaces the log up to index by a snapshot.
+	// Compact stores a snapshot of the state at index, and removes entries up to index from the log. It may keep some
+	// of them for voters that lag.
 	Compact(index uint64, conf *pb.ConfState, data []byte) error
-	// Close releases the storage and keeps its content.
+	// Close releases the storage. Its content stays.
 	Close() error
-	// Destroy closes the storage and removes its content. The identity is lost permanently.
+	// Destroy closes the storage and removes its content. The voter's raft identity is lost with it.
 	Destroy() error
 }
 
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -14,28 +14,30 @@
 
 // Timing of raft.
 const (
-	// TickInterval is the duration of a raft tick, in microseconds. A shorter tick would cost idle wake-ups.
+	// TickInterval is the duration of a raft tick, in microseconds. A shorter tick would cost more idle wake-ups.
 	TickInterval clusterconfig.Micros = 50_000
-	// electionTicks is the minimum election timeout. Raft draws the timeout of each voter between half a second and a
-	// second. A shorter timeout would cause elections when a process is stopped briefly. A longer timeout would delay
-	// changes after the leader has died.
+	// electionTicks is the minimum election timeout, in ticks. Raft draws each election timeout of a voter between half
+	// a second and a second. A shorter timeout would cause elections when a process is stopped briefly. A longer
+	// timeout would delay changes after the leader has died.
 	electionTicks = 10
-	// heartbeatTicks is the heartbeat interval. A follower must miss several heartbeats before it starts an election.
+	// heartbeatTicks is the heartbeat interval, in ticks. A follower must miss several heartbeats before it starts an
+	// election.
 	heartbeatTicks = 2
-	// maxMissedTicks limits the ticks that a voter makes up for after its process was stopped. Another voter may be the
-	// leader by then, and an election for an outdated reason would disturb it.
+	// maxMissedTicks is how many missed ticks a voter makes up for after its process was stopped; further ones are
+	// skipped. Another voter may have become the leader, and the stopped voter would disturb it if it started an
+	// election because of the missed time.
 	maxMissedTicks = 2
 )
 
 // Limits of raft.
 const (
-	maxMessageBytes     = 1 << 20  // entries per message; a larger entry is sent alone
-	maxUncommittedBytes = 32 << 20 // further proposals are rejected; limits the leader's memory without a majority
+	maxMessageBytes     = 1 << 20  // maximum size of the entries in a message; a larger entry is sent alone
+	maxUncommittedBytes = 32 << 20 // above it, proposals are rejected; limits the memory of a leader without a majority
 	maxInflightMessages = 64       // unanswered messages per follower; limits the queue of a slow follower
 )
 
-// ErrOutcomeUnknown is the outcome of a proposal whose leader lost its leadership before the outcome was known. The
-// change may have been committed.
+// ErrOutcomeUnknown is the outcome of a proposal if the voter at which it was made stops being the leader before the
+// proposal was activated or rejected. The change may have been committed.
 var ErrOutcomeUnknown = errors.New("leadership was lost: the change may or may not become active")
 
 var (
@@ -45,16 +47,16 @@
 
 // Options configures a voter.
 type Options struct {
-	ID     uint64 // raft identity, that of the storage
+	ID     uint64 // raft identity; for a DiskStorage the identity that OpenDisk returned
 	Timing clusterconfig.Timing
 	Schema clusterconfig.Schema
 	Logger *slog.Logger // nil for none
 }
 
-// Effects is the result of a call that may change the voter's state.
+// Effects is what the caller has to do after a call that may have changed the voter's state.
 type Effects struct {
-	Messages []*pb.Message // addressed to the voters named in To
-	Changed  bool          // a version became pending or active, so lease holders should renew
+	Messages []*pb.Message // to be sent to the raft identities in their To fields
+	Changed  bool          // the replicated state changed, so lease holders should renew
 }
 
 // Voter is one voter of a cluster. It is not safe for concurrent use.
@@ -69,14 +71,15 @@
 
 	bytesSinceSnapshot int
 	snapshotBytes      int
-	membersChanged     bool // since the last snapshot
+	membersChanged     bool // a membership change was applied since the last snapshot
 
 	nextTick   clusterconfig.Micros
-	changed    bool // to be reported by the next Effects
+	changed    bool // the replicated state changed since the last Effects
 	leadership leadership
 }
 
-// New returns a voter with the state in its storage. With an empty storage, the voter waits to be added to a cluster.
+// New returns a voter with the state in its storage. A voter with an empty storage waits until it is added to a
+// cluster.
 func New(now clusterconfig.Micros, o Options, s Storage) (*Voter, error) {
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
@@ -138,7 +141,8 @@
 // Uninitialized reports whether the voter belongs to no cluster yet: it was neither bootstrapped nor added to one.
 func (v *Voter) Uninitialized() bool { return v.conf == nil && v.applied == 0 }
 
-// LeaderElected reports whether the cluster has ever had a leader, as far as this voter knows.
+// LeaderElected reports whether this voter has applied an entry after the bootstrap, so that a leader must have
+// existed.
 func (v *Voter) LeaderElected() bool { return v.applied > bootstrapIndex }
 
 // Err returns the error that stopped the voter, nil while it runs.
@@ -156,8 +160,8 @@
 	return status.Lead, status.GetTerm()
 }
 
-// Step handles a message from another voter. It drops a message to another identity, such as the identity that this
-// voter had before it lost its disk, because the voter must not vote again under that identity.
+// Step handles a message from another voter. It drops a message to another raft identity, such as the identity that
+// this voter had before it lost its state, because the voter must not vote again under that identity.
 func (v *Voter) Step(now clusterconfig.Micros, m *pb.Message) Effects {
 	if v.err != nil || m.GetTo() != v.options.ID {
 		return Effects{}
@@ -166,7 +170,8 @@
 	return v.process(now)
 }
 
-// NextTick returns the time at which Tick should be called at the latest.
+// NextTick returns the time of the next call of Tick: that of the next raft tick or, if it is sooner, the time at which
+// a pending change may be activated because leases have ended.
 func (v *Voter) NextTick() clusterconfig.Micros {
 	at := v.nextTick
 	if v.leadership.lessor == nil || v.leadership.nextActivate != 0 {
@@ -178,7 +183,7 @@
 	return at
 }
 
-// Tick advances the voter's time to now.
+// Tick advances raft's clock to now and performs the leader's overdue actions.
 func (v *Voter) Tick(now clusterconfig.Micros) Effects {
 	if v.err != nil {
 		return Effects{}
@@ -193,7 +198,7 @@
 	return v.process(now)
 }
 
-// fail stops the voter: from then on, it neither votes nor grants leases.
+// fail stops the voter: it no longer votes or grants leases.
 func (v *Voter) fail(err error) {
 	v.err = err
 	v.options.Logger.Error("voter stopped", "reason", err)
