--- a/internal/agreement/batch.go
+++ b/internal/agreement/batch.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// batchDelay is how long a batch waits for more messages before it is sent upstream. A longer delay would delay
+	// batchDelay is how long a batch waits for more messages before it is sent upstream. A longer delay would prolong
 	// each phase of a change by that time at every level of the tree. A shorter delay would send more frames.
 	batchDelay = 15 * time.Millisecond
-	// maxBatchCalls is the maximum number of operator calls in a batch, of pending calls of one broker, and of changes
-	// in a drain proposal.
+	// maxBatchCalls limits three things. A batch with this many operator calls accepts no further message. A broker
+	// has at most this many pending calls, and proposes at most this many drains at once.
 	maxBatchCalls = 64
 )
 
-// batch collects the messages to send upstream. The service goroutine owns it.
+// batch collects messages that are sent upstream as one message. The service goroutine owns it.
 type batch struct {
 	message upstreamMessage
 	flushAt clusterconfig.Micros // 0 while the batch is empty
@@ -48,7 +48,7 @@
 	return m
 }
 
-// sendUpstream sends a message towards the leader. If this broker leads, it handles the message itself.
+// sendUpstream adds a message to the batch for the leader. If this broker is the leader, it handles the message itself.
 func (s *Service) sendUpstream(m upstreamMessage) {
 	if s.isLeader() {
 		s.handleAsLeader(m)
@@ -57,8 +57,8 @@
 	s.batch.add(m, s.now())
 }
 
-// flushBatch sends the batch to the parent or, on a voter, to the leader. Without a connection the batch is dropped,
-// which is safe for the reasons given at add.
+// flushBatch sends the batch to the parent or, on a voter, to the leader. Without a connection it drops the batch,
+// which is safe for the reasons given at add. If this broker has become the leader, it handles the batch itself.
 func (s *Service) flushBatch() {
 	m := s.batch.take()
 	if s.isLeader() {
@@ -74,7 +74,8 @@
 	}
 }
 
-// receiveUpstream forwards a message from a broker below, and records the connection as the route for the answers.
+// receiveUpstream records the connection of a message from a broker below as the route for the answers, and handles or
+// forwards the message.
 func (s *Service) receiveUpstream(from *connection, m upstreamMessage) {
 	now := s.now()
 	for _, r := range m.Renewals {
@@ -86,7 +87,7 @@
 	s.sendUpstream(m)
 }
 
-// handleAsLeader answers the renewals and calls of an upstream message.
+// handleAsLeader handles an upstream message: it answers renewals, accepts documents, and runs operator calls.
 func (s *Service) handleAsLeader(m upstreamMessage) {
 	now, voter := s.now(), s.voting.voter
 	var grants []*clusterconfig.Grant
--- a/internal/agreement/batch_test.go
+++ b/internal/agreement/batch_test.go
@@ -10,8 +10,8 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// Many brokers renew within a few milliseconds. Their renewals must be sent upstream in one batch, batchDelay after the
-// first was added.
+// Many brokers renew within a few milliseconds. Their renewals must be sent upstream in one batch, which is due
+// batchDelay after its first renewal was added.
 func TestBatchIsFlushedAfterItsFirstMessage(t *testing.T) {
 	var b batch
 	renewal := upstreamMessage{Renewals: []clusterconfig.Renewal{{Holder: "a"}}}
@@ -29,7 +29,7 @@
 	}
 }
 
-// The connection upstream is blocked while more calls arrive. The batch must stay bounded.
+// More calls and renewals arrive before the batch is sent. The batch must stay bounded.
 func TestBatchIsBounded(t *testing.T) {
 	var b batch
 	for range 2 * maxBatchCalls {
@@ -39,12 +39,13 @@
 		b.add(upstreamMessage{Renewals: []clusterconfig.Renewal{{Holder: "a"}}}, 0)
 	}
 	if m := b.take(); len(m.Calls) != maxBatchCalls || len(m.Renewals) > maxRoutes {
-		t.Errorf("%d calls and %d renewals in a batch", len(m.Calls), len(m.Renewals))
+		t.Errorf("%d calls and %d renewals in a batch, want %d and at most %d",
+			len(m.Calls), len(m.Renewals), maxBatchCalls, maxRoutes)
 	}
 }
 
 // The leader does not answer, and operators send more calls. The number of pending calls must stay bounded. A late
-// reply to a dropped call must have no effect.
+// reply to a dropped call and a second reply to a call must have no effect.
 func TestPendingCallsAreBounded(t *testing.T) {
 	p := newPendingCalls(rand.New(rand.NewPCG(1, 1)))
 	answered := 0
@@ -55,7 +56,7 @@
 	}
 	last := p.number
 	if len(p.callbacks) > maxBatchCalls {
-		t.Errorf("%d pending calls", len(p.callbacks))
+		t.Errorf("%d pending calls, want at most %d", len(p.callbacks), maxBatchCalls)
 	}
 	p.finish(operatorReply{Number: first})
 	if answered != 0 {
@@ -64,6 +65,6 @@
 	p.finish(operatorReply{Number: last})
 	p.finish(operatorReply{Number: last})
 	if answered != 1 {
-		t.Errorf("answered %d times, want once", answered)
+		t.Errorf("the callback ran %d times, want once", answered)
 	}
 }
--- a/internal/agreement/bootstrap.go
+++ b/internal/agreement/bootstrap.go
@@ -10,15 +10,15 @@
 	// bootstrapInterval is the interval at which a voter checks whether it has to bootstrap a cluster. A longer
 	// interval would delay the first start of a cluster.
 	bootstrapInterval = 100_000
-	// bootstrapTimeout is how long a bootstrapped cluster may be without its first leader. After the timeout, some
-	// voters of the bootstrap are assumed to be lost, and this voter starts over. A timeout shorter than a
-	// few elections would make voters start over needlessly.
+	// bootstrapTimeout is how long a new cluster may be without its first leader. After that, this voter assumes that
+	// some of the voters were not bootstrapped or have lost their state, and starts over. A timeout shorter than a few
+	// elections would make voters start over needlessly.
 	bootstrapTimeout = 5_000_000
 )
 
 // maybeBootstrap starts a new cluster if all voters are connected and none of them has state: a voter with state may be
-// a member of an existing cluster. The voter whose name comes first bootstraps the cluster for all. A voter whose
-// cluster has not elected a leader within bootstrapTimeout starts over.
+// a member of an existing cluster. The voter whose name sorts first bootstraps the cluster for all. A voter whose
+// cluster has not elected its first leader within bootstrapTimeout starts over.
 func (s *Service) maybeBootstrap(now clusterconfig.Micros) {
 	v := s.voting
 	if !v.voter.Uninitialized() {
@@ -39,8 +39,8 @@
 	s.bootstrap(m)
 }
 
-// bootstrapMembers returns the raft identities of all voters by name. ok is false if another voter bootstraps the
-// cluster, or if not all voters are connected and without state.
+// bootstrapMembers returns the raft identities of all voters by name. ok is false if this voter's name does not sort
+// first, or if not all voters are connected and without state.
 func (s *Service) bootstrapMembers() (members map[string]uint64, ok bool) {
 	members = map[string]uint64{s.options.Name: s.voting.voter.ID()}
 	for _, voter := range s.options.Voters {
@@ -56,14 +56,15 @@
 	return members, true
 }
 
-// receiveBootstrap handles the message of the voter that bootstraps the cluster.
+// receiveBootstrap handles a bootstrap message from another voter.
 func (s *Service) receiveBootstrap(from *connection, m *bootstrapMessage) {
 	if s.voting != nil && from.isVoter {
 		s.bootstrap(m)
 	}
 }
 
-// bootstrap starts this voter as a member of a new cluster, unless the message names another identity of this voter.
+// bootstrap starts this voter as a member of a new cluster. It ignores the message if this voter has state already, or
+// if the message names another raft identity for this voter or another number of voters.
 func (s *Service) bootstrap(m *bootstrapMessage) {
 	v := s.voting
 	forThisIdentity := m.Members[s.options.Name] == v.voter.ID()
@@ -81,7 +82,7 @@
 	s.options.Log.Info(LogBootstrapped, "epoch", m.Epoch, "voters", len(m.Members))
 }
 
-// startOver deletes the voter's state and gives the voter a new identity.
+// startOver deletes the voter's state and starts the voter with a new raft identity.
 func (s *Service) startOver() {
 	if err := s.voting.storage.Destroy(); err != nil {
 		s.options.Log.Error("old state not removed", "reason", err)
@@ -91,7 +92,7 @@
 		s.options.Log.Error("storage not opened", "reason", err)
 		return
 	}
-	for _, c := range s.connections() { // the handshakes of new connections announce the new identity
+	for _, c := range s.connections() { // new connections announce the new identity in their handshakes
 		c.close()
 	}
 }
--- a/internal/agreement/calls.go
+++ b/internal/agreement/calls.go
@@ -12,8 +12,8 @@
 	return pendingCalls{number: random.Uint64() >> 1, callbacks: map[uint64]func(operatorReply){}}
 }
 
-// add registers a call and returns its number. If there are too many pending calls, the leader is not answering, and
-// add drops all of them first.
+// add registers a call and returns its number. If maxBatchCalls calls are pending, the leader apparently does not
+// answer, and add first drops all of them. The callback of a dropped call is never called.
 func (p *pendingCalls) add(callback func(operatorReply)) (number uint64) {
 	if len(p.callbacks) >= maxBatchCalls {
 		clear(p.callbacks)
@@ -23,7 +23,7 @@
 	return p.number
 }
 
-// finish passes a reply to the callback of its call, if the call is still pending.
+// finish passes a reply to the callback of its call. It ignores a reply whose call is not pending.
 func (p *pendingCalls) finish(r operatorReply) {
 	callback := p.callbacks[r.Number]
 	if callback == nil {
--- a/internal/agreement/codec.go
+++ b/internal/agreement/codec.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxHelloBytes is the maximum size of a connection's first frame, which any process can send.
+	// maxHelloBytes is the maximum size of a hello, which any process that can connect may send.
 	maxHelloBytes = 4 << 10
-	// maxFrameBytes is the maximum size of every other frame. It must exceed the largest document. A peer that sends
-	// such a frame makes the reader use that much memory.
+	// maxFrameBytes is the maximum size of every other frame. It must exceed the size of the largest document. A peer
+	// can make the reader allocate that much memory, by sending as many bytes.
 	maxFrameBytes = 16 << 20
-	frameHeader   = 4 // size of a frame's length field in bytes; the field is big-endian
+	frameHeader   = 4 // size of a frame's length field in bytes; the field is big-endian and does not count itself
 )
 
 // frameSizeError is returned for a frame that is too large.
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d bytes", e.size, e.limit)
 }
 
-// readFrame reads a frame and returns the number of bytes read. Its buffer grows as data arrives: a large
-// value in the length field alone does not allocate memory.
+// readFrame reads a frame and returns the number of bytes read. After an error, the number does not include the header.
+// The buffer grows as data arrives: a large value in the length field alone does not allocate memory.
 func readFrame(in *bufio.Reader, limit int) (f frame, n int, err error) {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
--- a/internal/agreement/configuration.go
+++ b/internal/agreement/configuration.go
@@ -9,23 +9,23 @@
 	"junctionwharf/scheduler"
 )
 
-// configuration is the configuration that this broker's core applies: the broker's own settings and endpoints, and the
-// replicated document that it has a lease on. The scheduling turn, discovery and the service goroutine take its lock.
-// No blocking operation runs under the lock.
+// configuration combines what this broker's core applies: the broker's own settings and endpoints, and the replicated
+// document according to the broker's lease. The scheduling turn, discovery, metrics and the service goroutine take its
+// lock. No blocking operation runs under the lock.
 type configuration struct {
 	limitFloors map[string]float64
 	log         *slog.Logger
 
 	mu        sync.Mutex
-	holder    *clusterconfig.LeaseHolder // only the service goroutine changes its document
+	holder    *clusterconfig.LeaseHolder // only the service goroutine gives it another document
 	settings  scheduler.Settings         // of this broker
 	endpoints *endpointOverlay
 	applied   viewIdentity         // the view that the core applied last
-	appliedAt clusterconfig.Micros // when the core applied the view; 0 makes the next turn apply it again
+	appliedAt clusterconfig.Micros // when the core applied that view; 0 makes the next turn apply the view again
 	lastTurn  clusterconfig.Micros
 }
 
-// viewIdentity identifies a view. The core applies a view only if its identity has changed.
+// viewIdentity identifies a view. The core applies a view if its identity or the broker's own settings have changed.
 type viewIdentity struct {
 	epoch          uint64
 	version        uint64
@@ -43,9 +43,9 @@
 	}
 }
 
-// changes returns the events that the core must apply before it makes decisions in the turn that starts now, or nil. If
-// the process was stopped for minutes, the end of its lease is detected here, before the core makes any decision based
-// on the expired configuration.
+// changes returns the events that the core must apply before it makes decisions in the turn that starts now, nil for
+// none. If the process was stopped for minutes, the end of its lease is detected here, before the core makes a decision
+// based on the expired configuration.
 func (c *configuration) changes(now clusterconfig.Micros) []broker.Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,6 +58,8 @@
 	}
 	c.applied = identity
 	c.appliedAt = now
+	// "preparing" is the pending version, and "before_us" the time since the previous turn. The fleet harness reads
+	// both.
 	c.log.Info(LogConfigurationApplied, "epoch", identity.epoch, "version", identity.version,
 		"preparing", identity.pendingVersion, "restricted", identity.restricted, "before_us", sinceLastTurn)
 	settings := effectiveSettings(c.settings, c.limitFloors, view)
@@ -68,7 +70,7 @@
 	return events
 }
 
-// drainChanges applies the drains of a view to the endpoints, and returns the endpoints that change.
+// drainChanges applies the drains of a view to the endpoints, and returns the endpoints whose state changes.
 func (c *configuration) drainChanges(view clusterconfig.View) []broker.Node {
 	keys, all := c.holder.TakeChangedKeys()
 	if all {
@@ -91,14 +93,14 @@
 	c.appliedAt = 0
 }
 
-// settingsChanges returns the changes after which a document has the values of the broker's own settings.
+// settingsChanges returns the changes that would give a document the values of the broker's own settings.
 func (c *configuration) settingsChanges(document *clusterconfig.Document) []clusterconfig.Change {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return missingChanges(document, documentValues(c.settings, c.limitFloors))
 }
 
-// overlay applies the replicated drains to an endpoint update.
+// overlay records an endpoint update and applies the replicated drains to it.
 func (c *configuration) overlay(update broker.NodesListed) overlaid {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,11 +113,11 @@
 	return c.holder.Renew(now)
 }
 
-// grantEffect is the effect of a grant.
+// grantEffect is the effect of a grant. The other fields have no meaning unless accepted is true.
 type grantEffect struct {
 	accepted bool
-	changed  bool // the core has to apply the configuration again
-	pending  bool // a version is pending
+	changed  bool // the core may have to apply the configuration again
+	pending  bool // a version is pending after the grant
 }
 
 func (c *configuration) handleGrant(now clusterconfig.Micros, g *clusterconfig.Grant) grantEffect {
@@ -128,15 +130,15 @@
 	return grantEffect{accepted: accepted, changed: changed, pending: after.PendingVersion > 0}
 }
 
-// document returns a copy of the latest active document that this broker has received.
+// document returns a copy of the latest active document that this broker has received. Any goroutine may call it.
 func (c *configuration) document() *clusterconfig.Document {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holder.Document().Clone()
 }
 
-// active returns the latest active document that this broker has received, and whether the broker is restricted. Only
-// the service goroutine may call it, because no other goroutine changes the document.
+// active returns the latest active document that this broker has received, and whether the broker is restricted. The
+// document is not a copy, and the service goroutine changes it without notice. Only that goroutine may call active.
 func (c *configuration) active(now clusterconfig.Micros) (document *clusterconfig.Document, restricted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,7 +157,7 @@
 func (c *configuration) leaseState(now clusterconfig.Micros) leaseState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	view := c.holder.View(now) // comes first, because it records the end of the lease
+	view := c.holder.View(now) // must come first, because it updates restrictedSince
 	return leaseState{
 		view:            view,
 		epoch:           c.holder.Document().Epoch,
--- a/internal/agreement/connection.go
+++ b/internal/agreement/connection.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// maxQueuedFrames is the maximum number of frames queued for a peer. Further frames are dropped: their content is
-	// sent again, or an operator's call times out. A larger queue would deliver stale renewals and grants after a
-	// stall.
+	// maxQueuedFrames is the maximum number of frames queued for a peer. Further frames are dropped. Their content is
+	// sent again, except for operator calls and replies, whose callers time out. A larger queue would deliver stale
+	// renewals and grants after a stall.
 	maxQueuedFrames = 256
 	// keepaliveInterval is the time between the keepalive frames of a connection.
 	keepaliveInterval = time.Second
-	// idleTimeout is the time without a frame after which a connection is closed. It allows for the loss of a few
-	// keepalives. A longer timeout would keep children attached to a parent that is cut off.
+	// idleTimeout is the time without a frame after which a connection is closed. It spans several keepalives, so that
+	// a short stall does not close the connection. A longer timeout would keep children attached for longer to a parent
+	// that is cut off.
 	idleTimeout = 4 * time.Second
 	// writeTimeout is the time limit for writing a frame to a peer.
 	writeTimeout = time.Second
 )
 
-// peer describes the broker at the other end of a connection, according to its handshake.
+// peer describes the broker at the other end of a connection, according to its handshake. A hello and a welcome contain
+// different fields, so some are set only on connections that the peer dialed or only on those that this broker dialed.
 type peer struct {
 	name          string
-	listenAddress string // empty if other brokers cannot attach to the peer
-	isVoter       bool
+	listenAddress string // on connections that the peer dialed; empty if other brokers cannot attach to the peer
+	isVoter       bool   // on connections that the peer dialed
 	raftID        uint64
 	uninitialized bool
-	path          []string // names of the brokers from a voter to the peer, both included
+	path          []string // on connections that this broker dialed: brokers from a voter to the peer, both included
 }
 
 // connection is an established connection. A peer that stalls delays only its own connection. The reader runs on the
-// goroutine that calls readLoop, the writer on the goroutine that calls writeLoop; close ends both.
+// goroutine that calls readLoop, and the writer on the goroutine that calls writeLoop. close ends both.
 type connection struct {
 	peer
 	conn    net.Conn
@@ -54,7 +56,7 @@
 	}
 }
 
-// send queues a frame, or drops it if the queue is full. It never blocks.
+// send queues a frame, or drops it if the queue is full. It does not block.
 func (c *connection) send(f frame) {
 	select {
 	case c.queue <- f:
@@ -94,7 +96,7 @@
 	}
 }
 
-// readLoop passes received frames to handle until the connection ends or handle fails, and returns the error.
+// readLoop passes received frames to handle until a read or handle fails, closes the connection, and returns the error.
 func (c *connection) readLoop(handle func(frame) error) error {
 	defer c.close()
 	for {
--- a/internal/agreement/console_golden_test.go
+++ b/internal/agreement/console_golden_test.go
@@ -8,14 +8,15 @@
 	"junctionwharf/internal/golden"
 )
 
-// checkAnswer compares the console's encoding of a value with a golden file. It also decodes the golden file into
-// the argument to, and checks that the result has the same encoding.
+// checkAnswer compares the console's encoding of a value with a golden file. It also decodes the golden file into to,
+// and checks that the result has the same encoding.
 func checkAnswer(t *testing.T, name string, value, to any) {
 	t.Helper()
 	golden.CheckJSON(t, name, value, to, "\n")
 }
 
-// Operators' programs parse the console's answers to agree commands as JSON. The bytes of the answers must not change.
+// Operators' programs parse the console's answers to agree commands as JSON. The encoded values must match the recorded
+// bytes.
 func TestConsoleAnswerBytes(t *testing.T) {
 	status := Status{
 		Name:           "n1",
--- a/internal/agreement/dialer.go
+++ b/internal/agreement/dialer.go
@@ -20,16 +20,17 @@
 
 	// The pause between attempts doubles from minBackoff to maxBackoff, and is multiplied by a random factor between
 	// 0.5 and 1.5. With shorter pauses, all brokers together would overload a voter that restarts. Longer pauses would
-	// leave a broker without a lease for longer.
+	// leave a broker without a lease for longer. maxBackoffDoublings prevents an overflow of the doubled pause.
 	minBackoff          = 50 * time.Millisecond
 	maxBackoff          = 2 * time.Second
 	maxBackoffDoublings = 10
 
-	// maxDescents limits the steps down the tree in a search for a parent. It exceeds the depth of any tree. Without
-	// the limit, full brokers could refer a broker to each other's children forever.
+	// maxDescents is the number of failed attempts of a search for a parent after which the search no longer descends
+	// from full brokers to their children. It exceeds the depth of any tree. Without the limit, full brokers could
+	// refer a broker to each other's children forever.
 	maxDescents = 64
-	// In a search for a parent, the pause doubles after every attemptsPerBackoff attempts, at most maxParentDoublings
-	// times.
+	// In a search for a parent, the pause doubles after every attemptsPerBackoff failed attempts, at most
+	// maxParentDoublings times.
 	attemptsPerBackoff = 3
 	maxParentDoublings = 5
 )
@@ -39,14 +40,14 @@
 	errCycle     = errors.New("attaching to this parent would create a cycle in the tree")
 )
 
-// wrongPeerError is returned if another broker answers at a voter's address.
+// wrongPeerError is returned if a broker of another name answers at a voter's address.
 type wrongPeerError struct{ name string }
 
 func (e *wrongPeerError) Error() string {
 	return fmt.Sprintf("another broker answers at the voter's address: %q", e.name)
 }
 
-// rejectedError is returned if the other side rejects this broker.
+// rejectedError is returned if the dialed broker rejects this one.
 type rejectedError struct {
 	reason       string
 	alternatives []string // addresses of other brokers to try
@@ -54,7 +55,7 @@
 
 func (e *rejectedError) Error() string { return e.reason }
 
-// dial connects to a broker and performs the handshake.
+// dial connects to a broker and performs the handshake. Its error may be a *rejectedError.
 func (s *Service) dial(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if s.options.LocalIP != nil {
@@ -72,7 +73,7 @@
 	return c, nil
 }
 
-// dialHandshake sends the hello of this broker and reads the welcome of the other.
+// dialHandshake sends this broker's hello and reads the welcome of the dialed broker.
 func (s *Service) dialHandshake(conn net.Conn) (*connection, error) {
 	hellos := make(chan hello, 1)
 	s.do(func() { hellos <- s.hello() })
@@ -220,8 +221,8 @@
 	}
 }
 
-// parentSearch selects the addresses at which a broker asks for a place in the tree: the voters in random order, and
-// after a broker that has the maximum number of children, a random child of that broker.
+// parentSearch selects the addresses at which a broker tries to attach to the tree: the voters in random order, and
+// after a full broker, that is one with the maximum number of children, a random child of that broker.
 type parentSearch struct {
 	voters    []Voter
 	addresses []string
@@ -242,8 +243,8 @@
 	return address
 }
 
-// failed handles a failed attempt. If the broker rejected this one and named its children, failed selects one of them
-// as the next address. Otherwise it pauses.
+// failed handles a failed attempt. If the dialed broker rejected this one and named its children, failed selects one of
+// them as the next address, at most maxDescents times. If it named no children, failed pauses.
 func (p *parentSearch) failed(ctx context.Context, err error) {
 	var alternatives []string
 	if rejected, ok := errors.AsType[*rejectedError](err); ok {
--- a/internal/agreement/dialer_test.go
+++ b/internal/agreement/dialer_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A broker searches for a parent. It must ask a voter first, then a child that a full broker names, and return to the
-// voters if the child fails.
+// A broker searches for a parent. It must try a voter first, then a child that a full broker names, then another voter
+// if the child fails, and then the voters again.
 func TestParentSearch(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // ends pauses at once
@@ -15,27 +15,28 @@
 	first := search.next()
 	search.failed(ctx, &rejectedError{reason: rejectedFull, alternatives: []string{"child"}})
 	if got := search.next(); got != "child" {
-		t.Errorf("next address %q, want the child", got)
+		t.Errorf("next address %q, want that of the child", got)
 	}
 	search.failed(ctx, errors.New("refused"))
 	second := search.next()
 	if first == second || first == "child" || second == "child" {
-		t.Errorf("asked %q, then %q; want two different voters", first, second)
+		t.Errorf("first address %q, address after the child %q; want two different voters", first, second)
 	}
 	search.failed(ctx, errors.New("refused"))
 	if third := search.next(); third != "v0" && third != "v1" {
-		t.Errorf("asked %q after all voters, want a voter", third)
+		t.Errorf("address %q after all voters were tried, want a voter", third)
 	}
 	if search.attempts != 3 {
-		t.Errorf("%d attempts, want 3", search.attempts)
+		t.Errorf("%d failed attempts counted, want 3", search.attempts)
 	}
 	search.reset()
 	if search.attempts != 0 || len(search.addresses) > 0 {
-		t.Errorf("after a reset: %+v", search)
+		t.Errorf("search after a reset: %+v, want no attempts and no addresses", search)
 	}
 }
 
-// Full brokers keep referring to each other's children. The search must not descend forever.
+// Full brokers keep referring to each other's children. After maxDescents attempts the search must return to the
+// voters.
 func TestParentSearchDescentIsBounded(t *testing.T) {
 	search := parentSearch{voters: []Voter{{Name: "v0", Address: "v0"}}}
 	full := &rejectedError{reason: rejectedFull, alternatives: []string{"child"}}
@@ -44,6 +45,6 @@
 		search.failed(t.Context(), full)
 	}
 	if got := search.next(); got != "v0" {
-		t.Errorf("next address %q, want a voter", got)
+		t.Errorf("next address %q, want that of the voter", got)
 	}
 }
--- a/internal/agreement/endpoints.go
+++ b/internal/agreement/endpoints.go
@@ -9,11 +9,10 @@
 )
 
 // endpointOverlay applies the replicated drains to the endpoints of this broker's discovery. A drain that discovery
-// reports takes effect at once, even before it is replicated. configuration owns the overlay and guards it by
-// its lock.
+// reports takes effect at once, even before it is replicated. configuration owns the overlay and guards it by its lock.
 type endpointOverlay struct {
 	nodes      map[string]broker.Node // as last reported by discovery
-	overridden map[string]bool        // nodes that are draining only because of a replicated drain
+	overridden map[string]bool        // nodes that discovery reports as ready, but a replicated drain drains
 	drains     map[string]bool        // nodes with a replicated drain
 }
 
@@ -29,10 +28,10 @@
 type overlaid struct {
 	update  broker.NodesListed
 	drain   []string // nodes that discovery newly reports as draining
-	undrain []string // nodes that discovery no longer reports as draining
+	undrain []string // nodes that discovery reports as removed, or as ready after draining
 }
 
-// apply records an endpoint update of discovery and applies the replicated drains to it.
+// apply records an endpoint update of discovery, and returns it with the replicated drains applied.
 func (o *endpointOverlay) apply(update broker.NodesListed) overlaid {
 	if update.Kind == scheduler.FailedUpdate {
 		return overlaid{update: update}
--- a/internal/agreement/errors.go
+++ b/internal/agreement/errors.go
@@ -21,7 +21,7 @@
 	kindNoLeader errorKind = "none"     // no leader answers
 )
 
-// kindOf returns the kind of a call's error.
+// kindOf returns the kind of the error with which the leader answers a call.
 func kindOf(err error) errorKind {
 	switch {
 	case errors.Is(err, clusterconfig.ErrVersionConflict), errors.Is(err, clusterconfig.ErrChangePending):
--- a/internal/agreement/fanout.go
+++ b/internal/agreement/fanout.go
@@ -2,8 +2,8 @@
 
 import "junctionwharf/clusterconfig"
 
-// fanOut sorts the content of a message from the leader by child, so that each child receives at most two frames: one
-// with the grants, and one with everything else.
+// fanOut sorts the content of a message from the leader by the connection on which it is forwarded. Each connection
+// receives at most two frames: one with the grants, and one with everything else except notifications.
 type fanOut struct {
 	tree   *tree
 	grants map[*connection][]*clusterconfig.Grant
@@ -46,7 +46,7 @@
 }
 
 // deliver handles a message from the leader: it applies the content for this broker, and forwards the rest on the
-// routes to the other brokers.
+// routes to the other brokers. Content for a broker without a route is dropped.
 func (s *Service) deliver(grants []*clusterconfig.Grant, m downstreamMessage) {
 	now := s.now()
 	out := newFanOut(&s.tree)
@@ -77,7 +77,7 @@
 	}
 }
 
-// notify makes this broker and the brokers below renew now, because a version became pending or active.
+// notify makes this broker and all brokers below it renew now, because a version became pending or active.
 func (s *Service) notify(now clusterconfig.Micros) {
 	s.tree.notifyChildren()
 	if s.isLeader() {
--- a/internal/agreement/golden_answers_test.go
+++ b/internal/agreement/golden_answers_test.go
@@ -25,7 +25,7 @@
 
 func (a answers) addError(name string, err error) { a[name] = fmt.Sprint(err) }
 
-// faultyCalls are commands that are rejected before they are sent to a leader.
+// faultyCalls are commands that a broker rejects without asking the leader.
 var faultyCalls = []string{
 	"", "unknown", "rollback 1 ana", "rollback x ana why", "history x", "history 99999999999", "diff x", "diff -1",
 	"propose", "propose {", "propose 5", "propose [1]", `propose "a"`,
@@ -35,7 +35,7 @@
 	`propose {"changes":[{"key":5}]}`, `propose {"changes":[{"value":true}]}`, `propose {"changes":[{"key":{}}]}`,
 }
 
-// goldenState returns a state in which the first version is active and the second is pending.
+// goldenState returns a state in which the first version is active and the second one is pending.
 func goldenState(t *testing.T) *clusterconfig.State {
 	t.Helper()
 	document, next := goldenDocument()
@@ -142,7 +142,7 @@
 	_, err = truncated.DocumentAt(3)
 	a.addError("version too old", err)
 	_, err = truncated.DocumentAt(8)
-	// The error names either of two keys.
+	// The value of either of two keys is too old, and the error names the one that is found first.
 	a["value too old"] = strings.Replace(err.Error(), "plan.gold.limit", "class.read.repeat", 1)
 	a.addError("altered trail", truncated.VerifyHistory())
 }
@@ -218,8 +218,8 @@
 	{`unknown call \"unknown\": status`, `unknown command \"unknown\", want one of: status`},
 }
 
-// readAnswers returns the recorded answers with the texts of rewordedTexts replaced, in names and values. Each row must
-// be found in the recording. The first row that matches at a position applies; its replacement is not replaced again.
+// readAnswers returns the recorded answers with the texts of rewordedTexts replaced, in names and in values. Each row
+// of the table must be found in the recording. At each position, the first row that matches applies.
 func readAnswers(t *testing.T) answers {
 	t.Helper()
 	recorded := readGolden(t, goldenAnswers)
@@ -230,7 +230,7 @@
 			found = found || strings.Contains(name, row[0]) || strings.Contains(value, row[0])
 		}
 		if !found {
-			t.Errorf("%s contains no %q", goldenAnswers, row[0])
+			t.Errorf("%s does not contain %q of rewordedTexts", goldenAnswers, row[0])
 		}
 		pairs = append(pairs, row[:]...)
 	}
@@ -242,7 +242,7 @@
 	return reworded
 }
 
-// Operators' scripts read the console's answers, and engineers search for the texts of errors. Renaming a type must not
+// Operators' scripts read the console's answers, and engineers search for the texts of errors. A renamed type must not
 // change either of them.
 func TestGoldenAnswers(t *testing.T) {
 	got := collectAnswers(t)
@@ -255,7 +255,7 @@
 	}
 	for name, want := range recorded {
 		if got[name] != want {
-			t.Errorf("%s:\n%s, want\n%s", name, got[name], want)
+			t.Errorf("answer %q:\n%s\nwant\n%s", name, got[name], want)
 		}
 	}
 }
--- a/internal/agreement/golden_test.go
+++ b/internal/agreement/golden_test.go
@@ -22,7 +22,7 @@
 	goldenFrames  = "testdata/frames.golden"  // one frame per line: name and hex
 	goldenAnswers = "testdata/answers.golden" // one text per line: name and what the console or a peer receives
 	separator     = " => "
-	encodeTries   = 1000 // maximum attempts; msgpack writes the entries of a map in random order
+	encodeTries   = 1000 // maximum number of encodings; msgpack writes the entries of a map in random order
 )
 
 func goldenDocument() (document *clusterconfig.Document, next clusterconfig.Entry) {
@@ -48,7 +48,7 @@
 	frame frame
 }
 
-// goldenTable returns a frame of each kind, with all fields set.
+// goldenTable returns frames of each kind, which together have all fields set.
 func goldenTable() []goldenFrame {
 	return slices.Concat(goldenHandshakes(), goldenUpstream(), goldenDownstream(), []goldenFrame{
 		{"alive", frame{}},
@@ -125,7 +125,7 @@
 	}
 }
 
-// write encodes a frame repeatedly until accept approves the order of its maps.
+// write encodes a frame until accept returns true, at most encodeTries times, and returns the last encoding.
 func write(t *testing.T, f frame, accept func([]byte) bool) []byte {
 	t.Helper()
 	var wire bytes.Buffer
@@ -141,8 +141,8 @@
 	return wire.Bytes()
 }
 
-// sortedMaps returns a function that reports whether an encoded frame has all its maps in the order of their keys. The
-// encoder's own sorting does not cover the members of a bootstrap message.
+// sortedMaps returns a function that reports whether an encoded frame has all its maps sorted by key. The encoder's own
+// sorting does not cover the members of a bootstrap message, so sortedMaps encodes the frame until they are sorted.
 func sortedMaps(t *testing.T, f frame) func([]byte) bool {
 	t.Helper()
 	for range encodeTries {
@@ -158,7 +158,7 @@
 			return func(got []byte) bool { return bytes.Equal(got[frameHeader:], data) }
 		}
 	}
-	t.Fatal("the encoder never wrote the members in order")
+	t.Fatalf("the members were not sorted in any of %d encodings", encodeTries)
 	return nil
 }
 
@@ -209,12 +209,12 @@
 			}
 			got, n, err := readFrame(bufio.NewReader(bytes.NewReader(want)), maxFrameBytes)
 			if err != nil || n != len(want) || !reflect.DeepEqual(got, c.frame) {
-				t.Errorf("%+v, %d bytes, %v; want %+v, %d bytes", got, n, err, c.frame, len(want))
+				t.Errorf("read %+v, %d bytes, error %v; want %+v, %d bytes", got, n, err, c.frame, len(want))
 			}
 			same := func(data []byte) bool { return bytes.Equal(data, want) }
 			for _, f := range []frame{c.frame, got} {
 				if data := write(t, f, same); !same(data) {
-					t.Errorf("written as\n%x, want\n%x", data, want)
+					t.Errorf("frame written as\n%x, want\n%x", data, want)
 				}
 			}
 		})
@@ -222,7 +222,7 @@
 }
 
 // Brokers accept each other only if their settings of lease, limits and voters are the same. Each broker sends these
-// settings as one text, whose format must not change, because brokers of other builds compare it.
+// settings as one text. Its format must not change, because brokers of other builds compare the text.
 func TestSharedOptionsFormat(t *testing.T) {
 	o := Options{
 		Name:        "n",
@@ -232,15 +232,16 @@
 	}
 	const want = "{1000000 500} [free gold] map[free:2.5 gold:100] [{v0 127.0.0.1:1} {v1 127.0.0.1:2}]"
 	if got := o.sharedOptions(); got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("shared options %q, want %q", got, want)
 	}
 }
 
 // If a field of a frame is renamed, brokers of two builds must still understand each other. If a field of an answer is
-// renamed, operators' scripts must still find it. Each exported field must therefore have its outer name as a tag.
+// renamed, operators' scripts must still find it. Each exported field must therefore have its name outside the process
+// as a tag.
 func TestFieldsOnTheWireAreTagged(t *testing.T) {
 	if missing := untaggedFields(reflect.TypeFor[frame](), map[reflect.Type]bool{}, "msgpack"); len(missing) > 0 {
-		t.Errorf("no msgpack tag: %v", missing)
+		t.Errorf("fields of a frame without a msgpack tag: %v", missing)
 	}
 	for _, value := range []any{
 		clusterconfig.Document{},
@@ -251,7 +252,7 @@
 		callError{},
 	} {
 		if missing := untaggedFields(reflect.TypeOf(value), map[reflect.Type]bool{}, "json"); len(missing) > 0 {
-			t.Errorf("no json tag: %v", missing)
+			t.Errorf("fields of %T without a json tag: %v", value, missing)
 		}
 	}
 }
--- a/internal/agreement/grants.go
+++ b/internal/agreement/grants.go
@@ -15,8 +15,8 @@
 	errGrantLacksPending  = errors.New("a grant refers to a pending version that is not in its message")
 )
 
-// packGrants packs grants of one leader into a message. Entries and documents that several grants share are packed
-// once.
+// packGrants packs grants of one leader into a message. Entries that several grants share are packed once. All grants
+// must have the same epoch and term, and the same document and pending version if they have one.
 func packGrants(grants []*clusterconfig.Grant) *downstreamMessage {
 	m := &downstreamMessage{}
 	packed := map[uint64]bool{} // versions of entries
@@ -52,7 +52,7 @@
 	return m
 }
 
-// unpackGrants returns the grants that packGrants packed.
+// unpackGrants returns the grants that packGrants packed. It returns an error if the message lacks a part of a grant.
 func (m *downstreamMessage) unpackGrants() ([]*clusterconfig.Grant, error) {
 	var grants []*clusterconfig.Grant
 	for _, p := range m.Grants {
--- a/internal/agreement/grants_test.go
+++ b/internal/agreement/grants_test.go
@@ -27,8 +27,8 @@
 	return document
 }
 
-// A parent packs the grants of many brokers into one frame. The frame must contain shared entries once, and unpacking
-// must return the original grants.
+// A message contains the grants of many brokers. It must contain shared entries once, and unpacking must return the
+// original grants.
 func TestPackedGrantsUnpackAsTheyWere(t *testing.T) {
 	document := newDocument(t, clusterconfig.Change{Key: "class.read.repeat", Value: "yes"})
 	next := document.NextEntry(clusterconfig.Proposal{
@@ -57,13 +57,13 @@
 	}
 	got, err := f.Downstream.unpackGrants()
 	if err != nil || len(got) != len(grants) {
-		t.Fatal(got, err)
+		t.Fatalf("unpacked grants %v, error %v; want %d grants", got, err, len(grants))
 	}
 	for i := range got {
 		a, errA := msgpack.Marshal(got[i])
 		b, errB := msgpack.Marshal(grants[i])
 		if errA != nil || errB != nil || !bytes.Equal(a, b) {
-			t.Errorf("%+v, want %+v", got[i], grants[i])
+			t.Errorf("unpacked %+v, want %+v; errors %v, %v", got[i], grants[i], errA, errB)
 		}
 	}
 }
@@ -76,14 +76,14 @@
 	lacksDocument.Document = nil
 	lacksPending.Pending = nil
 	if _, err := lacksDocument.unpackGrants(); !errors.Is(err, errGrantLacksDocument) {
-		t.Error(err)
+		t.Errorf("grant without its document: error %v, want %v", err, errGrantLacksDocument)
 	}
 	if _, err := lacksPending.unpackGrants(); !errors.Is(err, errGrantLacksPending) {
-		t.Error(err)
+		t.Errorf("grant without its pending version: error %v, want %v", err, errGrantLacksPending)
 	}
 }
 
-// A peer sends arbitrary bytes. Reading them must not panic, and must not take more bytes than the peer sent.
+// A peer sends arbitrary bytes. Decoding them must not panic, and must not report more bytes than the peer sent.
 func FuzzFrame(f *testing.F) {
 	var wire bytes.Buffer
 	if _, err := writeFrame(&wire, frame{Hello: &hello{Cluster: "c", Name: "n"}}); err != nil {
@@ -95,7 +95,7 @@
 	f.Fuzz(func(t *testing.T, wire []byte) {
 		got, n, err := readFrame(bufio.NewReader(bytes.NewReader(wire)), 1<<10)
 		if err == nil && n > len(wire) {
-			t.Errorf("read %d bytes of %d", n, len(wire))
+			t.Errorf("reported %d bytes read, but only %d were sent", n, len(wire))
 		}
 		if err == nil && got.Downstream != nil {
 			_, _ = got.Downstream.unpackGrants() // must not panic
--- a/internal/agreement/listener.go
+++ b/internal/agreement/listener.go
@@ -26,12 +26,12 @@
 
 var (
 	errNoHello  = errors.New("the first frame is not a hello")
-	errRejected = errors.New("rejected") // the other broker has received the reason
+	errRejected = errors.New("rejected") // the rejected broker has received the reason
 	errStopping = errors.New("stopping") // the service goroutine has ended
 )
 
 // acceptLoop accepts connections of other brokers until the listener is closed. Each connection has its own goroutine,
-// which ends with the connection; Run closes all connections.
+// which ends with the connection. Run closes all connections.
 func (s *Service) acceptLoop() {
 	slots := make(chan struct{}, s.options.MaxChildren+len(s.options.Voters)+spareConnections)
 	for {
@@ -57,7 +57,7 @@
 	}
 }
 
-// serve handles a connection that another broker dialed, until the connection ends.
+// serve performs the handshake on a connection that another broker dialed, and reads from it until it ends.
 func (s *Service) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	c, err := s.acceptHandshake(conn)
@@ -107,8 +107,8 @@
 	}
 }
 
-// answerHello accepts or rejects a broker. The answer fits into the socket's buffer, so that writing the answer does
-// not block the service goroutine.
+// answerHello accepts or rejects the broker that sent a hello, on the service goroutine. The answer fits into the
+// socket's buffer, so that writing it does not block this goroutine.
 func (s *Service) answerHello(c *connection, h hello) error {
 	w := s.decideHandshake(c, h)
 	_, err := writeFrame(c.conn, frame{Welcome: &w})
@@ -121,7 +121,7 @@
 	return err
 }
 
-// decideHandshake decides whether a broker may attach, and registers the connection of a broker that may.
+// decideHandshake decides whether a broker may attach, and registers its connection if it may.
 func (s *Service) decideHandshake(c *connection, h hello) welcome {
 	w := welcome{Name: s.options.Name}
 	if s.voting != nil {
--- a/internal/agreement/messages.go
+++ b/internal/agreement/messages.go
@@ -2,10 +2,10 @@
 
 import "junctionwharf/clusterconfig"
 
-// The messages between brokers. Their tags are the names on the wire, which brokers of other builds read: neither a tag
-// nor its meaning may change.
+// The messages between brokers. Their struct tags are the names on the wire, which brokers of other builds read:
+// neither a tag nor its meaning may change.
 
-// frame is the unit of transmission on a connection. One of its fields is set; a keepalive has none.
+// frame is the unit of transmission on a connection. Exactly one of its fields is set; a keepalive has none.
 type frame struct {
 	Hello      *hello             `msgpack:"Hello,omitempty"`
 	Welcome    *welcome           `msgpack:"Welcome,omitempty"`
@@ -30,26 +30,26 @@
 type welcome struct {
 	Rejection     string   `msgpack:"Reason"`
 	Alternatives  []string `msgpack:"Others"` // addresses of children of the rejecting broker
-	Path          []string `msgpack:"Path"`   // names of the brokers from a voter to the sender, both included
+	Path          []string `msgpack:"Path"`   // for a child: names of the brokers from a voter to the sender
 	Name          string   `msgpack:"Name"`
-	RaftID        uint64   `msgpack:"ID"`
-	Uninitialized bool     `msgpack:"Fresh"`
+	RaftID        uint64   `msgpack:"ID"`    // if the sender is a voter
+	Uninitialized bool     `msgpack:"Fresh"` // the sender is a voter and not yet a member of a cluster
 }
 
-// upstreamMessage is forwarded to the leader.
+// upstreamMessage contains messages of one or more brokers to the leader.
 type upstreamMessage struct {
 	Renewals  []clusterconfig.Renewal   `msgpack:"Renewals"`
 	Calls     []operatorCall            `msgpack:"Asks"`
 	Documents []*clusterconfig.Document `msgpack:"Offers"` // documents of an earlier epoch, for the leader to adopt
 }
 
-// operatorCall is a command for the leader.
+// operatorCall is a command for the leader, from an operator or from a broker that proposes a change by itself.
 type operatorCall struct {
-	Broker   string                  `msgpack:"Holder"` // the broker that received the operator's command
+	Broker   string                  `msgpack:"Holder"` // the broker that sends the call and receives the reply
 	Number   uint64                  `msgpack:"Number"` // identifies the call among the broker's calls
 	Command  string                  `msgpack:"Call"`
 	Proposal *clusterconfig.Proposal `msgpack:"Proposal"`
-	Version  uint64                  `msgpack:"Version"`
+	Version  uint64                  `msgpack:"Version"` // of diff and rollback; for history the number of versions
 }
 
 // operatorReply answers an operatorCall.
@@ -61,7 +61,8 @@
 	JSON   []byte    `msgpack:"Text"`
 }
 
-// downstreamMessage comes from the leader. Its grants share the entries and documents in it.
+// downstreamMessage contains messages of the leader to one or more brokers. The grants share its entries, its document
+// and its pending version.
 type downstreamMessage struct {
 	Epoch     uint64                  `msgpack:"Epoch"`
 	Term      uint64                  `msgpack:"Term"`
@@ -80,7 +81,7 @@
 	RenewalSeq  uint64 `msgpack:"Number"`
 	Incarnation uint64 `msgpack:"Life"`
 	GrantSeq    uint64 `msgpack:"Seq"`
-	After       uint64 `msgpack:"After"` // the grant includes the entries after this version
+	After       uint64 `msgpack:"After"` // the grant includes the entries after this version; noEntries if it has none
 	HasDocument bool   `msgpack:"Whole"`
 	HasPending  bool   `msgpack:"Prepare"`
 }
--- a/internal/agreement/metrics.go
+++ b/internal/agreement/metrics.go
@@ -15,7 +15,7 @@
 type trafficCounters struct {
 	sentBytes, receivedBytes atomic.Int64
 	droppedFrames            atomic.Int64 // frames for peers whose queue was full
-	rejectedConnections      atomic.Int64
+	rejectedConnections      atomic.Int64 // including those that failed in the handshake
 }
 
 // voterMetrics are the metrics of a voter. The service goroutine writes them, and exporters read them.
--- a/internal/agreement/operator.go
+++ b/internal/agreement/operator.go
@@ -11,12 +11,12 @@
 	"junctionwharf/clusterconfig"
 )
 
-// callTimeout is how long an operator's call waits for the leader's reply. The reply to a proposal comes when the
-// change is active. callTimeout must exceed the longest change, which waits for the leases of unreachable brokers to
-// expire. The console's timeout is a little longer.
+// callTimeout is how long an operator's command waits for the leader's reply. The reply to a proposal arrives when the
+// change is active. callTimeout must therefore exceed the longest time that a change takes: until the leases of
+// unreachable brokers have ended. The console's timeout is a little longer.
 const callTimeout = 6 * time.Second
 
-// defaultHistory is the number of versions that the history shows if no number is given: about one screen of text.
+// defaultHistory is the number of versions that the command history returns by default: about one screen of text.
 const defaultHistory = 20
 
 // Operator commands.
@@ -95,7 +95,7 @@
 	return call, err
 }
 
-// answerByLeader sends a call to the leader and waits for the reply.
+// answerByLeader sends a call to the leader and returns its reply, or a failure if there is no reply in time.
 func (s *Service) answerByLeader(call operatorCall) []byte {
 	replies := make(chan operatorReply, 1)
 	s.do(func() { s.callLeader(call, func(r operatorReply) { replies <- r }) })
@@ -116,7 +116,7 @@
 	return failure(kindNoLeader, "no leader answers")
 }
 
-// answerLocally answers a command without the leader. answer runs on the service goroutine.
+// answerLocally answers a command without the leader. It runs the function answer on the service goroutine.
 func (s *Service) answerLocally(answer func() any) []byte {
 	answers := make(chan []byte, 1)
 	s.do(func() {
@@ -134,7 +134,7 @@
 	}
 }
 
-// answerCall answers a call as the leader.
+// answerCall answers a call as the leader. It does not reply to an unknown command, whose caller then times out.
 func (s *Service) answerCall(now clusterconfig.Micros, call operatorCall) {
 	state := s.voting.voter.State()
 	switch call.Command {
@@ -173,12 +173,12 @@
 	return differences, nil
 }
 
-// proposeFor proposes a change and replies when the outcome of the change is known.
+// proposeFor proposes a change and replies when the outcome is known.
 func (s *Service) proposeFor(now clusterconfig.Micros, call operatorCall, p clusterconfig.Proposal) {
 	s.carryOut(s.voting.voter.Propose(now, p, func(e clusterconfig.Entry, err error) { s.reply(call, e, err) }))
 }
 
-// reply sends the leader's answer to the broker that received the operator's command.
+// reply sends the leader's answer to the broker that sent the call.
 func (s *Service) reply(call operatorCall, answer any, err error) {
 	r := operatorReply{Broker: call.Broker, Number: call.Number}
 	if err == nil {
--- a/internal/agreement/proposals.go
+++ b/internal/agreement/proposals.go
@@ -6,19 +6,20 @@
 
 // Durations in microseconds.
 const (
-	// proposalInterval is the maximum pause after a proposal of this broker; the minimum is half of it. With shorter
-	// pauses, brokers with the same proposal would obstruct each other.
+	// proposalInterval is the maximum pause after a proposal of this broker. The actual pause is random, but at least
+	// half of it, except for the initial version. With shorter pauses, brokers with the same proposal would obstruct
+	// each other.
 	proposalInterval = 300_000
 	// maxDrainDelay is the maximum random delay of a drain proposal. All brokers learn of a drain from discovery at the
 	// same time, and the first proposal makes the others unnecessary. A longer delay would delay drains.
 	maxDrainDelay = 200_000
 )
 
-// proposals holds the changes that this broker wants to have replicated: those of its settings file, and drains that
-// its discovery reports. The service goroutine owns it.
+// proposals holds the changes that this broker wants to have replicated: values of its settings file, and the starts
+// and ends of drains that its discovery reports. The service goroutine owns it.
 type proposals struct {
 	next            clusterconfig.Micros     // earliest time of the next proposal
-	settingsChanged bool                     // the settings file was read again
+	settingsChanged bool                     // the values of the settings file have to be proposed
 	drains          map[string]drainProposal // by node
 }
 
@@ -34,7 +35,7 @@
 	return (len(p.drains) > 0 || p.settingsChanged) && now >= p.next
 }
 
-// drainChanges returns the drain changes to propose now, and removes those that the document already contains.
+// drainChanges returns the drain changes to propose now. It discards wanted changes that the document already contains.
 func (p *proposals) drainChanges(now clusterconfig.Micros, document *clusterconfig.Document) []clusterconfig.Change {
 	var changes []clusterconfig.Change
 	for node, drain := range p.drains {
@@ -49,7 +50,7 @@
 	return changes
 }
 
-// drop discards all changes that this broker wants, because the leader would reject them again.
+// drop discards all changes that this broker wants, because the leader would reject an invalid proposal again.
 func (p *proposals) drop() {
 	p.settingsChanged = false
 	clear(p.drains)
@@ -67,7 +68,8 @@
 	add(undrain, "")
 }
 
-// maybePropose proposes the changes of this broker's settings file or, if there are none, the drains of its discovery.
+// maybePropose proposes the changes of this broker's settings file or, if there are none, the drain changes of its
+// discovery. A restricted broker proposes nothing.
 func (s *Service) maybePropose(now clusterconfig.Micros) {
 	if !s.proposals.due(now) {
 		return
--- a/internal/agreement/schema.go
+++ b/internal/agreement/schema.go
@@ -25,7 +25,8 @@
 func limitKey(plan string) string  { return planPrefix + plan + limitSuffix }
 func drainKey(node string) string  { return nodePrefix + node + drainSuffix }
 
-// nameIn returns the name between a prefix and a suffix of a key. ok is false if the key does not have this form.
+// nameIn returns the name between a prefix and a suffix of a key. ok is false if the key does not have this form or the
+// name is empty.
 func nameIn(key, prefix, suffix string) (name string, ok bool) {
 	name, ok = strings.CutPrefix(key, prefix)
 	if !ok {
@@ -73,7 +74,7 @@
 	return values
 }
 
-// missingChanges returns the changes after which a document has the given values, sorted by key.
+// missingChanges returns the changes that would give a document the given values, sorted by key.
 func missingChanges(document *clusterconfig.Document, values map[string]string) []clusterconfig.Change {
 	var changes []clusterconfig.Change
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -84,9 +85,9 @@
 	return changes
 }
 
-// effectiveSettings returns the settings that a broker's core applies: the broker's own settings with the rate limits
-// of the view, and with retries only in classes for which the view allows them, too. A limit that is not replicated is
-// unchanged.
+// effectiveSettings returns the settings that a broker's core applies. They are the broker's own settings with two
+// changes. A plan that has a limit of its own and a limit floor has the rate limit of the view, or the floor if the
+// view has none. Requests of a class may be retried only if both the broker's settings and the view allow it.
 func effectiveSettings(settings scheduler.Settings, limitFloors map[string]float64,
 	view clusterconfig.View,
 ) scheduler.Settings {
--- a/internal/agreement/schema_test.go
+++ b/internal/agreement/schema_test.go
@@ -8,9 +8,9 @@
 	"junctionwharf/scheduler"
 )
 
-// Requests of a class may be retried only if both the settings and the document allow it; a class that the document
-// lacks may not be retried. Replicated limits have the document's values. Without a lease, no class may be retried, and
-// replicated limits are at their floors.
+// Requests of a class may be retried only if both the settings and the document allow it. If the document lacks the
+// class, they may not be retried. Replicated limits have the document's values. Without a lease, no class may be
+// retried, and replicated limits are at their floors.
 func TestEffectiveSettings(t *testing.T) {
 	settings := scheduler.Settings{
 		Classes: []scheduler.Class{
@@ -28,7 +28,7 @@
 	document := newDocument(t, missingChanges(&clusterconfig.Document{}, values)...)
 	g := clusterconfig.Grant{Holder: "h", RenewalSeq: r.Seq, Incarnation: 1, Epoch: 5, Term: 1, Document: document}
 	if !h.HandleGrant(20, g) {
-		t.Fatal("grant not accepted")
+		t.Fatal("the grant was rejected")
 	}
 	for _, c := range []struct {
 		name    string
@@ -47,12 +47,12 @@
 			got := effectiveSettings(settings, testLimitFloors, h.View(c.now))
 			for i, want := range c.classes {
 				if got.Classes[i].Idempotency != want {
-					t.Errorf("class %+v, want %v", got.Classes[i], want)
+					t.Errorf("class %+v, want idempotency %v", got.Classes[i], want)
 				}
 			}
 			for i, want := range c.limits {
 				if got.Plans[i].Limit != want {
-					t.Errorf("plan %+v, want %v", got.Plans[i], want)
+					t.Errorf("plan %+v, want limit %v", got.Plans[i], want)
 				}
 			}
 		})
@@ -62,7 +62,7 @@
 	}
 }
 
-// An operator's proposal has several faults. The answer must name all of them.
+// An operator's proposal has several faults. The error must name all of them.
 func TestProposalFaultsAreAllNamed(t *testing.T) {
 	document := &clusterconfig.Document{}
 	err := document.Validate(newSchema(testLimitFloors), clusterconfig.Proposal{
@@ -91,6 +91,6 @@
 		}
 	}
 	if kind := kindOf(err); kind != kindExpected {
-		t.Errorf("kind %q, want expected", kind)
+		t.Errorf("kind %q, want %q", kind, kindExpected)
 	}
 }
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -28,13 +28,13 @@
 	// would let a lease expire. More renewals would cost more messages.
 	renewalsPerLease = 4
 	// renewalSpread limits the random reduction of a renewal interval to 1/renewalSpread of the interval. The reduction
-	// prevents brokers from renewing at the same time.
+	// keeps brokers from renewing at the same time.
 	renewalSpread = 5
-	// maxQueuedCalls is the maximum number of calls queued for the service goroutine. While the queue is full,
-	// connections are not read.
+	// maxQueuedCalls is the maximum number of functions that do queues for the service goroutine. While the queue is
+	// full, do blocks, and so no frames are read from connections.
 	maxQueuedCalls = 4096
-	// callsPerWakeup is the maximum number of calls between checks of the timers: a flood of calls must not delay
-	// raft's clock.
+	// callsPerWakeup limits the queued functions that run between two checks of the timers. Without the limit, a flood
+	// of them would delay raft's clock.
 	callsPerWakeup = 64
 )
 
@@ -44,7 +44,7 @@
 	sharedOptions string
 	schema        clusterconfig.Schema
 	listener      net.Listener // nil without a listen address
-	calls         chan func()  // for the service goroutine
+	calls         chan func()  // functions that the service goroutine has to run
 	done          chan struct{}
 	wake          func() // makes the core take a turn
 	post          func(broker.Event)
@@ -62,8 +62,8 @@
 	nextRenewal  clusterconfig.Micros
 }
 
-// New returns a service that listens. Run starts its work. post sends events to the core, and wake makes the core take
-// a turn.
+// New returns a service that listens if it has a listen address. Run starts its work. post sends events to the core,
+// and wake makes the core take a turn.
 func New(o Options, settings scheduler.Settings, post func(broker.Event), wake func()) (*Service, error) {
 	random := rand.New(rand.NewPCG(o.Seed, uint64(time.Now().UnixNano())))
 	s := &Service{
@@ -103,22 +103,22 @@
 
 func (s *Service) now() clusterconfig.Micros { return clusterconfig.Micros(s.options.Now()) }
 
-// ConfigChanges returns the events that the core must apply before it makes decisions. The core calls it at the start
-// of each turn, with the time of the turn.
+// ConfigChanges returns the events that the core must apply before it makes decisions, nil for none. The core calls it
+// at the start of each turn, with the time of the turn.
 func (s *Service) ConfigChanges(at broker.Micros) []broker.Event {
 	return s.config.changes(clusterconfig.Micros(at))
 }
 
-// SettingsChanged applies a settings file that was read again. Its values for replicated keys become a proposal. All
-// other settings apply from the next turn. Any goroutine may call it.
+// SettingsChanged applies the settings of a file that was read again. The service proposes its values for replicated
+// keys. All other settings apply from the next turn. Any goroutine may call it.
 func (s *Service) SettingsChanged(settings scheduler.Settings) {
 	s.config.setSettings(settings)
 	s.wake()
 	s.do(func() { s.proposals.settingsChanged = true })
 }
 
-// HandleEndpoints receives the events of discovery or membership in place of the core, applies the replicated drains to
-// them, and posts them to the core. Any goroutine may call it.
+// HandleEndpoints receives the events of discovery or membership in place of the core. It applies the replicated drains
+// to endpoint updates, and posts all events to the core. Any goroutine may call it.
 func (s *Service) HandleEndpoints(e broker.Event) {
 	update, ok := e.(broker.NodesListed)
 	if !ok {
@@ -132,7 +132,8 @@
 	}
 }
 
-// do queues a function for the service goroutine. It blocks while the queue is full.
+// do queues a function for the service goroutine. It blocks while the queue is full. After the end of Run, the function
+// may never run.
 func (s *Service) do(call func()) {
 	select {
 	case s.calls <- call:
@@ -141,8 +142,8 @@
 }
 
 // Run does the work of the service until ctx ends. The calling goroutine becomes the service goroutine. Before Run
-// returns, it closes all connections, which ends their goroutines, and waits for the goroutines that accept and dial. A
-// connection in its handshake ends with the handshake.
+// returns, it closes all established connections, which ends their goroutines, and waits for the goroutines that accept
+// and dial. A connection in its handshake ends with the handshake, possibly after Run has returned.
 func (s *Service) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	var wait sync.WaitGroup
@@ -185,7 +186,7 @@
 	}
 }
 
-// runQueuedCalls runs at most callsPerWakeup queued calls.
+// runQueuedCalls runs queued functions, at most callsPerWakeup of them.
 func (s *Service) runQueuedCalls() {
 	for range callsPerWakeup {
 		select {
@@ -250,7 +251,7 @@
 	return next
 }
 
-// renew sends a renewal of the lease and schedules the next one.
+// renew sends a renewal and schedules the next one.
 func (s *Service) renew(now clusterconfig.Micros) {
 	interval := s.options.Timing.Lease / renewalsPerLease
 	s.nextRenewal = now + interval - clusterconfig.Micros(s.random.Int64N(interval/renewalSpread+1))
@@ -259,8 +260,8 @@
 	s.tree.expireRoutes(now)
 }
 
-// leaveSilentParent closes the connection to a parent that has not delivered a grant within parentSilence leases. The
-// parent may be cut off from the leader, or be part of a cycle that was created after this broker attached.
+// leaveSilentParent closes the connection to a parent if no grant has arrived within parentSilence leases. The parent
+// may be cut off from the leader, or be part of a cycle that was created after this broker attached.
 func (s *Service) leaveSilentParent(now clusterconfig.Micros) {
 	parent := s.tree.parent
 	if parent == nil || now-s.tree.lastGrant <= parentSilence*s.options.Timing.Lease {
--- a/internal/agreement/status.go
+++ b/internal/agreement/status.go
@@ -16,7 +16,7 @@
 // microsPerMilli converts microseconds to the milliseconds of the console and of metrics.
 const microsPerMilli = 1000
 
-// Status describes a broker's part in the cluster configuration. The tags are the names on the console.
+// Status describes a broker's part in the cluster configuration. The struct tags are the names on the console.
 type Status struct {
 	Name           string            `json:"name"`
 	Role           string            `json:"role"` // leader, voter or follower
@@ -33,8 +33,8 @@
 	Leader         string            `json:"leader,omitempty"`
 	Term           uint64            `json:"term,omitempty"`
 	Fault          string            `json:"fault,omitempty"`  // the error that stopped the voter
-	WaitingFor     []string          `json:"waits,omitempty"`  // on the leader: brokers not prepared for the change
-	Lagging        map[string]uint64 `json:"behind,omitempty"` // on the leader: versions of lagging brokers, by name
+	WaitingFor     []string          `json:"waits,omitempty"`  // on the leader: holders that block the pending change
+	Lagging        map[string]uint64 `json:"behind,omitempty"` // on the leader: versions of lagging holders, by name
 }
 
 // status returns this broker's status. It runs on the service goroutine.
--- a/internal/agreement/tree.go
+++ b/internal/agreement/tree.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// maxRoutes is the maximum number of routes to brokers below, and of renewals in a batch. It must exceed the
-	// planned size of a fleet.
+	// maxRoutes is the maximum number of routes to brokers below. A batch with this many renewals accepts no further
+	// message. It must exceed the planned size of a fleet.
 	maxRoutes = 4096
-	// routeTimeout is the time without a renewal after which the route to a broker is removed. A shorter timeout would
-	// lose the reply to an operator's call. A longer timeout would keep routes of brokers that have moved in the tree.
+	// routeTimeout is the time without a renewal or a call after which the route to a broker is removed. A shorter
+	// timeout could lose the reply to an operator's call. A longer timeout would keep routes of brokers that have moved
+	// in the tree.
 	routeTimeout = 10_000_000 // µs
 	// parentSilence is the number of leases without a grant after which this broker leaves its parent and searches for
 	// a new one. The parent may be cut off from the leader, or be part of a cycle.
@@ -24,10 +25,10 @@
 	parent    *connection            // nil if there is none; always nil on a voter
 	children  map[string]*connection // by name
 	routes    map[string]route       // by lease holder
-	lastGrant clusterconfig.Micros   // time of the parent's last grant, or of attaching to it
+	lastGrant clusterconfig.Micros   // time of the last accepted grant, or of attaching to the parent
 }
 
-// route is the connection on which a lease holder's renewals arrive.
+// route is the connection on which a broker's renewals and calls arrive. Answers are sent back on it.
 type route struct {
 	via  *connection
 	seen clusterconfig.Micros
@@ -37,14 +38,15 @@
 	return tree{children: map[string]*connection{}, routes: map[string]route{}}
 }
 
-// learnRoute records the connection by which a lease holder can be reached.
+// learnRoute records the connection by which a broker can be reached. It ignores a new broker if there are maxRoutes
+// routes.
 func (t *tree) learnRoute(holder string, via *connection, now clusterconfig.Micros) {
 	if _, known := t.routes[holder]; known || len(t.routes) < maxRoutes {
 		t.routes[holder] = route{via, now}
 	}
 }
 
-// routeTo returns the connection by which a lease holder can be reached, or nil.
+// routeTo returns the connection by which a broker can be reached, nil if it is unknown.
 func (t *tree) routeTo(holder string) *connection { return t.routes[holder].via }
 
 func (t *tree) expireRoutes(now clusterconfig.Micros) {
@@ -53,7 +55,8 @@
 	})
 }
 
-// attachedToVoter reports whether there is a parent that can deliver grants.
+// attachedToVoter reports whether the connection to the parent is open. A parent accepts children only if it is a voter
+// or itself attached, so the parent is likely to deliver grants.
 func (t *tree) attachedToVoter() bool { return t.parent != nil && !t.parent.closed.Load() }
 
 // childAddresses returns the addresses of the children that can have children themselves.
--- a/internal/agreement/tree_test.go
+++ b/internal/agreement/tree_test.go
@@ -18,8 +18,8 @@
 	return c
 }
 
-// A broker below moves to another part of the tree, or ends. Replies must follow its latest renewal, and its route must
-// expire.
+// A broker moves to another part of the tree, or ends. Replies to it must use the connection of its latest renewal, and
+// its route must expire.
 func TestRoutesFollowRenewals(t *testing.T) {
 	tr := newTree()
 	left, right := newTestConnection(t, peer{name: "left"}), newTestConnection(t, peer{name: "right"})
@@ -32,16 +32,16 @@
 	left.close()
 	tr.expireRoutes(3)
 	if tr.routeTo("b") != nil || tr.routeTo("a") != right {
-		t.Errorf("with a closed connection: %+v", tr.routes)
+		t.Errorf("routes after the left connection closed: %+v, want only a via right", tr.routes)
 	}
 	tr.expireRoutes(2 + routeTimeout + 1)
 	if len(tr.routes) > 0 {
-		t.Errorf("after the timeout: %+v", tr.routes)
+		t.Errorf("routes after the timeout: %+v, want none", tr.routes)
 	}
 }
 
-// A child connects again before its first connection has ended. The end of the first connection must not remove the
-// second.
+// A child connects again before its first connection has ended. Then the first connection ends, which must not remove
+// the second one.
 func TestReconnectedChildStays(t *testing.T) {
 	tr := newTree()
 	first, second := newTestConnection(t, peer{name: "a"}), newTestConnection(t, peer{name: "a"})
@@ -50,16 +50,17 @@
 	tr.addChild("a", second)
 	tr.removeChild(first)
 	if !first.closed.Load() || tr.children["a"] != second {
-		t.Errorf("first closed: %v, children %v", first.closed.Load(), tr.children)
+		t.Errorf("first connection closed: %v, children %v; want it closed, and the second connection as the child",
+			first.closed.Load(), tr.children)
 	}
 	tr.removeChild(second)
 	if len(tr.children) > 0 {
-		t.Errorf("children after the end of the second connection: %v", tr.children)
+		t.Errorf("children after the end of the second connection: %v, want none", tr.children)
 	}
 }
 
 // A broker asks to connect. Each reason for a rejection must be detected. A rejection by a full broker must name its
-// children.
+// children, and an accepted child must learn the path to the voter.
 func TestHandshakeRejections(t *testing.T) {
 	const cluster, shared = "c", "options"
 	voters := []Voter{{Name: "v0"}, {Name: "v1"}, {Name: "v2"}}
@@ -100,10 +101,10 @@
 				t.Errorf("welcome %+v, want rejection %q", w, c.want)
 			}
 			if c.want == "" && !slices.Equal(w.Path, []string{"v0", "p", "self"}) {
-				t.Errorf("path %v", w.Path)
+				t.Errorf("path %v, want [v0 p self]", w.Path)
 			}
 			if full := c.want == rejectedFull; full != slices.Equal(w.Alternatives, []string{"address of a"}) {
-				t.Errorf("alternatives %v", w.Alternatives)
+				t.Errorf("alternatives %v, want the address of a only if the broker is full", w.Alternatives)
 			}
 		})
 	}
--- a/internal/agreement/voting.go
+++ b/internal/agreement/voting.go
@@ -14,7 +14,7 @@
 // raftFile is the name of a voter's storage file in Options.DataDir.
 const raftFile = "agreement.db"
 
-// replaceInterval is the time between a leader's checks for voters that have lost their state, in microseconds. A
+// replaceInterval is the interval at which a leader checks for voters that have lost their state, in microseconds. A
 // longer interval would leave the cluster with one voter fewer for longer.
 const replaceInterval = 200_000
 
@@ -22,7 +22,7 @@
 type voting struct {
 	voter         *consensus.Voter
 	storage       consensus.Storage
-	names         map[uint64]string      // of voters, by raft identity
+	names         map[uint64]string      // names of voters by raft identity
 	outgoing      map[string]*connection // dialed by this voter, by name; raft and upstream messages are sent on them
 	incoming      map[string]*connection // dialed by other voters, by name; raft and upstream messages arrive on them
 	nextBootstrap clusterconfig.Micros
@@ -38,7 +38,7 @@
 	}
 }
 
-// openVoter starts the voter with its state on disk or, if there is none, with a new identity.
+// openVoter starts the voter with its state on disk. Without Options.DataDir or state, the voter gets a new identity.
 func (s *Service) openVoter() error {
 	id := consensus.RandomID(s.random)
 	s.voting.storage = consensus.NewMemoryStorage()
@@ -75,13 +75,13 @@
 	return v.outgoing[v.names[leader]]
 }
 
-// addOutgoing registers a connection to another voter.
+// addOutgoing registers a connection that this voter dialed.
 func (v *voting) addOutgoing(name string, c *connection) {
 	v.outgoing[name] = c
 	v.names[c.raftID] = name
 }
 
-// addIncoming registers a connection from another voter, and closes an earlier one.
+// addIncoming registers a connection that another voter dialed, and closes an earlier one of the same voter.
 func (v *voting) addIncoming(c *connection) {
 	if old := v.incoming[c.name]; old != nil {
 		old.close()
@@ -126,7 +126,8 @@
 	s.carryOut(s.voting.voter.Step(s.now(), m))
 }
 
-// carryOut sends the messages that a call of the voter returned, and notifies brokers of a new version.
+// carryOut performs the effects of a call of the voter: it sends raft messages and, on the leader, notifies brokers of
+// a new version.
 func (s *Service) carryOut(e consensus.Effects) {
 	for _, m := range e.Messages {
 		c := s.voting.outgoing[s.voting.names[m.GetTo()]]
@@ -167,7 +168,7 @@
 	return min(next, v.nextBootstrap)
 }
 
-// replaceLostVoters adds voters that have lost their state to the cluster again, under their new identities.
+// replaceLostVoters adds voters that have lost their state to the cluster again, under their new raft identities.
 func (s *Service) replaceLostVoters(now clusterconfig.Micros) {
 	for name, c := range s.voting.incoming {
 		id := s.voting.voter.State().Members[name]
