--- a/membership/decide.go
+++ b/membership/decide.go
@@ -23,8 +23,8 @@
 	return s.list(address, m)
 }
 
-// latestRemoval returns the source that removed an address last, and the time of the removal (rule 3). by is empty if
-// there is no removal.
+// latestRemoval returns the source with the latest removal of an address, and the time of that removal (rule 3). by is
+// empty if there is no removal.
 func (s *State) latestRemoval(address string) (by string, at Micros) {
 	at = -1
 	for _, src := range s.sources {
@@ -36,7 +36,7 @@
 	return by, at
 }
 
-// dropRemovals deletes the removals of an address that no source claims: there is no claim left to overrule.
+// dropRemovals deletes the removals of an address that no source claims, because there is no claim left to overrule.
 func (s *State) dropRemovals(address string) {
 	for _, src := range s.sources {
 		if c, known := src.claims[address]; known && c.removed {
@@ -50,14 +50,14 @@
 type merged struct {
 	claimed    bool  // a source lists the address, even if a removal overrules the claim
 	believed   bool  // a source lists the address, and no removal overrules the claim
-	first      claim // of the first source with such a claim
+	first      claim // believed claim of the first source that has one
 	reason     string
-	mayAdd     bool   // a source with such a claim has the permission to add
-	drainingBy string // the first source that drains the node; empty if there is none
-	lastStart  Micros
+	mayAdd     bool   // a source with a believed claim has the permission to add
+	drainingBy string // first source whose believed claim drains the node; empty if there is none
+	lastStart  Micros // first known start in the believed claims, or UnknownStart
 }
 
-// merge combines the claims on an address, except for those that the latest removal overrules.
+// merge combines the claims on an address. Claims that the latest removal overrules are not believed.
 func (s *State) merge(address string, removed bool, removedAt Micros) merged {
 	m := merged{lastStart: UnknownStart}
 	for _, src := range s.sources {
@@ -88,10 +88,11 @@
 	return m
 }
 
-// remove removes an address from the list, and reports whether the address was listed.
+// remove removes an address from the list, and returns the removed node. The result is false if the address was not
+// listed.
 func (s *State) remove(address, removedBy string) (Node, bool) {
 	n := s.nodes[address]
-	if s.heldBack[address] { // the node was removed again while it was held back
+	if s.heldBack[address] { // the node was removed again while its return was delayed
 		delete(s.heldBack, address)
 		s.removals = append(s.removals, removal{address, s.now})
 	}
@@ -111,7 +112,8 @@
 	return removed, true
 }
 
-// list adds an address to the list or updates it, and reports whether this is a change for the core.
+// list adds an address to the list or updates it, and returns the node. The result is false if the core need not be
+// notified.
 func (s *State) list(address string, m merged) (Node, bool) {
 	n := s.nodes[address]
 	if n == nil {
@@ -145,32 +147,33 @@
 	return announced, true
 }
 
-// startTime returns the start time of a node for the core, which derives from it whether the node warms up (rule 7).
+// startTime returns the start time of a node for the core, which warms up a node that has just started (rule 7). 0
+// means long ago.
 func (s *State) startTime(n *node, claimed Micros, firstAnswer bool) Micros {
 	switch {
 	case claimed != UnknownStart:
 		return claimed
 	case n.listed:
 		return n.announced.LastStart
-	case n.removedAt == 0 && firstAnswer: // the source's first answer already listed the node
+	case n.removedAt == 0 && firstAnswer: // already in the source's first answer: probably started earlier
 		return 0
 	}
 	return s.now
 }
 
 const (
-	// firstHold is the first duration for which a flapping node is held back: 2 s, doubled with each further return. If
-	// it were lower, the node would more often receive requests that it then loses. If it were higher, three restarts
-	// would keep the node out for long.
+	// firstHold is the delay of a flapping node's first delayed return: 2 s, doubled with each further one. If it were
+	// lower, the node would more often receive requests that it then loses. If it were higher, a node would be out for
+	// long after a few restarts.
 	firstHold Micros = 2e6
-	// maxHoldDoublings keeps the doubled duration within 64 bits. Options.MaxHold limits the duration long before.
+	// maxHoldDoublings keeps the doubled delay within 64 bits. Options.MaxHold limits the delay long before.
 	maxHoldDoublings = 20
 	// maxRememberedReturns is the maximum number of returns recorded for a flapping node. It must exceed
-	// Options.MaxReturns by the number of doublings that reach Options.MaxHold.
+	// Options.MaxReturns by the number of doublings after which the delay reaches Options.MaxHold.
 	maxRememberedReturns = 32
 )
 
-// mayReturn reports whether a node may be listed now. A flapping node is held back (rule 7).
+// mayReturn reports whether an unlisted node may be listed now. The return of a flapping node is delayed (rule 7).
 func (s *State) mayReturn(address string, n *node) bool {
 	if n.removedAt == 0 {
 		return true
@@ -192,8 +195,8 @@
 	return true
 }
 
-// uniqueName returns a name that no other listed node has. If another address has the name, the node's address is
-// appended.
+// uniqueName returns a name that no other listed node has. A node without a name is named by its address. If another
+// address has the name, the node's address is appended.
 func (s *State) uniqueName(name, address string) string {
 	if name == "" {
 		return address
--- a/membership/events.go
+++ b/membership/events.go
@@ -10,7 +10,7 @@
 const (
 	Ready NodeState = iota
 	Draining
-	Removed // only in an incremental answer
+	Removed // only in an incremental answer and in a Change
 )
 
 // Entry describes one node according to a source.
@@ -21,7 +21,7 @@
 	Kind          string
 	Shard         int
 	State         NodeState
-	Capacity      float64 // the node's size according to discovery; 0 means 1
+	Capacity      float64 // the node's size according to discovery; 0 or less means 1
 	TrafficWeight float64 // relative to nodes of its shard and priority, as in SRV records; 0 means 1
 	Priority      int     // nodes with a lower value are used first
 	LastStart     Micros  // on the caller's clock; 0 for long ago, UnknownStart if the source does not report it
@@ -41,7 +41,7 @@
 	Entries  []Entry
 }
 
-// SourceFailed reports that a source could not be queried, or did not answer.
+// SourceFailed reports that a query of a source failed.
 type SourceFailed struct {
 	Source Source
 	Reason string
--- a/membership/options.go
+++ b/membership/options.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Micros is a time on a monotonic clock, or a duration, in microseconds. It is an alias, so that an int64 needs no
-// conversion.
+// Micros is a time on a monotonic clock, or a duration, in microseconds. It is an alias, so that an int64 can be passed
+// without a conversion.
 type Micros = int64
 
 // Permissions specifies how a source may change the list.
@@ -20,7 +20,7 @@
 type SourceOptions struct {
 	Name        string
 	Permissions Permissions
-	RemovalTTL  Micros // how long its removals stay valid while it is silent; DefaultRemovalTTL by default
+	RemovalTTL  Micros // how long its removals stay valid while it does not answer; DefaultRemovalTTL by default
 }
 
 // Options configures a State. The zero value of a field means its default.
@@ -30,7 +30,7 @@
 	FlapWindow  Micros          // period in which a node's returns are counted; DefaultFlapWindow by default
 	MaxReturns  int             // returns within FlapWindow that are not delayed; DefaultMaxReturns by default
 	MaxHold     Micros          // maximum time for which a flapping node is held back; DefaultMaxHold by default
-	MaxNodes    int             // limits the nodes and recorded removals of one source; DefaultMaxNodes by default
+	MaxNodes    int             // limits the nodes of a full snapshot (see claimsPerMaxNodes); DefaultMaxNodes by default
 }
 
 // Default values of Options.
@@ -48,8 +48,8 @@
 	DefaultMaxReturns = 3
 	// DefaultMaxHold is one minute. If it were higher, a node that has stopped flapping would stay out for longer.
 	DefaultMaxHold Micros = 60e6
-	// DefaultMaxNodes is the maximum number of nodes of one source. If it were lower, nodes of a larger fleet would be
-	// ignored. If it were higher, a faulty source could use more memory.
+	// DefaultMaxNodes is the default maximum number of nodes in a full snapshot. If it were lower, nodes of a larger
+	// fleet would be ignored. If it were higher, a faulty source could use more memory.
 	DefaultMaxNodes = 50_000
 )
 
@@ -66,7 +66,7 @@
 
 // OptionError reports an invalid option.
 type OptionError struct {
-	Option string // empty if the invalid option is not identified
+	Option string // empty if the reason does not refer to a single option
 	Reason string
 }
 
--- a/membership/options_test.go
+++ b/membership/options_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The settings change while the broker runs. The list must have no gap: the claims of a removed source must stay until
-// the new source has answered. A state that began empty and a restored state are tested.
+// The settings change while the broker runs. The claims of a removed source must stay until the new source has
+// answered, and must then be dropped. The test is repeated with a state that began with a restored list.
 func TestSourcesChangeWithoutAGap(t *testing.T) {
 	t.Run("empty at first", func(t *testing.T) {
 		s := newState(t, Options{})
@@ -35,12 +35,12 @@
 		t.Fatal(err)
 	}
 	if _, known := s.FindSource("dns"); known || listed(s) != "a b c" {
-		t.Errorf("before the new source answers: listed %q", listed(s))
+		t.Errorf(`before the new source answers: DNS known %v, listed %q; want false and "a b c"`, known, listed(s))
 	}
 	file, _ := s.FindSource("file")
 	c := s.Reduce(4*second, snapshot(file, 4e6, "d"))
 	if got := listed(s); got != "a b d" || len(c.Nodes) != 2 || c.Nodes[0].State != Removed {
-		t.Errorf("after the new source has answered: listed %q, change %+v", got, c)
+		t.Errorf(`after the new source has answered: listed %q, change %+v; want "a b d" and c removed first`, got, c)
 	}
 }
 
@@ -57,15 +57,15 @@
 		{Name: "z", Address: "z:1", LastStart: 0},
 	})
 	if got := listed(s); got != "a z" {
-		t.Errorf("restored list %q", got)
+		t.Errorf("restored list %q, want a and z", got)
 	}
 	s.Reduce(1*second, snapshot(discovery, 1, "a", "b"))
 	if got := listed(s); got != "a b z" {
-		t.Errorf("after one of two sources has answered: listed %q", got)
+		t.Errorf("after one of two sources has answered: listed %q, want a, b and z", got)
 	}
 	s.Reduce(2*second, snapshot(dns, 2, "a", "c"))
 	if got := listed(s); got != "a b c" {
-		t.Errorf("after both sources have answered: listed %q", got)
+		t.Errorf("after both sources have answered: listed %q, want a, b and c", got)
 	}
 }
 
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -13,11 +13,12 @@
 	*rapid.T
 	state     *State
 	now       Micros
-	announced map[string]Node // by name: the list that results from the changes
+	announced map[string]Node // the list that results from the announced changes, by name
 }
 
-// Property: with any answers in any order, silence, failures and empty answers remove no node; a removal by a source
-// that may remove takes effect at once; the changes add up to the list; and the recorded state stays bounded.
+// Property: with random full snapshots of any sources in any order, silence, failures and empty snapshots remove no
+// node. A removal by a source that may remove takes effect at once, unless another source has listed the node since.
+// The changes add up to the list. Long after the last event, the state remembers only listed nodes.
 func TestSilenceRemovesNothingAndRemovalsAreObeyed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, err := New(Options{Sources: []SourceOptions{
@@ -37,8 +38,8 @@
 		state.Reduce(p.now+3600e6, nil)
 		nodes, _ := state.List()
 		if len(state.nodes) != len(nodes) || len(state.removals) != 0 {
-			t.Fatalf("the state has %d nodes, %d listed nodes and %d removals",
-				len(state.nodes), len(nodes), len(state.removals))
+			t.Fatalf("the state has %d nodes and %d removals, want the %d listed nodes and no removal",
+				len(state.nodes), len(state.removals), len(nodes))
 		}
 	})
 }
@@ -66,7 +67,7 @@
 	if !mayRemove {
 		for name := range before {
 			if _, still := p.announced[name]; !still {
-				p.Fatalf("%s was removed by an event of kind %d", name, kind)
+				p.Fatalf("%s was removed by an event of kind %d, which must not remove a node", name, kind)
 			}
 		}
 	} else if src < 2 {
@@ -90,7 +91,7 @@
 	return drawn
 }
 
-// apply adds a change to the announced list.
+// apply applies a change to the announced list.
 func (p *property) apply(c Change) {
 	for _, n := range c.Nodes {
 		if n.State != Removed {
@@ -98,13 +99,13 @@
 			continue
 		}
 		if p.announced[n.Name].Address != n.Address {
-			p.Fatalf("%s was removed but had not been announced", n.Address)
+			p.Fatalf("%s at %s was removed but had not been announced", n.Name, n.Address)
 		}
 		delete(p.announced, n.Name)
 	}
 }
 
-// checkRemovals checks that nodes that a source has removed are not listed, unless another source has claimed them
+// checkRemovals checks that the nodes that a source has removed are not listed, unless another source has listed them
 // since.
 func (p *property) checkRemovals(src Source) {
 	for address, c := range p.state.sources[src].claims {
@@ -124,23 +125,24 @@
 	return false
 }
 
-// checkList compares the list with the sum of the changes.
+// checkList checks that the list equals the sum of the changes, that names are unique, and that each node has a claim.
 func (p *property) checkList() {
 	nodes, claimedBy := p.state.List()
 	if len(nodes) != len(p.announced) {
-		p.Fatalf("%d listed, %d announced", len(nodes), len(p.announced))
+		p.Fatalf("%d nodes listed, but %d announced", len(nodes), len(p.announced))
 	}
 	names := map[string]bool{}
 	for i, n := range nodes {
 		if p.announced[n.Name].Entry != n.Entry || len(claimedBy[i]) == 0 || names[n.Name] {
-			p.Fatalf("%+v was announced as %+v, claimed by %v", n, p.announced[n.Name], claimedBy[i])
+			p.Fatalf("listed %+v, announced as %+v, claimed by %v; want equal ones, a unique name and a claim",
+				n, p.announced[n.Name], claimedBy[i])
 		}
 		names[n.Name] = true
 	}
 }
 
-// Ten thousand nodes are replaced within 10 s. Each change must be announced exactly once, and nothing may be kept of
-// the old nodes.
+// Ten thousand nodes are replaced within 10 s, 100 at a time. Each answer must announce its changes only, and nothing
+// may be kept of the old nodes.
 func TestReplaceManyNodes(t *testing.T) {
 	s := newDNSState(t)
 	s.Reduce(1*second, snapshot(0, 1, numbered(0, 10_000)...))
@@ -153,16 +155,17 @@
 	}
 	nodes, _ := s.List()
 	if announced != 20_000 || len(nodes) != 10_000 || nodes[0].Name != "n10000" {
-		t.Errorf("%d changes announced, %d nodes listed", announced, len(nodes))
+		t.Errorf("%d changes announced, want 20000; %d nodes listed, want 10000 from n10000 on", announced, len(nodes))
 	}
 	s.Reduce(now+600e6, nil)
 	if len(s.nodes) != 10_000 || len(s.removals) != 0 || len(s.sources[0].claims) != 10_000 {
-		t.Errorf("%d nodes, %d removals, %d claims", len(s.nodes), len(s.removals), len(s.sources[0].claims))
+		t.Errorf("%d nodes, %d removals, %d claims; want 10000, 0 and 10000",
+			len(s.nodes), len(s.removals), len(s.sources[0].claims))
 	}
 }
 
-// BenchmarkChange replaces one node in a list, by an incremental answer and by a full snapshot. For comparison, it also
-// merges the whole list from the start.
+// BenchmarkChange measures a change of one node in a list, by an incremental answer and by a full snapshot. For
+// comparison, it also measures the merge of the whole list into a new state.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		all := entries(numbered(0, n)...)
--- a/membership/rules_test.go
+++ b/membership/rules_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// step is an event, its time, and the expected list after the event.
+// step is an event, its time, and the names that must be listed after it.
 type step struct {
 	at    Micros // in seconds
 	event Event
@@ -14,7 +14,7 @@
 	removeA = changes(discovery, 20e6, Entry{Name: "a", State: Removed})
 )
 
-// ruleScripts are named after the rules of the package comment.
+// ruleScripts are sequences of events. Each is named after the rule of the package comment that it checks.
 var ruleScripts = map[string][]step{
 	"rule 2: any source adds": {
 		{1, snapshot(discovery, 1, "a"), "a"},
@@ -95,8 +95,8 @@
 	},
 }
 
-// The sources answer or fail at each second of a script. The list after each step must follow the rule of the package
-// comment after which the script is named.
+// The sources answer or fail as in a script. The list after each step must follow the rule of the package comment after
+// which the script is named.
 func TestRuleScripts(t *testing.T) {
 	for name, steps := range ruleScripts {
 		t.Run(name, func(t *testing.T) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// A source must not change more than its permissions allow: a source that may only add must neither remove nor drain
-// nodes that other sources claim.
+// A source must not change more than its permissions allow. A source that may only add must neither remove nor drain
+// nodes that other sources claim. A source that may only remove and drain must not add nodes.
 func TestPermissionsBoundASource(t *testing.T) {
 	const (
 		discovery Source = iota
@@ -129,16 +129,16 @@
 	s.Reduce(3*second, snapshotOf(file, 3, Entry{Name: "c", Address: "c:1", State: Draining}))
 	s.Reduce(4*second, snapshot(watch, 4, "b", "d", "e"))
 	if got := listed(s); got != "a b c" {
-		t.Errorf("after adding and draining: listed %q", got)
+		t.Errorf("after adding and draining: listed %q, want a, b and c, none draining", got)
 	}
 	s.Reduce(5*second, snapshot(watch, 5e6, "d", "e"))
 	if got := listed(s); got != "a c" {
-		t.Errorf("after a removal: listed %q", got)
+		t.Errorf("after a removal: listed %q, want a and c", got)
 	}
 }
 
 // Entries with one address are one node, with the name under which it was first listed. A name that moves to another
-// address is a new node, and the old node must be removed first.
+// address is a new node. The old node must be removed before the new one is added.
 func TestAddressIsTheIdentityOfANode(t *testing.T) {
 	s := newState(t, Options{})
 	x := Entry{Name: "x.example.org", Address: "10.0.0.1:1", LastStart: UnknownStart}
@@ -146,7 +146,7 @@
 	s.Reduce(1*second, snapshotOf(dns, 1, x, y))
 	c := s.Reduce(2*second, snapshotOf(discovery, 2, Entry{Name: "s-1", Address: "10.0.0.1:1", LastStart: 7}))
 	if got := listed(s); got != "x.example.org y.example.org" || len(c.Nodes) != 1 || c.Nodes[0].LastStart != 7 {
-		t.Errorf("listed %q, change %+v", got, c)
+		t.Errorf("listed %q, change %+v; want both nodes under their old names and a new start time", got, c)
 	}
 	moved := y
 	moved.Address = "10.0.0.3:1"
@@ -155,15 +155,15 @@
 		t.Fatalf("change %+v, want a removed and a new node", c)
 	}
 	if removed := c.Nodes[0]; removed.State != Removed || removed.Address != "10.0.0.2:1" {
-		t.Errorf("removed node %+v", removed)
+		t.Errorf("first change %+v, want the node at 10.0.0.2:1 removed", removed)
 	}
 	if added := c.Nodes[1]; added.Address != "10.0.0.3:1" || added.LastStart != 3e6 {
-		t.Errorf("new node %+v", added)
+		t.Errorf("second change %+v, want a node at 10.0.0.3:1 started at 3 s", added)
 	}
 }
 
-// A node flaps: it is removed and listed again every second. Its start time must be the time of its
-// latest return. Its returns must be delayed for longer each time, but its removals must take effect at once.
+// A node flaps: it is removed and listed again every second. Its start time must be the time of its latest return.
+// After the third return, returns must be delayed, each for longer, but removals must take effect at once.
 func TestFlappingNodeIsHeldBack(t *testing.T) {
 	s := newDNSState(t)
 	s.Reduce(1*second, snapshot(0, 1, "a", "b"))
@@ -176,7 +176,7 @@
 	for range 6 {
 		now += second
 		if c := s.Reduce(now, snapshot(0, now, "b")); len(c.Nodes) != 1 || c.Nodes[0].State != Removed {
-			t.Fatalf("at %d the node was not removed: %+v", now, c)
+			t.Fatalf("at %d the change is %+v, want the node removed", now, c)
 		}
 		now += second
 		listedAt := now
@@ -190,11 +190,12 @@
 			c = s.Reduce(now, nil)
 		}
 		if c.Nodes[0].LastStart != now {
-			t.Errorf("start time %d, returned at %d", c.Nodes[0].LastStart, now)
+			t.Errorf("start time %d, want the time of the return, %d", c.Nodes[0].LastStart, now)
 		}
 		waits = append(waits, now-listedAt)
 	}
 	if waits[0] != 0 || waits[2] != 0 || waits[3] < 2e6 || waits[4] <= waits[3] || waits[5] > 60e6 {
-		t.Errorf("delays of the returns: %v", waits)
+		t.Errorf("delays of the returns: %v; want none for three returns, then at least 2 s, then longer, at most 60 s",
+			waits)
 	}
 }
--- a/membership/source.go
+++ b/membership/source.go
@@ -5,11 +5,11 @@
 	SourceOptions
 	claims       map[string]claim  // by address
 	names        map[string]string // addresses by name
-	present      int               // number of claims that are not removed
-	removed      int               // number of removed claims
+	present      int               // number of claims apart from removals
+	removed      int               // number of claims that are removals
 	answeredAt   Micros            // time of the last answer; 0 if there was none
 	askedAt      Micros            // time of the query that led to the last answer
-	suspectSince Micros            // time of the first full snapshot that lacked the suspects; 0 if there are none
+	suspectSince Micros            // time of the first suspect snapshot (rule 5); 0 if none
 	retired      bool              // no longer queried; its claims stay until all other sources have answered
 
 	lastFailure string // empty after an answer
@@ -22,12 +22,12 @@
 	return &source{SourceOptions: options, claims: map[string]claim{}, names: map[string]string{}}
 }
 
-// claim is a source's latest information on an address.
+// claim is a source's latest information on an address: the source lists it, or has removed it.
 type claim struct {
 	Entry
-	suspect     bool   // the latest answers lack the address, and its removal is deferred
-	removed     bool   // the source dropped the address: a removal of rule 3
-	firstAnswer bool   // the claim began with the source's first answer
+	suspect     bool   // the latest full snapshot lacks the address, and its removal is deferred
+	removed     bool   // the claim is a removal of rule 3: the source no longer lists the address
+	firstAnswer bool   // the source listed the address in its first answer
 	at          Micros // start of the claim, or time of the removal
 }
 
@@ -36,11 +36,11 @@
 	// two nodes in a small fleet would take effect late. If it were higher, one faulty answer could remove all nodes
 	// of a small fleet at once.
 	minSuspectLoss = 3
-	// suspectLossDivisor makes a loss of more than half of the claims suspect. If it were higher, the removals of an
-	// ordinary roll-out would be deferred.
+	// suspectLossDivisor makes a loss of more than half of the claims suspect. If a smaller loss were suspect, the
+	// removals of an ordinary roll-out would be deferred.
 	suspectLossDivisor = 2
-	// claimsPerMaxNodes limits a source's claims, including removed ones, to a multiple of Options.MaxNodes. If it were
-	// 1, entries would be ignored while a fleet of that size is replaced.
+	// claimsPerMaxNodes limits a source's claims, including removals, to a multiple of Options.MaxNodes. If it were 1,
+	// entries would be ignored while a fleet of that size is replaced.
 	claimsPerMaxNodes = 2
 )
 
@@ -77,7 +77,8 @@
 	}
 }
 
-// applySnapshot applies a full snapshot. Claims that the snapshot lacks are removed, at once or later.
+// applySnapshot applies a full snapshot. It rejects an empty one if the source has claims. Claims that the snapshot
+// lacks are removed, unless deferLoss defers that.
 func (s *State) applySnapshot(src *source, entries []Entry) {
 	present := src.present
 	if len(entries) == 0 && present > 0 {
@@ -166,8 +167,8 @@
 	s.dirty[entry.Address] = true
 }
 
-// unclaim records that a source no longer lists an address. If the source may remove, the removal is kept as long as
-// other sources claim the address.
+// unclaim records that a source no longer lists an address. If the source may remove, its claim becomes a removal,
+// which overrules earlier claims of other sources.
 func (s *State) unclaim(src *source, address string) {
 	c, known := src.claims[address]
 	if !known || c.removed {
--- a/membership/state.go
+++ b/membership/state.go
@@ -14,7 +14,7 @@
 	names    map[string]string // addresses of listed nodes, by name
 	heldBack map[string]bool   // addresses of flapping nodes whose return is delayed
 	dirty    map[string]bool   // addresses to decide again
-	removals []removal         // the oldest first
+	removals []removal         // oldest first
 }
 
 // removal records when an address was removed, so that forgetRemovals can delete the node later.
@@ -27,9 +27,9 @@
 type node struct {
 	listed    bool
 	announced Node
-	removedAt Micros // time of the last removal; 0 if there was none
-	returns   []Micros
-	heldUntil Micros
+	removedAt Micros   // time of the last removal; 0 if there was none
+	returns   []Micros // times of recent returns
+	heldUntil Micros   // time before which the node may not return; 0 if its return was never delayed
 }
 
 // New returns a state without nodes.
@@ -52,7 +52,7 @@
 	return s, nil
 }
 
-// Reduce applies an event, or only the passage of time if event is nil, and returns the changes for the core.
+// Reduce applies an event and the passage of time, and returns the changes for the core. event may be nil.
 func (s *State) Reduce(now Micros, event Event) Change {
 	s.now = now
 	switch e := event.(type) {
@@ -67,15 +67,15 @@
 	return s.decideDirty()
 }
 
-// FindSource returns the source with a name. It does not find retired sources.
+// FindSource returns the source with a name. The result is false if there is none, or if it is retired.
 func (s *State) FindSource(name string) (Source, bool) {
 	i := slices.IndexFunc(s.sources, func(src *source) bool { return src.Name == name && !src.retired })
 	return Source(i), i >= 0
 }
 
 // ApplyOptions switches to other options. A source that keeps its name keeps its claims. A source that is no longer in
-// the options is retired: its claims stay, with only the permission to add, until all other sources have answered, so
-// that the list has no gap. Invalid options change nothing.
+// the options is retired: its claims stay, with only the permission to add, until all other sources have answered at
+// least once. The list therefore does not lack nodes meanwhile. Invalid options change nothing.
 func (s *State) ApplyOptions(now Micros, options Options) (Change, error) {
 	if err := options.Validate(); err != nil {
 		return Change{}, err
@@ -109,7 +109,8 @@
 	return s.Reduce(now, nil), nil
 }
 
-// Restore adds the nodes that were listed before a restart. They stay listed until all sources have answered.
+// Restore adds the nodes that were listed before a restart, as claims of a retired source with the given name. They
+// stay listed until all other sources have answered at least once.
 func (s *State) Restore(now Micros, name string, entries []Entry) Change {
 	src := newSource(SourceOptions{Name: name, Permissions: Permissions{Add: true}, RemovalTTL: 1})
 	src.retired = true
@@ -123,8 +124,8 @@
 	return s.Reduce(now, nil)
 }
 
-// Next returns the time at which Reduce must be called again, if there is no event before. ok is false if no call is
-// required.
+// Next returns the time by which Reduce must be called again, even without an event. ok is false if only an event
+// requires a call.
 func (s *State) Next() (at Micros, ok bool) {
 	sooner := func(t Micros) {
 		if !ok || t < at {
@@ -143,7 +144,7 @@
 	return at, ok
 }
 
-// markDirty marks all addresses that a source claims, so that they are decided again.
+// markDirty marks all addresses on which a source has claims, so that they are decided again.
 func (s *State) markDirty(src *source) {
 	for address := range src.claims {
 		s.dirty[address] = true
@@ -165,7 +166,7 @@
 	s.forgetRemovals()
 }
 
-// dropRetiredSources deletes retired sources when all other sources have answered.
+// dropRetiredSources deletes retired sources when all other sources have answered at least once.
 func (s *State) dropRetiredSources() {
 	if slices.ContainsFunc(s.sources, func(src *source) bool { return !src.retired && src.answers == 0 }) {
 		return
@@ -184,7 +185,7 @@
 	if src.removed == 0 || s.now-src.answeredAt < src.RemovalTTL {
 		return
 	}
-	for address, c := range src.claims { // runs once per silence, because no removal is left afterwards
+	for address, c := range src.claims { // runs once for a silence, because it leaves no removal
 		if c.removed {
 			delete(src.claims, address)
 			s.dirty[address] = true
--- a/membership/status.go
+++ b/membership/status.go
@@ -9,7 +9,7 @@
 // SourceStatus describes a source for operators.
 type SourceStatus struct {
 	Name     string
-	Claims   int           // number of nodes that the source lists
+	Claims   int           // number of nodes that the source claims
 	Suspects int           // number of these nodes whose removal is deferred
 	Age      time.Duration // since the last answer; negative if there was none
 	Reason   string        // of the last failure; empty after an answer
@@ -44,7 +44,8 @@
 	return all
 }
 
-// List returns all listed nodes in the order of their addresses, each with the names of the sources that claim it.
+// List returns all listed nodes in the order of their addresses, and for each node the names of the sources that claim
+// it.
 func (s *State) List() (nodes []Node, claimedBy [][]string) {
 	for _, address := range slices.Sorted(maps.Keys(s.nodes)) {
 		n := s.nodes[address]
