--- a/internal/members/console.go
+++ b/internal/members/console.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// writeLine writes a line to the table. It cannot fail, because the table is in memory.
+// writeLine writes a line to the table. It ignores the error, because a write to a table in memory cannot fail.
 func writeLine(table *tabwriter.Writer, line string) {
 	_, _ = fmt.Fprintln(table, line)
 }
--- a/internal/members/console_test.go
+++ b/internal/members/console_test.go
@@ -9,12 +9,12 @@
 	"junctionwharf/scheduler"
 )
 
-// Operators' scripts and dashboards use the texts of the console's answer and the names of metrics. They must not
-// change.
+// Operators' scripts and dashboards use the texts of the console's answer and the names of metrics. These must stay as
+// they are.
 func TestConsoleAndMetricNamesStay(t *testing.T) {
 	c := newCore(t)
 	if text := string(c.members.Table()); text != "discovery alone is followed\n" {
-		t.Errorf("without settings: %q", text)
+		t.Errorf("table without settings: %q, want that discovery alone is followed", text)
 	}
 	c.apply(config.Membership{Sources: []config.EndpointSource{{Name: "list", Kind: config.SourceDiscovery}}})
 	c.members.HandleDiscovery(broker.NodesListed{Kind: scheduler.FullUpdate, Nodes: []broker.Node{
@@ -27,7 +27,7 @@
 		3: "source holds suspect last answer answers failures not believed last fault",
 	} {
 		if got := strings.Join(strings.Fields(lines[i]), " "); got != want {
-			t.Errorf("line %d: %q, want %q", i, got, want)
+			t.Errorf("line %d of the table: %q, want %q", i, got, want)
 		}
 	}
 	var names []string
--- a/internal/members/harness_test.go
+++ b/internal/members/harness_test.go
@@ -24,11 +24,11 @@
 // maxWait is the time limit of a test, from the creation of its core.
 const maxWait = 20 * time.Second
 
-// core stands in for the broker's core: it records the list that Members posts.
+// core stands in for the broker's core: it keeps the list that results from what Members posts.
 type core struct {
 	*testing.T
 	members  *Members
-	changed  chan struct{} // a list was posted
+	changed  chan struct{} // receives a value after a list or a change was posted
 	deadline <-chan time.Time
 
 	mu    sync.Mutex
@@ -114,7 +114,7 @@
 	return 0
 }
 
-// poll waits for a millisecond. After the deadline it fails the test with a complaint.
+// poll waits for a millisecond. If the test's time limit has passed, it fails the test with a complaint.
 func (c *core) poll(complaint string) {
 	c.Helper()
 	select {
@@ -124,7 +124,8 @@
 	}
 }
 
-// records returns SRV records for the named nodes, each with its own weight, address and shard.
+// records returns SRV records for the named nodes, each with a weight and a shard by its index, and an address by the
+// first letter of its name: a is at 10.0.0.97.
 func records(names ...string) []fakes.SRVRecord {
 	var all []fakes.SRVRecord
 	for i, n := range names {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -14,10 +14,10 @@
 	"junctionwharf/scheduler"
 )
 
-// The names of the sources that contain the list from before a restart, as the console shows them.
+// The names under which the console shows lists from before a restart as sources.
 const (
 	sourceSnapshot = "snapshot" // from the snapshot file
-	sourceKnown    = "known"    // from the state of discovery
+	sourceKnown    = "known"    // from Restore
 )
 
 // Members merges the sources and posts the changes to the core.
@@ -30,7 +30,7 @@
 	settings config.Membership
 	state    *membership.State
 	running  map[string]runningSource // by name
-	timer    *time.Timer              // calls reduce at the time that the state requires
+	timer    *time.Timer              // runs reduce at the time that the state requires
 	version  uint64                   // of the last posted list
 	closed   bool
 	snapshot *snapshotWriter // nil if no snapshot is configured
@@ -47,8 +47,9 @@
 	return &Members{clock: clock, post: post, log: log, running: map[string]runningSource{}}
 }
 
-// ApplySettings switches to new settings, which the caller has checked. Sources whose queries stay the same continue.
-// Other sources are stopped or started. The nodes of stopped sources stay listed until the new sources have answered.
+// ApplySettings switches to new settings, which the caller has checked. Sources that are queried as before continue.
+// All other sources are stopped or started. The nodes of stopped sources stay listed until all present sources have
+// answered.
 func (m *Members) ApplySettings(settings config.Membership) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,7 +73,8 @@
 	return nil
 }
 
-// applyOptions passes the options to the state. The first call creates the state and loads the snapshot.
+// applyOptions passes the options to the state. The first call creates the state and loads the snapshot, if one is
+// configured.
 func (m *Members) applyOptions(settings config.Membership) error {
 	now := int64(m.clock.Now())
 	if m.state != nil {
@@ -105,8 +107,8 @@
 	}
 }
 
-// sameQuery reports whether two sources are queried in the same way. Their permissions and the times for merging may
-// differ.
+// sameQuery reports whether two sources are queried in the same way. Their permissions and their RemovalTTL, which
+// matter only for merging, may differ.
 func sameQuery(a, b config.EndpointSource) bool {
 	query := func(s config.EndpointSource) string {
 		shard := -1
@@ -121,15 +123,16 @@
 	return query(a) == query(b)
 }
 
-// Restore adds the list from before the start. Its nodes stay listed until all sources have answered.
+// Restore adds the list from before the start. Its nodes stay listed until all sources have answered. Restore may be
+// called only after ApplySettings.
 func (m *Members) Restore(l broker.NodesListed) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.announce(m.state.Restore(int64(m.clock.Now()), sourceKnown, entriesOf(l)))
 }
 
-// HandleDiscovery receives the events of discovery's watch in place of the core. It ignores them if discovery is not a
-// source.
+// HandleDiscovery receives the events of discovery's watch in place of the core. It ignores all events but NodesListed,
+// and ignores those as well if discovery is not a source.
 func (m *Members) HandleDiscovery(e broker.Event) {
 	l, is := e.(broker.NodesListed)
 	if !is {
@@ -159,8 +162,8 @@
 	return name
 }
 
-// The state of a node is converted by number between the core and package membership. If the numbers were different,
-// these indices would be out of range, and the package would not compile.
+// The numbers of the states of a node are the same in packages membership and scheduler, because states are converted
+// by number. If they were different, these indices would be out of range, and the package would not compile.
 var (
 	_ = [1]struct{}{}[int(membership.Ready)-int(scheduler.Ready)]
 	_ = [1]struct{}{}[int(membership.Draining)-int(scheduler.Draining)]
@@ -184,7 +187,7 @@
 	return all
 }
 
-// handleAnswer handles an answer of a source, unless the source was stopped meanwhile.
+// handleAnswer passes an answer of a source to the state, unless the source was stopped meanwhile.
 func (m *Members) handleAnswer(ctx context.Context, name string, a membership.SourceAnswered) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -194,7 +197,7 @@
 	}
 }
 
-// handleFailure handles a failed query of a source, unless the source was stopped meanwhile.
+// handleFailure logs a failed query of a source and reports it to the state, unless the source was stopped meanwhile.
 func (m *Members) handleFailure(ctx context.Context, name string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,7 +264,7 @@
 	})
 }
 
-// Close stops all sources, and writes the snapshot if a write is pending.
+// Close stops all sources, and writes the snapshot if a write is pending. It does not wait for a write in progress.
 func (m *Members) Close() {
 	m.mu.Lock()
 	m.closed = true
--- a/internal/members/snapshot.go
+++ b/internal/members/snapshot.go
@@ -21,18 +21,18 @@
 // A snapshot is a line "junctionwharf nodes 1 CHECKSUM BYTES", followed by BYTES of JSON. The checksum is the XXH64 of
 // the JSON.
 const (
-	// snapshotHeader identifies the format and its version.
+	// snapshotHeader identifies the format and its version, 1.
 	snapshotHeader = "junctionwharf nodes 1"
 	// maxSnapshotBytes is 64 MiB, several times the size of the largest list. If it were higher, a file of another kind
 	// could fill the memory.
 	maxSnapshotBytes = 64 << 20
-	// snapshotInterval is the delay between a change and the write of the file: 2 s. If it were lower, a list that
-	// changes constantly would keep the disk busy. If it were higher, a broker that crashes would restart from an older
-	// list.
+	// snapshotInterval is the time between the first change since the last write and the next write of the file: 2 s.
+	// If it were lower, a list that changes constantly would keep the disk busy. If it were higher, a broker that
+	// crashes would restart from an older list.
 	snapshotInterval = 2 * time.Second
 )
 
-// SnapshotError reports a snapshot that is too large, truncated, damaged or of another format.
+// SnapshotError reports a snapshot that is too large, truncated, damaged, or of another format or version.
 type SnapshotError struct {
 	Path   string
 	Reason string
@@ -40,7 +40,7 @@
 
 func (e *SnapshotError) Error() string { return e.Path + ": " + e.Reason }
 
-// savedNode is a node in the snapshot. The tags are the names in files of earlier releases.
+// savedNode is a node in the snapshot. The struct tags are the names in the file, which earlier releases use, too.
 type savedNode struct {
 	Name          string  `json:"Name"`
 	Address       string  `json:"Address"`
@@ -51,7 +51,7 @@
 	Capacity      float64 `json:"Share"`
 	TrafficWeight float64 `json:"Part"`
 	Priority      int     `json:"Priority"`
-	LastStart     int64   `json:"Born"`   // on the clock of the process that wrote the file; readers use StartedAtMS
+	LastStart     int64   `json:"Born"`   // on the clock of the process that wrote the file; not read: see StartedAtMS
 	StartedAtMS   int64   `json:"BornMS"` // Unix time in milliseconds; 0 for long ago
 }
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// snapshotWriter writes the snapshot with a delay after each change. The goroutine of its timer ends with the write.
-// close does not wait for a write in progress.
+// snapshotWriter writes the snapshot some time after a change. Each write runs on the goroutine of a timer, which ends
+// with the write. close does not wait for such a write in progress.
 type snapshotWriter struct {
 	path   string
 	encode func() ([]byte, error)
@@ -107,7 +107,7 @@
 	}
 }
 
-// close performs the pending write, if any, and prevents further writes.
+// close performs the pending write, if any, and prevents that further writes are scheduled.
 func (w *snapshotWriter) close() {
 	w.mu.Lock()
 	pending := w.timer != nil && w.timer.Stop()
@@ -131,8 +131,8 @@
 	}
 }
 
-// writeSnapshot replaces the file atomically. Otherwise a crash or a full disk during the write could leave half a list
-// for the next start.
+// writeSnapshot replaces the file atomically. Otherwise a crash or a full disk during the write could leave a part of
+// the list for the next start.
 func writeSnapshot(path string, body []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
@@ -152,7 +152,7 @@
 	return os.Rename(f.Name(), path)
 }
 
-// readSnapshot returns the JSON of an intact snapshot. It returns a *SnapshotError for any other content.
+// readSnapshot returns the JSON of an intact snapshot. It returns a *SnapshotError for a file with any other content.
 func readSnapshot(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -179,7 +179,8 @@
 }
 
 // loadSnapshot restores the list from before a restart, and prepares to write the file after changes. The restored
-// nodes stay listed until all sources have answered. An unusable file is logged, and replaced after the next change.
+// nodes stay listed until all sources have answered. If the file is unusable, the reason is logged, and the file is
+// replaced after the next change.
 func (m *Members) loadSnapshot(now int64, path string) {
 	m.snapshot = &snapshotWriter{path: path, encode: m.encodeSnapshot, log: m.log}
 	body, err := readSnapshot(path)
--- a/internal/members/snapshot_test.go
+++ b/internal/members/snapshot_test.go
@@ -12,8 +12,8 @@
 	"junctionwharf/internal/fakes"
 )
 
-// goldenSnapshot contains one node with all fields set and one without any. It was written before the fields had tags,
-// as the files of earlier releases were. These files must stay readable.
+// goldenSnapshot contains one node with all fields set and one with none set. It was written before the fields had
+// tags, like the files of earlier releases, which must stay readable.
 const goldenSnapshot = "testdata/nodes.snapshot"
 
 func readFile(t *testing.T, path string) string {
@@ -25,8 +25,9 @@
 	return string(text)
 }
 
-// A broker is upgraded and starts from the snapshot of its predecessor. If a field were read or written under another
-// name, its value would be lost: nodes would appear to be ready, without a weight or in shard 0.
+// A broker is upgraded and starts from the snapshot of its predecessor. The recorded file must be read and written back
+// byte for byte. If a field had another name, its value would be lost: nodes would appear to be ready, without a weight
+// or in shard 0.
 func TestGoldenSnapshotIsReadAndWrittenBack(t *testing.T) {
 	body, err := readSnapshot(goldenSnapshot)
 	if err != nil {
@@ -37,7 +38,7 @@
 		t.Fatal(err)
 	}
 	if len(nodes) != 2 || nodes[0] == (savedNode{}) || nodes[1] != (savedNode{}) {
-		t.Fatalf("read nodes %+v", nodes)
+		t.Fatalf("read nodes %+v, want one with all fields and one without any", nodes)
 	}
 	again, err := json.Marshal(nodes)
 	if err != nil {
@@ -48,12 +49,12 @@
 		t.Fatal(err)
 	}
 	if got, want := readFile(t, path), readFile(t, goldenSnapshot); got != want {
-		t.Errorf("the snapshot was written as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot written as\n%s\nwant\n%s", got, want)
 	}
 }
 
 // A broker restarts while its name server does not answer. It must start from its earlier list, and replace this list
-// when the source answers.
+// when the name server answers.
 func TestSnapshotOutlivesRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
 	d := newDNS(t)
@@ -72,11 +73,12 @@
 	c.awaitList("b c")
 	c.members.Close()
 	if _, err := readSnapshot(path); err != nil {
-		t.Error(err)
+		t.Errorf("the snapshot that Close has written cannot be read: %v", err)
 	}
 }
 
-// A snapshot was truncated, or damaged on the disk. It must be rejected: half a list would overload the nodes on it.
+// A snapshot was truncated, or damaged on the disk. It must be rejected, because the nodes of an incomplete list would
+// be overloaded.
 func TestDamagedSnapshotIsRejected(t *testing.T) {
 	text := readFile(t, goldenSnapshot)
 	path := filepath.Join(t.TempDir(), "nodes")
@@ -91,20 +93,20 @@
 			writeFile(t, path, damaged)
 			var damage *SnapshotError
 			if _, err := readSnapshot(path); !errors.As(err, &damage) || damage.Path != path {
-				t.Errorf("error %v, want a SnapshotError", err)
+				t.Errorf("error %v, want a SnapshotError for %s", err, path)
 			}
 		})
 	}
 }
 
 // A broker starts for the first time, without a snapshot, or the directory of the snapshot is missing. Both must be
-// errors, and the error for a missing file must be distinguishable from others.
+// errors. That of a missing file must be os.ErrNotExist, so that it is not logged.
 func TestSnapshotErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes")
 	if _, err := readSnapshot(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("reading a missing file: %v", err)
+		t.Errorf("reading a missing file: error %v, want %v", err, os.ErrNotExist)
 	}
 	if err := writeSnapshot(filepath.Join(path, "below", "a", "file"), nil); err == nil {
-		t.Error("no error for a path that cannot be written")
+		t.Error("writing into a missing directory returned no error")
 	}
 }
--- a/internal/members/sources.go
+++ b/internal/members/sources.go
@@ -14,13 +14,14 @@
 	// filePollInterval is the time between checks of a file: 1 s. If it were lower, the disk would be read more often.
 	// If it were higher, a change would take effect later.
 	filePollInterval = time.Second
-	// minTrafficWeight is the weight of records with SRV weight 0, which must receive a little of the traffic
-	// (RFC 2782). A weight of 0 would mean that the weight is unknown, and such a node would receive as much as a node
-	// of weight 1.
+	// minTrafficWeight is the traffic weight of records with SRV weight 0, which must receive a little of the traffic
+	// (RFC 2782). A traffic weight of 0 would mean that the weight is unknown, and such a node would receive as much as
+	// a node of weight 1.
 	minTrafficWeight = 0.1
 )
 
-// startSource starts to query a source. The queries end with ctx.
+// startSource starts to query a DNS or file source. The queries end with ctx. It does nothing for discovery, which
+// calls HandleDiscovery.
 func (m *Members) startSource(ctx context.Context, s config.EndpointSource) error {
 	switch s.Kind {
 	case config.SourceDNS:
@@ -65,7 +66,7 @@
 	m.handleAnswer(ctx, name, a)
 }
 
-// pollFile reads a file at once and after each change, until ctx ends.
+// pollFile reads a file at once, and again when a check finds it changed, until ctx ends.
 func (m *Members) pollFile(ctx context.Context, s config.EndpointSource) {
 	var seen fileVersion
 	tick := time.NewTicker(filePollInterval)
@@ -80,13 +81,14 @@
 	}
 }
 
-// fileVersion identifies the content of a file.
+// fileVersion is compared to find out whether the content of a file may have changed.
 type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// readIfChanged reads a file if its version differs from seen, and returns the version that was read last.
+// readIfChanged reads a file if its version differs from seen, and passes its entries or an error to the state. It
+// returns the version that was last read without an error.
 func (m *Members) readIfChanged(ctx context.Context, s config.EndpointSource, seen fileVersion) fileVersion {
 	info, err := os.Stat(s.Path)
 	if err != nil {
--- a/internal/members/sources_test.go
+++ b/internal/members/sources_test.go
@@ -31,7 +31,8 @@
 }
 
 // A name server returns errors and empty, malformed and truncated answers, one after the other. Discovery is a second
-// source. The faults must not remove nodes. After the faults, the list must follow the name server again.
+// source, which has not answered. The faults must not remove nodes. After the faults, the list must follow the name
+// server again.
 func TestDNSFaultsKeepTheList(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b", "c")...)
@@ -47,7 +48,7 @@
 	c.awaitList("a b")
 }
 
-// A name server recovers from a fault. After each kind of fault, the list must follow the next answer: with the old
+// A name server recovers from a fault. After each kind of fault, the list must follow its next answer. With the old
 // list, the broker would send requests to removed nodes.
 func TestDNSRecoversFromEachFault(t *testing.T) {
 	for name, fault := range dnsFaults {
@@ -71,14 +72,14 @@
 	return config.EndpointSource{Name: "discovery", Kind: config.SourceDiscovery}
 }
 
-// expectKept waits until a DNS fault has taken effect, and checks that the list has not changed.
+// expectKept waits until a DNS fault has taken effect, and checks that the list has not changed since.
 func (c *core) expectKept(want string) {
 	c.Helper()
 	failures := c.metric("source.dns.failures")
 	rejected := c.metric("source.dns.refused")
-	c.awaitFault(failures+1, rejected+1) // the first one may result from a query sent before the fault
+	c.awaitFault(failures+1, rejected+1) // two, as the first may result from a query sent before the fault
 	if got := c.list(); got != want {
-		c.Fatalf("the list is %q, want %q", got, want)
+		c.Fatalf("after a DNS fault the list is %q, want %q", got, want)
 	}
 }
 
@@ -86,11 +87,11 @@
 func (c *core) awaitFault(failures, rejected uint64) {
 	c.Helper()
 	for c.metric("source.dns.failures") <= failures && c.metric("source.dns.refused") <= rejected {
-		c.poll("no DNS fault occurred")
+		c.poll("no failed DNS query or rejected DNS answer was counted")
 	}
 }
 
-// The list must follow a name server at each step while discovery is a second source.
+// The list must follow each answer of a name server while discovery is a second source.
 func TestDNSAndDiscovery(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b", "c")...)
@@ -99,21 +100,21 @@
 	c.awaitList("a b c")
 	n := c.node("b" + domain)
 	if n.Priority != 1 || n.TrafficWeight != 10 || n.Shard != 1 || n.Address != "10.0.0.98:6379" || n.LastStart != 0 {
-		t.Errorf("node b: %+v", n)
+		t.Errorf("node b: %+v, want priority 1, weight 10, shard 1, address 10.0.0.98:6379 and start 0", n)
 	}
 	d.Set(service, 1, records("a", "b")...)
 	c.awaitList("a b")
 	c.members.HandleDiscovery(discoveryList(map[string]string{"s-1": "10.0.0.97:6379", "s-9": "10.0.0.9:1"}))
-	c.awaitList("a b s-9") // one address is one node
+	c.awaitList("a b s-9") // s-1 has the address of a, so both are one node, which keeps its name
 	d.Set(service, 1, records("b")...)
-	c.awaitList("b s-9")
+	c.awaitList("b s-9") // DNS removes the node, although discovery still lists it as s-1
 	moved := records("b", "d")
 	moved[0].Addresses = []string{"10.0.0.200"}
 	d.Set(service, 1, moved...)
 	c.awaitList("b.example.org@10.0.0.200:6379 d s-9") // a name that moves to another address is a new node
 	text := string(c.members.Table())
 	if !strings.Contains(text, "10.0.0.200:6379") || !strings.Contains(text, "discovery") {
-		t.Error(text)
+		t.Errorf("the table lacks the new address of b or the source discovery:\n%s", text)
 	}
 }
 
@@ -133,8 +134,8 @@
 `
 )
 
-// Sources change while the broker runs. The list must have no gap and must follow the file. An invalid file must not
-// remove nodes.
+// The sources are replaced while the broker runs. The list must then follow the new source, a file, and its changes. An
+// invalid file must not remove nodes.
 func TestSourcesChangeInService(t *testing.T) {
 	d := newDNS(t)
 	d.Set(service, 1, records("a", "b")...)
@@ -153,7 +154,7 @@
 		c.poll("the invalid file was not read")
 	}
 	if got := c.list(); got != "f g" {
-		t.Errorf("list after an invalid file: %q", got)
+		t.Errorf("the list after an invalid file is %q, want %q", got, "f g")
 	}
 	if err := c.members.ApplySettings(config.Membership{}); err == nil {
 		t.Error("settings without a source were accepted")
--- a/membership/options.go
+++ b/membership/options.go
@@ -30,7 +30,7 @@
 	FlapWindow  Micros          // period in which a node's returns are counted; DefaultFlapWindow by default
 	MaxReturns  int             // returns within FlapWindow that are not delayed; DefaultMaxReturns by default
 	MaxHold     Micros          // maximum time for which a flapping node is held back; DefaultMaxHold by default
-	MaxNodes    int             // limits the nodes of a full snapshot (see claimsPerMaxNodes); DefaultMaxNodes by default
+	MaxNodes    int             // maximum number of nodes in a full snapshot; DefaultMaxNodes by default
 }
 
 // Default values of Options.
