--- a/clusterconfig/history.go
+++ b/clusterconfig/history.go
@@ -27,9 +27,9 @@
 }
 
 // DocumentAt returns the document at a version, ErrNotYetActive for a version after the active one, or a
-// TruncatedError. It starts with the present values and restores each key that changed after the version. The earlier
-// value of such a key comes from the latest entry up to the version that changed the key. DocumentAt returns a
-// TruncatedError if the history was truncated and lacks this entry, or lacks an entry after the version.
+// TruncatedError. It starts with the present values, and restores each key that was changed after the version: it
+// searches the earlier entries for the last one that changed this key. DocumentAt returns a TruncatedError if the
+// history was truncated and has no such entry, or does not have all entries after the version.
 func (s *State) DocumentAt(version uint64) (*Document, error) {
 	if version > s.Document.Version {
 		return nil, fmt.Errorf("%w: got %d, active version is %d", ErrNotYetActive, version, s.Document.Version)
--- a/clusterconfig/lease.go
+++ b/clusterconfig/lease.go
@@ -10,8 +10,8 @@
 
 // DefaultTiming restricts a partitioned broker after one second. This is also about how long such a broker can delay a
 // change. A shorter lease costs more renewals and restricts brokers during short network faults. A longer lease makes
-// operators wait longer for a change while a broker is unreachable. The drift of crystal clocks stays well below 500
-// ppm.
+// operators wait longer for a change while a broker is unreachable. The drift of crystal clocks stays well below
+// 500 ppm.
 var DefaultTiming = Timing{Lease: 1_000_000, DriftPPM: 500}
 
 // ExpiryBound returns how long a clock must run until a lease of the given length has ended on every other clock. It
@@ -25,7 +25,7 @@
 type Renewal struct {
 	Holder      string `msgpack:"Holder"`
 	Seq         uint64 `msgpack:"Number"`  // sequence number of the renewal, counted by the holder
-	Incarnation uint64 `msgpack:"Life"`    // random at each start; tells a restarted holder from its predecessor
+	Incarnation uint64 `msgpack:"Life"`    // random at each start, to distinguish a restarted holder from its predecessor
 	Epoch       uint64 `msgpack:"Epoch"`   // of the holder's document
 	Version     uint64 `msgpack:"Version"` // active version known to the holder
 	Prepared    uint64 `msgpack:"Ready"`   // pending version that the holder has prepared, 0 for none
--- a/clusterconfig/leaseholder.go
+++ b/clusterconfig/leaseholder.go
@@ -176,8 +176,8 @@
 	return keys, all
 }
 
-// RestrictedSince returns the time at which the last lease ended, as found by the first view after it. It returns 1
-// before the first lease, and 0 while no view has found the holder without a lease.
+// RestrictedSince returns 0 during a lease, the time at which the latest lease ended, or 1 if there was no lease yet.
+// The end of a lease is recorded when the next view is taken.
 func (h *LeaseHolder) RestrictedSince() Micros { return h.restrictedSince }
 
 // LeaseRemaining returns how long the lease still lasts, 0 without a lease.
--- a/internal/agreement/configuration.go
+++ b/internal/agreement/configuration.go
@@ -17,7 +17,7 @@
 	log         *slog.Logger
 
 	mu        sync.Mutex
-	holder    *clusterconfig.LeaseHolder // only the service goroutine gives it another document
+	holder    *clusterconfig.LeaseHolder // only the service goroutine changes its document
 	settings  scheduler.Settings         // of this broker
 	endpoints *endpointOverlay
 	applied   viewIdentity         // the view that the core applied last
@@ -138,7 +138,7 @@
 }
 
 // active returns the latest active document that this broker has received, and whether the broker is restricted. The
-// document is not a copy, and the service goroutine changes it without notice. Only that goroutine may call active.
+// document is not a copy, and only the service goroutine changes it. Therefore only that goroutine may call active.
 func (c *configuration) active(now clusterconfig.Micros) (document *clusterconfig.Document, restricted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/agreement/dialer.go
+++ b/internal/agreement/dialer.go
@@ -244,7 +244,7 @@
 }
 
 // failed handles a failed attempt. If the dialed broker rejected this one and named its children, failed selects one of
-// them as the next address, at most maxDescents times. If it named no children, failed pauses.
+// them as the next address, unless maxDescents attempts have failed. If it named no children, failed pauses.
 func (p *parentSearch) failed(ctx context.Context, err error) {
 	var alternatives []string
 	if rejected, ok := errors.AsType[*rejectedError](err); ok {
--- a/internal/agreement/tree.go
+++ b/internal/agreement/tree.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxRoutes is the maximum number of routes to brokers below. A batch with this many renewals accepts no further
-	// message. It must exceed the planned size of a fleet.
+	// message. maxRoutes must exceed the planned size of a fleet.
 	maxRoutes = 4096
 	// routeTimeout is the time without a renewal or a call after which the route to a broker is removed. A shorter
 	// timeout could lose the reply to an operator's call. A longer timeout would keep routes of brokers that have moved
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -2,11 +2,11 @@
 //
 // Rule. A voter consists of raft's core (go.etcd.io/raft, a state machine that its caller steps), the replicated state
 // built from its log, and, while the voter is the leader, the lessor that grants leases and coordinates changes.
-// Committed commands survive any crash, partition or stop as long as a majority of the voters keeps its stored state. A
-// raft identity whose state is lost is never used again: the voter draws a new identity and is added as another member.
-// A voter whose storage fails stops and reports the error. If a majority of the voters is lost, no change is committed
-// and leases end. Brokers then keep serving, restricted. docs/agreement.md has the safety argument and discusses the
-// other libraries that were considered.
+// Committed commands survive any crash, partition or stop as long as a majority of the voters keep their stored state.
+// A raft identity whose state is lost is never used again: the voter draws a new identity and is added as another
+// member. A voter whose storage fails stops and reports the error. If a majority of the voters is lost, no change is
+// committed and leases end. Brokers then keep serving, restricted. docs/agreement.md has the safety argument and
+// discusses the other libraries that were considered.
 //
 // State. Voter holds raft's state, clusterconfig.State and clusterconfig.Lessor. Storage holds the log and the
 // snapshot, in memory (MemoryStorage) or in a bbolt file (DiskStorage).
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -47,7 +47,7 @@
 	return &Members{clock: clock, post: post, log: log, running: map[string]runningSource{}}
 }
 
-// ApplySettings switches to new settings, which the caller has checked. Sources that are queried as before continue.
+// ApplySettings switches to new settings, which the caller has checked. Sources whose queries stay the same continue.
 // All other sources are stopped or started. The nodes of stopped sources stay listed until all present sources have
 // answered.
 func (m *Members) ApplySettings(settings config.Membership) error {
--- a/membership/decide.go
+++ b/membership/decide.go
@@ -88,7 +88,7 @@
 	return m
 }
 
-// remove removes an address from the list, and returns the removed node. The result is false if the address was not
+// remove removes an address from the list, and returns the removed node. It returns false if the address was not
 // listed.
 func (s *State) remove(address, removedBy string) (Node, bool) {
 	n := s.nodes[address]
@@ -112,8 +112,8 @@
 	return removed, true
 }
 
-// list adds an address to the list or updates it, and returns the node. The result is false if the core need not be
-// notified.
+// list adds an address to the list or updates it, and returns the node. It returns false if nothing has changed for the
+// core.
 func (s *State) list(address string, m merged) (Node, bool) {
 	n := s.nodes[address]
 	if n == nil {
--- a/membership/options.go
+++ b/membership/options.go
@@ -29,7 +29,7 @@
 	SuspectHold Micros          // how long the removals by a suspect answer are deferred; DefaultSuspectHold by default
 	FlapWindow  Micros          // period in which a node's returns are counted; DefaultFlapWindow by default
 	MaxReturns  int             // returns within FlapWindow that are not delayed; DefaultMaxReturns by default
-	MaxHold     Micros          // maximum time for which a flapping node is held back; DefaultMaxHold by default
+	MaxHold     Micros          // maximum delay of a flapping node's return; DefaultMaxHold by default
 	MaxNodes    int             // maximum number of nodes in a full snapshot; DefaultMaxNodes by default
 }
 
@@ -41,7 +41,8 @@
 	// DefaultSuspectHold is 30 s. If it were lower, a discovery service that restarts with half of its list would
 	// remove nodes. If it were higher, a real loss of half the nodes would take effect later.
 	DefaultSuspectHold Micros = 30e6
-	// DefaultFlapWindow is one minute. If it were lower, a node that flaps slowly would not be held back.
+	// DefaultFlapWindow is one minute. If it were lower, the returns of a node that flaps slowly would not
+	// be delayed.
 	DefaultFlapWindow Micros = 60e6
 	// DefaultMaxReturns is the number of undelayed returns in a window. If it were lower, two quick restarts would keep
 	// a node out. If it were higher, a flapping node would more often receive requests that it then loses.
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -34,7 +34,7 @@
 			p.step()
 		}
 		p.now += 3600e6
-		state.Reduce(p.now, nil) // nodes that were held back return
+		state.Reduce(p.now, nil) // nodes whose return was delayed return
 		state.Reduce(p.now+3600e6, nil)
 		nodes, _ := state.List()
 		if len(state.nodes) != len(nodes) || len(state.removals) != 0 {
--- a/membership/state.go
+++ b/membership/state.go
@@ -67,7 +67,7 @@
 	return s.decideDirty()
 }
 
-// FindSource returns the source with a name. The result is false if there is none, or if it is retired.
+// FindSource returns the source with a name. It returns false if there is none, or if it is retired.
 func (s *State) FindSource(name string) (Source, bool) {
 	i := slices.IndexFunc(s.sources, func(src *source) bool { return src.Name == name && !src.retired })
 	return Source(i), i >= 0
