--- a/internal/agreement/connection.go
+++ b/internal/agreement/connection.go
@@ -87,7 +87,7 @@
 		case <-keepalive.C:
 		case f = <-c.queue:
 		}
-		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write reports a closed connection
+		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection, the write fails, too
 		n, err := writeFrame(c.conn, f)
 		c.traffic.sentBytes.Add(int64(n))
 		if err != nil {
@@ -100,7 +100,7 @@
 func (c *connection) readLoop(handle func(frame) error) error {
 	defer c.close()
 	for {
-		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // the read reports a closed connection
+		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout)) // on a closed connection, the read fails, too
 		f, n, err := readFrame(c.in, maxFrameBytes)
 		c.traffic.receivedBytes.Add(int64(n))
 		if err == nil {
--- a/internal/agreement/dialer.go
+++ b/internal/agreement/dialer.go
@@ -83,7 +83,7 @@
 	case <-s.done:
 		return nil, errStopping
 	}
-	_ = conn.SetDeadline(time.Now().Add(welcomeTimeout)) // the write reports a closed connection
+	_ = conn.SetDeadline(time.Now().Add(welcomeTimeout)) // on a closed connection, the write fails, too
 	if _, err := writeFrame(conn, frame{Hello: &h}); err != nil {
 		return nil, err
 	}
--- a/internal/agreement/listener.go
+++ b/internal/agreement/listener.go
@@ -81,7 +81,7 @@
 
 // acceptHandshake reads the hello and answers it on the service goroutine.
 func (s *Service) acceptHandshake(conn net.Conn) (*connection, error) {
-	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // the read reports a closed connection
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // on a closed connection, the read fails, too
 	in := bufio.NewReader(conn)
 	f, _, err := readFrame(in, maxHelloBytes)
 	if err != nil {
--- a/internal/agreement/proposals.go
+++ b/internal/agreement/proposals.go
@@ -6,12 +6,12 @@
 
 // Durations in microseconds.
 const (
-	// proposalInterval is the maximum pause after a proposal of this broker. The actual pause is random, but at least
-	// half of it, except for the initial version. With shorter pauses, brokers with the same proposal would obstruct
-	// each other.
+	// proposalInterval is the maximum pause after a proposal of this broker. The actual pause is random, between half
+	// of proposalInterval and all of it; after a proposal of the initial version it is all of it. With shorter pauses,
+	// brokers with the same proposal would obstruct each other.
 	proposalInterval = 300_000
 	// maxDrainDelay is the maximum random delay of a drain proposal. All brokers learn of a drain from discovery at the
-	// same time, and the first proposal makes the others unnecessary. A longer delay would delay drains.
+	// same time, and the first proposal makes the others unnecessary. A larger maximum would delay drains for longer.
 	maxDrainDelay = 200_000
 )
 
--- a/internal/agreement/service.go
+++ b/internal/agreement/service.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// renewalsPerLease is the number of renewals within the duration of a lease. With fewer renewals, the loss of two
-	// would let a lease expire. More renewals would cost more messages.
+	// renewalsPerLease is the minimum number of renewals within the duration of a lease. With fewer renewals, the loss
+	// of two would let a lease expire. More renewals would cost more messages.
 	renewalsPerLease = 4
 	// renewalSpread limits the random reduction of a renewal interval to 1/renewalSpread of the interval. The reduction
 	// keeps brokers from renewing at the same time.
 	renewalSpread = 5
-	// maxQueuedCalls is the maximum number of functions that do queues for the service goroutine. While the queue is
-	// full, do blocks, and so no frames are read from connections.
+	// maxQueuedCalls is the maximum length of the service goroutine's queue of functions. While the queue is full,
+	// Service.do blocks, and so no frames are read from connections.
 	maxQueuedCalls = 4096
 	// callsPerWakeup limits the queued functions that run between two checks of the timers. Without the limit, a flood
 	// of them would delay raft's clock.
@@ -132,8 +132,8 @@
 	}
 }
 
-// do queues a function for the service goroutine. It blocks while the queue is full. After the end of Run, the function
-// may never run.
+// do adds a function to the service goroutine's queue. It blocks while the queue is full. After the end of Run, the
+// function may never run.
 func (s *Service) do(call func()) {
 	select {
 	case s.calls <- call:
