--- a/membership/options.go
+++ b/membership/options.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Micros is a time on a monotonic clock, or a duration, in microseconds. It is an alias, so that an int64 needs no
-// conversion.
+// Micros is a time on a monotonic clock, or a duration, in microseconds. It is an alias, so that an int64 can be passed
+// without a conversion.
 type Micros = int64
 
 // Permissions specifies how a source may change the list.
@@ -20,7 +20,7 @@
 type SourceOptions struct {
 	Name        string
 	Permissions Permissions
-	RemovalTTL  Micros // how long its removals stay valid while it is silent; DefaultRemovalTTL by default
+	RemovalTTL  Micros // how long its removals stay valid while it does not answer; DefaultRemovalTTL by default
 }
 
 // Options configures a State. The zero value of a field means its default.
@@ -29,8 +29,8 @@
 	SuspectHold Micros          // how long the removals by a suspect answer are deferred; DefaultSuspectHold by default
 	FlapWindow  Micros          // period in which a node's returns are counted; DefaultFlapWindow by default
 	MaxReturns  int             // returns within FlapWindow that are not delayed; DefaultMaxReturns by default
-	MaxHold     Micros          // maximum time for which a flapping node is held back; DefaultMaxHold by default
-	MaxNodes    int             // limits the nodes and recorded removals of one source; DefaultMaxNodes by default
+	MaxHold     Micros          // maximum delay of a flapping node's return; DefaultMaxHold by default
+	MaxNodes    int             // maximum number of nodes in a full snapshot; DefaultMaxNodes by default
 }
 
 // Default values of Options.
@@ -41,15 +41,16 @@
 	// DefaultSuspectHold is 30 s. If it were lower, a discovery service that restarts with half of its list would
 	// remove nodes. If it were higher, a real loss of half the nodes would take effect later.
 	DefaultSuspectHold Micros = 30e6
-	// DefaultFlapWindow is one minute. If it were lower, a node that flaps slowly would not be held back.
+	// DefaultFlapWindow is one minute. If it were lower, the returns of a node that flaps slowly would not
+	// be delayed.
 	DefaultFlapWindow Micros = 60e6
 	// DefaultMaxReturns is the number of undelayed returns in a window. If it were lower, two quick restarts would keep
 	// a node out. If it were higher, a flapping node would more often receive requests that it then loses.
 	DefaultMaxReturns = 3
 	// DefaultMaxHold is one minute. If it were higher, a node that has stopped flapping would stay out for longer.
 	DefaultMaxHold Micros = 60e6
-	// DefaultMaxNodes is the maximum number of nodes of one source. If it were lower, nodes of a larger fleet would be
-	// ignored. If it were higher, a faulty source could use more memory.
+	// DefaultMaxNodes is the default maximum number of nodes in a full snapshot. If it were lower, nodes of a larger
+	// fleet would be ignored. If it were higher, a faulty source could use more memory.
 	DefaultMaxNodes = 50_000
 )
 
@@ -66,7 +67,7 @@
 
 // OptionError reports an invalid option.
 type OptionError struct {
-	Option string // empty if the invalid option is not identified
+	Option string // empty if the reason does not refer to a single option
 	Reason string
 }
 
