--- a/internal/resp/client.go
+++ b/internal/resp/client.go
@@ -11,9 +11,9 @@
 	"junctionwharf/internal/clientconn"
 )
 
-// maxPipeline is the maximum number of requests of one connection that wait for answers. At this number the server
-// stops reading from the connection. With a larger value one client could fill the budget of buffered bytes. With a
-// smaller value clients that pipeline would wait for round trips.
+// maxPipeline is the maximum number of pending answers of one connection. At this number the reader waits before it
+// queues another answer. With a larger value one client could fill the budget of buffered bytes. With a smaller value
+// clients that pipeline would wait for round trips.
 const maxPipeline = 64
 
 // commandReader reads commands from the input guard.
@@ -21,14 +21,14 @@
 	ReadCommand() (redcon.Command, error)
 }
 
-// client is one client connection. It is served by the goroutines read and write, either of which may end first.
+// client is one client connection. Two goroutines, read and write, serve it. Either of them may end first.
 type client struct {
 	server *Server
 	reader commandReader
 	input  *inputGuard   // the connection that redcon's reader reads
 	socket net.Conn      // the raw connection, on which net.Buffers writes several buffers in one call
-	wake   chan struct{} // makes the writer look for answers
-	// peerClosed is set when the client has disconnected and its end of file has not been read yet.
+	wake   chan struct{} // makes the writer check for answers that are ready
+	// peerClosed is set when whileWatchingPeer finds that the client has disconnected.
 	peerClosed atomic.Bool
 
 	mu            sync.Mutex // guards the fields below; the table's lock is never acquired under it
@@ -37,21 +37,21 @@
 	lastReplyAt   time.Time
 	awaitingFirst bool       // accepted while the server drains, no command received yet
 	hasRequest    bool       // a request was received
-	writing       bool       // an answer is being written
-	directReply   bool       // the reader is writing an answer
+	writing       bool       // the writer or the reader is writing an answer
+	directReply   bool       // the reader, not the writer, is writing an answer
 	closeState    closeState // set by requestClose; the reader resets it or sets closeDone
-	inputEnded    bool       // no more input is read; pending answers are written unless gone is set
+	inputEnded    bool       // no further command is handled; pending answers are written unless gone is set
 	gone          bool       // the client has disconnected
 	released      bool       // the writer has ended and released all pending replies
 }
 
-// pendingReply is an answer that is not written yet. The replies of a connection are in the order of its commands.
+// pendingReply is an answer that is not written yet. client.pending contains the answers in the order of the commands.
 type pendingReply struct {
 	loopID          uint64 // the loop's ID of the request, 0 if none
 	clientRequestID string // the client's ID of the request, empty if none
 	ready           bool
 	rejection       bool // admission control rejected the request
-	last            bool // the connection is closed after this answer
+	last            bool // the connection is closed after this answer is written
 	reserved        int  // bytes reserved in the budget
 	text            net.Buffers
 	value           *stream // a long value that is written after text, nil if none
@@ -69,8 +69,8 @@
 	if server.loop != nil {
 		input.onCommand = c.rejectOverload
 	}
-	// A connection that is handling a command when a drain begins stays open. It checks again for a drain when the
-	// reader begins to wait for the next command.
+	// A drain does not close a connection that is handling a command. Such a connection checks for a drain again when
+	// its reader begins to wait for the next command.
 	input.onWait = func() {
 		if server.Draining() {
 			c.Wake()
@@ -115,8 +115,8 @@
 // owesReply reports whether an answer is pending or being written. The caller must hold c.mu.
 func (c *client) owesReply() bool { return len(c.pending) > 0 || c.writing }
 
-// recoverPanic recovers from a panic and closes its connection, so that the panic does not end the process. It must be
-// deferred.
+// recoverPanic recovers from a panic of the calling goroutine and closes the connection, so that the panic does not end
+// the process. It must be deferred.
 func (c *client) recoverPanic() {
 	if cause := recover(); cause != nil {
 		c.server.logger.Error("panic", "panic", cause)
@@ -124,5 +124,5 @@
 	}
 }
 
-// close closes the socket. The error is ignored, since the reader and the writer encounter the same failure.
+// close closes the socket. It ignores the error, since the reader and the writer detect the same failure.
 func (c *client) close() { _ = c.socket.Close() }
--- a/internal/resp/closing.go
+++ b/internal/resp/closing.go
@@ -8,32 +8,38 @@
 	"junctionwharf/internal/pool"
 )
 
-// closeState is the state of the close of a connection. A request for a higher state replaces a lower state.
+// closeState says whether and how the reader is to close a connection. requestClose only raises it. If the connection
+// stays open, closeAsRequested resets it to notClosing.
 type closeState int
 
 const (
 	notClosing   closeState = iota
-	closeIfIdle             // the connection is to be closed unless a request arrives
-	closeEvicted            // the connection is to be closed: its slot was given to another one
-	closeDone               // the reader has closed the connection
+	closeIfIdle             // the connection is to be closed unless input has arrived
+	closeEvicted            // the connection is to be closed even if input arrives: another connection needs its slot
+	closeDone               // the reader is closing or has closed the connection
 )
 
 const (
 	// maxDiscardedBytes bounds the input that is read and discarded after the last command that is handled. With a
-	// smaller value a reset could overtake an error that follows a large value. With a larger value a client could
-	// keep the broker reading.
+	// smaller limit, a reset could destroy the error answer while a large request still arrives. With a larger limit, a
+	// client could keep the broker reading for longer.
 	maxDiscardedBytes = 16 << 20
-	// lingerChecks is the number of times that linger checks a connection for input during inputGrace.
+	// lingerChecks is the maximum number of times that linger checks a connection for unread input within inputGrace.
 	lingerChecks = 10
 )
 
 // Evict implements clientconn.Connection.
 func (c *client) Evict() bool { return c.requestClose(closeEvicted) }
 
-// requestClose asks the reader to close the connection and reports whether the request was accepted. The request is
-// refused if an answer is pending or a command has arrived. requestClose only wakes the reader, because no other
-// goroutine knows whether input is being read at this moment. An evicted connection that has sent no request is closed
-// at once, since other connections wait for its slot.
+// requestClose asks the reader to close the connection and reports whether the reader will try to. It returns false if
+//   - an answer is pending or being written,
+//   - closeState is already state or higher, or the writer has ended,
+//   - the reader is handling input, the socket has unread input, or the client has disconnected, or
+//   - state is closeIfIdle and part of a command has been read.
+//
+// requestClose only interrupts the reader, because no other goroutine knows whether input is being read at this moment.
+// There is one exception: it closes an evicted connection that has sent no request and no part of a command at once,
+// since other connections wait for the slot.
 func (c *client) requestClose(state closeState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,15 +58,20 @@
 	return true
 }
 
-// closeAsRequested closes the connection if a close was requested and no command has arrived. Only the reading
-// goroutine calls it. commandRead says whether this goroutine has just read a command. ended reports whether the
-// connection is closed. Otherwise readOn reports whether the reader continues with the next read; a command that was
-// read has then been answered here.
+// closeAsRequested carries out the close for which closeState is set, if any. Only the reading goroutine calls it,
+// after it has read a command (commandRead is true) or after a read has timed out or was interrupted. There are three
+// results:
+//   - ended: the connection is closed, and the caller stops reading.
+//   - readOn: the connection is evicted but has input. If a command was read, closeAsRequested has rejected it. The
+//     caller handles nothing and reads again.
+//   - Neither: closeState was not set, or it was reset because an answer is pending or, for closeIfIdle, because input
+//     has arrived. The caller handles the command or the timeout as usual.
 //
-// A request may arrive while the connection is being closed. If the request has been read, or is unread in the socket,
-// it is handled, or rejected if the slot belongs to another connection. A connection without input is closed in both
-// directions at once. If a connection were closed with unread input, the reset could overtake earlier answers. If only
-// the sending side were closed first, a request that arrives in between would count as accepted, but get no answer.
+// Input may arrive while the connection is being closed. If the connection were closed with unread input, it would be
+// reset, and the reset could destroy earlier answers. A connection without input is closed in both directions at once:
+// if only the sending side were closed first, the kernel could receive another request that would get no answer. If
+// part of a command has been read, that command is rejected first. Then the sending side is closed, and the rest of the
+// command is discarded.
 func (c *client) closeAsRequested(commandRead bool) (ended, readOn bool) {
 	c.mu.Lock()
 	state := c.closeState
@@ -75,7 +86,7 @@
 		c.mu.Unlock()
 		return false, false
 	case commandRead:
-		c.input.interrupt() // check again after this command
+		c.input.interrupt() // makes the next read end, so that the caller calls closeAsRequested again
 		c.mu.Unlock()
 		c.writeBusy()
 		return false, true
@@ -95,26 +106,27 @@
 	return true, false
 }
 
-// writeBusy rejects the command that has been read. No answer is pending, so the socket has room for one line. The
-// error is ignored, since the next read fails too.
+// writeBusy rejects a command that has been read completely or in part. No answer is pending, so the socket has room
+// for one line. The error is ignored, since the connection ends anyway if it cannot be written to.
 func (c *client) writeBusy() {
 	_ = writeAll(c.socket, net.Buffers{c.server.limits.Load().busyLine})
 }
 
-// closeIfDraining requests the close of an idle connection if the table's ShouldClose returns true. The reader
-// then closes the connection and wakes the writer.
+// closeIfDraining asks the reader to close the connection if it is idle and clientconn.Table.ShouldClose returns true.
+// It returns the result of requestClose. The reader then closes the connection and wakes the writer.
 func (c *client) closeIfDraining() bool {
 	c.mu.Lock()
 	idle := len(c.pending) == 0 && !c.directReply
 	awaitingFirst := c.awaitingFirst
-	c.mu.Unlock() // before ShouldClose: the table calls connections under its own lock
+	c.mu.Unlock() // before ShouldClose: clientconn.Table holds its lock when it calls State, which locks mu
 	return idle && c.server.ShouldClose(awaitingFirst) && c.requestClose(closeIfIdle)
 }
 
 // discardInput reads and discards the input after the last command that is handled. Closing the connection with unread
-// input would reset it, and the reset could overtake the answers. discardInput returns when the connection ends or
-// maxDiscardedBytes have been read. If the client closes its sending side while requests are pending, the client has
-// disconnected or waits only for its answers, and the loop answers these requests at once.
+// input would reset it, and the reset could destroy the answers. discardInput returns when the connection ends or at
+// least maxDiscardedBytes have been read. If the client closes its sending side while requests are pending, the client
+// may have disconnected or may only wait for its answers. Both look the same, so discardInput notifies the broker's
+// loop, which answers these requests at once (see broker.Loop.ClientHalfClosed).
 func (c *client) discardInput() {
 	if !clientconn.DiscardInput(c.socket, time.Time{}, maxDiscardedBytes) {
 		return
@@ -132,16 +144,17 @@
 	}
 }
 
-// linger waits until the reader has discarded the input after a malformed command, at most for inputGrace, so that the
-// close does not reset the connection. It returns as soon as the input is discarded: a whole request that arrived on
-// the open connection in the meantime would count as accepted, but get no answer.
+// linger waits until the socket has no unread input, at most for inputGrace, so that the close after a malformed
+// command does not reset the connection. Meanwhile the reader discards input. linger does not wait longer than
+// necessary: a whole request that arrived on the open connection would be discarded without an answer.
 func (c *client) linger() {
 	for end := time.Now().Add(inputGrace); !pool.IsQuiet(c.socket) && time.Now().Before(end); {
 		time.Sleep(inputGrace / lingerChecks)
 	}
 }
 
-// handleInputEnd is called after the last read. Unless the server itself ended the input, the client has disconnected.
+// handleInputEnd is called after the last read. It closes the connection and cancels the pending requests, unless
+// inputEnded is set. In that case the client may still be connected, and the writer writes the pending answers.
 func (c *client) handleInputEnd() {
 	c.mu.Lock()
 	gone := !c.inputEnded
@@ -156,7 +169,7 @@
 	c.Wake()
 }
 
-// cancelPending cancels the connection's pending requests in the loop.
+// cancelPending cancels the connection's requests that have no answer yet, and removes their IDs from requestIDs.
 func (c *client) cancelPending() {
 	c.mu.Lock()
 	var cancelled []*pendingReply
--- a/internal/resp/closing_test.go
+++ b/internal/resp/closing_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Requests are in the kernel's accept queue when the server is closed: their connections have not been accepted yet. By
-// the protocol these requests count as accepted, so they must be answered. Later connections are refused.
+// Requests are in the kernel's accept queue when the server is closed: their connections have not been accepted yet.
+// According to the protocol these requests must be answered. Later connections must be refused.
 func TestCloseServesTheAcceptQueue(t *testing.T) {
 	f := newFixture(t)
 	var conns []*net.TCPConn
@@ -28,7 +28,7 @@
 	}
 	for i, conn := range conns {
 		if got, err := io.ReadAll(conn); string(got) != servedValue || err != nil {
-			t.Errorf("connection %d: read %q, %v", i, got, err)
+			t.Errorf("connection %d: read %q, error %v, want the answer and no error", i, got, err)
 		}
 	}
 	if err := <-served; err != nil {
@@ -39,9 +39,9 @@
 	}
 }
 
-// A connection is evicted after an answer that its client has not read yet, and further requests arrive during the
-// close. The reset of a close with unread input could destroy the answer. The client must get the answer, and the
-// requests must be rejected and not forwarded.
+// A connection is evicted although its client has not read the last answer yet, and further requests arrive during the
+// close. Closing the connection with unread input would reset it, which could destroy the answer. The client must get
+// the answer, and the requests must be rejected and not forwarded.
 func TestEvictionKeepsTheAnswer(t *testing.T) {
 	f := newFixture(t)
 	c, peer := f.accept(nil)
@@ -55,10 +55,10 @@
 	c.start()
 	f.expectNoClients()
 	if got, err := io.ReadAll(peer); string(got) != servedValue+"-BUSY\r\n-BUSY\r\n" || err != nil {
-		t.Errorf("the client read %q, %v", got, err)
+		t.Errorf("the client read %q, error %v, want the answer, two rejections and no error", got, err)
 	}
 	if n := len(f.transport.attempts) + f.loop.OpenRequests(); n > 0 {
-		t.Errorf("%d requests were accepted after the eviction", n)
+		t.Errorf("%d attempts and open requests after the eviction, want none", n)
 	}
 }
 
@@ -79,7 +79,7 @@
 			c, peer := f.accept(nil)
 			c.hasRequest = true
 			if !c.requestClose(test.state) {
-				t.Fatal("the idle connection refuses to close")
+				t.Fatal("requestClose refused to close an idle connection")
 			}
 			c.input.clearInterrupt() // as if the read had ended just before it was interrupted
 			write(t, peer, request("x"))
@@ -90,7 +90,7 @@
 				f.attempt().serve()
 			}
 			if got, err := io.ReadAll(peer); string(got) != test.want || err != nil {
-				t.Errorf("the client read %q, %v, want %q", got, err, test.want)
+				t.Errorf("the client read %q, error %v, want %q and no error", got, err, test.want)
 			}
 			f.expectNoClients()
 		})
@@ -98,7 +98,7 @@
 }
 
 // A connection with an unread request, or with a request that is being read, must not be closed by a drain or an
-// eviction.
+// eviction. A drain must close the connection when it waits for the next command.
 func TestConnectionWithRequestStays(t *testing.T) {
 	f := newFixture(t)
 	f.server.Drain()
@@ -108,16 +108,16 @@
 	write(t, peer, request("x"))
 	f.expectInput(c)
 	if c.Evict() || c.closeIfDraining() {
-		t.Error("a connection with an unread request is closed")
+		t.Error("a connection with an unread request was closed")
 	}
 	c.input.phase.Store(takingCommand)
 	_, err := io.ReadFull(c.socket, make([]byte, len(request("x"))))
 	if err != nil || c.Evict() || c.closeIfDraining() {
-		t.Errorf("a connection is closed while its request is being read (%v)", err)
+		t.Errorf("a connection was closed while its request was being read, or the read failed (error %v)", err)
 	}
 	c.input.phase.Store(waitingForCommand)
 	if !c.closeIfDraining() {
-		t.Error("a draining server keeps a connection without pending answers")
+		t.Error("a draining server kept a connection without pending answers open")
 	}
 }
 
@@ -149,10 +149,10 @@
 	_ = conn.Close()
 }
 
-// A client disconnects while its requests are pending and more input follows them than the broker reads: malformed
-// input, which ends the reading; more requests than may be pending on a connection; or a part of a request. The
-// client's attempts must be cancelled, and no state of the client may remain. docs/acceptance.md gives the counts that
-// this test logs.
+// A client disconnects while at least one of its requests is pending. Further input has arrived that the broker may not
+// have read: part of a request, malformed input, after which no command is handled, or more requests than may be
+// pending on a connection. The client's first attempt must be cancelled, and no state of the client may remain.
+// docs/acceptance.md gives the counts that this test logs.
 func TestClientLeavesWithUnreadInput(t *testing.T) {
 	pipelined := ""
 	for i := range maxPipeline + 40 {
@@ -217,9 +217,9 @@
 	}
 }
 
-// After the error for a malformed command the connection must be closed at once. A whole request that arrived on a
-// connection that is still open would count as accepted, and would never be answered. The test takes the minimum of
-// several times, since the machine may be busy.
+// After the error for a malformed command the connection must be closed at once. Otherwise a whole request could arrive
+// on the open connection and be discarded without an answer. The test takes the minimum of five times, since the
+// machine may be busy.
 func TestErrorEndsTheConnectionAtOnce(t *testing.T) {
 	f := newFixture(t)
 	f.serveClients()
@@ -237,6 +237,6 @@
 		least = min(least, time.Since(began))
 	}
 	if least > maxLingerTime/2 {
-		t.Errorf("the connection stays open for %v after the error", least)
+		t.Errorf("the connection stayed open for at least %v after the error, want maxLingerTime/2 or less", least)
 	}
 }
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -24,14 +24,14 @@
 	argValue
 )
 
-// command is a client's command as received, for Transport to forward. It is the Message of its broker.Request.
+// command is a client's command as received. Transport forwards it to nodes. It is the Message of its broker.Request.
 type command struct {
 	raw     []byte
-	options []byte // the name=value list, a slice of raw
+	options []byte // the list of name=value pairs, a slice of raw
 	timeout []byte // the value of optionTimeout, a slice of options
 }
 
-// parseCommand parses a command. The strings of the request are copies. The request's Message refers to raw.
+// parseCommand parses a command. The strings of the returned request are copies, but its Message refers to raw.
 func parseCommand(raw []byte, args [][]byte) (*broker.Request, error) {
 	write := len(args) == argValue+1 && bytes.EqualFold(args[argName], []byte(commandWrite))
 	read := len(args) == argOptions+1 && bytes.EqualFold(args[argName], []byte(commandRead))
@@ -57,7 +57,8 @@
 	return request, nil
 }
 
-// parseOption parses one name=value pair of a command's options. Unknown names are ignored: they are for the nodes.
+// parseOption parses one name=value pair of a command's options. It ignores unknown names, which are meant for the
+// nodes.
 func (c *command) parseOption(request *broker.Request, option []byte) error {
 	name, value, ok := bytes.Cut(option, []byte{'='})
 	if !ok {
@@ -112,8 +113,8 @@
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F'
 }
 
-// forward returns the buffers of the command for a node: the client's bytes, with the given timeout in place of the
-// client's. The timeout is rounded down to milliseconds and is at least one.
+// forward returns the buffers of the command for a node: the client's bytes with the client's timeout replaced by the
+// given one. The new timeout is rounded down to milliseconds, but is at least 1 ms.
 func (c *command) forward(timeout broker.Micros) net.Buffers {
 	digits := strconv.AppendInt(nil, max(1, int64(timeout/1000)), 10)
 	optionsAt := offsetIn(c.raw, c.options)
@@ -124,5 +125,5 @@
 	return net.Buffers{c.raw[:headerAt], header, c.raw[optionsAt:timeoutAt], digits, c.raw[behindTimeout:]}
 }
 
-// offsetIn returns the offset in whole of part, which is a slice of whole.
+// offsetIn returns the offset at which part begins in whole. part must be a slice of whole without a reduced capacity.
 func offsetIn(whole, part []byte) int { return cap(whole) - cap(part) }
--- a/internal/resp/command_test.go
+++ b/internal/resp/command_test.go
@@ -10,24 +10,25 @@
 	"junctionwharf/broker"
 )
 
-// A client's bytes may arrive in pieces of any size. The commands that are read must not depend on the pieces.
+// A client's bytes may arrive in pieces of any size. The sizes must not change which commands are read.
 func TestCommandsMayBeCutAnywhere(t *testing.T) {
 	for seed := range uint64(200) {
 		all, err := readCommands([]byte(readText+pingText+writeText), seed)
 		if !errors.Is(err, io.EOF) || len(all) != 3 || string(all[2].Raw) != writeText {
-			t.Fatalf("seed %d: read %d commands, %v, want 3", seed, len(all), err)
+			t.Fatalf("seed %d: read %d commands, error %v, want 3 commands and EOF", seed, len(all), err)
 		}
 	}
 }
 
-// A client sends huge or invalid lengths, with which redcon's reader would count or index. The connection must end.
+// A client sends huge or invalid counts and lengths, for which redcon's reader might allocate or index without bound.
+// The input guard must report a protocol error.
 func TestUnboundedLengthsAreStopped(t *testing.T) {
 	for _, text := range []string{
 		"*999999999\r\n", "*1\r\n$9223372036854775800\r\n", "*0\r\n", "*-1\r\n", "PING\r\n", "*1\r\n$\r\n",
 		"*2\r\n$1\r\na\r\n:1\r\n", "*1\r\n$70000\r\n",
 	} {
 		if all, err := readCommands([]byte(readText+text), 1); !errors.Is(err, errProtocol) || len(all) > 1 {
-			t.Errorf("%q: read %d commands, %v, want a protocol error", text, len(all), err)
+			t.Errorf("%q: read %d commands, error %v, want at most one and a protocol error", text, len(all), err)
 		}
 	}
 }
@@ -60,7 +61,7 @@
 	}
 	all, err := readCommands(text, 1)
 	if !errors.Is(err, io.EOF) || len(all) != 1 || len(all[0].Args) != len(args) {
-		t.Fatalf("%q: read %d commands, %v, want one", text, len(all), err)
+		t.Fatalf("%q: read %d commands, error %v, want one with unchanged argument count", text, len(all), err)
 	}
 	for i, arg := range all[0].Args {
 		if i != argOptions && !bytes.Equal(arg, args[i]) {
@@ -136,7 +137,7 @@
 	}
 }
 
-// A request asks for something that the settings do not allow. It must be rejected before it reaches the loop.
+// A request with a missing or invalid option must be rejected with errMalformed, so that it does not reach the loop.
 func TestRequestLimits(t *testing.T) {
 	check := func(options string) error {
 		cmd := readOne(t, bulk(commandRead, testKey, "id", options))
--- a/internal/resp/commandscanner.go
+++ b/internal/resp/commandscanner.go
@@ -11,20 +11,21 @@
 	inArgContents                  // the bytes of a bulk string, including its line end
 )
 
-// noDigit is the value of commandScanner.number before the first digit.
+// noDigit is the value of commandScanner.number before the first digit is scanned.
 const noDigit = -1
 
-// commandScanner checks a client's input byte by byte. The input must consist of arrays of bulk strings with bounded
-// lengths. The scanner stores no input.
+// commandScanner checks that a client's input consists of arrays of bulk strings, with bounded numbers and lengths. It
+// does not check the contents of the bulk strings or the line ends after them, and stores no input.
 type commandScanner struct {
 	state    scanState
 	number   int // the number being scanned, noDigit before its first digit
-	argsLeft int // bulk strings of the command still to be scanned
-	skip     int // bytes of the bulk string still to be skipped
+	argsLeft int // bulk strings of the current command that are not scanned completely
+	skip     int // bytes of the bulk string, including its line end, still to be skipped
 	commands int // complete commands scanned so far
 }
 
-// scan scans bytes and returns how many of them are well formed. It must not be called again after a malformed byte.
+// scan scans bytes and returns the number of bytes before the first malformed one, or len(p) if there is none. It must
+// not be called again after a malformed byte.
 func (s *commandScanner) scan(p []byte) int {
 	for i := 0; i < len(p); {
 		if s.state == inArgContents {
@@ -70,7 +71,8 @@
 	return false
 }
 
-// skipContents skips up to available bytes of a bulk string's contents and returns the number of skipped bytes.
+// skipContents skips the rest of a bulk string and its line end, at most available bytes, and returns the number of
+// skipped bytes.
 func (s *commandScanner) skipContents(available int) int {
 	n := min(s.skip, available)
 	s.skip -= n
@@ -86,8 +88,8 @@
 	return n
 }
 
-// scanNumber scans a byte of a number of at most limit, which ends with a line feed. valid reports whether the byte is
-// well formed, and ended whether the number is complete.
+// scanNumber scans one byte of a number of at most limit or of the line end after it. valid reports whether the byte is
+// well formed. ended reports whether the byte is the line feed, which completes the number.
 func (s *commandScanner) scanNumber(c byte, limit int) (valid, ended bool) {
 	switch {
 	case c >= '0' && c <= '9':
--- a/internal/resp/figures.go
+++ b/internal/resp/figures.go
@@ -29,10 +29,11 @@
 	figureFailedAlt    = "failed_ps"
 )
 
-// maxFigure bounds a figure that is converted to an integer or a duration, so that the conversion cannot overflow.
+// maxFigure limits figures before they are converted to an integer or a duration, so that large figures do not
+// overflow.
 const maxFigure = 1e9
 
-// readFigures stores figures of the format used=37,cost=4 in result. It ignores any other text.
+// readFigures parses figures in the format used=37,cost=4 and stores them in result. It ignores any other text.
 func readFigures(text []byte, result *broker.Result) {
 	for len(text) > 0 {
 		var figure []byte
--- a/internal/resp/helpers_test.go
+++ b/internal/resp/helpers_test.go
@@ -89,7 +89,7 @@
 	t.Helper()
 	all, err := readCommands([]byte(text), 1)
 	if !errors.Is(err, io.EOF) || len(all) != 1 {
-		t.Fatalf("%q: read %d commands, %v, want one", text, len(all), err)
+		t.Fatalf("%q: read %d commands, error %v, want one and EOF", text, len(all), err)
 	}
 	return all[0]
 }
@@ -148,7 +148,7 @@
 func expectLine(t *testing.T, reader *bufio.Reader, want string) {
 	t.Helper()
 	if line, err := reader.ReadString('\n'); err != nil || line != want {
-		t.Fatalf("read line %q, %v, want %q", line, err, want)
+		t.Fatalf("read line %q, error %v, want %q", line, err, want)
 	}
 }
 
--- a/internal/resp/inputguard.go
+++ b/internal/resp/inputguard.go
@@ -10,14 +10,14 @@
 	"junctionwharf/internal/clientconn"
 )
 
-// idleTimeout is how long a client may be silent between commands while no answer to it is pending. A larger value
-// would let clients that disconnected without notice keep their slots for longer. A smaller value would make clients
+// idleTimeout is how long a client may be silent after a command while no answer to it is pending. A larger value would
+// let clients that disconnected without notice keep their slots for longer. A smaller value would make clients
 // reconnect more often.
 const idleTimeout = 10 * time.Second
 
-// takeOverCommand is the first command on each connection. inputGuard generates it; no client sends it. When redcon
-// has read the command it calls the handler, which detaches the connection. So all input from clients is read by
-// goroutines in which a panic ends only its own connection.
+// takeOverCommand is a command that inputGuard generates as the first command on each connection. No client sends it.
+// When redcon has read the command, it calls serveDetached, which detaches the connection from redcon. All input from
+// clients is therefore read by goroutines of this package, in which a panic ends only the connection concerned.
 const takeOverCommand = "*1\r\n$6\r\nATTACH\r\n"
 
 // inputError is the error of input that is not a sequence of commands. Its text is sent to the client.
@@ -34,28 +34,28 @@
 type readPhase = int32
 
 const (
-	takingCommand     readPhase = iota // handling input
-	waitingForCommand                  // waiting for a command, with all earlier input handled
+	takingCommand     readPhase = iota // handling input that was read
+	waitingForCommand                  // waiting for the first byte of a command
 	insideCommand                      // waiting for the rest of a command
 )
 
-// longAgo is a read deadline in the past. It ends a read at once.
+// longAgo is a read deadline in the past. It makes reads fail at once.
 var longAgo = time.Unix(1, 0)
 
-// inputGuard is the client connection that redcon's reader reads. It passes on only well-formed input, so that no
-// length in the input can make that reader allocate, count or index without bound. It also limits the time that a
-// client may take for a command. Only the reading goroutine uses the fields other than Conn, phase and interrupted.
+// inputGuard is the client connection that redcon's reader reads. It returns only well-formed input, so that no length
+// in the input can make that reader allocate, count or index without bound. It also limits the time that a client may
+// take to send a command. Only the reading goroutine uses the fields other than Conn, phase and interrupted.
 type inputGuard struct {
 	net.Conn
 
 	// onWait is called when the guard begins to wait for a command. It may be nil.
 	onWait func()
-	// onCommand may answer a complete command that one read returned alone, and reports whether it did. A command that
-	// it answered is not passed on to redcon's reader. It may be nil.
+	// onCommand is called with the bytes of a read that returned exactly one complete command. It may answer the
+	// command and reports whether it did. An answered command is not passed to redcon's reader. onCommand may be nil.
 	onCommand func(raw []byte) bool
 
 	scanner         commandScanner
-	detached        bool      // takeOverCommand was passed on
+	detached        bool      // Read has returned takeOverCommand
 	commandReceived bool      // a complete command was received
 	commandDeadline time.Time // when the current command must be complete, zero for none
 	readDeadline    time.Time // when the current read times out
@@ -63,10 +63,11 @@
 	aloneAndWhole   bool      // the last read returned exactly one complete command
 
 	phase       atomic.Int32 // a readPhase
-	interrupted atomic.Bool  // the current or next read must fail at once
+	interrupted atomic.Bool  // reads must fail at once, until clearInterrupt is called
 }
 
-// Read implements net.Conn. It returns well-formed input and fails after malformed input.
+// Read implements net.Conn. The first call returns takeOverCommand. Later calls return the client's well-formed input.
+// After malformed input all calls fail.
 func (g *inputGuard) Read(p []byte) (int, error) {
 	if !g.detached {
 		g.detached = true
@@ -84,7 +85,7 @@
 	}
 }
 
-// readOnce reads from the connection once and checks the bytes.
+// readOnce reads from the connection once and returns the bytes that precede any malformed one.
 func (g *inputGuard) readOnce(p []byte) (int, error) {
 	g.aloneAndWhole = false
 	g.startWaiting()
@@ -128,7 +129,8 @@
 // setReadDeadline sets the connection's read deadline. It fails only on a closed connection, on which reads fail too.
 func (g *inputGuard) setReadDeadline(deadline time.Time) { _ = g.SetReadDeadline(deadline) }
 
-// nextDeadline returns the time by which the next bytes must arrive. It keeps clients that send nothing, or half a
+// nextDeadline returns the deadline of the next read: the time by which the current command must be complete or, after
+// the first command, by which the next one must begin. The deadlines keep clients that send nothing, or only part of a
 // command, from occupying slots and memory. Between commands a client may be silent for longer.
 func (g *inputGuard) nextDeadline(now time.Time) time.Time {
 	switch {
@@ -149,15 +151,15 @@
 	g.commandDeadline = time.Time{}
 }
 
-// interrupt makes the current read, or else the next one, fail with os.ErrDeadlineExceeded. It may be called from any
-// goroutine.
+// interrupt makes the current read and all later ones fail with os.ErrDeadlineExceeded until clearInterrupt is called.
+// It may be called from any goroutine.
 func (g *inputGuard) interrupt() {
 	g.interrupted.Store(true)
 	g.setReadDeadline(longAgo)
 }
 
-// clearInterrupt makes reads wait for input again after an interrupt.
+// clearInterrupt makes later reads wait for input again after an interrupt.
 func (g *inputGuard) clearInterrupt() { g.interrupted.Store(false) }
 
-// wasInterrupted reports whether the read that timed out failed before its deadline.
+// wasInterrupted reports whether the read that has just timed out was interrupted before its own deadline.
 func (g *inputGuard) wasInterrupted() bool { return time.Now().Before(g.readDeadline) }
--- a/internal/resp/inputguard_test.go
+++ b/internal/resp/inputguard_test.go
@@ -18,7 +18,8 @@
 }
 
 // A connection whose close is requested while it handles a command must check again when it begins to wait for the next
-// command, since nothing else wakes it. So the guard must call onWait then, and only then.
+// command, since nothing else wakes it. Therefore the guard must call onWait each time it begins to wait for a command,
+// and at no other time.
 func TestGuardReportsThatItWaits(t *testing.T) {
 	near, far := net.Pipe()
 	phases := make(chan readPhase, 8)
@@ -30,7 +31,7 @@
 			break
 		}
 		if guard.phase.Load() != takingCommand {
-			t.Error("the guard is in a waiting phase after it returned input")
+			t.Error("after Read returned input, the phase is not takingCommand")
 		}
 	}
 	close(phases)
@@ -38,7 +39,7 @@
 	for phase := range phases {
 		count++
 		if phase != waitingForCommand {
-			t.Errorf("onWait was called in phase %d", phase)
+			t.Errorf("onWait was called in phase %d, want waitingForCommand", phase)
 		}
 	}
 	if count != 2 { // before the command and after it, not inside it
@@ -46,9 +47,9 @@
 	}
 }
 
-// While too many requests wait for the processor, a complete request that one read returns alone is rejected unparsed.
-// Input that arrives in parts or together with other input, and input that is not a request, must be passed on
-// completely.
+// While too many requests wait for the processor, onCommand rejects requests. Read must call it only with a complete
+// command that arrived alone in one read. Input that arrives in parts or together with other input, and commands that
+// onCommand does not answer, must be returned completely.
 func TestWholeRequestMayBeAnsweredUnread(t *testing.T) {
 	request := "*2\r\n$8\r\nBLK.READ\r\n$1\r\nx\r\n"
 	for _, test := range []struct {
@@ -77,7 +78,8 @@
 			go sendParts(t, far, test.parts...)
 			passed, err := io.ReadAll(guard)
 			if rejected != test.rejected || string(passed) != test.passed || err != nil {
-				t.Errorf("%d rejected, %q passed on, %v", rejected, passed, err)
+				t.Errorf("%d rejected, %q returned, error %v, want %d rejected and %q", rejected, passed, err,
+					test.rejected, test.passed)
 			}
 		})
 	}
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -15,7 +15,8 @@
 // deadlines could not choose to wait longer.
 const defaultMaxTimeout = time.Minute
 
-// RequestLimits limits what a request may ask for, so that requests that cannot be served do not reach the scheduler.
+// RequestLimits contains the limits for the options of a request. Requests that cannot be served therefore do not reach
+// the scheduler.
 type RequestLimits struct {
 	Classes    map[string]bool
 	Plans      map[string]bool
@@ -27,7 +28,7 @@
 	busyLine   []byte        // the answer to a request that was not admitted, set by Server.SetLimits
 }
 
-// NewRequestLimits returns the limits according to the settings. shards is the number of shards, 0 if unknown.
+// NewRequestLimits returns the limits that follow from settings. shards is the number of shards, 0 if unknown.
 func NewRequestLimits(settings scheduler.Settings, shards int) RequestLimits {
 	limits := RequestLimits{
 		Classes:    map[string]bool{},
@@ -54,8 +55,8 @@
 	return limits
 }
 
-// check returns an error that names the first option of a request that is out of range, or nil if there is none. The
-// text of the error is sent to the client.
+// check returns an error that names the first invalid option of a request, or nil if all options are valid. The text of
+// the error is sent to the client.
 func (l *RequestLimits) check(r *broker.Request) error {
 	for _, option := range []struct {
 		name  string
--- a/internal/resp/overload.go
+++ b/internal/resp/overload.go
@@ -7,18 +7,20 @@
 	"junctionwharf/broker"
 )
 
-// maxCountLineBytes is the maximum number of bytes from the start of a command to the dot of "BLK.". A command in which
-// more bytes precede the dot is not rejected unparsed.
+// maxCountLineBytes is the maximum number of bytes from the start of a command up to and including the dot of "BLK.". A
+// command with more bytes up to this dot is always parsed before it is rejected.
 const maxCountLineBytes = 16
 
-// The bytes that identify a request and its class in a command that is not parsed.
+// The bytes that precede the rest of a request's name, and its class, in a command that is not parsed.
 var (
 	blockCommandMark = []byte("\r\nBLK.")
 	classOptionMark  = []byte("\r\n" + optionClass + "=")
 )
 
-// rejectOverload rejects a request if too many requests wait for the broker's processor, and reports whether it did.
-// The request is neither parsed nor buffered, so its rejection costs a third of a rejection after parsing.
+// rejectOverload rejects a request without parsing or buffering it if too many requests wait for the broker's
+// processor. Such a rejection costs a third of a rejection after parsing. rejectOverload reports whether the rejection
+// was written. It does not reject the command if the broker is not overloaded, the command does not look like a
+// request, or an earlier answer is pending.
 func (c *client) rejectOverload(raw []byte) bool {
 	if !c.server.loop.Overloaded() {
 		return false
@@ -40,7 +42,7 @@
 }
 
 // replyRejection answers a request that admission control rejected, and reports whether to read on. If no other answer
-// is pending the reader writes this one itself, so that an overloaded broker need not wake the writer.
+// is pending, the reader writes this answer itself, so that an overloaded broker need not wake the writer.
 func (c *client) replyRejection(rejection *broker.Response) bool {
 	text := encodeResponse(*rejection)
 	if !c.beginDirectReply() {
@@ -49,8 +51,8 @@
 	return c.writeDirectReply(text[0], c.server.loop.SheddingLoad())
 }
 
-// beginDirectReply reports whether no answer is pending, so that the reader may write an answer itself. If it returns
-// true, the caller must call writeDirectReply.
+// beginDirectReply reports whether the reader may write an answer itself: no answer is pending and the writer has not
+// ended. If it returns true, the caller must call writeDirectReply.
 func (c *client) beginDirectReply() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +76,7 @@
 	c.lastReplyAt = time.Now()
 	c.mu.Unlock()
 	if c.server.Draining() {
-		c.Wake() // its last drain check found this answer in progress
+		c.Wake() // the writer keeps the connection open while this answer is being written
 	}
 	return err == nil
 }
--- a/internal/resp/overload_test.go
+++ b/internal/resp/overload_test.go
@@ -13,12 +13,12 @@
 	"junctionwharf/scheduler"
 )
 
-// oneWindow is an admission window, in microseconds, that no test outlasts even on a slow machine. The Retry-After time
-// grows from window to window with the number of rejected requests.
+// oneWindow is the length of an admission window in microseconds. It is longer than any test, even on a slow machine,
+// because the Retry-After time grows from window to window with the number of rejected requests.
 const oneWindow = int64(time.Hour / time.Microsecond)
 
-// newAdmittingServer returns a server, and its address, for up to maxConnections. Its admission control admits maxOpen
-// open requests, and its loop never runs.
+// newAdmittingServer returns a server for up to maxConnections connections, and its address. Its admission control
+// admits up to maxOpen open requests. Its loop never runs, so admitted requests stay open.
 func newAdmittingServer(t *testing.T, maxConnections, maxOpen int) (*Server, string) {
 	t.Helper()
 	settings := scheduler.Settings{
@@ -55,13 +55,13 @@
 		expectLine(t, reader, want)
 	}
 	if open := server.OpenRequestIDs(); len(open) > 1 {
-		t.Errorf("IDs of rejected requests stay open: %v", open)
+		t.Errorf("open IDs are %v, want only the ID of the first request", open)
 	}
 }
 
-// A connection that a full server evicts must end with an end of file and not a reset. No input that arrives during the
-// close may be accepted. A client that has sent a part of a request must get a rejection first, so that it knows that
-// the request was not accepted.
+// When a full server evicts a connection, the client must read an end of file and not a reset. Input that arrives
+// during the close must not be accepted. A client that has sent part of a request must get a rejection first, so that
+// it knows that the request was not accepted.
 func TestEvictionIsNoReset(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -96,8 +96,8 @@
 	}
 }
 
-// While the processor is the bottleneck, requests must be rejected unparsed and counted like other rejections. At other
-// times no request may be rejected unparsed.
+// While the processor is overloaded, requests must be rejected unparsed, and these rejections must be counted like
+// others. At other times no request may be rejected unparsed.
 func TestOverloadRejectsUnread(t *testing.T) {
 	settings := scheduler.Settings{
 		Brokers: 1,
@@ -133,7 +133,7 @@
 	}
 	for _, metric := range loop.Metrics.Read() {
 		if (metric.Name == "door_refused" || metric.Name == "busy.w") && metric.Value != 1 {
-			t.Errorf("%s is %d", metric.Name, metric.Value)
+			t.Errorf("%s is %d, want 1", metric.Name, metric.Value)
 		}
 	}
 }
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -14,9 +14,9 @@
 	"junctionwharf/internal/pool"
 )
 
-// peerCheckInterval is how often a connection whose reader is blocked is checked for a disconnected client. With a
-// larger value, requests of disconnected clients would be forwarded for longer. With a smaller value, waiting
-// connections would cost more processor time.
+// peerCheckInterval is the interval at which whileWatchingPeer checks for a disconnected client. With a larger value,
+// requests of disconnected clients would be forwarded for longer. With a smaller value, connections whose reader is
+// blocked would cost more processor time.
 const peerCheckInterval = 50 * time.Millisecond
 
 // read reads and handles commands until the connection ends. It runs in its own goroutine.
@@ -55,12 +55,14 @@
 }
 
 // mayBeSilent reports whether a connection stays open after a read timed out. It stays open if its client waits for an
-// answer, if the read was interrupted and the connection was not closed, or if a command has begun to arrive.
+// answer, if the read was interrupted and closeAsRequested did not close the connection, or if the socket has unread
+// input. mayBeSilent also returns true if the client has disconnected: the next read then fails.
 func (c *client) mayBeSilent() bool {
 	return c.waitsForReply() || c.input.wasInterrupted() || !pool.IsQuiet(c.socket)
 }
 
-// failMalformed answers malformed input with an error. The connection is closed after this answer.
+// failMalformed answers input that cannot be parsed or served with an error. The connection is closed after this
+// answer.
 func (c *client) failMalformed(err error) {
 	c.server.malformed.record(err)
 	c.mu.Lock()
@@ -70,7 +72,7 @@
 	c.push(&pendingReply{ready: true, last: true, text: net.Buffers{line}})
 }
 
-// take handles one command and reports whether to read on.
+// take handles one command and reports whether to read the next one.
 func (c *client) take(cmd redcon.Command) bool {
 	if len(cmd.Args) == 1 && strings.EqualFold(string(cmd.Args[0]), commandPing) {
 		return c.push(&pendingReply{ready: true, text: net.Buffers{[]byte(pongLine)}})
@@ -127,7 +129,7 @@
 	c.mu.Unlock()
 }
 
-// complete fills in a reply with the response to its request. If the writer has ended, the response is dropped.
+// complete fills in a reply with the response to its request. If the writer has ended, it discards the response.
 func (c *client) complete(reply *pendingReply, response broker.Response) {
 	text := encodeResponse(response)
 	value, _ := response.Value.([]byte)
@@ -147,7 +149,8 @@
 	reply.ready = true
 }
 
-// push queues a reply and reports whether the reply will be written. It waits while maxPipeline replies are pending.
+// push queues a reply. It waits while maxPipeline replies are pending. It returns false if the writer has ended, so
+// that the reply will not be written.
 func (c *client) push(reply *pendingReply) bool {
 	c.mu.Lock()
 	if len(c.pending) >= maxPipeline && !c.released {
@@ -158,7 +161,7 @@
 		})
 	}
 	released := c.released
-	if released { // the writer has ended and does not release the bytes
+	if released { // the writer has ended, so it will not release these bytes
 		c.server.budget.Release(reply.reserved)
 	} else {
 		c.pending = append(c.pending, reply)
@@ -179,8 +182,8 @@
 }
 
 // whileWatchingPeer runs wait, which blocks the reader. If the client disconnects in the meantime, whileWatchingPeer
-// cancels the connection's requests. An end of file behind unread input cannot be read, and without this check the
-// requests would be forwarded although no client waits for them.
+// closes the connection and cancels its requests. The blocked reader cannot detect this itself: an end of file is read
+// only after all input before it. Without the check, requests would be forwarded although no client waits for them.
 func (c *client) whileWatchingPeer(wait func()) {
 	done := make(chan struct{})
 	defer close(done)
@@ -202,7 +205,8 @@
 	wait()
 }
 
-// handlePeerClosed closes the connection of a client that has disconnected, and ends any wait of its reader.
+// handlePeerClosed closes the connection of a client that has disconnected, cancels its requests and ends the wait of
+// its reader.
 func (c *client) handlePeerClosed() {
 	c.peerClosed.Store(true)
 	c.mu.Lock()
--- a/internal/resp/reject.go
+++ b/internal/resp/reject.go
@@ -20,14 +20,14 @@
 	rejectBufferSize = 2048
 	// maxLingerTime bounds the time from a rejection to the close of its connection. With a larger value a client that
 	// keeps sending would occupy its slot for longer. With a smaller value a reset could overtake the answer while a
-	// large value arrives.
+	// large request still arrives.
 	maxLingerTime = time.Second / 2
 	// lingerStep is the time without input after which a rejected connection is closed if other connections wait for
 	// its slot.
 	lingerStep = time.Millisecond
-	// inputGrace is how long a connection waits for input in transit before it is closed. It is longer than the
-	// transit time of a request, since input that arrives after the close resets the connection. A larger value would
-	// occupy the slot for longer.
+	// inputGrace is how long the server waits for input in transit before it closes a connection. It is longer than the
+	// transit time of a request, since input that arrives after the close resets the connection. With a larger value
+	// connections would occupy their slots for longer.
 	inputGrace = 10 * time.Millisecond
 )
 
@@ -36,8 +36,8 @@
 	return &buffer
 }}
 
-// reject answers a connection over the limit: a request with a rejection, and a greeting with its answer. A silent
-// connection gets no answer. reject buffers no request and does not look for its class. The caller closes conn.
+// reject answers a connection over the limit: a greeting with its answer, and any other input with a rejection. A
+// silent connection gets no answer. reject buffers no request and does not look for its class. The caller closes conn.
 func (s *Server) reject(conn net.Conn) {
 	buffer := rejectBuffers.Get().(*[]byte)
 	defer rejectBuffers.Put(buffer)
--- a/internal/resp/reject_test.go
+++ b/internal/resp/reject_test.go
@@ -87,7 +87,7 @@
 	}
 	bound := time.Duration(test.others) * 2 * lingerStep
 	if took := time.Since(began); test.others > 0 && took > bound {
-		t.Errorf("rejecting the %d connections in the queue took %v", test.others, took)
+		t.Errorf("rejecting the %d connections in the queue took %v, want at most %v", test.others, took, bound)
 	}
 	close(ln.queue)
 	for _, conn := range clients {
@@ -103,13 +103,13 @@
 		t.Error(err)
 	}
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != "-BUSY 150\r\n" {
-		t.Errorf("read %q, %v, want -BUSY 150", line, err)
+		t.Errorf("read %q, error %v, want -BUSY 150", line, err)
 	}
 }
 
-// A connection has no slot. A request on it must be rejected at once, a greeting must be answered, and a silent
-// connection must end without an answer. A body that is still in transit must be read after the rejection. Otherwise a
-// reset would overtake the rejection.
+// A connection is over the limit. A request on it must be rejected at once, a greeting must be answered, and a silent
+// connection must end without an answer. The rest of a large request must be read after the rejection. Otherwise a
+// reset could overtake the rejection.
 func TestRejectAnswers(t *testing.T) {
 	server := NewServer(nil, RequestLimits{RetryAfter: 150_000}, 0, 1, 1, logging.Discard())
 	header := "*5\r\n$9\r\nBLK.WRITE\r\n$16\r\n7f3a9c21e0b4d655\r\n$2\r\nid\r\n$3\r\nc=w\r\n$300000\r\n"
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxLineBytes bounds a line of a node's reply, and each of the bulk strings after its value. The protocol defines
-	// this bound.
+	// maxLineBytes bounds in bytes a line of a node's reply, and each of the bulk strings after its value. The protocol
+	// defines this bound.
 	maxLineBytes = 512
 	// maxReplyParts bounds the parts of a node's reply. The protocol defines three parts, and later versions may define
 	// more.
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// readTrailer reads the parts after a value: the figures on use and the load report. They may be malformed although the
-// value is valid, so an error makes the connection unusable but leaves the value valid.
+// readTrailer reads the parts after a value: the figures on use and the load report. These parts may be malformed
+// although the value is valid. After an error the connection cannot be used again, but the value remains valid.
 func readTrailer(r *bufio.Reader, parts int, result *broker.Result) error {
 	for range parts {
 		part, err := readBulk(r, maxLineBytes)
@@ -106,7 +106,8 @@
 	return nil
 }
 
-// readHealthCheck reads the reply to a health check, which is a load report in a bulk string.
+// readHealthCheck reads the reply to a health check, which is a load report in a bulk string. It passes any other
+// reply, for example an error, to readReply.
 func readHealthCheck(r *bufio.Reader) (broker.Result, error) {
 	if next, err := r.Peek(1); err != nil || next[0] != '$' {
 		result, _, err := readReply(r)
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -41,7 +41,7 @@
 		reply: broker.ReplyError, rateUsed: 2, elsewhere: 2, inFlight: 5,
 	},
 	{text: "-SYNTAX\r\n", reply: broker.ReplyError, inFlight: noInFlight},
-	// This reply was once read as an empty value, which a client received.
+	// An earlier version read this reply as an empty value and sent the value to a client.
 	{text: "+noise that happens to begin like a status\r\n", malformed: true},
 	{text: "*99\r\n", malformed: true},
 	{text: "$2\r\nhi\r\n", malformed: true},
@@ -79,7 +79,7 @@
 	for _, test := range replyCases {
 		result, err := readWholeReply(bufio.NewReader(iotest.OneByteReader(strings.NewReader(test.text))))
 		if (err != nil) != test.malformed {
-			t.Errorf("%.40q: got error %v, malformed is %v", test.text, err, test.malformed)
+			t.Errorf("%.40q: got error %v, want an error: %v", test.text, err, test.malformed)
 		}
 		if err != nil {
 			continue
--- a/internal/resp/requestids.go
+++ b/internal/resp/requestids.go
@@ -7,9 +7,9 @@
 	"sync"
 )
 
-// requestIDs is the set of the IDs of open requests, that is, of requests that wait for their answers at this process
+// requestIDs is the set of the IDs of open requests. A request is open while it waits for its answer at this process
 // or, during a handover, at the broker's other process. Two open requests must not have the same ID: the client would
-// get two final answers with one ID, and nodes could execute one write twice.
+// get two answers for one ID, and nodes could execute one write twice.
 type requestIDs struct {
 	mu       sync.Mutex // guards the fields below
 	open     map[string]struct{}
@@ -56,7 +56,7 @@
 	return slices.Collect(maps.Keys(r.open))
 }
 
-// updateRemote applies changes of the other process's open requests.
+// updateRemote adds the IDs of requests that were opened at the other process, and removes those that ended there.
 func (r *requestIDs) updateRemote(opened, ended []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/resp/server.go
+++ b/internal/resp/server.go
@@ -24,7 +24,7 @@
 }
 
 // NewServer returns a server for at most maxConnections connections and at most maxBytes of buffered requests and
-// answers. If more than maxIdle connections are idle, the server closes idle ones.
+// answers. If more than maxIdle connections have sent a request, the server closes idle ones among them.
 func NewServer(loop *broker.Loop, limits RequestLimits, maxConnections, maxIdle, maxBytes int,
 	logger *slog.Logger) *Server {
 	logger = logger.With("front", "clients")
@@ -46,7 +46,7 @@
 	s.Table.RejectOverLimit(maxRejections, s.reject, s.loop.SheddingLoad)
 }
 
-// SetLimits sets the limits of the requests that arrive from now on.
+// SetLimits sets the limits for requests that arrive from now on.
 func (s *Server) SetLimits(limits RequestLimits) {
 	limits.busyLine = busyLine(limits.RetryAfter)
 	s.limits.Store(&limits)
@@ -55,14 +55,14 @@
 // ResizeBudget sets the maximum number of bytes of buffered requests and answers.
 func (s *Server) ResizeBudget(maxBytes int) { s.budget.Resize(maxBytes) }
 
-// OnRequestChange sets a function that is called with the ID of each request that opens or ends. During a handover the
-// function notifies the broker's other process. It must not block. OnRequestChange must be called before Serve.
+// OnRequestChange sets a function that is called when a request opens or ends. During a handover the function notifies
+// the broker's other process. It must not block. OnRequestChange must be called before Serve.
 func (s *Server) OnRequestChange(notify func(id string, opened bool)) { s.ids.onChange = notify }
 
 // OpenRequestIDs returns the IDs of the requests that wait for their answers.
 func (s *Server) OpenRequestIDs() []string { return s.ids.all() }
 
-// UpdateRemoteRequests applies changes of the open requests of the broker's other process.
+// UpdateRemoteRequests records which requests were opened and which have ended at the broker's other process.
 func (s *Server) UpdateRemoteRequests(opened, ended []string) { s.ids.updateRemote(opened, ended) }
 
 // ForgetRemoteRequests removes the IDs of the requests of the broker's other process, which has ended.
@@ -80,11 +80,11 @@
 type guardedListener struct {
 	net.Listener
 	table       *clientconn.Table
-	redconConns sync.WaitGroup // connections that redcon has not detached yet
+	redconConns sync.WaitGroup // connections that are not detached from redcon yet
 }
 
 // Accept implements net.Listener. After the listener was closed, Accept waits until all connections are detached from
-// redcon: redcon closes the connections that it still has, although requests on them count as accepted.
+// redcon. When Accept fails, redcon closes the connections that it still has, but their clients may have sent requests.
 func (l *guardedListener) Accept() (net.Conn, error) {
 	conn, err := l.table.Accept(l.Listener)
 	if err != nil {
@@ -96,7 +96,7 @@
 }
 
 // serveDetached receives a connection's first command, which inputGuard generated, and detaches the connection from
-// redcon. redcon's own loop would not read on before a request is answered.
+// redcon. redcon's own loop would not read a further command before the previous one is answered.
 func (s *Server) serveDetached(conn redcon.Conn, _ redcon.Command) {
 	c := newClient(s, conn.Detach(), conn.NetConn().(*inputGuard))
 	c.awaitingFirst = s.Add(c)
--- a/internal/resp/server_test.go
+++ b/internal/resp/server_test.go
@@ -13,7 +13,7 @@
 	"junctionwharf/scheduler"
 )
 
-// newStalledServer returns a server, and its address, with a loop that never runs, so that requests stay open.
+// newStalledServer returns a server and its address. The server's loop never runs, so requests stay open.
 func newStalledServer(t *testing.T) (*Server, string) {
 	t.Helper()
 	state, err := broker.NewState(scheduler.Settings{
@@ -42,8 +42,8 @@
 	}
 }
 
-// The connection of a client that sends nothing, or half a command, must end within three seconds. After half a command
-// the client gets an error first. A client that waits for an answer may be silent for longer than that.
+// The connection of a client that sends nothing, or half a command, must end within three seconds; the test allows 0.2
+// s more. After half a command the client must get an error first.
 func TestSlowClientsAreEnded(t *testing.T) {
 	_, address := newStalledServer(t)
 	for text, want := range map[string]string{
@@ -55,14 +55,14 @@
 			t.Parallel()
 			got, took := exchangeText(t, address, text)
 			if !strings.HasPrefix(got, want) || (got == "") != (want == "") || took > 3200*time.Millisecond {
-				t.Errorf("read %q, want prefix %q; the connection ended after %v", got, want, took)
+				t.Errorf("read %q, want prefix %q; the connection ended after %v, want at most 3.2s", got, want, took)
 			}
 		})
 	}
 }
 
-// A request has the ID of an open request, on the same connection or another one. It must get an error. After the open
-// request has ended its ID must be removed.
+// A request on another connection has the ID of an open request. It must get an error. When the client of the open
+// request has disconnected, the ID must be removed.
 func TestRequestIDMayBeOpenOnlyOnce(t *testing.T) {
 	server, address := newStalledServer(t)
 	first := dial(t, address, longWaitLimit)
@@ -78,8 +78,8 @@
 	eventually(t, waitLimit, "the ID is removed", func() bool { return len(server.OpenRequestIDs()) == 0 })
 }
 
-// A full server closes a connection without requests to free a slot for the next client. The table looks for an idle
-// connection while other connections check whether they should close.
+// A full server must evict a connection without requests for each further client. It must not deadlock with connections
+// that check at the same time whether they should close.
 func TestFullServerMakesRoom(t *testing.T) {
 	server := NewServer(nil, RequestLimits{}, 2, 2, 1<<20, testLogger(t))
 	address := serve(t, server)
--- a/internal/resp/stream.go
+++ b/internal/resp/stream.go
@@ -15,14 +15,14 @@
 	// maxNodeValueBytes bounds a node's value, which may be longer than the value of a request. The protocol defines
 	// this bound.
 	maxNodeValueBytes = 4 << 20
-	// pieceBytes is the number of bytes of a long value that are buffered at a time. A larger value costs more memory
-	// for each stream. A smaller value costs more system calls.
+	// pieceBytes is the number of bytes of a long value that are buffered at a time. A larger buffer would cost more
+	// memory for each stream. A smaller buffer would cost more system calls.
 	pieceBytes = 16 << 10
-	// pieceTimeout is how long a node may send nothing, or a client accept nothing. With a smaller value slow clients
-	// would be disconnected. With a larger value a stalled client would occupy its node's connection for longer.
+	// pieceTimeout is how long a node may send nothing, or a client accept nothing. With a shorter timeout slow clients
+	// would be disconnected. With a longer timeout a stalled client would occupy its node's connection for longer.
 	pieceTimeout = 10 * time.Second
-	// claimTimeout is how long a value waits until it is next in its client's order of answers. It is longer than any
-	// client waits for its other answers.
+	// claimTimeout is how long a stream waits until the client's writer has written the earlier answers of the
+	// connection. It equals defaultMaxTimeout: no client waits longer unless a class has a longer deadline.
 	claimTimeout = time.Minute
 )
 
@@ -75,7 +75,8 @@
 	})
 }
 
-// wait returns when the value has been forwarded or abandoned, or when stopped is closed.
+// wait returns when the stream has ended or stopped is closed. It returns nil if the value was forwarded completely. It
+// abandons the stream if the client's writer does not begin to forward the value within claimTimeout.
 func (s *stream) wait(stopped <-chan struct{}) error {
 	timer := time.NewTimer(claimTimeout)
 	defer timer.Stop()
--- a/internal/resp/stream_test.go
+++ b/internal/resp/stream_test.go
@@ -32,7 +32,8 @@
 	return n, err
 }
 
-// A client does not read a long value. The node must be blocked, and at most one piece may be buffered in the broker.
+// A client reads a long value slowly. The broker must not read from the node further ahead than one piece and the
+// reader's buffer.
 func TestStreamBuffersOnePiece(t *testing.T) {
 	const size = 1 << 20
 	const chunkSize = 512
@@ -57,7 +58,7 @@
 	chunk := make([]byte, 2<<10)
 	for read := int64(0); read < size; {
 		if sent := counting.sent.Load(); sent > read+between+int64(len(chunk)) {
-			t.Fatalf("the broker has read %d bytes from the node, but the client only %d", sent, read)
+			t.Fatalf("the node has sent %d bytes, but the client has read only %d", sent, read)
 		}
 		n, err := client.Read(chunk)
 		if err != nil {
@@ -76,7 +77,8 @@
 	}
 }
 
-// No client waits for a value. The connection to its node must be released at once.
+// If no client waits for a value, or the attempt is stopped, wait must return at once, so that the connection to the
+// node is released.
 func TestAbandonedStreamFreesItsNode(t *testing.T) {
 	s := newStream(1, nil, nil)
 	if err := s.Close(); err != nil {
@@ -157,8 +159,8 @@
 }
 
 // Long values are forwarded through a complete broker. After a complete value both connections must stay usable. After
-// an incomplete or malformed value the client's connection must end before the end of the value. A value counts as
-// served when it was forwarded completely, and its request is open until then.
+// an incomplete or malformed value the client's connection must end before the end of the value. A request must be
+// counted as a success only if its value was forwarded completely, and no request may stay open.
 func TestLongValues(t *testing.T) {
 	nodeListener := listen(t)
 	var connections atomic.Int64
@@ -188,7 +190,7 @@
 		t.Errorf("read %d bytes, want two long values and a short one", len(got))
 	}
 	if now := connections.Load(); now > before+2 {
-		t.Errorf("%d connections, %d before: none was reused", now, before)
+		t.Errorf("%d connections to the node after three more requests, %d before: none was reused", now, before)
 	}
 	for _, id := range []string{idCut, idNoLineEnd} {
 		if got := read(1<<30, id); len(got) >= len(whole) || !bytes.HasPrefix(got, []byte("$")) {
--- a/internal/resp/stub_test.go
+++ b/internal/resp/stub_test.go
@@ -15,7 +15,7 @@
 	"junctionwharf/scheduler"
 )
 
-// heldTransport is a transport whose attempts are answered by the test.
+// heldTransport is a transport whose attempts the test answers.
 type heldTransport struct {
 	attempts chan *heldAttempt
 }
--- a/internal/resp/transport.go
+++ b/internal/resp/transport.go
@@ -36,7 +36,7 @@
 	return t.pool.Start(attempt.Address, call, 0, attempt.OnWritten, onResult)
 }
 
-// exchange sends a command and reads the complete reply.
+// exchange sends a command and reads the complete reply. Transport.Start runs it as a pool.ExchangeFunc.
 func exchange(e *pool.Exchange, cmd *command, timeout broker.Micros) (broker.Result, error) {
 	message := cmd.forward(timeout - broker.MicrosOf(e.Elapsed()))
 	if err := e.Send(message, pool.MessageSize(message)); err != nil {
@@ -52,7 +52,8 @@
 	return result, err
 }
 
-// streamValue delivers a long value as a stream. It returns when the value has been forwarded completely or abandoned.
+// streamValue delivers a long value as a stream. It returns nil when the value has been forwarded completely. It fails
+// if the stream ends in another way or the attempt is stopped.
 func streamValue(e *pool.Exchange, size int, result broker.Result) error {
 	value := newStream(size, e.Reader, e.SetReadTimeout)
 	result.Value = value
@@ -62,8 +63,9 @@
 	return value.wait(e.Stopped())
 }
 
-// readRest reads the parts of a reply after its value. Unless all of them are buffered already, it delivers the result
-// before it reads them: the figures may arrive late, or be malformed in such a way that they never end.
+// readRest reads the parts of a reply after its value. If these parts are malformed or not buffered completely,
+// readRest delivers the result before it reads them, since they may arrive late or never end. The result of a streamed
+// value has already been delivered.
 func readRest(e *pool.Exchange, rest replyRest, result *broker.Result) {
 	buffered, _ := e.Reader.Peek(e.Reader.Buffered())
 	trial := *result
--- a/internal/resp/transport_test.go
+++ b/internal/resp/transport_test.go
@@ -12,8 +12,8 @@
 	"junctionwharf/internal/pool"
 )
 
-// serveCommands accepts connections until the listener is closed. For each command on a connection it calls onCommand,
-// and it closes the connection when onCommand returns false.
+// serveCommands accepts connections until the listener is closed, and calls onConnection for each. It calls onCommand
+// for each command on a connection, and closes the connection when onCommand returns false.
 func serveCommands(ln net.Listener, onConnection func(), onCommand func(net.Conn, redcon.Command) bool) {
 	for {
 		conn, err := ln.Accept()
@@ -70,12 +70,12 @@
 				t.Errorf("got %+v, want the value hi", r)
 			}
 		case <-time.After(waitLimit):
-			t.Fatal("no result before the figures")
+			t.Fatal("no result before the node sent the figures")
 		}
 		answered <- struct{}{}
 		eventually(t, waitLimit, "the connection is kept", func() bool { return p.HasIdle(address) })
 	}
 	if n := len(connections); n != 1 {
-		t.Errorf("%d connections, want 1", n)
+		t.Errorf("%d connections to the node, want 1", n)
 	}
 }
--- a/internal/resp/wire.go
+++ b/internal/resp/wire.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	// maxValueBytes bounds the value of a request, and a node's value that is buffered. The protocol defines it.
+	// maxValueBytes bounds the bulk strings of a request, and a node's value that is buffered. The protocol defines it.
 	maxValueBytes = 64 << 10
-	// maxArgs bounds the arguments of a command. The longest command has five.
+	// maxArgs bounds the number of arguments of a command. The longest command has five.
 	maxArgs = 8
 	// maxIDBytes bounds a request's ID. With a larger value the IDs of open requests could take more memory.
 	maxIDBytes = 128
@@ -49,7 +49,8 @@
 // pingCommand is an encoded PING.
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
-// encodeResponse encodes the final answer to a request. For a stream it encodes only the header; the value comes after.
+// encodeResponse encodes the final answer to a request. For a stream it encodes only the header; the writer then
+// forwards the value.
 func encodeResponse(response broker.Response) net.Buffers {
 	switch response.Verdict {
 	case broker.Served:
--- a/internal/resp/write.go
+++ b/internal/resp/write.go
@@ -16,7 +16,7 @@
 }
 
 // write writes answers in the order of their commands until the connection ends. It runs in its own goroutine, which
-// releases the connection's slot.
+// releases the connection's slot when it ends.
 func (c *client) write() {
 	defer c.server.Remove(c)
 	defer c.release()
@@ -43,14 +43,15 @@
 	}
 }
 
-// takeBatch removes the next answers that are ready from pending and returns them.
+// takeBatch removes the answers that can be written next from pending and returns them. The batch is empty if the first
+// pending answer is not ready or the reader is writing an answer.
 func (c *client) takeBatch() (next batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone {
 		return batch{gone: true}
 	}
-	if c.directReply { // the reader is writing and handles no further command meanwhile
+	if c.directReply { // the reader handles no further command until its answer is written
 		return batch{}
 	}
 	for len(c.pending) > 0 && c.pending[0].ready && !next.last && next.value == nil {
