--- a/internal/clientconn/accept.go
+++ b/internal/clientconn/accept.go
@@ -22,9 +22,10 @@
 // errQueueEmpty reports that the kernel's accept queue holds no connection.
 var errQueueEmpty = errors.New("accept queue is empty")
 
-// Accept accepts a connection and acquires a slot for it. If all slots are in use, Accept evicts a connection. If no
-// connection can be evicted, Accept rejects the new connection or, without RejectOverLimit, waits for a slot. The
-// caller must call Remove for each returned connection. Accept returns net.ErrClosed after Close.
+// Accept accepts a connection and acquires a slot for it. If all slots are in use, Accept tries to evict a connection.
+// If no connection can be evicted, Accept rejects the new connection or, without RejectOverLimit, waits for a slot. The
+// caller must call Add, and later Remove, for each returned connection. After Close or StopAccepting, Accept returns
+// net.ErrClosed once the kernel's accept queue is empty.
 func (t *Table) Accept(ln net.Listener) (net.Conn, error) {
 	t.setListener(ln)
 	for {
@@ -51,7 +52,8 @@
 	}
 }
 
-// setListener stores the listener for StopAccepting and Close. If Close was called before, it ends the listener.
+// setListener stores the listener for StopAccepting and Close. If Close was called before, the listener ends when its
+// accept queue is empty.
 func (t *Table) setListener(ln net.Listener) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,8 +63,9 @@
 	}
 }
 
-// acceptNext accepts a connection. After the listener's deadline it accepts the connections in the kernel's accept
-// queue and then closes the listener. Closing the listener first would reset those connections.
+// acceptNext accepts a connection. After the listener's deadline it accepts only from the kernel's accept queue. If the
+// queue is empty, it closes the listener and returns net.ErrClosed. Closing the listener earlier would reset the
+// connections in the queue.
 func acceptNext(ln net.Listener) (net.Conn, error) {
 	conn, err := ln.Accept()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -76,7 +79,8 @@
 	return conn, err
 }
 
-// acceptQueued accepts a connection from the kernel's accept queue. It does not wait for a connection.
+// acceptQueued accepts a connection from the kernel's accept queue without waiting. It returns errQueueEmpty if the
+// queue is empty or the accept fails for another reason.
 func acceptQueued(ln net.Listener) (net.Conn, error) {
 	accepted := -1
 	err := control(ln, func(fd int) (err error) {
@@ -91,8 +95,9 @@
 	return net.FileConn(file)
 }
 
-// acquireSlot acquires a slot for a connection. With RejectOverLimit, if no connection can be evicted, it acquires an
-// overflow slot instead. It reports whether the slot is within the limit.
+// acquireSlot waits until it has acquired a slot for a connection. If all slots are in use, it evicts a connection.
+// With RejectOverLimit, if no connection can be evicted, it acquires an overflow slot instead. It reports whether the
+// slot is within the limit, that is, not an overflow slot.
 func (t *Table) acquireSlot() (withinLimit bool) {
 	for !t.limit.TryAcquire() {
 		t.mu.Lock()
@@ -113,7 +118,8 @@
 	return true
 }
 
-// startRejecting rejects and closes a connection that has an overflow slot. It does not block.
+// startRejecting rejects and closes a connection in a new goroutine. The caller has acquired an overflow slot, which is
+// released when the connection has been closed.
 func (t *Table) startRejecting(conn net.Conn) {
 	t.rejected.Add(1)
 	go func() {
--- a/internal/clientconn/connection.go
+++ b/internal/clientconn/connection.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Connection is a client connection as the table sees it. The table calls its methods while holding the table's lock,
-// so the methods must neither block nor call the table.
+// Connection is a client connection as the table sees it. The table holds its lock while it calls a connection's
+// methods, so these methods must neither block nor call the table.
 type Connection interface {
 	// Wake makes the connection check whether it should close (see Table.ShouldClose).
 	Wake()
-	// State returns the connection's state and how long the connection has been idle.
+	// State returns the connection's state and, if that is Idle, how long the connection has been idle.
 	State() (State, time.Duration)
-	// Evict asks the connection to close soon and reports whether it will. It returns false if the connection has
-	// received data in the meantime.
+	// Evict asks the connection to close soon and reports whether it will try to. It returns false if the connection
+	// must not be closed, for example because it has received data since State was called.
 	Evict() bool
 }
 
@@ -27,7 +27,8 @@
 const (
 	// FirstCommandTimeout bounds the time from connecting to the end of the first command. Together with
 	// CommandTimeout it prevents silent clients from occupying slots. With a smaller value, slow clients would be
-	// disconnected. A client that sends malformed input receives an error or is disconnected within three seconds.
+	// disconnected. A larger value must stay below three seconds: within this time a client that sends incomplete
+	// input must receive an error or be disconnected.
 	FirstCommandTimeout = 2500 * time.Millisecond
 	// CommandTimeout bounds the time from the first byte of a command to its last byte.
 	CommandTimeout = 2500 * time.Millisecond
--- a/internal/clientconn/evict.go
+++ b/internal/clientconn/evict.go
@@ -11,9 +11,9 @@
 	// connections would keep a full table occupied for longer.
 	newcomerGrace = 200 * time.Millisecond
 
-	// checksPerRequest and checksPerAccept bound the number of connections checked in a search for an idle one. Under
-	// load the front of the list consists of busy connections. When each request checked all of them, a broker that
-	// fell behind spent its time on the checks and never caught up.
+	// checksPerRequest and checksPerAccept bound the number of connections that a request or an accept checks in a
+	// search for an idle one. Under load the front of the list consists of busy connections. In an earlier version each
+	// request checked all connections, and a broker that fell behind spent its time on the checks and never caught up.
 	checksPerRequest = 2
 	checksPerAccept  = 64
 
@@ -26,7 +26,8 @@
 // evict evicts one connection and reports whether it did. It looks, in this order, for a connection that has sent only
 // a greeting, a connection that has sent nothing for newcomerGrace, the connection that has been idle for longest, and
 // a connection that is still sending its first command. Many silent connections therefore do not displace ordinary
-// clients, even slow ones. The caller holds t.mu.
+// clients, even slow ones. While the broker is overloaded, evict checks fewer connections with requests, and none of
+// these is evicted that has been idle for less than minIdleTime. The caller holds t.mu.
 func (t *Table) evict() bool {
 	checks := checksPerAccept
 	idleTime := time.Duration(0)
@@ -69,9 +70,9 @@
 	return false
 }
 
-// evictEntry evicts a connection and reports whether it did. It returns false if e is nil or the connection has just
-// received data. If an overflow slot is available, the connection's own slot is released immediately, otherwise when
-// the connection has ended.
+// evictEntry evicts a connection and reports whether it did. It returns false if e is nil or the connection refuses,
+// for example because it has just received data. If an overflow slot is available, the evicted connection moves to it,
+// and its own slot is released immediately. Otherwise its own slot is released when the connection has ended.
 func (t *Table) evictEntry(e *entry) bool {
 	if e == nil || !e.conn.Evict() {
 		return false
--- a/internal/clientconn/evict_test.go
+++ b/internal/clientconn/evict_test.go
@@ -30,7 +30,7 @@
 		before := evictionsOf(all...)
 		table.evict()
 		if next.evictions != 1 || evictionsOf(all...) != before+1 {
-			t.Fatalf("step %d: the wrong connection was evicted", i)
+			t.Fatalf("step %d: evict did not evict the expected connection alone", i)
 		}
 	}
 	before := evictionsOf(all...)
@@ -44,8 +44,8 @@
 }
 
 // Clients that send one request and keep their connection must not use up the few connections that they can open. If
-// more than maxIdle connections have sent requests, the one that has been idle for longest is evicted, long before the
-// table is full. A connection that has sent no request and a connection that waits for an answer are not evicted.
+// more than maxIdle connections have sent requests, an idle one is evicted, long before the table is full. A connection
+// that has sent no request and a connection that waits for an answer are not evicted.
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	table := NewTable(100, 2, testLogger(t))
 	busy := &fakeConn{state: Busy}
@@ -67,9 +67,9 @@
 }
 
 // Under load the front of the list consists of busy connections and of connections that were just answered and will
-// soon send their next request. Neither kind is evicted, and each request checks at most two connections. When each
-// request checked all connections and evicted any idle one, a broker that fell behind spent its time on checks and new
-// connections, and served a tenth of its capacity.
+// soon send their next request. Neither kind may be evicted, and each request may check at most two connections. In an
+// earlier version each request checked all connections and evicted any idle one. A broker that fell behind then spent
+// its time on checks and new connections, and served a tenth of its capacity.
 func TestIdleChecksAreBoundedUnderLoad(t *testing.T) {
 	table := NewTable(10_000, 10, testLogger(t))
 	var conns []*fakeConn
@@ -90,7 +90,7 @@
 		table.RequestReceived(counting, false)
 	}
 	if counting.checks > 2*len(conns) {
-		t.Errorf("one connection was checked %d times, want at most %d", counting.checks, 2*len(conns))
+		t.Errorf("one busy connection was checked %d times, want at most %d", counting.checks, 2*len(conns))
 	}
 	for i, conn := range conns {
 		if conn.evictions > 0 {
--- a/internal/clientconn/helpers_test.go
+++ b/internal/clientconn/helpers_test.go
@@ -18,7 +18,7 @@
 	evictions int
 	state     State
 	idleFor   time.Duration
-	hasInput  bool // data has been received in the meantime
+	hasInput  bool // Evict returns false, as if data had been received
 }
 
 func (c *fakeConn) Wake()                         { c.wakes++ }
--- a/internal/clientconn/lifecycle.go
+++ b/internal/clientconn/lifecycle.go
@@ -12,7 +12,7 @@
 
 const (
 	accepting phase = iota
-	draining        // connections close as soon as they are idle, new ones after their first request
+	draining        // connections close as soon as they are idle, new ones after their first command
 	closed          // only connections that the kernel has already accepted are accepted
 )
 
@@ -20,17 +20,17 @@
 // whose request was in transit when its connection closed sends the request again on a new connection.
 func (t *Table) Drain() { t.enter(draining) }
 
-// StopAccepting ends the listener after the connections in the kernel's accept queue are accepted. Closing the listener
-// first would reset these connections. The caller must have redirected new connections to another process. A listener
-// without deadlines is closed immediately.
+// StopAccepting ends the listener after acceptQueueTime, once Accept has accepted the connections in the kernel's
+// accept queue. Closing the listener first would reset these connections. The caller must have redirected new
+// connections to another process. A listener without deadlines is closed immediately.
 func (t *Table) StopAccepting() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.endListenerAfter(acceptQueueTime)
 }
 
-// Close stops accepting connections, except those that the kernel has already accepted, since requests on them count as
-// received. It waits until Accept has accepted these connections, but at most for acceptQueueTime, since other
+// Close stops accepting connections, except those that the kernel has already accepted, since their clients may have
+// sent requests. It waits until Accept has accepted these connections, but at most for acceptQueueTime, since other
 // connections may occupy all slots.
 func (t *Table) Close() {
 	t.enter(closed)
@@ -48,7 +48,7 @@
 }
 
 // endListenerAfter sets the listener's deadline to delay from now. After the deadline, Accept accepts the connections
-// in the accept queue and then ends. The caller holds t.mu.
+// in the accept queue and then ends the listener. The caller holds t.mu.
 func (t *Table) endListenerAfter(delay time.Duration) {
 	if t.listener == nil {
 		return
@@ -61,7 +61,7 @@
 	_ = ln.SetDeadline(time.Now().Add(delay)) // fails only if the listener is already closed
 }
 
-// enter changes the phase and makes each connection check whether it should close.
+// enter changes the phase and wakes each connection, so that it checks whether it should close.
 func (t *Table) enter(next phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,11 +72,11 @@
 	}
 }
 
-// Draining reports whether the table closes connections as soon as they are idle.
+// Draining reports whether Drain or Close has been called, so that connections close as soon as they are idle.
 func (t *Table) Draining() bool { return t.draining.Load() }
 
 // ShouldClose reports whether an idle connection should close. awaitingFirst is true if the connection was accepted
-// while the table drains and has not sent a request yet.
+// after the start of the drain and has not sent a command yet.
 func (t *Table) ShouldClose(awaitingFirst bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clientconn/socket.go
+++ b/internal/clientconn/socket.go
@@ -13,7 +13,7 @@
 // discardBufferSize is the size in bytes of the buffer of one read that discards input.
 const discardBufferSize = 4 << 10
 
-// CloseWrite closes the sending side of a connection. The peer reads EOF, and its data can still be read.
+// CloseWrite closes the sending side of a connection. The peer then reads EOF. Data from the peer can still be read.
 func CloseWrite(conn net.Conn) {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite() // fails only if the connection has ended
@@ -21,8 +21,9 @@
 }
 
 // DiscardInput reads and discards input until the connection ends, at least maxBytes are discarded, or the deadline is
-// reached. A zero deadline means no deadline. If unread input were left, closing the connection would reset the peer
-// and might destroy an answer that was already written. DiscardInput reports whether the peer closed the connection.
+// reached. A zero deadline means no deadline. Closing a connection with unread input would reset it, which might
+// destroy an answer that was already written. DiscardInput reports whether the connection ended because the peer closed
+// it or it failed, and not because of a local close.
 func DiscardInput(conn net.Conn, deadline time.Time, maxBytes int) (peerClosed bool) {
 	_ = conn.SetReadDeadline(deadline) // fails only if the connection has ended, as does the read
 	buffer := make([]byte, discardBufferSize)
@@ -36,7 +37,8 @@
 	return false
 }
 
-// PeerClosed reports whether the peer has closed its side of a connection, even if unread bytes precede the close.
+// PeerClosed reports whether the peer has closed its sending side or the connection, even if unread bytes precede the
+// close.
 func PeerClosed(conn net.Conn) bool {
 	peerClosed := false
 	err := control(conn, func(fd int) error {
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -22,7 +22,7 @@
 	overflow   *semaphore.Semaphore // one slot per rejection, and per evicted connection until it has ended
 
 	mu             sync.Mutex            // guards the fields below
-	maxIdle        int                   // number of connections with requests above which idle ones are evicted
+	maxIdle        int                   // number of connections in withRequests above which idle ones are evicted
 	entries        map[Connection]*entry // all connections
 	withoutCommand list.List             // connections that have sent no command, oldest first
 	greetedOnly    list.List             // connections that have sent only greetings
@@ -47,9 +47,9 @@
 }
 
 // NewTable returns a table for at most maxConnections connections. If more than maxIdle connections have sent a
-// request, the table evicts idle ones among them: clients may be able to open fewer connections than the table allows
-// and would keep connections that they do not use. Up to maxIdle connections may stay idle, since a client may be
-// unable to open another connection once the broker is shutting down. logger logs failed accepts.
+// request, the table evicts idle ones among them: clients may be able to open fewer connections than the table allows,
+// and unused connections must not use these up. Up to maxIdle connections may stay idle, since a client may be unable
+// to open another connection once the broker is shutting down. logger logs failed accepts.
 func NewTable(maxConnections, maxIdle int, logger *slog.Logger) *Table {
 	return &Table{
 		logger:        logger,
@@ -72,7 +72,8 @@
 	t.overloaded = overloaded
 }
 
-// Resize changes the limits of NewTable and RejectOverLimit. Connections above the new limits stay until they end.
+// Resize changes the limits that were passed to NewTable and RejectOverLimit. Connections above the new limits stay
+// until they end.
 func (t *Table) Resize(maxConnections, maxIdle, maxRejections int) {
 	t.limit.Resize(maxConnections)
 	if t.reject != nil {
@@ -93,7 +94,8 @@
 	return t.phase != accepting
 }
 
-// Remove removes a connection that has ended and releases its slot.
+// Remove removes a connection that has ended and releases its slot. A second call for the same connection has no
+// effect.
 func (t *Table) Remove(conn Connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,8 +122,8 @@
 }
 
 // RequestReceived records that a connection sent a request, so that connections with older requests are evicted before
-// it. If too many connections have sent requests, RequestReceived evicts an idle one. It evicts none while the broker
-// is overloaded, since accepting a connection costs more than keeping one.
+// it. If more than maxIdle connections have sent requests, RequestReceived tries to evict an idle one. It evicts none
+// while the broker is overloaded, since accepting a connection costs more than keeping one.
 func (t *Table) RequestReceived(conn Connection, overloaded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -150,15 +152,15 @@
 	}
 }
 
-// Count returns the number of open connections.
+// Count returns the number of connections in the table.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries)
 }
 
-// HasWaiters reports whether a connection waits because all slots are in use, including the overflow slots.
+// HasWaiters reports whether a new connection waits for an overflow slot. It returns false without RejectOverLimit.
 func (t *Table) HasWaiters() bool { return t.overflow != nil && t.overflow.HasWaiters() }
 
-// Rejected returns the number of connections over the limit that were answered and closed.
+// Rejected returns the number of connections over the limit that were rejected so far, including pending rejections.
 func (t *Table) Rejected() uint64 { return t.rejected.Load() }
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -18,24 +18,24 @@
 }
 
 // An accepting table keeps idle connections. A draining table closes them, except new connections that have sent no
-// request. A closed table closes all connections and accepts none.
+// command. A closed table closes all connections and accepts none. Drain and Close wake the connections.
 func TestShutdownPhases(t *testing.T) {
 	table := NewTable(2, 2, testLogger(t))
 	ln := listen(t)
 	early := &fakeConn{}
 	late := &fakeConn{}
 	if acceptAs(t, table, ln, early) || table.ShouldClose(false) {
-		t.Error("an accepting table closes connections")
+		t.Error("before Drain, Add reported a drain or ShouldClose(false) returned true")
 	}
 	table.Drain()
 	if !acceptAs(t, table, ln, late) || !table.ShouldClose(false) || table.ShouldClose(true) || early.wakes != 1 {
-		t.Error("a draining table must close idle connections, but not new ones without a request")
+		t.Error("a draining table must wake and close idle connections, but not new ones without a command")
 	}
 	table.Remove(early)
 	table.Remove(early)
 	table.Close()
 	if table.Count() != 1 || !table.ShouldClose(true) || late.wakes != 1 {
-		t.Error("a closed table must close all connections")
+		t.Error("a closed table must have removed one connection, and must wake and close the other one")
 	}
 	if _, err := table.Accept(ln); err == nil {
 		t.Error("a closed table accepted a connection")
@@ -68,7 +68,7 @@
 		answer, err := io.ReadAll(conn) // until the table closes the connection
 		_ = conn.Close()
 		if string(answer) != rejection || err != nil {
-			t.Fatalf("read %q, %v, want %q", answer, err, rejection)
+			t.Fatalf("read %q, error %v, want %q", answer, err, rejection)
 		}
 	}
 	if n := table.Rejected(); n != newcomers || evictionsOf(first, second) != 0 {
@@ -95,7 +95,7 @@
 	}
 	addConnsWithRequests(table, conns...)
 	if table.acquireSlot() || evictionsOf(conns...) != 0 {
-		t.Fatal("a connection with a recent request was evicted")
+		t.Fatal("a connection with a recent request was evicted during overload")
 	}
 	table.overflow.Release()
 	overloaded = false
