--- a/internal/pool/connection.go
+++ b/internal/pool/connection.go
@@ -23,7 +23,7 @@
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize), lastUsed: time.Now()}
 }
 
-// IsQuiet reports whether conn is open and its socket holds no unread bytes.
+// IsQuiet reports whether conn is open, the peer has not closed its sending side, and the socket holds no unread bytes.
 func IsQuiet(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -11,19 +11,20 @@
 // errHandshake is joined with the cause when the handshake on a new connection fails.
 var errHandshake = errors.New("handshake failed")
 
-// dial makes a new connection for one attempt. On some paths a connection is established late or never, while the next
-// one is established immediately. If the first dial attempt is late, a second one, the hedge, is therefore started. The
-// slower of the two connections is kept for other attempts.
+// dial makes a new connection for one attempt of a request. On some paths a connection is established late or never,
+// while the next one is established immediately. A dial therefore consists of one or two dial attempts: if the first
+// one has no result after Pool.hedgeDelay, a second one, the hedge, is started. The connection that is established
+// first serves the waiting attempt, and the other one is kept for other attempts.
 type dial struct {
 	pool    *Pool
 	address string
-	waiter  context.Context // context of the attempt that waits for the connection
-	ctx     context.Context // context of the dial itself, bounded by the connect timeout
+	waiter  context.Context // context of the attempt of the request, which waits for the connection
+	ctx     context.Context // context of the dial attempts, bounded by the connect timeout
 	cancel  context.CancelFunc
-	results chan dialResult // the first established connection, or the last error
+	results chan dialResult // the first established connection, or the error if there is none
 
 	mu       sync.Mutex
-	released bool // the attempt no longer waits for this dial
+	released bool // the waiting attempt has a connection, from this dial or another source
 }
 
 // dialResult is the result of a dial or of one dial attempt: a connection or an error.
@@ -32,7 +33,8 @@
 	err  error
 }
 
-// startDial starts a dial to address. Unless the dial is released first, it is canceled when ctx ends.
+// startDial starts a dial to address for the attempt with the context ctx. If ctx ends before the dial is released, the
+// dial is canceled.
 func (p *Pool) startDial(ctx context.Context, address string) *dial {
 	timeout, _ := p.timeouts()
 	d := &dial{pool: p, address: address, waiter: ctx, results: make(chan dialResult, 1)}
@@ -50,7 +52,8 @@
 	return d
 }
 
-// wait returns the dial's result if it arrives before changed is closed and before timeout has passed.
+// wait returns the dial's result if it arrives within timeout and before changed is closed. The channel changed signals
+// a change of the idle connections (see Pool.takeIdle).
 func (d *dial) wait(timeout time.Duration, changed <-chan struct{}) (result dialResult, ended bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -63,8 +66,8 @@
 	return dialResult{}, false
 }
 
-// release leaves the dial's connections to other attempts. The dial continues, since the node has already done the work
-// of accepting the connection.
+// release is called when the waiting attempt has received another connection. The dial's connections are then kept for
+// other attempts. A dial attempt that has started continues, since the node may already have accepted its connection.
 func (d *dial) release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +87,8 @@
 	return d.released
 }
 
-// run makes the dial attempts and returns when all of them have ended.
+// run makes the dial attempts and returns when all of them have ended. It makes none if the dial has no slot within the
+// connect timeout, or has been released by the time it gets a slot.
 func (d *dial) run() {
 	p := d.pool
 	if err := p.acquireSlot(d.ctx); err != nil {
@@ -123,14 +127,14 @@
 	}
 }
 
-// attempt makes one connection. The caller has acquired a slot for it.
+// attempt performs one dial attempt and sends its result to results. The caller has acquired a slot for it.
 func (d *dial) attempt(results chan<- dialResult) {
 	conn, err := d.pool.connect(d.ctx, d.address)
 	results <- dialResult{conn: conn, err: err}
 }
 
-// deliver passes a connection to the waiting attempt, or keeps it for other attempts if that attempt already has a
-// connection. If the attempt has ended without a connection, deliver closes the connection.
+// deliver passes a connection to the waiting attempt, or keeps it for other attempts if the waiting attempt already has
+// a connection. If the waiting attempt has ended without a connection, deliver closes conn.
 func (d *dial) deliver(conn *connection) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -145,11 +149,12 @@
 		}
 	default:
 		d.results <- dialResult{conn: conn}
-		d.released = true // the end of the attempt must not cancel the other dial attempt
+		d.released = true // from now on, the end of the waiting attempt must not cancel the other dial attempt
 	}
 }
 
-// connect makes one connection, including its handshake. If it fails, it releases the slot.
+// connect makes one connection, including its handshake. If it fails, it releases the slot that the caller has
+// acquired.
 func (p *Pool) connect(ctx context.Context, address string) (*connection, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	if p.options.LocalIP != nil {
--- a/internal/pool/dial_test.go
+++ b/internal/pool/dial_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// The first connection is late. The hedge serves the attempt, and the late connection is kept and serves the next
-// attempt.
+// The connection of the first dial attempt is late. The hedge must serve the attempt, and the late connection must be
+// kept and serve the next attempt.
 func TestHedgeServesWhereTheFirstDialIsLate(t *testing.T) {
 	options := testOptions()
 	handshakeByNode(&options)
@@ -66,8 +66,8 @@
 	}
 }
 
-// While a dial and its hedge are late, another attempt returns its connection to the pool. That connection serves the
-// waiting attempt, and the late connections are kept.
+// While the two dial attempts of an attempt are late, another attempt returns its connection to the pool. That
+// connection must serve the waiting attempt, and the late connections must be kept.
 func TestReturnedConnectionServesWhileDialing(t *testing.T) {
 	options := testOptions()
 	options.MaxConnections = 3
@@ -100,8 +100,8 @@
 	}
 }
 
-// If no connection is established, the number of hedges is at most half the number of dials. After the attempts have
-// ended, the pool keeps no notification channel for their address.
+// If no connection is established, there may be at most one hedge per two dials. After the attempts have ended, the
+// pool must keep no notification channel for their address.
 func TestHedgesAreBounded(t *testing.T) {
 	const attempts = 20
 	options := testOptions()
@@ -137,12 +137,12 @@
 		t.Errorf("notification channels of %d addresses are kept after all attempts ended", len(p.idleChanged))
 	}
 	if dials > attempts+attempts/2 {
-		t.Errorf("%d dials for %d attempts, want at most 3 dials per 2 attempts", dials, attempts)
+		t.Errorf("%d connections for %d attempts, want at most 3 connections per 2 attempts", dials, attempts)
 	}
 }
 
-// An attempt has ended by the time its dial and the hedge both succeed. The pool must keep neither connection. An
-// earlier version closed one of them but kept the other.
+// An attempt ends while both dial attempts for it succeed. The pool must keep neither connection. An earlier version
+// closed one of them but kept the other.
 func TestNoConnectionIsKeptForAnEndedAttempt(t *testing.T) {
 	options := testOptions()
 	connected := make(chan struct{})
@@ -164,7 +164,7 @@
 	runtime.Gosched()
 	d.mu.Unlock()
 	result := <-d.results
-	// The dial may be canceled just before a handshake returns. The handshake then counts as failed.
+	// The dial may be canceled just before a handshake returns. The dial attempt then fails with errHandshake.
 	ended := errors.Is(result.err, context.Canceled) || errors.Is(result.err, errHandshake)
 	if result.conn != nil || !ended {
 		t.Errorf("result %+v, want the error of the ended attempt and no connection", result)
@@ -172,8 +172,9 @@
 	expectNoSlots(t, p)
 }
 
-// The same case without a race: both connections have completed their handshakes when the attempt ends, and they are
-// delivered only afterwards. The result is the attempt's own error, and neither connection is kept.
+// As in the previous test, an attempt ends while its dial succeeds, but without a race: both connections are
+// established before the attempt ends, and are delivered afterwards. The result must be the error of the attempt's
+// context, and neither connection may be kept.
 func TestDeliveryToAnEndedAttempt(t *testing.T) {
 	node := newTestNode(t)
 	p := New(testOptions())
@@ -205,9 +206,9 @@
 	expectNoSlots(t, p)
 }
 
-// An attempt ends while its dial and the hedge both wait for a handshake with a silent node. Both dials must end with
-// the attempt. Otherwise each such attempt would occupy two connections until the connect timeout, and a few of these
-// attempts would occupy the whole pool.
+// An attempt ends while both of its dial attempts wait for a handshake with a silent node. Both must end with the
+// attempt. Otherwise each such attempt would occupy two connections until the connect timeout, and a few of them would
+// occupy the whole pool.
 func TestAttemptEndsItsHedgedDial(t *testing.T) {
 	for name, end := range map[string]func(broker.Handle){
 		"stop": func(h broker.Handle) {
@@ -219,7 +220,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			options := testOptions()
-			options.ConnectTimeout = time.Hour // only the end of the attempt can end the dials
+			options.ConnectTimeout = time.Hour // only the end of the attempt can end the dial attempts
 			handshakeByNode(&options)
 			node := newTestNode(t)
 			p := New(options)
--- a/internal/pool/dialtimes.go
+++ b/internal/pool/dialtimes.go
@@ -4,20 +4,20 @@
 
 const (
 	// minHedgeDelay is the minimum time before a dial is hedged. With a smaller value, a short pause of this process
-	// would cause second connections to its nodes.
+	// would cause unnecessary second connections to its nodes.
 	minHedgeDelay = 5 * time.Millisecond
 	// lateDialFactor is the multiple of the smoothed dial time after which a dial is hedged. With a smaller value, more
 	// connections would be made twice. With a larger value, attempts would wait longer for a connection that is never
 	// established.
 	lateDialFactor = 8
-	// dialTimeStep is the fraction of the smoothed dial time by which each connection changes it. With a larger value,
-	// a few late connections would raise the hedge delay. With a smaller value, the smoothed dial time would follow a
-	// change of the network path too slowly.
+	// dialTimeStep is the fraction of the smoothed dial time by which each measured dial time moves it. With a larger
+	// value, a few late connections would raise the hedge delay. With a smaller value, the smoothed dial time would
+	// follow a change of the network path too slowly.
 	dialTimeStep = 0.05
 	// minDialTimeIncrease allows a smoothed dial time of 0 to grow. It is far below any real dial time.
 	minDialTimeIncrease = 50 * time.Microsecond
 	// hedgesPerDial is the number of hedge tokens added per dial. If no connections are established, hedges increase
-	// the number of connections that nodes see by at most this fraction.
+	// the number of connections that nodes see by at most this fraction, after the saved tokens are used.
 	hedgesPerDial = 0.5
 	// maxHedgeTokens bounds the saved hedge tokens. A larger value would allow more hedges at once after a quiet time.
 	maxHedgeTokens = 8
@@ -29,7 +29,8 @@
 	hedgeTokens float64       // each hedge takes one token
 }
 
-// hedgeDelay adds hedge tokens for a new dial and returns the time after which the dial is hedged.
+// hedgeDelay adds hedge tokens for a new dial and returns the time after which the dial is hedged. This time is at most
+// half of the connect timeout, but at least minHedgeDelay.
 func (p *Pool) hedgeDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -8,19 +8,19 @@
 // Options.ReuseDelay, and the node's idle timeout is not near. Otherwise a late or repeated answer could be read as the
 // answer to the next request.
 //
-// An exchange that ends without an answer reports a *broker.AttemptError. Its Progress is not connected, partially
-// written or fully written. The scheduler retries a request that is not idempotent only if the node cannot have
-// executed it. The error wraps its cause, for errors.Is and errors.As.
+// An exchange that ends without an answer reports a *broker.AttemptError, which wraps the cause. The field Progress is
+// broker.NotConnected, broker.PartiallyWritten or broker.FullyWritten. The scheduler retries a request that is not
+// idempotent only if the node cannot have executed it.
 //
 // A connection that takes unusually long to be established is hedged: a second dial attempt starts. The connection that
-// is established first serves the attempt, and the other one is kept for later attempts.
+// is established first serves the attempt of the request, and the other one is kept for later attempts.
 //
 // # State and owners
 //
 // Pool owns the idle connections, the slots that bound the number of connections, and the smoothed dial time. Pool.mu
-// guards them. Pool.Start starts a goroutine for each exchange, which ends with the exchange. Each dial runs in its own
-// goroutine, which ends when both dial attempts have ended, at the latest after Options.ConnectTimeout. The pool keeps
-// no state outside the process.
+// guards this state, except the slots. Pool.Start starts a goroutine for each exchange, which ends with the exchange.
+// Each dial runs in its own goroutine, which ends when its dial attempts have ended, at the latest after
+// Options.ConnectTimeout. The pool keeps no state outside the process.
 //
 // All times are time.Duration values; sizes are bytes.
 package pool
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -16,7 +16,7 @@
 	// With a larger value, clients would wait longer for load figures that never arrive. With a smaller value, usable
 	// connections would be closed more often.
 	trailerTimeout = 100 * time.Millisecond
-	// lateTrailerTimeout replaces trailerTimeout once the result is delivered, when only the connection waits.
+	// lateTrailerTimeout replaces trailerTimeout if the result was delivered before, so that no client waits.
 	lateTrailerTimeout = 3 * time.Second
 )
 
@@ -56,7 +56,7 @@
 	return size
 }
 
-// Send writes a message. Once the first executableAfter bytes are written, the node may execute the attempt, even if
+// Send writes a message. Once the first executableAfter bytes are written, the node may execute the request, even if
 // the rest of the message is lost. For a message that makes the node execute nothing, executableAfter is 0.
 func (e *Exchange) Send(message net.Buffers, executableAfter int) error {
 	e.writing.Lock()
@@ -89,9 +89,9 @@
 	}
 }
 
-// Deliver passes the result to onResult before the exchange ends. The receiver of the result may read the rest of the
-// answer. Deliver reports whether the result is still wanted. The channel of Stopped is closed if
-// the receiver stops the exchange.
+// Deliver passes the result to onResult before the exchange ends, for example while the rest of the answer is still
+// unread. It returns false, and does not call onResult, if the exchange was stopped. If the receiver stops the exchange
+// later, the channel returned by Stopped is closed.
 func (e *Exchange) Deliver(result broker.Result) bool {
 	e.mu.Lock()
 	wanted := !e.ended
@@ -103,10 +103,10 @@
 	return wanted
 }
 
-// Stopped returns a channel that is closed when the exchange is stopped.
+// Stopped returns a channel that is closed when the exchange is stopped or has ended.
 func (e *Exchange) Stopped() <-chan struct{} { return e.ctx.Done() }
 
-// SetReadTimeout makes reads fail that are not finished within timeout from now.
+// SetReadTimeout sets a timeout, counted from now, after which reads fail.
 func (e *Exchange) SetReadTimeout(timeout time.Duration) {
 	e.mu.Lock()
 	conn := e.conn
@@ -116,8 +116,8 @@
 	}
 }
 
-// ReadTrailer calls read to read the data that follows an answer. If read fails, the answer stays valid, but the
-// connection is not reused.
+// ReadTrailer calls read, which reads the data that follows an answer, with a timeout. If read fails, the answer stays
+// valid, but the connection is not reused.
 func (e *Exchange) ReadTrailer(read func() error) {
 	e.mu.Lock()
 	conn := e.conn
@@ -141,7 +141,8 @@
 	return e.progress
 }
 
-// Stop implements broker.Handle. It closes the connection and waits until a pending write has ended.
+// Stop implements broker.Handle. It closes the connection, waits until a pending write has ended, and returns the
+// progress.
 func (e *Exchange) Stop() broker.Progress {
 	e.mu.Lock()
 	e.ended = true
@@ -153,8 +154,8 @@
 	return e.currentProgress()
 }
 
-// StopSending implements broker.Handle. It keeps the connection if a request is fully written or a write is in
-// progress: closing the connection could lose the answer to a request that the node has executed.
+// StopSending implements broker.Handle. It closes the connection, unless the request is fully written or a write is in
+// progress: closing the connection could then lose the answer to a request that the node has executed.
 func (e *Exchange) StopSending() {
 	conn, fullyWritten := e.forbidSending()
 	if fullyWritten || !e.writing.TryLock() {
@@ -203,8 +204,8 @@
 }
 
 // finish detaches the connection from the exchange, so that a late Stop does not close the connection while another
-// exchange uses it. It reports whether the result is still wanted, and whether the exchange allows the connection to be
-// reused.
+// exchange uses it. wanted reports whether the exchange still has to report a result: it was not stopped and has not
+// delivered one. reusable reports whether the exchange allows the connection to be reused.
 func (e *Exchange) finish() (wanted, reusable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -12,9 +12,9 @@
 	"junctionwharf/internal/logging"
 )
 
-// An exchange fails before it has a connection, before it has sent the message that the node executes, or after that.
-// Its error reports the progress, since the node can have executed only a fully written request. All subtests share a
-// pool of two connections. If two failed exchanges kept their slots, the third would wait forever.
+// In each subtest an exchange fails at another point. Its error must report the progress, since the node can have
+// executed only a fully written request. All subtests share a pool of two connections. If two failed exchanges kept
+// their slots, the third would wait forever.
 func TestErrorReportsProgress(t *testing.T) {
 	p := newUnhedgedPool(testOptions())
 	t.Run("not connected", func(t *testing.T) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// When Stop returns, the attempt must have stopped sending, and no result may follow.
+// When Stop returns, the exchange must have stopped sending. Stop must return the progress, and no result may follow.
 func TestStopEndsSending(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -90,7 +90,8 @@
 	}
 }
 
-// After StopSending, an exchange still receives the answer to a fully written message, but cannot send another message.
+// After StopSending, an exchange must still receive the answer to a fully written message, but must not be able to send
+// another message.
 func TestStopSendingKeepsTheAnswer(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -111,7 +112,7 @@
 	node.expectEnd(conn)
 }
 
-// StopSending does not abort a write in progress, since the node may already have received the whole message.
+// StopSending must not abort a write in progress, since the node may already have received the whole message.
 func TestStopSendingDuringWrite(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -131,8 +132,8 @@
 	expectAnswer(t, results)
 }
 
-// The client of an attempt has disconnected. A message that has not been sent stays unsent, and a message that is being
-// sent is cut off. A fully written message still receives its answer. All subtests share a pool of two connections,
+// The client of an attempt has disconnected. The request must not be sent if it is unsent, and must be cut off if it is
+// being sent. If it is fully written, the answer must still be received. All subtests share a pool of two connections,
 // which must stay usable.
 func TestCancelUnlessWritten(t *testing.T) {
 	options := testOptions()
@@ -178,7 +179,7 @@
 	handle.CancelUnlessWritten()
 	expectProgress(t, results, broker.PartiallyWritten)
 	if count, err := io.Copy(io.Discard, conn); count >= largeMessage-1 {
-		t.Errorf("the node received the whole message: %v", err)
+		t.Errorf("the node received the whole message, want only a part (read error %v)", err)
 	}
 }
 
@@ -197,7 +198,8 @@
 	expectAnswer(t, results)
 }
 
-// An exchange that panics ends only its own attempt. The node may have executed the request.
+// A panic in an exchange must end only its own attempt. The error must report that the request was fully written, since
+// the node may have executed it.
 func TestPanicEndsOneExchange(t *testing.T) {
 	options := testOptions()
 	lines := make(chan string, 1)
@@ -215,6 +217,6 @@
 		t.Errorf("logged %q, want the panic of the exchange", line)
 	}
 	if p.slots.InUse() != 0 {
-		t.Error("the connection of the panicked exchange is still in use")
+		t.Error("the exchange that panicked still has its slot")
 	}
 }
--- a/internal/pool/helpers_test.go
+++ b/internal/pool/helpers_test.go
@@ -79,7 +79,7 @@
 func (n *testNode) expectRequest(conn net.Conn) {
 	n.Helper()
 	if line, err := bufio.NewReader(conn).ReadString('\n'); err != nil || line != echoRequest {
-		n.Fatalf("read %q, %v, want the request %q", line, err, echoRequest)
+		n.Fatalf("read %q, error %v, want the request %q", line, err, echoRequest)
 	}
 }
 
@@ -94,7 +94,7 @@
 func (n *testNode) expectEnd(conn net.Conn) {
 	n.Helper()
 	if count, err := conn.Read(make([]byte, 1)); count > 0 || !errors.Is(err, io.EOF) {
-		n.Errorf("read %d bytes, %v, want 0 bytes and EOF", count, err)
+		n.Errorf("read %d bytes, error %v, want 0 bytes and EOF", count, err)
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// start starts an exchange whose results are sent to a channel.
+// start starts an exchange and returns its handle and a channel that receives its results.
 func start(p *Pool, address string, call ExchangeFunc) (broker.Handle, chan broker.Result) {
 	results := make(chan broker.Result, 2)
 	handle := p.Start(address, call, 0, nil, func(r broker.Result) { results <- r })
@@ -130,7 +130,7 @@
 	}
 }
 
-// expectProgress checks the progress at which an exchange failed, and that its error wraps a cause.
+// expectProgress checks that an exchange failed with the wanted progress, and that its error wraps a cause.
 func expectProgress(t *testing.T, results <-chan broker.Result, want broker.Progress) {
 	t.Helper()
 	r := <-results
@@ -153,7 +153,8 @@
 }
 
 // newUnhedgedPool returns a pool that never hedges a dial. On a busy machine a dial can take longer than minHedgeDelay.
-// The hedge may then serve the attempt, and a test that waits for the request on the first connection would time out.
+// With hedging, the second connection might then serve the attempt, and a test that waits for the request on the first
+// one would time out.
 func newUnhedgedPool(options Options) *Pool {
 	p := New(options)
 	p.dialTimes.hedgeTokens = math.Inf(-1)
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// noReuseWait is how long an attempt waits for its dial if no idle connection will become usable in time. It exceeds
-// any connect timeout.
+// noReuseWait is how long an attempt waits for its dial if there is no idle connection that becomes reusable later. It
+// exceeds any connect timeout.
 const noReuseWait = time.Hour
 
 // recheckAtOnce is a closed channel. It makes an attempt look for an idle connection again immediately after its dial
@@ -19,9 +19,10 @@
 }()
 
 // takeIdle removes and returns the most recently used connection that has been idle for at least Options.ReuseDelay.
-// The delay reveals data or a close that follows an answer. Such data, for example a repeated answer, must not be read
-// as the answer to the next request. If no connection is usable, takeIdle returns when to look again: after wait, or
-// when changed is closed. waiting is true if the caller has a dial in progress.
+// During this delay, data or a close that follows an answer can arrive. Such data, for example a repeated answer, must
+// not be read as the answer to the next request. If no connection has been idle for long enough, conn is nil, and the
+// caller should call takeIdle again after wait or when changed is closed. waiting is true if the caller has a dial in
+// progress.
 func (p *Pool) takeIdle(address string, waiting bool) (conn *connection, wait time.Duration, changed <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,8 +47,8 @@
 	return nil, wait, p.idleChanged[address]
 }
 
-// putIdle keeps a connection for later exchanges. If the pool is closed or the slot is needed, it closes the
-// connection.
+// putIdle keeps a connection for later exchanges. It closes the connection instead if the pool is closed, has more
+// connections than allowed, or has a dial that waits for a slot.
 func (p *Pool) putIdle(address string, conn *connection) {
 	conn.lastUsed = time.Now()
 	p.mu.Lock()
@@ -70,14 +71,15 @@
 	}
 }
 
-// usable reports whether an idle connection may carry another exchange.
+// usable reports whether an idle connection may carry another exchange: it is not too old, is open, and has no unread
+// bytes.
 func (p *Pool) usable(conn *connection) bool {
 	_, maxIdleAge := p.timeouts()
 	return time.Since(conn.lastUsed) < maxIdleAge && IsQuiet(conn.Conn)
 }
 
-// acquireSlot acquires the slot for a new connection. If all slots are in use, it closes the connection, to any
-// address, that has been idle for longest. If no connection is idle, it waits for a slot.
+// acquireSlot acquires the slot for a new connection. If all slots are in use, it closes the connection that has been
+// idle for longest, of all addresses. If no connection is idle, it waits for a slot until ctx ends.
 func (p *Pool) acquireSlot(ctx context.Context) error {
 	for {
 		if p.slots.TryAcquire() {
--- a/internal/pool/idle_test.go
+++ b/internal/pool/idle_test.go
@@ -28,15 +28,15 @@
 	}
 }
 
-// A node sends its answer twice. The second copy must not be read as the answer to the next request. A connection is
-// therefore reused only after it has been idle for a while, and never if it received data in that time.
+// A node sends its answer twice. The second copy must not be read as the answer to the next request. Therefore a
+// connection may be reused only after it has been idle for ReuseDelay, and never if it received data in that time.
 func TestConnectionIsReusedOnlyWhenQuiet(t *testing.T) {
 	options := testOptions()
 	options.ReuseDelay = time.Hour
 	node := newTestNode(t)
 	p := newUnhedgedPool(options)
 	var conns []net.Conn
-	for range 2 { // the second exchange opens its own connection, since the first one was not idle for ReuseDelay
+	for range 2 { // each opens its own connection, since none has been idle for ReuseDelay
 		_, results := start(p, node.address, echo)
 		conn := node.accept()
 		conns = append(conns, conn)
@@ -94,8 +94,8 @@
 	}
 }
 
-// The pool closes an idle connection before the node's idle timeout, so that the node does not close it during a
-// request.
+// The pool must close an idle connection after 70% of the node's idle timeout of one hour, so that the node does not
+// close it during a request.
 func TestIdleConnectionExpires(t *testing.T) {
 	node := newTestNode(t)
 	p := newUnhedgedPool(testOptions())
@@ -116,8 +116,8 @@
 	}
 }
 
-// All slots are in use. An idle connection to another node is closed to release its slot. Without an idle connection,
-// an attempt waits until a connection ends.
+// All slots are in use. If a connection to another node is idle, it must be closed to release its slot. Otherwise an
+// attempt must wait until a connection ends.
 func TestFullPoolMakesRoom(t *testing.T) {
 	a := newTestNode(t)
 	b := newTestNode(t)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,7 +12,7 @@
 
 // Options configures a Pool.
 type Options struct {
-	// ConnectTimeout bounds the time to establish a connection, including its handshake.
+	// ConnectTimeout bounds the time to establish a connection, including the wait for a slot and the handshake.
 	ConnectTimeout time.Duration
 	// IdleTimeout is the time after which a node closes an idle connection.
 	IdleTimeout time.Duration
@@ -29,8 +29,8 @@
 }
 
 // reusableIdleFraction is the fraction of Options.IdleTimeout after which an idle connection is no longer reused. With
-// a value closer to 1, the node could close a connection just as a request is sent. The request would end as a reset,
-// which is final for a write. With a smaller value, more requests would need a new connection.
+// a value closer to 1, the node could close a connection just as a request is sent. The request would end with a reset,
+// after which a write cannot be retried. With a smaller value, more requests would need a new connection.
 const reusableIdleFraction = 0.7
 
 // Pool keeps connections to nodes by address. Its methods may be called from any goroutine.
@@ -42,7 +42,7 @@
 	connectTimeout time.Duration
 	maxIdleAge     time.Duration            // a connection that has been idle for this long is not reused
 	idle           map[string][]*connection // by address, most recently used last
-	idleChanged    map[string]chan struct{} // by address, while attempts wait; closed when a connection is idle
+	idleChanged    map[string]chan struct{} // by address, while attempts wait; closed when a connection becomes idle
 	dialTimes      dialTimes
 	closed         bool
 }
@@ -68,7 +68,7 @@
 	p.maxIdleAge = time.Duration(reusableIdleFraction * float64(idle))
 }
 
-// timeouts returns the connect timeout and the maximum idle age that follow from SetTimeouts.
+// timeouts returns the current connect timeout and maximum idle age.
 func (p *Pool) timeouts() (connect, maxIdleAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/pool/run.go
+++ b/internal/pool/run.go
@@ -9,13 +9,13 @@
 	"junctionwharf/broker"
 )
 
-// ExchangeFunc performs the exchange of one attempt with a node: it sends the request and reads the answer. If it
-// returns an error, the connection is closed.
+// ExchangeFunc performs the exchange of one attempt with a node: it sends the request and reads the answer. After an
+// error the connection is closed.
 type ExchangeFunc func(*Exchange) (broker.Result, error)
 
 // Start starts an exchange with the node at address and returns immediately. A timeout above 0 bounds the exchange,
-// starting when the exchange has its connection. onWritten, if not nil, is called once the request is fully written.
-// onResult receives the result, unless the exchange is stopped first.
+// counted from when the exchange has its connection. onWritten, if not nil, is called once the request is fully
+// written. onResult receives one result, unless Stop is called first.
 func (p *Pool) Start(address string, call ExchangeFunc, timeout time.Duration, onWritten func(),
 	onResult func(broker.Result)) broker.Handle {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -64,8 +64,8 @@
 	return call(e)
 }
 
-// acquire returns an idle or a new connection. If a connection becomes idle during the dial, acquire
-// returns that connection.
+// acquire returns an idle or a new connection. If another connection becomes usable during the dial, acquire returns
+// that connection.
 func (p *Pool) acquire(ctx context.Context, address string) (*connection, error) {
 	var pending *dial
 	for {
