--- a/internal/sftp/answer.go
+++ b/internal/sftp/answer.go
@@ -23,8 +23,8 @@
 // packet encodes the answer for a client. Directory listings are encoded by nextNames instead.
 func (a answer) packet(id uint32) net.Buffers { return encodePacket(a.kind, id, a.body) }
 
-// resultOf returns the result of an operation from a node's packet. A status that completes the command is a normal
-// answer.
+// resultOf converts the packet with which a node answers an operation to the operation's result. A status that
+// completes the operation, for example one that reports a missing file, is a normal answer.
 func resultOf(p packet) (broker.Result, error) {
 	result := broker.Result{Load: scheduler.NoLoadReport, Value: answer{kind: p.kind, body: p.body}}
 	switch p.kind {
@@ -36,8 +36,8 @@
 	return broker.Result{Load: scheduler.NoLoadReport}, fmt.Errorf("%w: unexpected answer type %d", errPacket, p.kind)
 }
 
-// resultOfStatus returns the result of an operation from a STATUS packet. answered is the result for a status that
-// completes the command.
+// resultOfStatus converts a STATUS packet to the result of an operation. answered is the result that it returns for a
+// status that completes the operation.
 func resultOfStatus(p packet, answered broker.Result) (broker.Result, error) {
 	rejected := broker.Result{Load: scheduler.NoLoadReport, Reply: broker.ReplyRejected}
 	failed := broker.Result{Load: scheduler.NoLoadReport, Reply: broker.ReplyError}
--- a/internal/sftp/doc.go
+++ b/internal/sftp/doc.go
@@ -3,14 +3,14 @@
 //
 // # Rules
 //
-// A client's handles exist only in the server. Each command that is sent to a node opens its own handle there and
-// closes it afterwards, so that a command does not depend on which node executed an earlier command. Commands of one
-// connection on one file keep their order if a different order could change their results. Other commands run
+// A client's handles exist only in the server. Each operation that needs a handle at a node opens its own handle there
+// and closes it afterwards, so that a command does not depend on which node executed an earlier command. Commands of
+// one connection on one file keep their order if a different order could change their results. Other commands run
 // concurrently. A command whose deadline passes while it waits for an earlier command is rejected. Such a command was
 // never sent, so the client can safely retry it.
 //
 // An eviction or a drain closes a connection only if no command is pending and no input is unread. Closing a socket
-// with unread input resets the peer, and the reset may overtake an answer that was already written.
+// with unread input resets the connection, and the reset may overtake an answer that was already written.
 //
 // # State and owners
 //
--- a/internal/sftp/exchange.go
+++ b/internal/sftp/exchange.go
@@ -8,8 +8,8 @@
 	"junctionwharf/scheduler"
 )
 
-// maxListingBytes is the maximum size of a directory listing in bytes. A larger directory is an error. With a larger
-// value, a listing could use more memory.
+// maxListingBytes is the maximum size of a directory listing in bytes. A larger directory is an error. With a higher
+// limit, a listing could use more memory.
 const maxListingBytes = 1 << 20
 
 // effect indicates whether a packet makes a node execute something once the node has received the whole packet.
@@ -43,7 +43,7 @@
 	return x.simple(typeStat, op)
 }
 
-// request sends a packet and reads its answer.
+// request sends a packet and reads its answer. has says whether the packet makes the node execute something.
 func (x *exchange) request(has effect, kind byte, parts ...[]byte) (packet, error) {
 	x.id++
 	message := encodePacket(kind, x.id, parts...)
@@ -57,7 +57,7 @@
 	return x.readAnswer(x.id)
 }
 
-// readAnswer reads the answer to the packet with an id.
+// readAnswer reads the next packet, which must be the answer to the packet with the given id.
 func (x *exchange) readAnswer(id uint32) (packet, error) {
 	p, err := readPacket(x.Reader)
 	if err == nil && p.id != id {
@@ -66,7 +66,7 @@
 	return p, err
 }
 
-// simple performs an operation that consists of one packet.
+// simple performs an operation that consists of one packet with a path.
 func (x *exchange) simple(kind byte, op *operation) (broker.Result, error) {
 	p, err := x.request(executes, kind, encodeString(op.path))
 	if err != nil {
@@ -75,7 +75,8 @@
 	return resultOf(p)
 }
 
-// openHandle opens a handle at the node. If the node returns no handle, openHandle returns the result of the operation.
+// openHandle sends a packet that opens a handle at the node. If the node returns a handle, openHandle returns it.
+// Otherwise handle is nil, and result and err are the outcome of the operation.
 func (x *exchange) openHandle(has effect, kind byte, parts ...[]byte) (handle []byte, result broker.Result, err error) {
 	p, err := x.request(has, kind, parts...)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return nil, result, err
 }
 
-// closeHandle closes a handle at the node after the operation's answer has been read.
+// closeHandle closes a handle at the node. It is called after the operation's answer has been read.
 func (x *exchange) closeHandle(has effect, handle []byte) {
 	x.ReadTrailer(func() error {
 		_, err := x.request(has, typeClose, encodeString(handle))
@@ -106,8 +107,8 @@
 	return broker.Result{Value: answer{kind: typeHandle}, Load: scheduler.NoLoadReport}, nil
 }
 
-// transfer reads or writes data. Opening the file again has no effect, since the client's OPEN was already answered.
-// Only the READ or WRITE is executed, and not before its last byte is written.
+// transfer reads or writes data. It opens the file at the node without the flags that create or truncate it, so that
+// the OPEN changes nothing. The node executes only the READ or WRITE, and only after it has received its last byte.
 func (x *exchange) transfer(op *operation) (broker.Result, error) {
 	flags := uint32(flagRead)
 	if op.command == Write {
@@ -170,7 +171,8 @@
 	}
 }
 
-// endListing returns the result of a listing from the packet after the last names.
+// endListing handles the packet that follows the last NAME packet of a listing. An EOF status completes the listing.
+// Any other packet is the result of the operation.
 func (x *exchange) endListing(p packet, handle []byte, names [][]byte) (broker.Result, error) {
 	result, err := resultOf(p)
 	if err != nil || p.kind != typeStatus || p.statusCode() != statusEOF {
--- a/internal/sftp/handles.go
+++ b/internal/sftp/handles.go
@@ -13,11 +13,12 @@
 	path   string
 	flags  uint32
 	isDir  bool
-	listed bool
-	names  [][]byte // remaining bodies of NAME packets of a listed directory
+	listed bool     // the directory has been read from a node
+	names  [][]byte // bodies of NAME packets of a listed directory that the client has not read
 }
 
-// addHandle adds a handle under a new name and encodes the answer. The caller holds s.mu.
+// addHandle adds a handle under a new name and encodes the answer with this name. If too many handles are open, it only
+// encodes a failure. The caller holds s.mu.
 func (s *session) addHandle(id uint32, h *handle) net.Buffers {
 	if len(s.handles) >= maxHandles {
 		return encodeStatus(id, statusFailure, "too many open handles")
@@ -28,7 +29,8 @@
 	return encodePacket(typeHandle, id, encodeString(name))
 }
 
-// findHandle returns the handle with a name, or nil if there is none. If closeIt is true, it also removes the handle.
+// findHandle returns the handle with the given name, or nil if there is none. If closeIt is true, it also removes the
+// handle.
 func (s *session) findHandle(name []byte, closeIt bool) *handle {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,8 +94,8 @@
 	return s.submit(id, op, forwardAnswer(id))
 }
 
-// serveReaddir answers a READDIR. The first call reads the whole directory, so that no listing stays open at a node
-// between calls.
+// serveReaddir answers a READDIR. The first call for a handle reads the whole directory from a node, so that no listing
+// stays open at the node between calls. Later calls return the next parts of this listing.
 func (s *session) serveReaddir(id uint32, h *handle) error {
 	if !h.isDir {
 		s.sendStatus(id, statusFailure, "not a directory")
@@ -117,7 +119,7 @@
 	})
 }
 
-// nextNames encodes the next part of a listed directory. The caller holds session.mu.
+// nextNames encodes the next part of a listed directory, or EOF after the last part. The caller holds session.mu.
 func nextNames(id uint32, h *handle) net.Buffers {
 	if len(h.names) == 0 {
 		return encodeStatus(id, statusEOF, "end of directory")
--- a/internal/sftp/helpers_test.go
+++ b/internal/sftp/helpers_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/scheduler"
 )
 
-// join concatenates the bytes of messages.
+// join concatenates the bytes of the given packets.
 func join(messages ...net.Buffers) []byte {
 	var all []byte
 	for _, message := range messages {
--- a/internal/sftp/mapping.go
+++ b/internal/sftp/mapping.go
@@ -138,7 +138,8 @@
 	return nil
 }
 
-// volume returns the volume with the longest prefix that contains a clean path, or nil if there is none.
+// volume returns the volume that contains a clean path, or nil if there is none. If the path is under several prefixes,
+// the volume with the longest one contains it.
 func (m *Mapping) volume(name string) *Volume {
 	var longest *Volume
 	for i := range m.Volumes {
@@ -174,7 +175,7 @@
 	}
 }
 
-// keyOf returns the request key of a path, in the same format as keys in the broker's other protocol.
+// keyOf returns the request key of a path, in the format of the keys in the commands of package resp.
 func keyOf(name string) string {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
--- a/internal/sftp/mapping_test.go
+++ b/internal/sftp/mapping_test.go
@@ -6,8 +6,8 @@
 	"junctionwharf/broker"
 )
 
-// A path under two prefixes belongs to the volume with the longer prefix. A path outside all prefixes has no volume and
-// results in no request. The number of units follows from the number of bytes, up to the maximum of a request.
+// A path under two prefixes belongs to the volume with the longer prefix. For a path outside all prefixes there is no
+// request. The number of units follows from the number of bytes, from 1 up to the maximum of a request.
 func TestRequestsGetVolumeAndUnitsOfTheirPath(t *testing.T) {
 	m := testMapping(t)
 	for _, test := range []struct {
@@ -25,7 +25,7 @@
 		request := m.request(&test.op)
 		if request == nil {
 			if test.volume != "" {
-				t.Errorf("%s has no volume, want %q", test.op.path, test.volume)
+				t.Errorf("no request for %s, want one for volume %q", test.op.path, test.volume)
 			}
 			continue
 		}
--- a/internal/sftp/operation.go
+++ b/internal/sftp/operation.go
@@ -13,7 +13,7 @@
 	data    []byte // data to write
 }
 
-// size returns the number of bytes that the operation reads or writes.
+// size returns the number of bytes that the operation reads or writes, 0 if it does neither.
 func (op *operation) size() int { return max(len(op.data), int(op.length)) }
 
 // conflicts reports whether two operations of one connection must keep their order. They must if both access the same
@@ -28,12 +28,12 @@
 	return op.offset < other.end() && other.offset < op.end()
 }
 
-// hasRange reports whether the operation accesses only a range of the file.
+// hasRange reports whether the operation accesses only a known range of the file.
 func (op *operation) hasRange() bool {
 	return (op.command == Read || op.command == Write) && op.flags&flagAppend == 0
 }
 
-// end returns the offset after the operation's range.
+// end returns the offset after the operation's range, or the maximum offset if the range would exceed it.
 func (op *operation) end() uint64 {
 	n := uint64(op.size())
 	if op.offset > math.MaxUint64-n {
--- a/internal/sftp/ordering.go
+++ b/internal/sftp/ordering.go
@@ -9,21 +9,21 @@
 	"junctionwharf/broker"
 )
 
-// pendingCommand is a command that waits for its answer, or for an earlier command on the same file.
+// pendingCommand is a command that waits for its answer. It may first wait for earlier commands on the same file.
 type pendingCommand struct {
 	*operation
 	id        uint32
 	deadline  time.Time
-	timer     *time.Timer // rejects the command at its deadline if an earlier command is still pending
+	timer     *time.Timer // rejects the command if it is not submitted by its deadline; nil if it was submitted at once
 	request   *broker.Request
-	submitted bool   // whether the request was submitted to the loop
-	loopID    uint64 // id of the request in the loop
-	served    func(answer) net.Buffers
+	submitted bool                     // whether the request was submitted to the loop
+	loopID    uint64                   // id of the request in the loop
+	served    func(answer) net.Buffers // encodes a node's answer; called with session.mu held
 }
 
-// submit accepts a command and submits it to the loop, after earlier commands that conflict with it. The command's
-// deadline runs from this call, even while the command waits for an earlier one. served encodes a node's answer and is
-// called with s.mu held.
+// submit accepts a command and submits it to the loop, after the answers to earlier commands that conflict with it. The
+// command's deadline is counted from this call, even while the command waits for an earlier one. served encodes a
+// node's answer and is called with s.mu held. After an error the connection must end.
 func (s *session) submit(id uint32, op *operation, served func(answer) net.Buffers) error {
 	request := s.server.mapping.Load().request(op)
 	if request == nil {
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// queue adds a command to s.pending. It blocks while maxPending commands are pending. The caller holds s.mu.
+// queue adds a command to s.pending. It blocks while maxPending commands are pending. It returns an error if the
+// session is closed to commands, or if a pending command has the same id. The caller holds s.mu.
 func (s *session) queue(command *pendingCommand) error {
 	for len(s.pending) >= maxPending && !s.closedToCommands {
 		s.hasSpace.Wait()
@@ -103,7 +104,8 @@
 	})
 }
 
-// complete answers a command and starts the commands that waited for it. The caller holds s.mu.
+// complete answers a pending command and starts the commands that waited for it. It has no effect on a command that is
+// no longer pending. If the session is closed to commands, it only removes the command. The caller holds s.mu.
 func (s *session) complete(command *pendingCommand, response broker.Response) {
 	index := slices.Index(s.pending, command)
 	if index < 0 {
--- a/internal/sftp/packet.go
+++ b/internal/sftp/packet.go
@@ -162,7 +162,7 @@
 	return append(net.Buffers{header}, parts...)
 }
 
-// encodeString encodes a string after its length.
+// encodeString encodes the length of a string and the string.
 func encodeString[T string | []byte](s T) []byte {
 	text := make([]byte, 0, lengthBytes+len(s))
 	text = binary.BigEndian.AppendUint32(text, uint32(len(s)))
--- a/internal/sftp/packet_test.go
+++ b/internal/sftp/packet_test.go
@@ -29,7 +29,8 @@
 	})
 }
 
-// A client's bytes may arrive in pieces of any size, which must not change the packets. A truncated packet is an error.
+// A client's bytes may arrive in pieces of any size. The sizes must not change the packets that are read. Reading a
+// truncated packet must fail.
 func TestPacketsMayBeCutAnywhere(t *testing.T) {
 	reader := bufio.NewReader(iotest.OneByteReader(bytes.NewReader(allCommands)))
 	var kinds []byte
@@ -58,7 +59,8 @@
 	}
 }
 
-// A status from a node completes the command, is an error, or reports that the node rejected the command.
+// A status from a node completes the command, reports an error, or reports that the node rejected the command. A packet
+// of an unknown type is an error.
 func TestResultOfStatus(t *testing.T) {
 	for _, test := range []struct {
 		code  uint32
@@ -77,11 +79,11 @@
 	} {
 		result, err := resultOf(packet{kind: typeStatus, body: statusBody(test.code, test.text)})
 		if err != nil || result.Reply != test.reply {
-			t.Errorf("status %d %q: reply %v, %v, want %v", test.code, test.text, result.Reply, err, test.reply)
+			t.Errorf("status %d %q: reply %v, error %v, want %v", test.code, test.text, result.Reply, err, test.reply)
 		}
 	}
 	if _, err := resultOf(packet{kind: 77}); !errors.Is(err, errPacket) {
-		t.Errorf("unknown packet type: %v, want %v", err, errPacket)
+		t.Errorf("unknown packet type: error %v, want %v", err, errPacket)
 	}
 }
 
--- a/internal/sftp/read.go
+++ b/internal/sftp/read.go
@@ -42,7 +42,7 @@
 }
 
 // readNext reads a packet. A client may be idle between packets, but must complete a packet within
-// clientconn.CommandTimeout of its first byte.
+// clientconn.CommandTimeout after the packet's first byte has been read.
 func (s *session) readNext(reader *bufio.Reader) (packet, error) {
 	s.setReadDeadline(time.Time{})
 	if _, err := reader.Peek(1); err != nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// submitOpen submits an OPEN. A node opens the file and closes it again, and the client receives a handle of the
-// server.
+// submitOpen submits an OPEN. A node opens the file and closes it again. The client receives a handle that exists only
+// in the server.
 func (s *session) submitOpen(id uint32, f *fields) error {
 	op := &operation{command: Open, path: cleanPath(f.string(maxPathBytes)), flags: f.uint32()}
 	op.attrs = f.rest
@@ -105,7 +105,7 @@
 	})
 }
 
-// serveOpendir answers an OPENDIR without a node. The first READDIR reads the directory.
+// serveOpendir answers an OPENDIR without a node. The first READDIR on the handle reads the directory from a node.
 func (s *session) serveOpendir(id uint32, f *fields) error {
 	name := cleanPath(f.string(maxPathBytes))
 	if f.err != nil {
@@ -136,5 +136,5 @@
 	return func(a answer) net.Buffers { return a.packet(id) }
 }
 
-// cleanPath makes a path absolute and clean, so that a client cannot reach a volume by a path outside its prefix.
+// cleanPath makes a path absolute and removes elements such as "..", so that the path's prefix determines its volume.
 func cleanPath(name []byte) string { return path.Clean("/" + string(name)) }
--- a/internal/sftp/server.go
+++ b/internal/sftp/server.go
@@ -36,12 +36,12 @@
 // SetMapping changes the mapping of later commands. The caller must have called mapping.Check.
 func (s *Server) SetMapping(mapping *Mapping) { s.mapping.Store(mapping) }
 
-// Serve serves the clients of a listener until Close is called.
+// Serve serves the clients of a listener until Close or StopAccepting is called.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
 		conn, err := s.Accept(ln)
 		if err != nil {
-			return nil // Accept fails only with net.ErrClosed, after Close
+			return nil // Accept fails only with net.ErrClosed, after Close or StopAccepting
 		}
 		client := newSession(s, conn)
 		client.awaitingFirst = s.Add(client)
--- a/internal/sftp/session.go
+++ b/internal/sftp/session.go
@@ -14,12 +14,12 @@
 	// With a larger value, one client could use more memory. With a smaller value, clients that pipeline commands would
 	// wait for round trips.
 	maxPending = 16
-	// writeTimeout bounds the time in which a client receives its answers. With a larger value, a stalled client would
-	// occupy its slot for longer. With a smaller value, slow clients would be disconnected.
+	// writeTimeout bounds the time in which a client accepts a batch of answers. With a larger value, a stalled client
+	// would occupy its slot for longer. With a smaller value, slow clients would be disconnected.
 	writeTimeout = 5 * time.Second
 )
 
-// session is one client connection. It runs the goroutines read and write, either of which may end first.
+// session is one client connection. Two goroutines, read and write, serve it. Either of them may end first.
 type session struct {
 	server *Server
 	conn   net.Conn
@@ -29,13 +29,13 @@
 	pending          []*pendingCommand // in the order of arrival
 	hasSpace         *sync.Cond        // signaled when a command leaves pending
 	handles          map[string]*handle
-	handlesOpened    uint64 // number of handles opened so far, from which handles are named
-	insidePacket     bool   // part of a packet has been received
-	writing          bool   // an answer is being written
-	awaitingFirst    bool   // the connection was accepted while the server drains and has sent no command
-	out              net.Buffers
-	closeAfterOut    bool // the connection closes after the packets in out are written
-	closedToCommands bool // no further command is accepted
+	handlesOpened    uint64      // number of handles opened so far, from which handles are named
+	insidePacket     bool        // part of a packet has been received
+	writing          bool        // an answer is being written
+	awaitingFirst    bool        // the connection was accepted while the server drains and has sent no command
+	out              net.Buffers // encoded answers that the writer has not taken yet
+	closeAfterOut    bool        // the connection closes after the packets in out are written
+	closedToCommands bool        // no further command is accepted
 }
 
 func newSession(server *Server, conn net.Conn) *session {
@@ -57,7 +57,8 @@
 	}
 }
 
-// State implements clientconn.Connection. It reports no idle time, since all connections of this server may stay idle.
+// State implements clientconn.Connection. It always reports an idle time of 0, since all connections of this server may
+// stay idle.
 func (s *session) State() (clientconn.State, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,7 @@
 
 // closeToCommands makes the session accept no further commands and reports whether it did. It returns false if an
 // answer is pending or input has been received. The check and the change happen in one step under s.mu. Otherwise, a
-// command that is being read at the same time could be forwarded although no client waits for its answer.
+// command that is read at the same time could be forwarded although its connection is closed.
 func (s *session) closeToCommands() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +98,8 @@
 // close closes the connection. It ignores the error, since the reader and the writer detect the same failure.
 func (s *session) close() { _ = s.conn.Close() }
 
-// handleInputEnd runs after the last read. It cancels all pending commands, since no client waits for their answers.
-// The answer to malformed input is still written before the connection closes.
+// handleInputEnd runs after the last read. It cancels all pending commands, since their answers are no longer written.
+// An answer to malformed input is still written before the connection closes.
 func (s *session) handleInputEnd() {
 	s.mu.Lock()
 	s.closedToCommands = true
--- a/internal/sftp/session_test.go
+++ b/internal/sftp/session_test.go
@@ -74,9 +74,8 @@
 	return newSession(NewServer(nil, nil, testMapping(t), 4, logging.Discard()), conn), client
 }
 
-// A connection is evicted, or the server drains. The connection must stay open while a command is pending, part of a
-// command has been received, or input is unread. Once the connection is closed to commands, a command that was being
-// read is not accepted.
+// An eviction or a drain must not close a connection while a command is pending, part of a command has been received,
+// or input is unread. After the connection was closed to commands, a command that was being read must not be accepted.
 func TestEndingConnectionAcceptsNoCommand(t *testing.T) {
 	s, client := newConnectedSession(t)
 	s.pending = []*pendingCommand{{}}
@@ -98,7 +97,7 @@
 	if s.Evict() {
 		t.Error("the connection was evicted with unread input")
 	}
-	if _, err := io.ReadFull(s.conn, make([]byte, 1)); err != nil { // the byte of a command is read
+	if _, err := io.ReadFull(s.conn, make([]byte, 1)); err != nil { // as if the reader had begun to read a command
 		t.Fatal(err)
 	}
 	if !s.Evict() {
@@ -106,12 +105,12 @@
 	}
 	err := s.submit(1, &operation{command: Stat, path: "/d/f"}, forwardAnswer(1))
 	if !errors.Is(err, net.ErrClosed) {
-		t.Errorf("submit after the eviction: %v, want %v", err, net.ErrClosed)
+		t.Errorf("submit after the eviction: error %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A write waits for an earlier write to the same file. It is sent only after the earlier write is answered. If its
-// deadline passes first, it is rejected without being sent.
+// A write waits for an earlier write to the same file. It must be submitted only when the earlier write is answered. If
+// its deadline passes first, it must be rejected without being submitted.
 func TestWritesOfOneFileKeepTheirOrder(t *testing.T) {
 	s, _ := newTestSession(t)
 	s.server.mapping.Load().Commands[Write] = CommandSettings{Class: "write", WaitMS: 60_000}
@@ -138,6 +137,6 @@
 	}
 	s.complete(first, broker.Response{Verdict: broker.Failed})
 	if !second.submitted || len(s.pending) != 1 {
-		t.Error("the second write was not submitted after the first one was answered")
+		t.Error("after the answer to the first write, the second one was not submitted or is not the only pending one")
 	}
 }
