--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,8 @@
 // Package peer carries short messages between brokers as UDP datagrams.
 //
 // A message is one datagram of at most maxDatagramBytes. Datagrams may be lost, repeated or reordered. The package does
-// not correct this, since the messages are gossip: each message replaces the previous one. Datagrams from other
-// addresses than those of the configured peers are dropped.
+// not correct this, since the messages are gossip: a later message replaces an earlier one about the same subject.
+// Datagrams from addresses that do not belong to a configured peer are dropped.
 //
 // Endpoint owns its socket. Endpoint.Run reads the socket in the caller's goroutine and returns after Endpoint.Close.
 // Nothing is kept outside the process.
@@ -20,7 +20,8 @@
 	"junctionwharf/scheduler"
 )
 
-// maxDatagramBytes is the maximum message size set by the protocol. Longer messages are neither sent nor received.
+// maxDatagramBytes is the maximum size of a message. The protocol defines it. Longer messages are neither sent nor
+// received.
 const maxDatagramBytes = 256
 
 // Endpoint exchanges messages with this broker's peers. Its methods may be called from any goroutine.
@@ -57,8 +58,8 @@
 	return e, nil
 }
 
-// Send sends data to one peer or, for scheduler.AllPeers, to all peers. Data that cannot be sent is dropped, since any
-// datagram may be lost.
+// Send sends data to one peer or, for scheduler.AllPeers, to the address of all peers. Data that is too long, has no
+// address to go to, or cannot be sent is dropped, since any datagram may be lost.
 func (e *Endpoint) Send(peer int, data []byte) {
 	if len(data) > maxDatagramBytes {
 		return
@@ -93,7 +94,7 @@
 	}
 }
 
-// senderAt returns the number of the peer with an address, or -1 if there is none.
+// senderAt returns the number of the peer with the given address, or -1 if there is none.
 func (e *Endpoint) senderAt(address netip.AddrPort) int {
 	unmapped := netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 	for number, peer := range e.peers {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Only datagrams from peers are received, with the peer's number as sender. A broker sends nothing to itself. Datagrams
-// of more than 256 bytes are neither sent nor received.
+// Only datagrams from peers must be received, with the peer's number as sender. A broker must send nothing to itself.
+// Datagrams of more than 256 bytes must be neither sent nor received.
 func TestEndpoint(t *testing.T) {
 	other := listenUDP(t)
 	all := listenUDP(t)
--- a/internal/semaphore/semaphore.go
+++ b/internal/semaphore/semaphore.go
@@ -1,7 +1,7 @@
 // Package semaphore provides a counting semaphore whose size can change, for example for file descriptors that several
 // processes share.
 //
-// A Semaphore has its own lock and starts no goroutines. Its size is a number of slots. If the size is reduced,
+// A Semaphore has its own lock and starts no goroutines. Its size is the number of slots. If the size is reduced,
 // acquired slots above the new size stay acquired until they are released.
 package semaphore
 
@@ -16,7 +16,7 @@
 	inUse   int
 	size    int
 	waiters int           // number of waiting calls of Acquire
-	changed chan struct{} // closed when a slot may have become free; nil if no call waits for it
+	changed chan struct{} // closed when a slot may have become free; nil if no call has waited since then
 }
 
 // New returns a semaphore with size slots.
@@ -60,7 +60,8 @@
 	}
 }
 
-// acquireOrWait acquires a slot. If no slot is free, it counts a waiter and returns the channel to wait for.
+// acquireOrWait acquires a slot. If no slot is free, it increments waiters and returns a channel that is closed when a
+// slot may have become free.
 func (s *Semaphore) acquireOrWait() (changed <-chan struct{}, acquired bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/semaphore/semaphore_test.go
+++ b/internal/semaphore/semaphore_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The size is reduced while all slots are in use. No slot is free until enough slots are released. When the size is
-// increased again, a waiting call acquires a slot.
+// The size is reduced while all slots are in use. No slot may be acquired until enough slots are released. When the
+// size is increased again, a waiting call must acquire a slot.
 func TestResize(t *testing.T) {
 	s := New(2)
 	for slot, want := range []bool{true, true, false} {
