--- a/internal/clientconn/connection.go
+++ b/internal/clientconn/connection.go
@@ -27,8 +27,8 @@
 const (
 	// FirstCommandTimeout bounds the time from connecting to the end of the first command. Together with
 	// CommandTimeout it prevents silent clients from occupying slots. With a smaller value, slow clients would be
-	// disconnected. A larger value must stay below three seconds: within this time a client that sends incomplete
-	// input must receive an error or be disconnected.
+	// disconnected. The value must be below three seconds, since a client that sends incomplete input must receive an
+	// error or be disconnected within that time.
 	FirstCommandTimeout = 2500 * time.Millisecond
 	// CommandTimeout bounds the time from the first byte of a command to its last byte.
 	CommandTimeout = 2500 * time.Millisecond
--- a/internal/clientconn/evict.go
+++ b/internal/clientconn/evict.go
@@ -26,8 +26,8 @@
 // evict evicts one connection and reports whether it did. It looks, in this order, for a connection that has sent only
 // a greeting, a connection that has sent nothing for newcomerGrace, the connection that has been idle for longest, and
 // a connection that is still sending its first command. Many silent connections therefore do not displace ordinary
-// clients, even slow ones. While the broker is overloaded, evict checks fewer connections with requests, and none of
-// these is evicted that has been idle for less than minIdleTime. The caller holds t.mu.
+// clients, even slow ones. While the broker is overloaded, evict checks fewer of the connections with requests,
+// and skips those that have been idle for less than minIdleTime. The caller holds t.mu.
 func (t *Table) evict() bool {
 	checks := checksPerAccept
 	idleTime := time.Duration(0)
--- a/internal/resp/doc.go
+++ b/internal/resp/doc.go
@@ -1,5 +1,6 @@
 // Package resp implements RESP2, the protocol of Redis. Server serves the platform's clients. Transport sends attempts
-// to storage nodes: an attempt is one try to have a request executed by one node.
+// to storage nodes: an attempt is one try to have a request executed by one node. A client's command is a request
+// (BLK.READ or BLK.WRITE) or a greeting (PING). Server submits requests to the broker's loop (broker.Loop).
 //
 // # Rules
 //
@@ -13,8 +14,8 @@
 // that has sent a request, after it has found no unread input. The input after a malformed command is read and
 // discarded.
 //
-// A node's value larger than maxValueBytes is not buffered as a whole. A stream forwards it from the node to the client
-// piece by piece.
+// A node's value is called long if it has more than maxValueBytes. A long value is not buffered as a whole. A stream
+// forwards it from the node to the client piece by piece.
 //
 // # State and owners
 //
--- a/internal/resp/limits.go
+++ b/internal/resp/limits.go
@@ -10,9 +10,9 @@
 	"junctionwharf/scheduler"
 )
 
-// defaultMaxTimeout is the longest timeout that a request may have if no class has a longer deadline. A larger value
-// would keep requests of disconnected clients for longer. With a smaller value the clients of a site without long
-// deadlines could not choose to wait longer.
+// defaultMaxTimeout is the longest timeout that a request may have if no class has a longer deadline. With a larger
+// value requests of disconnected clients could stay open for longer. With a smaller value the clients of a site without
+// long deadlines could not choose to wait longer.
 const defaultMaxTimeout = time.Minute
 
 // RequestLimits contains the limits for the options of a request. Requests that cannot be served therefore do not reach
--- a/internal/resp/overload.go
+++ b/internal/resp/overload.go
@@ -66,7 +66,8 @@
 	return true
 }
 
-// writeDirectReply writes an answer in the reading goroutine and reports whether to read on.
+// writeDirectReply writes an answer in the reading goroutine, after beginDirectReply has returned true. It reports
+// whether the answer was written.
 func (c *client) writeDirectReply(line []byte, overloaded bool) bool {
 	c.server.RequestReceived(c, overloaded)
 	_, err := c.socket.Write(line)
--- a/internal/resp/read.go
+++ b/internal/resp/read.go
@@ -61,8 +61,8 @@
 	return c.waitsForReply() || c.input.wasInterrupted() || !pool.IsQuiet(c.socket)
 }
 
-// failMalformed answers input that cannot be parsed or served with an error. The connection is closed after this
-// answer.
+// failMalformed answers malformed input, or a command that cannot be served, with an error. The connection is closed
+// after this answer.
 func (c *client) failMalformed(err error) {
 	c.server.malformed.record(err)
 	c.mu.Lock()
--- a/internal/resp/server.go
+++ b/internal/resp/server.go
@@ -68,7 +68,7 @@
 // ForgetRemoteRequests removes the IDs of the requests of the broker's other process, which has ended.
 func (s *Server) ForgetRemoteRequests() { s.ids.clearRemote() }
 
-// Serve serves the clients of a listener until Close is called.
+// Serve serves the clients of a listener until Close or StopAccepting is called.
 func (s *Server) Serve(ln net.Listener) error {
 	guarded := &guardedListener{Listener: ln, table: s.Table}
 	closed := func(redcon.Conn, error) { guarded.redconConns.Done() }
--- a/internal/sftp/doc.go
+++ b/internal/sftp/doc.go
@@ -1,5 +1,6 @@
 // Package sftp implements the packets of SFTP version 3 (draft-ietf-secsh-filexfer-02) over plain TCP, without SSH.
-// Server serves file commands of clients, and Transport sends them to storage nodes.
+// Server serves file commands of clients, and Transport sends them to storage nodes. An operation is a command with its
+// arguments, as it is performed at a node.
 //
 // # Rules
 //
--- a/internal/sftp/handles.go
+++ b/internal/sftp/handles.go
@@ -41,7 +41,8 @@
 	return h
 }
 
-// dispatchOnHandle dispatches a packet whose first field is the name of an open handle.
+// dispatchOnHandle dispatches a packet whose first field is the name of a handle. If no handle with this name is open,
+// it sends a failure. If it returns an error, the connection ends.
 func (s *session) dispatchOnHandle(p packet, f *fields) error {
 	name := f.string(maxHandleBytes)
 	if f.err != nil {
--- a/internal/sftp/session.go
+++ b/internal/sftp/session.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxPending bounds the pending commands of one connection. At the limit, the session reads no further commands.
-	// With a larger value, one client could use more memory. With a smaller value, clients that pipeline commands would
-	// wait for round trips.
+	// maxPending bounds the pending commands of one connection. At the limit, the reader waits before it queues another
+	// command. With a larger value, one client could use more memory. With a smaller value, clients that pipeline
+	// commands would wait for round trips.
 	maxPending = 16
 	// writeTimeout bounds the time in which a client accepts a batch of answers. With a larger value, a stalled client
 	// would occupy its slot for longer. With a smaller value, slow clients would be disconnected.
