--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -108,7 +108,8 @@
 	return err
 }
 
-// joinAgreement binds the port for other brokers of the replicated configuration, if the configuration is enabled.
+// joinAgreement creates the service of the replicated configuration, if that is enabled. This already binds the
+// service's port for other brokers.
 func (ctl *control) joinAgreement(loop *loopProxy) error {
 	settings := ctl.config.Site.Agreement
 	if !settings.Enabled() {
@@ -137,8 +138,8 @@
 	return err
 }
 
-// openConsole opens the admin server, if one is configured. check returns an error while clients are not accepted. more
-// returns further metrics for the console.
+// openConsole opens the admin server, if one is configured. The console's check call fails if check returns an error.
+// more returns further metrics for the console.
 func (ctl *control) openConsole(check func() error, more func() []broker.Metric) error {
 	if ctl.config.Console == "" {
 		return nil
@@ -180,7 +181,8 @@
 	return ctl.agreement.Metrics()
 }
 
-// ports returns the subsystems that own ports or sources of the endpoint list. They are stopped last.
+// ports returns the subsystems that own the sources of the endpoint list and the ports for other brokers and operators.
+// They are first in the list of subsystems, so they are stopped last.
 func (ctl *control) ports() subsystems {
 	return subsystems{
 		{stop: ctl.closePeers},
@@ -189,7 +191,8 @@
 	}
 }
 
-// workers returns the subsystems that run until the context ends.
+// workers returns the subsystems that start the control's goroutines. These end with the context, except for the
+// goroutines of the endpoint sources and of the peers' port, which the subsystems of ports stop.
 func (ctl *control) workers() subsystems {
 	return subsystems{
 		{start: ctl.startEndpoints},
@@ -211,7 +214,7 @@
 
 func (ctl *control) closePeers() {
 	if ctl.peers != nil {
-		_ = ctl.peers.Close() // a datagram socket; its receiving goroutine ends with it
+		_ = ctl.peers.Close() // no data is lost: it is a datagram socket; the receiving goroutine then ends
 	}
 }
 
@@ -233,7 +236,7 @@
 
 func (ctl *control) closeConsole() {
 	if ctl.console != nil {
-		_ = ctl.console.Close() // a listener; pending calls end by their deadlines
+		_ = ctl.console.Close() // closes only the listener; pending calls end at their deadlines
 	}
 }
 
@@ -267,8 +270,8 @@
 	return nil
 }
 
-// endpointHandler returns the receiver of discovery's lists: either they are applied unchanged, or they are merged with
-// those of other sources.
+// endpointHandler returns the function that receives discovery's lists. If the endpoint list has several sources, the
+// function merges discovery's lists with theirs. Otherwise it forwards discovery's lists unchanged.
 func (ctl *control) endpointHandler() func(broker.Event) {
 	if ctl.mergesSources() {
 		return ctl.endpoints.HandleDiscovery
@@ -297,7 +300,8 @@
 	}
 }
 
-// errNothingToControl is returned if a control process has no replicated configuration, its only task.
+// errNothingToControl is returned if a control process has no replicated configuration. Voting on it and forwarding it
+// are the only tasks of a control process.
 var errNothingToControl = errors.New("agreement: cluster and listen must be set for a control process")
 
 // errNoRequests is the error of an attempt or a health check in a control process.
--- a/internal/daemon/endpoints_test.go
+++ b/internal/daemon/endpoints_test.go
@@ -130,8 +130,8 @@
 }
 
 // A broker discovers its nodes over DNS. It prefers the node with the lower priority value, stops using a node that is
-// removed from the zone, and keeps serving while the DNS server fails. A write that is in
-// flight when its node is removed and the other node is added again is not sent to the other node.
+// removed from the zone, and keeps serving while the DNS server does not answer. A write is in flight when its node is
+// removed and the other node is added again: the write is not sent to the other node.
 func TestNodesFromDNS(t *testing.T) {
 	d := newDNSTest(t)
 	const node0, node1 = "node0.example.org", "node1.example.org"
@@ -152,7 +152,7 @@
 	d.server.Set(dnsService, 1, d.names[0])
 	d.awaitConsole("nodes", []string{node0}, []string{node1})
 	if first, _, err := d.client.answer(); err != nil {
-		t.Errorf("answer to the write: %q, %v", first, err)
+		t.Errorf("answer to the write: %q, error %v, want no error", first, err)
 	}
 	d.checkServedBy("after the write", 20, 21)
 	d.broker.stop()
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// maxOverlap is the longest time for which a replaced process may run beside its successor: first until SIGTERM,
-	// then until SIGKILL. It matters if the list of sockets cannot be read. With a larger value, the successor uses
-	// only half of a plan's limit for longer. With a smaller value, both processes together may exceed the limit.
+	// maxOverlap is the longest time for which a replaced process may run beside its successor: 1 s until SIGTERM,
+	// and then at most maxWait + killDelay until SIGKILL. It is used only if the list of sockets cannot be read.
+	// With a larger value, the successor uses only half of a plan's limit for longer. With a smaller value, both
+	// processes together may exceed the limit.
 	maxOverlap = time.Second + maxWait + killDelay
 	// redirectTime is the time between redirecting new connections to the successor and closing this process's
 	// listeners. With a smaller value, a connection that the kernel is still setting up is reset.
 	redirectTime = 20 * time.Millisecond
 )
 
-// startHandover connects to the process that this one replaces, if there is one, and from then on accepts a successor.
-// If the socket cannot be created, the broker serves without handover: serving clients matters more than a smooth
-// replacement.
+// startHandover connects to the predecessor, if there is one, and from then on accepts a successor. If the socket
+// cannot be created, the broker serves without handover: serving clients matters more than a smooth replacement.
 func (s *service) startHandover(context.Context) error {
 	if s.config.HandoverDisabled {
 		s.handoverOff = true
@@ -61,8 +61,8 @@
 	}
 }
 
-// otherConnected halves the limits of this process, which both processes now share, and returns the first message for a
-// successor.
+// otherConnected halves the limits of this process, because both processes share the broker's limits from now on. It
+// returns the first message for a successor.
 func (s *service) otherConnected() handover.StateMessage {
 	s.resize(2)
 	s.loop.Post(broker.ProcessesChanged{Processes: 2})
@@ -83,7 +83,7 @@
 	}
 }
 
-// otherDisconnected gives this process the full limits again after the end of the other process.
+// otherDisconnected restores the full limits of this process after the other process has disconnected.
 func (s *service) otherDisconnected() {
 	s.clients.ForgetRemoteRequests()
 	s.resize(1)
@@ -91,7 +91,8 @@
 	s.log.Info("handover: the other process disconnected")
 }
 
-// newestEndpoints returns the newest endpoint list known at the start: the configuration's or the predecessor's.
+// newestEndpoints returns the newer of the two endpoint lists known at the start: the configuration's and the
+// predecessor's. If it is the predecessor's, the watch of discovery resumes from that list.
 func (s *service) newestEndpoints() *discovery.EndpointList {
 	list := s.config.CachedEndpoints
 	if s.handedOver != nil && (list == nil || s.handedOver.Version >= list.Version) {
@@ -124,8 +125,8 @@
 	}
 }
 
-// startPresenceWatch starts the watch for other processes if the handover is off, so that they cannot connect to this
-// one.
+// startPresenceWatch starts the watch for other processes if the handover is off, since another process then cannot
+// connect to this one.
 func (s *service) startPresenceWatch(ctx, ending context.Context) error {
 	if s.handoverOff {
 		go s.watchPresence(ctx, ending)
@@ -150,9 +151,10 @@
 }
 
 // watchPresence makes the core share the plans' limits with a predecessor or successor that does not connect to this
-// process. Otherwise each process would use a whole limit. If no plan has a limit, nothing is watched. If the system's
-// list of sockets cannot be read, limits are shared with a process that listened at the start for maxOverlap, and with
-// a successor from SIGTERM on. watchPresence runs until ctx ends; the context ending is done on SIGTERM.
+// process. Otherwise each process would use the whole limits. If no plan has a limit, nothing is watched. If the
+// system's list of sockets cannot be read, limits are shared in two periods: for maxOverlap after the start, if another
+// process listened at the start, and from SIGTERM on, because a successor may run. watchPresence runs until ctx ends.
+// The context ending is done on SIGTERM.
 func (s *service) watchPresence(ctx, ending context.Context) {
 	observed := make(chan handover.Presence, 1)
 	post := func(state handover.Presence) {
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -35,7 +35,7 @@
 func checkServed(t *testing.T, address, id string) {
 	t.Helper()
 	if got := dialClient(t, address).ask(t, testRequest{id: id, units: 2}); got != id {
-		t.Errorf("answer to request %s: %q", id, got)
+		t.Errorf("answer to request %s: %q, want the request's id", id, got)
 	}
 }
 
@@ -63,7 +63,7 @@
 	newProcess := startWithConsole(t, address, files, discovery)
 	for i := range 8 { // the kernel chooses the process for each connection
 		if got := dialClient(t, address).ask(t, testRequest{id: "hold", units: 2}); !strings.HasPrefix(got, "-ERR") {
-			t.Errorf("answer to a request whose id is already open: %q", got)
+			t.Errorf("answer to a request whose id is already open: %q, want an error", got)
 		}
 		checkServed(t, address, fmt.Sprint("beside", i))
 	}
@@ -73,7 +73,7 @@
 	}
 	close(release)
 	if got := <-answer; got != "hold" {
-		t.Errorf("answer to the request accepted by the first process: %q", got)
+		t.Errorf(`answer to the request accepted by the first process: %q, want "hold"`, got)
 	}
 	oldProcess.waitEnd(t)
 	checkServed(t, address, "last")
@@ -87,7 +87,7 @@
 	mu    sync.Mutex
 	times []time.Time
 	count int           // number of arrivals that the test waits for
-	done  chan struct{} // closed at the last of them
+	done  chan struct{} // closed when that number of requests has arrived
 }
 
 // nodeValue records a request and returns the node's answer.
@@ -136,7 +136,8 @@
 }
 
 // Two processes of a broker run without a handover, and clients send far more requests to both than their volume's
-// limit allows. The requests that reach the node must keep to the limit: the burst, the overdraft and the rate.
+// limit allows. The requests that reach the node must keep to the limit of one broker: the burst, the overdraft and the
+// rate, with an allowance for requests that arrive late.
 func TestLimitWithoutHandover(t *testing.T) {
 	const rate, burst, overdraft, enough = 200.0, 40.0, 4.0, 260
 	limit := fmt.Sprintf(`"nominal":10000,"ceilingRate":%v,"capDepth":%v,"tolerance":%v`, rate, burst, overdraft)
@@ -155,18 +156,18 @@
 		awaitAccepting(t, c.Console)
 	}
 	var clients sync.WaitGroup
-	for i := range 24 { // the kernel distributes them over both processes
+	for i := range 24 { // the kernel distributes the clients over both processes
 		clients.Go(func() { runLimitedClient(t, address, i, received.done) })
 	}
 	clients.Wait()
 	received.mu.Lock()
 	defer received.mu.Unlock()
 	if len(received.times) < enough {
-		t.Fatalf("%d requests reached the node", len(received.times))
+		t.Fatalf("only %d requests reached the node before the clients ended", len(received.times))
 	}
-	const delayed = 0.15 * rate // tokens of requests that may be delayed on their way and arrive with later ones
+	const delayed = 0.15 * rate // tokens; requests may be delayed on their way and arrive together with later ones
 	if lowest := received.lowestLevel(rate, burst); lowest < -overdraft-delayed {
-		t.Errorf("the volume's token bucket fell to %.0f, below the overdraft", lowest)
+		t.Errorf("the volume's token bucket fell to %.0f, below the overdraft and the allowance for delays", lowest)
 	}
 }
 
--- a/internal/daemon/hollow.go
+++ b/internal/daemon/hollow.go
@@ -27,15 +27,15 @@
 // processes as JSON.
 type SyntheticLoad struct {
 	Rate         float64       `json:"Rate"`    // requests per second, at random times; 0 for none
-	Volumes      int           `json:"Volumes"` // number of distinct volumes, at least 1; the same at all brokers
+	Volumes      int           `json:"Volumes"` // number of distinct volumes, the same at all brokers; below 1: one
 	ResponseTime time.Duration `json:"Answer"`  // mean response time of a node; exponentially distributed
 	Seed         uint64        `json:"Seed"`
 }
 
-// ServeHollow runs the part of a broker that carries no requests, built as by Serve, until ctx ends: the watch of
-// discovery, the replicated configuration, messages between brokers, metrics, and the decisions on synthetic requests,
-// which are never sent. Many hollow brokers can run in one process. They show what that part costs in a fleet of more
-// brokers than would fit on one machine as processes.
+// ServeHollow runs the part of a broker that carries no requests, with the same constructor as Serve, until ctx ends:
+// the watch of discovery, the replicated configuration, messages between brokers, metrics, and the decisions on
+// synthetic requests, which are never sent. Many hollow brokers can run in one process. They show the cost of that part
+// in a fleet of more brokers than one machine could run as processes.
 func ServeHollow(ctx context.Context, c *config.Config, load SyntheticLoad, log *slog.Logger) error {
 	transport := &syntheticTransport{
 		random:       rand.New(rand.NewPCG(load.Seed, answerStream)),
--- a/internal/daemon/hollow_test.go
+++ b/internal/daemon/hollow_test.go
@@ -21,7 +21,7 @@
 // brokerCount is the number of brokers, including the one under test.
 const brokerCount = 3
 
-// trafficRecorder fakes discovery and two peers of a broker, and records what the broker sends to them.
+// trafficRecorder fakes discovery and the two other brokers of a fleet, and records what the broker sends to them.
 type trafficRecorder struct {
 	*testing.T
 	discovery *httptest.Server
@@ -112,7 +112,7 @@
 	})
 }
 
-// sent returns the messages and the first two polls of discovery.
+// sent returns the different messages in sorted order, and the first two polls of discovery.
 func (s *trafficRecorder) sent() (messages, polls []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,8 +133,8 @@
 	return fmt.Sprintf("%016x", n)
 }
 
-// volumesOfPeers counts the volumes whose demand another broker aggregates. The broker does not send the demand of the
-// others to any peer.
+// volumesOfPeers counts the volumes whose demand another broker aggregates. The demand of the other volumes is not sent
+// to any peer.
 func volumesOfPeers(volumes int) int {
 	count := 0
 	for n := range volumes {
@@ -148,7 +148,8 @@
 }
 
 // A hollow broker must send the same to discovery and to its peers as a full broker that gets requests of the same
-// volumes: the same polls, and messages of the same kinds and lengths on the same volumes to the same aggregators.
+// volumes: the same first two polls, and messages of the same kinds and lengths on the same volumes to the same
+// aggregators.
 func TestHollowSendsTheSame(t *testing.T) {
 	const volumes = 12
 	node := startNode(t, func(string) string { return "v" })
@@ -183,9 +184,11 @@
 	fullMessages, fullPolls := full.sent()
 	hollowMessages, hollowPolls := hollow.sent()
 	if !slices.Equal(fullMessages, hollowMessages) || len(fullMessages) < 3 {
-		t.Errorf("messages of the full broker: %v\nmessages of the hollow broker: %v", fullMessages, hollowMessages)
+		t.Errorf("messages of the full broker: %v\nmessages of the hollow broker: %v\nwant the same, at least 3",
+			fullMessages, hollowMessages)
 	}
 	if !slices.Equal(fullPolls, hollowPolls) || len(fullPolls) < 2 {
-		t.Errorf("polls of the full broker: %v, polls of the hollow broker: %v", fullPolls, hollowPolls)
+		t.Errorf("polls of the full broker: %v, polls of the hollow broker: %v, want the same two",
+			fullPolls, hollowPolls)
 	}
 }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -23,8 +23,9 @@
 // errNotAccepting is the result of the console's check call before the broker has started and while it stops.
 var errNotAccepting = errors.New("no clients are taken")
 
-// Serve runs the broker until ctx ends, and then until all accepted requests are answered. On each signal from reload
-// it loads the configuration again with load. It returns an error if the broker cannot start or a server fails.
+// Serve runs the broker until ctx ends, and then shuts it down: it answers the accepted requests in the time that
+// computeShutdownTimes allows. On each signal from reload it loads the configuration again with load. It returns an
+// error if the broker cannot start or a server fails.
 func Serve(
 	ctx context.Context, c *config.Config, log *slog.Logger,
 	reload <-chan os.Signal, load func() (*config.Config, error),
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// start starts all subsystems. They end with parts.stop. They keep running after the end of the context ending, which
-// begins the shutdown.
+// start starts all subsystems. They run until parts.stop is called. The end of the context ending, which begins the
+// shutdown, does not stop them.
 func (s *service) start(ending context.Context, reload <-chan os.Signal, load func() (*config.Config, error)) error {
 	running, cancel := context.WithCancel(context.Background())
 	s.parts = slices.Concat(
@@ -77,7 +78,7 @@
 	return s.parts.start(running)
 }
 
-// requestParts returns the subsystems that carry requests, without the server for clients, which starts last.
+// requestParts returns the subsystems that carry requests, except for the server for clients, which starts after them.
 func (s *service) requestParts() subsystems {
 	always := s.config.Site.Admission.LagMS > 0
 	parts := subsystems{background(func(ctx context.Context) { watchLag(ctx, s.loop, always) })}
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -107,7 +107,7 @@
 	client.ping(t)
 	client.write(t, testRequest{id: "id", units: 2}.encode())
 	if id := <-node.received; id != "id" {
-		t.Errorf("the node received the request id %q", id)
+		t.Errorf(`the node received the request id %q, want "id"`, id)
 	}
 	checkListeningFileServer(t, files)
 	late := make(chan struct{}) // one timeout for both waits
@@ -121,7 +121,7 @@
 	broker.stop()
 	close(node.release)
 	if got, err := io.ReadAll(client.reader); err != nil || string(got) != "$5\r\nvalue\r\n" {
-		t.Errorf("read %q after the stop, %v", got, err)
+		t.Errorf("read %q after the stop, error %v, want the node's value and then the end of the connection", got, err)
 	}
 	broker.waitEnd(t)
 	if conn, err := net.Dial("tcp", address); err == nil {
@@ -165,7 +165,7 @@
 	client := dialClient(t, address)
 	client.ping(t)
 	if files, err := filepath.Glob(filepath.Join(dir, "*.sock*")); err != nil || len(files) > 0 {
-		t.Errorf("sockets in the directory: %v, %v", files, err)
+		t.Errorf("sockets in the directory: %v, %v, want none", files, err)
 	}
 	if !strings.Contains(lines.String(), "handover off") {
 		t.Errorf("the log does not say that the handover is off:\n%s", lines.String())
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -58,8 +58,9 @@
 	return &current
 }
 
-// applySettings applies the settings of a configuration. The core receives them first, so that it already knows the new
-// limits when a server accepts requests by them.
+// applySettings applies the settings of a configuration. The core, or the replicated configuration if it is enabled,
+// receives them first. Without the replicated configuration, the core therefore applies the new settings before any
+// request that a server accepts by the new limits.
 func (s *service) applySettings(c *config.Config) {
 	set := c.Settings
 	set.Scheduler.Balancer = s.config.Site.Balancer.Options(s.config.Name) // fixed at the start
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -136,24 +136,24 @@
 		current := s.reload(c, loadChanged(fault.old, fault.new))
 		want := "reload rejected; the previous configuration stays active reason=" + fault.reason
 		if current != c || len(lines) != 1 || lines[0] != want {
-			t.Errorf("reload with %s logged %q", fault.new, lines)
+			t.Errorf("reload with %s logged %q, want %q and an unchanged configuration", fault.new, lines, want)
 		}
 	}
 	lines = nil
 	moved := loadChanged(`"127.0.0.1:1","discovery":"127.0.0.1:2"`, `"127.0.0.1:3","discovery":"127.0.0.1:4"`)
 	current := s.reload(c, moved)
 	if current.Discovery != "127.0.0.1:4" || current.Listen != c.Listen {
-		t.Errorf("configuration after the reload: %+v", current)
+		t.Errorf("configuration after the reload: %+v, want the new discovery and old listen address", current)
 	}
 	if len(lines) != 2 || lines[0] != "reload: some keys need a restart keys=listen" {
-		t.Errorf("reload of a valid file logged %q", lines)
+		t.Errorf("reload of a valid file logged %q, want two lines, the first on the key listen", lines)
 	}
 	counts := map[string]uint64{}
 	for _, metric := range s.loop.Metrics.Read() {
 		counts[metric.Name] = metric.Value
 	}
 	if counts["reconfig_ok"] != 1 || counts["reconfig_failed"] != uint64(len(faults)) {
-		t.Errorf("metrics: %v", counts)
+		t.Errorf("metrics: %v, want 1 successful reload and %d rejected ones", counts, len(faults))
 	}
 }
 
@@ -173,6 +173,6 @@
 	}
 	site, err := config.LoadSite("../../deploy/site.toml", set.Scheduler)
 	if err != nil || site.SFTP.Listen == "" || site.Graphite.Address != "" || site.Collectd.Address != "" {
-		t.Errorf("site file %+v, %v", site, err)
+		t.Errorf("site file %+v, %v, want a file server and no address for Graphite or collectd", site, err)
 	}
 }
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -39,7 +39,8 @@
 	return text.Bytes()
 }
 
-// shareMetrics returns the factors and shares in thousandths, and the number of nodes whose factor is below 1.
+// shareMetrics returns the shares and factors of at most maxNodeMetrics nodes in thousandths, and the number of all
+// nodes whose factor is below 1.
 func shareMetrics(shares []scheduler.NodeShare) []broker.Metric {
 	if len(shares) == 0 {
 		return nil
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -8,26 +8,27 @@
 )
 
 // If there is no successor at SIGTERM, clients cannot connect to another process: they keep using their connections
-// and keep opening new ones. The platform sends SIGKILL after the longest deadline (at most maxWait) plus killDelay.
-// It does not start the next process before that time, even if this process ends earlier.
+// and keep opening new ones. The platform sends SIGKILL after the longest deadline (at most maxWait) plus killDelay. It
+// does not start the next process before SIGKILL is due, even if this process ends earlier.
 const (
-	// minDrain is the minimum time that clients have to move to other brokers. With a smaller value, their connections
-	// are refused.
+	// minDrain is the minimum time from SIGTERM until connections are drained, in which clients can move to other
+	// brokers. With a smaller value, clients that still connect are refused.
 	minDrain = 450 * time.Millisecond
 	// maxWait is the longest time for which the platform waits for answers. killDelay is the time between the end of
 	// that wait, or the longest deadline if that is shorter, and SIGKILL. The platform's rules fix both. With larger
 	// values here, SIGKILL comes before the last answers are sent.
 	maxWait   = 3 * time.Second
 	killDelay = 700 * time.Millisecond
-	// These are times before SIGKILL: closeBeforeKill is when connections are drained, answerBeforeKill is when all
-	// requests that are still open are answered, and exitBeforeKill is the latest end of the process. With larger
-	// values, requests fail that could be served. With smaller values, a process on a busy machine is killed before the
-	// answers are sent.
+	// closeBeforeKill, answerBeforeKill and exitBeforeKill are times before SIGKILL: when connections are drained,
+	// when all requests that are still open are answered, and when the process ends at the latest. With larger
+	// values, requests fail that could be served. With smaller values, a process on a busy machine is killed before
+	// the answers are sent.
 	closeBeforeKill  = 400 * time.Millisecond
 	answerBeforeKill = 250 * time.Millisecond
 	exitBeforeKill   = 100 * time.Millisecond
-	// crossingTime is the time between draining connections and closing the servers, for requests that a client sent
-	// while its connection was being closed. With a smaller value, such a request is reset without an answer.
+	// crossingTime is the time between draining connections and closing the servers. A request that a client sent
+	// while its connection was being drained arrives in that time. With a smaller value, such a request is reset
+	// without an answer.
 	crossingTime = 100 * time.Millisecond
 	// shutdownPoll is the time between two checks for open requests and connected clients. With a larger value, the
 	// process ends later. With a smaller value, it wakes up more often.
@@ -42,8 +43,8 @@
 	exit   time.Duration // latest end of the process
 }
 
-// computeShutdownTimes returns the times of the shutdown steps. Clients are served for as long as an answer can still
-// be sent before SIGKILL, so that a planned restart causes no failures.
+// computeShutdownTimes returns the times of the shutdown steps. Clients are served as long as an answer can still be
+// sent before SIGKILL, so that a planned restart causes as few failures as possible.
 func computeShutdownTimes(classes []scheduler.Class) shutdownTimes {
 	longest := time.Duration(0)
 	for _, class := range classes {
@@ -59,9 +60,10 @@
 	}
 }
 
-// shutDown closes the servers after SIGTERM and waits until all accepted requests are answered. If there is a
-// successor, shutDown redirects new connections to the successor at once, and closes each old connection as soon as the
-// connection has no open requests.
+// shutDown closes the servers after SIGTERM and waits until all accepted requests are answered, at most until the exit
+// time of computeShutdownTimes. If there is a successor, shutDown redirects new connections to the successor at once,
+// and closes each old connection as soon as the connection has no open requests. Otherwise it keeps accepting clients
+// until the drain time.
 func (s *service) shutDown() {
 	times := computeShutdownTimes(*s.classes.Load())
 	began := time.Now()
@@ -87,8 +89,8 @@
 	s.exporter.Shutdown(began.Add(lastFlush)) // all clients have their answers
 }
 
-// awaitAnswers waits until no request is open and no client is connected. At times.answer it makes the core answer all
-// requests that are still open.
+// awaitAnswers waits until no request is open and no client is connected, at most until times.exit. At times.answer it
+// makes the core answer all requests that are still open.
 func (s *service) awaitAnswers(began time.Time, times shutdownTimes) {
 	notified := false
 	for s.owesAnswers() && time.Since(began) < times.exit {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -14,7 +14,8 @@
 	"junctionwharf/scheduler"
 )
 
-// quickSettings have deadlines of 0.3 s, so that SIGKILL would come 1 s after SIGTERM.
+// quickSettings holds settings with deadlines of 0.3 s. With killDelay (0.7 s), the platform would send SIGKILL 1 s
+// after SIGTERM.
 const quickSettings = `{"bounds":{"maxAttempts":3},"nInstances":1,"ordinal":0,"specifics":{"usualUnits":2,"maxUnits":8},
  "classes":[{"name":"read","aim":200000,"deadline":300000,"effect":"safe","importance":1},
   {"name":"write","aim":200000,"deadline":300000,"effect":"unsafe","importance":1}],
@@ -33,12 +34,12 @@
 		100 * ms:  {drain: 450 * ms, close: 550 * ms, answer: 550 * ms, exit: 700 * ms},
 	} {
 		if got := computeShutdownTimes([]scheduler.Class{{Deadline: ms}, {Deadline: longest}}); got != want {
-			t.Errorf("longest deadline %v: %v, want %v", longest, got, want)
+			t.Errorf("longest deadline %v: times %+v, want %+v", longest, got, want)
 		}
 	}
 }
 
-// shutdownTest is a broker that is stopped while clients keep sending requests.
+// shutdownTest tests a broker that is stopped while clients keep sending requests.
 type shutdownTest struct {
 	*testing.T
 	address string
@@ -49,7 +50,7 @@
 	seen map[string]int // how often each request reached the node
 }
 
-// nodeValue records a request and returns the node's answer, which is empty if the node must not answer.
+// nodeValue records a request and returns the node's answer, or an empty string if the node must never answer it.
 func (s *shutdownTest) nodeValue(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +61,8 @@
 	return "v"
 }
 
-// requestOf returns a client's request. Every second client writes; the node does not answer every third client.
+// requestOf returns a client's request. The requests of every second client are writes. The node never answers the
+// requests of every third client.
 func requestOf(client, number int) testRequest {
 	request := testRequest{id: fmt.Sprintf("serve-%d-%d", client, number), wait: int(quickDeadline.Milliseconds())}
 	if client%3 == 0 {
@@ -100,18 +102,20 @@
 	}
 }
 
-// checkEnd checks that a request without an answer did not reach the node and got no partial answer. At a client's
-// first request, only a closed or reset connection is allowed.
+// checkEnd checks a client's last request, which failed with err: it must not have reached the node, and no part of an
+// answer must have arrived. If it was the client's first request, err must be that of a closed or reset connection.
+// A later request may also fail in another way, for example while it is written to a closed connection.
 func (s *shutdownTest) checkEnd(id string, number int, line string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	unexpected := number == 0 && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.EOF)
 	if s.seen[id] > 0 || line != "" || unexpected {
-		s.Errorf("request %s: answer %q, %v; it reached the node %d times", id, line, err, s.seen[id])
+		s.Errorf("request %s: answer %q, error %v, reached the node %d times; "+
+			"want no answer, a closed connection and 0 times", id, line, err, s.seen[id])
 	}
 }
 
-// checkWrites checks that no write was sent again. Reads may be.
+// checkWrites checks that no write that the node left unanswered was sent to it again. Reads may be sent again.
 func (s *shutdownTest) checkWrites() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,14 +128,14 @@
 			s.Error(err)
 		}
 		if client%2 == 0 {
-			s.Errorf("write %s reached the node %d times", id, times)
+			s.Errorf("unanswered write %s reached the node %d times, want once", id, times)
 		}
 	}
 }
 
 // The broker is stopped while its node answers only some requests, and clients keep sending on old and new connections
-// until the broker closes them. Each request that the broker has read gets exactly one answer. If a connection is
-// closed before an answer, no byte of that request has reached the node. The broker ends before SIGKILL would come.
+// until the broker closes them. Each request that reached the node gets an answer before the broker closes the client's
+// connection. The broker ends before the time at which the platform would send SIGKILL.
 func TestShutdownAnswersAll(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	const clients = 12
@@ -152,12 +156,12 @@
 	}
 	began := time.Now()
 	broker.stop()
-	for i := range clients { // clients also keep connecting
+	for i := range clients { // clients keep connecting after SIGTERM
 		s.clients.Go(func() { s.runClient(clients + i) })
 	}
 	broker.waitEnd(t)
 	if took := time.Since(began); took > quickDeadline+killDelay {
-		t.Errorf("the broker ended %v after SIGTERM", took)
+		t.Errorf("the broker ended %v after SIGTERM, want at most %v", took, quickDeadline+killDelay)
 	}
 	s.clients.Wait()
 	s.checkWrites()
--- a/internal/daemon/sizing.go
+++ b/internal/daemon/sizing.go
@@ -20,8 +20,8 @@
 	largeMemoryMB = 128
 	// largeHeapFraction replaces heapFraction from largeMemoryMB on.
 	largeHeapFraction = 0.8
-	// requestFraction is the fraction of the memory limit for buffered requests and answers. With a larger value, less
-	// memory is left for connections. With a smaller value, large values are rejected.
+	// requestFraction is the fraction of the memory limit for buffered requests and answers. With a larger fraction,
+	// less memory is left for connections. With a smaller fraction, large requests are rejected.
 	requestFraction = 0.2
 	// gcPercent and largeGCPercent set how far the heap grows between collections. With larger values, the heap of a
 	// small machine keeps growing for its first hours. With smaller values, collections use processor time for as long
@@ -70,7 +70,8 @@
 	requestBytes  int
 }
 
-// computeSizes divides the configured limits by the number of processes of this broker, which is 2 during a handover.
+// computeSizes returns the limits of one process, given the number of processes of this broker, which is 2 during a
+// handover. All processes share the configured sockets and memory. maxOpen does not depend on their number.
 func computeSizes(c *config.Config, processes int) sizes {
 	sockets := c.Limits.Sockets / processes
 	memory := c.Limits.MemoryMB * (1 << 20) / float64(processes)
--- a/internal/daemon/sizing_test.go
+++ b/internal/daemon/sizing_test.go
@@ -25,14 +25,15 @@
 		conf.Limits = config.Limits{Cores: 2, MemoryMB: c.memoryMB, Sockets: c.sockets}
 		s := computeSizes(&conf, 1)
 		if s.clientSockets != c.clients || s.maxOpen != c.maxOpen {
-			t.Errorf("%v MB, %d sockets: sizes %+v", c.memoryMB, c.sockets, s)
+			t.Errorf("%v MB, %d sockets: sizes %+v, want %d clients and %d open requests",
+				c.memoryMB, c.sockets, s, c.clients, c.maxOpen)
 		}
 		if float64(s.clientSockets*clientBytes) > clientHeapFraction*float64(s.heapBytes) {
 			t.Errorf("%v MB, %d clients use over half of a heap of %d bytes", c.memoryMB, s.clientSockets, s.heapBytes)
 		}
 		used := s.clientSockets + s.nodeSockets + s.overflow + reservedSockets - minOverflow
 		if s.overflow < minOverflow || used > c.sockets {
-			t.Errorf("%d sockets: sizes %+v", c.sockets, s)
+			t.Errorf("%d sockets: sizes %+v use more sockets, or the overflow is below minOverflow", c.sockets, s)
 		}
 	}
 }
--- a/internal/daemon/subsystems_test.go
+++ b/internal/daemon/subsystems_test.go
@@ -27,6 +27,6 @@
 	}
 	list.stop()
 	if got := strings.Join(calls, ", "); got != "start a, start b, stop c, stop b, stop a" {
-		t.Error(got)
+		t.Error("want a and b started, and c, b and a stopped; calls:", got)
 	}
 }
--- a/internal/daemon/testkit_test.go
+++ b/internal/daemon/testkit_test.go
@@ -23,7 +23,7 @@
 // testTimeout bounds each wait of a test.
 const testTimeout = 10 * time.Second
 
-// settingsText holds settings with a deadline longer than any test.
+// settingsText holds settings with a deadline of 6 s, which the tests' requests do not reach.
 const settingsText = `{"bounds":{"maxAttempts":3},"nInstances":1,"ordinal":0,"specifics":{"usualUnits":2,"maxUnits":8},
  "classes":[{"name":"read","aim":5000000,"deadline":6000000,"effect":"safe","importance":1}],
  "serviceLevels":[{"name":"plan","nominal":100,"floorRate":100,"parts":1,"price":1}],
@@ -203,7 +203,8 @@
 	}
 }
 
-// testRequest is a request of a client. A field with the zero value means the default in the field's comment.
+// testRequest is a request of a client. For a field with the zero value, encode uses the default in the field's
+// comment.
 type testRequest struct {
 	id      string
 	class   string // default "read"
@@ -280,7 +281,7 @@
 	}
 }
 
-// tryRequest sends a request and reads the first line of the answer. It returns an error if the broker has ended.
+// tryRequest sends a request and reads the first line of the answer. It returns an error if the connection is closed.
 func (c *testClient) tryRequest(request testRequest) (string, error) {
 	if _, err := io.WriteString(c.conn, request.encode()); err != nil {
 		return "", err
@@ -326,6 +327,6 @@
 	}
 	version := make([]byte, 9)
 	if _, err := io.ReadFull(conn, version); err != nil || string(version) != "\x00\x00\x00\x05\x02\x00\x00\x00\x03" {
-		t.Errorf("version answer of the file server: %q, %v", version, err)
+		t.Errorf("version answer of the file server: %q, %v, want protocol version 3", version, err)
 	}
 }
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -6,7 +6,7 @@
 	"junctionwharf/scheduler"
 )
 
-// noTransport is the transport of a process without requests. An attempt fails before anything is sent.
+// noTransport is the transport of a process that sends no requests. An attempt fails before anything is sent.
 type noTransport struct{}
 
 // Start implements broker.Transport.
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -42,7 +42,7 @@
 	failed    chan error     // receives the error of a server that ended unexpectedly
 
 	coordinator     *handover.Coordinator   // nil if the handover is off
-	handoverOff     bool                    // another process may serve at the same time, not connected to this one
+	handoverOff     bool                    // another process may serve too, without a connection to this one
 	addressWasInUse bool                    // another process listened at the address when this one started
 	handedOver      *discovery.EndpointList // the predecessor's list; nil for none
 	accepting       atomic.Bool             // whether clients are accepted
--- a/internal/handover/coordinator.go
+++ b/internal/handover/coordinator.go
@@ -14,12 +14,12 @@
 
 const (
 	// greetTimeout bounds the time to connect to the predecessor, and then the time until its first message. With a
-	// larger value, a hanging predecessor delays the start for longer. With a smaller value, a busy predecessor hands
-	// over no state, and ids of open requests are accepted twice.
+	// larger value, a hanging predecessor delays the start for longer. With a smaller value, a busy predecessor may
+	// hand over no state, and a request with an id that is open there is accepted a second time.
 	greetTimeout = 500 * time.Millisecond
 	// writeTimeout bounds the time to write one message. A process that does not read for that long is disconnected.
-	// With a larger value, the send queue to a hanging process fills up. With a smaller value, a short stall of the
-	// machine ends a working handover.
+	// With a larger value, a hanging process is disconnected later, and messages to it are queued for longer. With a
+	// smaller value, a short stall of the machine ends a working handover.
 	writeTimeout = 500 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept, for example if there are no file descriptors left. With a
 	// larger value, a successor waits longer and gives up after greetTimeout. With a smaller value, the loop uses
@@ -30,7 +30,7 @@
 	sendQueueLength = 4096
 )
 
-// Callbacks are the functions that a Coordinator calls. One goroutine at a time calls them.
+// Callbacks are the functions that a Coordinator calls. For one connection, only one goroutine at a time calls them.
 type Callbacks struct {
 	Connected    func() StateMessage // the other process has connected; returns the first message for a successor
 	Received     func(StateMessage)  // the other process has sent a message
@@ -40,7 +40,7 @@
 // Coordinator owns the socket at which processes of one broker connect, and the connection to the other process.
 type Coordinator struct {
 	callbacks Callbacks
-	listener  net.Listener // for successors; the goroutine of acceptSuccessors ends when Close closes it
+	listener  net.Listener // for successors; acceptSuccessors ends when Close closes it
 
 	mu   sync.Mutex
 	peer *peerConn // the other process; nil for none
@@ -52,9 +52,9 @@
 	return filepath.Join(dir, "junctionwharf-"+name+".sock")
 }
 
-// Open connects to the process that listens at path, if there is one, and replaces its socket. found reports whether
-// there was one; if so, Callbacks.Received has been called with the state that it handed over. Open fails if the socket
-// cannot be created.
+// Open connects to the process that listens at path, if there is one, and replaces its socket. found reports whether a
+// process answered. In that case, Open has called Callbacks.Connected, and Callbacks.Received with the state that the
+// process handed over. Open fails if the socket cannot be created.
 func Open(path string, callbacks Callbacks) (c *Coordinator, found bool, err error) {
 	c = &Coordinator{callbacks: callbacks}
 	predecessor := c.connectToPredecessor(path)
@@ -73,8 +73,8 @@
 	return c, predecessor != nil, nil
 }
 
-// connectToPredecessor connects to the process at path and passes its first message to Callbacks.Received. It returns
-// nil if no process answers.
+// connectToPredecessor connects to the process at path, calls Callbacks.Connected, and passes the first message of that
+// process to Callbacks.Received. It returns nil if no process answers.
 func (c *Coordinator) connectToPredecessor(path string) *peerConn {
 	conn, err := net.DialTimeout("unix", path, greetTimeout)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return peer
 }
 
-// replaceSocket listens at path. It renames the new socket over an existing file, which a killed process or the
-// predecessor left there, so that a process listens at path at any time.
+// replaceSocket listens at path. It renames the new socket over an existing file, which the predecessor or a killed
+// process has created. With a predecessor, a process therefore listens at path at any time.
 func replaceSocket(path string) (net.Listener, error) {
 	temporary := path + "." + strconv.Itoa(os.Getpid())
 	_ = os.Remove(temporary) // a killed process with the same id may have left it
@@ -109,7 +109,7 @@
 	return listener, nil
 }
 
-// acceptSuccessors serves successors, one at a time, until the listener is closed.
+// acceptSuccessors accepts successors, one at a time, until the listener is closed.
 func (c *Coordinator) acceptSuccessors() {
 	for {
 		conn, err := c.listener.Accept()
@@ -190,8 +190,8 @@
 	return c.peer != nil && c.peer.successor
 }
 
-// Close closes the listener and the connection. It keeps the socket's file, which may already belong to a successor. A
-// file without a listener does no harm.
+// Close closes the listener and the connection. It does not remove the socket's file, because the file may already
+// belong to a successor. A file without a listener does no harm.
 func (c *Coordinator) Close() {
 	_ = c.listener.Close()
 	c.mu.Lock()
@@ -201,15 +201,15 @@
 	}
 }
 
-// peerConn is the connection to the other process. Coordinator.readFrom owns it and ends the writing goroutine by
-// closing done.
+// peerConn is the connection to the other process. Coordinator.readFrom reads from it, and closes it and done at its
+// end. Closing done ends the writing goroutine.
 type peerConn struct {
 	conn      net.Conn
 	successor bool // the other process started later than this one
 	decoder   *json.Decoder
 	encoder   *json.Encoder
 	queue     chan StateMessage
-	done      chan struct{} // closed when the connection has ended
+	done      chan struct{} // closed by readFrom when the connection has ended
 }
 
 func newPeerConn(conn net.Conn) *peerConn {
@@ -222,7 +222,7 @@
 	}
 }
 
-// close closes the connection. The reading goroutine then fails, and ends the writing goroutine.
+// close closes the connection. The next read then fails in readFrom, which ends the writing goroutine.
 func (p *peerConn) close() {
 	_ = p.conn.Close()
 }
--- a/internal/handover/coordinator_test.go
+++ b/internal/handover/coordinator_test.go
@@ -49,10 +49,10 @@
 	newProcess := startProcess(t, path, StateMessage{})
 	first := <-newProcess.received
 	if !newProcess.found || first.Endpoints.Version != 7 || first.OpenedRequests[0] != "a" {
-		t.Errorf("first message to the successor: %+v", first)
+		t.Errorf("first message to the successor: %+v, want endpoint list 7 and the open request a", first)
 	}
 	if !oldProcess.HasSuccessor() || newProcess.HasSuccessor() {
-		t.Error("want a successor of the old process only")
+		t.Error("want HasSuccessor true at the old process and false at the new one")
 	}
 	exchangeMessages(t, oldProcess, newProcess)
 	oldProcess.Close()
@@ -73,7 +73,7 @@
 	t.Helper()
 	oldProcess.Send(StateMessage{EndedRequests: []string{"a"}})
 	if message := <-newProcess.received; message.EndedRequests[0] != "a" {
-		t.Errorf("message from the old process: %+v", message)
+		t.Errorf("message from the old process: %+v, want the ended request a", message)
 	}
 	newProcess.Send(StateMessage{PeerOrdinal: 2, PeerMessage: []byte{0, 255}})
 	for message := range oldProcess.received {
@@ -81,7 +81,7 @@
 			continue
 		}
 		if message.PeerOrdinal != 2 || string(message.PeerMessage) != "\x00\xff" {
-			t.Errorf("message from the new process: %+v", message)
+			t.Errorf("message from the new process: %+v, want the datagram of peer 2", message)
 		}
 		return
 	}
@@ -90,6 +90,6 @@
 // Open returns an error if the directory of the socket does not exist.
 func TestOpenWithoutDirectory(t *testing.T) {
 	if _, _, err := Open(filepath.Join(t.TempDir(), "none", "x.sock"), Callbacks{}); err == nil {
-		t.Error("no error")
+		t.Error("Open returned no error")
 	}
 }
--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -10,7 +10,8 @@
 // State: a Coordinator owns the Unix socket and at most one connection, either to the predecessor or to the successor.
 // No state survives a restart. The socket's file may remain; the next process replaces the file.
 //
-// Goroutines: Open starts them, and Coordinator.Close ends them. Callbacks are called by one goroutine at a time.
+// Goroutines: Open starts them, and Coordinator.Close ends them. For one connection, only one goroutine at a time calls
+// the callbacks.
 //
 // Messages are JSON objects, one per line. Their keys stay the same in all versions of the program, since the two
 // processes are of different versions during an upgrade.
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -37,7 +37,7 @@
 	var decoded StateMessage
 	golden.CheckJSON(t, "message.json", fullMessage, &decoded, "\n")
 	if !reflect.DeepEqual(decoded, fullMessage) {
-		t.Errorf("decoded message: %+v", decoded)
+		t.Errorf("decoded message: %+v, want the encoded one", decoded)
 	}
 }
 
--- a/internal/handover/listen_linux.go
+++ b/internal/handover/listen_linux.go
@@ -11,8 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// successorIndex is the index of the successor's listener among the two listeners, which the kernel orders by when they
-// were opened. Once the first is closed, no listener has the index, and the kernel chooses a listener by itself.
+// successorIndex is the index of the successor's listener: the kernel numbers the listeners at one address in the order
+// in which they were opened, and this process's listener has index 0. Once this process's listener is closed, no
+// listener has successorIndex, and the kernel then chooses a listener by itself.
 const successorIndex = 1
 
 // errNoSocketAccess is returned for a listener or connection that does not give access to its socket.
@@ -35,7 +36,7 @@
 }
 
 // Listen listens for TCP connections at an address that another process of the same user may listen at too. It turns
-// off Multipath TCP, Go's default, with which RedirectNewConnections does not work.
+// off Multipath TCP, Go's default, because RedirectNewConnections does not work with it.
 func Listen(address string) (net.Listener, error) {
 	config := listenShared
 	config.SetMultipathTCP(false)
@@ -49,7 +50,7 @@
 		return nil, err
 	}
 	udp, isUDP := conn.(*net.UDPConn)
-	if !isUDP { // unexpected: the network "udp" has no other type
+	if !isUDP { // unexpected: "udp" always gives a UDPConn
 		_ = conn.Close()
 		return nil, fmt.Errorf("%s: %w", address, errNoSocketAccess)
 	}
@@ -74,8 +75,8 @@
 	})
 }
 
-// AddressInUse reports whether another process listens at an address. It must be called before this process listens
-// there. It returns true if the answer cannot be determined. It binds a socket but does not listen, so no client can
+// AddressInUse reports whether a process listens at an address. It must be called before this process listens there.
+// It also returns true if it cannot determine the answer. It binds a socket but does not listen, so no client can
 // connect to the socket.
 func AddressInUse(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
@@ -88,8 +89,8 @@
 		return true
 	}
 	defer func() { _ = unix.Close(fd) }() // the socket was never connected
-	// With this option, connections that ended recently do not keep the address in use. If setting it fails, the
-	// result may be true although no process listens, which is the safe side.
+	// With this option, connections that ended recently do not keep the address in use. If setting the option fails,
+	// the result may be true although no process listens. Limits are then shared needlessly, but not exceeded.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	return unix.Bind(fd, target) != nil
 }
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// dialTest connects to an address with a deadline.
+// dialTest connects to an address and limits all reads and writes of the connection to 5 s.
 func dialTest(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -51,7 +51,7 @@
 	t.Helper()
 	for _, conn := range conns {
 		if got, err := io.ReadAll(conn); string(got) != want {
-			t.Errorf("%s: answer %q, %v", what, got, err)
+			t.Errorf("%s: answer %q, error %v, want %q", what, got, err, want)
 		}
 	}
 }
--- a/internal/handover/presence.go
+++ b/internal/handover/presence.go
@@ -16,10 +16,10 @@
 
 const (
 	// checkInterval is the time between two reads of the system's list of sockets. With a larger value, two processes
-	// that are not connected both use a whole limit for longer. With a smaller value, reading the list costs more
+	// that are not connected both use the whole limits for longer. With a smaller value, reading the list costs more
 	// processor time.
 	checkInterval = 50 * time.Millisecond
-	// absentAfter is the time without another listener after which the other process counts as ended, since a process
+	// absentAfter is the time without another listener after which the other process is considered ended. A process
 	// closes its listener first and continues to send requests for a while. With a smaller value, the two processes
 	// exceed a limit together. With a larger value, the remaining process uses only half of the limit for longer.
 	absentAfter = 500 * time.Millisecond
@@ -39,8 +39,8 @@
 // The values of Presence.
 const (
 	Unknown Presence = iota // the system's list cannot be read, or lacks this process's own listener
-	Present                 // another process listens, or may have listened within the last absentAfter
-	Absent                  // no other process listens
+	Present                 // another process listens, or may have listened less than absentAfter ago
+	Absent                  // no other process has listened for absentAfter
 )
 
 // PresenceWatcher reports whether another process listens at an address, according to the system's list of sockets. It
@@ -49,7 +49,7 @@
 type PresenceWatcher struct {
 	address  string
 	openList func() (io.ReadCloser, error)
-	lastSeen time.Time // when another listener was last seen; initially the time of the first check
+	lastSeen time.Time // when another listener was last seen, or the first check of a series; zero before it
 }
 
 // NewPresenceWatcher returns a watcher for an address at which this process listens.
@@ -83,8 +83,8 @@
 	return listenersAt(list, w.address)
 }
 
-// Run checks periodically while enabled returns true, and calls notify on each change of the result, until ctx ends.
-// Before the first call of notify the result is Unknown.
+// Run checks once per checkInterval while enabled returns true, and calls notify on each change of the result, until
+// ctx ends. Before the first call of notify the caller must assume Unknown.
 func (w *PresenceWatcher) Run(ctx context.Context, enabled func() bool, notify func(Presence)) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
--- a/internal/handover/presence_test.go
+++ b/internal/handover/presence_test.go
@@ -34,8 +34,8 @@
 	return io.NopCloser(strings.NewReader(listHeading + l.rows)), nil
 }
 
-// At the start, and again after another process has started and ended, the other process counts as absent only once
-// no other listener has been seen for absentAfter.
+// The other process is Absent only once no other listener has been seen for absentAfter: after the first check, and
+// again after another listener has been seen.
 func TestPresenceOfOtherProcess(t *testing.T) {
 	var list scriptedList
 	watcher := NewPresenceWatcher(testAddress)
@@ -67,7 +67,8 @@
 	}
 }
 
-// The result is Unknown if there is no list that contains this process's own listener, even after it was Absent.
+// The result is Unknown if the list cannot be read or does not contain this process's own listener, even if the result
+// before was Absent.
 func TestPresenceUnknown(t *testing.T) {
 	var list scriptedList
 	watcher := NewPresenceWatcher(testAddress)
@@ -103,7 +104,7 @@
 func TestListenersAtOtherAddress(t *testing.T) {
 	for _, address := range []string{"[::1]:6379", "here"} {
 		if _, err := listenersAt(strings.NewReader(""), address); !errors.Is(err, errNotIPv4) {
-			t.Errorf("address %s: error %v", address, err)
+			t.Errorf("address %s: error %v, want errNotIPv4", address, err)
 		}
 	}
 }
