--- a/admission/controller.go
+++ b/admission/controller.go
@@ -37,7 +37,7 @@
 	settings Settings
 
 	// From the settings of the deployment.
-	ranks         map[string]int // of a class; the highest priority weight has rank 0
+	ranks         map[string]int // rank by class name, within each half of the ranks; 0 for the highest priority weight
 	plans         map[string]scheduler.Plan
 	maxUnits      float64 // maximum units of a request
 	minObjective  Micros  // the shortest latency objective of a class
@@ -53,22 +53,22 @@
 	lagSamples int
 	arrived    []int // requests by rank
 	admitted   int
-	tooMany    bool // requests were rejected for Settings.MaxOpenOverloaded
+	tooMany    bool // requests were rejected because of Settings.MaxOpenOverloaded
 
 	// Values over several windows.
 	smoothedLag    Micros
 	offered        []float64 // mean number of requests per window, by rank
 	meanAdmitted   float64
-	peakAdmitted   float64 // recent peak of the requests admitted in a window without overload
+	peakAdmitted   float64 // smoothed recent peak of the requests admitted in a window, without windows of overload
 	excess         float64 // mean number of requests offered per admitted request
 	tooManyWindows int     // remaining windows for which Shedding reports an earlier tooMany
 
 	// Load shedding.
 	shedding       bool
 	allowance      float64 // requests per window
-	allowanceAtCut float64 // allowance before the last cut
+	allowanceAtCut float64 // allowance before the last cut; after the first cut, meanAdmitted before it
 	cutPause       int     // windows until the next cut is possible
-	calm           int     // successive windows with enough allowance for all requests
+	calm           int     // successive windows in which the allowance sufficed for all requests
 	marginalRank   int     // the rank of which only a part is admitted
 	marginalPart   float64 // the admitted part of that rank, from 0 to 1
 	marginalCredit float64 // sum of marginalPart over requests of that rank; 1 admits one request
@@ -88,7 +88,7 @@
 	return c
 }
 
-// ApplySettings switches to other classes and plans. Classes that are no longer in the settings get the lowest rank.
+// ApplySettings switches to other classes and plans. Requests of unknown classes rank after those of known classes.
 func (c *Controller) ApplySettings(deployment scheduler.Settings) {
 	lastRank := c.rankClasses(deployment.Classes)
 	c.plans = map[string]scheduler.Plan{}
@@ -100,7 +100,9 @@
 	if deployment.Capabilities.RetryAfter {
 		c.maxRetryAfter = deployment.Capabilities.MaxRetryAfter.Microseconds()
 	}
-	ranks := 2 * (lastRank + 2) // half within reserved capacity, half beyond; the last of each half: unknown classes
+	// The first half of the ranks is for requests within reserved capacity, the second half for all others. The last
+	// rank of each half is for unknown classes.
+	ranks := 2 * (lastRank + 2)
 	c.arrived = make([]int, ranks)
 	c.offered = make([]float64, ranks)
 	if c.shedding { // the offered requests by rank are not known yet
@@ -131,8 +133,8 @@
 	return rank
 }
 
-// rank returns a request's rank. Rank 0 is admitted first. If the request is within its volume's reserved capacity,
-// rank also deducts the request's units from that capacity.
+// rank returns a request's rank. A lower rank is admitted first. If the request is within its volume's reserved
+// capacity, rank also deducts the request's units from that capacity.
 func (c *Controller) rank(now Micros, r *Request) int {
 	half := len(c.arrived) / 2
 	rank, known := c.ranks[r.Class]
@@ -150,7 +152,7 @@
 func (c *Controller) Admit(now Micros, open int, r *Request) (reason Reason, retryAfter Micros) {
 	c.advance(now)
 	rank := 0
-	if c.settings.TargetLag > 0 || c.settings.MaxOpen > 0 { // the other bounds do not depend on the rank
+	if c.settings.TargetLag > 0 || c.settings.MaxOpen > 0 { // the bound MaxOpenOverloaded does not depend on the rank
 		rank = c.rank(now, r)
 	}
 	c.arrived[rank]++
@@ -195,12 +197,12 @@
 }
 
 // retryAfter returns the time after which a rejected client may retry. The time grows with the number of requests
-// offered per admitted request.
+// offered per admitted request, up to maxRetryAfter.
 func (c *Controller) retryAfter() Micros {
 	return min(c.maxRetryAfter, Micros(float64(c.minObjective)*max(1, c.excess)))
 }
 
-// RecordLag records the scheduling lag since the last call.
+// RecordLag records the scheduling lag measured since the last call.
 func (c *Controller) RecordLag(now, lag Micros) {
 	c.lagSamples++
 	c.windowLag += (lag - c.windowLag) / Micros(c.lagSamples)
@@ -216,5 +218,6 @@
 // Overloaded reports whether the smoothed lag is above OverloadLag.
 func (c *Controller) Overloaded() bool { return c.smoothedLag > OverloadLag }
 
-// Shedding reports whether requests are currently rejected because the broker's own processor is overloaded.
+// Shedding reports whether load shedding is active, or requests were rejected because of Settings.MaxOpenOverloaded in
+// this window or one of the last calmWindows windows. In both cases the broker's own processor is overloaded.
 func (c *Controller) Shedding() bool { return c.shedding || c.tooMany || c.tooManyWindows > 0 }
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -93,9 +93,9 @@
 	}
 }
 
-// A broker is offered five times its capacity. The lag must fall to its target while the capacity is used. Requests
-// within reserved capacity are admitted first, then the class of higher priority. After the overload, the controller
-// admits all requests again.
+// A broker is offered five times its capacity. The lag must stay within five times its target, while almost the whole
+// capacity is used. Requests within reserved capacity are admitted first, then the class of higher priority. After the
+// overload, the controller admits all requests again.
 func TestOverload(t *testing.T) {
 	s := newSimulatedBroker(Settings{TargetLag: 5000}, 10_000)
 	s.run(1, 8000)
@@ -132,7 +132,7 @@
 	}
 }
 
-// At the bound on open requests, all requests are rejected. Above nine tenths of the bound, only requests within
+// At the bound on open requests, all requests are rejected. From nine tenths of the bound on, only requests within
 // reserved capacity are admitted.
 func TestTooManyOpen(t *testing.T) {
 	c := New(Settings{MaxOpen: 100}, testSettings())
@@ -157,8 +157,8 @@
 	}
 }
 
-// A request passes several queues of a broker with a lag of 50 ms. Exactly the requests that cannot be served before
-// their clients give up are rejected.
+// A request passes six queues of a broker with a lag of 50 ms each. A request whose client gives up before 300 ms is
+// rejected, and a request whose client waits longer is admitted.
 func TestDeadlineTooClose(t *testing.T) {
 	c := New(Settings{TargetLag: 100_000}, testSettings())
 	for now := Micros(1); now < 1_000_000; now += 1000 {
@@ -189,8 +189,8 @@
 	}
 }
 
-// While load is shed, classes and plans vanish from the settings, and no call is made for a second. The controller ends
-// only one window for that second, continues to work, and stops shedding load once there is no lag.
+// While load is shed, classes and plans vanish from the settings, and no call is made for a second. The controller must
+// continue to work, and must stop shedding load once there is no lag.
 func TestSettingsChangeWhileShedding(t *testing.T) {
 	c := New(Settings{TargetLag: 1000, MaxVolumes: 100}, testSettings())
 	now := Micros(1)
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -37,17 +37,19 @@
 	// smaller value, one burst would cause several cuts. With a larger value, the controller would follow a growing
 	// overload too slowly.
 	windowsBetweenCuts = 4
-	// growthFactor multiplies the allowance while the lag is below its target. With a smaller value, capacity would
-	// stay unused for longer. With a larger value, the lag would oscillate.
+	// growthFactor multiplies the allowance in each window without overload, to which one more request is added. With
+	// a smaller value, capacity would stay unused for longer. With a larger value, the lag would oscillate.
 	growthFactor = 1.01
-	// recoveryFactor replaces growthFactor until the allowance is near its value before the last cut. With a smaller
-	// value, a short disturbance would cost capacity for longer. With a larger value, the lag would oscillate.
+	// recoveryFactor replaces growthFactor until the allowance reaches recoveryShare of its value before the last cut.
+	// With a smaller value, a short disturbance would cost capacity for longer. With a larger value, the lag would
+	// oscillate.
 	recoveryFactor = 1.15
 	// recoveryShare is the part of the allowance before the last cut, or of the peak, up to which the allowance grows
-	// faster. With a larger value, the allowance would exceed the level that was too high shortly before.
+	// faster. With a larger value, the allowance would soon exceed a level that was too high shortly before.
 	recoveryShare = 0.85
-	// lightLoadFactor replaces growthFactor while the lag is below lightLoadLag, because the broker has spare capacity.
-	// With a smaller value, capacity would stay unused for longer. With a larger value, the lag would oscillate.
+	// lightLoadFactor replaces growthFactor while the lag is below lightLoadLag and the allowance is below
+	// recoveryShare of the peak, because the broker has spare capacity. With a smaller value, capacity would stay
+	// unused for longer. With a larger value, the lag would oscillate.
 	lightLoadFactor = 1.05
 	// lightLoadLag is the lag below which the broker is lightly loaded, as a part of the target lag. With a smaller
 	// value, the allowance of a lightly loaded broker would grow slowly. With a larger value, the allowance of a broker
@@ -62,9 +64,9 @@
 	// peakDecay is the part of the peak that is lost per window. With a smaller value, a peak of the day before would
 	// still have an effect.
 	peakDecay = 1e-3
-	// calmWindows is the number of windows with enough allowance for all requests after which an overload ends. With a
-	// smaller value, load shedding would start and stop repeatedly. With a larger value, the controller would report an
-	// overload that is over.
+	// calmWindows is the number of successive windows with enough allowance for all requests after which an overload
+	// ends. With a smaller value, load shedding would start and stop repeatedly. With a larger value, the controller
+	// would report an overload that is over.
 	calmWindows = 20
 )
 
@@ -83,9 +85,10 @@
 )
 
 const (
-	// queuesPerRequest is the number of queues like the loop's that a request passes: client, loop, node, node, loop,
-	// client. With a smaller value, requests would be admitted that cannot be served in time. With a larger value,
-	// requests would be rejected that can be served in time.
+	// queuesPerRequest is the number of queues that a request and its answer pass: client, loop, node, node, loop,
+	// client. In each of them, the wait is assumed to be as long as in the loop's queue. With a smaller value, requests
+	// would be admitted that cannot be served in time. With a larger value, requests would be rejected that can be
+	// served in time.
 	queuesPerRequest = 6
 	// unreservedOpenShare is the part of MaxOpen from which on only requests within reserved capacity are admitted.
 	// With a larger value, a burst of other requests would crowd out requests within reserved capacity.
--- a/admission/window.go
+++ b/admission/window.go
@@ -1,8 +1,8 @@
 package admission
 
 // advance ends the current window once now is past the end of the window. If the clock has jumped over several windows,
-// as after a machine was suspended, only one window ends. Otherwise the allowance would be cut for windows without
-// measurements.
+// as after a machine was suspended, only one window ends. Otherwise the means would decay and the allowance would
+// change in windows without measurements.
 func (c *Controller) advance(now Micros) {
 	if now < c.windowEnd {
 		return
@@ -59,7 +59,7 @@
 	if c.lagSamples > 0 {
 		c.smoothedLag += (c.windowLag - c.smoothedLag) / lagSmoothingDivisor
 	} else if arrived == 0 {
-		c.smoothedLag /= idleLagDivisor // no work arrived, so none waited
+		c.smoothedLag /= idleLagDivisor // no work arrived, so no work waited
 	}
 }
 
@@ -71,8 +71,8 @@
 	c.tooMany = false
 }
 
-// cutAllowance starts load shedding or reduces the allowance further. It does nothing if the last cut is too recent to
-// have had an effect.
+// cutAllowance starts load shedding, or reduces the allowance further. Within windowsBetweenCuts windows of the last
+// cut it does not reduce the allowance, because that cut has not had its full effect.
 func (c *Controller) cutAllowance() {
 	base := c.allowance
 	if !c.shedding {
@@ -106,7 +106,8 @@
 }
 
 // divideAllowance determines, from the recently offered requests, the ranks that are fully admitted and the part of the
-// next rank that is admitted. It ends load shedding after calmWindows windows with enough allowance for all ranks.
+// next rank that is admitted. It ends load shedding after calmWindows successive windows with enough allowance for all
+// ranks.
 func (c *Controller) divideAllowance() {
 	left := c.allowance
 	for rank, n := range c.offered {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -4,9 +4,10 @@
 // # Rule
 //
 // Each process has a share of the rate and of the burst. The shares of all processes that may run at the same time add
-// up to at most one. A quota starts empty, because a previous process with the same share may have just spent it. An
-// overdraft that the limit's store allows counts as part of the burst. Units that were taken and have not arrived at a
-// storage node are deducted from the burst: until then the store may be full and gain no tokens.
+// up to at most one. The token bucket of the whole limit is called the store. An overdraft that the store allows counts
+// as part of the burst. A quota starts empty, because a previous process with the same share may have just spent it.
+// Units that were taken and have not arrived at a storage node are deducted from the quota's burst: until they arrive,
+// the store may be full and gain no tokens.
 //
 // The processes need neither messages nor knowledge of each other. In any window, all processes together take at most
 // the burst plus the refill at the limit's rate. This holds if processes die, start, stall or lose their connections,
@@ -37,7 +38,7 @@
 // Limit is the rate limit that all processes share.
 type Limit struct {
 	Rate  float64 // units per second; 0 for no limit
-	Burst float64 // size of the store in units, including its overdraft
+	Burst float64 // size of the shared token bucket in units, including its overdraft
 }
 
 // Quota is one process's quota of a Limit. The zero value is a quota without a limit that is empty at time 0.
@@ -47,15 +48,16 @@
 	tokens     float64 // units that may be taken
 	refilledAt Time
 
-	inTransit float64            // units that were taken and have not arrived
+	inTransit float64            // units that were taken and not settled
 	requests  map[uint64]float64 // units in transit by request; may be nil
 }
 
 // New returns a quota that is empty at the time now.
 func New(now Time) Quota { return Quota{refilledAt: now} }
 
-// Refill adds the tokens for the time since the last call, at that call's limit and share, and then switches to the
-// given limit and share. A larger limit or share thus has no effect on the time before the call.
+// Refill adds the tokens for the time since the previous call of Refill, at the limit and share given in the previous
+// call. It then switches to the given limit and share. A larger limit or share thus has no effect on the time before
+// this call.
 func (q *Quota) Refill(now Time, limit Limit, share float64) {
 	q.tokens += q.limit.Rate * q.share * (now - q.refilledAt).Seconds()
 	q.tokens = min(q.tokens, q.limit.Burst*q.share-q.inTransit, limit.Burst*share-q.inTransit)
@@ -82,8 +84,8 @@
 	q.inTransit += units
 }
 
-// Settle records that the units of a request have arrived, or never will, and returns the units. Each request that took
-// units must be settled once. Further calls do nothing.
+// Settle records that the units of a request have arrived, or never will, and returns the units. Settle or Refund must
+// be called once for each request that took units. Further calls return 0 and do nothing.
 func (q *Quota) Settle(request uint64) (units float64) {
 	units = q.requests[request]
 	delete(q.requests, request)
@@ -94,5 +96,5 @@
 	return units
 }
 
-// Refund returns the units of a request that were taken and never used.
+// Refund settles a request whose units were not used, and adds the units to the quota again.
 func (q *Quota) Refund(request uint64) { q.tokens += q.Settle(request) }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -62,8 +62,8 @@
 
 // simulate runs the given number of steps, in which brokers take all units that their quotas allow. Each broker has up
 // to two processes, which may be killed with units in transit. next returns the actions of a broker in a step. Each of
-// the limits applies for an equal part of the steps. simulate returns the lowest level of the store and the units
-// taken.
+// the limits applies for an equal part of the steps. simulate returns the lowest level of the store,
+// or 0 if the level never fell below 0, and the units taken.
 func simulate(steps, brokers int, limits []Limit, next func() brokerStep) (lowest, taken float64) {
 	s := newStore(limits[0])
 	now, id := Time(0), uint64(0)
@@ -102,7 +102,8 @@
 	return s.lowest, taken
 }
 
-// dropInTransit makes the units in transit of a killed process arrive in the next step or, if arrives is false, never.
+// dropInTransit ends the transit of a killed process's units: they arrive in the next step or, if arrives is false,
+// never.
 func (s *store) dropInTransit(now Time, p *process, arrives bool) {
 	for id, at := range p.arrivals {
 		if at <= now {
@@ -151,7 +152,7 @@
 }
 
 // A process repeatedly dies right after it has spent its quota, and its successor starts immediately. The store has no
-// tokens for the successor yet, so the successor's quota must start empty.
+// tokens for the successor yet. If the successor's quota did not start empty, the store's level would fall below 0.
 func TestSuccessorsStartEmpty(t *testing.T) {
 	for _, brokers := range []int{1, 2, 5} {
 		t.Run(fmt.Sprint("brokers=", brokers), func(t *testing.T) {
@@ -191,7 +192,7 @@
 	}
 }
 
-// A process can take units at its share of the rate, even if the units take time to arrive.
+// A process can take units at nearly its share of the rate, even if the units take time to arrive.
 func TestQuotaIsUsed(t *testing.T) {
 	for _, c := range []struct {
 		brokers  int
@@ -217,6 +218,7 @@
 }
 
 // A larger share or rate has no effect on the time before the change. A smaller share takes effect immediately.
+// Refunded units can be taken again.
 func TestRefillUsesPreviousLimit(t *testing.T) {
 	q := New(0)
 	low, high := Limit{Rate: 10, Burst: 100}, Limit{Rate: 1000, Burst: 100}
--- a/timingwheel/timingwheel.go
+++ b/timingwheel/timingwheel.go
@@ -1,7 +1,8 @@
 // Package timingwheel implements a hierarchical timing wheel (Varghese and Lauck, 1987).
 //
 // Rule: timers expire in the order of their times, and timers with the same time expire in the order in which they were
-// set. Setting and canceling a timer takes constant time.
+// set. Setting and canceling a timer takes constant time. The exception is a timer that is set for the current slot of
+// the lowest level or for an earlier time: it is inserted into a sorted list.
 //
 // State: a Wheel stores its timers in one slice, so that setting a timer allocates no memory once the slice has reached
 // the maximum number of timers set at the same time. Timers are lost when the process ends.
@@ -48,7 +49,7 @@
 	freeRef  int32                // first free entry; next links the free entries
 	heads    [levels][slots]int32 // refs of the first entry of each slot
 	occupied [levels]uint64       // one bit for each slot that contains timers
-	reached  int64                // timers before the end of this time's lowest-level slot are in due
+	reached  int64                // time that the wheel has advanced to; timers up to its lowest-level slot go to due
 	due      []int32              // indexes in reverse order of expiry; canceled entries have the level nowhere
 	count    int
 	sequence uint64 // sequence number of the last timer that was set
@@ -73,7 +74,7 @@
 // Len returns the number of timers that have neither expired nor been canceled.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Set adds a timer. The time may be in the past. Then the next Pop treats the timer as due.
+// Set adds a timer. The time may be in the past. The timer is then due at the next Pop.
 func (w *Wheel[T]) Set(at int64, value T) Handle {
 	index := w.freeRef - 1
 	if index >= 0 {
@@ -102,7 +103,7 @@
 	if e.generation != h.generation || e.level == nowhere {
 		return false
 	}
-	if e.level == inDue { // trimDue releases the entry once the entry is next in due
+	if e.level == inDue { // trimDue frees the entry once it would be the next to expire
 		e.level = nowhere
 		e.generation++
 		w.count--
@@ -150,7 +151,7 @@
 }
 
 // nextSlot returns the slot that begins earliest. Of several slots that begin at the same time, it returns the widest,
-// which must be opened first.
+// which must be opened first. start is the slot's begin, but not earlier than the reached time.
 func (w *Wheel[T]) nextSlot() (level, slot int, start int64, found bool) {
 	for l := range levels {
 		if w.occupied[l] == 0 {
@@ -171,8 +172,9 @@
 	return level, slot, max(start, w.reached), found
 }
 
-// openSlot advances the wheel to a slot and moves the slot's timers: from the lowest level to due, in order of time,
-// and from other levels to the levels below or to due.
+// openSlot advances the wheel to a slot and moves the slot's timers. Timers of the lowest level are moved to due, in
+// order of time. Timers of another level are inserted again: into a level below, into due or, if the wheel does not
+// cover their time, into the highest level.
 func (w *Wheel[T]) openSlot(level, slot int, start int64) {
 	w.reached = start
 	index := w.heads[level][slot] - 1
@@ -201,7 +203,8 @@
 	return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.sequence, y.sequence))
 }
 
-// insert adds an entry to due or, if the entry is later, to the lowest level that covers its time.
+// insert adds an entry to due or, if the entry is later, to the lowest level that covers its time. An entry beyond the
+// highest level goes to the last slot of that level.
 func (w *Wheel[T]) insert(index int32) {
 	e := &w.entries[index]
 	if e.at>>baseShift <= w.reached>>baseShift {
@@ -265,8 +268,8 @@
 	w.freeRef = index + 1
 }
 
-// trimDue frees the canceled entries that would be the next to expire from due. Before that, it moves the timers of the
-// lowest-level slot at the reached time to due.
+// trimDue makes the last entry of due the next timer to expire, if due has one: it moves the timers of the lowest-level
+// slot at the reached time to due, and then removes canceled entries from the end of due and frees them.
 func (w *Wheel[T]) trimDue() {
 	slot := int(w.reached >> baseShift & (slots - 1))
 	if w.occupied[0]>>slot&1 == 1 {
--- a/timingwheel/timingwheel_test.go
+++ b/timingwheel/timingwheel_test.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// pop pops one timer from the wheel and one from the reference, compares them, and reports whether a timer was due.
+// pop pops the next due timer from the wheel and from the reference, and compares them. It reports whether a timer was
+// due.
 func (c *comparison) pop() bool {
 	c.Helper()
 	got, at, ok := c.wheel.Pop(c.now)
@@ -127,7 +128,7 @@
 }
 
 // Timers are set, canceled and popped in random order, near and far. They must expire in the same order as from a heap,
-// and not before the time that Next returns.
+// and Next must not return a time after the next timer.
 func TestMatchesHeap(t *testing.T) {
 	for seed := range uint64(200) {
 		c := newComparison(t, seed)
