--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -13,7 +13,7 @@
 type Options struct {
 	Disabled        bool    // the caller ranks replicas only by their attempts in flight
 	SubsetSize      int     // replicas of a shard that a broker uses at a low request rate; 0: DefaultSubsetSize
-	MaxEjectedShare float64 // share of a shard's weight that outlier detection may remove; 0: DefaultMaxEjectedShare
+	MaxEjectedShare float64 // share of the subset's weight that outlier detection may remove; 0: the default
 	TrialShare      float64 // share of its weight that an unresponsive replica keeps for trials; 0: DefaultTrialShare
 	NoGossip        bool    // send no gossip about replicas to peers, and drop gossip from peers
 	Name            string  // name of the broker
@@ -26,7 +26,7 @@
 	// DefaultSubsetSize is a number of replicas. With a larger subset, connections idle between requests and must
 	// be reopened. With a smaller subset, the load of replicas is uneven.
 	DefaultSubsetSize = 24
-	// DefaultMaxEjectedShare is a share of a shard's weight. With a larger share, a fault common to many replicas
+	// DefaultMaxEjectedShare is a share of the subset's weight. With a larger share, a fault common to many replicas
 	// moves all load to a few replicas. With a smaller share, more requests go to faulty replicas.
 	DefaultMaxEjectedShare = 0.5
 	// DefaultTrialShare is a share of a replica's weight. With a larger share, more requests are lost to dead
@@ -56,26 +56,27 @@
 	// small a share for replicas with tiny weights. With a smaller value, shares lose precision.
 	minTotalWeight = 1e-9
 	// evaluationPeriod is the interval between evaluations of the weights. The weights are also evaluated at the
-	// next request after a replica fails, becomes unresponsive or recovers. With a longer period, slow replicas
-	// keep their load for longer. A shorter period costs processor time in proportion to the number of replicas.
+	// next request after an event that may change them, for example when a replica fails or recovers. With a longer
+	// period, slow replicas keep their load for longer. A shorter period costs processor time in proportion to the
+	// number of replicas.
 	evaluationPeriod = time.Second
 )
 
-// Replica is a node of the shard as one broker sees it. The caller sets the fields above the blank line.
+// Replica is a node of the shard as one broker sees it. The caller sets the exported fields.
 type Replica struct {
 	Name          string
 	Priority      int
 	Weight        float64 // size relative to other replicas; 0 or less counts as 1
 	InFlight      int     // attempts in flight
-	CapacityShare float64 // share of its capacity that a replica has while warming up; 0 counts as 1
+	CapacityShare float64 // part of its capacity that a replica can use while warming up; 0 counts as 1
 	Ref           any     // value for the caller's own use
 
 	statistics
 	outlierState
-	position       float64 // virtual time of the replica's next turn
-	brokerOrder    []int32 // the first brokers in the replica's own order, computed as far as needed
+	position       float64 // virtual time from which the replica has its next turn
+	brokerOrder    []int32 // the brokers that use the replica first, see brokersOf; computed as far as needed
 	evenFactor     float64 // factor of the weight that evens out the subsets of all brokers
-	factor         float64 // factor of the weight from outlier detection, within the shard's bound
+	factor         float64 // factor of the weight from outlier detection, within MaxEjectedShare
 	previousFactor float64 // the factor before the last evaluation
 	share          float64 // share of this broker's requests
 	visit          uint64  // value of Balancer.visits when the replica was last yielded
@@ -116,7 +117,7 @@
 
 	virtualNow      float64
 	visits          uint64   // number of calls of Candidates
-	earliest        *Replica // replica with the first position, if nextInTurn has just found it; nil if unknown
+	earliest        *Replica // replica with the first position, if nextInTurn has just found it; otherwise nil
 	proven          bool     // the request of the current call needs a replica that answered recently
 	anyUnresponsive bool     // at least one replica of the subset is unresponsive
 
@@ -166,7 +167,7 @@
 	b.nextPeriod = now + evaluationPeriod
 	b.anyUnresponsive = slices.ContainsFunc(b.subset, (*Replica).Unresponsive)
 	b.detectOutliers(now)
-	total := 0.0 // weight of the replicas with the first priority
+	total := 0.0 // weight of the replicas with the lowest priority value
 	for _, r := range b.subset {
 		r.share = 0
 		if r.Priority == b.subset[0].Priority {
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -25,7 +25,7 @@
 }
 
 // The turns of one broker follow the weights: after any number of requests, each replica has received its share to
-// within 2 requests, one of its own and one of the other replicas.
+// within 2 requests.
 func TestTurnsFollowWeights(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(5)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Replicas with the lowest priority value come first, even if they have the most attempts in flight.
+// Replicas with the lowest priority value come first, even if one of them has the most attempts in flight.
 func TestPriorities(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(3)
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -10,27 +10,29 @@
 	// retried go to replicas that have died since. With a shorter time, a broker with few requests finds no
 	// proven replica.
 	provenTime = 2 * time.Second
-	// provenLead is how many turns a proven replica may be ahead of the mean. With a larger lead, a broker whose
-	// requests can't be retried sends all of them to the same few replicas. With a smaller lead, it sends more of
-	// them to replicas that are not proven.
+	// provenLead is how many turns a proven replica may be ahead of the mean position. With a larger lead, a broker
+	// whose requests can't be retried sends all of them to the same few replicas. With a smaller lead, it sends more
+	// of them to replicas that are not proven.
 	provenLead = 2.0
-	// provenChoices is the number of replicas with the latest answers that nextProven considers. It takes the one
-	// with the oldest answer, because the one with the latest answer has just had a request. With more choices,
-	// that answer is older. With fewer choices, brokers choose the same replica.
+	// provenChoices is the number of replicas with the latest answers that nextProven considers. Of these it takes
+	// the replica with the oldest answer, because the replica with the latest answer has just had a request. With
+	// more choices, the answer of the chosen replica is older. With fewer choices, brokers choose the same replica.
 	provenChoices = 3
 	// alarmTime is the length of an alarm, which begins when a replica is found unresponsive. During an alarm,
-	// nextProven takes the replica with the latest answer, without the bounds above. With a longer time, load is
-	// uneven for longer. With a shorter time, requests that can't be retried are lost when a zone fails.
+	// nextProven takes the replica with the latest answer, and provenTime, provenLead and provenChoices do not
+	// apply. With a longer time, load is uneven for longer. With a shorter time, requests that can't be retried are
+	// lost when a zone fails.
 	alarmTime = 5 * time.Second
-	// lastResort is added to the position of an unresponsive replica, in turns, so that the replica is used only
-	// if no other replica can serve. It is larger than any position. With a smaller value, a long-running broker
-	// would send requests to unresponsive replicas too.
+	// lastResort is added to the position of an unresponsive replica, so that the replica is used only if no other
+	// replica can serve. It is larger than positions become. With a smaller value, a long-running broker would send
+	// requests to unresponsive replicas too.
 	lastResort = 1e12
 )
 
 // Candidates yields the replicas in order of preference. The caller takes the first replica that can serve the request.
 // proven is set for a request that can't be retried or that already is a retry: replicas that answered recently come
-// first, and the request is not used as a trial. Replicas outside the subset come last.
+// first. For any other request, an unresponsive replica whose trial is due comes first. Then follow the other replicas
+// of the subset in turn. Replicas outside the subset come last.
 func (b *Balancer) Candidates(now Time, proven bool) iter.Seq[*Replica] {
 	return func(yield func(*Replica) bool) {
 		if b.evenStale && now-b.evenedAt >= evenPeriod {
@@ -58,8 +60,8 @@
 	}
 }
 
-// nextTrial returns an unresponsive replica whose trial is due, for a request that may be sent twice. It returns nil if
-// there is none.
+// nextTrial returns an unresponsive replica whose trial is due. It returns nil if there is none, or if the request must
+// not be used as a trial because proven is set.
 func (b *Balancer) nextTrial(now Time) *Replica {
 	if b.proven || !b.anyUnresponsive {
 		return nil
@@ -73,10 +75,10 @@
 	return nil
 }
 
-// nextProven returns a replica that answered recently, for a request that must not be sent twice. It returns nil if
-// there is none. During an alarm it returns the replica with the latest answer. Otherwise it returns the one with the
-// third latest answer: the replica with the latest answer has just had a request, and two requests in quick succession
-// would add up over all brokers.
+// nextProven returns a replica that answered recently, for a request with proven set. It returns nil if there is none.
+// During an alarm it returns the replica with the latest answer. Otherwise it returns the replica with the third latest
+// answer, or with the oldest if there are fewer. The replica with the latest answer has just had a request. If every
+// broker sent it a second one, that replica would get a burst.
 func (b *Balancer) nextProven(now Time) *Replica {
 	if !b.proven {
 		return nil
@@ -108,7 +110,7 @@
 }
 
 // isSound reports whether a replica that was not yet yielded shows no sign of a fault: it has answered before, has no
-// attempt in flight, has the first priority and has its whole weight.
+// attempt in flight, has the lowest priority value of the subset and has its whole weight.
 func (b *Balancer) isSound(r *Replica) bool {
 	if r.visit == b.visits || r.lastAnswer == 0 || r.Unresponsive() || r.InFlight > 0 {
 		return false
@@ -133,12 +135,12 @@
 	return sum / max(1, count)
 }
 
-// nextInTurn returns the replica with the next turn among the replicas of the subset that were not yet yielded. It
-// returns nil if there is none.
+// nextInTurn returns the replica with the next turn among the replicas of the subset that were not yet yielded and have
+// the lowest priority value of these. It returns nil if there is none.
 func (b *Balancer) nextInTurn(Time) *Replica {
 	var best *Replica
 	earliest := 0.0
-	isFirst := !b.anyUnresponsive // no replica of the subset has a position before best
+	isFirst := !b.anyUnresponsive // best has the first position of the whole subset
 	for _, r := range b.subset {
 		if r.visit == b.visits {
 			isFirst = false
@@ -168,11 +170,11 @@
 	return best
 }
 
-// RecordSent records that a request was sent to a replica.
+// RecordSent records that a request was sent to a replica. It advances the replica's position by one turn.
 func (b *Balancer) RecordSent(now Time, r *Replica) {
 	turn := 1 / r.weight()
 	r.position = max(r.position, b.virtualNow-turn*b.jitter(now, r))
-	if r == b.earliest { // the mean is not smaller either, so it need not be computed
+	if r == b.earliest { // no position is smaller, so neither is the mean, which need not be computed
 		b.virtualNow = max(b.virtualNow, r.position)
 	} else {
 		b.virtualNow = max(b.virtualNow, min(r.position, b.meanPosition()))
@@ -183,7 +185,7 @@
 	b.resizeSubset(now)
 }
 
-// jitter returns a random number from 0 to below 1, which differs between brokers, replicas and times.
+// jitter returns a pseudorandom number from 0 to below 1, which differs between brokers, replicas and times.
 func (b *Balancer) jitter(now Time, r *Replica) float64 {
 	return unitInterval(hash(b.options.Name, r.Name, uint64(now)))
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -23,7 +23,8 @@
 	// gossipFanOut is how many peers receive a message. With more peers, messages cost more. With fewer peers,
 	// some peers are informed late.
 	gossipFanOut = 4
-	// drawsPerPeer bounds the attempts to draw distinct peers. Its value only matters with a few brokers.
+	// drawsPerPeer is the number of draws for each peer that is wanted, since a draw may repeat a peer. Its value
+	// only matters with a few brokers.
 	drawsPerPeer = 4
 	// gossipNames is the maximum number of replicas in a message and keeps it below 256 bytes. With more names, a
 	// message may not fit into a datagram. With fewer names, an outage of a zone is only partly reported.
@@ -33,8 +34,8 @@
 	// brokers send to the replica at once.
 	returnTimeMin = time.Second
 	returnTimeMax = 10 * time.Second
-	// minReturnRate is the minimum request rate per second that returnTime uses, since returnTimeMax bounds the
-	// result anyway.
+	// minReturnRate is the minimum request rate per second with which returnTime computes. It prevents a division by
+	// 0. At lower rates returnTimeMax bounds the result anyway.
 	minReturnRate = 0.1
 )
 
@@ -69,8 +70,8 @@
 	return append(names, name)
 }
 
-// isDoubted reports whether, within reportTime and since the replica's last answer to this broker, enough peers have
-// found the replica unresponsive.
+// isDoubted reports whether at least reportsToDoubt peers have found the replica unresponsive within reportTime and
+// since the replica's last answer to this broker.
 func (r *Replica) isDoubted(now Time) bool {
 	if len(r.reports) == 0 {
 		return false
@@ -123,8 +124,8 @@
 	return (len(data)-1)%gossipHashBytes == 0 && len(data) <= 1+gossipHashBytes*gossipNames
 }
 
-// GossipPeers draws the peers that receive a message and returns their ordinals. Each message goes to newly drawn
-// peers, so that all peers are informed after several messages.
+// GossipPeers draws the peers that receive the messages at the time now, and returns their ordinals. Peers are drawn
+// anew for each time, so that all peers are informed after several messages.
 func (b *Balancer) GossipPeers(now Time) []int {
 	var peers []int
 	for k := range uint64(drawsPerPeer * gossipFanOut) {
@@ -137,8 +138,8 @@
 }
 
 // ReceiveGossip handles a message from a peer and drops data that is not a message. Reports of a single peer lower no
-// weight. Reports of all peers together lower weights by at most Options.MaxEjectedShare. A report that a replica
-// recovered removes the reports against the replica and brings its next trial forward.
+// weight. Reports of all peers lower weights only within Options.MaxEjectedShare. A report that a replica recovered
+// removes the reports against the replica, and brings its next trial forward if this broker found it unresponsive.
 func (b *Balancer) ReceiveGossip(now Time, from int, data []byte) {
 	if b.options.NoGossip || !isGossip(data) {
 		return
@@ -178,8 +179,9 @@
 	b.stale = true
 }
 
-// returnTime returns the time that this broker needs to send one request to each replica of the subset. Brokers spread
-// the trials of a replica that a peer reported as recovered over this time, so that it gets about its usual load.
+// returnTime returns the time that this broker needs to send one request to each replica of the subset, from
+// returnTimeMin to returnTimeMax. Brokers spread the trials of a replica that a peer reported as recovered over this
+// time, so that the replica gets about its usual load.
 func (b *Balancer) returnTime() time.Duration {
 	seconds := float64(len(b.subset)) / max(minReturnRate, b.requests.perSecond)
 	return min(returnTimeMax, max(returnTimeMin, time.Duration(seconds*float64(time.Second))))
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -15,8 +15,9 @@
 	// With a longer period, trials of a dead replica begin late. With a shorter period, a burst of lost attempts
 	// doubles the trial backoff many times.
 	unresponsivePeriod = 100 * time.Millisecond
-	// trialBackoffMin is the first backoff before a trial of an unresponsive replica. With a longer backoff, a
-	// short pause ejects the replica for longer. With a shorter backoff, more requests are lost to dead replicas.
+	// trialBackoffMin is the first backoff before a trial of an unresponsive replica. The trial follows after half to
+	// one and a half times the backoff. With a longer backoff, a short pause ejects the replica for longer. With a
+	// shorter backoff, more requests are lost to dead replicas.
 	trialBackoffMin = time.Second
 	// trialBackoffMax bounds the doubling of the backoff. With a larger bound, a replica that was dead for long
 	// gets requests later after its recovery. With a smaller bound, more requests are lost while it is dead.
@@ -83,14 +84,14 @@
 // outlierState is the state of a replica in outlier detection.
 type outlierState struct {
 	unresponsiveSince Time          // when the replica was last found unresponsive; 0 if it is responsive
-	trialBackoff      time.Duration // base of the wait until the next trial
+	trialBackoff      time.Duration // the wait until the next trial is 0.5 to 1.5 times as long
 	nextTrial         Time
-	recovery          float64 // factor that an unresponsive replica has regained by an answer
+	recovery          float64 // factor that an unresponsive replica has regained by an answer; 0 before the answer
 	reason            string  // reason for the factor
 	reports           []gossipReport
 }
 
-// Unresponsive reports whether the replica was found unresponsive and has not regained its whole weight.
+// Unresponsive reports whether the replica was found unresponsive and has not answered twice since.
 func (o *outlierState) Unresponsive() bool { return o.unresponsiveSince > 0 }
 
 // Reason returns the reason for the replica's factor, as the console shows it.
@@ -138,7 +139,8 @@
 	r.nextTrial = now + r.trialBackoff/2 + time.Duration(b.jitter(now, r)*float64(r.trialBackoff))
 }
 
-// detectOutliers computes the factor of each replica of the subset and bounds the weight that they remove together.
+// detectOutliers computes the factor of each replica of the subset, and keeps the weight that all factors remove
+// together within MaxEjectedShare.
 func (b *Balancer) detectOutliers(now Time) {
 	median := b.medianLatency(now)
 	total, ejected := 0.0, 0.0
@@ -174,8 +176,8 @@
 	}
 }
 
-// factorOf returns the factor that a replica should have and the reason for it. median is the logarithm of the shard's
-// median latency, NaN if it is unknown.
+// factorOf returns the factor that a replica should have and the reason for it. median is the logarithm of the median
+// latency over the subset, or NaN if it is unknown.
 func (b *Balancer) factorOf(now Time, r *Replica, median float64) (factor float64, reason string) {
 	r.decayTo(now, &b.decay)
 	if r.Unresponsive() {
@@ -196,7 +198,7 @@
 	return factor, reason
 }
 
-// errorRateLowerBound returns the lower bound of a replica's error rate, 0 if there are too few failures.
+// errorRateLowerBound returns the lower bound of a replica's error rate, or 0 if there are too few failures.
 func (s *statistics) errorRateLowerBound() float64 {
 	if s.failures <= minFailures {
 		return 0
@@ -233,7 +235,7 @@
 			r.logMean = r.logSum / r.samples
 			known++
 		}
-		// Insertion sort: the replicas are nearly in order since the last call.
+		// Insertion sort: the replicas are still nearly in the order of the last call.
 		for ; i > 0 && b.byLatency[i-1].logMean > r.logMean; i-- {
 			b.byLatency[i] = b.byLatency[i-1]
 		}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A replica at half speed gets about half the load, and a replica that fails half of its requests gets less than usual.
-// Outlier detection removes at most the configured share, even if all replicas are unresponsive.
+// A replica at half speed gets about half the load, and a replica that fails half of its requests gets less than a
+// sound replica. Outlier detection removes at most the configured share, even if all replicas are unresponsive.
 func TestOutliersGetLess(t *testing.T) {
 	b := New(Options{Name: "b"})
 	replicas := newReplicas(8)
@@ -94,8 +94,8 @@
 	}
 }
 
-// The weight of a replica was lowered and then restored. Its position must follow: if the position stayed where the low
-// weight had put it, far behind the others, the replica would get no requests for a while.
+// The weight of a replica was lowered and then restored. Its position must change with the weight: otherwise the
+// replica would keep the late position of the low weight, and would get no requests for a while.
 func TestTurnFollowsWeight(t *testing.T) {
 	b := New(Options{Name: "b", Brokers: 9})
 	replicas := newReplicas(4)
@@ -126,7 +126,7 @@
 		b.RecordAnswer(now, r, time.Millisecond)
 	}
 	if taken[silent] < 3 || taken[doubted] < 3 {
-		t.Errorf("the recovered replicas got %d and %d of 16 requests, want at least 3", taken[silent], taken[doubted])
+		t.Errorf("recovered replicas: got %d and %d of 16 requests, want at least 3", taken[silent], taken[doubted])
 	}
 }
 
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -66,7 +66,7 @@
 	return math.Sqrt(max(minLogVariance, s.logSquares/s.samples-mean*mean) / s.samples)
 }
 
-// RecordAnswer records an answer of a replica and its latency, 0 if the latency is unknown.
+// RecordAnswer records an answer of a replica and its latency, or 0 if the latency is unknown.
 func (b *Balancer) RecordAnswer(now Time, r *Replica, latency time.Duration) {
 	r.decayTo(now, &b.decay)
 	r.successes++
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -63,8 +63,8 @@
 // unitInterval maps a hash to a number from 0 to below 1.
 func unitInterval(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
-// jumpHash is the jump consistent hash of Lamping and Veach (2014). If a bucket is added, only the keys of the new
-// bucket move.
+// jumpHash is the jump consistent hash of Lamping and Veach (2014). If a bucket is added, only the keys that belong to
+// the new bucket move.
 func jumpHash(key uint64, buckets int) int {
 	bucket, next := int64(-1), int64(0)
 	for next < int64(buckets) {
@@ -76,8 +76,8 @@
 }
 
 // brokersPerReplica returns how many brokers use each replica, for a shard with the given number of replicas. Each
-// broker then uses SubsetSize replicas on average. The result changes in steps: between two steps, a replica that joins
-// or leaves only changes the subsets of the brokers that use it.
+// broker then uses about SubsetSize replicas on average. The result changes in steps: between two steps, a replica that
+// joins or leaves only changes the subsets of the brokers that use it.
 func (b *Balancer) brokersPerReplica(replicas int) int {
 	if replicas == 0 || b.options.Brokers < 2 {
 		return 1
@@ -87,8 +87,9 @@
 	return max(1, min(b.options.Brokers, count))
 }
 
-// brokersOf returns up to count distinct brokers, the first in the replica's own order. These brokers use the replica.
-// So each replica is used by the same number of brokers, and its brokers do not depend on other replicas.
+// brokersOf returns up to count distinct brokers, which use the replica: the first brokers in an order that depends
+// only on the replica's name and the number of brokers. So each replica is used by the same number of brokers, unless
+// its draws run out, and its brokers do not depend on other replicas.
 func (b *Balancer) brokersOf(replica string, count int) []int32 {
 	if b.options.Brokers < 2 {
 		return nil
@@ -121,7 +122,7 @@
 	return count >= b.options.Brokers || slices.Contains(b.usersOf(r, count), int32(b.options.Ordinal))
 }
 
-// chooseSubset chooses the subset from all replicas.
+// chooseSubset chooses the subset from all replicas, and runs evenSubsets if the replicas have changed.
 func (b *Balancer) chooseSubset(now Time) {
 	count := b.brokersPerReplica(len(b.replicas))
 	for _, r := range b.subset {
@@ -133,7 +134,7 @@
 			b.subset = append(b.subset, r)
 		}
 	}
-	if len(b.subset) == 0 { // no replica has this broker early in its order: a small subset is better than all replicas
+	if len(b.subset) == 0 { // no replica is assigned to this broker: a small subset is better than all replicas
 		b.subset = append(b.subset, b.rendezvousSubset()...)
 	}
 	slices.SortStableFunc(b.subset, func(x, y *Replica) int { return x.Priority - y.Priority })
@@ -160,8 +161,8 @@
 	}
 }
 
-// rendezvousSubset returns the subset of a broker that depends only on the broker's name: the replicas with the highest
-// weighted rendezvous hash.
+// rendezvousSubset returns the subset of a broker to which brokersOf assigns no replica. It depends only on the names:
+// the SubsetSize replicas with the highest weighted rendezvous hash.
 func (b *Balancer) rendezvousSubset() []*Replica {
 	ranked := slices.Clone(b.replicas)
 	score := func(r *Replica) float64 {
@@ -172,9 +173,10 @@
 }
 
 // evenSubsets computes the factors that make the load even although some brokers use few replicas and others many. With
-// these factors, if all brokers send the same load, each replica receives load in proportion to its size. Every broker
-// knows which brokers use which replicas, so all of them compute the same factors. The method is Sinkhorn's alternate
-// scaling of rows (brokers) and columns (replicas).
+// these factors, if all brokers send the same load, each replica receives load in proportion to its size. All brokers
+// compute the same factors, because every broker knows which brokers use which replicas. A broker that uses all
+// replicas or has doubled its subset uses factors of 1. The method is Sinkhorn's alternate scaling of rows (brokers)
+// and columns (replicas).
 func (b *Balancer) evenSubsets() {
 	for _, r := range b.subset {
 		r.evenFactor = 1
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -18,7 +18,8 @@
 }
 
 // Each replica is used by the same number of brokers. A replica that leaves only changes the subsets of the brokers
-// that used it. If all brokers send the same load, the sum at each replica is even. The subset size is bounded.
+// that used it. If all brokers send the same load, each replica receives the same load within 3 %. The subset size is
+// bounded.
 func TestSubsetsAreEven(t *testing.T) {
 	const brokers, count = 100, 203
 	users, load, moved := map[string]int{}, map[string]float64{}, 0
@@ -48,7 +49,7 @@
 	}
 	for name, n := range users {
 		if n != users["node-0"] {
-			t.Errorf("%s is used by %d brokers, node-0 by %d", name, n, users["node-0"])
+			t.Errorf("%s is used by %d brokers, node-0 by %d, want the same number", name, n, users["node-0"])
 		}
 		if relative := load[name] * count / brokers; relative < 0.97 || relative > 1.03 {
 			t.Errorf("%s gets %.2f of the mean load, want 0.97 to 1.03", name, relative)
@@ -59,7 +60,7 @@
 	}
 }
 
-// If a broker is added, only its own share of the replicas' users changes.
+// If a broker is added, about as many users of replicas change as the new broker's share requires.
 func TestBrokerJoins(t *testing.T) {
 	moved, all := 0, 0
 	for i := range 200 {
--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -8,7 +8,7 @@
 )
 
 // dialTimeout bounds the time to connect to a console, which is on the same machine or near it. With a larger value, a
-// command takes longer to report that no broker is running. With a smaller value, it wrongly reports this for a
+// command takes longer to report that no broker is running. With a smaller value, a command reports this wrongly for a
 // busy broker.
 const dialTimeout = time.Second
 
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -63,7 +63,7 @@
 		Vars: func() []byte { return []byte("edge_balancer.inflight:2|g\n") },
 	})
 	if got := answerTo(t, s, "check\n"); got != "FAILURE starting\n" {
-		t.Errorf("check before clients are accepted: %q", got)
+		t.Errorf("check before clients are accepted: answer %q, want a failure with the handler's error", got)
 	}
 	accepting.Store(true)
 	for _, c := range []struct{ call, want string }{
@@ -90,10 +90,10 @@
 	if got := answerTo(t, s, "agree "+proposal+"\n"); got != proposal+"\nEOT\n" {
 		t.Errorf("answer to a long agree call: %d bytes, want %d", len(got), len(proposal)+len("\nEOT\n"))
 	}
-	// The call has no line end, so that the server reads all of it: unread bytes would reset the connection.
+	// The call has no line end and is as long as the server reads: unread bytes would reset the connection.
 	tooLong := "agree " + strings.Repeat("x", maxAgreementLineBytes-len("agree "))
 	if got := answerTo(t, s, tooLong); got != "FAILURE the line is too long\n" {
-		t.Errorf("answer to a call that is too long: %q", got)
+		t.Errorf("answer to a call that is too long: %q, want a failure", got)
 	}
 }
 
@@ -106,13 +106,13 @@
 		held = append(held, dialAndSend(t, s, "che"))
 	}
 	if got := answerTo(t, s, "vars\n"); got != "" {
-		t.Errorf("answer of a handler that panics: %q", got)
+		t.Errorf("answer of a handler that panics: %q, want none", got)
 	}
 	if got := answerTo(t, s, "check\n"); got != "SUCCESS\n" {
-		t.Errorf("answer to check: %q", got)
+		t.Errorf("answer to check: %q, want SUCCESS", got)
 	}
 	if _, err := held[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read from the oldest connection: %v", err)
+		t.Errorf("read from the oldest connection: error %v, want a closed connection", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxConnections bounds the connections without an answer; beyond it the oldest is closed. With a larger value,
-	// forgotten sessions use more of the process's sockets. With a smaller value, two operators who work at the same
-	// time close each other's connections.
+	// maxConnections bounds the connections without an answer. If there are more, the oldest is closed. With a larger
+	// value, forgotten sessions use more of the process's sockets. With a smaller value, two operators who work at
+	// the same time close each other's connections.
 	maxConnections = 8
 	// maxLineBytes is the maximum length of a call in bytes. With a larger value, each connection uses more memory.
 	// With a smaller value, a call with arguments does not fit.
@@ -26,8 +26,8 @@
 	// must be proposed in several parts.
 	maxAgreementLineBytes = 256 << 10
 	// AgreementTimeout bounds the time to answer an agree call, which waits for the leader and for the participating
-	// brokers. With a smaller value, an operator gets no result for a change that becomes active later. With a larger
-	// value, an operator notices an outage later.
+	// brokers, including the time to write the answer. With a smaller value, an operator gets no result for a change
+	// that becomes active later. With a larger value, an operator notices an outage later.
 	AgreementTimeout = 8 * time.Second
 	// callTimeout bounds the time until a call is complete. With a smaller value, an operator who types by hand is
 	// disconnected. With a larger value, idle connections stay open for longer.
@@ -81,8 +81,8 @@
 	}
 }
 
-// accept registers a connection. If there are already maxConnections without an answer, it closes the oldest one:
-// otherwise connections that never send a whole call would lock operators out.
+// accept registers a connection. If there are already maxConnections without an answer, it closes the oldest of them.
+// Otherwise connections that never send a whole call would lock operators out.
 func (s *Server) accept(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 }
 
 // readCall reads a line and returns it without surrounding white space. It returns bufio.ErrBufferFull if the line is
-// too long.
+// too long, and another error if the line does not arrive.
 func (s *Server) readCall(conn net.Conn) (string, error) {
 	reader := bufio.NewReaderSize(conn, maxLineBytes)
 	line, err := reader.ReadSlice('\n')
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -3,8 +3,8 @@
 //
 // Rule: the handler runs at most once at a time for a request, and more than once in total only if the core may retry
 // the request. The handler's answer is recorded and is sent to the client once it is final. A rejected request is
-// answered with 503 and Retry-After. A request that was not answered in time is answered with 504. A request that may
-// have run and failed is answered with 502.
+// answered with 503 and Retry-After. A failed request is answered with 504 if its timeout has passed, and otherwise
+// with 502: it may or may not have run.
 //
 // State: the body and the recorded answer of each open request, in memory.
 //
--- a/middleware/recorder.go
+++ b/middleware/recorder.go
@@ -21,7 +21,7 @@
 // Header implements http.ResponseWriter.
 func (r *recorder) Header() http.Header { return r.header }
 
-// WriteHeader implements http.ResponseWriter.
+// WriteHeader implements http.ResponseWriter. It ignores informational codes (1xx).
 func (r *recorder) WriteHeader(code int) {
 	if !r.wroteHeader && code >= http.StatusOK {
 		r.code = code
--- a/middleware/transport.go
+++ b/middleware/transport.go
@@ -26,8 +26,8 @@
 	running sync.Mutex
 }
 
-// attempt is a run of the handler. The goroutine that Start starts owns it. mu guards begun and over, which the loop's
-// goroutine accesses by Stop.
+// attempt is a run of the handler. The goroutine that Start starts owns it. mu guards begun and over, which Stop
+// accesses on the loop's goroutine.
 type attempt struct {
 	node        Node
 	cancel      context.CancelFunc
@@ -40,8 +40,8 @@
 
 // Start implements broker.Transport.
 func (t *handlerTransport) Start(a broker.Attempt, done func(broker.Result)) broker.Handle {
-	// The core ends the attempt in time. The context therefore has no deadline: a handler could return early at that
-	// deadline without having done its work, and its answer would be taken as final.
+	// The context has no deadline, because the core ends the attempt in time. With a deadline, a handler could return
+	// early without having done its work, and its answer would be taken as final.
 	ctx, cancel := context.WithCancel(t.request.Context())
 	run := &attempt{node: Node{Name: a.Node, Address: a.Address}, cancel: cancel}
 	go func() {
@@ -65,7 +65,7 @@
 func (t *handlerTransport) run(ctx context.Context, a *attempt) (result broker.Result) {
 	result = broker.Result{Reply: broker.ReplyError, Load: scheduler.NoLoadReport}
 	defer func() {
-		if p := recover(); p != nil { // a panic in a handler ends only its own request
+		if p := recover(); p != nil { // a panic in a handler ends only its own attempt
 			result.Err = &broker.AttemptError{Progress: broker.FullyWritten, Err: fmt.Errorf("panic: %v", p)}
 		}
 		if a.notExecuted.Load() {
@@ -108,8 +108,8 @@
 	return counts
 }
 
-// Stop implements broker.Handle. A handler that was called may have run. The next attempt's handler is called only
-// after this one has returned.
+// Stop implements broker.Handle. If the handler was called, the request counts as fully written, since it may have run.
+// The next attempt's handler is called only after this one has returned.
 func (a *attempt) Stop() broker.Progress {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -121,8 +121,8 @@
 	return broker.NotConnected
 }
 
-// StopSending implements broker.Handle. It does nothing: a handler's own sending ends when its context is canceled, not
-// later than the deadline.
+// StopSending implements broker.Handle. It does nothing: what a handler itself sends ends when the handler's context is
+// canceled, at the deadline at the latest.
 func (a *attempt) StopSending() {}
 
 // CancelUnlessWritten implements broker.Handle. It does nothing: a handler that was called counts as fully written.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -62,8 +62,8 @@
 
 // simulate runs the given number of steps, in which brokers take all units that their quotas allow. Each broker has up
 // to two processes, which may be killed with units in transit. next returns the actions of a broker in a step. Each of
-// the limits applies for an equal part of the steps. simulate returns the lowest level of the store,
-// or 0 if the level never fell below 0, and the units taken.
+// the limits applies for an equal part of the steps. simulate returns the lowest level of the store, or 0 if the level
+// never fell below 0, and the units taken.
 func simulate(steps, brokers int, limits []Limit, next func() brokerStep) (lowest, taken float64) {
 	s := newStore(limits[0])
 	now, id := Time(0), uint64(0)
--- a/telemetry/counters.go
+++ b/telemetry/counters.go
@@ -76,8 +76,8 @@
 // SeriesPerRow is the maximum number of series that a sink receives for one row.
 const SeriesPerRow = int(counterCount) + int(latencyCount)*len(SummaryNames)
 
-// The reserved names of rows. If a class, plan, node or volume has the same name, escaping makes the two differ.
+// The reserved names of rows. If a class, plan, node or volume has such a name, escaping makes the paths differ.
 const (
-	Other = "other" // the row of a dimension that counts everything without a row of its name
+	Other = "other" // the row of a dimension for all names without a row of their own
 	None  = "none"  // the row of the node dimension for requests without an attempt
 )
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -5,15 +5,15 @@
 //
 // Every request and every attempt is counted once in each dimension (class, plan, node, volume), either in a row of its
 // name or in the dimension's row Other. So at every snapshot the sum over any dimension is the broker's total, even if
-// volumes appear and disappear. The number of series stays within Options.MaxSeries, and their memory within
+// volumes appear and disappear. The number of series stays within Options.MaxSeries, and the memory of the rows within
 // Options.MaxBytes.
 //
-// Classes and plans always have rows. Nodes have rows while the endpoint list contains them. Volumes compete for the
-// remaining rows: Sketch finds the heaviest volumes without a row, and selectVolumes lets them replace the lightest
-// volumes with a row.
+// The classes and plans of Options always have rows. Nodes have rows while the endpoint list contains them, up to a
+// bound. Volumes compete for the remaining rows: Sketch finds the heaviest volumes without a row, and selectVolumes
+// lets them replace the lightest volumes with a row.
 //
-// A sink receives whole intervals, oldest first. If a sink does not keep up, its oldest intervals are dropped as a
-// whole and counted. Nothing in the broker waits for a sink.
+// A sink is sent intervals in order, the oldest first. If a sink does not keep up, its oldest intervals are dropped as
+// a whole and counted. Nothing in the broker waits for a sink, except that a shutdown waits until its deadline.
 //
 // # State and owners
 //
--- a/telemetry/histogram.go
+++ b/telemetry/histogram.go
@@ -21,7 +21,7 @@
 	counts [bucketCount]uint32
 	total  uint64
 	max    int64
-	// All buckets in use are between these two, so that reading and resetting can skip the others.
+	// The buckets in use are from lowest to highest, so that reading and resetting can skip the others.
 	lowest, highest int
 }
 
--- a/telemetry/observation.go
+++ b/telemetry/observation.go
@@ -34,8 +34,8 @@
 	RequestEnded ObservationKind = iota
 	AttemptEnded
 	NodeListed
-	NodeDraining // the node is listed as draining or no longer listed: it receives no new attempts
-	NodeUnlisted
+	NodeDraining // the node is now draining or unlisted and receives no new attempts; a Registry does not count it
+	NodeUnlisted // the endpoint list no longer contains the node
 )
 
 // Observation is an event in the broker that the registry counts. Registry.Observe keeps no reference to its strings: a
--- a/telemetry/observe.go
+++ b/telemetry/observe.go
@@ -6,8 +6,8 @@
 // a counter. With a smaller bound, part of a request that is really that large would be missing from the sums.
 const maxUnits = 1e9
 
-// Observe counts observations, in order. It only allocates memory for a new row and for the first time that a row
-// counts in an interval.
+// Observe counts observations, in order. It allocates memory only for a new row, and for the first time of each kind of
+// latency that a row counts in an interval.
 func (r *Registry) Observe(observations []Observation) {
 	for i := range observations {
 		o := &observations[i]
@@ -97,8 +97,8 @@
 	return &r.others[dimension]
 }
 
-// nodeRow returns the row of a node. The row of an unlisted node is removed once its final value was reported. An
-// attempt that is still in flight then counts in Other.
+// nodeRow returns the row of a node, or the row None without a node. The row of an unlisted node is removed once its
+// final value was reported. An attempt that ends after that counts in Other.
 func (r *Registry) nodeRow(name string) *rowState {
 	if name == "" {
 		return &r.none
--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -42,7 +42,7 @@
 		e.Option, e.Value, e.Min, e.Classes, e.Plans)
 }
 
-// Check returns an *OptionError if an option is too small for the rows of the classes and plans.
+// Check returns an *OptionError if an option is too small for the rows of the classes and plans and one more row.
 func (o Options) Check() error {
 	o.setDefaults()
 	rows := o.permanentRows() + 1
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -58,7 +58,8 @@
 	volumeChanges  uint64 // number of times that a volume got or lost a row
 }
 
-// New returns an empty registry, or an *OptionError if Options.Check fails.
+// New returns an empty registry. If Options.Check fails, it also returns an *OptionError, and the registry must not be
+// used.
 func New(options Options) (*Registry, error) {
 	r := &Registry{
 		classes:  map[string]*rowState{},
@@ -108,7 +109,7 @@
 	}
 }
 
-// removeNodesBeyondBound marks nodes for removal, in order of name, so that at most maxNodeRows remain.
+// removeNodesBeyondBound marks nodes for removal until at most maxNodeRows remain. It marks them in order of name.
 func (r *Registry) removeNodesBeyondBound() {
 	excess := len(r.nodes) - r.maxNodeRows()
 	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
@@ -123,7 +124,8 @@
 // maxVolumeRows returns how many volumes may have rows now: all shared rows that nodes do not use.
 func (r *Registry) maxVolumeRows() int { return r.sharedRows - len(r.nodes) }
 
-// truncateName returns a copy of a name. A name longer than maxName is shortened to maxName bytes.
+// truncateName returns a copy of a name. A name longer than maxName is truncated and gets a hash of the whole name as
+// its suffix.
 func truncateName(name string) string {
 	if len(name) <= maxName {
 		return strings.Clone(name)
--- a/telemetry/registry_test.go
+++ b/telemetry/registry_test.go
@@ -156,7 +156,7 @@
 		}
 	}
 	if heavyRows != heavy {
-		t.Errorf("%d of %d heavy volumes have rows", heavyRows, heavy)
+		t.Errorf("%d of %d heavy volumes have rows, want all", heavyRows, heavy)
 	}
 	if grown := after - before; grown > 1<<20 {
 		t.Errorf("the heap grew by %d bytes, want at most 1 MiB", grown)
@@ -237,6 +237,6 @@
 	want[RequestsServed] = 2
 	checkSnapshot(t, r, r.Snapshot(nil), want)
 	if r.classes["write"] != nil || r.classes["new"].counts[RequestsServed] != 1 {
-		t.Error("the rows do not match the new options")
+		t.Error("want no row for the removed class and one request in the row of the added class")
 	}
 }
--- a/telemetry/rollup.go
+++ b/telemetry/rollup.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// subtractRemoved keeps the sums over a dimension exact. If an earlier snapshot of this interval removed a row, Other
-// now includes the counts of that row, but the row itself is still to be reported once. Without the subtraction, its
-// requests would be counted twice.
+// subtractRemoved keeps the sums over a dimension exact. If an earlier snapshot of this interval contained a row for
+// the last time, the counts of Other now include the counts of that row, but Flush still reports the row itself.
+// Without the subtraction, the requests of that row would be counted twice.
 func (r *Rollup) subtractRemoved(snapshot *Snapshot) {
 	present := make(map[rowKey]bool, len(snapshot.Rows))
 	for _, row := range snapshot.Rows {
--- a/telemetry/sink.go
+++ b/telemetry/sink.go
@@ -44,7 +44,7 @@
 	writing     bool // a Write is in progress
 	queue       sinkQueue
 	dueAt       Micros // end of the current timeout, backoff or pause
-	backoff     Micros // the last backoff; 0 after a success
+	backoff     Micros // the last backoff; 0 after a batch was written completely
 	pacing      bool   // the sink pauses to limit its rate to BytesPerSecond
 	failed      bool   // a failure occurred since the last batch that was written completely
 	unavailable bool   // ReportUnavailable was emitted, without a ReportRecovered since
@@ -68,7 +68,7 @@
 	return stats
 }
 
-// Next returns when the driver must call Reduce if no event occurs earlier. any is false if no such call is needed.
+// Next returns when the driver must call Reduce if no event occurs earlier. any is false if there is no such time.
 func (s *Sink) Next() (at Micros, any bool) {
 	waiting := s.waiting()
 	if s.closing && s.state != Closed {
@@ -163,8 +163,9 @@
 	}
 }
 
-// pace begins a pause after a frame. The pause protects a sink that has just recovered: without it, the queued batches
-// of all brokers would arrive at once, and the sink would fail again.
+// pace begins a pause after a frame if more batches are queued or the rate of every batch is limited. The pause
+// protects a sink that has just recovered: without it, the queued batches of all brokers would arrive at once, and the
+// sink would fail again.
 func (s *Sink) pace(now Micros, bytes int) {
 	if len(s.queue.batches) > 1 || s.options.PaceEveryBatch {
 		s.pacing = true
@@ -172,7 +173,7 @@
 	}
 }
 
-// onShutdown ends a backoff, so that the sink makes one more attempt to send its queue.
+// onShutdown ends a backoff, so that the sink dials once more to send its queue.
 func (s *Sink) onShutdown(deadline Micros) {
 	s.closing = true
 	s.deadline = deadline
--- a/telemetry/sink_test.go
+++ b/telemetry/sink_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A receiver that reads at once gets every batch on one connection. Nothing is reported to operators.
+// A receiver that reads at once gets every batch. Nothing is reported to operators.
 func TestSinkHealthy(t *testing.T) {
 	r := newReceiver(t, SinkOptions{})
 	for _, name := range []string{"a", "b", "c"} {
@@ -20,7 +20,8 @@
 		r.advance(10 * second)
 	}
 	if fmt.Sprint(r.received, r.reports) != "[a b c] []" || r.sink.Stats().Sent != 3 {
-		t.Errorf("received %q, reports %q, stats %+v", r.received, r.reports, r.sink.Stats())
+		t.Errorf("received %q, reports %q, stats %+v; want [a b c], no reports, 3 sent",
+			r.received, r.reports, r.sink.Stats())
 	}
 }
 
@@ -50,7 +51,7 @@
 		r.receive()
 	}
 	if fmt.Sprint(r.received) != "[d e f]" || fmt.Sprint(r.reports) != "[unavailable: refused recovered]" {
-		t.Errorf("received %q, reports %q", r.received, r.reports)
+		t.Errorf("received %q, reports %q; want [d e f], one outage and one recovery", r.received, r.reports)
 	}
 	if dropped := r.sink.Stats().Dropped; dropped != 3 || failedDials < 3 {
 		t.Errorf("%d batches dropped, %d dials failed, want 3 and at least 3", dropped, failedDials)
@@ -87,7 +88,7 @@
 }
 
 // A receiver reads nothing after the first batch. Its sink is stalled and then disconnected. On the next connection the
-// sink sends the first batch again, since the first batch may not have arrived, and then the second batch.
+// sink sends the first batch again, since the receiver may not have got its end, and then the second batch.
 func TestSinkNeverReads(t *testing.T) {
 	r := newReceiver(t, SinkOptions{ResendLast: true, MaxBackoff: second})
 	r.offer("a", 100)
@@ -98,7 +99,7 @@
 	r.wantState(Stalled)
 	r.advance(8 * second)
 	if r.open || !r.dialling && r.sink.Stats().State != BackingOff {
-		t.Fatalf("the sink is not disconnected: %+v", r.sink.Stats())
+		t.Fatalf("stats %+v, want the sink disconnected and backing off or dialing", r.sink.Stats())
 	}
 	r.awaitDial()
 	r.endDial(true)
@@ -108,7 +109,8 @@
 	}
 	stats := r.sink.Stats()
 	if fmt.Sprint(r.received) != "[a a b]" || stats.Sent != 2 || stats.Dropped != 0 || len(r.reports) != 2 {
-		t.Errorf("received %q, reports %q, stats %+v", r.received, r.reports, stats)
+		t.Errorf("received %q, reports %q, stats %+v; want [a a b], 2 reports, 2 sent, 0 dropped",
+			r.received, r.reports, stats)
 	}
 }
 
@@ -122,7 +124,7 @@
 	r.receive()
 	r.wantState(Idle)
 	if !r.open || len(r.reports) != 2 {
-		t.Errorf("connected %v, reports %q", r.open, r.reports)
+		t.Errorf("connected %v, reports %q; want true, one outage and one recovery", r.open, r.reports)
 	}
 }
 
@@ -139,11 +141,11 @@
 	r.receive()
 	r.receive()
 	if fmt.Sprint(r.received) != "[x x y]" || r.sink.Stats().Sent != 1 {
-		t.Errorf("received %q, stats %+v", r.received, r.sink.Stats())
+		t.Errorf("received %q, stats %+v; want [x x y], 1 sent", r.received, r.sink.Stats())
 	}
 }
 
-// The broker shuts down during a backoff. The sink sends its queue at once, since the deadline leaves enough time.
+// The broker shuts down during a backoff. The sink ends the backoff and sends its queue.
 func TestSinkShutdownWhileBackingOff(t *testing.T) {
 	r := newReceiver(t, SinkOptions{MinBackoff: 30 * second})
 	r.offer("a", 10)
@@ -152,7 +154,7 @@
 	r.endDial(true)
 	r.receive()
 	if !r.finished || r.sink.Stats().Sent != 1 {
-		t.Errorf("the last batch was not sent: %+v", r.sink.Stats())
+		t.Errorf("finished %v, stats %+v; want true, 1 sent", r.finished, r.sink.Stats())
 	}
 }
 
@@ -172,7 +174,7 @@
 }
 
 // Batches, answers, resets and the passing of time occur in random order. There is at most one dial or write at a time,
-// the bounds are kept, and every batch is sent, dropped or queued.
+// the queue stays within its bound, and every batch is sent, dropped or queued.
 func TestSinkAnyOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) { testSinkAnyOrder(t, seed) })
@@ -207,12 +209,12 @@
 	}
 	stats := r.sink.Stats()
 	if waiting := uint64(len(r.sink.queue.batches)); stats.Sent+stats.Dropped+waiting != offered {
-		t.Fatalf("%d batches offered, %d queued, stats %+v", offered, waiting, stats)
+		t.Fatalf("%d batches offered, %d queued, stats %+v; want each sent, dropped or queued", offered, waiting, stats)
 	}
 	r.send(Shutdown{Deadline: r.now + 5*second})
 	r.advance(6 * second)
 	stats = r.sink.Stats()
 	if !r.finished || stats.QueueBytes != 0 || stats.Sent+stats.Dropped != offered {
-		t.Fatalf("after the shutdown with %d batches offered: %+v", offered, stats)
+		t.Fatalf("after the shutdown: %+v, want %d batches sent or dropped, and none queued", stats, offered)
 	}
 }
--- a/telemetry/sinkevents.go
+++ b/telemetry/sinkevents.go
@@ -13,7 +13,7 @@
 	FrameWritten struct{}
 	// ConnectionFailed reports that the dial or the connection failed. It is the last event of that connection.
 	ConnectionFailed struct{ Err error }
-	// Shutdown makes the sink send its queue and close, at the deadline at the latest.
+	// Shutdown makes the sink send its queue and then close. At the deadline the sink closes in any case.
 	Shutdown struct{ Deadline Micros }
 )
 
--- a/telemetry/sketch.go
+++ b/telemetry/sketch.go
@@ -27,7 +27,7 @@
 	slot         int32 // the position in index that refers to this counter
 }
 
-// lowerBound returns the minimum weight of the key.
+// lowerBound returns a lower bound of the weight of the key.
 func (c sketchCounter) lowerBound() float64 { return c.count - c.error }
 
 const (
@@ -96,7 +96,7 @@
 	return float64(s.random*randomMultiplier>>(64-floatBits)) / (1 << floatBits)
 }
 
-// LowerBound returns the minimum weight of a key, 0 for a key without a counter.
+// LowerBound returns a lower bound of the weight of a key, which is 0 for a key without a counter.
 func (s *Sketch) LowerBound(key uint64) float64 {
 	slot, found := s.find(key)
 	if !found {
--- a/telemetry/sketch_test.go
+++ b/telemetry/sketch_test.go
@@ -50,10 +50,10 @@
 	}
 	for key, weight := range weights {
 		if bound := s.LowerBound(key); bound > weight {
-			t.Fatalf("the lower bound of a key of weight %v is %v", weight, bound)
+			t.Fatalf("the lower bound of a key of weight %v is %v, want at most the weight", weight, bound)
 		}
 		if _, found := s.find(key); !found && weight > 2*sum/counters {
-			t.Fatalf("a key of weight %v out of %v has no counter", weight, sum)
+			t.Fatalf("a key of weight %v out of %v has no counter, want one", weight, sum)
 		}
 	}
 	s.checkStructure(t)
--- a/telemetry/snapshot.go
+++ b/telemetry/snapshot.go
@@ -33,7 +33,7 @@
 }
 
 // Snapshot ends an interval and returns its rows. previous is nil or an earlier snapshot that its reader has reset.
-// Snapshot reuses the memory of previous.
+// Snapshot reuses the memory of previous, which must not be used any more.
 func (r *Registry) Snapshot(previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{}
 	if previous != nil {
--- a/telemetry/timestamps.go
+++ b/telemetry/timestamps.go
@@ -14,8 +14,8 @@
 	behind bool // the wall clock is behind last
 }
 
-// Next returns the timestamp of an interval that ends now, and whether the clock has stepped back since the previous
-// interval.
+// Next returns the timestamp of an interval that ends when the wall clock shows wall. It also returns whether the clock
+// has stepped back since the previous interval.
 func (s *TimestampSequence) Next(wall int64) (timestamp int64, steppedBack bool) {
 	switch {
 	case s.last == 0 || wall > s.last:
--- a/telemetry/volumes.go
+++ b/telemetry/volumes.go
@@ -22,9 +22,10 @@
 )
 
 // selectVolumes decides which volumes this snapshot removes and which volumes get a row at their next request. It
-// prevents series that appear and disappear, which show as graphs of single points. A volume that is not clearly
-// heavier than a volume with a row stays in Other. A volume keeps a new row for at least MinSnapshots. At most one in
-// turnoverShare of the rows is replaced at once.
+// prevents series that appear and disappear, which show as graphs of single points: a volume that is not clearly
+// heavier than a volume with a row stays in Other, a volume is replaced only after MinSnapshots snapshots, and at most
+// one in turnoverShare of the rows is replaced at once. Volumes that are idle or whose row a node needs are removed
+// regardless of that.
 func (r *Registry) selectVolumes() {
 	clear(r.selected)
 	remaining := r.removeIdleVolumes()
@@ -42,7 +43,7 @@
 	r.sketch.Halve()
 }
 
-// removeIdleVolumes marks the volumes without a request for IdleSnapshots and returns how many volumes remain.
+// removeIdleVolumes marks the volumes without a request for IdleSnapshots snapshots, and returns how many remain.
 func (r *Registry) removeIdleVolumes() int {
 	remaining := 0
 	for _, row := range r.volumes {
@@ -54,8 +55,8 @@
 	return remaining
 }
 
-// makeRoomForNodes marks the lightest volumes for removal, one for each waiting node without a free row. volumes is the
-// number of volumes that are not marked yet.
+// makeRoomForNodes marks the lightest volumes for removal until the nodes, the waiting nodes and the remaining volumes
+// fit into the shared rows. volumes is the number of volumes that are not marked yet.
 func (r *Registry) makeRoomForNodes(volumes int) {
 	excess := len(r.nodes) + r.waitingNodes() + volumes - r.sharedRows
 	for ; excess > 0; excess-- {
--- a/telemetry/volumes_test.go
+++ b/telemetry/volumes_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("rows of volumes changed %d times, want 5", r.VolumeChanges())
 	}
 	if _, exists := volumeRows(r.Snapshot(nil))["d"]; !exists {
-		t.Error("the heaviest volume has no row")
+		t.Error("the heaviest volume has no row, want one")
 	}
 	final := 0
 	for range 6 {
@@ -54,6 +54,6 @@
 		}
 	}
 	if final != 3 || len(volumeRows(r.Snapshot(nil))) != 0 {
-		t.Errorf("%d of 3 idle volumes were removed with their final value", final)
+		t.Errorf("%d of 3 idle volumes were removed with their final value, want all, and no rows left", final)
 	}
 }
