--- a/internal/collectd/doc.go
+++ b/internal/collectd/doc.go
@@ -4,9 +4,9 @@
 //
 // # Rules
 //
-// A packet can be read without other packets: it begins with host, time, interval and plugin. Its size, including its
-// protection, is at most MaxPacket. Within a packet, a part that is equal to that of the previous value list is not
-// repeated.
+// A packet can be read without other packets: a packet of value lists begins with host, time, interval and plugin. Its
+// size, including its protection, is at most MaxPacket. Within a packet, a part that is equal to that of the previous
+// value list is not repeated.
 //
 // # State and owners
 //
--- a/internal/collectd/encoder_test.go
+++ b/internal/collectd/encoder_test.go
@@ -53,7 +53,7 @@
 }
 
 // The parser of the fake receiver shares no code with the encoder. It decodes what the encoder encodes, for each way to
-// protect packets. It rejects packets under a wrong key and modified packets.
+// protect packets. It rejects packets under a wrong key, packets of an unknown user and modified packets.
 func TestEncodeValueLists(t *testing.T) {
 	lists, want := testValueLists()
 	for _, encoder := range encoders {
@@ -111,7 +111,8 @@
 }
 
 // A notification of 2,000 bytes is truncated to fit into a packet, for each way to protect packets. The fake receiver
-// rejects a text longer than its own bound of 1,024 bytes. A packet that it accepts contains one notification.
+// may reject the packet, because its own bound for a text is 1,024 bytes. If it accepts the packet, the packet contains
+// one notification.
 func TestLongNotification(t *testing.T) {
 	long := collectd.Notification{
 		Severity: collectd.Warning,
--- a/internal/graphite/doc.go
+++ b/internal/graphite/doc.go
@@ -4,8 +4,8 @@
 // # Rules
 //
 // Names from settings, nodes and clients are escaped, so that no name can break a line or a path, and different names
-// stay different. A frame contains whole points. If a sink could not write a frame completely, it sends the frame
-// again.
+// stay different. A frame contains whole points. If a sink could not write a frame completely, it sends the whole
+// interval of the frame again.
 //
 // # State and owners
 //
--- a/internal/graphite/path.go
+++ b/internal/graphite/path.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Path identifies a series by fixed segments and an escaped name. In Dotted naming the name is between the segments and
-// the suffix. In Tagged naming the name is the value of a tag.
+// Path identifies a series by fixed segments and an escaped name. In Dotted naming the dimension and the name follow
+// the segments. In Tagged naming the dimension is a tag, and the name is its value.
 type Path struct {
 	Segments  []string // written without escaping
 	Dimension string   // the kind of Name, such as "class"; empty if there is no Name
@@ -25,7 +25,7 @@
 	Tagged               // PREFIX.served;class=read
 )
 
-// Append appends the path of a series with the given prefix.
+// Append appends the path of a series. The prefix comes first.
 func (n Naming) Append(b []byte, prefix string, p Path) []byte {
 	b = append(b, prefix...)
 	for _, segment := range p.Segments {
--- a/internal/graphite/writer.go
+++ b/internal/graphite/writer.go
@@ -3,8 +3,8 @@
 import "strconv"
 
 const (
-	// maxFrame bounds the size of a frame over TCP. A sink counts a frame as written completely or not at all. With a
-	// larger bound, more data is sent again after a lost connection. With a smaller bound, an interval needs more
+	// maxFrame bounds the size of a frame over TCP. A sink writes a frame as a whole, within a time-out. With a
+	// larger bound, a slow sink reaches the time-out for a frame sooner. With a smaller bound, an interval needs more
 	// writes.
 	maxFrame = 4 << 10
 	// maxDatagram is the size of an Ethernet frame, 1,500 bytes, minus the headers of IPv6 and UDP and 20 spare
@@ -36,7 +36,7 @@
 }
 
 // NewPlaintext returns a writer of plaintext lines. Frames contain whole lines. If datagrams is set, each frame fits
-// into a datagram.
+// into a datagram, except for a single line that is longer.
 func NewPlaintext(prefix string, naming Naming, timestamp int64, datagrams bool) *Writer {
 	w := &Writer{prefix: prefix, naming: naming, timestamp: timestamp, limit: maxFrame}
 	if datagrams {
--- a/internal/metricsexport/collectd.go
+++ b/internal/metricsexport/collectd.go
@@ -26,9 +26,9 @@
 	typeLatency  = "junctionwharf_latency"
 )
 
-// expectedValueLists is the initial capacity for value lists: each row of a registry of the default size has at most
-// six value lists. With a smaller capacity, the slice grows while an interval is encoded. A larger capacity wastes
-// memory.
+// expectedValueLists is the initial capacity for the value lists of rows: each row of a registry of the default size
+// has at most six value lists. With a smaller capacity, the slice grows while an interval is encoded. A larger capacity
+// wastes memory.
 const expectedValueLists = 512
 
 // newCollectdEncoder returns an encoder of the protocol of collectd's network plugin.
--- a/internal/metricsexport/connection.go
+++ b/internal/metricsexport/connection.go
@@ -52,8 +52,8 @@
 	s.reduceLocked(telemetry.Connected{})
 }
 
-// disconnect cancels the dial in progress and closes the connection, which ends their goroutines. The close runs in its
-// own goroutine, since the caller holds the lock.
+// disconnect cancels the dial in progress and closes the connection. This ends the goroutines of both. The close runs
+// in its own goroutine, since the caller holds the lock.
 func (s *sink) disconnect() {
 	s.connectionID++
 	if s.cancelDial != nil {
@@ -63,7 +63,7 @@
 	if s.conn != nil {
 		conn := s.conn
 		s.conn = nil
-		go func() { _ = conn.Close() }() // unsent data is sent again or counted as dropped
+		go func() { _ = conn.Close() }() // the machine sends unsent frames again or drops them
 	}
 }
 
--- a/internal/metricsexport/doc.go
+++ b/internal/metricsexport/doc.go
@@ -6,7 +6,7 @@
 //
 // One registry serves all sinks. The loop takes a snapshot at the greatest common divisor of the sinks' intervals. Each
 // sink merges snapshots in a rollup until its own interval is over, then encodes the interval and queues the batch. If
-// the loop does not deliver a snapshot within snapshotTimeout, this snapshot is skipped and the interval continues.
+// the loop does not begin a snapshot within snapshotTimeout, this snapshot is skipped and the interval continues.
 //
 // A sink is replaced when any of its settings changes, including its key. The queue of the old sink is then dropped.
 //
--- a/internal/metricsexport/encoding_test.go
+++ b/internal/metricsexport/encoding_test.go
@@ -50,7 +50,7 @@
 	})
 	for _, list := range lists {
 		if types[list.Type] != len(list.Values) {
-			t.Fatalf("%s has %d values, types.db says %d", list.Type, len(list.Values), types[list.Type])
+			t.Fatalf("%s has %d values, want %d as in types.db", list.Type, len(list.Values), types[list.Type])
 		}
 	}
 	if len(lists) < 20 {
--- a/internal/metricsexport/exporter.go
+++ b/internal/metricsexport/exporter.go
@@ -102,8 +102,8 @@
 	e.settings <- settings
 }
 
-// Shutdown sends the interval in progress and returns when Run has ended, at the deadline at the latest. Data that is
-// not sent by then is dropped and counted.
+// Shutdown sends the interval in progress and returns when Run has ended. At the deadline the sinks are closed, and
+// their unsent data is dropped and counted. The last snapshot and its encoding may take until after the deadline.
 func (e *Exporter) Shutdown(deadline time.Time) {
 	if !e.started.Load() {
 		return
--- a/internal/metricsexport/exporter_test.go
+++ b/internal/metricsexport/exporter_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if faults := append(carbon.Errors(), receiver.Errors()...); len(faults) > 0 {
-		t.Errorf("faults that the receivers found: %q", faults)
+		t.Errorf("faults that the receivers found: %q, want none", faults)
 	}
 }
 
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// Graphite reads nothing, or one byte a second. Its sink is stalled, disconnected and loses intervals. Meanwhile
+// Graphite reads nothing, or one byte a second. Its sink is disconnected, dials again and drops intervals. Meanwhile
 // collectd receives all counts. When Graphite reads again, it receives the counts too.
 func TestSinkStalls(t *testing.T) {
 	for _, manner := range []fakes.ReceiverMode{fakes.NotReading, fakes.Trickling} {
@@ -91,7 +91,7 @@
 	carbon.SetMode(fakes.Reading)
 	h.awaitSeries(carbon.PointStore, graphiteServed, 1)
 	if faults := carbon.Errors(); len(faults) > 0 {
-		t.Errorf("faults that the receivers found: %q", faults)
+		t.Errorf("faults that the receiver found: %q, want none", faults)
 	}
 }
 
@@ -157,7 +157,7 @@
 		t.Fatal("no packet under a wrong key was rejected")
 	}
 	if receiver.Received() > 0 {
-		t.Errorf("%d points were accepted under a wrong key", receiver.Received())
+		t.Errorf("%d points were accepted under a wrong key, want 0", receiver.Received())
 	}
 	settings.Collectd.Key.Secret = "right"
 	h.exporter.ApplySettings(settings)
--- a/internal/metricsexport/harness_test.go
+++ b/internal/metricsexport/harness_test.go
@@ -135,8 +135,8 @@
 	t.options.BytesPerSecond = 100 << 20
 }
 
-// log stores a log line. It skips lines about the clock: timestamps are whole seconds, so with intervals of 20 ms they
-// run ahead of the clock.
+// log stores a log line. It skips lines about the clock. Timestamps are whole seconds and grow by at least one with
+// each interval of 20 ms, so they run ahead of the clock, which then seems to step back.
 func (h *harness) log(line string) {
 	if strings.Contains(line, "clock") {
 		return
--- a/internal/metricsexport/lifecycle_test.go
+++ b/internal/metricsexport/lifecycle_test.go
@@ -9,8 +9,8 @@
 	"junctionwharf/telemetry"
 )
 
-// A reload disables a sink with a full queue, and the sink closes at once. When a sink is enabled again, the counts
-// start at 0.
+// A reload disables a sink with a full queue, and the sink is removed. When a sink is enabled again, the counts start
+// at 0.
 //
 // The receiver reads nothing. About every 200 ms the sink opens a new connection, and the system's buffers for that
 // connection accept the queued batches. The queue must be full before the next connection, even if a busy machine
@@ -49,8 +49,8 @@
 	h.awaitSeries(carbon.PointStore, graphiteServed, 7)
 }
 
-// The broker shuts down while a sink is stalled. The sink delays the shutdown until the deadline, but no longer. Its
-// unsent batches are dropped and counted.
+// The broker shuts down while a sink is stalled. The shutdown ends although the sink reads nothing. The sink is closed,
+// and its unsent batches are dropped and counted.
 func TestShutdownWithStalledSink(t *testing.T) {
 	carbon := newFakeCarbon(t)
 	carbon.SetMode(fakes.NotReading)
@@ -70,15 +70,15 @@
 	select {
 	case <-ended:
 	case <-h.timeout:
-		t.Fatal("the shutdown waits for a stalled sink after its deadline")
+		t.Fatal("the shutdown with a stalled sink did not end")
 	}
 	after := stalled.stats()
 	if after.State != telemetry.Closed || after.QueueBytes != 0 {
-		t.Errorf("the sink is not closed and empty: %+v", after)
+		t.Errorf("stats %+v, want the sink closed and its queue empty", after)
 	}
 	// On a busy machine the sink may have been disconnected and dialed again, and the system's buffers may have
 	// accepted its batches.
 	if after.Dropped <= before.Dropped && after.Redials <= before.Redials {
-		t.Errorf("no batch was dropped: %+v", after)
+		t.Errorf("stats %+v, before the shutdown %+v, want more batches dropped or another dial", after, before)
 	}
 }
--- a/internal/metricsexport/sink.go
+++ b/internal/metricsexport/sink.go
@@ -92,7 +92,8 @@
 	s.reduce(telemetry.Shutdown{Deadline: deadline.Sub(s.start).Microseconds()})
 }
 
-// stop waits until the sink has closed. At the deadline it closes the sink and drops unsent data.
+// stop waits until the sink has closed. At the deadline it closes the sink and drops unsent data. With a zero deadline,
+// it does so immediately.
 func (s *sink) stop(deadline time.Time) {
 	select {
 	case <-s.ended:
--- a/internal/metricsexport/snapshot.go
+++ b/internal/metricsexport/snapshot.go
@@ -9,9 +9,9 @@
 	"junctionwharf/telemetry"
 )
 
-// snapshotTimeout is the maximum time until the loop takes a requested snapshot. With a longer timeout, the intervals
-// of an overloaded broker end late. With a shorter timeout, intervals are merged with the next ones and graphs have
-// gaps.
+// snapshotTimeout is the maximum time until the loop begins a requested snapshot. With a longer timeout, the intervals
+// of an overloaded broker end late. With a shorter timeout, more intervals are merged with the next ones, and graphs
+// have gaps.
 const snapshotTimeout = time.Second
 
 // takenSnapshot is a snapshot and the broker's own metrics at the same moment. If no snapshot was taken, it is empty.
