--- a/admission/settings.go
+++ b/admission/settings.go
@@ -37,8 +37,8 @@
 	// smaller value, one burst would cause several cuts. With a larger value, the controller would follow a growing
 	// overload too slowly.
 	windowsBetweenCuts = 4
-	// growthFactor multiplies the allowance in each window without overload, to which one more request is added. With
-	// a smaller value, capacity would stay unused for longer. With a larger value, the lag would oscillate.
+	// growthFactor multiplies the allowance in each window without overload. The allowance also grows by one request.
+	// With a smaller value, capacity would stay unused for longer. With a larger value, the lag would oscillate.
 	growthFactor = 1.01
 	// recoveryFactor replaces growthFactor until the allowance reaches recoveryShare of its value before the last cut.
 	// With a smaller value, a short disturbance would cost capacity for longer. With a larger value, the lag would
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -31,8 +31,8 @@
 
 // Candidates yields the replicas in order of preference. The caller takes the first replica that can serve the request.
 // proven is set for a request that can't be retried or that already is a retry: replicas that answered recently come
-// first. For any other request, an unresponsive replica whose trial is due comes first. Then follow the other replicas
-// of the subset in turn. Replicas outside the subset come last.
+// first. For any other request, an unresponsive replica whose trial is due comes first. The other replicas of the subset
+// follow in turn. Replicas outside the subset come last.
 func (b *Balancer) Candidates(now Time, proven bool) iter.Seq[*Replica] {
 	return func(yield func(*Replica) bool) {
 		if b.evenStale && now-b.evenedAt >= evenPeriod {
@@ -77,8 +77,8 @@
 
 // nextProven returns a replica that answered recently, for a request with proven set. It returns nil if there is none.
 // During an alarm it returns the replica with the latest answer. Otherwise it returns the replica with the third latest
-// answer, or with the oldest if there are fewer. The replica with the latest answer has just had a request. If every
-// broker sent it a second one, that replica would get a burst.
+// answer or, if fewer than three replicas qualify, the one with the oldest answer. The replica with the latest answer
+// has just had a request. If every broker sent a second request to it, that replica would get a burst.
 func (b *Balancer) nextProven(now Time) *Replica {
 	if !b.proven {
 		return nil
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// If a broker is added, about as many users of replicas change as the new broker's share requires.
+// If a broker is added, most replicas keep their brokers: the part of new brokers is at most twice the added broker's
+// share.
 func TestBrokerJoins(t *testing.T) {
 	moved, all := 0, 0
 	for i := range 200 {
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -14,8 +14,8 @@
 // everything that posts events to the loop. Neither outlives the process. What survives a restart is in the snapshot
 // of package members and in the voter's state of package agreement.
 //
-// Goroutines: those started by subsystems of subsystems.go end with the context that stop cancels. The goroutines of
-// servers, the console and the peers' port end when these are closed.
+// Goroutines: a goroutine that a subsystem starts ends with the context that stop cancels (subsystems.go). Goroutines
+// that serve a port end when the port is closed.
 //
 // Units: durations are time.Duration. Memory is in bytes, except for the setting memory_mb, which is in MiB.
 package daemon
--- a/internal/daemon/lag.go
+++ b/internal/daemon/lag.go
@@ -47,9 +47,9 @@
 	return broker.Micros(sum / float64(waits) * float64(broker.Second))
 }
 
-// watchLag reports the scheduling lag to admission control until ctx ends. Unless always is set, it measures only from
-// when many requests are open until few requests are open and the broker neither lags nor sheds load, so that an idle
-// broker is not woken up.
+// watchLag reports the scheduling lag to admission control until ctx ends. Unless always is set, it starts to measure
+// when many requests are open. It stops when few requests are open and the broker neither lags nor sheds load, so that
+// an idle broker is not woken up.
 func watchLag(ctx context.Context, loop *broker.Loop, always bool) {
 	for {
 		if !always {
--- a/internal/metricsexport/connection.go
+++ b/internal/metricsexport/connection.go
@@ -63,7 +63,7 @@
 	if s.conn != nil {
 		conn := s.conn
 		s.conn = nil
-		go func() { _ = conn.Close() }() // the machine sends unsent frames again or drops them
+		go func() { _ = conn.Close() }() // the state machine sends the unsent batch again or drops it
 	}
 }
 
--- a/telemetry/sinkoptions.go
+++ b/telemetry/sinkoptions.go
@@ -23,23 +23,23 @@
 	// defaultQueueBytes is about 30 intervals of a full registry. With a larger queue, a sink that is down leaves less
 	// memory for requests. With a smaller queue, a shorter outage leaves a gap in the graphs.
 	defaultQueueBytes = 4 << 20
-	// defaultConnectTimeout: with a longer time, an unreachable sink is reported later. With a shorter time, a busy
-	// sink is reported by mistake.
+	// defaultConnectTimeout bounds a dial. With a longer time, an unreachable sink is reported later. With a shorter
+	// time, a busy sink is reported by mistake.
 	defaultConnectTimeout = 2 * second
-	// defaultStallTimeout: with a longer time, a sink that does not read is reported later. With a shorter time, a sink
-	// that pauses briefly is reported.
+	// defaultStallTimeout is the time to write a frame after which a sink is reported. With a longer time, a sink that
+	// does not read is reported later. With a shorter time, a sink that pauses briefly is reported.
 	defaultStallTimeout = 2 * second
-	// defaultWriteTimeout: with a longer time, a sink that hangs delays the metrics for longer. With a shorter time, a
-	// slow sink loses its connection and receives the same batch again and again.
+	// defaultWriteTimeout bounds the time to write a frame. With a longer time, a sink that hangs delays the metrics
+	// for longer. With a shorter time, a slow sink loses its connection and receives the same batch again and again.
 	defaultWriteTimeout = 10 * second
-	// defaultMinBackoff: with a longer backoff, metrics are late after a restart of the sink. With a shorter backoff,
-	// more dials fail during the restart.
+	// defaultMinBackoff is the shortest backoff. With a longer backoff, metrics are late after a restart of the sink.
+	// With a shorter backoff, more dials fail during the restart.
 	defaultMinBackoff = second / 2
-	// defaultMaxBackoff: with a longer backoff, metrics resume later after a long outage. With a shorter backoff, all
-	// brokers dial a dead sink often.
+	// defaultMaxBackoff bounds the backoff. With a longer backoff, metrics resume later after a long outage. With a
+	// shorter backoff, all brokers dial a dead sink often.
 	defaultMaxBackoff = 60 * second
-	// defaultBytesPerSecond: with a higher rate, all brokers together flood a sink that has just recovered. With a
-	// lower rate, the graphs catch up later.
+	// defaultBytesPerSecond limits the rate of queued batches. With a higher rate, all brokers together flood a sink
+	// that has just recovered. With a lower rate, the graphs catch up later.
 	defaultBytesPerSecond = 256 << 10
 )
 
