--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -31,8 +31,8 @@
 
 // Candidates yields the replicas in order of preference. The caller takes the first replica that can serve the request.
 // proven is set for a request that can't be retried or that already is a retry: replicas that answered recently come
-// first. For any other request, an unresponsive replica whose trial is due comes first. The other replicas of the subset
-// follow in turn. Replicas outside the subset come last.
+// first. For any other request, an unresponsive replica whose trial is due comes first. The other replicas of the
+// subset follow in turn. Replicas outside the subset come last.
 func (b *Balancer) Candidates(now Time, proven bool) iter.Seq[*Replica] {
 	return func(yield func(*Replica) bool) {
 		if b.evenStale && now-b.evenedAt >= evenPeriod {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -1,5 +1,6 @@
 // Package balancer ranks the replicas of a shard for one of many brokers. Each broker sees only a small part of the
-// load, and the sum over all brokers must be even. The package does no I/O, reads no clock and starts no goroutine.
+// load, but the load of each replica from all brokers together must follow the replica's weight. The package does no
+// I/O, reads no clock and starts no goroutine.
 //
 // The rule. A broker uses a bounded subset of a shard's replicas (subset.go) and sends requests to them in turn
 // (candidates.go), as weighted fair queueing does. Each replica has a position in a virtual time. A request advances
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -247,7 +247,8 @@
 	return nil
 }
 
-// mergesSources reports whether the endpoint list is merged from several sources, one of which may be discovery.
+// mergesSources reports whether the endpoint list is merged from the sources that the site file lists. Discovery may be
+// one of them.
 func (ctl *control) mergesSources() bool {
 	return len(ctl.config.Site.Membership.Sources) > 0
 }
@@ -270,8 +271,8 @@
 	return nil
 }
 
-// endpointHandler returns the function that receives discovery's lists. If the endpoint list has several sources, the
-// function merges discovery's lists with theirs. Otherwise it forwards discovery's lists unchanged.
+// endpointHandler returns the function that receives discovery's lists. If the site file lists sources, the function
+// merges discovery's lists with theirs. Otherwise it forwards discovery's lists unchanged.
 func (ctl *control) endpointHandler() func(broker.Event) {
 	if ctl.mergesSources() {
 		return ctl.endpoints.HandleDiscovery
@@ -308,8 +309,8 @@
 var errNoRequests = errors.New("a control process does not send requests")
 
 // ServeControl runs a control process until ctx ends, usually on a dedicated machine. A control process votes on the
-// replicated configuration and forwards it to brokers that have no children themselves. It accepts no clients and
-// sends no requests to storage nodes.
+// replicated configuration, if it is one of the voters, and forwards it to the brokers that attach to it. It accepts
+// no clients and sends no requests to storage nodes.
 func ServeControl(ctx context.Context, c *config.Config, log *slog.Logger) error {
 	if !c.Site.Agreement.Enabled() || c.Site.Agreement.Listen == "" {
 		return errNothingToControl
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -73,7 +73,7 @@
 	}
 	close(release)
 	if got := <-answer; got != "hold" {
-		t.Errorf(`answer to the request accepted by the first process: %q, want "hold"`, got)
+		t.Errorf("answer to the request accepted by the first process: %q, want its id", got)
 	}
 	oldProcess.waitEnd(t)
 	checkServed(t, address, "last")
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -107,7 +107,7 @@
 	client.ping(t)
 	client.write(t, testRequest{id: "id", units: 2}.encode())
 	if id := <-node.received; id != "id" {
-		t.Errorf(`the node received the request id %q, want "id"`, id)
+		t.Errorf("the node received the request id %q, want that of the client", id)
 	}
 	checkListeningFileServer(t, files)
 	late := make(chan struct{}) // one timeout for both waits
