--- a/scheduler/selection.go
+++ b/scheduler/selection.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// leastLoaded yields at most one node: of the nodes that may serve a request, the one with the lowest Priority
-// and, among those, the fewest attempts in flight relative to its traffic weight. Of equal nodes it yields
-// the first listed. The only node of a shard is yielded without a check.
+// leastLoaded yields at most one node: of the nodes that may serve a request, the one with the lowest
+// Priority value and, among nodes with that value, the fewest attempts in flight relative to its traffic
+// weight. Of equal nodes it yields the first listed. The only node of a shard is yielded without a check.
 func (s *Scheduler) leastLoaded(sh *shard, r *request) iter.Seq[*node] {
 	if len(sh.nodes) < 2 {
 		return slices.Values(sh.nodes)
