--- a/telemetry/counters.go
+++ b/telemetry/counters.go
@@ -62,7 +62,7 @@
 // The latencies, in µs.
 const (
 	TotalLatency   Latency = iota // from arrival to the final answer
-	QueueLatency                  // from arrival to the first attempt
+	QueueLatency                  // from arrival to the first attempt, or to the end without an attempt
 	AttemptLatency                // from the start of an attempt at a node to its end
 	latencyCount
 )
--- a/telemetry/doc.go
+++ b/telemetry/doc.go
@@ -4,9 +4,9 @@
 // # Rules
 //
 // Every request and every attempt is counted once in each dimension (class, plan, node, volume), either in a row of its
-// name or in the dimension's row Other. So at every snapshot the sum over any dimension is the broker's total, even if
-// volumes appear and disappear. The number of series stays within Options.MaxSeries, and the memory of the rows within
-// Options.MaxBytes.
+// name or in one of the reserved rows Other and None. So at every snapshot the sum over any dimension is the broker's
+// total, even if volumes appear and disappear. The number of series stays within Options.MaxSeries, and the memory of
+// the rows within Options.MaxBytes.
 //
 // The classes and plans of Options always have rows. Nodes have rows while the endpoint list contains them, up to a
 // bound. Volumes compete for the remaining rows: Sketch finds the heaviest volumes without a row, and selectVolumes
--- a/telemetry/options.go
+++ b/telemetry/options.go
@@ -8,7 +8,7 @@
 	MaxBytes       int // maximum memory of the rows; DefaultMaxBytes by default
 	ReservedSeries int // series from outside the registry, which count toward MaxSeries
 	IdleSnapshots  int // a volume's row is removed after this many snapshots without a request; 30 by default
-	MinSnapshots   int // a volume keeps its row for at least this many snapshots; 3 by default
+	MinSnapshots   int // a volume keeps its row at least this long, unless a node needs it; 3 by default
 
 	Classes, Plans []string // names that always have rows
 }
--- a/telemetry/registry.go
+++ b/telemetry/registry.go
@@ -20,9 +20,9 @@
 	// owns one set. It adds 64 bytes to the buckets of each histogram, and 256 bytes for the row, its map entry and
 	// its slice headers.
 	rowBytes = 2*int(latencyCount)*(4*bucketCount+64) + 8*int(counterCount) + maxName + 256
-	// volumeShare is the divisor that gives the number of rows reserved for volumes among the rows that nodes and
-	// volumes share. With a larger value, a large endpoint list leaves few rows for volumes. With a smaller value,
-	// nodes are missing from the graphs sooner.
+	// volumeShare reserves one in volumeShare of the rows that nodes and volumes share for volumes. With a larger
+	// value, a large endpoint list leaves few rows for volumes. With a smaller value, nodes are missing from the graphs
+	// sooner.
 	volumeShare = 4
 )
 
--- a/telemetry/sinkqueue.go
+++ b/telemetry/sinkqueue.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Batch is one interval in a sink's encoding: frames to write in order, each as a whole.
+// Batch is one interval or one notification in a sink's encoding: frames to write in order, each as a whole.
 type Batch struct{ Frames [][]byte }
 
 func (b Batch) bytes() int {
