--- a/admission/controller.go
+++ b/admission/controller.go
@@ -66,7 +66,7 @@
 	// Load shedding.
 	shedding       bool
 	allowance      float64 // requests per window
-	allowanceAtCut float64 // allowance before the last cut; after the first cut, meanAdmitted before it
+	allowanceAtCut float64 // allowance before the last cut; for the first cut of an overload, meanAdmitted
 	cutPause       int     // windows until the next cut is possible
 	calm           int     // successive windows in which the allowance sufficed for all requests
 	marginalRank   int     // the rank of which only a part is admitted
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// admitMany sends one request each for 1,000 volumes.
+// admitMany sends one request for each of 1,000 volumes.
 func admitMany(c *Controller, now Micros, prefix string) {
 	for i := range 1000 {
 		c.Admit(now, 0, readRequest("reserved", fmt.Sprint(prefix, i)))
--- a/admission/settings.go
+++ b/admission/settings.go
@@ -30,8 +30,8 @@
 
 // Parameters by which the allowance, the number of requests admitted per window, follows the lag.
 const (
-	// cutFactor multiplies the allowance while the lag is above its target. With a smaller value, capacity would be
-	// left unused after each cut. With a larger value, the lag would stay above its target for longer.
+	// cutFactor multiplies the allowance at each cut, while the lag is above its target. With a smaller value, capacity
+	// would be left unused after each cut. With a larger value, the lag would stay above its target for longer.
 	cutFactor = 0.85
 	// windowsBetweenCuts is the minimum number of windows between cuts, so that waiting work is handled first. With a
 	// smaller value, one burst would cause several cuts. With a larger value, the controller would follow a growing
