--- a/timingwheel/timingwheel.go
+++ b/timingwheel/timingwheel.go
@@ -34,8 +34,8 @@
 	lastShift = baseShift + (levels-1)*slotBits // the shift of the highest level
 )
 
-// Handle identifies a timer. The zero Handle identifies no timer. The handle of a timer that has expired or was canceled
-// identifies no timer either, even if its entry is reused.
+// Handle identifies a timer. The zero Handle identifies no timer. The handle of a timer that has expired or was
+// canceled identifies no timer either, even if its entry is reused.
 type Handle struct {
 	ref        int32
 	generation uint32
@@ -151,8 +151,7 @@
 }
 
 // nextSlot returns the slot that begins earliest. Of several slots that begin at the same time, it returns the widest,
-// which must be opened first. start is the time at which the slot begins, or the reached time
-// if that is later.
+// which must be opened first. start is the time at which the slot begins, or the reached time if that is later.
 func (w *Wheel[T]) nextSlot() (level, slot int, start int64, found bool) {
 	for l := range levels {
 		if w.occupied[l] == 0 {
