--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -7,8 +7,8 @@
 	"junctionwharf/scheduler"
 )
 
-// Upper bounds for the section's values, far above the needs of any machine. A larger value is a typing error that
-// would disable load shedding.
+// Upper bounds for the section's values, far above the needs of any machine. A larger value would disable load shedding
+// and is treated as a typing error.
 const (
 	maxLagMS = 10_000     // milliseconds
 	maxOpen  = 10_000_000 // requests
--- a/internal/config/agreement.go
+++ b/internal/config/agreement.go
@@ -13,7 +13,7 @@
 	// defaultBoundMS is the default, in milliseconds, of the maximum time for which disconnected brokers may delay a
 	// change. The lease duration is half of it. With a larger value, an operator waits longer for a change during an
 	// outage. With a smaller value, a short loss of messages ends leases, and brokers without a lease are restricted to
-	// the safest values.
+	// the limit floors.
 	defaultBoundMS = 2000
 	// minBoundMS, in milliseconds, keeps the lease longer than the usual scheduling delays of a machine. With a smaller
 	// value, a busy broker would be restricted without any failure.
@@ -21,12 +21,13 @@
 	// maxBoundMS is in milliseconds. With a larger value, one disconnected broker could delay a change for minutes.
 	maxBoundMS = 60_000
 	// defaultMaxChildren is the default fan-out of the tree that distributes a configuration. With a larger value, a
-	// parent has more data to send. With a smaller value, the tree is deeper and a change reaches all brokers later.
+	// parent broker sends each configuration to more children. With a smaller value, the tree is deeper and a change
+	// reaches all brokers later.
 	defaultMaxChildren = 16
 	// minMaxChildren is the minimum fan-out. With one child per parent the tree would be a chain.
 	minMaxChildren = 2
-	// maxMaxChildren limits the connections of a parent. With a larger value, children would use sockets that clients
-	// need.
+	// maxMaxChildren limits the connections of a parent. With a larger value, the connections of children would use
+	// sockets that clients need.
 	maxMaxChildren = 256
 	// minVoters is the smallest number of voters whose quorum survives the loss of one voter. With fewer voters, one
 	// restart would block all changes.
@@ -39,10 +40,10 @@
 // Agreement configures how brokers agree on a replicated, versioned configuration. It is off if Cluster is empty.
 type Agreement struct {
 	Cluster     string  `toml:"cluster"`  // name of the cluster; brokers of other clusters are rejected
-	Listen      string  `toml:"listen"`   // address of this broker; empty: it has no children and cannot vote
+	Listen      string  `toml:"listen"`   // address of this broker; empty: the broker has no children and cannot vote
 	Members     []Voter `toml:"members"`  // the voters, the same list on all brokers
-	Dir         string  `toml:"dir"`      // persistent directory of the voter state; empty: it is lost at a restart
-	BoundMS     float64 `toml:"bound_ms"` // maximum delay of a change by disconnected brokers; the lease is half of it
+	Dir         string  `toml:"dir"`      // persistent directory of the voter state; empty: a restart loses the state
+	BoundMS     float64 `toml:"bound_ms"` // how long disconnected brokers may delay a change; leases last half as long
 	MaxChildren int     `toml:"feeds"`    // maximum number of brokers that receive the configuration from this one
 	// Limits maps the name of each plan whose rate limit is agreed on to its limit floor. The rate limit cannot be set
 	// below the floor, and brokers without a lease apply the floor.
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxSubsetSize is the upper bound of spread.nodes. No shard has more replicas.
+	// maxSubsetSize is the upper bound of spread.nodes. It is above the number of replicas of any shard.
 	maxSubsetSize = 10_000
 	// maxEjectedShare is the upper bound of spread.away. With a larger value, outlier detection could eject almost a
 	// whole shard.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,7 +11,7 @@
 )
 
 // Environment variables. BALANCER_CONFIG contains the path of the configuration file. The others supply values for keys
-// that are missing from the file.
+// that are missing from the file or empty.
 const (
 	configVariable    = "BALANCER_CONFIG"
 	nameVariable      = "BALANCER_NAME"
@@ -20,7 +20,7 @@
 	consoleVariable   = "BALANCER_CONSOLE"
 )
 
-// errNoConfig reports that the environment does not contain the path of the configuration file.
+// errNoConfig reports that the environment variable with the path of the configuration file is not set.
 var errNoConfig = errors.New(configVariable + " is not set")
 
 // Config is the complete configuration of a broker.
@@ -59,7 +59,8 @@
 	Settings        json.RawMessage `json:"settings"`
 }
 
-// Load reads the file whose path is in BALANCER_CONFIG. The other environment variables supply values for missing keys.
+// Load reads the file whose path is in BALANCER_CONFIG. The other environment variables supply values for keys that are
+// missing or empty.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(configVariable)
 	if path == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -34,20 +34,21 @@
 		t.Errorf("seed is %x, want 8c1f30d27a5be964", c.Seed)
 	}
 	if want := (Limits{Cores: defaultCores, MemoryMB: 100, Sockets: defaultSockets}); c.Limits != want {
-		t.Errorf("limits %+v, want %+v", c.Limits, want)
+		t.Errorf("limits are %+v, want %+v", c.Limits, want)
 	}
 	if c.CachedEndpoints.Version != 41 {
 		t.Errorf("cached endpoint list is %+v, want version 41", c.CachedEndpoints)
 	}
 	if c.Settings.ConnIdle != 30*broker.Second || c.Settings.ConnectTimeout != broker.Second/4 {
-		t.Errorf("idle time %d µs, connect timeout %d µs", c.Settings.ConnIdle, c.Settings.ConnectTimeout)
+		t.Errorf("idle time is %d µs and connect timeout %d µs, want 30 s and 0.25 s",
+			c.Settings.ConnIdle, c.Settings.ConnectTimeout)
 	}
 	if c.Settings.Scheduler.Ordinal != 2 {
 		t.Errorf("ordinal is %d, want 2", c.Settings.Scheduler.Ordinal)
 	}
 	classes := c.Settings.Scheduler.Classes
 	if classes[1].Idempotency != scheduler.NotIdempotent || classes[0].Deadline != 750*time.Millisecond {
-		t.Errorf("classes are %+v", classes)
+		t.Errorf("classes are %+v, want the second not idempotent and a deadline of 750 ms in the first", classes)
 	}
 	if c.Site.SFTP.Listen != "" {
 		t.Errorf("SFTP is on without a site file: %+v", c.Site.SFTP)
@@ -95,6 +96,6 @@
 func TestLoadWithoutFile(t *testing.T) {
 	_, err := Load(emptyEnvironment)
 	if !errors.Is(err, errNoConfig) || !strings.Contains(err.Error(), "BALANCER_CONFIG") {
-		t.Error(err)
+		t.Errorf("got error %v, want errNoConfig with the name BALANCER_CONFIG", err)
 	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -63,7 +63,8 @@
 	return common
 }
 
-// firstMissing returns the path of the first key of k that is not in other. It returns "" if other has all keys of k.
+// firstMissing returns the path of the alphabetically first key of k that is not in other. It returns "" if other has
+// all keys of k.
 func (k keySet) firstMissing(other keySet) string {
 	for _, key := range slices.Sorted(maps.Keys(k)) {
 		inner, held := other[key]
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -25,8 +25,8 @@
 	allowRemove = "remove"
 )
 
-// Membership configures the sources of the endpoint list. Without a source, the broker follows discovery alone and
-// applies its list unchanged.
+// Membership configures the sources of the endpoint list. Without a source, the broker follows only the discovery
+// service and applies the service's list unchanged.
 type Membership struct {
 	SuspectS int              `toml:"suspect_s"` // how long the sudden removal of most nodes is deferred, in seconds
 	Snapshot string           `toml:"snapshot"`  // file that preserves the list across a restart; empty: off
--- a/internal/config/metrics.go
+++ b/internal/config/metrics.go
@@ -22,7 +22,7 @@
 	// memory. With a smaller value, more intervals are lost during an outage.
 	defaultQueueBytes = 4 << 20
 	// minQueueBytes is the size of the data that a small broker exports per interval. With a smaller queue, the data of
-	// an interval would be lost while that of the previous interval is being sent.
+	// an interval would be lost while the data of the previous interval is being sent.
 	minQueueBytes = 64 << 10
 	// maxQueueBytes is more memory than any machine can spare for metrics. A larger value is a typing error.
 	maxQueueBytes = 1 << 30
@@ -70,7 +70,7 @@
 	return t.Options(set).Check()
 }
 
-// Receiver contains the keys that all kinds of metrics receivers share.
+// Receiver contains the keys that the sections graphite and collectd have in common.
 type Receiver struct {
 	Address    string `toml:"address"` // host:port; empty: off
 	IntervalS  int    `toml:"interval_s"`
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,9 +10,9 @@
 // at a reload.
 const knownKey = "known"
 
-// CheckReloadKeys returns an error if other lacks a key that c has. The error names the first missing key. Without this
-// check, a truncated file or a lost key would silently reset the key to its default. A configuration that is loaded
-// while the broker runs must therefore contain all keys of the active one.
+// CheckReloadKeys returns an error if the file of other lacks a key that the file of c has. The error names one such
+// key. Without this check, a key that was lost from the file would silently be reset to its default. A configuration
+// that is loaded while the broker runs must therefore contain all keys of the active one, except knownKey.
 func (c *Config) CheckReloadKeys(other *Config) error {
 	required := maps.Clone(c.keys)
 	delete(required, knownKey)
@@ -49,7 +49,9 @@
 	return keys
 }
 
-// ApplyReload copies from other the settings that may change while the broker runs.
+// ApplyReload copies from other the settings that may change while the broker runs. It copies the sources of the
+// endpoint list only if both configurations have sources, because adding the first source or removing the last one
+// needs a restart.
 func (c *Config) ApplyReload(other *Config) {
 	c.Discovery = other.Discovery
 	c.Settings = other.Settings
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,8 @@
 	"junctionwharf/scheduler"
 )
 
-// Settings contains the settings that all brokers of a tier share. It is decoded from the platform's "settings" object.
+// Settings contains the settings of the platform's "settings" object. All brokers of a tier share them, except the
+// broker's own ordinal and zone.
 type Settings struct {
 	Scheduler      scheduler.Settings
 	Shards         int           // number of shards, indexed from 0; 0 means unknown
@@ -93,7 +94,7 @@
 	NShards     int     `json:"nShards"`
 }
 
-// subscribeMode is the value of "discovery" if all brokers poll one service.
+// subscribeMode is the value of the key "discovery" if all brokers poll one shared service.
 const subscribeMode = "subscribe"
 
 // idempotencies maps the values of a class's "effect" key to the scheduler's constants.
@@ -118,7 +119,8 @@
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// nameTypeError replaces a JSON type error with an error that starts with the key of the faulty value.
+// nameTypeError replaces a JSON type error with an error that starts with the key of the faulty value. It returns any
+// other error unchanged.
 func nameTypeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if !errors.As(err, &typeError) {
--- a/internal/config/settings_check.go
+++ b/internal/config/settings_check.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// defaultConnIdle is the time after which idle connections to nodes are closed. With a larger value, they use
-	// sockets that connections to other nodes need. With a smaller value, requests after a pause wait for a connection.
+	// defaultConnIdle is the time after which idle connections to nodes are closed. With a larger value, idle
+	// connections use sockets that connections to other nodes need. With a smaller value, the first request after a
+	// pause waits for a new connection.
 	defaultConnIdle = 30 * broker.Second
 	// defaultConnectTimeout limits the time for connecting to a node. With a larger value, a request to an unreachable
 	// node is retried later. With a smaller value, a busy node is treated as unreachable.
 	defaultConnectTimeout = broker.Second / 4
 )
 
-// complete sets the defaults of missing settings and checks all of them.
+// complete sets the defaults of missing settings and checks all settings.
 func (s *Settings) complete() error {
 	if err := s.completeConnections(); err != nil {
 		return err
@@ -94,14 +95,13 @@
 	return nil
 }
 
-// figure is a configured number with its key.
+// figure is a number from the settings or the site file, with its key.
 type figure struct {
 	key   string
 	value float64
 }
 
-// checkNotNegative returns an error that names the key of the first negative figure. It runs before the settings are
-// applied.
+// checkNotNegative returns an error that names the key of the first negative figure.
 func checkNotNegative(figures []figure) error {
 	for _, f := range figures {
 		if f.value < 0 {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -39,7 +39,7 @@
 	} {
 		settings, err := parseComplete(deployment.text)
 		if err != nil || !deployment.check(settings) {
-			t.Errorf("%s: %+v, %v", deployment.name, settings, err)
+			t.Errorf("%s: got settings %+v and error %v, want those in the text", deployment.name, settings, err)
 		}
 	}
 }
--- a/internal/config/sftp.go
+++ b/internal/config/sftp.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// defaultConnections is the default maximum number of connected SFTP clients. With a larger value, they use sockets
-	// that other clients need. With a smaller value, connections of a site's programs are rejected.
+	// defaultConnections is the default maximum number of connected SFTP clients. With a larger value, SFTP clients
+	// use sockets that other clients need. With a smaller value, connections of a site's programs are rejected.
 	defaultConnections = 32
 	// maxConnections is the upper bound of the configured maximum. With a larger value, SFTP clients could use most
 	// sockets of a small machine.
 	maxConnections = 256
-	// defaultUnitBytes is the number of bytes of a file that cost one unit. With a larger value, file commands use less
-	// of a volume's rate than their load on the nodes justifies. With a smaller value, they use more.
+	// defaultUnitBytes is the number of bytes of a file that cost one unit. With a larger value, file commands are
+	// charged fewer units of their volume's rate than their load on the nodes justifies. With a smaller value, file
+	// commands are charged more units.
 	defaultUnitBytes = 16 << 10
 	// maxPort is the highest TCP port.
 	maxPort = 65535
@@ -24,7 +25,7 @@
 // SFTP configures the SFTP listener, which accepts file commands.
 type SFTP struct {
 	Listen      string                                `toml:"listen"`    // host:port; empty: off
-	NodePort    int                                   `toml:"node_port"` // of nodes; 0: the port in the endpoint list
+	NodePort    int                                   `toml:"node_port"` // of the nodes; 0: as in the endpoint list
 	Connections int                                   `toml:"connections"`
 	UnitBytes   int                                   `toml:"unit_bytes"`
 	Commands    map[sftp.Command]sftp.CommandSettings `toml:"command"`
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -59,7 +59,8 @@
 }
 
 // restartOnly returns the values of the site file that only a restart can change. A reload can change all others: the
-// mapping of file commands, the sources of the endpoint list and the settings of the metrics exports.
+// mapping of file commands, the sources of the endpoint list (unless the first is added or the last removed), how long
+// a sudden removal of most nodes is deferred, and the settings of the metrics exports.
 func (s Site) restartOnly() any {
 	return []any{
 		s.SFTP.Listen,
--- a/internal/config/site_test.go
+++ b/internal/config/site_test.go
@@ -73,7 +73,7 @@
 	}
 	plan := site.SFTP.Plan()
 	if plan.Commands["read"].WaitMS != 500 || plan.Commands["write"].WaitMS != 1200 {
-		t.Errorf("commands are %+v", plan.Commands)
+		t.Errorf("commands are %+v, want waits of 500 ms for read and 1200 ms for write", plan.Commands)
 	}
 	if plan.Volumes[0].Brokers != 3 || site.SFTP.Connections != defaultConnections {
 		t.Errorf("volumes are %+v, maximum of %d connections", plan.Volumes, site.SFTP.Connections)
