--- a/internal/discovery/current.go
+++ b/internal/discovery/current.go
@@ -8,9 +8,9 @@
 	"junctionwharf/scheduler"
 )
 
-// staleListTimeout is how long full lists with a version older than the current one are rejected. With a larger value,
-// a service that was set up anew and restarted its version count is ignored for longer. With a smaller value, a replica
-// of the service that lags behind could make draining nodes ready again.
+// staleListTimeout is how long after the last accepted list a full list with an older version is rejected. With a
+// larger value, a service that was set up anew and restarted its version count is ignored for longer. With a smaller
+// value, a replica of the service that lags behind could make draining nodes ready again.
 const staleListTimeout = 10 * time.Second
 
 // staleListError reports a list with a version older than the current one.
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("list version %d is older than the current version %d", e.version, e.held)
 }
 
-// Current returns a copy of the current full list, or nil before the first one. It may be called by any goroutine.
+// Current returns a copy of the current list, or nil before the first full list. It may be called by any goroutine.
 func (w *Watcher) Current() *EndpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,8 +55,9 @@
 }
 
 // checkVersion returns a staleListError for a list whose version is older than the current one. Such a list comes from
-// a service that lags behind the previously polled one, and would make draining nodes ready again. If full lists remain
-// older for staleListTimeout, the service has restarted its version count and the list is accepted.
+// a service that lags behind the previously polled one, and would make draining nodes ready again. If no list
+// was accepted for staleListTimeout, the service is assumed to have restarted its version count, and an older full list
+// is accepted.
 func (w *Watcher) checkVersion(list *EndpointList) error {
 	now := time.Now()
 	if list.Version < w.version && (!list.Full || now.Sub(w.confirmedAt) < staleListTimeout) {
@@ -69,7 +70,7 @@
 
 // drainingEndpoints returns a change of the current list for a stale list. The change drains the nodes that are ready
 // in the current list and draining or removed in the stale one. They are drained although the list is stale, since the
-// list may come from a restarted version count. A node without requests for a while costs less than a missed drain.
+// service may have restarted its version count. Sending a node no requests for a while costs less than missing a drain.
 func (w *Watcher) drainingEndpoints(stale *EndpointList) *EndpointList {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/drain_test.go
+++ b/internal/discovery/drain_test.go
@@ -66,7 +66,8 @@
 	return server, listener
 }
 
-// answerDrain sends a list in which the node is draining: a full list or a change. It holds polls from that version on.
+// answerDrain answers a poll with version 42, in which the node is draining: with the full list or with the change
+// since version 41. It holds a poll for changes since any other version.
 func answerDrain(w http.ResponseWriter, r *http.Request) {
 	answer := ""
 	switch r.URL.Query().Get("index") {
@@ -187,7 +188,7 @@
 		}
 	}
 	if late := known.Sub(notified); late > c.grace {
-		t.Errorf("%+v: drain posted %v after it counts as notified", c, late)
+		t.Errorf("%+v: drain posted %v after it counts as notified, want at most the grace", c, late)
 	}
 }
 
@@ -249,7 +250,7 @@
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		case poll.Before(back) && c.failure == pollsRejected:
 			http.Error(w, "busy", http.StatusServiceUnavailable)
-		case poll.Before(back): // also the held poll of heldPollUnanswered, which began before
+		case poll.Before(back): // with heldPollUnanswered also the held poll, which began before the failure
 			<-r.Context().Done()
 		default:
 			answerDrain(w, r)
@@ -269,6 +270,6 @@
 	}
 	watcher.client.Transport = &http.Transport{DialContext: dial}
 	if late := runUntilDrain(watcher, server).Sub(hadDrain.Add(notifiedAfter)); late > c.grace {
-		t.Errorf("%+v: drain posted %v after it counts as notified", c, late)
+		t.Errorf("%+v: drain posted %v after it counts as notified, want at most the grace", c, late)
 	}
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -26,11 +26,11 @@
 	return list
 }
 
-// Each key of an entry is passed to the core.
+// The values of an entry's keys are passed to the core, in an event that lists the node.
 func TestParseList(t *testing.T) {
 	list := mustParse(t, fullText)
 	if list.Version != 41 || !list.Full || len(list.Endpoints) != 1 {
-		t.Fatalf("list is %+v", list)
+		t.Fatalf("list is %+v, want the full list of version 41 with one node", list)
 	}
 	want := broker.Node{
 		Endpoint: scheduler.Endpoint{Name: "a", Zone: "a", Kind: "m2", Shard: 3, State: scheduler.Ready, Weight: 1.5},
@@ -49,7 +49,7 @@
 		`{"hosts":[{"health":"SERVING"}]}`,
 	} {
 		if _, err := ParseList([]byte(text)); err == nil {
-			t.Errorf("%s: no error", text)
+			t.Errorf("%s: got no error, want the list to be rejected", text)
 		}
 	}
 }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -16,7 +16,8 @@
 // errBadStatus reports an answer with an HTTP status other than 200.
 var errBadStatus = errors.New("unexpected HTTP status")
 
-// pollRequest specifies a poll: for the full list, answered immediately, or for changes since a version.
+// pollRequest specifies a poll. The service answers a poll for the full list immediately. It holds a poll for the
+// changes since a version until there are changes.
 type pollRequest struct {
 	version uint64
 	full    bool
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minHold is the minimum time for which the service may hold a poll until there are changes. With a smaller value,
-	// an idle broker polls more often.
+	// minHold is the hold time in a small tier: the time for which the service may hold a poll until there are changes.
+	// pollTimeouts shortens it if the drain grace requires that. With a smaller value, an idle broker polls more often.
 	minHold = 5 * time.Second
 	// holdPerBroker is the hold time per broker of the tier, since the service receives the polls of all brokers. With
 	// a smaller value, a large tier overloads the service.
@@ -21,33 +21,33 @@
 	// once.
 	firstBackoff = 50 * time.Millisecond
 
-	// sharedAnswerTimeout and sharedMaxBackoff apply to a service that all brokers poll. Such a service is overloaded
-	// at times and answers late. With smaller values, polls are abandoned too early and their repetitions add to its
-	// load. With larger values, a lost poll is noticed later.
+	// sharedAnswerTimeout and sharedMaxBackoff are upper bounds, chosen for a service that all brokers poll. Such a
+	// service is overloaded at times and then answers late. With smaller values, polls are abandoned too early and the
+	// repeated polls add to the load of the service. With larger values, a lost poll is noticed later.
 	sharedAnswerTimeout = 2500 * time.Millisecond
 	sharedMaxBackoff    = 3 * time.Second
 
-	// notifiedAfter is the time after which a change counts as notified, even if polls failed. It starts when the
-	// service has the change and can be reached. The platform's rule fixes it: a draining node must receive no requests
-	// after notifiedAfter plus the drain grace.
+	// notifiedAfter is the time after which the platform considers the broker notified of a change, even if polls
+	// failed. It starts when the service has the change and can be reached. The platform's rule fixes it: a draining
+	// node must receive no requests after notifiedAfter plus the drain grace.
 	notifiedAfter = 6 * time.Second
-	// maxJitter is the longest pause after a failed poll, as a multiple of the mean pause. watch draws the pause from
-	// half of the mean up to this.
+	// maxJitter is the longest pause after a failed poll, as a multiple of the mean pause. watch chooses a random pause
+	// of 0.5 to maxJitter times the mean.
 	maxJitter = 1.5
 	// timeoutMargin is the part of the available time that timeouts and pauses may use. The rest is for connecting and
 	// for scheduling delays of the machine. With a larger value, a drain is applied too late on a busy machine. With a
 	// smaller value, slow answers are treated as lost.
 	timeoutMargin = 0.9
-	// holdMargin is the corresponding reserve after a poll that was held but received no answer.
+	// holdMargin is the time that is reserved for the same delays when the hold time is limited.
 	holdMargin = 300 * time.Millisecond
 
 	// answerPartOfGrace and backoffPartOfGrace are divisors of the drain grace. They limit the time for one answer and
-	// the mean pause, so that a lost poll, its pause and the next poll together fit into the grace. With larger
+	// the mean pause, so that a lost poll, a mean pause and the next poll together fit into the grace. With larger
 	// divisors, slow answers of an agent are treated as lost.
 	answerPartOfGrace  = 3
 	backoffPartOfGrace = 4
-	// lostAnswers and lostPauses are the numbers of answers and pauses between a change and its arrival in the worst
-	// case: two lost polls, each with a pause, and the poll that is answered.
+	// lostAnswers and lostPauses are the numbers of answer timeouts and pauses between a change and its arrival in the
+	// worst case: two lost polls, a pause after each of them, and the poll that is answered.
 	lostAnswers = 3
 	lostPauses  = 2
 )
@@ -55,7 +55,7 @@
 // Options are the options of a Watcher.
 type Options struct {
 	Brokers       int           // number of brokers in the tier
-	DrainGrace    time.Duration // time within which requests to a draining node must end; 0: none
+	DrainGrace    time.Duration // after a drain is notified, time until a node receives no requests; 0: none
 	SharedService bool          // all brokers poll one service; false: an agent on this machine provides the list
 	Local         net.IP        // source IP address of polls; nil: chosen by the system
 	Log           *slog.Logger  // receives a line when polls begin to fail and when one succeeds again
@@ -73,9 +73,9 @@
 // broker breaks the rule, a draining node still receives requests.
 //
 // For any service, the worst case is a poll that began just before this time and is lost, a pause, another lost poll,
-// another pause, and the poll that is answered. lostAnswers and lostPauses count them. Together they must fit into
-// notifiedAfter plus the grace. A poll that is held but not answered, the pause after it and the next answer must also
-// fit.
+// another pause, and the poll that is answered. lostAnswers and lostPauses are the numbers of polls and
+// pauses. Together, these polls and pauses must fit into notifiedAfter plus the grace. A poll that is held but not
+// answered, the pause after it and the next poll must also fit into this time.
 //
 // Changes at an agent on this machine count as notified even if the agent does not answer. Changes that the agent
 // received while it was silent count as notified when the silence ends. Changes that a silent poll missed count as
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -57,7 +57,7 @@
 	return w
 }
 
-// UpdateOptions sets the timeouts according to options, from the next poll on.
+// UpdateOptions derives the timeouts from options. They apply from the next poll on. The other options have no effect.
 func (w *Watcher) UpdateOptions(options Options) {
 	timeouts := options.pollTimeouts()
 	w.timeouts.Store(&timeouts)
@@ -79,7 +79,9 @@
 	w.moves <- address
 }
 
-// Run posts each list until ctx ends. After a lost poll or a change of address it polls for the full list.
+// Run polls until ctx ends. It posts each accepted list and, for a stale list, the drains that drainingEndpoints
+// derives from it. It polls for the full list at the start, after a change of address and after a
+// failed poll. An answer with an HTTP status other than 200 alone does not cause a poll for the full list.
 func (w *Watcher) Run(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	for ctx.Err() == nil {
 		w.runUntilMoved(ctx, clock, post)
@@ -134,7 +136,8 @@
 			w.log.Warn("discovery poll failed", "reason", err)
 		}
 		failing = true
-		// After an HTTP status error, the service still has the version. After any other failure it may have lost it.
+		// A service that answers with an HTTP status error still knows the version. After any other failure, the
+		// service may have restarted its version count.
 		request.full = request.full || !errors.Is(err, errBadStatus)
 		wait(ctx, backoff/2+rand.N(backoff))
 		backoff = min(2*backoff, w.timeouts.Load().maxBackoff)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// The watch continues from the last version, also after an overloaded answer. After a lost poll it starts again with
-// the full list. The net/http client itself repeats a poll that is cut on a reused connection, so the test cuts two.
+// The watcher polls from the last version, even after a poll that an overloaded service rejected. After a lost poll it
+// polls for the full list. The net/http client itself repeats a poll if a reused connection is cut, so the test cuts
+// two connections.
 func TestWatchContinuesFromLastVersion(t *testing.T) {
 	service := newScriptedService(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,7 +91,7 @@
 		}
 		event, isList := (<-events).(broker.NodesListed)
 		if !isList || event.Kind != step.kind || len(event.Nodes) != 1 {
-			t.Errorf("step %d: posted %+v", i, event)
+			t.Errorf("step %d: posted %+v, want one node in an update of kind %v", i, event, step.kind)
 		}
 	}
 	if len(events) > 0 {
@@ -98,7 +99,8 @@
 	}
 }
 
-// All brokers poll one overloaded service. Each broker polls less and less often, so that the service can recover.
+// All polls to an overloaded service fail. The pauses between the polls of a broker grow, so that the service can
+// recover.
 func TestFailedPollsBackOff(t *testing.T) {
 	polls := make(chan struct{}, 1000)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -117,7 +119,7 @@
 	}
 }
 
-// namedService sends prepared answers and then holds polls.
+// namedService sends prepared answers and then holds further polls.
 type namedService struct {
 	name    string
 	answers chan string
@@ -147,7 +149,7 @@
 }
 
 // A change of address ends the held poll at the old address and polls the new address for the full list. An older list
-// from there must not make a draining node ready again.
+// from the new address must not make a draining node ready again.
 func TestSetAddress(t *testing.T) {
 	polls := make(chan string, 64)
 	oldService := &namedService{name: "old", polls: polls, ended: make(chan struct{}, 16)}
@@ -177,7 +179,7 @@
 		}
 	}
 	if line := <-lines; line != "discovery poll failed reason=list version 41 is older than the current version 43" {
-		t.Errorf("logged %q", line)
+		t.Errorf("logged %q, want that version 41 is older than version 43", line)
 	}
 }
 
@@ -205,7 +207,7 @@
 		var stale *staleListError
 		err := watcher.checkVersion(mustParse(t, text))
 		if !errors.As(err, &stale) || stale.version != 7 || stale.held != 41 {
-			t.Fatalf("%s: %v", text, err)
+			t.Fatalf("%s: got error %v, want that version 7 is older than version 41", text, err)
 		}
 	}
 	const older = `{"seq":7,"whole":true,"hosts":[{"host":"a","block":3,"health":"DRAINING"},` +
@@ -216,12 +218,12 @@
 		t.Fatalf("posted %+v, want a second event with one node", posted)
 	}
 	if node := posted[1].Nodes[0]; node.Name != "a" || node.State != scheduler.Draining {
-		t.Errorf("node is %+v, want a draining", node)
+		t.Errorf("node is %+v, want node a, draining", node)
 	}
 	if current := watcher.Current(); current.Version != 41 || len(current.Endpoints) != 1 {
 		t.Errorf("current list is %+v, want version 41 with one node", current)
 	}
 	if err := watcher.checkVersion(mustParse(t, strings.Replace(fullText, "41", "42", 1))); err != nil {
-		t.Error(err)
+		t.Errorf("version 42 is newer than version 41 but was rejected: %v", err)
 	}
 }
