--- a/internal/dnssrv/ask.go
+++ b/internal/dnssrv/ask.go
@@ -9,8 +9,8 @@
 	"github.com/miekg/dns"
 )
 
-// maxChain limits the CNAME records that are followed for a question. With a larger value, a faulty zone causes more
-// queries. With a smaller value, a long chain of aliases is an error.
+// maxChain is the maximum number of CNAME records that are followed for a question. With a larger value, a faulty zone
+// causes more queries. With a smaller value, a long chain of aliases is an error.
 const maxChain = 8
 
 // errCNAMELoop reports a CNAME record whose target is an earlier name of the chain.
@@ -31,11 +31,11 @@
 type chain struct {
 	question question
 	name     string          // the last name so far
-	seen     map[string]bool // names so far, without a name that is queried next
+	seen     map[string]bool // names so far, except the one that ask queries next
 	ttl      time.Duration   // the shortest TTL so far
 }
 
-// check returns an error if next would close a loop or make the chain too long.
+// check returns an error if the name next is already in the chain or the chain is too long.
 func (c *chain) check(next string) error {
 	if c.seen[next] {
 		return fmt.Errorf("%s: %w", c.question.name, errCNAMELoop)
@@ -69,7 +69,7 @@
 			ttl := min(c.ttl, r.negativeTTL(msg))
 			return reply{additional: msg.Extra, ttl: ttl, none: true}, nil
 		}
-		delete(c.seen, c.name) // the answer ends with a CNAME: query its target
+		delete(c.seen, c.name) // the answer ends with a CNAME record: the next pass checks and queries its target
 	}
 }
 
--- a/internal/dnssrv/cache.go
+++ b/internal/dnssrv/cache.go
@@ -11,7 +11,7 @@
 // value, the targets of a large list are queried repeatedly.
 const maxCacheEntries = 20_000
 
-// cacheEntry is the cached answer to a question.
+// cacheEntry is a cached answer to a question.
 type cacheEntry struct {
 	records  []dns.RR
 	expires  time.Time
@@ -25,8 +25,9 @@
 	err   error
 }
 
-// cached answers a question from the cache or queries servers. If the servers fail, it returns expired records for up
-// to MaxStale. Concurrent calls for the same question share one lookup.
+// cached answers a question from the cache or queries the servers. It returns the records and their remaining lifetime.
+// If the lookup fails or ctx ends, it returns expired records that expired less than MaxStale ago. It returns
+// ErrNoRecords if the records do not exist. Concurrent calls for the same question share one lookup.
 func (r *Resolver) cached(ctx context.Context, q question) ([]dns.RR, time.Duration, error) {
 	r.mu.Lock()
 	now := r.now()
@@ -78,12 +79,14 @@
 	return started
 }
 
-// lookupTimeout returns the time limit of a lookup over all servers. Each attempt may use UDP and then TCP.
+// lookupTimeout returns the time limit of a lookup. It allows each attempt at each server one timeout for UDP and one
+// for TCP, and one more timeout in all.
 func (r *Resolver) lookupTimeout() time.Duration {
 	return time.Duration(2*r.options.Attempts*len(r.options.Servers)+1) * r.options.Timeout
 }
 
-// stale returns the expired cached records of a question, or err if there are none or they are too old.
+// stale returns the cached records of a question even if they have expired, with MinTTL as their lifetime. It returns
+// err if no records are cached or they expired at least MaxStale ago.
 func (r *Resolver) stale(q question, err error) ([]dns.RR, time.Duration, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dnssrv/exchange.go
+++ b/internal/dnssrv/exchange.go
@@ -40,11 +40,12 @@
 
 // serverHealth is the state of a server according to its last answers.
 type serverHealth struct {
-	backoff time.Duration // mean of the latest backoff; 0 after an answer
+	backoff time.Duration // mean of the latest backoff; 0 after a valid answer
 	until   time.Time     // until then the server is tried after the others
 }
 
-// exchange queries the servers one after the other until one answers. Servers that failed recently are tried last.
+// exchange queries the servers one after the other until one gives a valid answer. Servers that failed recently are
+// tried last. If all attempts at all servers fail, exchange returns the error of the last one.
 func (r *Resolver) exchange(ctx context.Context, q question) (*dns.Msg, error) {
 	var failures []error
 	for range r.options.Attempts {
@@ -83,8 +84,8 @@
 	return append(healthy, failed...)
 }
 
-// recordHealth records whether a server answered. The backoff is random, so that brokers do not return to a server at
-// the same time.
+// recordHealth records the result of a query to a server: nil for a valid answer, or an error. The backoff is random,
+// so that brokers do not return to a server at the same time.
 func (r *Resolver) recordHealth(server int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +98,8 @@
 	health.until = r.now().Add(health.backoff/2 + rand.N(health.backoff))
 }
 
-// waitForToken waits until the rate limit admits a query. The limit applies to all queries of the resolver together.
+// waitForToken waits until the rate limit admits a query. All queries of the resolver share the limit. A query that
+// is repeated over TCP counts only once.
 func (r *Resolver) waitForToken(ctx context.Context) error {
 	for {
 		wait, taken := r.takeToken()
@@ -177,7 +179,7 @@
 	defer func() { _ = conn.Close() }() // the answer has been read
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetDeadline(deadline) // fails only on a closed connection
-	// Ends the read below as soon as ctx is canceled.
+	// As soon as ctx is canceled, a past deadline ends the read below.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	dnsConn := &dns.Conn{Conn: conn, UDPSize: udpSize}
--- a/internal/dnssrv/mapping.go
+++ b/internal/dnssrv/mapping.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// maxShare is the upper limit of a node's share. A larger value is a typing error that would send all requests to one
-// node.
+// maxShare is the upper limit of a node's share, which must be below it. A larger share would send almost all requests
+// to one node and is treated as a typing error.
 const maxShare = 1e6
 
 // Keys in TXT strings, which are also the names of a pattern's groups.
@@ -64,7 +64,8 @@
 	return e, nil
 }
 
-// applyPattern sets the fields that the groups of the pattern match in the target's name.
+// applyPattern sets the fields of e from the groups of the pattern that match in the target's name. Without a match,
+// the fields keep the defaults.
 func (m Mapping) applyPattern(e *Endpoint) error {
 	if m.Pattern == nil {
 		return nil
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// applyTXT sets the fields that the target's TXT strings contain.
+// applyTXT sets the fields from the KEY=VALUE pairs in the target's TXT strings. It ignores other text.
 func (e *Endpoint) applyTXT(texts []string) error {
 	for _, text := range texts {
 		for pair := range strings.FieldsSeq(text) {
--- a/internal/dnssrv/mapping_test.go
+++ b/internal/dnssrv/mapping_test.go
@@ -35,7 +35,7 @@
 	for _, texts := range [][]string{{"shard=x"}, {"share=0"}, {"share=NaN"}, {"shard=99999999999"}} {
 		record.TXT = texts
 		if _, err := mapping.endpoint(record); err == nil {
-			t.Errorf("%q: no error", texts)
+			t.Errorf("%q: got no error, want the value to be rejected", texts)
 		}
 	}
 	unknown := Record{Target: "x.example.org", Addresses: []string{"10.0.0.1:1"}}
--- a/internal/dnssrv/options.go
+++ b/internal/dnssrv/options.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// defaultTimeout limits one attempt at one server. With a larger value, a failed server delays a list for longer.
+	// defaultTimeout limits one query to one server. With a larger value, a failed server delays a list for longer.
 	// With a smaller value, a busy server is treated as failed.
 	defaultTimeout = time.Second
 	// defaultMinTTL limits the query rate for names with a TTL of 0.
@@ -27,9 +27,9 @@
 // Options are the options of a Resolver. The zero value of a field means its default.
 type Options struct {
 	Servers  []string      // host:port, in order of preference
-	Timeout  time.Duration // limit of one attempt at one server; default 1 s
+	Timeout  time.Duration // limit of a query to one server, over UDP and over TCP; default 1 s
 	Attempts int           // how often all servers are tried for a question; default 2
-	Rate     float64       // maximum queries per second of the resolver; default 50
+	Rate     float64       // maximum queries per second, without repetitions over TCP; default 50
 	Burst    int           // maximum queries at once; default 100
 	MinTTL   time.Duration // shorter TTLs are raised to this; default 1 s
 	MaxTTL   time.Duration // longer TTLs are lowered to this; default 60 s
--- a/internal/dnssrv/resolver.go
+++ b/internal/dnssrv/resolver.go
@@ -14,14 +14,14 @@
 
 const (
 	// maxTargets limits the SRV records of an answer that are used. With a larger value, a faulty zone uses more
-	// memory. With a smaller value, nodes of a large deployment are lost.
+	// memory. With a smaller value, nodes of a large deployment are omitted.
 	maxTargets = 5000
 	// maxParallelTargets limits the targets that are resolved in parallel. With a larger value, more sockets are open.
 	// With a smaller value, resolving a large list takes longer.
 	maxParallelTargets = 32
 )
 
-// ErrNoRecords reports that a name has no record of the requested type, according to a server.
+// ErrNoRecords reports that, according to a server, a name has no usable record of the requested type.
 var ErrNoRecords = errors.New("no such record")
 
 // errNoServer reports options that contain no server.
@@ -65,7 +65,8 @@
 	}, nil
 }
 
-// Queries returns the number of queries that were sent to servers.
+// Queries returns the number of queries that the rate limit has admitted. A query that is repeated over TCP counts
+// once.
 func (r *Resolver) Queries() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +84,7 @@
 // Answer is the result of a lookup: a name's SRV records with the addresses of their targets.
 type Answer struct {
 	Records    []Record
-	TTL        time.Duration // the shortest TTL of all records that were used, limited by the options
+	TTL        time.Duration // the shortest TTL of the records in use, limited by the options
 	Unresolved []Unresolved
 }
 
@@ -101,8 +102,9 @@
 }
 
 // Lookup queries the SRV records of a name and resolves their targets. The SRV records are never taken from the cache,
-// but addresses and TXT strings may be. Lookup returns an error if no server answers. If the name has no SRV records,
-// the error wraps ErrNoRecords.
+// but addresses and TXT strings may be. Lookup returns an error if the query for the SRV records fails. If the name
+// has no usable SRV records, the error wraps ErrNoRecords and the answer contains only the TTL. Targets that cannot be
+// resolved are not an error but are listed in the answer.
 func (r *Resolver) Lookup(ctx context.Context, name string, useTXT bool) (Answer, error) {
 	got, err := r.ask(ctx, question{name: dns.CanonicalName(dns.Fqdn(name)), kind: dns.TypeSRV})
 	if err != nil {
@@ -124,7 +126,7 @@
 	return answer, nil
 }
 
-// byOwner groups records by their owner name.
+// byOwner groups records by the name that they belong to.
 func byOwner(records []dns.RR) map[string][]dns.RR {
 	sorted := map[string][]dns.RR{}
 	for _, record := range records {
@@ -197,8 +199,9 @@
 	return resolved
 }
 
-// addresses returns the addresses of a target. It takes them from the additional section of an answer, or queries them
-// if that section has none. It lowers ttl to the shortest TTL of the addresses.
+// addresses returns the addresses of a target. It takes them from additional, the target's records in the additional
+// section of the SRV answer. If additional has no addresses, they come from the cache or a query. If the shortest TTL
+// of the addresses is below ttl, addresses lowers ttl to it.
 func (r *Resolver) addresses(
 	ctx context.Context, target string, additional []dns.RR, ttl *time.Duration,
 ) ([]net.IP, error) {
@@ -224,7 +227,8 @@
 	return ips, nil
 }
 
-// addressesIn returns the addresses in A and AAAA records. It lowers ttl to the shortest TTL of these records.
+// addressesIn returns the addresses in A and AAAA records. It lowers ttl to the shortest TTL of these records if that
+// is below ttl.
 func (r *Resolver) addressesIn(records []dns.RR, ttl *time.Duration) []net.IP {
 	var ips []net.IP
 	for _, record := range records {
@@ -241,7 +245,8 @@
 	return ips
 }
 
-// texts returns the strings of a target's TXT records. It lowers ttl to the shortest TTL of these records.
+// texts returns the strings of a target's TXT records, or no strings if it has none. If the remaining lifetime of the
+// records is below ttl, texts lowers ttl to it.
 func (r *Resolver) texts(ctx context.Context, target string, ttl *time.Duration) ([]string, error) {
 	records, left, err := r.cached(ctx, question{name: target, kind: dns.TypeTXT})
 	if err != nil && !errors.Is(err, ErrNoRecords) {
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -60,7 +60,7 @@
 func checkAnswerOf(t *testing.T, count int, got Answer, err error) {
 	t.Helper()
 	if err != nil || len(got.Records) != count || len(got.Unresolved) > 0 {
-		t.Fatalf("%d records, unresolved %v, %v", len(got.Records), got.Unresolved, err)
+		t.Fatalf("got %d records, unresolved %v, error %v; want %d", len(got.Records), got.Unresolved, err, count)
 	}
 	for i, want := range testNames(count) {
 		record := got.Records[i]
@@ -106,7 +106,7 @@
 			t.Errorf("fault %d: got error %v, want one that contains %q", fault, err, want)
 		}
 		if errors.Is(err, ErrNoRecords) != (want == noRecords) {
-			t.Errorf("fault %d: got error %v", fault, err)
+			t.Errorf("fault %d: got error %v, want ErrNoRecords only if the records do not exist", fault, err)
 		}
 		if want == "" || want == noRecords || want == loop {
 			continue
@@ -126,8 +126,8 @@
 	checkAnswerOf(t, 500, got, err)
 }
 
-// Addresses and TXT strings that are not in the SRV answer are queried and cached. If the server stops answering, they
-// are used after their lifetimes, but not for hours.
+// Addresses and TXT strings that are not in the SRV answer are queried and cached. If the server stops answering, the
+// cached addresses and strings are used for a limited time after their lifetimes.
 func TestExpiredAnswersAreUsedIfServersFail(t *testing.T) {
 	server := startServer(t)
 	server.OmitAdditional()
@@ -136,7 +136,7 @@
 	got, err := resolver.Lookup(context.Background(), service, true)
 	checkAnswerOf(t, 10, got, err)
 	if got.Records[7].TXT[0] != "shard=7 share=1.5" {
-		t.Errorf("TXT strings are %q", got.Records[7].TXT)
+		t.Errorf("TXT strings are %q, want the first to be \"shard=7 share=1.5\"", got.Records[7].TXT)
 	}
 	before := server.Queries()
 	var lookups sync.WaitGroup
@@ -163,7 +163,7 @@
 	}
 }
 
-// TTLs are limited to the range of the options.
+// TTLs are limited to the range from MinTTL to MaxTTL of the options.
 func TestTTLIsKeptWithinOptions(t *testing.T) {
 	server := startServer(t)
 	resolver := newTestResolver(t, server)
@@ -193,7 +193,7 @@
 	}
 }
 
-// The rate limit applies to all queries of the resolver, also to repeated ones for the same name.
+// The rate limit applies to all queries of the resolver, including repeated queries for the same name.
 func TestQueryRateIsBounded(t *testing.T) {
 	server := startServer(t)
 	server.Set(service, 1, testNames(1)...)
@@ -234,7 +234,7 @@
 			return
 		}
 		if msg.Id != 7 || len(msg.Question) != 1 || !strings.EqualFold(msg.Question[0].Name, "a.example.org.") {
-			t.Fatalf("accepted %v", msg)
+			t.Fatalf("accepted an answer to a different question: %v", msg)
 		}
 	})
 }
--- a/internal/dnssrv/watcher.go
+++ b/internal/dnssrv/watcher.go
@@ -39,8 +39,9 @@
 	endpoints map[string]Endpoint // the latest list, by target
 }
 
-// Run posts updates until ctx ends. It queries the list immediately, again before each lifetime ends, and after a
-// failure with a growing backoff. If the name has no records, it posts an empty list.
+// Run posts updates until ctx ends. It queries the list immediately and again before the lifetime of each list ends.
+// After a failure, it posts the error and queries again after a pause, which grows with each failure. If the name has
+// no usable records, it posts an empty list.
 func (w *Watcher) Run(ctx context.Context, post func(Update)) {
 	retry := firstRetry
 	for ctx.Err() == nil {
@@ -67,7 +68,7 @@
 }
 
 // lookup queries the list and returns it with its lifetime. If a target cannot be resolved, its endpoint from the
-// previous list is kept, since the target was not removed.
+// previous list is kept, since DNS still lists the target.
 func (w *Watcher) lookup(ctx context.Context) (Update, time.Duration) {
 	update := Update{QueriedAt: time.Now()}
 	answer, err := w.Resolver.Lookup(ctx, w.Name, w.Mapping.UseTXT)
--- a/internal/dnssrv/watcher_test.go
+++ b/internal/dnssrv/watcher_test.go
@@ -47,7 +47,7 @@
 
 	full := reader.await(t, "list", func(u Update) bool { return len(u.Endpoints) == 3 })
 	if full.Endpoints[2].Shard != 2 || full.Endpoints[2].Share != 1.5 {
-		t.Errorf("full list is %+v", full)
+		t.Errorf("full list is %+v, want its third endpoint with shard 2 and share 1.5", full)
 	}
 	server.Set(service, 1, testNames(2)...)
 	reader.await(t, "shorter list", func(u Update) bool { return len(u.Endpoints) == 2 && u.Err == nil })
