--- a/cmd/junctionwharf/agree.go
+++ b/cmd/junctionwharf/agree.go
@@ -151,7 +151,8 @@
 	return changes, nil
 }
 
-// expectedVersion returns the version that a proposal is based on: the flag's, or by default the one the broker knows.
+// expectedVersion returns the version that a proposal is based on: the value of the flag, or by default the version
+// that the broker reports.
 func expectedVersion(cmd *cli.Command) (uint64, error) {
 	if cmd.IsSet(expectedFlag) {
 		return uint64(cmd.Uint(expectedFlag)), nil
--- a/cmd/junctionwharf/agree_call.go
+++ b/cmd/junctionwharf/agree_call.go
@@ -31,7 +31,7 @@
 // answerMargin is the time to transfer an answer, in addition to the console's own timeout.
 const answerMargin = time.Second
 
-// exitCodes maps the kind of a refused call to the exit code of the command. All other failures exit with 1. Operators'
+// exitCodes maps the kind of a refusal to the exit code of the command. All other failures exit with 1. Operators'
 // scripts depend on these codes.
 var exitCodes = map[string]int{
 	"expected": 3, // another version is active
@@ -43,14 +43,14 @@
 // errNoConsole is returned if the configuration has no console.
 var errNoConsole = errors.New("console: no address in the configuration")
 
-// refusal is the console's JSON answer to a call that failed.
+// refusal is the console's JSON answer to a refused call.
 type refusal struct {
 	Error string `json:"error"`
 	Kind  string `json:"kind"`
 }
 
-// callAgree makes an agree call at the console and returns the answer. For a refused call it returns an error with an
-// exit code.
+// callAgree makes an agree call at the console and returns the answer. For a refused call it returns an error with the
+// exit code of the refusal's kind. With the JSON flag, it also prints the refusal.
 func callAgree(cmd *cli.Command, call string) ([]byte, error) {
 	c, err := loadConfig(cmd)
 	if err != nil {
--- a/cmd/junctionwharf/main.go
+++ b/cmd/junctionwharf/main.go
@@ -1,7 +1,8 @@
 // Command junctionwharf is the broker: it serves clients in front of storage nodes. It also has commands for operators.
 //
-// The command only reads flags and the configuration, and prints results; package daemon runs the broker. The exit code
-// is 0 on success and 1 on failure; the agree commands have further codes (exitCodes).
+// Package daemon runs the broker. This package reads the flags and the configuration and implements the operators'
+// commands, which call the console of a running broker or query the sources of the endpoint list. The exit code is 0 on
+// success and 1 on failure. The agree commands have further exit codes, which exitCodes lists.
 package main
 
 import (
--- a/cmd/junctionwharf/nodes.go
+++ b/cmd/junctionwharf/nodes.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// sourcesTimeout is how long the sources are queried if no broker is running. With a larger value, the command
+	// sourcesTimeout is how long the sources are queried if no console can be reached. With a larger value, the command
 	// takes longer. With a smaller value, the output lacks slow sources.
 	sourcesTimeout = 3 * time.Second
 	// consoleDialTimeout bounds the time to connect to the console of a running broker.
@@ -28,10 +28,11 @@
 	nodesTimeout = 10 * time.Second
 )
 
-// errNoSource is returned if there is neither a running broker nor a source to query.
+// errNoSource is returned if neither a console can be reached nor the site file contains a source.
 var errNoSource = errors.New("no broker answers on the console, and the site file does not name a source")
 
-// printNodes prints the list of nodes of a running broker. If no broker answers, it queries the sources itself, once.
+// printNodes prints the list of nodes of a running broker. If it cannot connect to a console, it
+// queries the sources itself for sourcesTimeout.
 func printNodes(ctx context.Context, cmd *cli.Command) error {
 	c, err := loadConfig(cmd)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return err
 }
 
-// printFromSources queries the sources for sourcesTimeout, as a broker does, and prints the merged list.
+// printFromSources follows the sources for sourcesTimeout, as a broker does, and prints the list merged from them.
 func printFromSources(ctx context.Context, c *config.Config) error {
 	ctx, cancel := context.WithTimeout(ctx, sourcesTimeout)
 	defer cancel()
