--- a/internal/logging/doc.go
+++ b/internal/logging/doc.go
@@ -1,7 +1,8 @@
 // Package logging creates the program's loggers. They write JSON or human-readable lines and sample repeated lines.
 //
 // Rule. A repeated fault must neither fill the disk nor hide other log lines. Therefore only a few lines with the same
-// message and level pass in a window of time, and the next line that passes says how many were left out. A JSON line
+// message and level pass in a window of time, and the next such line that
+// passes says how many were left out. A JSON line
 // also contains the time of the machine's monotonic clock, which orders the lines of all processes of the machine.
 //
 // State. A logger and all loggers derived from it share one table of the lines that passed recently, guarded by a lock.
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -21,7 +21,7 @@
 // humanTimeFormat includes microseconds, which show the order of lines within a burst.
 const humanTimeFormat = "2006/01/02 15:04:05.000000"
 
-// brokerKey is the key of the broker's name, which is on every line.
+// brokerKey is the key of the broker's name, which New adds to all lines.
 const brokerKey = "broker"
 
 // Formats lists the formats of log lines.
@@ -30,7 +30,7 @@
 // ErrFormat reports a format that is not in Formats.
 var ErrFormat = errors.New("unknown log format")
 
-// formatError is an ErrFormat that names the unknown format.
+// formatError is an error that names the unknown format and matches ErrFormat.
 type formatError struct{ format string }
 
 // Error implements error.
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("unknown log format %q, want one of %s", e.format, strings.Join(Formats, ", "))
 }
 
-// Is implements errors.Is.
+// Is makes errors.Is match the error with ErrFormat.
 func (e formatError) Is(target error) bool {
 	return target == ErrFormat
 }
@@ -58,7 +58,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// New returns a logger that writes to w. It returns ErrFormat if options.Format is unknown.
+// New returns a logger that writes to w. The error for an unknown options.Format matches ErrFormat.
 func New(w io.Writer, options Options) (*slog.Logger, error) {
 	handler, err := newHandler(w, options)
 	if err != nil {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -25,7 +25,7 @@
 		t.Fatalf("%s: %v", output.String(), err)
 	}
 	if line["msg"] != "sink lost" || line["broker"] != "n1" || line["reason"] != reason {
-		t.Errorf("wrong message, broker or reason in %s", output.String())
+		t.Errorf("line is %s, want message \"sink lost\", broker n1 and reason %q", output.String(), reason)
 	}
 	if _, hasClock := line["mono_us"].(float64); !hasClock {
 		t.Errorf("line has no mono_us: %s", output.String())
@@ -54,12 +54,12 @@
 func TestUnknownFormat(t *testing.T) {
 	_, err := New(&bytes.Buffer{}, Options{Format: "xml"})
 	if !errors.Is(err, ErrFormat) || err.Error() != `unknown log format "xml", want one of human, json` {
-		t.Errorf("unexpected error: %v", err)
+		t.Errorf("got error %v, want ErrFormat with the known formats", err)
 	}
 }
 
-// A fault is logged a hundred times along with other lines. Checks that only its lines are sampled, and that its next
-// line after the window says how many were left out.
+// A warning is logged a hundred times, along with an error of the same text and another warning. Checks that only the
+// lines of the repeated warning are left out, and that its next line after the window says how many.
 func TestSample(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var lines []string
@@ -73,17 +73,17 @@
 	now = now.Add(sampleWindow)
 	log.Warn("again", "i", 100)
 	if len(lines) != maxLinesPerWindow+3 {
-		t.Fatalf("got lines %q, want %d", lines, maxLinesPerWindow+3)
+		t.Fatalf("got lines %q, want %d lines", lines, maxLinesPerWindow+3)
 	}
 	if first := lines[0]; first != "again broker=n1 i=0" {
-		t.Errorf("wrong first line: %q", first)
+		t.Errorf("first line is %q, want \"again broker=n1 i=0\"", first)
 	}
 	if last := lines[len(lines)-1]; last != "again broker=n1 i=100 left_out=95" {
-		t.Errorf("wrong last line: %q", last)
+		t.Errorf("last line is %q, want \"again broker=n1 i=100 left_out=95\"", last)
 	}
 }
 
-// Checks that the sampler's table does not grow beyond its limit if there are more kinds of messages.
+// Checks that the sampler's table does not grow beyond its limit if more kinds of messages are logged than it can hold.
 func TestSampleTableIsBounded(t *testing.T) {
 	handler, isSampling := Sample(slog.DiscardHandler, time.Now).(*samplingHandler)
 	if !isSampling {
--- a/internal/logging/monotonic.go
+++ b/internal/logging/monotonic.go
@@ -11,8 +11,8 @@
 // monotonicKey is the key of the machine's monotonic clock on a line, in microseconds.
 const monotonicKey = "mono_us"
 
-// monotonicHandler adds the time of the machine's monotonic clock to each line. It orders the lines of all processes of
-// the machine, even if the system clock is changed.
+// monotonicHandler adds the time of the machine's monotonic clock to each line. This time gives the order of the lines
+// of all processes of the machine, even if the system clock is changed.
 type monotonicHandler struct {
 	slog.Handler
 }
--- a/internal/logging/sampler.go
+++ b/internal/logging/sampler.go
@@ -13,15 +13,16 @@
 	sampleWindow = 10 * time.Second
 	// maxLinesPerWindow is how many lines with the same message and level pass in a window.
 	maxLinesPerWindow = 5
-	// maxMessageKinds is the maximum number of message kinds in the table. If the table is full, it is cleared, and all
-	// kinds start a new window. A larger value takes more memory. With a smaller value, more lines pass.
+	// maxMessageKinds is the maximum number of message kinds in the table. If the table is full, it is cleared: all
+	// kinds start a new window, and the numbers of lines that were left out are lost. A larger value takes more memory.
+	// With a smaller value, more lines pass.
 	maxMessageKinds = 256
-	// leftOutKey is the key of the number of lines that were left out before the line.
+	// leftOutKey is the key of the number of lines of the same kind that were left out in the previous window.
 	leftOutKey = "left_out"
 )
 
-// Sample returns a handler that passes only a few lines with the same message and level in each window. The first line
-// of the next window says how many lines were left out. Errors are sampled too.
+// Sample returns a handler that passes only a few lines with the same message and level in each window. If lines were
+// left out, the first line of the next window says how many. Lines of level error are sampled too.
 func Sample(handler slog.Handler, now func() time.Time) slog.Handler {
 	return &samplingHandler{Handler: handler, sampler: &sampler{now: now, windows: map[messageKind]*window{}}}
 }
@@ -76,7 +77,8 @@
 	windows map[messageKind]*window
 }
 
-// sample counts a line. It reports whether the line passes, and how many lines were left out in the window before.
+// sample counts a line. It reports whether the line passes, and, for the first line
+// of a window, how many lines were left out in the previous window.
 func (s *sampler) sample(kind messageKind) (pass bool, leftOut int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
