--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Package metrics formats the broker's metrics as StatsD lines for the admin console.
 //
 // The package has no state. Counters have the StatsD type c and gauges the type g. Values are integers in the unit
-// that the metric's name states.
+// that the name of the metric states, if any.
 package metrics
 
 import (
