--- a/cmd/junctionwharf/nodes.go
+++ b/cmd/junctionwharf/nodes.go
@@ -28,11 +28,11 @@
 	nodesTimeout = 10 * time.Second
 )
 
-// errNoSource is returned if neither a console can be reached nor the site file contains a source.
+// errNoSource is returned if no console can be reached and the site file contains no source.
 var errNoSource = errors.New("no broker answers on the console, and the site file does not name a source")
 
-// printNodes prints the list of nodes of a running broker. If it cannot connect to a console, it
-// queries the sources itself for sourcesTimeout.
+// printNodes prints the list of nodes of a running broker. If it cannot connect to the broker's console, it queries the
+// sources itself for sourcesTimeout.
 func printNodes(ctx context.Context, cmd *cli.Command) error {
 	c, err := loadConfig(cmd)
 	if err != nil {
--- a/internal/discovery/current.go
+++ b/internal/discovery/current.go
@@ -55,9 +55,9 @@
 }
 
 // checkVersion returns a staleListError for a list whose version is older than the current one. Such a list comes from
-// a service that lags behind the previously polled one, and would make draining nodes ready again. If no list
-// was accepted for staleListTimeout, the service is assumed to have restarted its version count, and an older full list
-// is accepted.
+// a service that lags behind the previously polled one, and would make draining nodes ready again. If no list was
+// accepted for staleListTimeout, the service is assumed to have restarted its version count, and an older full list is
+// accepted.
 func (w *Watcher) checkVersion(list *EndpointList) error {
 	now := time.Now()
 	if list.Version < w.version && (!list.Full || now.Sub(w.confirmedAt) < staleListTimeout) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -57,7 +57,8 @@
 	return w
 }
 
-// UpdateOptions derives the timeouts from options. They apply from the next poll on. The other options have no effect.
+// UpdateOptions derives the timeouts from options. The timeouts apply from the next poll on. The options
+// Local and Log have no effect here.
 func (w *Watcher) UpdateOptions(options Options) {
 	timeouts := options.pollTimeouts()
 	w.timeouts.Store(&timeouts)
@@ -79,9 +80,9 @@
 	w.moves <- address
 }
 
-// Run polls until ctx ends. It posts each accepted list and, for a stale list, the drains that drainingEndpoints
-// derives from it. It polls for the full list at the start, after a change of address and after a
-// failed poll. An answer with an HTTP status other than 200 alone does not cause a poll for the full list.
+// Run polls until ctx ends. It posts each accepted full list and each accepted change with endpoints. For a stale list,
+// it posts only the drains that drainingEndpoints derives from the list. Run polls for the full list at the start, after
+// a change of address and after a failed poll, but an HTTP status other than 200 alone does not cause such a poll.
 func (w *Watcher) Run(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	for ctx.Err() == nil {
 		w.runUntilMoved(ctx, clock, post)
--- a/internal/dnssrv/resolver_test.go
+++ b/internal/dnssrv/resolver_test.go
@@ -234,7 +234,7 @@
 			return
 		}
 		if msg.Id != 7 || len(msg.Question) != 1 || !strings.EqualFold(msg.Question[0].Name, "a.example.org.") {
-			t.Fatalf("accepted an answer to a different question: %v", msg)
+			t.Fatalf("accepted %v, want only answers with ID 7 and one question for a.example.org.", msg)
 		}
 	})
 }
