--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -5,8 +5,8 @@
 // current one is not applied, but the nodes that it reports as draining or removed receive no new requests.
 //
 // State: a Watcher owns the address, the version of the latest list and the current full list. Run is its only
-// goroutine and ends with its context. After a restart, the watcher has no list unless Resume sets one: the list from a
-// handover, or the known list of the configuration.
+// goroutine and ends with its context. After a restart, the watcher has no list unless Resume sets the list from a
+// handover. The known list of the configuration is passed to the core alone, not to the watcher.
 //
 // Units: a version is a count of changes at the service. Times in a list are Unix times of the service's clock in
 // milliseconds.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -81,8 +81,8 @@
 }
 
 // Run polls until ctx ends. It posts each accepted full list and each accepted change with endpoints. For a stale list,
-// it posts only the drains that drainingEndpoints derives from the list. Run polls for the full list at the start, after
-// a change of address and after a failed poll, but an HTTP status other than 200 alone does not cause such a poll.
+// it posts only the drains that drainingEndpoints derives from the list. Run polls for the full list at the start,
+// after a change of address and after a failed poll. An HTTP status other than 200 alone does not cause such a poll.
 func (w *Watcher) Run(ctx context.Context, clock *broker.Clock, post func(broker.Event)) {
 	for ctx.Err() == nil {
 		w.runUntilMoved(ctx, clock, post)
