--- a/internal/conformance/attempts_test.go
+++ b/internal/conformance/attempts_test.go
@@ -75,7 +75,7 @@
 	b.recorder.play(always(hang))
 	b.want(b.run(write, "w"), failed)
 	if results := b.run(read, "r"); results[0].outcome == served {
-		b.Error("a read was served by a silent node")
+		b.Error("a read was served although no node answers, want it rejected or failed")
 	}
 }
 
--- a/internal/conformance/clients_test.go
+++ b/internal/conformance/clients_test.go
@@ -42,7 +42,7 @@
 	b.want(b.run(read, "r1"), served)
 	for range inputs {
 		if name := <-stillOpen; name != "" {
-			b.Errorf("%s: the connection is still open after 3 s", name)
+			b.Errorf("%s: the connection is still open after 3 s, want it closed by the server", name)
 		}
 	}
 	b.want(b.run(read, "r2"), served)
@@ -51,8 +51,8 @@
 	})
 }
 
-// A class is renamed while a request of the class is in flight. This request must be counted under the old name, and
-// the next request must get the new class.
+// A class is renamed while a request of the class is in flight. The success of this request must be
+// counted under the old name, that of the next request under the new name.
 func testNewSettings(b *testbed) {
 	b.client.prepare(b.T, "r", "r1", "r2")
 	release := make(chan struct{})
@@ -94,7 +94,8 @@
 }
 
 // The server drains while a write is in flight. The write must be answered and its connection closed. A request on a
-// connection that is made during the drain must still be answered. After Close the server must not listen.
+// connection that is made during the drain must still be answered: a read with RESP, the OPEN of prepare with SFTP.
+// After Close the server must not listen.
 func testGracefulStop(b *testbed) {
 	b.client.prepare(b.T, "w")
 	release := make(chan struct{})
@@ -112,7 +113,7 @@
 	b.client = b.protocol.client(b.T, b.address)
 	b.recorder.play(always(serve))
 	b.client.prepare(b.T, "r")
-	if b.protocol.name() == "resp" { // an SFTP client has sent its first command in prepare
+	if b.protocol.name() == "resp" { // prepare sends no request with RESP
 		b.client.send("r", read)
 		b.answerTo("r", read, time.Now())
 	}
--- a/internal/conformance/disconnect_test.go
+++ b/internal/conformance/disconnect_test.go
@@ -103,7 +103,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// forwardedBytes completes the connections for the cancelled requests and returns the number of bytes that the node has
+// forwardedBytes completes the connections for the canceled requests and returns the number of bytes that the node has
 // received when all connections have ended. The caller has received one value from dialing.
 //
 // The loop removes a request shortly before it cancels the attempt. A connection that is completed between these two
@@ -120,7 +120,7 @@
 		select {
 		case <-h.ended:
 		case <-time.After(5 * time.Second):
-			h.Fatal("a connection to the node stays open although all requests were cancelled")
+			h.Fatal("a connection to the node is still open 5 s after all requests were canceled")
 		}
 	}
 	return h.bytes.Load()
@@ -157,7 +157,7 @@
 		}
 		_ = conn.Close()
 	}
-	eventually(t, "all requests are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
+	eventually(t, "all requests are canceled", func() bool { return h.loop.OpenRequests() == 0 })
 	if n := h.forwardedBytes(); n > 0 {
 		t.Errorf("class %d, reset %v: %d bytes were forwarded, want 0", k, reset, n)
 	}
@@ -165,8 +165,8 @@
 }
 
 // A client disconnects while its next request waits for buffer space, so that the end of file of its connection is not
-// read. Its earlier requests must not be forwarded, and they must be cancelled before their deadline, even if
-// no buffer space becomes free.
+// read. Its earlier requests must not be forwarded, and they must be canceled within half of their
+// deadline, even if no buffer space becomes free.
 func TestClientDisconnectsBehindFullBuffer(t *testing.T) {
 	for _, k := range []requestKind{read, write} {
 		t.Run(fmt.Sprintf("class=%d", k), func(t *testing.T) {
@@ -180,9 +180,9 @@
 			<-h.dialing
 			start := time.Now()
 			_ = conn.Close()
-			eventually(t, "the client's requests are cancelled", func() bool { return h.loop.OpenRequests() == 0 })
+			eventually(t, "the client's requests are canceled", func() bool { return h.loop.OpenRequests() == 0 })
 			if elapsed := time.Since(start); elapsed > deadlines[k]/2 {
-				t.Errorf("class %d: requests stayed open for %v after the client disconnected", k, elapsed)
+				t.Errorf("class %d: requests stayed open for %v, want at most half of their deadline", k, elapsed)
 			}
 			if n := h.forwardedBytes(); n > 0 {
 				t.Errorf("class %d: %d bytes were forwarded, want 0", k, n)
--- a/internal/conformance/nodes_test.go
+++ b/internal/conformance/nodes_test.go
@@ -28,7 +28,7 @@
 	b.run(read, "r")
 	for _, a := range b.recorder.seen()[1:] {
 		if a.node == draining {
-			b.Errorf("an attempt of %s was sent to the draining node", a.id)
+			b.Errorf("an attempt of %s was sent to the draining node, want it sent to the other node", a.id)
 		}
 	}
 }
