--- a/internal/fleetharness/agreement.go
+++ b/internal/fleetharness/agreement.go
@@ -22,7 +22,7 @@
 	statusPollInterval = 20 * time.Millisecond
 	// roleLeader is the role of a leader in agreement.Status.
 	roleLeader = "leader"
-	// outcomeBrokerDown is the outcome of a proposal to a broker that does not answer.
+	// outcomeBrokerDown is the outcome of a proposal to a broker that is down or does not return a valid answer.
 	outcomeBrokerDown = "broker down"
 	// consoleEnd is the last line of an answer from the console.
 	consoleEnd = "\nEOT"
@@ -34,7 +34,7 @@
 // AgreementReport summarizes the replication of the configuration during a run.
 type AgreementReport struct {
 	Conflict
-	ProposalOutcomes map[string]int `json:"ends"`                // by the kind of error; "" if accepted
+	ProposalOutcomes map[string]int `json:"ends"`                // "" if accepted, outcomeBrokerDown, or error kind
 	MeanBytesPerS    float64        `json:"bytes_a_second"`      // bytes sent per second, mean over brokers
 	MaxBytesPerS     float64        `json:"most_bytes_a_second"` // bytes sent per second by the broker that sent most
 	MemoryMB         float64        `json:"memory_mb"`           // mean resident memory of a broker
@@ -138,8 +138,9 @@
 	return outcomes
 }
 
-// proposeToggle proposes to toggle repeatKey at a broker. It returns the kind of the error, "" if the change was
-// accepted.
+// proposeToggle proposes at a broker to set repeatKey to "no" if the broker's version is even and to "yes" if it is
+// odd. It returns "" if the proposal was accepted, the kind of the error if the broker rejected the proposal, or
+// outcomeBrokerDown if the broker is down or did not return a valid answer.
 func (f *Fleet) proposeToggle(broker, number int) string {
 	if f.brokers[broker].isDown() {
 		return outcomeBrokerDown
--- a/internal/fleetharness/agreementchange_test.go
+++ b/internal/fleetharness/agreementchange_test.go
@@ -28,7 +28,7 @@
 	fleet.expectProposed(t, 5, 1, limitKey, "2000")
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 	if _, kind := fleet.propose(t, 1, 1, limitKey, "3000"); kind != kindExpected {
-		t.Errorf("second proposal that expects version 1: error kind %q", kind)
+		t.Errorf("want a second proposal that expects version 1 rejected as expected, got error kind %q", kind)
 	}
 	text, err := fleet.AgreementCall(3, `propose {"expected":2,"author":"operator","reason":"test","changes":[`+
 		`{"key":"class.lesson-read.repeat","value":"no"},`+
@@ -65,11 +65,11 @@
 		t.Errorf("history command: %q, %v", output, err)
 	}
 	if text, err := fleet.AgreementCall(6, "diff 1"); err != nil || text != "null" {
-		t.Errorf("diff with version 1: %s, %v", text, err)
+		t.Errorf("diff with version 1: want null, got %s, %v", text, err)
 	}
 	text, err := fleet.AgreementCall(0, "history 2")
 	if err != nil || strings.Count(text, `"author":"operator"`) != 2 {
-		t.Errorf("history of 2 versions: %s, %v", text, err)
+		t.Errorf("want a history with 2 versions by operator, got %s, %v", text, err)
 	}
 }
 
@@ -88,11 +88,11 @@
 		accepted += kinds[""]
 		rejected += kinds[kindExpected]
 		if kinds[kindInvalid]+kinds[kindUnknown]+kinds[kindNoLeader] > 0 {
-			t.Errorf("proposals by error kind: %v", kinds)
+			t.Errorf("want no invalid, unknown or leaderless proposals, got by error kind: %v", kinds)
 		}
 	}
 	if accepted < 5 || accepted+rejected != 100 {
-		t.Errorf("%d proposals accepted, %d rejected", accepted, rejected)
+		t.Errorf("%d proposals accepted and %d rejected, want at least 5 accepted and 100 in all", accepted, rejected)
 	}
 	fleet.awaitAll(t, ctx, versionAtLeast(uint64(1+accepted)))
 	var history []struct{ Version uint64 }
@@ -145,7 +145,7 @@
 		t.Errorf("diff with version 1: %s, %v", diff, err)
 	}
 	if outcomes := <-done; outcomes[OutcomeServed] != 700 {
-		t.Errorf("outcomes of 700 requests: %v", outcomes)
+		t.Errorf("want 700 served requests, got outcomes %v", outcomes)
 	}
 	if version, kind := fleet.propose(t, 0, 2, "class.record-write.repeat", ""); version != 3 {
 		t.Errorf("proposal to remove a key: version %d, error kind %q", version, kind)
--- a/internal/fleetharness/agreementcontrol_test.go
+++ b/internal/fleetharness/agreementcontrol_test.go
@@ -11,8 +11,8 @@
 )
 
 // The voters are control processes without clients, and brokers have no children. The leader is killed during a change.
-// The change becomes active at all brokers or at none, the next change becomes active at all, and requests are served
-// throughout.
+// Afterwards no change is pending at a remaining voter, the next change becomes active at all other brokers, and
+// requests are served.
 func TestDedicatedLeaderKilledDuringChange(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{DedicatedVoters: true})
 	for b := voterCount; b < len(fleet.brokers); b++ {
--- a/internal/fleetharness/agreementfaults_test.go
+++ b/internal/fleetharness/agreementfaults_test.go
@@ -7,7 +7,8 @@
 	"junctionwharf/internal/agreement"
 )
 
-// The leader is killed while a change is pending because a follower is stopped. The change becomes active exactly once.
+// The leader is killed while a change is pending because a follower is stopped. The change becomes active at all
+// brokers.
 func TestLeaderKilledDuringChange(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	fleet.stop(t, 6)
@@ -27,13 +28,13 @@
 	fleet.resume(t, 6)
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 	if kind := <-proposed; kind != "" && kind != kindUnknown {
-		t.Errorf("the proposer received error kind %q", kind)
+		t.Errorf("want no error or an unknown outcome for the proposer, got error kind %q", kind)
 	}
 	fleet.expectServed(t, 5, false)
 }
 
-// The leader is stopped and another voter becomes leader. After the old leader resumes, it neither grants leases nor
-// acts on its old version.
+// The leader is stopped, and a change is committed without it. After the old leader resumes, it acts on the new
+// version. The cleanup of startAgreeing fails the test if the old leader acted on its old version for too long.
 func TestLeaderStoppedAndResumed(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	fleet.stop(t, leader)
@@ -53,8 +54,9 @@
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 }
 
-// A follower is partitioned during a change. It becomes restricted in time, continues to serve, and catches up after
-// the partition. Three partitions are active at first. The last two to end block only one direction each.
+// A follower is partitioned during a change. It becomes restricted while its version is still 1, continues to serve,
+// and receives the change after the partitions end. Three partitions of the follower are active: one blocks both
+// directions, and the two that end later block one direction each.
 func TestFollowerCutOff(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	healBoth := fleet.Partition(true, true, 5)
@@ -73,8 +75,8 @@
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 }
 
-// Two of three voters are partitioned. No change is accepted, and all brokers serve requests while restricted. Changes
-// are accepted again after the partitions end.
+// Two of three voters are partitioned. All brokers become restricted and still serve requests. A change is accepted
+// after the partitions end.
 func TestMajorityLost(t *testing.T) {
 	fleet, ctx, leader := startAgreeing(t, Agreement{})
 	healFirst := fleet.Partition(true, true, (leader+1)%voterCount)
@@ -95,8 +97,9 @@
 	fleet.awaitAll(t, ctx, versionAtLeast(2))
 }
 
-// All brokers are restarted at once. With disks, the document is unchanged. Without disks, the voters bootstrap again
-// from their settings. If a follower was not restarted, the voters recover the document from the follower.
+// Brokers are restarted at once. With disks, the version and the epoch are unchanged. Without disks, the voters
+// bootstrap again from their settings, in a new epoch. If two followers are not restarted, the voters recover the
+// version from them, in a new epoch.
 func TestAllRestarted(t *testing.T) {
 	all := []int{0, 1, 2, 3, 4, 5, 6}
 	for name, c := range map[string]struct {
@@ -135,8 +138,8 @@
 	fleet.awaitAll(t, ctx, versionAtLeast(want+1))
 }
 
-// A voter without a disk is restarted and joins as a new member. Then the two other voters can be lost one after the
-// other.
+// The three voters, which have no disks, are restarted one after another. Each restarted voter receives the active
+// version from the other brokers and does not bootstrap. After each restart, a change becomes active at all brokers.
 func TestVotersReplacedOneByOne(t *testing.T) {
 	fleet, ctx, _ := startAgreeing(t, Agreement{})
 	for voter := range voterCount {
--- a/internal/fleetharness/balance.go
+++ b/internal/fleetharness/balance.go
@@ -22,7 +22,8 @@
 
 // balancedAfter returns the time from an event's end until load is balanced again, in seconds. Load is balanced when
 // the affected nodes receive at least minHitShare of the mean load and the busiest node at most maxOverRandom times its
-// load under random placement. The result is -1 if load does not become balanced within the run.
+// load under random placement. The result is 0 for an event without a duration, and -1 if load does not become balanced
+// within the run.
 func (f *Fleet) balancedAfter(event Event) float64 {
 	if event.DurationS == 0 {
 		return 0
@@ -61,8 +62,8 @@
 	return len(hitNodes) == 0 || float64(hit) >= minHitShare*mean*float64(len(hitNodes))
 }
 
-// randomWorstSecond returns the median, over random placements, of the worst second of a phase. A placement assigns
-// each request to a random node that was usable throughout that second.
+// randomWorstSecond returns the median, over randomDraws random placements, of the largest maxOverMean in any second of
+// a phase. A placement assigns each request of a second to a random node that was usable throughout that second.
 func (f *Fleet) randomWorstSecond(from float64, bySecond [][]int) float64 {
 	random := rand.New(rand.NewPCG(f.scenario.Seed, randomLoadStream))
 	worst := make([]float64, randomDraws)
@@ -77,7 +78,7 @@
 }
 
 // usableNodes returns the indexes of the nodes that serve all brokers throughout an interval, or of all nodes if there
-// are no such nodes.
+// is no such node.
 func (f *Fleet) usableNodes(from, to float64) []int {
 	startedAt := f.recorder.start()
 	var indexes []int
--- a/internal/fleetharness/checker.go
+++ b/internal/fleetharness/checker.go
@@ -55,8 +55,9 @@
 	return slices.Clone(r.violations)
 }
 
-// attemptArrived records that a node has read a complete request. It checks that no other attempt of the request is
-// open, and that a request that is not idempotent has not run before. It returns nil for a request that no client sent.
+// attemptArrived records an attempt whose request a node has read completely. It records a violation if another attempt
+// of the request stays open for attemptOverlap, if an earlier attempt of a write may have run, or if no client sent the
+// request. In the last case it returns nil, otherwise the request.
 func (r *recorder) attemptArrived(id string, a attempt) *request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +80,8 @@
 	return s
 }
 
-// checkOverlap records a violation if both connections are still open after attemptOverlap.
+// checkOverlap waits for attemptOverlap in the background. It then records a violation if the connections of both
+// attempts are still open.
 func (r *recorder) checkOverlap(s *request, first, second *nodeConn) {
 	time.AfterFunc(attemptOverlap, func() {
 		r.mu.Lock()
--- a/internal/fleetharness/checker_test.go
+++ b/internal/fleetharness/checker_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The checker finds a violation of each rule.
+// The checker reports a violation of each of these rules, with the seed in the trace.
 func TestCheckerFindsViolations(t *testing.T) {
 	ended := &nodeConn{}
 	open := &nodeConn{}
@@ -54,7 +54,7 @@
 				return strings.Contains(v.Rule, c.rule) && strings.Contains(v.Trace, "seed 3")
 			})
 			if !found {
-				t.Errorf("violations found: %v", violations)
+				t.Errorf("want a violation of this rule with the seed in its trace, got %v", violations)
 			}
 		})
 	}
@@ -133,12 +133,12 @@
 	applied("a", now+time.Second, "2")
 	applied("b", now+time.Second, "2")
 	if c := r.longestConflict(); c.LongestUS > 0 || c.Versions != 2 || c.Spans != 4 {
-		t.Errorf("without a conflict: %+v", c)
+		t.Errorf("want 2 versions in 4 spans without a conflict, got %+v", c)
 	}
 	applied("b", now+1500*time.Millisecond, "1")
 	applied("b", now+2*time.Second, "2")
 	if c := r.longestConflict(); c.LongestUS < 900_000 {
-		t.Errorf("a broker that returned to an old version was not found: %+v", c)
+		t.Errorf("want a conflict of at least 900 ms for a broker that returned to an old version, got %+v", c)
 	}
 }
 
--- a/internal/fleetharness/client.go
+++ b/internal/fleetharness/client.go
@@ -162,8 +162,9 @@
 	return string(load.AppendCommand(nil, words...))
 }
 
-// send sends a request until it is answered or can no longer be answered, and records its outcome. If the broker closes
-// a reused connection before answering, the request is sent again on another connection, as the platform's clients do.
+// send sends a request, waits for the answer and records the outcome. If the broker closes a reused connection before
+// it answers, and the request's deadline has not passed, send sends the request again on another connection, as the
+// platform's clients do. After any other error the outcome is OutcomeLost.
 func (c *trafficClient) send(s *request, t target) {
 	text := c.command(s, t)
 	for {
@@ -196,8 +197,8 @@
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// exchange sends a request over the client's link and reads the answer. On a link that cuts requests, it resets the
-// connection in the middle of the request.
+// exchange sends a request over the client's link and reads the answer. If the link
+// cuts requests and the request is longer than cutAt bytes, exchange resets the connection after cutAt bytes.
 func (c *trafficClient) exchange(conn *clientConn, s *request, t target, text string) (Outcome, error) {
 	_ = conn.SetDeadline(time.Now().Add(s.deadline + answerGrace)) // a closed connection fails below
 	link := c.broker.clientLink()
--- a/internal/fleetharness/conflict.go
+++ b/internal/fleetharness/conflict.go
@@ -16,8 +16,8 @@
 	Trace     string `json:"story,omitempty"`
 	Versions  int    `json:"versions"`
 	Spans     int    `json:"spans"` // intervals in which a broker acted on one view
-	// CommitToAllUS holds, for each version, the time in µs from its commit until the last broker with a lease acted on
-	// it. The times are sorted in ascending order.
+	// CommitToAllUS holds the times in µs from the commit of a version until the last broker with a lease acted on the
+	// version, in ascending order. Versions on which no broker is known to have acted are left out.
 	CommitToAllUS []int64 `json:"commit_to_all_us"`
 }
 
@@ -42,8 +42,9 @@
 	return uint64(n)
 }
 
-// viewSpans derives from the log lines which broker acted on which view, and when. A view ends with the broker's last
-// turn before the next view, because a stopped process makes no decisions.
+// viewSpans derives from the log lines which broker acted on which view, and when. A span ends with the broker's last
+// turn before the next view, because a stopped process makes no decisions. If there is no next view, the span ends when
+// the process is killed, or now.
 func (r *recorder) viewSpans() []viewSpan {
 	r.mu.Lock()
 	end := Now() - r.startedAt
--- a/internal/fleetharness/costs.go
+++ b/internal/fleetharness/costs.go
@@ -90,7 +90,8 @@
 	return errors.Join(joined...)
 }
 
-// readMeters returns the meter readings of all brokers by number. The reading of a broker that does not answer is nil.
+// readMeters returns the meter readings of all brokers by number. The reading of a broker that is down or does not
+// answer is nil.
 func (f *Fleet) readMeters() []*meterReading {
 	readings := make([]*meterReading, len(f.brokers))
 	sharedBy := map[int]int{} // number of hollow brokers by process id
@@ -104,7 +105,7 @@
 	return readings
 }
 
-// readMeter returns a broker's meter reading, or nil if the broker does not answer.
+// readMeter returns a broker's meter reading, or nil if the broker is down or does not answer.
 func (f *Fleet) readMeter(b *broker, sharedBy map[int]int) *meterReading {
 	process, _ := b.process()
 	if process == nil || b.isDown() {
--- a/internal/fleetharness/discovery.go
+++ b/internal/fleetharness/discovery.go
@@ -155,8 +155,8 @@
 	return d.drainNotifiedAt[node][broker]
 }
 
-// serveList answers with the full list. If the broker sends a version, it waits for newer entries and answers with
-// them.
+// serveList answers a poll. Without a version in the request, it answers with the full list. With a version, it waits
+// for entries newer than this version, at most for the time that the broker asked for, and answers with these entries.
 func (d *fakeDiscovery) serveList(w http.ResponseWriter, r *http.Request) {
 	host, _, _ := net.SplitHostPort(r.RemoteAddr) // the address of a TCP connection always has a port
 	broker := d.fleet.brokerAt(&net.TCPAddr{IP: net.ParseIP(host)})
@@ -252,7 +252,8 @@
 	return text
 }
 
-// recordNotified records when a broker was first notified that a node is draining. The caller must hold d.mu.
+// recordNotified records when a broker was first notified that a node is draining or deleted. If the node is serving,
+// it deletes the record. The caller must hold d.mu.
 func (d *fakeDiscovery) recordNotified(entry listedEndpoint, broker int) {
 	if entry.Health == healthServing {
 		delete(d.drainNotifiedAt[entry.Name], broker)
--- a/internal/fleetharness/discovery_test.go
+++ b/internal/fleetharness/discovery_test.go
@@ -13,7 +13,8 @@
 )
 
 // Half of the brokers have an outdated list while a node drains and another node joins. The brokers that were notified
-// follow the rules, the others continue with the old list, and the newly started node receives less than the others.
+// follow the rules, the others continue with the old list, and the newly started node receives fewer attempts than
+// the old nodes on average.
 func TestStaleListAndNewNode(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
 	fleet.expectServed(t, 20, false)
@@ -36,7 +37,7 @@
 	fleet.expectServed(t, 60, false)
 	counts := fleet.TakeAttemptCounts()
 	if mean := (counts[0] + counts[1] + counts[2]) / 3; counts[4] >= mean {
-		t.Errorf("the new node received as many attempts as the others: %v", counts)
+		t.Errorf("the new node received as many attempts as the others on average, or more: %v", counts)
 	}
 	fleet.expectServed(t, 30, false, 0, 1)
 	if counts = fleet.TakeAttemptCounts(); counts[3] == 0 || counts[4] > 0 {
@@ -45,7 +46,7 @@
 }
 
 // Discovery sends one broker an empty list, another a list that shows two serving nodes as draining, and a third all
-// versions late. Each broker follows its own list, rejects at once requests for which it has no node, and serves again
+// versions late. Each broker follows its own list, rejects requests for which it has no node, and serves again
 // when the fault is over.
 func TestViewsThatContradict(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Node: NodeSpec{Count: 4}})
@@ -65,7 +66,7 @@
 		}
 	}
 	if outcomes := fleet.SendRequests(20, true, 0); outcomes[OutcomeRejected] != 20 {
-		t.Errorf("outcomes of 20 requests without a node: %v", outcomes)
+		t.Errorf("want 20 rejected requests at a broker without a node, got outcomes %v", outcomes)
 	}
 	fleet.expectServed(t, 20, false, 1, 2, 3)
 	fleet.TakeAttemptCounts()
@@ -111,19 +112,19 @@
 	fleet.nodes = []*fakeNode{{name: "first"}}
 	d.entries = []listedEndpoint{d.entry(fleet.nodes[0], healthServing, 1)}
 	if text := string(d.list(0, 0, 1, false)); !strings.Contains(text, "first") || text != string(d.currentList()) {
-		t.Errorf("list at the start: %s", text)
+		t.Errorf("want a list with the first node, the same as the current list, got %s", text)
 	}
 	if text := string(d.list(0, 1, 1, true)); !strings.Contains(text, `"hosts":[]`) {
-		t.Errorf("watch with nothing newer: %s", text)
+		t.Errorf("want an empty list for a watch with nothing newer, got %s", text)
 	}
 	joined := &fakeNode{name: "joined", number: 1}
 	fleet.nodes = append(fleet.nodes, joined)
 	d.publishHealth(joined, healthServing)
 	if text := string(d.list(0, 0, 2, false)); !strings.Contains(text, "joined") || !strings.Contains(text, "first") {
-		t.Errorf("full list after the join: %s", text)
+		t.Errorf("want both nodes in the full list after the join, got %s", text)
 	}
 	if text := string(d.list(0, 1, 2, true)); !strings.Contains(text, "joined") || strings.Contains(text, "first") {
-		t.Errorf("watch after the join: %s", text)
+		t.Errorf("want only the joined node for a watch after the join, got %s", text)
 	}
 }
 
--- a/internal/fleetharness/discoveryview.go
+++ b/internal/fleetharness/discoveryview.go
@@ -15,8 +15,8 @@
 	draining     []string      // names of nodes that are listed as draining
 }
 
-// setView sets the faults of a broker's view. If they change the content of the list, it publishes a new version, so
-// that the broker is notified.
+// setView replaces the faults of a broker's view. If the old or the new faults change the content of the list, setView
+// publishes a new version, so that the broker is notified.
 func (d *fakeDiscovery) setView(broker int, view discoveryView) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleetharness/doc.go
+++ b/internal/fleetharness/doc.go
@@ -1,6 +1,6 @@
 // Package fleetharness runs many daemon processes against fake nodes, a fake discovery service and clients. All
 // connections pass through links on which the harness can inject faults. The harness checks the rules of the protocol
-// on every byte that nodes and clients receive.
+// for each request that a node reads and for each answer that a client reads.
 //
 // Rule. A scenario describes a fleet, its traffic and a list of events. All random choices come from the scenario's
 // seed. The recorder stores the path of each request through client and nodes and each log line of a process, on one
--- a/internal/fleetharness/harness_test.go
+++ b/internal/fleetharness/harness_test.go
@@ -71,7 +71,7 @@
 	}
 	want := requests * len(brokers)
 	if outcomes := f.SendRequests(requests, write, brokers...); outcomes[OutcomeServed] != want {
-		t.Errorf("outcomes of %d requests: %v", want, outcomes)
+		t.Errorf("want %d served requests, got outcomes %v", want, outcomes)
 	}
 }
 
--- a/internal/fleetharness/hollow_test.go
+++ b/internal/fleetharness/hollow_test.go
@@ -35,14 +35,14 @@
 	for _, c := range costs {
 		roles[c.Role]++
 		if c.Hollow != (c.Broker >= 3) || c.Sent <= 0 || c.Received <= 0 || c.MemoryMB <= 0 {
-			t.Errorf("cost of a broker: %+v", c)
+			t.Errorf("want a cost with the right kind of broker and figures above 0, got %+v", c)
 		}
 	}
 	if roles["leader"] != 1 || roles["voter"] != 2 || roles[roleLeaf]+roles[roleParent] != 3 {
-		t.Errorf("brokers by role: %v", roles)
+		t.Errorf("want 1 leader, 2 voters and 3 leaves or feeders, got brokers by role: %v", roles)
 	}
 	if c := fleet.LongestConflict(); c.LongestUS > 0 || c.Versions < 2 {
-		t.Errorf("longest conflict: %+v", c)
+		t.Errorf("want at least 2 versions without a conflict, got %+v", c)
 	}
 }
 
--- a/internal/fleetharness/link.go
+++ b/internal/fleetharness/link.go
@@ -23,7 +23,7 @@
 	loss   float64       // fraction of packets that are lost and that TCP retransmits
 }
 
-// combine returns the quality of a link with the delays, jitter and loss of both arguments.
+// combine returns a quality with the sum of the delays, the sum of the jitters and the larger loss.
 func (q linkQuality) combine(other linkQuality) linkQuality {
 	return linkQuality{
 		delay:  q.delay + other.delay,
@@ -60,7 +60,8 @@
 	cutAt          int     // the connection is reset after this many bytes of an answer; 0 for never
 }
 
-// combine returns the faults of a link that has the faults of both arguments.
+// combine returns the faults of a link that has the faults of both arguments. If both limit the rate or cut answers,
+// the larger of the two figures applies.
 func (f linkFault) combine(other linkFault) linkFault {
 	return linkFault{
 		silent:         f.silent || other.silent,
--- a/internal/fleetharness/nodefaults_test.go
+++ b/internal/fleetharness/nodefaults_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Only half of the brokers can reach a node. That half uses the node as before, and no read of the other half fails.
+// Only half of the brokers can reach a node. That half still uses the node, and no read of either half fails.
 func TestNodeReachedByHalf(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 4, Peers: true, Node: NodeSpec{Count: 4}})
 	fleet.inject(t, ctx, Event{Kind: NodeAnswersLost, Nodes: []int{2}, Brokers: []int{0, 1}})
@@ -35,7 +35,7 @@
 	fleet.TakeAttemptCounts()
 	fleet.expectServed(t, 40, false, 2, 3)
 	if counts := fleet.TakeAttemptCounts(); counts[2] < 5 {
-		t.Errorf("brokers that reach the node do not use it: %v", counts)
+		t.Errorf("want at least 5 attempts at node 2 from the brokers that reach it, got by node: %v", counts)
 	}
 }
 
@@ -54,8 +54,8 @@
 	expectBalanced(t, fleet.TakeAttemptCounts())
 }
 
-// A slow node receives less than the others. A node that cuts connections or refuses them causes no read to fail, and
-// no partial answer is forwarded.
+// A slow node receives at most as many attempts as the others on average. A node that resets connections, refuses them
+// or cuts its answers causes no read to fail.
 func TestSlowCutAndCrashed(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 3, Node: NodeSpec{Count: 5}})
 	fleet.inject(t, ctx, Event{Kind: NodeDelay, Nodes: []int{0}, DelayMS: 20})
@@ -63,7 +63,7 @@
 	fleet.TakeAttemptCounts()
 	fleet.expectServed(t, 60, false)
 	if c := fleet.TakeAttemptCounts(); c[0]*4 > c[1]+c[2]+c[3]+c[4] {
-		t.Errorf("the slow node received as many attempts as the others: %v", c)
+		t.Errorf("the slow node received more attempts than the others on average: %v", c)
 	}
 	fleet.inject(t, ctx, Event{Kind: NodeReset, Nodes: []int{1}})
 	fleet.expectServed(t, 20, false)
@@ -89,10 +89,10 @@
 	fleet.expectServed(t, 30, false)
 	fleet.inject(t, ctx, Event{Kind: BrokerClientCut, Brokers: []int{3}, Amount: 40})
 	if outcomes := fleet.SendRequests(10, true, 3); outcomes[OutcomeCut] != 10 {
-		t.Errorf("outcomes of 10 requests that were cut: %v", outcomes)
+		t.Errorf("want 10 cut requests, got outcomes %v", outcomes)
 	}
 	if outcomes := fleet.SendRequests(20, true, 0, 1, 2); outcomes[OutcomeServed] != 60 {
-		t.Errorf("outcomes of 60 requests: %v", outcomes)
+		t.Errorf("want 60 served requests, got outcomes %v", outcomes)
 	}
 }
 
@@ -102,6 +102,6 @@
 	fleet, _ := startFleet(t, Scenario{Brokers: 3, Shards: 3, Node: NodeSpec{Count: 3}})
 	fleet.expectServed(t, 20, false)
 	if n := len(fleet.LogLines(logNodeUnresponsive)); n > 0 {
-		t.Errorf("%d nodes were found unresponsive", n)
+		t.Errorf("%d log lines report an unresponsive node, want 0", n)
 	}
 }
--- a/internal/fleetharness/nodeserve.go
+++ b/internal/fleetharness/nodeserve.go
@@ -121,8 +121,8 @@
 	return true
 }
 
-// awaitAnswer waits until an answer has crossed the link. It returns false for an answer that was lost. inFlight is the
-// load that the answer reports.
+// awaitAnswer waits until an answer has crossed the link. inFlight is the load that the answer reports. If the link
+// withholds answers, awaitAnswer returns false after the fault has ended, and the caller closes the connection.
 func (c *nodeConn) awaitAnswer() (inFlight int, delivered bool) {
 	n := c.node
 	n.mu.Lock()
--- a/internal/fleetharness/partition.go
+++ b/internal/fleetharness/partition.go
@@ -67,7 +67,8 @@
 	return slices.ContainsFunc(p.active, func(active *partition) bool { return active.blocks(from, to) })
 }
 
-// awaitOpen waits until data from one broker to another is not blocked. It reports whether it had to wait.
+// awaitOpen waits until data from one broker to another is not blocked, or until close. It reports whether the data was
+// blocked at the time of the call.
 func (p *partitions) awaitOpen(from, to int) (waited bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +79,7 @@
 	return waited
 }
 
-// add registers connections that close will close. After close, it closes them at once.
+// add registers connections that p.close will close. If p is already closed, add closes the connections at once.
 func (p *partitions) add(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleetharness/phase.go
+++ b/internal/fleetharness/phase.go
@@ -18,14 +18,14 @@
 	latencyDigits = 3
 )
 
-// Phase holds the figures of an interval in which no event begins or ends. A request belongs to the phase in which it
-// was sent.
+// Phase holds the figures of an interval in which no event begins or ends, or of the whole run. A request belongs to
+// the phase in which it was sent.
 type Phase struct {
 	FromS       float64 `json:"from_s"`
 	ToS         float64 `json:"to_s"`
 	Sent        int     `json:"sent"`
 	Served      int     `json:"served"`
-	InObjective int     `json:"in_aim"`
+	InObjective int     `json:"in_aim"` // reads and writes that were served within readObjective
 	Rejected    int     `json:"busy"`
 	Failed      int     `json:"failed"`
 	Lost        int     `json:"lost"`
--- a/internal/fleetharness/recorder.go
+++ b/internal/fleetharness/recorder.go
@@ -33,7 +33,7 @@
 	node, broker int
 	arrivedAt    time.Duration
 	conn         *nodeConn
-	endedAt      time.Duration // when it was answered or its connection was found closed; 0 before
+	endedAt      time.Duration // when the node answered or rejected it; 0 if it has not
 	mayHaveRun   bool          // the node did not reject it
 	counted      bool          // TakeAttemptCounts has counted it
 }
@@ -46,9 +46,9 @@
 	units            float64
 	sentAt           time.Duration
 	deadline         time.Duration // relative to sentAt
-	answeredAt       time.Duration // 0 if not answered
+	answeredAt       time.Duration // when the outcome was recorded, also without an answer; 0 before
 	outcome          Outcome
-	closedUnanswered bool // its connection was closed without an answer
+	closedUnanswered bool // the exchange failed with an error other than a timeout
 	attempts         []attempt
 	excused          bool // its broker was down when it was sent or while it was pending
 }
--- a/internal/fleetharness/report.go
+++ b/internal/fleetharness/report.go
@@ -22,8 +22,8 @@
 	Costs          []Cost            `json:"costs,omitempty"`
 	SlowStart      []SlowStartSecond `json:"cold,omitempty"`     // by node and second of its age
 	RestartMS      []float64         `json:"ready_ms,omitempty"` // from a restart to the first answer, ascending
-	// BalancedAfterS holds, for each event, the seconds from its end until load is balanced, or -1 if load does not
-	// become balanced within the run.
+	// BalancedAfterS holds, for each event, the seconds from its end until load is balanced. The value is 0 for an
+	// event without a duration, and -1 if load does not become balanced within the run.
 	BalancedAfterS []float64 `json:"even_after_s"`
 }
 
--- a/internal/fleetharness/restart_test.go
+++ b/internal/fleetharness/restart_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// All brokers start at once and receive their lists at once. Then two in three are killed and restarted. No node is
-// idle or overloaded, and the first requests of newly started brokers go to different nodes.
+// All brokers start at once and receive their lists at once. Then two in three are killed and restarted. Before
+// and after the restart, the load is balanced, and the first requests of the brokers go to at least three nodes.
 func TestStartAndRestartTogether(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 6, Node: NodeSpec{Count: 5}})
 	fleet.expectServed(t, 50, false)
@@ -23,7 +23,7 @@
 		nodes[n] = true
 	}
 	if len(nodes) < 3 {
-		t.Errorf("the first requests of 6 brokers went to %d nodes", len(nodes))
+		t.Errorf("the first requests of 6 brokers went to %d nodes, want at least 3", len(nodes))
 	}
 	if err := fleet.RestartBrokers(ctx, 0, 2, 3, 5); err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 }
 
 // A broker that was stopped for 3 s resumes with outdated state. It does not find nodes unresponsive because of its own
-// pause, and does not send extra requests for the time in which it was stopped.
+// pause, and its next requests are balanced over the nodes.
 func TestStoppedBroker(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{Brokers: 3, Node: NodeSpec{Count: 4}})
 	fleet.expectServed(t, 20, false)
--- a/internal/fleetharness/scenario.go
+++ b/internal/fleetharness/scenario.go
@@ -151,7 +151,8 @@
 	Both     Direction = "both"
 )
 
-// Load reads and validates a scenario file. An unknown key or an invalid value is reported as a KeyError.
+// Load reads and validates a scenario file. For an unknown key or a value outside its bounds, the error wraps a
+// KeyError. For a file that cannot be read or decoded, the error wraps that of the TOML decoder.
 func Load(path string) (*Scenario, error) {
 	var s Scenario
 	meta, err := toml.DecodeFile(path, &s)
--- a/internal/fleetharness/slowstart_test.go
+++ b/internal/fleetharness/slowstart_test.go
@@ -7,7 +7,7 @@
 
 // Two nodes restart while they receive more requests than they can serve. One broker learns of the restart late, and
 // two brokers are killed during the slow start and learn of it only from the list. The load of all brokers together
-// stays within the limit of a node in slow start, and the killed brokers serve again.
+// stays within the limit of a node in slow start, the killed brokers answer again, and no request is lost.
 func TestSlowStartWithRestarts(t *testing.T) {
 	fleet, ctx := startFleet(t, Scenario{
 		Brokers: 5, Peers: true, Shards: 2, Node: NodeSpec{Count: 2, Slots: 1, UnitMS: 10},
@@ -25,7 +25,7 @@
 		outcomes[outcome] += n
 	}
 	if outcomes[OutcomeServed] == 0 || outcomes[OutcomeLost] > 0 {
-		t.Errorf("outcomes: %v", outcomes)
+		t.Errorf("want served requests and no lost requests, got outcomes %v", outcomes)
 	}
 	for _, n := range fleet.nodes {
 		expectWithinLimit(t, n)
@@ -58,16 +58,16 @@
 	}
 	within := n.addUnits(time.Hour+4*time.Second, 2*limitAtStart)
 	if within || len(n.slowStart) != 5 {
-		t.Fatalf("load above the limit: accepted %v, record %+v", within, n.slowStart)
+		t.Fatalf("load above the limit: want false and 5 entries, got %v and %+v", within, n.slowStart)
 	}
 	last := n.slowStart[4]
 	if last.Units <= last.Limit || last.AgeS != 4 || n.slowStart[2].Units != 30 {
-		t.Errorf("record of the first start: %+v", n.slowStart)
+		t.Errorf("first start: want 30 units at age 2 s and more than the limit at 4 s, got %+v", n.slowStart)
 	}
 	n.startedAt = 2 * time.Hour
 	n.addUnits(n.startedAt, 1)
 	last = n.slowStart[len(n.slowStart)-1]
 	if len(n.slowStart) != 6 || last.AgeS != 0 || last.Units != 1 {
-		t.Errorf("record after the second start: %+v", n.slowStart)
+		t.Errorf("second start: want one more entry, with 1 unit at age 0 s, got %+v", n.slowStart)
 	}
 }
--- a/internal/fleetharness/steps.go
+++ b/internal/fleetharness/steps.go
@@ -84,7 +84,8 @@
 	return counts
 }
 
-// FirstNodes returns, by broker, the node that received the first attempt. Brokers without an attempt are missing.
+// FirstNodes returns, by broker number, the number of the node that received the first attempt of the broker's earliest
+// request with an attempt. Brokers without an attempt are missing.
 func (f *Fleet) FirstNodes() map[int]int {
 	f.recorder.mu.Lock()
 	defer f.recorder.mu.Unlock()
