--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -34,7 +34,7 @@
 	q.events[instance] = append(q.events[instance], event)
 }
 
-// drop discards the events of an instance that was killed or restarted after them.
+// drop discards the queued events of an instance. It is called when the instance is killed or restarted.
 func (q *eventQueue) drop(instance string) { delete(q.events, instance) }
 
 // reply processes a batch and writes the reply.
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// decide passes the events to the scheduler of an instance and writes the scheduler's actions, or its failure.
+// decide passes the events to the scheduler of an instance and writes the scheduler's actions. If the scheduler panics,
+// decide writes a FATAL line instead and the instance stays registered.
 func (a *adapter) decide(instance string, now scheduler.Time, events []scheduler.Event) error {
 	actions, err := reduce(a.schedulers[instance], now, events)
 	if err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -2,8 +2,10 @@
 // standard input and writes one reply for each batch to standard output.
 //
 // Rule. This command makes no scheduling decisions: package simwire decodes the events and encodes the actions, and
-// package scheduler decides. An instance is one simulated broker. All events of an instance in a batch go to its
-// scheduler in one call, in input order. Instances are processed in the order of their first event.
+// package scheduler decides. An instance is one simulated broker. The events of an instance in a batch go to its
+// scheduler in one call, in input order. If the instance is killed or restarted within the batch, its earlier events of
+// the batch are dropped. Instances are processed in the order of their first event in the batch, dropped events
+// included.
 //
 // State and owner. adapter owns one scheduler for each running instance. One goroutine reads, decides and writes. The
 // process ends at the end of its input and keeps no state.
@@ -27,7 +29,7 @@
 	}
 }
 
-// run replies to all batches of in.
+// run replies to the batches of in until the input ends or an error occurs.
 func run(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(in)
 	adapter := newAdapter(simwire.NewWriter(out))
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -46,7 +46,7 @@
 	return out.String()
 }
 
-// actionsOf returns the lines of a reply that mention an instance, and the lines that end the batches.
+// actionsOf returns the lines of the output that mention an instance, and the NEXT lines.
 func actionsOf(instance, reply string) string {
 	var lines []string
 	for line := range strings.Lines(reply) {
@@ -57,7 +57,7 @@
 	return strings.Join(lines, "")
 }
 
-// Instances in one process share no state: an instance acts the same alone and together with another instance.
+// An instance acts the same alone and together with another instance in the same process.
 func TestInstancesDoNotAffectEachOther(t *testing.T) {
 	together := actionsOf("gateway_0", replyOf(t, script("gateway_0", "gateway_1")))
 	apart := actionsOf("gateway_0", replyOf(t, script("gateway_0")))
@@ -65,7 +65,7 @@
 		t.Errorf("actions of gateway_0 together with gateway_1:\n%s\nalone:\n%s", together, apart)
 	}
 	if !strings.Contains(together, "SUBMIT_TO gateway_0 1 10.0.0.1:80") {
-		t.Error("request 1 of gateway_0 was not forwarded")
+		t.Error("request 1 of gateway_0 was not forwarded to 10.0.0.1:80")
 	}
 }
 
@@ -79,7 +79,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			err := run(strings.NewReader(test.input), &bytes.Buffer{})
 			if err == nil || !strings.Contains(err.Error(), test.want) {
-				t.Errorf("error is %v, want %q", err, test.want)
+				t.Errorf("error is %v, want one that contains %q", err, test.want)
 			}
 			var lineError *simwire.LineError
 			if !errors.As(err, &lineError) {
@@ -95,19 +95,19 @@
 	input := script("gateway_0") + "FRAME 9000000 99\nALARM gateway_0 1\nHALT gateway_0\nEOF_BATCH\n"
 	reply := replyOf(t, input)
 	if !strings.HasSuffix(reply, "\nNEXT 99\n") || strings.Contains(reply, "FATAL") {
-		t.Errorf("reply contains a failure or does not end with NEXT 99:\n%s", reply)
+		t.Errorf("want output without FATAL that ends with NEXT 99, have:\n%s", reply)
 	}
 	lines := strings.Split(strings.TrimSpace(reply), "\n")
 	if last := lines[len(lines)-2]; !strings.HasPrefix(last, "NEXT") {
-		t.Errorf("killed instance acted: %s", last)
+		t.Errorf("line before NEXT 99 is %q, want a NEXT line, because the instance was killed", last)
 	}
 }
 
-// A panic of a scheduler becomes an error with the panic's text, so that the other instances continue.
+// reduce returns a panic of a scheduler as a panicError, whose text starts with "panic: ".
 func TestReduceTurnsPanicIntoError(t *testing.T) {
 	_, err := reduce(nil, 0, nil)
 	var failure *panicError
 	if !errors.As(err, &failure) || !strings.HasPrefix(err.Error(), "panic: ") {
-		t.Errorf("error is %v, want a panicError", err)
+		t.Errorf("error is %v, want a panicError whose text starts with \"panic: \"", err)
 	}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxRequestID is the highest request ID of the protocol. The simulator's numbers are exact up to this value.
+	// maxRequestID is the highest request ID of the protocol. The simulator represents whole numbers up to this value
+	// exactly.
 	maxRequestID = 1 << 52
 	// maxTimerToken is the highest token of a timer.
 	maxTimerToken = 1 << 63
@@ -62,8 +63,8 @@
 	return start
 }
 
-// endpointUpdate decodes the kind and version of an update and looks up the endpoint list by its number. A failed
-// update has no list.
+// endpointUpdate decodes the kind and version of an update and looks up the endpoint list by its number. The list
+// number of a failed update is ignored.
 func (r *Reader) endpointUpdate(f *fields) scheduler.Event {
 	update := scheduler.EndpointUpdate{Kind: lookUp(f, updateKinds), Version: f.unsigned(math.MaxUint64)}
 	list := f.word()
@@ -79,7 +80,7 @@
 	return update
 }
 
-// event decodes the events that need no state of the Reader. Go evaluates the fields of a composite literal in source
+// event decodes an event that needs no state of the Reader. Go makes the method calls in a composite literal in source
 // order, so each literal lists its fields in the order of the wire.
 func (f *fields) event(kind eventKind) scheduler.Event {
 	switch kind {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -11,19 +11,19 @@
 	"junctionwharf/scheduler"
 )
 
-// maxSigned limits the magnitude of a signed field, so that the value fits into a 32-bit int.
+// maxSigned limits the magnitude of a signed field to about the range of a 32-bit int. The limit itself is accepted.
 const maxSigned = 1 << 31
 
-// fields reads the fields of a line in order and keeps the first error. Its methods return the zero value for an absent
-// or malformed field, so that a caller can read the whole line and check err once.
+// fields reads the fields of a line in order and keeps the first error, so that a caller can read the whole line and
+// check err once. Values that are read after an error, or that caused it, are meaningless.
 type fields struct {
 	parts []string
 	next  int // index of the next field to read
 	err   error
 }
 
-// splitFields splits a line into count fields. The last field extends to the end of the line, and only a JSON document
-// may contain spaces.
+// splitFields splits a line into count fields. The last field extends to the end of the line. It may contain spaces
+// only if it starts with "{", as a JSON document does.
 func splitFields(text string, count int) *fields {
 	f := &fields{parts: strings.SplitN(text, " ", count)}
 	last := f.parts[len(f.parts)-1]
@@ -41,7 +41,7 @@
 	}
 }
 
-// word returns the next field, or an empty string if the value is absent.
+// word returns the next field, or an empty string if the field is "-" or the line has no more fields.
 func (f *fields) word() string {
 	if f.next >= len(f.parts) {
 		return ""
@@ -54,7 +54,7 @@
 	return word
 }
 
-// unsigned reads a whole number from 0 to limit.
+// unsigned reads a whole number from 0 to limit. An absent number is 0.
 func (f *fields) unsigned(limit uint64) uint64 {
 	word := f.word()
 	if word == "" || f.err != nil {
@@ -67,7 +67,7 @@
 	return value
 }
 
-// signed reads a whole number, which may be written as a float.
+// signed reads a whole number, which may be written as a float, such as 3.0. An absent number is 0.
 func (f *fields) signed() int {
 	word := f.word()
 	if word == "" || f.err != nil {
@@ -80,7 +80,7 @@
 	return int(value)
 }
 
-// number reads a finite number.
+// number reads a finite number. An absent number is 0.
 func (f *fields) number() float64 {
 	word := f.word()
 	if word == "" || f.err != nil {
@@ -116,7 +116,7 @@
 	return word == flagTrue
 }
 
-// bytes reads hexadecimal bytes.
+// bytes reads hexadecimal bytes. An absent field is an empty slice.
 func (f *fields) bytes() []byte {
 	data, err := hex.DecodeString(f.word())
 	if err != nil {
@@ -125,7 +125,7 @@
 	return data
 }
 
-// loadReport reads a node's load report. Values that the report does not contain stay unknown.
+// loadReport reads a node's load report. Values that the report does not contain keep the value of NoLoadReport.
 func (f *fields) loadReport() scheduler.LoadReport {
 	load := scheduler.NoLoadReport
 	text := f.word()
@@ -161,7 +161,7 @@
 	}
 }
 
-// lookUp reads a word and returns its value in table.
+// lookUp reads a word and returns its value in table. An absent word or a word that is not in table is an error.
 func lookUp[T any](f *fields, table map[string]T) T {
 	word := f.word()
 	term, known := table[word]
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -42,7 +42,7 @@
 // Unwrap returns the underlying error.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Start describes a new instance, which has no state other than its settings.
+// Start describes an instance to start. A started instance has no earlier state.
 type Start struct {
 	Seed     uint64 // seed of all random draws of the instance
 	Settings scheduler.Settings
@@ -57,7 +57,7 @@
 	Event    scheduler.Event
 }
 
-// Batch contains all events of one point in simulated time.
+// Batch contains the events of one batch, which all occur at the same simulated time.
 type Batch struct {
 	Now    scheduler.Time
 	Number uint64
@@ -78,7 +78,7 @@
 	return &Reader{scanner: scanner, lists: map[int][]scheduler.Endpoint{}}
 }
 
-// Next returns the next batch. It returns io.EOF if the input ends between two batches. Any other error is a
+// Next returns the next batch. It returns io.EOF if the input ends before another batch starts. Any other error is a
 // *LineError.
 func (r *Reader) Next() (*Batch, error) {
 	text, err := r.readLine()
@@ -109,7 +109,7 @@
 	return "", io.EOF
 }
 
-// readBatch reads a batch whose first line is text.
+// readBatch decodes the FRAME line text and reads the rest of its batch.
 func (r *Reader) readBatch(text string) (*Batch, error) {
 	f := splitFields(text, batchStartFields)
 	if f.word() != batchStart {
@@ -143,7 +143,8 @@
 	}
 }
 
-// readList reads the rows of an endpoint list and stores the list under its number.
+// readList decodes the LIST line text, reads its rows and stores the list under its number. It replaces an earlier list
+// with this number.
 func (r *Reader) readList(text string) error {
 	f := splitFields(text, listStartFields)
 	f.word()
--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -11,7 +11,7 @@
 	"junctionwharf/scheduler"
 )
 
-// settings is a settings document with each kind of setting that reaches the scheduler.
+// settings is a settings document with settings for classes, plans, capabilities and rules of the scheduler.
 const settings = `{"bounds":{"cancel":true,"maxAttempts":3,"maxRetryAfter":1000000,"peers":true,"novelty":4},` +
 	`"classes":[{"name":"put","aim":400000,"deadline":2000000,"effect":"keyed","keyScope":"cell","window":3000000,` +
 	`"importance":3,"byArrival":true}],"discovery":"subscribe","invariants":{"coldShare":0.2,"fall":2000000,` +
@@ -121,7 +121,8 @@
 		t.Fatal(err)
 	}
 	if batch.Now != 5*time.Millisecond || batch.Number != 3 || len(batch.Items) != 11 {
-		t.Fatalf("batch %d at %v has %d items, want batch 3 at 5ms with 11", batch.Number, batch.Now, len(batch.Items))
+		t.Fatalf("batch %d at %v has %d items, want batch 3 at 5ms with 11 items",
+			batch.Number, batch.Now, len(batch.Items))
 	}
 	start := batch.Items[0].Start
 	if start.Seed != 77 || !reflect.DeepEqual(start.Settings, wantSettings()) {
@@ -133,7 +134,7 @@
 		}
 	}
 	if !batch.Items[10].Killed {
-		t.Errorf("item 10 is %+v, want the kill of the instance", batch.Items[10])
+		t.Errorf("item 10 is %+v, want an item with Killed set", batch.Items[10])
 	}
 	if _, err := reader.Next(); !errors.Is(err, io.EOF) {
 		t.Errorf("error after the last batch is %v, want io.EOF", err)
@@ -161,7 +162,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(strings.NewReader(test.text)).Next()
 			if err == nil || !strings.Contains(err.Error(), test.want) || !strings.Contains(err.Error(), "line ") {
-				t.Errorf("error is %v, want one with a line number and %q", err, test.want)
+				t.Errorf("error is %v, want one that contains \"line \" and %q", err, test.want)
 			}
 			var lineError *LineError
 			if !errors.As(err, &lineError) {
@@ -188,7 +189,7 @@
 	}
 }
 
-// The reader returns an error or io.EOF for any input and does not panic.
+// For any input, the reader does not panic, and its calls end with an error, which may be io.EOF.
 func FuzzReader(f *testing.F) {
 	f.Add(input)
 	f.Add("FRAME 1 1\nEOF_BATCH\n")
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -44,7 +44,7 @@
 	responseStarted:   6,
 }
 
-// Field counts of the lines that are not events, including the first word.
+// Field counts of FRAME, LIST and endpoint lines, including the first word.
 const (
 	batchStartFields  = 3
 	listStartFields   = 3
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -12,8 +12,8 @@
 	"junctionwharf/scheduler"
 )
 
-// writeBufferBytes is the size of a Writer's buffer. Each reply is flushed once at its end. With a smaller buffer, a
-// reply takes more writes.
+// writeBufferBytes is the size of a Writer's buffer. The buffer is flushed at the end of each reply. A reply that
+// exceeds the buffer takes several writes.
 const writeBufferBytes = 64 << 10
 
 // Writer encodes replies to batches.
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// encodeAction returns the line of an action without its line feed.
+// encodeAction returns the line of an action without its line feed. An action of an unknown type becomes a FATAL line.
 func encodeAction(instance string, action scheduler.Action) string {
 	switch a := action.(type) {
 	case scheduler.Forward:
@@ -107,7 +107,7 @@
 	return flagFalse
 }
 
-// encodeDuration returns whole microseconds, or "-" for a duration that is not set.
+// encodeDuration returns whole microseconds, or "-" for a duration of 0 or less, which means that none is set.
 func encodeDuration(d time.Duration) string {
 	if d <= 0 {
 		return absent
@@ -115,7 +115,8 @@
 	return strconv.FormatInt(d.Microseconds(), 10)
 }
 
-// singleLine replaces control characters, which would end or corrupt a line of the reply, with spaces.
+// singleLine replaces each character below U+0020, such as a line feed, with a space, so that the text fits on one line
+// of the reply.
 func singleLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' {
