--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// maxAnswerSize is the maximum size of an answer in bytes. It is above the protocol's limit for answers of nodes.
+	// maxAnswerSize is the maximum size of an answer's body in bytes. It is above the protocol's limit for answers of
+	// nodes.
 	maxAnswerSize = 16 << 20
 	// lineEndSize is the length in bytes of the line end that follows an answer's body.
 	lineEndSize = 2
@@ -37,7 +38,9 @@
 	return to
 }
 
-// exchange sends a request and reads its answer. After an error, the connection cannot be used again.
+// exchange sends a request and reads its answer, both before the time until. An answer gives Served, Rejected or Failed
+// without an error. An I/O error gives Lost. A body size that is not a number gives Failed with an error. After an
+// error, the connection cannot be used again.
 func (c *client) exchange(t Traffic, a Arrival, number int, until time.Time) (Outcome, error) {
 	c.out = appendRequest(c.out[:0], t, a, number)
 	_ = c.conn.SetDeadline(until) // fails only on a closed connection, where the write below fails too
@@ -51,7 +54,7 @@
 	return outcome, err
 }
 
-// appendRequest appends the command of a request, a BLK.READ or a BLK.WRITE.
+// appendRequest appends the command of a request, a BLK.READ or a BLK.WRITE. number is the request's number in the run.
 func appendRequest(to []byte, t Traffic, a Arrival, number int) []byte {
 	class := t.Classes[a.Class]
 	options := fmt.Sprintf("c=%s,t=%s,d=%d,volume=%016x,units=%d,shard=%d,hosts=%d",
@@ -64,7 +67,8 @@
 	return AppendCommand(to, "BLK.READ", key, id, options)
 }
 
-// readAnswer reads an answer, either a bulk string or an error, and returns its outcome.
+// readAnswer reads an answer and returns its outcome. A -BUSY error is Rejected. Any other line that does not start a
+// bulk string is Failed.
 func (c *client) readAnswer() (Outcome, error) {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -80,7 +84,8 @@
 	return Failed, nil
 }
 
-// readBody discards the body of a bulk string of the given size.
+// readBody discards the body of a bulk string of the given size and returns Served. It returns Failed for an invalid
+// size, with an error only if the size is not a number, and Lost with an error if the body cannot be read.
 func (c *client) readBody(sizeText string) (Outcome, error) {
 	size, err := strconv.Atoi(sizeText)
 	if err != nil || size < 0 || size > maxAnswerSize {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,13 +14,17 @@
 
 // Options configures the sending side of a run.
 type Options struct {
-	Addresses      []string // of brokers, used in rotation
-	MaxConnections int      // maximum number of open connections; 0 means defaultMaxConnections
-	// WaitForConnection makes a request wait while all connections are in use. This hides overload from the broker,
-	// because it limits the load to what the broker can serve in time. If WaitForConnection is false, such a request
-	// is counted as Unsent.
+	Addresses []string // of brokers, used in rotation
+	// MaxConnections is the maximum number of requests in flight, each of which uses one connection. 0 means
+	// defaultMaxConnections. With several addresses, idle connections can raise the number of open connections above
+	// it.
+	MaxConnections int
+	// WaitForConnection makes a request wait while MaxConnections requests are in flight. The load is then limited to
+	// what the broker can answer, which hides overload. If WaitForConnection is false, such a request is counted as
+	// Unsent.
 	WaitForConnection bool
-	// Progress is called by the sending goroutine a few times a second. It may be nil.
+	// Progress is called by the sending goroutine when a request is due, at most once every progressInterval. It may be
+	// nil.
 	Progress func(elapsed time.Duration, sent int)
 	// Dial opens a connection to a broker or fails within the timeout. If it is nil, a TCP connection is opened.
 	Dial func(address string, timeout time.Duration) (net.Conn, error)
@@ -32,20 +36,21 @@
 	// progressInterval is the minimum time between two calls of Options.Progress, short enough to show movement.
 	progressInterval = 250 * time.Millisecond
 	// minDialTimeout is the minimum timeout of a dial. It keeps the timeout positive for a request that is already
-	// late, so that its dial times out.
+	// late, so that its dial times out. A timeout of 0 would mean no limit.
 	minDialTimeout = time.Millisecond
 
-	// waitGrace is how long a client waits for an answer beyond the request's deadline if WaitForConnection is set.
-	// After that, the answer is counted as lost. The value is well above the protocol's slack. With a smaller value,
-	// answers that are merely late would be counted as lost.
+	// waitGrace is how long a client waits for an answer beyond the request's deadline if WaitForConnection is set. A
+	// request without an answer by then is counted as Lost. The value is well above the protocol's slack. With a
+	// smaller value, requests whose answers are merely late would be counted as Lost.
 	waitGrace = 2 * time.Second
-	// noWaitGrace is the same time if WaitForConnection is not set. Clients then open a new connection whenever all of
-	// theirs are in use, as the platform's clients do. With a larger value, expired requests would occupy connections
-	// that new requests need.
+	// noWaitGrace is the same time if WaitForConnection is not set. A client then opens a new connection whenever all
+	// of its connections are in use, up to the limit, as the platform's clients do. With a larger value, expired
+	// requests would occupy connections that new requests need.
 	noWaitGrace = 500 * time.Millisecond
 )
 
-// Run sends the traffic until it ends or ctx is canceled, and then waits for the answers to the requests in flight.
+// Run sends the traffic until it ends or ctx is canceled, and then waits for the answers to the requests in flight. It
+// returns an error only for an invalid traffic or if no address is given. Other failures are counted as outcomes.
 func Run(ctx context.Context, traffic Traffic, options Options) (*Result, error) {
 	if err := traffic.Validate(); err != nil {
 		return nil, err
@@ -93,7 +98,8 @@
 	return noWaitGrace
 }
 
-// sendAll sends each request at its intended time. It returns early if ctx is canceled.
+// sendAll starts each request at its intended time, or later if the request must wait for a slot. It returns early if
+// ctx is canceled.
 func (r *runner) sendAll(ctx context.Context) {
 	startedAt := r.result.StartedAt
 	lastProgress := startedAt
@@ -121,7 +127,7 @@
 	}
 }
 
-// sleepUntil waits until the time at. It reports false if ctx is canceled.
+// sleepUntil waits until the time at and returns true. It returns false if ctx is canceled first.
 func sleepUntil(ctx context.Context, timer *time.Timer, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -136,7 +142,8 @@
 	}
 }
 
-// acquireSlot reserves one of the MaxConnections connections and reports whether it succeeded.
+// acquireSlot reserves a slot for a request and returns true. If all slots are in use, it returns false, or with
+// WaitForConnection waits for a slot and returns false only if ctx is canceled.
 func (r *runner) acquireSlot(ctx context.Context) bool {
 	if r.options.WaitForConnection {
 		select {
@@ -179,11 +186,14 @@
 	r.result.add(arrival, outcome, latency, late)
 }
 
-// exchange sends a request and returns its outcome.
+// exchange sends a request and returns its outcome:
 //
-// A broker may close an idle connection while a request is being sent on it. The client then reads EOF on a connection
-// that was used before. In this case, exchange sends the request again on another connection, as the platform's clients
-// do.
+//   - Served, Rejected or Failed for an answer.
+//   - Lost if the dial fails or the answer does not arrive before the time until.
+//   - Closed if the connection ends or fails earlier.
+//
+// If a connection that was used before ends with EOF, exchange sends the request again on another connection, as the
+// platform's clients do. The reason is that a broker may close an idle connection while a request is being sent on it.
 func (r *runner) exchange(arrival Arrival, number int, until time.Time) Outcome {
 	address := number % len(r.options.Addresses)
 	outcome := Lost
@@ -246,7 +256,7 @@
 	r.idle[address] = append(r.idle[address], c)
 }
 
-// closeIdle closes all connections. It is called after the last request has ended.
+// closeIdle closes all idle connections. It is called after the last request has ended, when no connection is in use.
 func (r *runner) closeIdle() {
 	for _, idle := range r.idle {
 		for _, c := range idle {
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// A broker gives each kind of answer and stalls for 100 ms. Checks that each outcome is counted as such, that the
-// latency of every request delayed by the stall includes the stall, and that a request without a free connection is
-// counted as unsent. The test runs on a virtual clock, so the counts are exact.
+// A broker gives each kind of answer and stalls for 100 ms. Checks the count of each outcome, that the stall delays the
+// expected number of answers, and that a request without a free connection is counted as unsent. The test runs on a
+// virtual clock, so the counts are exact.
 func TestRunThroughAStall(t *testing.T) {
 	for name, maxConnections := range map[string]int{"enough connections": 256, "8 connections": 8} {
 		t.Run(name, func(t *testing.T) {
@@ -75,17 +75,20 @@
 	}
 	want, delayed := expectedOutcomes(traffic, maxConnections)
 	if maxConnections == 8 && want[Unsent] == 0 || maxConnections > 8 && delayed < 20 {
-		t.Fatalf("the traffic does not show the stall: expected outcomes %v, %d delayed answers", want, delayed)
+		t.Fatalf("expected outcomes %v, %d delayed answers; want unsent requests with 8 connections, else 20 delays",
+			want, delayed)
 	}
 	all := result.All
 	if all.Counts != want || all.Sent() != result.ByClass[0].Sent()+result.ByClass[1].Sent() {
-		t.Errorf("got outcomes %v, want %v", all.Counts, want)
+		t.Errorf("got outcomes %v, want %v and the same total over the two classes", all.Counts, want)
 	}
 	if int(all.Latency.TotalCount()) != want[Served]+want[Rejected]+want[Failed] {
-		t.Errorf("got %d latencies for expected outcomes %v", all.Latency.TotalCount(), want)
+		t.Errorf("got %d latencies, want one for each served, rejected or failed request of %v",
+			all.Latency.TotalCount(), want)
 	}
 	if int(all.RejectionLatency.TotalCount()) != want[Rejected] {
-		t.Errorf("got %d latencies of rejections for expected outcomes %v", all.RejectionLatency.TotalCount(), want)
+		t.Errorf("got %d latencies of rejections, want one for each rejected request of %v",
+			all.RejectionLatency.TotalCount(), want)
 	}
 	slow := 0
 	for _, bar := range all.Latency.Distribution() {
@@ -124,6 +127,6 @@
 	traffic.Duration = time.Hour
 	result, err := Run(ctx, traffic, Options{Addresses: []string{"127.0.0.1:1"}})
 	if err != nil || result.All.Sent() > 1 {
-		t.Errorf("got %d requests and error %v, want at most 1 request", result.All.Sent(), err)
+		t.Errorf("got %d requests and error %v, want at most 1 request and no error", result.All.Sent(), err)
 	}
 }
--- a/internal/load/stats.go
+++ b/internal/load/stats.go
@@ -11,11 +11,11 @@
 type Outcome int
 
 // The outcomes. Served, Rejected and Failed are answers of the broker. Lost means that the client could not connect, or
-// gave up well after the request's deadline. Closed means that the connection broke before the answer was complete.
+// gave up well after the request's deadline. Closed means that the connection ended before the answer was complete.
 const (
-	Served Outcome = iota
-	Rejected
-	Failed
+	Served   Outcome = iota // a bulk string
+	Rejected                // an error that starts with -BUSY
+	Failed                  // any other answer
 	Lost
 	Closed
 	Unsent // all connections that the client may open were in use
@@ -28,12 +28,12 @@
 // String returns the outcome's name in reports.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// answered reports whether the broker sent a complete answer.
+// answered reports whether the outcome is an answer of the broker.
 func (o Outcome) answered() bool { return o < Lost }
 
 const (
-	// maxLatencyMicros is the largest latency that a histogram can record, 100 s in µs. It is above any deadline plus
-	// grace. Longer latencies are recorded as this value.
+	// maxLatencyMicros is the largest latency that a histogram can record, 100 s in µs. It is meant to be above any
+	// deadline plus grace. Longer latencies are recorded as this value.
 	maxLatencyMicros = 100_000_000
 	// latencyDigits is the number of significant decimal digits of a recorded latency. It gives an error of 0.1 % and
 	// takes some 100 kB per histogram.
@@ -49,8 +49,8 @@
 	return max(1, min(latency.Microseconds(), maxLatencyMicros))
 }
 
-// Stats counts the outcomes of requests. Latencies are measured in µs from the intended time of a request. They are
-// recorded for all requests that the broker answered.
+// Stats counts the outcomes of requests. Latencies are recorded in µs for the requests that the broker answered. They
+// are measured from the intended time of a request.
 type Stats struct {
 	Counts           [outcomeCount]int // by Outcome
 	Late             int               // requests answered after the deadline, measured from the actual sending
@@ -120,7 +120,8 @@
 	return r
 }
 
-// add counts a request in the totals, in its class, in its plan and in its second.
+// add counts a request in the totals, in its class and in its plan. The latency of an answered request is also recorded
+// for the second of its intended time.
 func (r *Result) add(a Arrival, outcome Outcome, latency time.Duration, late bool) {
 	r.All.add(outcome, latency, late)
 	r.ByClass[a.Class].add(outcome, latency, late)
--- a/internal/load/traffic.go
+++ b/internal/load/traffic.go
@@ -12,7 +12,7 @@
 	Name     string
 	Share    float64       // weight among all requests, relative to the shares of the other classes
 	Write    bool          // sent as BLK.WRITE
-	Deadline time.Duration // how long the client waits for an answer
+	Deadline time.Duration // sent with the request; a client waits somewhat longer for an answer
 }
 
 // Traffic describes the requests of a run. All random draws are derived from Seed.
@@ -30,8 +30,8 @@
 }
 
 const (
-	// MaxRequests is the maximum number of requests in a run, so that the goroutines of a run fit on one machine. At
-	// 50,000 requests a second, a run can last 400 s.
+	// MaxRequests limits Rate times Duration, the expected number of requests in a run, so that the goroutines of a run
+	// fit on one machine. At 50,000 requests a second, a run can last 400 s.
 	MaxRequests = 20_000_000
 	// arrivalStream is the second half of the generator's seed. It makes the draws of arrivals independent of other
 	// draws with the same seed. A change of the value would change the requests of every recorded seed.
@@ -47,7 +47,7 @@
 	errNoAddress = errors.New("no broker address given")
 )
 
-// Validate returns an error for the first invalid field.
+// Validate returns the first error found. It does not check the classes' shares and deadlines, or Brokers.
 func (t Traffic) Validate() error {
 	requests := t.Rate * t.Duration.Seconds()
 	switch {
@@ -101,8 +101,8 @@
 	}
 }
 
-// draw draws a request without its time. The order of the draws is fixed: a change would change the requests of every
-// seed. zipf is nil for a uniform distribution of volumes; shares is the sum of the classes' shares.
+// draw draws a request without its time. The order of the draws is fixed, because another order would change the
+// requests of every seed. zipf is nil for a uniform distribution of volumes; shares is the sum of the classes' shares.
 func (t Traffic) draw(random *rand.Rand, zipf *rand.Zipf, shares float64) Arrival {
 	var a Arrival
 	a.Shard = random.IntN(t.Shards)
--- a/internal/load/traffic_test.go
+++ b/internal/load/traffic_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if len(arrivals) < 400 || len(arrivals) > 600 || reads*4 < len(arrivals)*2 || reads*10 > len(arrivals)*9 {
-		t.Errorf("got %d requests with %d reads, want some 500 with some 375", len(arrivals), reads)
+		t.Errorf("got %d requests with %d reads, want 400 to 600 requests, 50 %% to 90 %% reads", len(arrivals), reads)
 	}
 	other := testTraffic()
 	other.Seed = 8
@@ -74,7 +74,8 @@
 			_, _ = fmt.Fprintln(hash, int64(a.At), a.Class, a.Plan, a.Volume, a.Shard, a.Units, a.Key)
 		}
 		if count != c.count || hash.Sum64() != c.hash {
-			t.Errorf("skew %v: %d requests with hash %x, want %d with %x", c.skew, count, hash.Sum64(), c.count, c.hash)
+			t.Errorf("skew %v: %d requests with hash %x, want %d requests with hash %x",
+				c.skew, count, hash.Sum64(), c.count, c.hash)
 		}
 	}
 }
@@ -93,7 +94,7 @@
 			invalidate(&traffic)
 			_, err := Run(context.Background(), traffic, Options{Addresses: []string{"127.0.0.1:1"}})
 			if err == nil {
-				t.Errorf("invalid traffic was accepted: %+v", traffic)
+				t.Errorf("Run accepted invalid traffic %+v, want an error", traffic)
 			}
 		})
 	}
