--- a/internal/fakes/carbon.go
+++ b/internal/fakes/carbon.go
@@ -35,8 +35,9 @@
 	// bytesBeforeReset is the number of bytes that a Resetting receiver reads before it resets the connection. A line
 	// has some 80 bytes. Thus the sender has used the connection successfully, and the reset cuts a line in two.
 	bytesBeforeReset = 100
-	// unreadBuffer is the size in bytes of the receive buffer of a connection in all modes except Reading. With the
-	// system default of several megabytes, a sender would notice only after minutes that its data is not read.
+	// unreadBuffer is the size in bytes of the receive buffer of a connection that is accepted in any mode except
+	// Reading. With the system default of several megabytes, a sender would notice only after minutes that its data is
+	// not read.
 	unreadBuffer = 4096
 	// trickleInterval is the time between two bytes that a Trickling receiver reads.
 	trickleInterval = time.Second
@@ -92,7 +93,8 @@
 // Address returns the listening address.
 func (c *Carbon) Address() string { return c.listener.Addr().String() }
 
-// SetMode changes the mode. The new mode also applies to open connections, from their next read.
+// SetMode changes the mode. The new mode also applies to open connections, but not to a read from the network that is
+// already waiting for data.
 func (c *Carbon) SetMode(mode ReceiverMode) {
 	c.mode.Store(int32(mode))
 	c.mu.Lock()
@@ -198,7 +200,8 @@
 	}
 }
 
-// awaitModeChange waits for the next change of mode. It returns false if the receiver is closed before the call.
+// awaitModeChange waits for the next change of mode or for Close, and returns true. If the receiver is already closed,
+// it returns false at once.
 func (c *Carbon) awaitModeChange() bool {
 	c.mu.Lock()
 	changed := c.modeChanged
@@ -251,7 +254,8 @@
 	}
 }
 
-// readPickles reads batches until the connection ends. Each batch is preceded by its length in four bytes.
+// readPickles reads batches until the connection ends or a batch is invalid. Each batch is preceded by its length in
+// four bytes. A connection that ends between two batches is not an error.
 func (c *Carbon) readPickles(in *bufio.Reader) error {
 	for {
 		var size uint32
--- a/internal/fakes/carbonparse.go
+++ b/internal/fakes/carbonparse.go
@@ -99,7 +99,7 @@
 	return Point{Series: path, Timestamp: int64(timestamp), Value: value}, nil
 }
 
-// pickleNumber converts a number of any of Python's types.
+// pickleNumber converts a number that was pickled from a Python int, long or float.
 func pickleNumber(value any) (float64, error) {
 	switch n := value.(type) {
 	case int64:
--- a/internal/fakes/collectd.go
+++ b/internal/fakes/collectd.go
@@ -10,7 +10,8 @@
 	// collectdReadBuffer is the size of the receive buffer in bytes. The simultaneous reports of hundreds of brokers
 	// must fit. Otherwise an experiment would attribute datagrams dropped by the kernel to the brokers.
 	collectdReadBuffer = 4 << 20
-	// maxNotifications limits the notifications that are kept. An experiment causes some hundreds.
+	// maxNotifications limits the notifications that are kept. Once it is reached, the notifications of further packets
+	// are dropped. An experiment causes some hundreds.
 	maxNotifications = 10_000
 )
 
--- a/internal/fakes/collectdcrypto.go
+++ b/internal/fakes/collectdcrypto.go
@@ -13,8 +13,8 @@
 // userLengthSize is the size in bytes of the field with the length of the user's name in an encrypted part.
 const userLengthSize = 2
 
-// verifySignature checks the signature in body: the HMAC-SHA-256, keyed with the user's secret, of the user's name and
-// rest, which is the remainder of the packet.
+// verifySignature checks the signature in body, which consists of an HMAC-SHA-256 and a user's name. The HMAC is keyed
+// with the user's secret and covers the name and rest, which is the remainder of the packet.
 func verifySignature(secrets map[string]string, body, rest []byte) error {
 	if len(body) <= sha256.Size {
 		return errNoSigner
--- a/internal/fakes/collectdparse.go
+++ b/internal/fakes/collectdparse.go
@@ -57,7 +57,8 @@
 )
 
 // ParsePacket parses a packet. secrets maps users to their secrets. If protected is true, data that is neither signed
-// nor encrypted is rejected. Together with an error, it returns the points and notifications before the error.
+// nor encrypted is rejected. With an error, ParsePacket also returns the points and notifications found before the
+// error.
 func ParsePacket(packet []byte, secrets map[string]string, protected bool) ([]Point, []Notification, error) {
 	r := &packetReader{secrets: secrets}
 	err := r.readParts(packet, !protected)
@@ -162,7 +163,7 @@
 	return err
 }
 
-// readText reads a zero-terminated string.
+// readText reads a zero-terminated string, which must fill body.
 func readText(body []byte) (string, error) {
 	if len(body) == 0 || body[len(body)-1] != 0 || len(body) > maxTextSize {
 		return "", errUnterminated
@@ -248,7 +249,7 @@
 	}
 }
 
-// seriesPrefix returns the name of a series without the index of its value.
+// seriesPrefix returns the name of a series up to and including the slash before the index of its value.
 func (r *packetReader) seriesPrefix() string {
 	plugin := withInstance(r.plugin, r.pluginInstance)
 	typeName := withInstance(r.typeName, r.typeInstance)
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -51,7 +51,7 @@
 	mu        sync.Mutex // guards the fields below
 	version   uint64
 	endpoints []Endpoint
-	changes   []endpointChange // the latest ones, ordered by version
+	changes   []endpointChange // the latest maxChanges ones, ordered by version
 	changed   chan struct{}    // closed and replaced at each change
 }
 
--- a/internal/fakes/dns.go
+++ b/internal/fakes/dns.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// portAttempts is the maximum number of attempts to find a port that is free for both TCP and UDP. The system
-	// selects the TCP port, and another process may already use the same UDP port.
+	// portAttempts is the maximum number of attempts to find a port that is free for both TCP and UDP. For port 0, the
+	// system selects the TCP port, and another process may already use the same UDP port.
 	portAttempts = 20
 	// maxCNAMEs is the maximum number of aliases that are followed. It is above the limit of resolvers, so that tests
 	// reach the limit of the resolver.
 	maxCNAMEs = 20
-	// initialTTL is the lifetime of records in seconds until Set changes it. It has the smallest value because tests
-	// wait for records to expire.
+	// initialTTL is the lifetime of records in seconds until Set changes it. It is short because tests wait for records
+	// to expire.
 	initialTTL = 1
 	// negativeSOA is included in answers without records. It allows the absence to be cached for 1 s (RFC 2308).
 	negativeSOA = "example.org. 1 IN SOA ns.example.org. h.example.org. 1 60 60 60 1"
@@ -83,7 +83,7 @@
 		if err == nil {
 			return listener, packets, nil
 		}
-		_ = listener.Close() // the next attempt uses another port
+		_ = listener.Close() // for port 0, the next attempt uses another port
 	}
 	return nil, nil, err
 }
@@ -171,7 +171,8 @@
 	return msg
 }
 
-// followAliases adds the CNAME records of a name to msg and returns the name that they lead to.
+// followAliases adds the CNAME records of a name to msg and returns the name that they lead to. It follows at most
+// maxCNAMEs records.
 func (d *DNS) followAliases(msg *dns.Msg, name string) string {
 	for range maxCNAMEs {
 		target, isAlias := d.aliases[name]
--- a/internal/fakes/dnsfaults.go
+++ b/internal/fakes/dnsfaults.go
@@ -25,7 +25,7 @@
 	Spoofed                 // a false answer to another question, followed by the correct answer
 	Malformed               // bytes that are not a DNS message
 	CNAMELoop               // CNAME records that form a loop
-	EveryThird              // only every third query is answered
+	EveryThird              // only every third query is answered, counted from the start of the server
 )
 
 // LateAnswerDelay is the delay of a late answer. It is longer than a resolver's first attempt and shorter than all of
@@ -85,7 +85,8 @@
 	}
 }
 
-// faultyAnswer returns the answer, altered according to the fault. The caller must hold d.mu.
+// faultyAnswer returns the answer, altered according to the fault. For the fault Spoofed, it first sends the false
+// answer itself. The caller must hold d.mu.
 func (d *DNS) faultyAnswer(w dns.ResponseWriter, query *dns.Msg, overTCP bool) *dns.Msg {
 	switch d.fault {
 	case ServFail, Refused, NameError, NoData:
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -70,10 +70,11 @@
 	}
 }
 
-// Served returns the number of commands served.
+// Served returns the number of commands served, without the rejected ones.
 func (n *Node) Served() int { return int(n.served.Load()) }
 
-// Stall suspends the service of new commands for a duration. Commands that arrive in the meantime wait.
+// Stall suspends the service of new commands for a duration. Commands already in service are not delayed. Commands that
+// arrive in the meantime wait, or are rejected if the queue is full.
 func (n *Node) Stall(d time.Duration) { n.stallUntil.Store(time.Now().Add(d).UnixNano()) }
 
 // Close stops the node and resets its connections, as if its process were killed.
@@ -149,7 +150,7 @@
 }
 
 // NumberField returns the number of a field of a command's options, which are NAME=VALUE pairs separated by commas. It
-// returns 1 if the field is missing or not a number.
+// returns 1 if no field of this name has a number.
 func NumberField(options, name string) float64 {
 	for pair := range strings.SplitSeq(options, ",") {
 		key, value, found := strings.Cut(pair, "=")
--- a/internal/fakes/points.go
+++ b/internal/fakes/points.go
@@ -23,10 +23,11 @@
 	maxErrors = 1000
 )
 
-// PointStore stores the latest point of each series by timestamp, and counts the points received.
+// PointStore stores the point with the latest timestamp of each series, and counts the points received. Of points with
+// the same timestamp, it stores the one received last.
 type PointStore struct {
 	mu       sync.Mutex
-	changed  *sync.Cond // broadcast after each point and each error
+	changed  *sync.Cond // broadcast after points or an error were added
 	latest   map[string]Point
 	received int
 	errors   []string
@@ -61,8 +62,8 @@
 	s.changed.Broadcast()
 }
 
-// keeps reports whether a point is the latest of its series, and whether the store has room for a new series. The
-// caller must hold s.mu.
+// keeps reports whether to store a point. A point of a known series is stored unless it is older than the stored point.
+// A point of a new series is stored if the store has room. The caller must hold s.mu.
 func (s *PointStore) keeps(point Point) bool {
 	old, known := s.latest[point.Series]
 	if known {
@@ -103,7 +104,7 @@
 }
 
 // Await waits until condition returns true for the latest points and the errors, or until stop is closed. It reports
-// whether condition returned true. condition must not retain its arguments.
+// whether condition returned true. condition is called while the store is locked, and must not retain its arguments.
 func (s *PointStore) Await(
 	stop <-chan struct{}, condition func(latest map[string]Point, errors []string) bool,
 ) bool {
