--- a/cmd/brokerbench/broker_process.go
+++ b/cmd/brokerbench/broker_process.go
@@ -33,8 +33,8 @@
 	return p, nil
 }
 
-// errorLines writes a broker's error and panic lines to standard error and drops all other lines. It filters them here,
-// because earlier versions of the broker have no flag for the log level.
+// errorLines writes those lines of a broker that contain "ERR" or "panic" to standard error, and drops all other lines.
+// It filters them here, because earlier versions of the broker have no flag for the log level.
 type errorLines struct{}
 
 func (errorLines) Write(p []byte) (int, error) {
@@ -66,7 +66,8 @@
 	<-p.ended //nolint:errcheck // killed on purpose: how it ended says nothing
 }
 
-// stop ends the process with SIGTERM, as the platform does, so that the broker exports its last interval.
+// stop ends the process with SIGTERM, as the platform does, so that the broker exports its last interval. It returns an
+// error if the broker does not exit with code 0.
 func (p *brokerProcess) stop() error {
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -93,7 +94,7 @@
 	return listener.Addr().String(), nil
 }
 
-// awaitServing waits until a broker answers clients. It returns an error if the broker ends first.
+// awaitServing waits until a broker answers clients. It returns an error if the broker or ctx ends first.
 func awaitServing(ctx context.Context, address string, ended <-chan error) error {
 	for !answersPing(address) {
 		select {
--- a/cmd/brokerbench/capacity.go
+++ b/cmd/brokerbench/capacity.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// runCapacity runs the cells that have no raw run. A cell's file is written when its run has ended, so that a long
-// measurement can be interrupted and resumed.
+// runCapacity runs the chosen cells that have no raw run. It writes a cell's file after the cell's run has ended, so
+// that a long measurement can be interrupted and resumed.
 func runCapacity(ctx context.Context, cmd *cli.Command) error {
 	if err := os.MkdirAll(cmd.String("raw"), 0o755); err != nil {
 		return err
--- a/cmd/brokerbench/capacity_report.go
+++ b/cmd/brokerbench/capacity_report.go
@@ -125,7 +125,7 @@
 	return addFit(chart, curve, scatter.Color)
 }
 
-// addFit adds the line of a curve's fitted law, if there is one.
+// addFit adds the line of a curve's fitted law, if there is one with at least two points above 0.
 func addFit(chart *plot.Plot, curve capacity.Curve, color color.Color) error {
 	var points plotter.XYs
 	for x := float64(curveStart); curve.Fit.Law != "" && x <= curveEnd; x *= curveStep {
--- a/cmd/brokerbench/connections.go
+++ b/cmd/brokerbench/connections.go
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// sleep waits for a duration, or returns an error when ctx ends.
+// sleep waits for a duration, or returns the error of ctx if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -168,7 +168,8 @@
 	}
 }
 
-// openConnections opens all connections of conns, several at a time. The caller closes them, also after an error.
+// openConnections opens all connections of conns, several at a time, and returns the first error. The caller closes the
+// connections, also after an error.
 func openConnections(conns []net.Conn, address string, shards int) error {
 	results := make(chan error, connectionOpeners)
 	for first := range connectionOpeners {
@@ -210,7 +211,8 @@
 	return conn, conn.SetDeadline(time.Time{})
 }
 
-// countOpen counts the connections that the broker has not closed. A read from a closed connection returns io.EOF.
+// countOpen counts the connections on which a read does not return io.EOF. io.EOF means that the broker has closed the
+// connection.
 func countOpen(conns []net.Conn) int {
 	open := 0
 	for _, conn := range conns {
--- a/cmd/brokerbench/dashboard_test.go
+++ b/cmd/brokerbench/dashboard_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The dashboard is JSON in the format of Graphite's web application: a name, and graphs of three elements each.
+// The dashboard is JSON in the format of Graphite's web application: a name, and graphs of three elements each, which
+// the test checks on the first graph.
 func TestDashboard(t *testing.T) {
 	var text bytes.Buffer
 	if err := writeDashboard(&text, "a.b", "n1", 5); err != nil {
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if dashboard.Name == "" || len(dashboard.Graphs) < 10 || len(dashboard.Graphs[0]) != 3 {
-		t.Errorf("dashboard has no name, fewer than 10 graphs, or a graph without 3 elements: %s", text.String())
+		t.Errorf("want a name, at least 10 graphs, and 3 elements in the first graph, have %s", text.String())
 	}
 	if !strings.Contains(text.String(), "a.b.n1.volume.*.units_milli),4,") {
 		t.Errorf("volumes are not grouped by their name, the fifth segment of the path: %s", text.String())
@@ -39,7 +40,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if err := writeDashboard(&bytes.Buffer{}, test.prefix, "*", test.top); err == nil {
-				t.Error("flags were accepted")
+				t.Error("invalid flags were accepted, want an error")
 			}
 		})
 	}
--- a/cmd/brokerbench/demo.go
+++ b/cmd/brokerbench/demo.go
@@ -210,8 +210,8 @@
 	return result, nil
 }
 
-// printNodes prints the metrics that the broker exported for each node, and whether the served requests of all nodes
-// equal those of the clients.
+// printNodes prints the metrics that the broker exported for each node, and whether the sum of the nodes' served
+// requests equals the number of served requests that clients counted.
 func printNodes(w io.Writer, carbon *fakes.Carbon, result *load.Result) error {
 	latest := carbon.Latest()
 	_, _ = fmt.Fprintln(w, "\nby node, as the broker exported it to the fake Graphite:")
@@ -239,7 +239,7 @@
 	return err
 }
 
-// exportedNodes returns the sorted names of the nodes that have series.
+// exportedNodes returns the sorted names of the nodes that have a series of attempts.
 func exportedNodes(latest map[string]fakes.Point) []string {
 	var names []string
 	for series := range latest {
--- a/cmd/brokerbench/disconnects.go
+++ b/cmd/brokerbench/disconnects.go
@@ -25,7 +25,8 @@
 	// maxDisconnectDelay is the latest disconnect, in multiples of a node's answer time. Some clients disconnect while
 	// their request is queued, some while it is at the node, and some after the answer.
 	maxDisconnectDelay = 10
-	// settleTime is longer than any request's deadline.
+	// settleTime is how long a run waits after the last disconnect for requests that reach the node late. It is longer
+	// than the deadline of the requests.
 	settleTime = time.Second
 	// backgroundLength is the maximum length of the background load, longer than a measurement takes.
 	backgroundLength = 5 * time.Minute
@@ -110,8 +111,8 @@
 	}
 }
 
-// disconnect sends a request and closes the connection after delay, with or without an answer. If reset is set, the
-// connection ends with a TCP reset.
+// disconnect sends a request and closes the connection after delay, whether or not the answer has arrived. If reset is
+// set, the connection ends with a TCP reset.
 func (r *disconnectRecorder) disconnect(address, id string, delay time.Duration, reset bool) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -132,8 +133,9 @@
 	return conn.Close()
 }
 
-// late returns the sorted delays from a client's disconnect until the node received its request, and the number of
-// requests that the node received before the disconnect.
+// late returns the sorted delays from a client's disconnect until the node received the client's request, and the
+// number of requests that the node received before the disconnect. Requests that the node never received are in neither
+// result.
 func (r *disconnectRecorder) late() (late []time.Duration, before int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/brokerbench/drains.go
+++ b/cmd/brokerbench/drains.go
@@ -22,8 +22,8 @@
 const (
 	// drainService is the name that the measured resolver polls.
 	drainService = "_resp._tcp.storage.example.org"
-	// maxRemovalPause is the longest time between two removals. It is well below the TTL of the records, so that
-	// removals happen at arbitrary times between two polls.
+	// maxRemovalPause is the upper limit of the random pause between two removals. It is well below the TTL of the
+	// records, so that removals happen at arbitrary times between two polls.
 	maxRemovalPause = 40 * time.Millisecond
 	// removalTimeout limits the wait until the core is notified of the last removals.
 	removalTimeout = 10 * time.Second
@@ -45,7 +45,8 @@
 	}
 }
 
-// measureDrains replaces one node at a time, at random times, and measures when the core is notified of each removal.
+// measureDrains replaces one node at a time, at random times, and measures when the broker's core, package broker,
+// would be notified of each removal.
 func measureDrains(ctx context.Context, cmd *cli.Command) error {
 	nodes := cmd.Int("nodes")
 	removals := cmd.Int("removals")
@@ -99,7 +100,7 @@
 type drainMeasurement struct {
 	server *fakes.DNS
 	ttl    uint32
-	listed chan struct{} // receives a value after the first endpoint list
+	listed chan struct{} // receives a value after each endpoint list, unless it still holds one
 
 	mu        sync.Mutex
 	zone      []fakes.SRVRecord
--- a/cmd/brokerbench/fleet.go
+++ b/cmd/brokerbench/fleet.go
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// playVersions runs a scenario with each version in turn and prints the reports.
+// playVersions runs a scenario with each version in turn and prints the reports. A version's site file replaces the
+// scenario's.
 func playVersions(
 	ctx context.Context, cmd *cli.Command, path string, scenario *fleetharness.Scenario,
 ) ([]fleetRun, error) {
@@ -119,7 +120,8 @@
 	return runs, nil
 }
 
-// playFleet runs a scenario once. It prints up to unserved requests of each outcome other than served.
+// playFleet runs a scenario once. For each outcome other than served, it prints at most as many requests as unserved
+// says.
 func playFleet(
 	ctx context.Context, program string, scenario *fleetharness.Scenario, unserved int,
 ) (*fleetharness.Report, error) {
--- a/cmd/brokerbench/fleet_print.go
+++ b/cmd/brokerbench/fleet_print.go
@@ -70,8 +70,8 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// printSlowStart prints, for each second of age of a started node, the window with the highest ratio of units to its
-// limit.
+// printSlowStart prints a row for each second of age of the started nodes: the window whose units are the highest
+// multiple of the window's limit.
 func printSlowStart(w io.Writer, seconds []fleetharness.SlowStartSecond) {
 	fullest := fullestByAge(seconds)
 	if len(fullest) == 0 {
@@ -88,8 +88,8 @@
 	_ = table.Flush()
 }
 
-// fullestByAge returns, for each age, the window with the highest ratio of units to its limit. Ages without a window
-// have the limit 0.
+// fullestByAge returns, for each age, the window whose units are the highest multiple of the window's limit. Ages
+// without a window have the limit 0.
 func fullestByAge(seconds []fleetharness.SlowStartSecond) []fleetharness.SlowStartSecond {
 	var fullest []fleetharness.SlowStartSecond
 	for _, s := range seconds {
--- a/cmd/brokerbench/fleet_report.go
+++ b/cmd/brokerbench/fleet_report.go
@@ -21,8 +21,8 @@
 	"junctionwharf/internal/fleetharness"
 )
 
-// maxPlottedRatio caps a node's plotted ratio of requests to the mean, so that one overloaded node does not flatten the
-// curve of all others.
+// maxPlottedRatio is the maximum plotted ratio of a node's requests to the mean. Higher ratios are plotted as this
+// value, so that one overloaded node does not flatten the curve of all others.
 const maxPlottedRatio = 6
 
 // studentT95 contains the quantiles of Student's t distribution for a two-sided 95% interval, from one degree of
--- a/cmd/brokerbench/hollow.go
+++ b/cmd/brokerbench/hollow.go
@@ -47,7 +47,7 @@
 }
 
 // runHollow runs brokers until ctx ends or one of them fails, and returns when all have ended. If a configuration is
-// invalid, it returns immediately, and the process ends.
+// invalid, it returns at once, while brokers that it has already started are still ending. The process then ends.
 func runHollow(ctx context.Context, brokers []fleetharness.HollowBroker) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
--- a/cmd/brokerbench/listen.go
+++ b/cmd/brokerbench/listen.go
@@ -61,7 +61,7 @@
 }
 
 // listener receives metrics and prints them. run owns the counts of reported faults and notifications. The receivers'
-// goroutines only add points, with outLock held. The receivers end with the context that is passed to start.
+// goroutines write points to out, with outLock held. The receivers end with the context that is passed to start.
 type listener struct {
 	points   *fakes.PointStore
 	collectd *fakes.Collectd // nil without --collectd
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// run flushes points and reports faults and notifications until ctx ends.
+// run flushes points and reports faults and notifications until ctx ends, and then prints the totals.
 func (l *listener) run(ctx context.Context) error {
 	ticker := time.NewTicker(listenReportInterval)
 	defer ticker.Stop()
--- a/cmd/brokerbench/load.go
+++ b/cmd/brokerbench/load.go
@@ -76,7 +76,8 @@
 	return printResult(os.Stdout, result)
 }
 
-// loadBrokerConfig reads a broker's configuration from path, not from the file that the environment names.
+// loadBrokerConfig reads a broker's configuration from path instead of the file that the environment names. Other
+// variables of the environment apply.
 func loadBrokerConfig(path string) (*config.Config, error) {
 	return config.Load(func(name string) string {
 		if name == "BALANCER_CONFIG" {
@@ -113,7 +114,8 @@
 	return traffic, nil
 }
 
-// mixClasses returns the classes of the settings with equal shares, or with the shares of a mix such as "a=1,b=2".
+// mixClasses returns the classes of the settings. Without a mix, all shares are equal. With a mix such as "a=1,b=2", a
+// class that the mix does not name has the share 0.
 func mixClasses(classes []scheduler.Class, mix string) ([]load.RequestClass, error) {
 	shares, err := parseShares(mix)
 	if err != nil {
--- a/cmd/brokerbench/load_test.go
+++ b/cmd/brokerbench/load_test.go
@@ -24,7 +24,7 @@
 	}
 	read, write := classes[0], classes[1]
 	if read.Share != 1 || read.Write || write.Share != 2 || !write.Write {
-		t.Errorf("classes are %+v, want a share of 1 for reads and of 2 for writes", classes)
+		t.Errorf("classes are %+v, want reads with a share of 1 and writes with a share of 2", classes)
 	}
 }
 
@@ -32,7 +32,7 @@
 	for _, mix := range []string{"read", "read=x", "read=-1", "other=1"} {
 		t.Run(mix, func(t *testing.T) {
 			if _, err := mixClasses(testClasses, mix); err == nil {
-				t.Error("mix was accepted")
+				t.Error("mix was accepted, want an error")
 			}
 		})
 	}
--- a/cmd/brokerbench/main.go
+++ b/cmd/brokerbench/main.go
@@ -8,8 +8,8 @@
 // be compared with the stored ones.
 //
 // State and owner. A command's function owns what it starts and ends all of it before it returns: the fakes by
-// testbed.close, the broker processes by kill or stop. The context of main ends at SIGTERM or an interrupt. Only the
-// files that flags name outlive the process.
+// testbed.close, the broker processes by kill or stop. The context of main ends at SIGTERM or an interrupt. Only files
+// that flags name, and files in the same folders, outlive the process.
 //
 // Units. Durations of flags carry their unit ("3s"). JSON keys end with their unit (_us, _ms, _kib). Rates are requests
 // a second.
--- a/cmd/brokerbench/measurements_test.go
+++ b/cmd/brokerbench/measurements_test.go
@@ -41,6 +41,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(text.String(), "+0.50 to +0.50") {
-		t.Errorf("the difference is not 0.5 ms in each round:\n%s", text.String())
+		t.Errorf("want a difference from \"off\" of +0.50 to +0.50 ms, have:\n%s", text.String())
 	}
 }
--- a/cmd/brokerbench/reject_all.go
+++ b/cmd/brokerbench/reject_all.go
@@ -15,12 +15,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// rejectAllIdleTimeout closes idle connections, because clients may disappear without closing theirs.
+// rejectAllIdleTimeout is the time after which an idle connection is closed. Clients may disappear without closing
+// their connections.
 const rejectAllIdleTimeout = time.Minute
 
-// rejectAllCommand is a minimal server that reads each request and rejects it. It measures the cost of a rejection
-// without any decision. In the curve command it takes the place of a broker (--broker floor=bin/brokerbench), so it
-// accepts a broker's command line and environment.
+// rejectAllCommand returns the command of a minimal server that reads each request and rejects it. The server measures
+// the cost of a rejection without any decision. In the curve command it takes the place of a broker (--broker
+// floor=bin/brokerbench), so it accepts a broker's command line and environment.
 func rejectAllCommand() *cli.Command {
 	return &cli.Command{
 		Name: "serve",
@@ -55,8 +56,8 @@
 	return nil
 }
 
-// rejectAll rejects each command of a connection until the connection ends. It answers PING, the command with one
-// argument, with PONG.
+// rejectAll rejects each command of a connection until the connection ends. It takes a command of a single word for
+// PING and answers it with PONG.
 func rejectAll(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := redcon.NewReader(conn)
--- a/cmd/brokerbench/sinks.go
+++ b/cmd/brokerbench/sinks.go
@@ -48,8 +48,8 @@
 	sinksDead     = "dead"
 )
 
-// sinkVariants are the variants of a round, which runs them in a new random order. Off occurs twice: the difference
-// between its two runs is the noise.
+// sinkVariants are the variants of a round, which runs them in a new random order. The variant without receivers occurs
+// twice, as off and off again: the difference between the two runs is the noise.
 var sinkVariants = []string{sinksOff, sinksOffAgain, sinksHealthy, sinksStalled, sinksDead}
 
 // sinkRun is the result that clients saw in one run.
@@ -98,7 +98,8 @@
 	return compareSinks(os.Stdout, runs, random)
 }
 
-// prepareSinks puts the receivers into the state of a variant and returns the broker's metrics targets.
+// prepareSinks puts the receivers into the state of a variant and returns the broker's metrics targets. In the variant
+// stalled, only Graphite's receiver stalls.
 func (b *testbed) prepareSinks(variant string, interval int) metricsTargets {
 	targets := metricsTargets{interval: interval}
 	b.carbon.SetMode(fakes.Reading)
--- a/cmd/brokerbench/sinks_compare.go
+++ b/cmd/brokerbench/sinks_compare.go
@@ -11,7 +11,7 @@
 const (
 	// bootstrapSamples is the number of means drawn for an interval. With fewer, the interval's ends vary more.
 	bootstrapSamples = 4000
-	// bootstrapTail sets the interval's ends: one in bootstrapTail means lies beyond each end, 5% in total.
+	// bootstrapTail sets the interval's ends: 1/bootstrapTail of the means lies beyond each end, 5% in total.
 	bootstrapTail = 40
 )
 
@@ -93,7 +93,7 @@
 	return total / math.Max(1, float64(len(values)))
 }
 
-// bootstrap returns the 95% percentile interval of the mean of values.
+// bootstrap returns the 95% percentile interval of the mean of values, or 0 and 0 if there are no values.
 func bootstrap(values []float64, random *rand.Rand) (low, high float64) {
 	if len(values) == 0 {
 		return 0, 0
--- a/cmd/brokerbench/sinks_counts.go
+++ b/cmd/brokerbench/sinks_counts.go
@@ -33,8 +33,8 @@
 	graphiteAllServed = graphiteBroker + "all.served"
 )
 
-// checkCounts stalls, stops and restarts both receivers under load. It checks that the counts that they received by the
-// end of the run are exactly those of the broker and of the clients.
+// checkCounts stops and restarts both receivers under load, after a stall of Graphite's receiver. It returns an error
+// if compare finds that the counts at the end of the run differ.
 func (b *testbed) checkCounts(ctx context.Context, cmd *cli.Command, w io.Writer) error {
 	targets := metricsTargets{graphite: b.carbon.Address(), collectd: b.collectd.Address(), interval: 1}
 	process, err := b.startBroker(ctx, targets)
@@ -84,7 +84,7 @@
 	return b.startReceivers(targets.graphite, targets.collectd)
 }
 
-// receivedCounts contains the metrics that the receivers have at the end of a run.
+// receivedCounts contains the metrics that the receivers have at the end of a run, and the errors that they recorded.
 type receivedCounts struct {
 	carbon   map[string]fakes.Point
 	collectd map[string]fakes.Point
@@ -105,7 +105,9 @@
 	return total
 }
 
-// compare prints the counts and returns an error if they differ.
+// compare prints the counts of the clients, the broker and the receivers. It returns an error if a receiver recorded an
+// error or if counts differ: the clients', the broker's and Graphite's counts of served and of rejected requests must
+// be equal, and so must collectd's count of served requests. Failed requests are printed only.
 func (r *receivedCounts) compare(w io.Writer, clients *load.Stats) error {
 	got := clients.Counts
 	_, _ = fmt.Fprintf(w, "receivers stalled, stopped and restarted under load: clients counted %d served, "+
@@ -131,7 +133,8 @@
 	return nil
 }
 
-// compareDimensions checks that the served requests of each dimension add up to those of all requests.
+// compareDimensions checks that the served requests of each dimension add up to those of all requests. It uses only
+// points with the timestamp of the latest point of all requests.
 func (r *receivedCounts) compareDimensions(w io.Writer) error {
 	served := r.all("served")
 	stamp := r.carbon[graphiteAllServed].Timestamp
--- a/cmd/brokerbench/spread.go
+++ b/cmd/brokerbench/spread.go
@@ -11,8 +11,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// spreadWorkers limits the number of models that run concurrently. Each model keeps a core busy, so that two of eight
-// cores stay free.
+// spreadWorkers limits the number of models that run concurrently. Each model keeps a core busy. On a machine with
+// eight cores, two cores stay free.
 const spreadWorkers = 6
 
 func spreadCommand() *cli.Command {
--- a/cmd/brokerbench/spread_model.go
+++ b/cmd/brokerbench/spread_model.go
@@ -45,7 +45,8 @@
 	return 0
 }
 
-// rateOf returns the rate of a broker.
+// rateOf returns the rate of a broker. A hot broker has uneven times the mean rate. The other brokers share the rest of
+// the total rate, but have at least 1/minRateShare of the mean rate.
 func (o spreadOptions) rateOf(broker int) float64 {
 	hot := o.hotBrokers()
 	if broker < hot {
@@ -183,7 +184,7 @@
 	m.waiting[event.node] = append(m.waiting[event.node], event)
 }
 
-// leastLoaded returns the choice of the oracle: the node with the fewest requests from all brokers.
+// leastLoaded returns the choice of the oracle: the node with the fewest executing and waiting requests.
 func (m *spreadModel) leastLoaded() int {
 	best := 0
 	for node := range m.busy {
--- a/cmd/brokerbench/spread_policies.go
+++ b/cmd/brokerbench/spread_policies.go
@@ -35,7 +35,8 @@
 	policySubset, policyRendezvous, policyBalancerAll, policyBalancer, policyOracle,
 }
 
-// spreadPolicy chooses nodes for the requests of one broker and receives their outcomes.
+// spreadPolicy chooses nodes for the requests of one broker. The model notifies it of each request that was sent and of
+// each answer.
 type spreadPolicy interface {
 	choose(now time.Duration) int
 	sent(now time.Duration, node int)
@@ -221,7 +222,7 @@
 	return best
 }
 
-// rendezvousPolicy chooses a random node of the subset that rendezvous hashing gives to the broker.
+// rendezvousPolicy chooses a random node of the subset that rendezvous hashing assigns to the broker.
 type rendezvousPolicy struct {
 	*brokerView
 	subset []int
--- a/cmd/brokerbench/spread_test.go
+++ b/cmd/brokerbench/spread_test.go
@@ -12,7 +12,7 @@
 //
 //	brokerbench spread --brokers 20 --nodes 12 --for 3s --rounds 2 --slow 0.25 --uneven 3
 //
-// before the model's code was split, so the test detects a change of a single draw or decision.
+// before the model's code was split. The test detects changed draws and decisions if they change a figure of the table.
 func TestSpreadIsReproducible(t *testing.T) {
 	want, err := os.ReadFile("testdata/spread.txt")
 	if err != nil {
--- a/cmd/brokerbench/testbed.go
+++ b/cmd/brokerbench/testbed.go
@@ -69,7 +69,8 @@
 }
 
 // testbed contains the fakes that a broker under test connects to: nodes, discovery and metrics receivers. The fakes
-// run in this process, and each broker runs in its own process. close ends the fakes. Whoever starts a broker ends it.
+// run in this process, and each broker runs in its own process. close ends the fakes. The caller of startBroker ends
+// the broker.
 type testbed struct {
 	dir       string // directory of configuration files, removed by close
 	program   string // path of the broker's program
