--- a/internal/capacity/cell.go
+++ b/internal/capacity/cell.go
@@ -11,7 +11,7 @@
 type Cell struct {
 	Brokers         int     // total, full and hollow
 	Nodes           int     // one per shard
-	Volumes         int     // active volumes per broker for each request a second; 0 means no volumes and no requests
+	Volumes         int     // active volumes per hollow broker for each request a second; 0: see idleRequestRate
 	ChangeSeconds   float64 // between two changes of the replicated configuration
 	Seed            uint64
 	SeparateControl bool // voters and parents are control processes without clients
@@ -45,14 +45,15 @@
 	// side. A larger value needs more memory on the machine that runs the grid. A smaller value makes the mean over
 	// full brokers less precise.
 	fullBrokers = 20
-	// requestRate is the number of requests a second per broker.
+	// requestRate is the number of requests a second per broker, except in cells without volumes.
 	requestRate = 10
-	// runSeconds is the length of a run in seconds: one change interval plus one second. A larger value makes the grid
-	// take longer to run. With a smaller value, no change falls within a run.
+	// runSeconds is the length of a run in seconds: plannedChangeSeconds plus one second, so that a change falls within
+	// each run. A larger value makes the grid take longer to run.
 	runSeconds = 21
 	// memoryLimitMB is the memory limit of a full broker's process, in MB.
 	memoryLimitMB = 192
-	// idleRequestRate is the number of requests a second per full broker in a cell without volumes.
+	// idleRequestRate is the number of requests a second per full broker in a cell whose Volumes is 0. Hollow brokers
+	// of such a cell have no requests and no volumes.
 	idleRequestRate = 0.1
 )
 
--- a/internal/capacity/cell_test.go
+++ b/internal/capacity/cell_test.go
@@ -8,7 +8,7 @@
 	seen := map[string]bool{}
 	for _, c := range Grid {
 		if err := c.Scenario().Validate(); err != nil {
-			t.Errorf("%s: %v", c.Name(), err)
+			t.Errorf("scenario of %s: got error %v, want none", c.Name(), err)
 		}
 		if seen[c.Name()] {
 			t.Errorf("%s is in the grid twice", c.Name())
--- a/internal/capacity/connections.go
+++ b/internal/capacity/connections.go
@@ -5,11 +5,12 @@
 // connectionsFile is the name of the raw file that stores ConnectionCost values.
 const connectionsFile = "connections.json"
 
-// ConnectionCost is the measured cost of one broker with a given number of open client connections.
+// ConnectionCost is the measured cost of one broker with a given number of idle client connections, while other clients
+// send requests.
 type ConnectionCost struct {
-	Connections int     `json:"connections"`
-	Rate        float64 `json:"rate"` // requests a second, sent by other clients
-	Open        int     `json:"open"` // connections still open at the end
+	Connections int     `json:"connections"` // idle connections opened
+	Rate        float64 `json:"rate"`        // requests a second, sent by other clients
+	Open        int     `json:"open"`        // idle connections still open at the end
 	MemoryMB    float64 `json:"memory_mb"`
 	CPU         float64 `json:"cpu"` // in cores
 	Sent        int     `json:"sent"`
--- a/internal/capacity/curve.go
+++ b/internal/capacity/curve.go
@@ -14,7 +14,7 @@
 	Fit             Fit       // zero if there are fewer than minSizes fleet sizes
 }
 
-// newCurve collects a measure of a role from the runs of the standard cells and fits it.
+// newCurve collects a measure of a role from the runs of the standard cells in one control mode, and fits it.
 func newCurve(runs Runs, separateControl bool, role string, m measure) Curve {
 	curve := Curve{SeparateControl: separateControl, Role: role}
 	for _, c := range Grid {
@@ -34,7 +34,7 @@
 	return curve
 }
 
-// Chart is a measure with one curve per role.
+// Chart is a measure with one curve per role and control mode, if the role occurs in runs of that mode.
 type Chart struct {
 	Measure string
 	Budget  float64
@@ -55,7 +55,7 @@
 	return charts
 }
 
-// curves returns the curves of a measure, for the roles that occur in the runs.
+// curves returns the curves of a measure, for each control mode and each role that occurs in runs of that mode.
 func curves(runs Runs, m measure) (all []Curve) {
 	for _, separateControl := range controlModes {
 		for _, role := range Roles {
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -16,7 +16,7 @@
 		}
 		got := BestFit(x, y)
 		if got.Law != law || got.R2 < 0.999 {
-			t.Errorf("%s: fitted as %+v", law, got)
+			t.Errorf("%s: fitted as %+v, want this law with an R² of at least 0.999", law, got)
 		}
 		if math.Abs(got.A-7) > 1e-6 || math.Abs(got.B-3) > 1e-6 || math.Abs(got.At(930)-y[3]) > 1e-3 {
 			t.Errorf("%s: got %+v, want A = 7 and B = 3", law, got)
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -71,9 +71,9 @@
 	}
 	var got ConnectionCost
 	if err := json.Unmarshal([]byte(golden), &got); err != nil || got != want {
-		t.Errorf("raw file decoded as %+v, %v", got, err)
+		t.Errorf("raw file decoded as %+v with error %v, want %+v", got, err, want)
 	}
 	if text, err := json.Marshal(want); err != nil || string(text) != golden {
-		t.Errorf("connection cost encoded as %s, %v", text, err)
+		t.Errorf("connection cost encoded as %s with error %v, want %s", text, err, golden)
 	}
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -59,8 +59,8 @@
 	value   func(fleetharness.Cost) float64
 }
 
-// datagramBytes is the size of a message between brokers, including 28 bytes of IP and UDP headers. If each shard has
-// one node, all messages are about volumes, and each has a payload of 7 bytes.
+// datagramBytes is the size of a message between brokers, including 28 bytes of IP and UDP headers. In all cells each
+// shard has one node. Therefore all messages are about volumes, and each has a payload of 7 bytes.
 const datagramBytes = 7 + 28
 
 // The measures of the page. A measure without a budget has no verdict.
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -38,8 +38,8 @@
 	Connections []ConnectionCost
 }
 
-// Render returns the generated section of the page. It returns ErrNoPlannedRun if there is no run at the planned fleet
-// size.
+// Render returns the generated section of the page. It returns ErrNoPlannedRun if there is no standard run at the
+// planned fleet size without separate control processes.
 func Render(runs Runs, missing []string, connections []ConnectionCost) (string, error) {
 	planned := plannedRuns(runs, false)
 	if len(planned) == 0 {
@@ -94,11 +94,11 @@
 		percentMore(hollowMean, fullMean))
 }
 
-// hollowCPUBrokers is the fleet size of the run without requests. Only without requests is the processor time of full
-// and hollow brokers comparable.
+// hollowCPUBrokers is the fleet size of the run without volumes, in which full brokers have almost no requests. The
+// processor time of full and hollow brokers is comparable only in such a run.
 const hollowCPUBrokers = 240
 
-// hollowCPUError compares the processor time of full and hollow leaves in the run without requests. It returns "" if
+// hollowCPUError compares the processor time of full and hollow leaves in the run without volumes. It returns "" if
 // the run is missing or lacks either kind.
 func hollowCPUError(runs Runs) string {
 	r := runs[standardCell(hollowCPUBrokers, 1).withVolumes(0).Name()]
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -61,15 +61,15 @@
 	}
 }
 
-// Checks that each measure with a budget has a chart with one curve per role that occurs in the runs.
+// Checks the number of charts, and the curves of agreement bytes: one for leaves and one for parents.
 func TestCharts(t *testing.T) {
 	charts := Charts(testRuns())
 	if len(charts) != 4 || len(charts[0].Curves) != 2 || charts[0].Budget != Budgets.BytesPerSecond {
-		t.Fatalf("wrong charts: %+v", charts)
+		t.Fatalf("want 4 charts, and 2 curves and the budget of bytes a second in the first, got %+v", charts)
 	}
 	c := charts[0].Curves[1]
 	if c.Role != roleParent || len(c.X) != 5 || c.Fit.Law != Linear || math.Abs(c.Fit.At(930)-9300) > 1 {
-		t.Errorf("wrong curve of a parent's bytes: %+v", c)
+		t.Errorf("want a linear curve of a parent's bytes through 5 runs and (930, 9300), got %+v", c)
 	}
 }
 
@@ -114,7 +114,7 @@
 func TestReplace(t *testing.T) {
 	got, err := Replace("a\n"+SectionBegin+"old\n"+SectionEnd+"z\n", "new")
 	if err != nil || got != "a\n"+SectionBegin+"\nnew\n"+SectionEnd+"z\n" {
-		t.Errorf("got page %q, error %v", got, err)
+		t.Errorf("got page %q and error %v, want \"new\" in place of \"old\" and no error", got, err)
 	}
 	if _, err := Replace("a\n"+SectionBegin, "new"); !errors.Is(err, ErrNoMarks) {
 		t.Errorf("page without an end marker: want ErrNoMarks, got %v", err)
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -151,7 +151,8 @@
 }
 
 // agreementColumns returns two columns of the table of all cells, in ms: the time until a change was active at all
-// brokers (p50, p99 and largest, with the number of changes), and the longest contradiction between brokers.
+// brokers (p50, p99 and largest, with the number of changes), and the longest contradiction between brokers. Without
+// changes the first column is "none".
 func agreementColumns(a *fleetharness.AgreementReport) (activation, contradiction string) {
 	if a == nil {
 		return "none", formatMillis(0)
