--- a/internal/simtime/simtime.go
+++ b/internal/simtime/simtime.go
@@ -19,14 +19,14 @@
 	queue     eventQueue
 }
 
-// After schedules do to run when span µs have passed from now.
+// After schedules do to run span µs after Now. span must not be negative, because the clock must not run backward.
 func (c *Clock) After(span int64, do func()) {
 	c.scheduled++
 	heap.Push(&c.queue, event{at: c.Now + span, sequence: c.scheduled, do: do})
 }
 
 // Step advances the clock to the next event and runs the event. It returns false if there is no event, or if the event
-// is later than end. In the latter case, the clock is advanced to the event's time and the event is dropped.
+// is later than end. An event later than end is dropped, but the clock still advances to the event's time.
 func (c *Clock) Step(end int64) bool {
 	if len(c.queue) == 0 {
 		return false
--- a/internal/simtime/simtime_test.go
+++ b/internal/simtime/simtime_test.go
@@ -23,9 +23,9 @@
 		t.Errorf("events ran in the order %v, want %v", happened, want)
 	}
 	if clock.Now != 101 {
-		t.Errorf("clock is at %d µs, want 101", clock.Now)
+		t.Errorf("clock is at %d µs, want 101 µs, the time of the dropped event", clock.Now)
 	}
 	if clock.Step(1000) {
-		t.Error("event later than the end ran in a later step")
+		t.Error("a later step ran an event, want none, because the event later than the end was dropped")
 	}
 }
