--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
 // Package golden compares test output with golden files under the testdata folder of the package under test. The output
 // is data that leaves the process: on the wire, on disk or to an operator. An earlier version recorded the files. A
-// difference means that processes of that version, or programs that read the data, would no longer understand it.
+// difference means that processes of that version, or programs that read the data, may no longer understand it.
 //
 // State and owner. The package has no state except its flag. Its functions run in the test that calls them.
 //
@@ -24,7 +24,7 @@
 // Recording reports whether the golden files are to be rewritten, for tests that compare their files themselves.
 func Recording() bool { return *record }
 
-// Check compares got with the golden file of the given name.
+// Check compares got with the golden file of the given name. With the flag -record, it first writes got to the file.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join(folder, name)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -37,7 +37,7 @@
 			r := &recorder{TB: t}
 			CheckJSON(r, "message.json", c.value, c.decoded, c.ending)
 			if r.failures != c.failures {
-				t.Errorf("got %d failures, want %d", r.failures, c.failures)
+				t.Errorf("CheckJSON reported %d failures, want %d", r.failures, c.failures)
 			}
 		})
 	}
