--- a/broker/requests_test.go
+++ b/broker/requests_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// An attempt in flight is stopped at the deadline, and the request fails, even if the request was not written. A result
-// that arrives after the stop has no effect.
+// An attempt in flight is stopped by the deadline, and the request fails, even if the request was not written. A result
+// that is handled after the stop has no effect.
 func TestStoppedAtDeadline(t *testing.T) {
 	for _, progress := range []Progress{NotConnected, PartiallyWritten, FullyWritten} {
 		t.Run(progress.String(), func(t *testing.T) {
@@ -61,7 +61,7 @@
 			h.turn(RequestArrived{ID: 1, Request: testRequest("write", 0)})
 			h.advance(1_200_000)
 			if len(h.stops) != 1 || h.now != clockStart+1_200_000 {
-				t.Fatalf("%d attempts stopped at %d, want 1 at %d", len(h.stops), h.now, clockStart+1_200_000)
+				t.Fatalf("%d attempts stopped by the time %d, want 1 by %d", len(h.stops), h.now, clockStart+1_200_000)
 			}
 			r := h.state.requests[1]
 			if r == nil || !r.stopped || r.stopReason != scheduler.TimedOut {
@@ -69,15 +69,16 @@
 			}
 			h.turn(AttemptStopped{1, 0, progress})
 			h.response(1, Failed)
-			h.turn(AttemptEnded{1, 0, Result{Value: "late"}}) // was queued before the stop
+			// The result was already queued when the attempt was stopped.
+			h.turn(AttemptEnded{1, 0, Result{Value: "late"}})
 			h.response(1, Failed)
 		})
 	}
 }
 
-// All open requests are answered when the process shuts down. A request whose attempt in flight may have run fails,
-// unless it is idempotent. Idempotent requests with an attempt in flight, and requests that were never sent, are
-// rejected, so that clients may retry them. Requests that arrive later on open connections are rejected, too.
+// All open requests are answered when the process shuts down. If the attempt in flight may have run, the request fails,
+// unless the request is idempotent. Idempotent requests with an attempt in flight, and requests that were never sent,
+// are rejected, so that clients may retry them. Requests that arrive later on open connections are rejected, too.
 func TestShutdownAnswersAll(t *testing.T) {
 	h := newHarness(t)
 	h.turn(
@@ -100,9 +101,9 @@
 	}
 }
 
-// A busy loop handles an arrival late. The client's timeout runs from the arrival: the attempt gets only the remaining
-// time, and the deadline is one timeout after the arrival. A request whose deadline has passed before the loop handles
-// it is answered immediately and never sent.
+// The broker's loop is overloaded and handles an arrival late. The client's timeout runs from the arrival: the attempt
+// gets only the remaining time, and the next turn is due no later than one timeout after the arrival. A request whose
+// deadline has passed before the loop handles it is answered at most one turn and 1 µs later, and is not sent.
 func TestTimeRunsFromArrival(t *testing.T) {
 	h := newHarness(t)
 	request := testRequest("read", 0)
@@ -113,7 +114,7 @@
 		t.Fatalf("attempts started: %+v, want one with a timeout of %d µs", h.starts, request.Timeout*3/4)
 	}
 	if at, ok := h.state.Next(); !ok || at > arrivedAt+request.Timeout {
-		t.Errorf("next turn at %d, %v, want at most %d", at, ok, arrivedAt+request.Timeout)
+		t.Errorf("next turn at %d (scheduled: %v), want one at %d or earlier", at, ok, arrivedAt+request.Timeout)
 	}
 	h.turn(RequestArrived{ID: 2, Request: request, At: h.now - 2*request.Timeout})
 	h.now++
@@ -123,7 +124,8 @@
 	}
 }
 
-// The demand for a shared volume is reported to its aggregator. Peer 1 aggregates at least one of the four volumes.
+// A broker that receives requests for volumes whose requests also arrive through another broker sends peer 1 a message
+// of 1 to 256 bytes. Peer 1 sums the demand for at least one of the four volumes (see scheduler/demand.go).
 func TestDemandIsGossiped(t *testing.T) {
 	h := newHarness(t)
 	for i := range uint64(40) {
@@ -139,5 +141,5 @@
 			return
 		}
 	}
-	t.Error("no demand was sent to peer 1")
+	t.Error("no message of 1 to 256 bytes was sent to peer 1")
 }
--- a/internal/sftp/answer.go
+++ b/internal/sftp/answer.go
@@ -9,8 +9,8 @@
 	"junctionwharf/scheduler"
 )
 
-// busyText is the prefix of a FAILURE status text with which a node or this broker rejects a command without executing
-// it.
+// busyText is the prefix of a FAILURE status text that rejects a command. A node that sends it has not executed the
+// command. This broker sends it if the client can safely retry.
 const busyText = "BUSY"
 
 // answer is a node's answer to an operation: the type and body of a packet, or a complete directory listing.
@@ -23,8 +23,8 @@
 // packet encodes the answer for a client. Directory listings are encoded by nextNames instead.
 func (a answer) packet(id uint32) net.Buffers { return encodePacket(a.kind, id, a.body) }
 
-// resultOf converts the packet with which a node answers an operation to the operation's result. A status that
-// completes the operation, for example one that reports a missing file, is a normal answer.
+// resultOf converts a node's answer packet to the result of the operation. A status that completes the operation, for
+// example one that reports a missing file, is a normal answer.
 func resultOf(p packet) (broker.Result, error) {
 	result := broker.Result{Load: scheduler.NoLoadReport, Value: answer{kind: p.kind, body: p.body}}
 	switch p.kind {
@@ -58,7 +58,8 @@
 	return failed, nil
 }
 
-// encodeRejection encodes the answer to a command that was not executed.
+// encodeRejection encodes the answer to a command that the client can safely retry: it was not executed, or its class
+// is idempotent.
 func encodeRejection(id uint32, retryAfter broker.Micros) net.Buffers {
 	text := busyText
 	if retryAfter > 0 {
--- a/scheduler/demand.go
+++ b/scheduler/demand.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// gossipTicks is the number of ticks between two reports of a volume's demand. With a larger value
-	// tokens are granted based on older demand during a surge through several brokers. With a smaller value
-	// gossip costs more messages.
+	// gossipTicks is the number of ticks between two reports of a volume's demand. With a larger value, when
+	// the requests for a volume surge at several brokers, tokens are granted based on older demand. With a
+	// smaller value gossip costs more messages.
 	gossipTicks = 3
 	// reportTicks is the number of ticks for which a report is valid. It tolerates two lost messages. With a
-	// larger value a failed broker keeps its part of a volume's tokens for longer. With a smaller value one
-	// lost message makes the other brokers grant too many tokens.
+	// larger value a failed broker keeps its part of a volume's tokens for longer. With a smaller value
+	// fewer lost messages make brokers grant too many tokens.
 	reportTicks = 9
 	// demandSteps is the number of steps per unit in the encoding. With a larger value more demand is
 	// capped, because a message can contain at most 65,535 steps. With a smaller value more volumes
@@ -85,8 +85,9 @@
 
 // gossipDemand reports the demand for volumes whose requests also arrive through other brokers. The hash of a
 // volume's name selects one broker as its aggregator. The aggregator sums the reports and answers each with
-// the demand at all other brokers. The number of messages thus depends on a broker's own requests and not on
-// the number of brokers. If the aggregator does not answer, its last answer expires after reportTicks, and
+// the demand at all other brokers. The number of reports that a broker sends thus depends on its own
+// requests and not on the number of brokers: at most one per volume in gossipTicks. An aggregator also sends
+// one answer per report. If the aggregator does not answer, its last answer expires after reportTicks, and
 // this broker then assumes no demand at other brokers.
 func (s *Scheduler) gossipDemand() {
 	for _, v := range s.volumes.active {
--- a/telemetry/volumes.go
+++ b/telemetry/volumes.go
@@ -15,17 +15,17 @@
 	// sketchFactor is the number of counters in the sketch for each shared row. More counters cost about 50 bytes each.
 	// With fewer counters, the sketch may miss a heavy volume among many light ones.
 	sketchFactor = 4
-	// turnoverShare allows one in turnoverShare of the volumes' rows to be replaced at a snapshot. With a larger value,
-	// the rows follow a change of the load more slowly. With a smaller value, a burst replaces most of the series in
-	// the graphs at once.
+	// turnoverShare limits how many rows are replaced at one snapshot: at most 1/turnoverShare of the rows that volumes
+	// may use, or one row if that is less than one. With a larger value, the rows follow a change of the load more
+	// slowly. With a smaller value, a burst replaces most of the series in the graphs at once.
 	turnoverShare = 4
 )
 
 // selectVolumes decides which volumes this snapshot removes and which volumes get a row at their next request. It
 // prevents series that appear and disappear, which show as graphs of single points: a volume that is not clearly
 // heavier than a volume with a row stays in Other, a volume is replaced only after MinSnapshots snapshots, and at most
-// one in turnoverShare of the rows is replaced at once. Volumes that are idle or whose row a node needs are removed
-// regardless of that.
+// 1/turnoverShare of the rows that volumes may use, or one row if that is less than one, are replaced at once. These
+// limits do not apply to volumes that are idle or whose row a node needs.
 func (r *Registry) selectVolumes() {
 	clear(r.selected)
 	remaining := r.removeIdleVolumes()
